--- a/include/mosskeel.hpp
+++ b/include/mosskeel.hpp
@@ -26,7 +26,7 @@
 
 using Epoch = Strong<struct EpochTag, uint64_t>;
 using DaemonId = Strong<struct DaemonTag, uint64_t>;
-using SlotId = Strong<struct SlotTag, uint32_t>;
+using PartitionId = Strong<struct PartitionTag, uint32_t>;
 using Revision = Strong<struct RevisionTag, uint64_t>;
 using Incarnation = Strong<struct IncarnationTag, uint64_t>;
 using Millis = int64_t;
@@ -70,7 +70,7 @@
 template <class... F>
 overload(F...) -> overload<F...>;
 
-/// FNV-1a with a final mix: stable across machines, used for slots, seals and affinity.
+/// FNV-1a with a final mix: stable across machines, used for partitions, seals and affinity.
 uint64_t digest(std::string_view s, uint64_t seed = 1469598103934665603ULL);
 std::string hex(uint64_t x);
 std::optional<uint64_t> unhex(std::string_view s);
--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -3,18 +3,18 @@
 namespace mosskeel {
 
 bool Acceptor::current(const Envelope& e, Epoch epoch) {
-  if (epoch <= led_.epoch()) {
-    auto [c, v] = led_.since(Epoch{epoch.v - 1});
-    out_.send(e.from, CatchupReply{led_.epoch(), c, v});
+  if (epoch <= metadata_log_.epoch()) {
+    auto [c, v] = metadata_log_.updates_since(Epoch{epoch.v - 1});
+    out_.send(e.from, CatchupReply{metadata_log_.epoch(), c, v});
     return false;
   }
-  if (epoch != next(led_.epoch())) {
-    out_.send(e.from, Catchup{led_.epoch()});
+  if (epoch != next(metadata_log_.epoch())) {
+    out_.send(e.from, Catchup{metadata_log_.epoch()});
     return false;
   }
-  auto& m = *led_.view();
+  auto& m = *metadata_log_.view();
   auto& me = out_.id().self;
-  return m.cluster == 0 ? me.role == Role::controller : m.member(me.inc) || m.heir(me);
+  return m.cluster == 0 ? me.role == Role::controller : m.is_core_member(me.incarnation) || m.replaces_member(me);
 }
 
 void Acceptor::on(const Envelope& e, const Prepare& p) {
@@ -43,15 +43,15 @@
   accepted_ = c.accepted;
 }
 void Acceptor::recover(const PromiseRecord& r) {
-  if (r.epoch == next(led_.epoch()) && r.ballot > promised_) promised_ = r.ballot;
+  if (r.epoch == next(metadata_log_.epoch()) && r.ballot > promised_) promised_ = r.ballot;
 }
 void Acceptor::recover(const AcceptRecord& r) {
-  if (r.entry.epoch != next(led_.epoch()) || r.ballot < promised_) return;
+  if (r.entry.epoch != next(metadata_log_.epoch()) || r.ballot < promised_) return;
   promised_ = r.ballot;
   accepted_ = {r.ballot, r.entry};
 }
 void Acceptor::save(ControllerCheckpoint& c) const {
-  c.open = next(led_.epoch());
+  c.open = next(metadata_log_.epoch());
   c.promised = promised_;
   c.accepted = accepted_;
 }
--- a/src/consensus/acceptor.hpp
+++ b/src/consensus/acceptor.hpp
@@ -26,12 +26,12 @@
 
 struct ControllerCheckpoint {
   BOOST_HANA_DEFINE_STRUCT(ControllerCheckpoint, (Metadata, metadata), (Entries, recent), (Epoch, open),
-                           (Ballot, promised), (std::optional<Accept_>, accepted));
+                           (Ballot, promised), (std::optional<AcceptedProposal>, accepted));
 };
 
 class Acceptor {
  public:
-  Acceptor(Outbox& out, Ledger& led) : out_(out), led_(led) {}
+  Acceptor(Outbox& out, MetadataLog& metadata_log) : out_(out), metadata_log_(metadata_log) {}
   void on(const Envelope& e, const Prepare& p);
   void on(const Envelope& e, const Accept& a);
   /// Whether something is accepted in the open instance, decided or not.
@@ -46,9 +46,9 @@
  private:
   bool current(const Envelope& e, Epoch epoch);
   Outbox& out_;
-  Ledger& led_;
+  MetadataLog& metadata_log_;
   Ballot promised_{};
-  std::optional<Accept_> accepted_;
+  std::optional<AcceptedProposal> accepted_;
 };
 
 }  // namespace mosskeel
--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -6,15 +6,15 @@
 
 ControllerMachine::ControllerMachine(const Identity& id, const Recovered& r, Millis now)
     : out_(id),
-      acc_(out_, led_),
+      acc_(out_, metadata_log_),
       detector_(now),
-      lease_(out_, led_, detector_, now),
-      sup_(out_, led_, detector_, lease_),
-      prop_(out_, led_, acc_, [this](const Entry& e) { enact(e); }),
+      lease_(out_, metadata_log_, detector_, now),
+      sup_(out_, metadata_log_, detector_, lease_),
+      prop_(out_, metadata_log_, acc_, [this](const Entry& e) { enact(e); }),
       born_(now) {
   if (r.checkpoint)
     if (auto c = codec::unpack<ControllerCheckpoint>(*r.checkpoint)) {
-      led_.jump(c->metadata);
+      metadata_log_.install_snapshot(c->metadata);
       acc_.recover(*c);
     }
   init_founders(r);
@@ -24,22 +24,22 @@
     std::visit(
         overload{[&](const PromiseRecord& p) { acc_.recover(p); }, [&](const AcceptRecord& a) { acc_.recover(a); },
                  [&](const DecidedRecord& d) {
-                   if (!led_.add(d.entry).empty()) acc_.moved_on();
+                   if (!metadata_log_.add(d.entry).empty()) acc_.moved_on();
                  },
                  [&](const JumpRecord& j) {
-                   if (led_.jump(j.metadata)) acc_.moved_on();
+                   if (metadata_log_.install_snapshot(j.metadata)) acc_.moved_on();
                  },
                  [&](const FoundersRecord& f) { founders_ = f.addresses; }},
         *x);
   }
-  out_.cluster = led_.view()->cluster;
-  out_.epoch = led_.epoch();
-  prop_.lacking = [this](Epoch at, Millis t) { return lacking(at, t); };
+  out_.cluster = metadata_log_.view()->cluster;
+  out_.epoch = metadata_log_.epoch();
+  prop_.missing_acknowledgements = [this](Epoch at, Millis t) { return missing_acknowledgements(at, t); };
 }
 
 std::string ControllerMachine::checkpoint() const {
   ControllerCheckpoint c{};
-  c.metadata = *led_.view();
+  c.metadata = *metadata_log_.view();
   acc_.save(c);
   return codec::pack(c);
 }
@@ -54,32 +54,32 @@
 }
 
 void ControllerMachine::enact(const Entry& e) {
-  for (auto& x : led_.add(e)) {
+  for (auto& x : metadata_log_.add(e)) {
     acc_.moved_on();
     out_.write(codec::pack(ControllerRecord{DecidedRecord{x}}));
-    out_.cluster = led_.view()->cluster;
-    out_.epoch = led_.epoch();
+    out_.cluster = metadata_log_.view()->cluster;
+    out_.epoch = metadata_log_.epoch();
     out_.note(x.epoch.v == 1 ? Event::founded : Event::decided, std::to_string(x.epoch.v) + ": " + describe(x.change));
-    for (auto& [id, d] : led_.view()->directory)
-      if (d.state != DaemonState::left && d.self.inc != out_.id().self.inc)
-        out_.send(d.self.agent.empty() ? d.self.addr : d.self.agent, Decided{x});
+    for (auto& [id, d] : metadata_log_.view()->directory)
+      if (d.state != DaemonState::left && d.self.incarnation != out_.id().self.incarnation)
+        out_.send(d.self.agent_address.empty() ? d.self.address : d.self.agent_address, Decided{x});
   }
 }
 
 void ControllerMachine::learn(const Entries& v, const std::optional<Metadata>& c) {
-  if (c && led_.jump(*c)) {
+  if (c && metadata_log_.install_snapshot(*c)) {
     acc_.moved_on();
     out_.write(codec::pack(ControllerRecord{JumpRecord{*c}}));
     out_.note(Event::caught_up, "checkpoint at " + std::to_string(c->epoch.v));
   }
   for (auto& e : v)
-    for (auto& x : led_.add(e)) {
+    for (auto& x : metadata_log_.add(e)) {
       acc_.moved_on();
       out_.write(codec::pack(ControllerRecord{DecidedRecord{x}}));
     }
-  if (out_.cluster != led_.view()->cluster) outdated_ = false;
-  out_.cluster = led_.view()->cluster;
-  out_.epoch = led_.epoch();
+  if (out_.cluster != metadata_log_.view()->cluster) outdated_ = false;
+  out_.cluster = metadata_log_.view()->cluster;
+  out_.epoch = metadata_log_.epoch();
 }
 
 /// One that the core was founded anew without has no vote until it has caught up with the new generation.
@@ -88,11 +88,11 @@
 }
 
 bool ControllerMachine::known_sender(const Envelope& e) const {
-  if (e.to_inc.v && e.to_inc != out_.id().self.inc) return false;
-  if (e.cluster == 0 || out_.cluster == 0 || e.cluster == out_.cluster || succeeds(*led_.view(), e.cluster))
+  if (e.to_inc.v && e.to_inc != out_.id().self.incarnation) return false;
+  if (e.cluster == 0 || out_.cluster == 0 || e.cluster == out_.cluster || is_successor_cluster(*metadata_log_.view(), e.cluster))
     return true;
-  auto& f = led_.view()->former;
-  auto* d = led_.view()->find(e.from_inc);
+  auto& f = metadata_log_.view()->former_clusters;
+  auto* d = metadata_log_.view()->find(e.from_inc);
   bool kin = std::find(f.begin(), f.end(), e.cluster) != f.end() && (!d || d->state != DaemonState::left);
   return kin && (std::holds_alternative<Heartbeat>(e.body) || std::holds_alternative<Catchup>(e.body) ||
                  std::holds_alternative<Discover>(e.body));
@@ -101,17 +101,17 @@
 /// Somebody of an earlier generation learns of the new one. A controller gets the whole value, never entries: those
 /// may not fit the log that it holds.
 void ControllerMachine::answer_outsider(const Envelope& e) {
-  auto& m = *led_.view();
-  if (std::count(m.former.begin(), m.former.end(), e.cluster) == 0) return out_.note(Event::foreign, "from " + e.from);
-  out_.send(e.from, DiscoverReply{out_.id().self, out_.cluster, led_.epoch(), {}, {}});
+  auto& m = *metadata_log_.view();
+  if (std::count(m.former_clusters.begin(), m.former_clusters.end(), e.cluster) == 0) return out_.note(Event::foreign, "from " + e.from);
+  out_.send(e.from, DiscoverReply{out_.id().self, out_.cluster, metadata_log_.epoch(), {}, {}});
   auto* known = m.find(e.from_inc);
   bool catches_up = std::holds_alternative<Heartbeat>(e.body) || std::holds_alternative<Catchup>(e.body);
-  if (known && known->self.role == Role::controller && catches_up) out_.send(e.from, CatchupReply{led_.epoch(), m, {}});
+  if (known && known->self.role == Role::controller && catches_up) out_.send(e.from, CatchupReply{metadata_log_.epoch(), m, {}});
 }
 
 HeartbeatReply ControllerMachine::reply_to(const Heartbeat& h) const {
-  auto [c, v] = led_.little_since(h.known);
-  return {led_.epoch(), c, v, 0, led_.view()->cluster != 0, h.sent};
+  auto [c, v] = metadata_log_.small_updates_since(h.known);
+  return {metadata_log_.epoch(), c, v, 0, metadata_log_.view()->cluster != 0, h.sent};
 }
 
 Actions ControllerMachine::step(const Envelope& e, Millis now) {
@@ -121,52 +121,52 @@
   }
   if (!out_.cluster && e.cluster) {
     evidence_ = now;
-    if (!std::holds_alternative<DiscoverReply>(e.body)) out_.send(e.from, Catchup{led_.epoch()});
+    if (!std::holds_alternative<DiscoverReply>(e.body)) out_.send(e.from, Catchup{metadata_log_.epoch()});
   }
-  auto before = led_.epoch();
+  auto before = metadata_log_.epoch();
   handle(e, now);
   moved(before, now);
   return done();
 }
 
 void ControllerMachine::moved(Epoch before, Millis now) {
-  if (led_.epoch() == before) return;
+  if (metadata_log_.epoch() == before) return;
   prop_.tick(now);
   beat(now);
 }
 
 void ControllerMachine::handle(const Envelope& e, Millis now) {
   auto& self = out_.id().self;
-  if (e.epoch > led_.epoch() && e.cluster == out_.cluster && out_.cluster && !std::holds_alternative<Decided>(e.body) &&
+  if (e.epoch > metadata_log_.epoch() && e.cluster == out_.cluster && out_.cluster && !std::holds_alternative<Decided>(e.body) &&
       !std::holds_alternative<CatchupReply>(e.body) && !std::holds_alternative<HeartbeatReply>(e.body) &&
-      pace_.due(led_.epoch(), now))
-    out_.send(e.from, Catchup{led_.epoch()});
+      pace_.may_request(metadata_log_.epoch(), now))
+    out_.send(e.from, Catchup{metadata_log_.epoch()});
   std::visit(overload{[&](const Discover& d) {
-                        DiscoverReply r{self, out_.cluster, led_.epoch(), {}, {}};
+                        DiscoverReply r{self, out_.cluster, metadata_log_.epoch(), {}, {}};
                         if (out_.cluster)
-                          for (auto id : led_.view()->members) r.core.push_back(led_.view()->find(id)->self.addr);
+                          for (auto id : metadata_log_.view()->members) r.core.push_back(metadata_log_.view()->find(id)->self.address);
                         else
                           for (auto& [i, f] : fellows_) r.candidates.push_back(f.first);
-                        if (d.self.role == Role::controller && d.self.inc != self.inc)
-                          fellows_[d.self.inc] = {d.self, now};
+                        if (d.self.role == Role::controller && d.self.incarnation != self.incarnation)
+                          fellows_[d.self.incarnation] = {d.self, now};
                         out_.send(e.from, r);
                       },
                       [&](const DiscoverReply& d) {
                         if (out_.cluster) {
-                          if (d.cluster != out_.cluster && succeeds(*led_.view(), d.cluster) && !outdated_) {
+                          if (d.cluster != out_.cluster && is_successor_cluster(*metadata_log_.view(), d.cluster) && !outdated_) {
                             outdated_ = true;
                             out_.note(Event::lost_identity,
                                       "the core was founded anew without this controller; empty its folder");
                           }
-                          if (d.self.role == Role::controller && d.self.inc != self.inc)
-                            fellows_[d.self.inc] = {d.self, now};
+                          if (d.self.role == Role::controller && d.self.incarnation != self.incarnation)
+                            fellows_[d.self.incarnation] = {d.self, now};
                           return;
                         }
-                        if (d.cluster) return out_.send(e.from, Catchup{led_.epoch()});
-                        if (d.self.role == Role::controller && d.self.inc != self.inc)
-                          fellows_[d.self.inc] = {d.self, now};
+                        if (d.cluster) return out_.send(e.from, Catchup{metadata_log_.epoch()});
+                        if (d.self.role == Role::controller && d.self.incarnation != self.incarnation)
+                          fellows_[d.self.incarnation] = {d.self, now};
                         for (auto& c : d.candidates)
-                          if (c.inc != self.inc && !fellows_.count(c.inc)) out_.send(c.addr, Discover{self});
+                          if (c.incarnation != self.incarnation && !fellows_.count(c.incarnation)) out_.send(c.address, Discover{self});
                       },
                       [&](const Prepare& p) {
                         if (may_vote(now)) acc_.on(e, p);
@@ -174,28 +174,28 @@
                       [&](const Accept& a) {
                         if (may_vote(now)) acc_.on(e, a);
                       },
-                      [&](const Rebuild& r) { on(e, r, now); }, [&](const Promise& p) { prop_.on(e, p, now); },
+                      [&](const RefoundRequest& r) { on(e, r, now); }, [&](const Promise& p) { prop_.on(e, p, now); },
                       [&](const Accepted& a) { prop_.on(e, a, now); },
                       [&](const Decided& d) {
                         learn({d.entry}, std::nullopt);
-                        if (led_.gap()) out_.send(e.from, Catchup{led_.epoch()});
+                        if (metadata_log_.has_gap()) out_.send(e.from, Catchup{metadata_log_.epoch()});
                       },
                       [&](const Catchup& c) {
-                        auto [m, v] = led_.since(c.known);
-                        out_.send(e.from, CatchupReply{led_.epoch(), m, v});
+                        auto [m, v] = metadata_log_.updates_since(c.known);
+                        out_.send(e.from, CatchupReply{metadata_log_.epoch(), m, v});
                       },
                       [&](const CatchupReply& c) { learn(c.entries, c.checkpoint); },
                       [&](const QuorumRead& q) {
-                        if (led_.view()->member(self.inc))
-                          out_.send_synced(e.from, QuorumReadReply{q.id, led_.epoch(), acc_.open()}, e.from_inc);
+                        if (metadata_log_.view()->is_core_member(self.incarnation))
+                          out_.send_synced(e.from, QuorumReadReply{q.id, metadata_log_.epoch(), acc_.open()}, e.from_inc);
                       },
                       [&](const QuorumReadReply& q) { prop_.on(e, q, now); },
                       [&](const Commit& c) {
                         if (outdated_)
                           return out_.send(e.from, CommitReply{c.id,
-                                                               Outcome::unknown,
+                                                               CommitOutcome::unknown,
                                                                "this controller belongs to an earlier generation",
-                                                               led_.epoch(),
+                                                               metadata_log_.epoch(),
                                                                std::nullopt,
                                                                {}});
                         prop_.on(e, c, now);
@@ -205,10 +205,10 @@
                         learn(c.entries, c.checkpoint);
                       },
                       [&](const Heartbeat& h) {
-                        detector_.hear(h, now);
-                        if (h.leaving) lease_.on_resigned(h.self.inc, now);
+                        detector_.record(h, now);
+                        if (h.leaving) lease_.on_resigned(h.self.incarnation, now);
                         prop_.heard(now);
-                        if (e.from_inc != self.inc) out_.send_synced(e.from, reply_to(h));
+                        if (e.from_inc != self.incarnation) out_.send_synced(e.from, reply_to(h));
                       },
                       [&](const HeartbeatReply& h) { learn(h.entries, h.checkpoint); },
                       [&](const LeaseRequest& a) { lease_.on(e, a, now); },
@@ -218,38 +218,38 @@
 
 void ControllerMachine::beat(Millis now) {
   next_beat_ = now + limits::heartbeat;
-  beaten_ = led_.epoch();
+  beaten_ = metadata_log_.epoch();
   auto& self = out_.id().self;
-  Heartbeat h{self, led_.epoch(), 0, {}, 0, now, leaving_since_.has_value(), 0};
-  detector_.hear(h, now);
-  for (auto id : led_.view()->members)
-    if (auto* d = led_.view()->find(id); d->self.inc != self.inc) out_.send_synced(d->self.addr, h);
-  auto* me = led_.view()->find(self.inc);
+  Heartbeat h{self, metadata_log_.epoch(), 0, {}, 0, now, leaving_since_.has_value(), 0};
+  detector_.record(h, now);
+  for (auto id : metadata_log_.view()->members)
+    if (auto* d = metadata_log_.view()->find(id); d->self.incarnation != self.incarnation) out_.send_synced(d->self.address, h);
+  auto* me = metadata_log_.view()->find(self.incarnation);
   if ((!me || me->state == DaemonState::left) && now >= next_register_ && !leaving_since_) register_self(now);
 }
 
 /// Asks one member after the other to put this controller into the directory, again if it was taken out of it.
 void ControllerMachine::register_self(Millis now) {
   next_register_ = now + limits::register_retry;
-  auto& m = *led_.view();
+  auto& m = *metadata_log_.view();
   auto& self = out_.id().self;
-  auto* me = m.find(self.inc);
-  auto commit = "register-" + hex(self.inc.v) + (me ? "-" + std::to_string(me->since.v) : "");
+  auto* me = m.find(self.incarnation);
+  auto commit = "register-" + hex(self.incarnation.v) + (me ? "-" + std::to_string(me->since.v) : "");
   for (size_t i = 0; i < m.members.size(); ++i) {
     auto* d = m.find(m.members[register_tries_++ % m.members.size()]);
-    if (d->state != DaemonState::down) return out_.send(d->self.addr, Commit{commit, Register{self}, led_.epoch()});
+    if (d->state != DaemonState::down) return out_.send(d->self.address, Commit{commit, Register{self}, metadata_log_.epoch()});
   }
 }
 
 Actions ControllerMachine::tick(Millis now) {
-  auto before = led_.epoch();
+  auto before = metadata_log_.epoch();
   if (!out_.cluster && now >= next_discover_) discover(now);
   if (leaving_since_) end_in_order(now);
   if (out_.cluster && now >= next_beat_) beat(now);
   if (out_.cluster && now >= next_survey_) survey(now);
   lease_.tick(now);
   sup_.tick(now);
-  if (!acc_.open() || open_at_ != led_.epoch()) open_since_ = now, open_at_ = led_.epoch();
+  if (!acc_.open() || open_at_ != metadata_log_.epoch()) open_since_ = now, open_at_ = metadata_log_.epoch();
   if (out_.cluster && now - open_since_ > limits::heartbeat * 2 && prop_.idle()) {
     open_since_ = now + out_.jitter(limits::paxos_jitter);
     prop_.finish(now);
--- a/src/consensus/discovery.cpp
+++ b/src/consensus/discovery.cpp
@@ -12,7 +12,7 @@
   bool empty_disk = !r.checkpoint && r.journal.empty();
   if (out_.id().later_start || !empty_disk) return;
   founders_ = out_.id().seeds;
-  if (founders_.empty()) founders_ = {out_.id().self.addr};
+  if (founders_.empty()) founders_ = {out_.id().self.address};
   out_.write(codec::pack(ControllerRecord{FoundersRecord{founders_}}));
 }
 
@@ -22,22 +22,22 @@
 
 /// Whether this controller may vote for or propose a founding now.
 bool ControllerMachine::may_found(Millis now) const {
-  return founder(out_.id().self.addr) && now - evidence_ > limits::evidence;
+  return founder(out_.id().self.address) && now - evidence_ > limits::evidence;
 }
 
 /// The candidates heard lately, one for each address, lowest incarnation first.
 Candidates ControllerMachine::candidates() const {
   auto& self = out_.id().self;
   std::map<Address, std::pair<Candidate, Millis>> latest;
-  for (auto& [inc, f] : fellows_) {
+  for (auto& [incarnation, f] : fellows_) {
     auto& [fellow, heard] = f;
-    if (!founder(fellow.addr) || fellow.addr == self.addr) continue;
-    auto& known = latest[fellow.addr];
+    if (!founder(fellow.address) || fellow.address == self.address) continue;
+    auto& known = latest[fellow.address];
     if (heard > known.second) known = f;
   }
   Candidates v{self};
-  for (auto& [addr, f] : latest) v.push_back(f.first);
-  std::sort(v.begin(), v.end(), [](auto& a, auto& b) { return a.inc < b.inc; });
+  for (auto& [address, f] : latest) v.push_back(f.first);
+  std::sort(v.begin(), v.end(), [](auto& a, auto& b) { return a.incarnation < b.incarnation; });
   return v;
 }
 
@@ -46,8 +46,8 @@
   std::erase_if(fellows_, [&](auto& f) { return now - f.second.second > limits::discover * 8; });
   auto& self = out_.id().self;
   for (auto& a : out_.id().seeds)
-    if (a != self.addr) out_.send(a, Discover{self});
-  for (auto& [inc, f] : fellows_) out_.send(f.first.addr, Discover{self});
+    if (a != self.address) out_.send(a, Discover{self});
+  for (auto& [incarnation, f] : fellows_) out_.send(f.first.address, Discover{self});
   if (may_found(now) && prop_.idle()) found(now);
 }
 
@@ -59,14 +59,14 @@
   if (electors.size() < votes) return;
   Millis age = now - born_;
   bool complete = electors.size() == founders_.size();
-  bool lowest = electors.front().inc == id.self.inc;
+  bool lowest = electors.front().incarnation == id.self.incarnation;
   auto patience = lowest ? (complete ? limits::found_pause : limits::found_patience) : limits::found_patience * 3;
   if (age <= patience) return;
   auto members = electors;
   if (members.size() > id.core_size) members.resize(id.core_size);
   out_.note(Event::founding,
             std::to_string(electors.size()) + " of " + std::to_string(founders_.size()) + " candidates");
-  Found f{digest(hex(id.self.inc.v)), id.core_size, members, id.core_most, id.copies};
+  FoundCluster f{digest(hex(id.self.incarnation.v)), id.core_size, members, id.max_core_size, id.replication_factor};
   prop_.found(f, electors, votes, now);
 }
 
--- a/src/consensus/failure_detector.hpp
+++ b/src/consensus/failure_detector.hpp
@@ -5,13 +5,13 @@
 namespace mosskeel {
 
 struct PeerStatus {
-  Millis last = 0;
-  Epoch known{};
+  Millis last_heartbeat_at = 0;
+  Epoch known_epoch{};
   uint32_t load = 0;
-  Epoch streamed{};
+  Epoch streamed_epoch{};
   uint32_t running = 0;
   Candidate self{};
-  uint32_t lacking = 0;
+  uint32_t incomplete_comparisons = 0;
   /// It announced that its process ends in order.
   bool leaving = false;
 };
@@ -19,31 +19,31 @@
 class FailureDetector {
  public:
   explicit FailureDetector(Millis start) : start_(start) {}
-  void hear(const Heartbeat& h, Millis now) {
-    auto& x = heard_[h.self.inc];
-    x = {now, std::max(x.known, h.known), h.load, h.streamed, h.running, h.self, h.lacking, h.leaving};
+  void record(const Heartbeat& h, Millis now) {
+    auto& x = heard_[h.self.incarnation];
+    x = {now, std::max(x.known_epoch, h.known), h.load, h.streamed, h.running, h.self, h.incomplete_comparisons, h.leaving};
   }
-  const PeerStatus* of(Incarnation inc) const {
-    auto i = heard_.find(inc);
+  const PeerStatus* status_of(Incarnation incarnation) const {
+    auto i = heard_.find(incarnation);
     return i == heard_.end() ? nullptr : &i->second;
   }
-  Millis silence(const Daemon& d, Millis now) const {
-    auto* h = of(d.self.inc);
-    return now - (h ? h->last : start_);
+  Millis heartbeat_age(const Daemon& d, Millis now) const {
+    auto* h = status_of(d.self.incarnation);
+    return now - (h ? h->last_heartbeat_at : start_);
   }
   /// Whether another incarnation speaks at a daemon's address since the daemon itself was last heard: it runs no more.
   bool superseded(const Daemon& daemon, Millis now) const {
-    auto* own = of(daemon.self.inc);
-    for (auto& [inc, status] : heard_)
-      if (inc != daemon.self.inc && status.self.addr == daemon.self.addr && now - status.last < limits::silence &&
-          (!own || status.last > own->last))
+    auto* own = status_of(daemon.self.incarnation);
+    for (auto& [incarnation, status] : heard_)
+      if (incarnation != daemon.self.incarnation && status.self.address == daemon.self.address && now - status.last_heartbeat_at < limits::silence &&
+          (!own || status.last_heartbeat_at > own->last_heartbeat_at))
         return true;
     return false;
   }
-  Silences silences(const Metadata& m, Millis now) const {
-    Silences s;
+  HeartbeatAges heartbeat_ages(const Metadata& m, Millis now) const {
+    HeartbeatAges s;
     for (auto& [id, d] : m.directory)
-      if (d.state != DaemonState::left) s[id] = silence(d, now);
+      if (d.state != DaemonState::left) s[id] = heartbeat_age(d, now);
     return s;
   }
 
--- a/src/consensus/handover.cpp
+++ b/src/consensus/handover.cpp
@@ -1,8 +1,8 @@
-#include "consensus/handover.hpp"
+#include "consensus/sequence_barrier.hpp"
 
 #include <algorithm>
 
-namespace mosskeel::handover {
+namespace mosskeel::sequence_barrier {
 namespace {
 
 bool is_lost(const Daemon* daemon) {
@@ -11,18 +11,18 @@
 
 /// What a daemon said of itself, if that was lately; what it said before a silence is no word on what it holds now.
 const PeerStatus* lately(const Daemon* daemon, const FailureDetector& detector, Millis now) {
-  auto* status = daemon ? detector.of(daemon->self.inc) : nullptr;
-  return status && now - status->last < limits::silence ? status : nullptr;
+  auto* status = daemon ? detector.status_of(daemon->self.incarnation) : nullptr;
+  return status && now - status->last_heartbeat_at < limits::silence ? status : nullptr;
 }
 
 /// Owners and stores of all places that a sequence moves, before and after.
 std::set<DaemonId> touched(const Metadata& metadata, const Sequence& sequence) {
   std::set<DaemonId> ids{sequence.node};
   for (auto& move : sequence.moves) {
-    auto& slot = metadata.slots[move.slot.v];
-    ids.insert(slot.owner);
+    auto& partition = metadata.partitions[move.partition.v];
+    ids.insert(partition.owner);
     ids.insert(move.owner);
-    ids.insert(slot.stores.begin(), slot.stores.end());
+    ids.insert(partition.stores.begin(), partition.stores.end());
     ids.insert(move.stores.begin(), move.stores.end());
   }
   return ids;
@@ -33,46 +33,46 @@
 std::set<DaemonId> newcomers(const Metadata& metadata, const Sequence& sequence) {
   std::set<DaemonId> ids;
   for (auto& move : sequence.moves) {
-    auto& old = metadata.slots[move.slot.v].stores;
+    auto& old = metadata.partitions[move.partition.v].stores;
     for (auto id : move.stores)
       if (std::find(old.begin(), old.end(), id) == old.end()) ids.insert(id);
   }
   return ids;
 }
 
-bool known(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector, Millis now) {
+bool is_known(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector, Millis now) {
   size_t all = 0, know = 0;
   for (auto id : touched(metadata, sequence)) {
     auto* daemon = metadata.find(id);
     if (is_lost(daemon)) continue;
     ++all;
     auto* status = lately(daemon, detector, now);
-    know += status && status->known >= sequence.last;
+    know += status && status->known_epoch >= sequence.last_step_epoch;
   }
   return know >= majority_of(all);
 }
 
-bool streamed(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector, Millis now) {
+bool is_streamed(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector, Millis now) {
   auto ids = newcomers(metadata, sequence);
   Epoch begun{};
   for (auto& move : sequence.moves)
-    if (auto& slot = metadata.slots[move.slot.v]; !slot.pending.empty()) begun = std::max(begun, slot.changed);
+    if (auto& partition = metadata.partitions[move.partition.v]; !partition.pending_stores.empty()) begun = std::max(begun, partition.stores_epoch);
   return std::all_of(ids.begin(), ids.end(), [&](auto id) {
     auto* daemon = metadata.find(id);
     auto* status = is_lost(daemon) ? nullptr : lately(daemon, detector, now);
-    return status && status->streamed >= begun;
+    return status && status->streamed_epoch >= begun;
   });
 }
 
-bool target_lost(const Metadata& metadata, const Sequence& sequence) {
+bool has_lost_target(const Metadata& metadata, const Sequence& sequence) {
   auto ids = newcomers(metadata, sequence);
   return std::any_of(ids.begin(), ids.end(), [&](auto id) { return is_lost(metadata.find(id)); });
 }
 
 std::string endangered(const Metadata& metadata, const FailureDetector& detector, Millis now) {
   std::string text;
-  for (uint32_t i = 0; i < metadata.slots.size(); ++i) {
-    auto& stores = metadata.slots[i].stores;
+  for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
+    auto& stores = metadata.partitions[i].stores;
     bool lacking = std::any_of(stores.begin(), stores.end(), [&](auto id) {
       auto* daemon = metadata.find(id);
       return is_lost(daemon) || !lately(daemon, detector, now);
@@ -82,4 +82,4 @@
   return text;
 }
 
-}  // namespace mosskeel::handover
+}  // namespace mosskeel::sequence_barrier
--- a/src/consensus/proposer.hpp
+++ b/src/consensus/proposer.hpp
@@ -8,8 +8,8 @@
  public:
   /// Called for every entry that this controller comes to know as decided.
   using Enact = std::function<void(const Entry&)>;
-  Proposer(Outbox& out, Ledger& led, Acceptor& acc, Enact enact)
-      : out_(out), led_(led), acc_(acc), enact_(std::move(enact)) {}
+  Proposer(Outbox& out, MetadataLog& metadata_log, Acceptor& acc, Enact enact)
+      : out_(out), metadata_log_(metadata_log), acc_(acc), enact_(std::move(enact)) {}
 
   void on(const Envelope& e, const Commit& c, Millis now);
   void on(const Envelope& e, const Promise& p, Millis now);
@@ -21,17 +21,17 @@
     std::erase_if(held_, [&](auto& h) { return release(h, now); });
   }
   /// Proposes the founding entry to these candidates, of whom `votes` must agree.
-  void found(const Found& f, const Candidates& electors, size_t votes, Millis now);
+  void found(const FoundCluster& f, const Candidates& electors, size_t votes, Millis now);
   /// Proposes to found the core anew; every survivor must agree, the lost cannot.
-  void refound(const Refound& t, std::map<Incarnation, Address> survivors, Millis now);
+  void refound(const RefoundCluster& t, std::map<Incarnation, Address> survivors, Millis now);
   bool refounding() const { return refound_.has_value(); }
   /// Brings an instance to its end that its proposer left open.
   void finish(Millis now) {
-    if (!round_) start(Entry{next(led_.epoch()), "", std::monostate{}}, now, true);
+    if (!round_) start(Entry{next(metadata_log_.epoch()), "", std::monostate{}}, now, true);
   }
   bool idle() const { return !round_; }
   /// What still hinders that an epoch is in force everywhere in touch and on every disk in touch; empty if nothing.
-  std::function<std::string(Epoch, Millis)> lacking;
+  std::function<std::string(Epoch, Millis)> missing_acknowledgements;
 
  private:
   enum class Stage { reading, preparing, accepting };
@@ -51,7 +51,7 @@
     Epoch epoch;
     Ballot ballot;
     Entry entry;
-    std::optional<Accept_> best;
+    std::optional<AcceptedProposal> best;
     std::map<Incarnation, Address> peers;
     std::set<Incarnation> votes;
     Millis until;
@@ -80,20 +80,20 @@
   void conclude(uint64_t last_ticket, Millis now);
   void hold(Waiting w, Millis now);
   void expire(Millis now);
-  void answer(const Waiting& w, Outcome o, const std::string& reason, Rejection why = Rejection::none);
+  void answer(const Waiting& w, CommitOutcome o, const std::string& reason, Rejection why = Rejection::none);
   void decided(Millis now);
   void again(Millis now, Ballot seen);
   std::map<Incarnation, Address> members() const;
   size_t votes_needed(size_t peers) const;
 
   Outbox& out_;
-  Ledger& led_;
+  MetadataLog& metadata_log_;
   Acceptor& acc_;
   Enact enact_;
   std::vector<Waiting> queue_;
   std::optional<Round> round_;
   std::optional<Founding> founding_;
-  std::optional<std::pair<Refound, std::map<Incarnation, Address>>> refound_;
+  std::optional<std::pair<RefoundCluster, std::map<Incarnation, Address>>> refound_;
   std::vector<Held> held_;
   uint64_t top_ = 0, tickets_ = 0;
   Millis pause_ = 0;
--- a/src/consensus/refounding.cpp
+++ b/src/consensus/refounding.cpp
@@ -6,9 +6,9 @@
 namespace mosskeel {
 
 bool ControllerMachine::core_lives(Millis now) const {
-  auto& m = *led_.view();
+  auto& m = *metadata_log_.view();
   auto n = std::count_if(m.members.begin(), m.members.end(),
-                         [&](auto id) { return detector_.silence(*m.find(id), now) < limits::core_loss; });
+                         [&](auto id) { return detector_.heartbeat_age(*m.find(id), now) < limits::core_loss; });
   return static_cast<size_t>(n) >= majority_of(m.members.size());
 }
 
@@ -17,35 +17,35 @@
 std::optional<Incarnation> ControllerMachine::successor_at(const Daemon& d) const {
   auto& self = out_.id().self;
   auto later = [&](const Candidate& c) {
-    auto* known = led_.view()->find(c.inc);
-    return c.addr == d.self.addr && c.inc != d.self.inc && (!known || known->id > d.id);
+    auto* known = metadata_log_.view()->find(c.incarnation);
+    return c.address == d.self.address && c.incarnation != d.self.incarnation && (!known || known->id > d.id);
   };
-  if (later(self)) return self.inc;
-  for (auto& [inc, f] : fellows_)
-    if (later(f.first)) return inc;
+  if (later(self)) return self.incarnation;
+  for (auto& [incarnation, f] : fellows_)
+    if (later(f.first)) return incarnation;
   return std::nullopt;
 }
 
 void ControllerMachine::survey(Millis now) {
   next_survey_ = now + limits::discover;
-  auto& m = *led_.view();
+  auto& m = *metadata_log_.view();
   auto& self = out_.id().self;
   std::erase_if(fellows_, [&](auto& f) { return now - f.second.second > limits::discover * 8; });
-  if (core_lives(now) || !(m.member(self.inc) || m.heir(self))) {
+  if (core_lives(now) || !(m.is_core_member(self.incarnation) || m.replaces_member(self))) {
     survey_since_ = 0;
     return;
   }
   std::vector<DaemonId> lost;
   bool accounted = true;
   const Daemon* first = nullptr;
-  Incarnation heir = self.inc;
+  Incarnation heir = self.incarnation;
   for (auto id : m.members) {
     auto* d = m.find(id);
-    if (detector_.silence(*d, now) < limits::core_loss) {
+    if (detector_.heartbeat_age(*d, now) < limits::core_loss) {
       if (!first) first = d;
       continue;
     }
-    out_.send(d->self.addr, Discover{self});
+    out_.send(d->self.address, Discover{self});
     if (auto successor = successor_at(*d)) {
       lost.push_back(id);
       heir = std::min(heir, *successor);
@@ -53,7 +53,7 @@
       accounted = false;
     }
   }
-  bool mine = first ? first->self.inc == self.inc : heir == self.inc;
+  bool mine = first ? first->self.incarnation == self.incarnation : heir == self.incarnation;
   if (!accounted || !mine || lost.size() <= m.members.size() - majority_of(m.members.size())) {
     survey_since_ = 0;
     return;
@@ -62,49 +62,49 @@
     survey_since_ = now;
     for (auto& [id, d] : m.directory)
       if (d.state != DaemonState::left)
-        out_.send(d.self.agent.empty() ? d.self.addr : d.self.agent, Catchup{led_.epoch()});
+        out_.send(d.self.agent_address.empty() ? d.self.address : d.self.agent_address, Catchup{metadata_log_.epoch()});
   }
   if (now - survey_since_ >= limits::survey && !prop_.refounding()) refound(lost, now);
 }
 
 void ControllerMachine::refound(const std::vector<DaemonId>& lost, Millis now) {
-  auto& m = *led_.view();
-  Refound r{m.generation, lost, {}};
+  auto& m = *metadata_log_.view();
+  RefoundCluster r{m.generation, lost, {}};
   std::map<Incarnation, Address> survivors;
   for (auto id : m.members)
-    if (std::find(lost.begin(), lost.end(), id) == lost.end()) survivors[m.find(id)->self.inc] = m.find(id)->self.addr;
+    if (std::find(lost.begin(), lost.end(), id) == lost.end()) survivors[m.find(id)->self.incarnation] = m.find(id)->self.address;
   bool nobody = survivors.empty();
   auto elect = [&](const Candidate& c) {
-    if (nobody && m.heir(c)) survivors[c.inc] = c.addr;
+    if (nobody && m.replaces_member(c)) survivors[c.incarnation] = c.address;
   };
   elect(out_.id().self);
-  if (!m.member(out_.id().self.inc)) r.fresh.push_back(out_.id().self);
-  for (auto& [inc, f] : fellows_)
-    if (!m.member(inc)) r.fresh.push_back(f.first), elect(f.first);
+  if (!m.is_core_member(out_.id().self.incarnation)) r.fresh.push_back(out_.id().self);
+  for (auto& [incarnation, f] : fellows_)
+    if (!m.is_core_member(incarnation)) r.fresh.push_back(f.first), elect(f.first);
   out_.note(Event::refounding, std::to_string(lost.size()) + " of " + std::to_string(m.members.size()) +
                                    " members are lost at epoch " + std::to_string(m.epoch.v));
   prop_.refound(r, survivors, now);
 }
 
-void ControllerMachine::on(const Envelope& e, const Rebuild& r, Millis now) {
-  auto say = [&](Outcome o, const std::string& why) {
-    out_.send(e.from, CommitReply{r.id, o, why, led_.epoch(), std::nullopt, {}});
+void ControllerMachine::on(const Envelope& e, const RefoundRequest& r, Millis now) {
+  auto say = [&](CommitOutcome o, const std::string& why) {
+    out_.send(e.from, CommitReply{r.id, o, why, metadata_log_.epoch(), std::nullopt, {}});
   };
-  auto& m = *led_.view();
-  if (!m.cluster) return say(Outcome::no, "this controller holds no log");
-  if (core_lives(now)) return say(Outcome::no, "a majority of the core lives; use replace core");
+  auto& m = *metadata_log_.view();
+  if (!m.cluster) return say(CommitOutcome::rejected, "this controller holds no log");
+  if (core_lives(now)) return say(CommitOutcome::rejected, "a majority of the core lives; use replace core");
   for (auto id : r.lost) {
     if (std::find(m.members.begin(), m.members.end(), id) == m.members.end())
-      return say(Outcome::no, "daemon " + std::to_string(id.v) + " is no core member");
-    if (detector_.silence(*m.find(id), now) < limits::core_loss)
-      return say(Outcome::no, "daemon " + std::to_string(id.v) + " lives");
+      return say(CommitOutcome::rejected, "daemon " + std::to_string(id.v) + " is no core member");
+    if (detector_.heartbeat_age(*m.find(id), now) < limits::core_loss)
+      return say(CommitOutcome::rejected, "daemon " + std::to_string(id.v) + " lives");
   }
   for (auto id : m.members)
     if (std::find(r.lost.begin(), r.lost.end(), id) == r.lost.end() &&
-        detector_.silence(*m.find(id), now) >= limits::core_loss)
-      return say(Outcome::no, "daemon " + std::to_string(id.v) + " is silent too, but was not named as lost");
+        detector_.heartbeat_age(*m.find(id), now) >= limits::core_loss)
+      return say(CommitOutcome::rejected, "daemon " + std::to_string(id.v) + " is silent too, but was not named as lost");
   refound(r.lost, now);
-  say(Outcome::yes, "");
+  say(CommitOutcome::committed, "");
 }
 
 }  // namespace mosskeel
--- a/src/consensus/supervisor.cpp
+++ b/src/consensus/supervisor.cpp
@@ -16,39 +16,39 @@
   if (!t) return;
   busy_ = "supervisor-" + hex(out_.roll());
   busy_until_ = now + limits::tcm_rpc;
-  out_.send(out_.id().self.addr, Commit{busy_, *t, led_.epoch()});
+  out_.send(out_.id().self.address, Commit{busy_, *t, metadata_log_.epoch()});
 }
 
 bool Supervisor::silent(const Daemon& d, Millis now, Millis limit) const {
   size_t n = 0;
-  for (auto& [inc, s] : lease_.observers()) {
+  for (auto& [incarnation, s] : lease_.observers()) {
     auto i = s.second.find(d.id);
-    if (now - s.first < limits::supervisor_lease && led_.view()->member(inc) && i != s.second.end() &&
+    if (now - s.first < limits::supervisor_lease && metadata_log_.view()->is_core_member(incarnation) && i != s.second.end() &&
         i->second >= limit)
       ++n;
   }
-  return n >= majority_of(led_.view()->members.size());
+  return n >= majority_of(metadata_log_.view()->members.size());
 }
 
 bool Supervisor::heard(const Daemon& d, Millis now) const {
   size_t n = 0;
-  for (auto& [inc, s] : lease_.observers()) {
+  for (auto& [incarnation, s] : lease_.observers()) {
     auto i = s.second.find(d.id);
-    if (now - s.first < limits::supervisor_lease && led_.view()->member(inc) && i != s.second.end() &&
+    if (now - s.first < limits::supervisor_lease && metadata_log_.view()->is_core_member(incarnation) && i != s.second.end() &&
         i->second < limits::heartbeat * 3)
       ++n;
   }
-  return n >= majority_of(led_.view()->members.size());
+  return n >= majority_of(metadata_log_.view()->members.size());
 }
 
 std::optional<Transformation> Supervisor::warm(Millis now) {
-  for (auto& [n, r] : led_.view()->replicas) {
-    if (r.health != Health::cold || !r.service.empty()) continue;
+  for (auto& [n, r] : metadata_log_.view()->replicas) {
+    if (r.health != ReplicaHealth::warming_up || !r.service.empty()) continue;
     auto& c = cold_[n];
     if (c.first != r.since) c = {r.since, now};
     if (now - c.second < limits::cold_ramp + limits::isolation) continue;
     auto x = r;
-    x.health = Health::ready;
+    x.health = ReplicaHealth::ready;
     return SetReplica{x};
   }
   return std::nullopt;
@@ -56,25 +56,25 @@
 
 /// Newcomers count in touch and acknowledgements once a majority of the old and the new set knows of them.
 std::optional<Transformation> Supervisor::count(Millis) const {
-  auto& m = *led_.view();
-  if (m.incoming.empty()) return everybody(m) == m.quorum ? std::nullopt : std::optional<Transformation>(Recount{});
+  auto& m = *metadata_log_.view();
+  if (m.incoming_quorum_members.empty()) return eligible_quorum_members(m) == m.quorum_members ? std::nullopt : std::optional<Transformation>(BeginQuorumChange{});
   auto knows = [&](const Daemon& d) {
-    auto* h = detector_.of(d.self.inc);
-    return h && h->known >= m.recounted;
+    auto* h = detector_.status_of(d.self.incarnation);
+    return h && h->known_epoch >= m.quorum_change_epoch;
   };
-  return m.quorate(knows) ? std::optional<Transformation>(Recounted{m.recounted}) : std::nullopt;
+  return m.has_quorum(knows) ? std::optional<Transformation>(FinishQuorumChange{m.quorum_change_epoch}) : std::nullopt;
 }
 
 std::optional<Transformation> Supervisor::decide(Millis now) {
-  auto& m = *led_.view();
-  bool alone = !m.quorate([&](const Daemon& d) { return detector_.silence(d, now) < limits::silence; });
+  auto& m = *metadata_log_.view();
+  bool alone = !m.has_quorum([&](const Daemon& d) { return detector_.heartbeat_age(d, now) < limits::silence; });
   auto limit = alone ? limits::silence_many : limits::silence;
   for (auto& [id, d] : m.directory) {
     if (d.state == DaemonState::left || (d.state == DaemonState::registered && d.self.role == Role::controller))
       continue;
     bool superseded = d.self.role == Role::store && detector_.superseded(d, now);
     if (d.state != DaemonState::down && (superseded || silent(d, now, limit))) {
-      out_.note(Event::node_silent, std::string(name(d.self.role)) + " daemon " + std::to_string(id.v));
+      out_.note(Event::heartbeats_missed, std::string(name(d.self.role)) + " daemon " + std::to_string(id.v));
       return MarkDown{id};
     }
     if (d.state == DaemonState::down && !superseded && returned(d, now)) return MarkUp{id};
--- a/src/consensus/supervisor.hpp
+++ b/src/consensus/supervisor.hpp
@@ -6,8 +6,8 @@
 
 class Supervisor {
  public:
-  Supervisor(Outbox& out, Ledger& led, const FailureDetector& detector, const SupervisorLease& lease)
-      : out_(out), led_(led), detector_(detector), lease_(lease) {}
+  Supervisor(Outbox& out, MetadataLog& metadata_log, const FailureDetector& detector, const SupervisorLease& lease)
+      : out_(out), metadata_log_(metadata_log), detector_(detector), lease_(lease) {}
   void tick(Millis now);
   void on(const CommitReply& r) {
     if (r.id == busy_) busy_.clear();
@@ -39,7 +39,7 @@
   bool store_in_doubt(Millis now) const;
   Millis repair_patience(DaemonId id) const;
   Outbox& out_;
-  Ledger& led_;
+  MetadataLog& metadata_log_;
   const FailureDetector& detector_;
   const SupervisorLease& lease_;
   std::string busy_;
--- a/src/consensus/supervisor_lease.cpp
+++ b/src/consensus/supervisor_lease.cpp
@@ -5,23 +5,23 @@
 namespace mosskeel {
 
 void SupervisorLease::on(const Envelope& e, const LeaseRequest& a, Millis now) {
-  auto& m = *led_.view();
-  if (!m.member(e.from_inc) || !m.member(out_.id().self.inc)) return;
+  auto& m = *metadata_log_.view();
+  if (!m.is_core_member(e.from_inc) || !m.is_core_member(out_.id().self.incarnation)) return;
   bool yes = now >= granted_until_ || granted_to_ == e.from_inc;
   if (yes) {
     granted_to_ = e.from_inc;
     granted_until_ = now + limits::supervisor_lease;
   }
-  out_.send(e.from, LeaseGrant{a.number, yes, detector_.silences(m, now)}, e.from_inc);
+  out_.send(e.from, LeaseGrant{a.request_id, yes, detector_.heartbeat_ages(m, now)}, e.from_inc);
 }
 
 void SupervisorLease::on(const Envelope& e, const LeaseGrant& g, Millis now) {
-  auto& m = *led_.view();
-  if (g.number != number_ || !m.member(e.from_inc)) return;
-  seen_[e.from_inc] = {now, g.silences};
+  auto& m = *metadata_log_.view();
+  if (g.request_id != number_ || !m.is_core_member(e.from_inc)) return;
+  seen_[e.from_inc] = {now, g.heartbeat_ages};
   denied_ = denied_ || !g.granted;
   // Who knows a later epoch than we do shows that our log is old: nothing may be decided on it.
-  if (!g.granted || e.epoch > led_.epoch()) return;
+  if (!g.granted || e.epoch > metadata_log_.epoch()) return;
   grants_.insert(e.from_inc);
   if (grants_.size() >= majority_of(m.members.size()))
     until_ = asked_ + limits::supervisor_lease - limits::supervisor_lease_margin;
@@ -37,22 +37,22 @@
   if (granted_to_ != holder) return;
   granted_to_ = {};
   granted_until_ = now;
-  auto& m = *led_.view();
+  auto& m = *metadata_log_.view();
   auto rank = std::find_if(m.members.begin(), m.members.end(),
-                           [&](auto id) { return m.find(id)->self.inc == out_.id().self.inc; });
+                           [&](auto id) { return m.find(id)->self.incarnation == out_.id().self.incarnation; });
   next_ask_ = now + 1 + (rank - m.members.begin()) * limits::supervisor_lease_margin / 2;
 }
 
 void SupervisorLease::tick(Millis now) {
-  auto& m = *led_.view();
-  auto me = out_.id().self.inc;
+  auto& m = *metadata_log_.view();
+  auto me = out_.id().self.incarnation;
   if (held(now) != was_) {
     was_ = !was_;
     out_.note(was_ ? Event::lease_taken : Event::lease_lost, "number " + std::to_string(number_));
   }
-  if (resigned_ || !m.member(me) || now < next_ask_) return;
+  if (resigned_ || !m.is_core_member(me) || now < next_ask_) return;
   if (now < granted_until_ && granted_to_ != me) {
-    auto rank = std::find_if(m.members.begin(), m.members.end(), [&](auto id) { return m.find(id)->self.inc == me; });
+    auto rank = std::find_if(m.members.begin(), m.members.end(), [&](auto id) { return m.find(id)->self.incarnation == me; });
     next_ask_ = granted_until_ + 1 + (rank - m.members.begin()) * limits::supervisor_lease_margin / 2;
     return;
   }
@@ -69,7 +69,7 @@
   number_ = out_.roll();
   grants_.clear();
   denied_ = false;
-  for (auto id : m.members) out_.send(m.find(id)->self.addr, LeaseRequest{number_}, m.find(id)->self.inc);
+  for (auto id : m.members) out_.send(m.find(id)->self.address, LeaseRequest{number_}, m.find(id)->self.incarnation);
 }
 
 }  // namespace mosskeel
--- a/src/controller/admin_api.cpp
+++ b/src/controller/admin_api.cpp
@@ -8,124 +8,124 @@
 
 namespace {
 
-HttpAnswer plain(std::string s) {
-  HttpAnswer a;
+ApiResponse plain(std::string s) {
+  ApiResponse a;
   if (s.empty() || s.back() != '\n') s += '\n';
   a.body = std::move(s);
   a.headers["Content-Type"] = "text/plain; charset=utf-8";
   return a;
 }
 
-HttpAnswer body(const Json& j) {
-  HttpAnswer a;
+ApiResponse body(const Json& j) {
+  ApiResponse a;
   a.body = j.dump() + "\n";
   return a;
 }
 
-std::string id_of(const HttpAsk& a) {
+std::string id_of(const ApiRequest& a) {
   auto i = a.headers.find("idempotency-key");
   return i != a.headers.end() && !i->second.empty() ? i->second : "op-" + hex(dice());
 }
 
 std::string verdict(const CommitReply& r) {
-  if (r.outcome == Outcome::yes) return "yes epoch " + std::to_string(r.epoch.v);
-  if (r.outcome == Outcome::no) return "no: " + r.reason;
+  if (r.outcome == CommitOutcome::committed) return "yes epoch " + std::to_string(r.epoch.v);
+  if (r.outcome == CommitOutcome::rejected) return "no: " + r.reason;
   return "unknown: retry with " + r.id + (r.reason.empty() ? "" : " (" + r.reason + ")");
 }
 
 }  // namespace
 
-HttpAnswer AdminApi::change(const Transformation& t, const HttpAsk& a) {
+ApiResponse AdminApi::change(const Transformation& t, const ApiRequest& a) {
   auto r = commit_safely(t, id_of(a));
-  Json j{{"outcome", r.outcome == Outcome::yes ? "yes" : r.outcome == Outcome::no ? "no" : "unknown"}, {"id", r.id}};
-  if (r.outcome == Outcome::yes)
+  Json j{{"outcome", r.outcome == CommitOutcome::committed ? "yes" : r.outcome == CommitOutcome::rejected ? "no" : "unknown"}, {"id", r.id}};
+  if (r.outcome == CommitOutcome::committed)
     j["epoch"] = r.epoch.v, j["revision"] = host_.view()->revision.v;
   else
     j["reason"] =
-        r.outcome == Outcome::no ? r.reason : "retry with the same id" + (r.reason.empty() ? "" : ": " + r.reason);
+        r.outcome == CommitOutcome::rejected ? r.reason : "retry with the same id" + (r.reason.empty() ? "" : ": " + r.reason);
   auto x = body(j);
-  x.status = r.outcome == Outcome::yes ? 200 : r.outcome == Outcome::no ? 409 : 503;
+  x.status = r.outcome == CommitOutcome::committed ? 200 : r.outcome == CommitOutcome::rejected ? 409 : 503;
   if (x.status == 503) x.headers["Retry-After"] = "1";
-  note(Event::platform_asked, describe(t) + ": " + verdict(r));
+  note(Event::platform_request, describe(t) + ": " + verdict(r));
   return x;
 }
 
-std::vector<Entry> AdminApi::recent() {
+std::vector<Entry> AdminApi::recent_entries() {
   std::vector<Entry> v;
-  inspect([&](ControllerMachine& m, Millis) { v.assign(m.recent().begin(), m.recent().end()); });
+  inspect([&](ControllerMachine& m, Millis) { v.assign(m.recent_entries().begin(), m.recent_entries().end()); });
   return v;
 }
 
-HttpAnswer AdminApi::read(const std::function<HttpAnswer(const Metadata&)>& show) {
-  if (auto v = confirmed(*this, limits::operator_patience)) return show(*v);
-  return HttpAnswer::error(503, "unclear", "no majority of the core answered in time", limits::retry_ms);
+ApiResponse AdminApi::read(const std::function<ApiResponse(const Metadata&)>& show) {
+  if (auto v = linearizable_read(*this, limits::operator_patience)) return show(*v);
+  return ApiResponse::error(503, "unclear", "no majority of the core answered in time", limits::retry_ms);
 }
 
-HttpAnswer AdminApi::say(const HttpAsk& a) {
-  auto c = operators::parse(a.body);
+ApiResponse AdminApi::say(const ApiRequest& a) {
+  auto c = command_language::parse(a.body);
   std::string s;
-  bool rebuilds = ok(c) && std::holds_alternative<operators::RebuildCore>(value(c));
+  bool rebuilds = ok(c) && std::holds_alternative<command_language::RebuildCore>(value(c));
   // The core that is to be founded anew has no majority to confirm anything.
-  auto v = !ok(c) || rebuilds ? host_.view() : confirmed(*this, limits::operator_patience);
+  auto v = !ok(c) || rebuilds ? host_.view() : linearizable_read(*this, limits::operator_patience);
   if (!ok(c)) {
     s = "no: " + render(findings(c));
   } else if (!v) {
-    s = verdict({id_of(a), Outcome::unknown, "no majority of the core answered in time", {}, std::nullopt, {}});
-  } else if (auto* x = std::get_if<operators::Show>(&value(c))) {
-    s = operators::show(*x, *v);
-  } else if (auto* x = std::get_if<operators::Explain>(&value(c))) {
-    s = operators::explain(*x, *v, recent());
-  } else if (auto* x = std::get_if<operators::RebuildCore>(&value(c))) {
+    s = verdict({id_of(a), CommitOutcome::unknown, "no majority of the core answered in time", {}, std::nullopt, {}});
+  } else if (auto* x = std::get_if<command_language::ShowQuery>(&value(c))) {
+    s = command_language::show(*x, *v);
+  } else if (auto* x = std::get_if<command_language::ExplainQuery>(&value(c))) {
+    s = command_language::explain(*x, *v, recent_entries());
+  } else if (auto* x = std::get_if<command_language::RebuildCore>(&value(c))) {
     s = verdict(rebuild(x->lost));
   } else {
-    auto t = operators::to_change(value(c), *v);
+    auto t = command_language::to_transformation(value(c), *v);
     s = ok(t) ? verdict(commit_safely(value(t), id_of(a))) : "no: " + render(findings(t));
   }
-  note(Event::operator_asked, "'" + a.body.substr(0, 200) + "': " + s.substr(0, s.find('\n')));
+  note(Event::operator_command, "'" + a.body.substr(0, 200) + "': " + s.substr(0, s.find('\n')));
   return plain(s);
 }
 
-HttpAnswer AdminApi::put_configuration(const HttpAsk& a) {
+ApiResponse AdminApi::put_configuration(const ApiRequest& a) {
   auto q = a.query.find("revision");
   if (q == a.query.end() || q->second.empty() || q->second.size() > 18 ||
       q->second.find_first_not_of("0123456789") != std::string::npos)
-    return HttpAnswer::error(400, "invalid",
+    return ApiResponse::error(400, "invalid",
                              Findings{{"revision", "the revision that this configuration is built on is missing"}});
   auto m = json::parse<Configuration>(a.body);
-  if (!ok(m)) return HttpAnswer::error(400, "invalid", findings(m));
-  if (auto f = check(value(m)); !f.empty()) return HttpAnswer::error(400, "invalid", f);
+  if (!ok(m)) return ApiResponse::error(400, "invalid", findings(m));
+  if (auto f = validate(value(m)); !f.empty()) return ApiResponse::error(400, "invalid", f);
   return change(ApplyConfiguration{Revision{std::stoull(q->second)}, value(m)}, a);
 }
 
-HttpAnswer AdminApi::put_replica(const HttpAsk& a, const std::string& name) {
+ApiResponse AdminApi::put_replica(const ApiRequest& a, const std::string& name) {
   auto j = Json::parse(a.body, nullptr, false);
-  if (!j.is_object()) return HttpAnswer::error(400, "invalid", Findings{{"body", "is no JSON object"}});
+  if (!j.is_object()) return ApiResponse::error(400, "invalid", Findings{{"body", "is no JSON object"}});
   Findings f;
   auto text = [&](const char* k) -> std::string {
     if (j.contains(k) && j[k].is_string()) return j[k];
     f.push_back({k, "is missing or no string"});
     return "";
   };
-  Replica r{name, text("kind"), text("zone"), text("url"), Health::ready, {}, limits::replica_places};
+  Replica r{name, text("kind"), text("zone"), text("url"), ReplicaHealth::ready, {}, limits::replica_places};
   if (j.contains("places")) {
     auto& p = j["places"];
     if (p.is_number_unsigned() && p >= 1 && p <= limits::replica_places_most)
-      r.places = p;
+      r.capacity = p;
     else
       f.push_back({"places", "must be a whole number from 1 to " + std::to_string(limits::replica_places_most)});
   }
   auto fit = j.contains("health") ? text("health") : "cold";
   if (fit == "cold")
-    r.health = Health::cold;
+    r.health = ReplicaHealth::warming_up;
   else if (fit == "leaving")
-    r.health = Health::leaving;
+    r.health = ReplicaHealth::draining;
   else if (fit != "ready")
     f.push_back({"health", "is none of cold, ready, leaving"});
-  if (!f.empty()) return HttpAnswer::error(400, "invalid", f);
+  if (!f.empty()) return ApiResponse::error(400, "invalid", f);
   return change(SetReplica{r}, a);
 }
 
-HttpAnswer AdminApi::replicas(const Metadata& m) {
+ApiResponse AdminApi::replicas(const Metadata& m) {
   Json j = Json::array();
   for (auto& [n, r] : m.replicas)
     j.push_back({{"name", n},
@@ -133,32 +133,32 @@
                  {"zone", r.zone},
                  {"url", r.url},
                  {"health", name(r.health)},
-                 {"places", r.places},
+                 {"places", r.capacity},
                  {"epoch", r.since.v}});
   return body({{"epoch", m.epoch.v}, {"replicas", j}});
 }
 
-HttpAnswer AdminApi::fronts(const Metadata& m) {
+ApiResponse AdminApi::fronts(const Metadata& m) {
   Json j = Json::array();
   inspect([&](ControllerMachine& controller, Millis now) {
     auto& h = controller.failure_detector();
     for (auto& [id, d] : m.directory) {
       if (d.self.role != Role::front || d.state == DaemonState::left) continue;
-      auto* x = h.of(d.self.inc);
-      bool fresh = x && now - x->last < limits::heartbeat * 4;
+      auto* x = h.status_of(d.self.incarnation);
+      bool fresh = x && now - x->last_heartbeat_at < limits::heartbeat * 4;
       j.push_back({{"id", id.v},
-                   {"http", d.self.http},
+                   {"http", d.self.http_address},
                    {"zone", d.self.zone},
                    {"state", name(d.state)},
                    {"ready", fresh && d.state == DaemonState::up && !m.evacuated.count(d.self.zone)},
                    {"load", x ? x->load : 0},
-                   {"epoch", x ? x->known.v : 0}});
+                   {"epoch", x ? x->known_epoch.v : 0}});
     }
   });
   return body({{"epoch", m.epoch.v}, {"fronts", j}});
 }
 
-HttpAnswer AdminApi::metrics() {
+ApiResponse AdminApi::metrics() {
   double lease = 0;
   inspect([&](ControllerMachine& m, Millis now) { lease = m.is_supervisor(now); });
   auto v = host_.view();
@@ -168,16 +168,16 @@
   return plain(metrics_of(host_, "controller", more));
 }
 
-HttpAnswer AdminApi::answer(const HttpAsk& a) {
+ApiResponse AdminApi::answer(const ApiRequest& a) {
   ControlSession session(*this, process_now());
   if (auto x = dialect_ ? dialect_->answer(a, session) : std::nullopt) {
-    note(Event::platform_asked, a.method + " " + a.path + ": " + std::to_string(x->status));
+    note(Event::platform_request, a.method + " " + a.path + ": " + std::to_string(x->status));
     return *x;
   }
   bool old = false;
-  inspect([&](ControllerMachine& m, Millis) { old = m.outdated(); });
+  inspect([&](ControllerMachine& m, Millis) { old = m.removed_by_refounding(); });
   if (old)
-    return HttpAnswer::error(503, "earlier_generation",
+    return ApiResponse::error(503, "earlier_generation",
                              "the core was founded anew without this controller; empty its folder");
   if (a.path == "/v1/say" && a.method == "POST") return say(a);
   if (a.path == "/v1/cluster/configuration" && a.method == "GET")
@@ -189,15 +189,15 @@
   if (a.path.starts_with("/v1/replicas/")) {
     auto n = a.path.substr(13);
     if (a.method == "PUT") return put_replica(a, n);
-    if (a.method == "DELETE") return change(DropReplica{n}, a);
+    if (a.method == "DELETE") return change(RemoveReplica{n}, a);
   }
   if (a.path == "/v1/fronts" && a.method == "GET") return read([this](const Metadata& m) { return fronts(m); });
   if (a.path == "/metrics") return metrics();
   auto v = host_.view();
   if (a.path == "/ready")
     return v->cluster ? body({{"ready", true}, {"epoch", v->epoch.v}})
-                      : HttpAnswer::error(503, "not_ready", "the cluster is not founded yet", limits::retry_ms);
-  return HttpAnswer::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
+                      : ApiResponse::error(503, "not_ready", "the cluster is not founded yet", limits::retry_ms);
+  return ApiResponse::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
 }
 
 }  // namespace mosskeel
--- a/src/controller/admin_api.hpp
+++ b/src/controller/admin_api.hpp
@@ -10,9 +10,9 @@
 class AdminApi : public ControllerAccess {
  public:
   /// `dialect` is a platform's way of ordering, null for the product's own interface alone.
-  AdminApi(Host& h, Sessions& s, Millis await, Millis rpc, const ControlDialect* dialect = nullptr)
+  AdminApi(Host& h, LocalMailboxes& s, Millis await, Millis rpc, const ControlProtocol* dialect = nullptr)
       : host_(h), sessions_(s), await_(await), rpc_(rpc), dialect_(dialect) {}
-  HttpAnswer answer(const HttpAsk& a);
+  ApiResponse answer(const ApiRequest& a);
   CommitReply commit(const Transformation& t, const std::string& id, Millis patience) override;
   void inspect(const std::function<void(ControllerMachine&, Millis)>& look) override;
   Millis now() override;
@@ -23,20 +23,20 @@
   /// Commits what is safe; what is not is refused once a majority has confirmed that it is not done already.
   CommitReply commit_safely(const Transformation& t, const std::string& id);
   /// The answer to a read of the metadata, from a value that a majority has confirmed since it came.
-  HttpAnswer read(const std::function<HttpAnswer(const Metadata&)>& show);
+  ApiResponse read(const std::function<ApiResponse(const Metadata&)>& show);
   CommitReply rebuild(const std::vector<DaemonId>& lost);
-  HttpAnswer say(const HttpAsk& a);
-  HttpAnswer change(const Transformation& t, const HttpAsk& a);
-  HttpAnswer put_configuration(const HttpAsk& a);
-  HttpAnswer put_replica(const HttpAsk& a, const std::string& name);
-  HttpAnswer replicas(const Metadata& m);
-  HttpAnswer fronts(const Metadata& m);
-  HttpAnswer metrics();
-  std::vector<Entry> recent();
+  ApiResponse say(const ApiRequest& a);
+  ApiResponse change(const Transformation& t, const ApiRequest& a);
+  ApiResponse put_configuration(const ApiRequest& a);
+  ApiResponse put_replica(const ApiRequest& a, const std::string& name);
+  ApiResponse replicas(const Metadata& m);
+  ApiResponse fronts(const Metadata& m);
+  ApiResponse metrics();
+  std::vector<Entry> recent_entries();
   Host& host_;
-  Sessions& sessions_;
+  LocalMailboxes& sessions_;
   Millis await_, rpc_;
-  const ControlDialect* dialect_;
+  const ControlProtocol* dialect_;
 };
 
 }  // namespace mosskeel
--- a/src/controller/commits.cpp
+++ b/src/controller/commits.cpp
@@ -7,15 +7,15 @@
 namespace mosskeel {
 
 CommitReply AdminApi::commit(const Transformation& t, const std::string& id, Millis patience) {
-  auto [addr, words] = sessions_.open();
+  auto [address, words] = sessions_.open();
   auto until = process_now() + patience;
   CommitReply last{};
   last.id = id;
-  last.outcome = Outcome::unknown;
+  last.outcome = CommitOutcome::unknown;
   while (process_now() < until && !host_.stopped()) {
     auto v = host_.view();
     Envelope e{};
-    e.from = addr;
+    e.from = address;
     e.cluster = v->cluster;
     e.epoch = v->epoch;
     e.body = Commit{id, t, v->epoch, until - process_now()};
@@ -24,35 +24,35 @@
     if (!m) continue;
     if (auto* r = std::get_if<CommitReply>(&*m)) {
       last = *r;
-      if (r->outcome != Outcome::unknown) break;
+      if (r->outcome != CommitOutcome::unknown) break;
     }
   }
-  sessions_.close(addr);
+  sessions_.close(address);
   return last;
 }
 
 CommitReply AdminApi::commit_safely(const Transformation& t, const std::string& id) {
   std::string why;
-  inspect([&](ControllerMachine& m, Millis now) { why = unsafe(m, t, now); });
+  inspect([&](ControllerMachine& m, Millis now) { why = drain_hazard(m, t, now); });
   if (why.empty()) return commit(t, id, await_);
-  auto v = confirmed(*this, limits::operator_patience);
-  if (!v) return {id, Outcome::unknown, "no majority of the core answered in time", host_.view()->epoch, {}, {}};
-  return {id, Outcome::no, why, v->epoch, {}, {}, Rejection::busy};
+  auto v = linearizable_read(*this, limits::operator_patience);
+  if (!v) return {id, CommitOutcome::unknown, "no majority of the core answered in time", host_.view()->epoch, {}, {}};
+  return {id, CommitOutcome::rejected, why, v->epoch, {}, {}, Rejection::busy};
 }
 
 CommitReply AdminApi::rebuild(const std::vector<DaemonId>& lost) {
-  auto [addr, words] = sessions_.open();
+  auto [address, words] = sessions_.open();
   CommitReply r{};
   r.id = "the same sentence";
-  r.outcome = Outcome::unknown;
+  r.outcome = CommitOutcome::unknown;
   Envelope e{};
-  e.from = addr;
+  e.from = address;
   e.cluster = host_.view()->cluster;
-  e.body = Rebuild{r.id, lost};
+  e.body = RefoundRequest{r.id, lost};
   host_.post(std::move(e));
   if (auto m = words->pop(rpc_))
     if (auto* x = std::get_if<CommitReply>(&*m)) r = *x;
-  sessions_.close(addr);
+  sessions_.close(address);
   return r;
 }
 
--- a/src/controller/replica_poller.cpp
+++ b/src/controller/replica_poller.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-ReplicaPoller::ReplicaPoller(Host& h, AdminApi& admin_api, const ControlDialect& dialect, Address address)
+ReplicaPoller::ReplicaPoller(Host& h, AdminApi& admin_api, const ControlProtocol& dialect, Address address)
     : host_(h),
       desk_(admin_api),
       dialect_(dialect),
@@ -42,27 +42,27 @@
 void ReplicaPoller::beat() {
   bool mine = false;
   host_.ask([&](Machine& m, Millis now) { mine = static_cast<ControllerMachine&>(m).is_supervisor(now); });
-  if (!mine) return listing_.forget();
+  if (!mine) return listing_.reset();
   failed_.clear();
   auto v = read();
-  if (!v) return note(Event::list_unread, failed_);
-  auto change = listing_.compare(host_.view()->replicas, *v, process_now());
+  if (!v) return note(Event::replica_list_unreadable, failed_);
+  auto change = listing_.reconcile(host_.view()->replicas, *v, process_now());
   if (!change) return;
   auto r = desk_.commit(*change, "list-" + hex(dice()), limits::tcm_rpc);
-  if (r.outcome != Outcome::yes) note(Event::platform_asked, describe(*change) + ": " + r.reason);
+  if (r.outcome != CommitOutcome::committed) note(Event::platform_request, describe(*change) + ": " + r.reason);
 }
 
 std::optional<std::vector<Replica>> ReplicaPoller::read() {
   std::vector<Replica> all;
   std::string next;
   for (size_t i = 0; i < limits::list_pages && !halt_.closed(); ++i) {
-    auto text = page(dialect_.list_path(next));
+    auto text = page(dialect_.replica_list_path(next));
     if (!text) return std::nullopt;
-    auto p = dialect_.list_page(*text);
+    auto p = dialect_.parse_replica_list_page(*text);
     if (!ok(p)) return failed_ = render(findings(p)), std::nullopt;
     all.insert(all.end(), value(p).replicas.begin(), value(p).replicas.end());
-    if (value(p).next.empty()) return all;
-    next = value(p).next;
+    if (value(p).next_page_token.empty()) return all;
+    next = value(p).next_page_token;
   }
   failed_ = "its pages do not end";
   return std::nullopt;
--- a/src/controller/replica_poller.hpp
+++ b/src/controller/replica_poller.hpp
@@ -10,7 +10,7 @@
 class ReplicaPoller {
  public:
   /// Reads at `address` in the way that `dialect` tells, with one thread.
-  ReplicaPoller(Host& h, AdminApi& admin_api, const ControlDialect& dialect, Address address);
+  ReplicaPoller(Host& h, AdminApi& admin_api, const ControlProtocol& dialect, Address address);
   ~ReplicaPoller();
 
  private:
@@ -21,9 +21,9 @@
   std::optional<std::string> page(const std::string& path);
   Host& host_;
   AdminApi& desk_;
-  const ControlDialect& dialect_;
+  const ControlProtocol& dialect_;
   Address address_;
-  Listing listing_;
+  ReplicaListReconciler listing_;
   std::unique_ptr<void, void (*)(void*)> web_;
   Queue<bool> halt_;
   std::string failed_;
--- a/src/follow/agent_machine.hpp
+++ b/src/follow/agent_machine.hpp
@@ -9,14 +9,14 @@
   AgentMachine(const Identity& id, Millis now);
   Actions step(const Envelope& e, Millis now) override;
   Actions tick(Millis now) override;
-  View view() const override { return led_.view(); }
+  View view() const override { return metadata_log_.view(); }
   /// Stops once the gateway beside it has been silent for a while: it goes first and needs its link until then.
   void leave() { leaving_ = true; }
 
  private:
   Outbox out_;
-  Ledger led_;
-  Follower fol_;
+  MetadataLog metadata_log_;
+  Follower follower_;
   std::optional<Heartbeat> mine_;
   Millis heard_ = 0, next_leave_ = 0;
   /// Told to leave; and since then a newer gateway has taken the place of the one that this agent waits for.
--- a/src/follow/ledger.cpp
+++ b/src/follow/ledger.cpp
@@ -2,7 +2,7 @@
 
 namespace mosskeel {
 
-std::vector<Entry> Ledger::add(const Entry& e) {
+std::vector<Entry> MetadataLog::add(const Entry& e) {
   std::vector<Entry> done;
   if (e.epoch <= epoch()) return done;
   if (waiting_.size() < limits::log_keep || e.epoch == next(epoch())) waiting_[e.epoch] = e;
@@ -25,9 +25,9 @@
   return done;
 }
 
-bool Ledger::jump(const Metadata& m) {
+bool MetadataLog::install_snapshot(const Metadata& m) {
   if (m.epoch <= epoch()) return false;
-  bool ours = !view_->cluster || m.cluster == view_->cluster || succeeds(*view_, m.cluster);
+  bool ours = !view_->cluster || m.cluster == view_->cluster || is_successor_cluster(*view_, m.cluster);
   if (!ours) return false;
   view_ = std::make_shared<Metadata>(m);
   recent_.clear(), weights_.clear();
@@ -36,19 +36,19 @@
   return true;
 }
 
-std::pair<std::optional<Metadata>, Entries> Ledger::since(Epoch known) const {
+std::pair<std::optional<Metadata>, Entries> MetadataLog::updates_since(Epoch known) const {
   if (known >= epoch()) return {};
   size_t lack = epoch().v - known.v;
   if (lack > recent_.size() || lack > limits::reply_entries) return {*view_, {}};
   return {std::nullopt, Entries(recent_.end() - static_cast<ptrdiff_t>(lack), recent_.end())};
 }
 
-std::pair<std::optional<Metadata>, Entries> Ledger::little_since(Epoch known) const {
+std::pair<std::optional<Metadata>, Entries> MetadataLog::small_updates_since(Epoch known) const {
   size_t lack = known < epoch() ? epoch().v - known.v : 0, bytes = 0;
   if (lack > recent_.size()) return {};
   for (size_t i = weights_.size() - lack; i < weights_.size(); ++i) bytes += weights_[i];
   if (bytes > limits::beat_bytes) return {};
-  return since(known);
+  return updates_since(known);
 }
 
 }  // namespace mosskeel
--- a/src/follow/ledger.hpp
+++ b/src/follow/ledger.hpp
@@ -6,21 +6,21 @@
 
 namespace mosskeel {
 
-class Ledger {
+class MetadataLog {
  public:
   const View& view() const { return view_; }
   Epoch epoch() const { return view_->epoch; }
   /// Adds one entry; applies it and all that wait behind it once they are consecutive.
   std::vector<Entry> add(const Entry& e);
   /// Takes a whole value if it is newer than ours and of our generation or one that follows. True if it was.
-  bool jump(const Metadata& m);
+  bool install_snapshot(const Metadata& m);
   /// What someone at `known` lacks: entries, or a checkpoint where the entries are gone or many.
-  std::pair<std::optional<Metadata>, Entries> since(Epoch known) const;
+  std::pair<std::optional<Metadata>, Entries> updates_since(Epoch known) const;
   /// The same where it is small, else nothing: who lacks more asks for it.
-  std::pair<std::optional<Metadata>, Entries> little_since(Epoch known) const;
+  std::pair<std::optional<Metadata>, Entries> small_updates_since(Epoch known) const;
   /// Entries kept for `explain` and for laggards.
-  const std::deque<Entry>& recent() const { return recent_; }
-  bool gap() const { return !waiting_.empty(); }
+  const std::deque<Entry>& recent_entries() const { return recent_; }
+  bool has_gap() const { return !waiting_.empty(); }
 
  private:
   View view_ = std::make_shared<Metadata>();
@@ -32,9 +32,9 @@
 };
 
 /// When a laggard may ask: at once after each epoch that it learned, else once a while.
-class CatchupPace {
+class CatchupRateLimiter {
  public:
-  bool due(Epoch known, Millis now) {
+  bool may_request(Epoch known, Millis now) {
     if (now < next_ && asked_ == known) return false;
     next_ = now + limits::catchup_pace;
     asked_ = known;
--- a/src/gateway/callers.cpp
+++ b/src/gateway/callers.cpp
@@ -8,7 +8,7 @@
 namespace {
 using Json = nlohmann::json;
 
-std::string header(const HttpAsk& a, const char* n) {
+std::string header(const ApiRequest& a, const char* n) {
   auto i = a.headers.find(n);
   return i == a.headers.end() ? "" : i->second;
 }
@@ -17,9 +17,9 @@
   return j.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-const char* code(const RequestEnd& e) {
+const char* code(const ProgramResponse& e) {
   if (e.status == 410) return "ended";
-  if (e.ran == Outcome::unknown) return "outcome_unknown";
+  if (e.executed == Outcome::unknown) return "outcome_unknown";
   switch (e.status) {
     case 400:
       return "invalid";
@@ -38,30 +38,30 @@
   }
 }
 
-Json verdict(const RequestEnd& e) {
+Json verdict(const ProgramResponse& e) {
   Json j{{"error", code(e)},
          {"reason", e.reason},
-         {"ran", e.ran == Outcome::yes  ? "yes"
-                 : e.ran == Outcome::no ? "no"
+         {"ran", e.executed == Outcome::yes  ? "yes"
+                 : e.executed == Outcome::no ? "no"
                                         : "unknown"}};
   if (e.retry_ms) j["retry_after_ms"] = e.retry_ms;
   return j;
 }
 
-HttpAnswer refused(const RequestEnd& e) {
-  HttpAnswer a;
+ApiResponse refused(const ProgramResponse& e) {
+  ApiResponse a;
   a.status = e.status;
   a.body = dump(verdict(e));
   if (e.retry_ms) a.headers["Retry-After"] = std::to_string((e.retry_ms + 999) / 1000);
   return a;
 }
 
-Json done(const RequestEnd& e) {
-  return {{"done", true}, {"turn", e.turn}, {"tokens", e.tokens}, {"pieces", e.pieces}};
+Json done(const ProgramResponse& e) {
+  return {{"done", true}, {"turn", e.turn}, {"tokens", e.tokens}, {"pieces", e.chunks}};
 }
 
 /// Common headers: deadline, class, key.
-Findings dress(const HttpAsk& a, Request& e) {
+Findings dress(const ApiRequest& a, ProgramRequest& e) {
   Findings f;
   e.key = header(a, "idempotency-key");
   if (e.key.size() > 256) f.push_back({"Idempotency-Key", "is longer than 256 bytes"});
@@ -85,13 +85,13 @@
 
 }  // namespace
 
-HttpAnswer Callers::run(Request e, bool stream) {
-  auto [addr, words] = sessions_.open();
-  auto a = addr;
+ApiResponse Callers::run(ProgramRequest e, bool stream) {
+  auto [address, words] = sessions_.open();
+  auto a = address;
   auto w = words;
   std::shared_ptr<void> open(nullptr, [this, a](void*) { sessions_.close(a); });
   Envelope env{};
-  env.from = addr;
+  env.from = address;
   auto v = host_.view();
   env.cluster = v->cluster;
   env.epoch = v->epoch;
@@ -104,43 +104,43 @@
   std::string text;
   uint32_t n = 0;
   auto until = process_now() + patience;
-  RequestEnd lost{attempt, 504, Outcome::unknown, "this worker lost sight of the request", "", 0, 0, limits::retry_ms,
+  ProgramResponse lost{attempt, 504, Outcome::unknown, "this worker lost sight of the request", "", 0, 0, limits::retry_ms,
                   false,   0};
   while (true) {
     auto m = w->pop(std::max<Millis>(1, until - process_now()));
     if (!m) return refused(lost);
-    if (auto* p = std::get_if<RequestPiece>(&*m)) {
+    if (auto* p = std::get_if<ProgramResponseChunk>(&*m)) {
       text += p->text;
       ++n;
       if (!stream) continue;
-      HttpAnswer r;
+      ApiResponse r;
       r.headers["Content-Type"] = "application/x-ndjson";
-      auto first = std::make_shared<std::optional<RequestPiece>>(*p);
+      auto first = std::make_shared<std::optional<ProgramResponseChunk>>(*p);
       auto over = std::make_shared<int>(0);
-      r.next = [=](std::string& o) mutable -> HttpAnswer::Flow {
-        auto piece = [](const RequestPiece& x) { return dump({{"n", x.n}, {"text", x.text}}); };
-        if (*over) return *over == 1 ? HttpAnswer::Flow::end : HttpAnswer::Flow::broken;
+      r.next_chunk = [=](std::string& o) mutable -> ApiResponse::StreamState {
+        auto piece = [](const ProgramResponseChunk& x) { return dump({{"n", x.index}, {"text", x.text}}); };
+        if (*over) return *over == 1 ? ApiResponse::StreamState::finished : ApiResponse::StreamState::aborted;
         if (*first) {
           o = piece(**first);
           first->reset();
-          return HttpAnswer::Flow::more;
+          return ApiResponse::StreamState::more;
         }
         auto m = w->pop(std::max<Millis>(1, until - process_now()));
-        if (m && std::holds_alternative<RequestPiece>(*m))
-          return o = piece(std::get<RequestPiece>(*m)), HttpAnswer::Flow::more;
-        auto* end = m ? std::get_if<RequestEnd>(&*m) : nullptr;
-        if (m && !end) return HttpAnswer::Flow::more;
+        if (m && std::holds_alternative<ProgramResponseChunk>(*m))
+          return o = piece(std::get<ProgramResponseChunk>(*m)), ApiResponse::StreamState::more;
+        auto* end = m ? std::get_if<ProgramResponse>(&*m) : nullptr;
+        if (m && !end) return ApiResponse::StreamState::more;
         bool good = end && end->status == 200;
         o = dump(good ? done(*end) : verdict(end ? *end : lost));
         *over = good ? 1 : 2;
         open.reset();
-        return HttpAnswer::Flow::more;
+        return ApiResponse::StreamState::more;
       };
       return r;
     }
-    if (auto* end = std::get_if<RequestEnd>(&*m)) {
+    if (auto* end = std::get_if<ProgramResponse>(&*m)) {
       if (end->status != 200) return refused(*end);
-      HttpAnswer r;
+      ApiResponse r;
       if (stream) {
         r.headers["Content-Type"] = "application/x-ndjson";
         auto d = done(*end);
@@ -156,8 +156,8 @@
   }
 }
 
-HttpAnswer Callers::turn(const HttpAsk& a, const std::string& cell, const std::string& program) {
-  Request e{};
+ApiResponse Callers::turn(const ApiRequest& a, const std::string& cell, const std::string& program) {
+  ProgramRequest e{};
   auto f = dress(a, e);
   auto j = Json::parse(a.body, nullptr, false);
   bool stream = false;
@@ -176,7 +176,7 @@
       else if (k == "max_tokens" && v.is_number_unsigned())
         e.max_tokens = v;
       else if (k == "after" && v.is_number_unsigned() && v < 1000000)
-        e.after = v.get<uint32_t>();
+        e.expected_turns = v.get<uint32_t>();
       else if (k == "stream" && v.is_boolean())
         stream = v;
       else
@@ -186,23 +186,23 @@
   }
   if (e.thread.empty()) e.thread = "main";
   if (e.route.empty()) e.route = "chat";
-  if (!f.empty()) return HttpAnswer::error(400, "invalid", f);
+  if (!f.empty()) return ApiResponse::error(400, "invalid", f);
   e.kind = "model";
   e.cell = cell;
   e.program = program;
   return run(std::move(e), stream);
 }
 
-HttpAnswer Callers::app(const HttpAsk& a, const std::string& cell, const std::string& path) {
-  Request e{};
-  if (auto f = dress(a, e); !f.empty()) return HttpAnswer::error(400, "invalid", f);
+ApiResponse Callers::app(const ApiRequest& a, const std::string& cell, const std::string& path) {
+  ProgramRequest e{};
+  if (auto f = dress(a, e); !f.empty()) return ApiResponse::error(400, "invalid", f);
   e.kind = "app";
   e.cell = cell;
   e.route = header(a, "x-route").empty() ? "app" : header(a, "x-route");
   e.method = a.method;
   e.path = path;
   e.body = a.body;
-  e.repeatable = a.method == "GET" || a.method == "HEAD" || header(a, "x-repeatable") == "yes";
+  e.idempotent = a.method == "GET" || a.method == "HEAD" || header(a, "x-repeatable") == "yes";
   if (a.method == "HEAD") e.method = "GET";
   auto r = run(std::move(e), false);
   if (r.status != 200) return r;
@@ -212,14 +212,14 @@
   return r;
 }
 
-HttpAnswer Callers::answer(const HttpAsk& a) {
+ApiResponse Callers::answer(const ApiRequest& a) {
   if (a.path == "/metrics") return metrics();
   if (a.path == "/ready") {
     bool up = false;
     host_.ask([&](Machine& m, Millis now) { up = static_cast<GatewayMachine&>(m).ready(now); });
-    HttpAnswer r;
+    ApiResponse r;
     r.body = "{\"ready\":true}\n";
-    return up ? r : HttpAnswer::error(503, "not_ready", "this worker is not ready", limits::retry_ms);
+    return up ? r : ApiResponse::error(503, "not_ready", "this worker is not ready", limits::retry_ms);
   }
   if (a.path.starts_with("/v1/cells/")) {
     auto rest = a.path.substr(10);
@@ -234,8 +234,8 @@
       if (!name.empty() && t != std::string::npos && p.substr(t) == "/turns" && a.method == "POST")
         return turn(a, cell, name);
       if (!name.empty() && t == std::string::npos && a.method == "GET") {
-        Request e{};
-        if (auto f = dress(a, e); !f.empty()) return HttpAnswer::error(400, "invalid", f);
+        ProgramRequest e{};
+        if (auto f = dress(a, e); !f.empty()) return ApiResponse::error(400, "invalid", f);
         e.kind = "history";
         e.cell = cell;
         e.program = name;
@@ -245,7 +245,7 @@
       }
     }
   }
-  return HttpAnswer::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
+  return ApiResponse::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
 }
 
 }  // namespace mosskeel
--- a/src/gateway/callers.hpp
+++ b/src/gateway/callers.hpp
@@ -8,16 +8,16 @@
 
 class Callers {
  public:
-  Callers(Host& h, Sessions& s) : host_(h), sessions_(s) {}
-  HttpAnswer answer(const HttpAsk& a);
+  Callers(Host& h, LocalMailboxes& s) : host_(h), sessions_(s) {}
+  ApiResponse answer(const ApiRequest& a);
 
  private:
-  HttpAnswer run(Request e, bool stream);
-  HttpAnswer turn(const HttpAsk& a, const std::string& cell, const std::string& program);
-  HttpAnswer app(const HttpAsk& a, const std::string& cell, const std::string& path);
-  HttpAnswer metrics();
+  ApiResponse run(ProgramRequest e, bool stream);
+  ApiResponse turn(const ApiRequest& a, const std::string& cell, const std::string& program);
+  ApiResponse app(const ApiRequest& a, const std::string& cell, const std::string& path);
+  ApiResponse metrics();
   Host& host_;
-  Sessions& sessions_;
+  LocalMailboxes& sessions_;
 };
 
 }  // namespace mosskeel
--- a/src/gateway/exchange.hpp
+++ b/src/gateway/exchange.hpp
@@ -6,17 +6,17 @@
 
 namespace mosskeel {
 
-class Exchange {
+class RoutingThread {
  public:
   /// Findings where an address can't be listened on. `ready` may be empty.
-  static Result<std::unique_ptr<Exchange>> open(Host& h, const Dialect& d, const Address& front, const Address& ready);
-  ~Exchange();
+  static Result<std::unique_ptr<RoutingThread>> start(Host& h, const ProtocolCodec& d, const Address& front, const Address& ready);
+  ~RoutingThread();
   /// Begins to leave: every answer ends its session at once; listening ends once the platform has had its time to see
   /// that this front is not ready. The control state is told when the last session is over.
-  void leave();
+  void begin_draining();
 
  private:
-  Exchange(Host& h, const Dialect& d) : host_(h), dialect_(d) {}
+  RoutingThread(Host& h, const ProtocolCodec& d) : host_(h), dialect_(d) {}
   Findings listen_for_readiness(const Address& at);
   void tick();
   void tell_owner(Message body);
@@ -24,9 +24,9 @@
   void go_on_leaving(Millis now);
   std::shared_ptr<const RoutingSnapshot> snapshot() const { return std::atomic_load(&snapshot_); }
   Host& host_;
-  const Dialect& dialect_;
-  Loop loop_;
-  std::unique_ptr<HttpFront> front_;
+  const ProtocolCodec& dialect_;
+  EventLoop loop_;
+  std::unique_ptr<HttpFrontend> front_;
   std::unique_ptr<HttpListener> ready_;
   std::shared_ptr<const RoutingSnapshot> snapshot_ =
       std::make_shared<RoutingSnapshot>(RoutingSnapshot{std::make_shared<Metadata>(), {}, 0, false, false});
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -19,43 +19,43 @@
   Identity id{
       {Incarnation{dice()}, Role::front, p.zone, p.listen, p.agent, p.http, p.machine}, {}, 0, dice(), p.tcm_rpc_ms};
   Host host(nullptr, p.listen);
-  Sessions sessions;
-  Upstream up([&](Message m) {
+  LocalMailboxes sessions;
+  ReplicaClient up([&](Message m) {
     Envelope e{};
     e.from = "replica:";
     e.body = std::move(m);
     host.post(std::move(e));
   });
-  std::unique_ptr<Exchange> exchange;
+  std::unique_ptr<RoutingThread> routing_thread;
   if (!p.dialect.empty()) {
-    auto* d = dialect(p.dialect);
+    auto* d = find_protocol_codec(p.dialect);
     if (!d) return cannot_start("gateway", {{"dialect", "'" + p.dialect + "' is not known"}});
-    auto x = Exchange::open(host, *d, p.http, p.ready);
+    auto x = RoutingThread::start(host, *d, p.http, p.ready);
     if (!ok(x)) return cannot_start("gateway", findings(x));
-    exchange = std::move(std::get<0>(x));
+    routing_thread = std::move(std::get<0>(x));
   }
   host.route("local", [&](const Envelope& e) { sessions.deliver(e); });
   host.route("replica", [&](const Envelope& e) {
-    if (auto* a = std::get_if<ReplicaAsk>(&e.body)) up.ask(*a);
-    if (auto* s = std::get_if<ReplicaStop>(&e.body)) up.stop(s->attempt);
+    if (auto* a = std::get_if<ReplicaCall>(&e.body)) up.send(*a);
+    if (auto* s = std::get_if<CancelReplicaCall>(&e.body)) up.cancel(s->attempt);
   });
   if (auto f = host.start([&](const Recovered&, Millis now) { return std::make_unique<GatewayMachine>(id, now); });
       !f.empty())
     return cannot_start("gateway", f);
   Callers callers(host, sessions);
   std::unique_ptr<HttpServer> web;
-  if (!exchange) {
-    auto w = HttpServer::open(p.http, [&](const HttpAsk& a) { return callers.answer(a); });
+  if (!routing_thread) {
+    auto w = HttpServer::open(p.http, [&](const ApiRequest& a) { return callers.answer(a); });
     if (!ok(w)) return cannot_start("gateway", findings(w));
     web = std::move(std::get<0>(w));
   }
   auto rc = run_until_stopped(host, "gateway", [&] {
-    host.ask([](Machine& m, Millis) { static_cast<GatewayMachine&>(m).leave(); });
-    if (exchange) exchange->leave();
+    host.ask([](Machine& m, Millis) { static_cast<GatewayMachine&>(m).begin_shutdown(); });
+    if (routing_thread) routing_thread->begin_draining();
     return false;
   });
   for (int i = 0; i < 50 && sessions.size(); ++i) std::this_thread::sleep_for(std::chrono::milliseconds(20));
   web.reset();
-  exchange.reset();
+  routing_thread.reset();
   return rc;
 }
--- a/src/gateway/metrics.cpp
+++ b/src/gateway/metrics.cpp
@@ -4,15 +4,15 @@
 
 namespace mosskeel {
 
-HttpAnswer Callers::metrics() {
+ApiResponse Callers::metrics() {
   std::map<std::string, double> more;
   host_.ask([&](Machine& m, Millis now) {
     auto& s = static_cast<GatewayMachine&>(m);
     for (auto& [n, v] : s.metrics()) more[n] = static_cast<double>(v);
-    more["requests_here"] = static_cast<double>(s.requests());
+    more["requests_active"] = static_cast<double>(s.active_requests());
     more["ready"] = s.ready(now);
   });
-  HttpAnswer r;
+  ApiResponse r;
   r.body = metrics_of(host_, "gateway", more);
   r.headers["Content-Type"] = "text/plain";
   return r;
--- a/src/history/chains.cpp
+++ b/src/history/chains.cpp
@@ -7,20 +7,20 @@
 namespace mosskeel {
 namespace {
 
-/// The text of the chain that ends with this turn, or nothing where the line does not hold it whole.
+/// The text of the chain that ends with this turn, or nothing where the history does not hold it whole.
 std::optional<std::string> chain_of(const Records& v, const std::string& turn) {
-  std::unordered_map<std::string, const Record*> intents, settled;
+  std::unordered_map<std::string, const Record*> reservations, settled;
   for (auto& r : v) {
-    if (r.kind == RecordKind::reservation) intents.emplace(r.key, &r);
-    if (r.kind == RecordKind::settled) settled.emplace(r.key, &r);
+    if (r.kind == RecordKind::reservation) reservations.emplace(r.key, &r);
+    if (r.kind == RecordKind::outcome) settled.emplace(r.key, &r);
   }
   std::vector<std::string> parts;
   for (auto k = turn; !k.empty() && parts.size() <= 2 * v.size();) {
-    auto i = intents.find(k);
+    auto i = reservations.find(k);
     auto s = settled.find(k);
     if (s == settled.end() || s->second->status != 200) return std::nullopt;
     parts.push_back(s->second->output);
-    if (i == intents.end()) break;
+    if (i == reservations.end()) break;
     parts.push_back(i->second->input);
     k = i->second->parent;
   }
@@ -31,11 +31,11 @@
 
 }  // namespace
 
-void StoreMachine::on(const Envelope& e, const ChainFind& f) {
-  ChainFound a{f.turn, false, {}};
-  for (auto& [slot, s] : slots_)
-    for (auto& [n, l] : s.lines) {
-      auto has = [&](auto& r) { return r.kind == RecordKind::settled && r.key == f.turn; };
+void StoreMachine::on(const Envelope& e, const FindChain& f) {
+  FindChainReply a{f.turn, false, {}};
+  for (auto& [partition, s] : slots_)
+    for (auto& [n, l] : s.histories) {
+      auto has = [&](auto& r) { return r.kind == RecordKind::outcome && r.key == f.turn; };
       if (a.found || std::none_of(l.records.rbegin(), l.records.rend(), has)) continue;
       if (auto t = chain_of(l.records, f.turn)) a.found = true, a.text = std::move(*t);
     }
--- a/src/history/repair.hpp
+++ b/src/history/repair.hpp
@@ -1,51 +1,51 @@
 #pragma once
-// A store's background repair: compare slots with the other stores, fetch the lines that are lacking here.
+// A store's background repair: compare partitions with the other stores, fetch the histories that are lacking here.
 #include "follow/ledger.hpp"
 #include "history/store.hpp"
 
 namespace mosskeel {
 
-class Repair {
+class PartitionRepair {
  public:
-  Repair(Outbox& out, Ledger& led, const SlotStores& slots) : out_(out), led_(led), slots_(slots) {}
+  PartitionRepair(Outbox& out, MetadataLog& metadata_log, const StoredPartitions& partitions) : out_(out), metadata_log_(metadata_log), slots_(partitions) {}
   /// Handles what concerns repair; false leaves the message to the caller.
   bool on(const Envelope& e, Millis now);
   void tick(Millis now);
-  /// How many slots, each with one other store in place, are not known to be whole here.
-  uint32_t lacking() const;
-  /// Lines fetched since the start.
+  /// How many partitions, each with one other store in place, are not known to be whole here.
+  uint32_t incomplete_comparisons() const;
+  /// Histories fetched since the start.
   uint64_t fetched() const { return fetched_; }
-  /// Takes lines into the store and the journal.
-  std::function<void(const StreamRecord&)> take;
+  /// Takes histories into the store and the journal.
+  std::function<void(const MergeRecord&)> take;
   std::function<Millis()> uptime;
 
  private:
-  using Pair = std::pair<SlotId, DaemonId>;
+  using Pair = std::pair<PartitionId, DaemonId>;
   /// One comparison under way: the check, then pages of names, then what is wanted of a page.
   struct Job {
     Pair pair;
     Epoch changed;
-    LineName after{};
-    std::vector<LineName> want{};
+    HistoryName after{};
+    std::vector<HistoryName> want{};
     bool listing = false, more = true, answered = false;
     Millis asked = 0;
   };
   std::vector<Pair> pairs() const;
-  uint64_t sum(SlotId s) const;
-  bool settled(const Line& l) const { return uptime() - l.touched > limits::repair_age; }
+  uint64_t sum(PartitionId s) const;
+  bool settled(const History& l) const { return uptime() - l.touched > limits::repair_age; }
   void begin(Millis now);
   void proceed(Millis now);
   void finish() { whole_[job_->pair] = job_->changed, job_.reset(); }
-  /// The job's own peer answered on the job's own slot.
-  bool mine(const Envelope& e, SlotId s) const;
-  void on(const Envelope& e, const SlotList& q);
-  void on(const Envelope& e, const LinesFetch& q);
-  void on(const SlotListReply& r);
-  void on(const LinesFetched& r);
+  /// The job's own peer answered on the job's own partition.
+  bool mine(const Envelope& e, PartitionId s) const;
+  void on(const Envelope& e, const ListHistories& q);
+  void on(const Envelope& e, const FetchHistories& q);
+  void on(const ListHistoriesReply& r);
+  void on(const FetchHistoriesReply& r);
 
   Outbox& out_;
-  Ledger& led_;
-  const SlotStores& slots_;
+  MetadataLog& metadata_log_;
+  const StoredPartitions& slots_;
   std::map<Pair, Epoch> whole_;
   std::optional<Job> job_;
   Pair last_{};
--- a/src/history/store.hpp
+++ b/src/history/store.hpp
@@ -1,20 +1,20 @@
 #pragma once
-// What a store keeps of its slots.
+// What a store keeps of its partitions.
 #include "history/tombstones.hpp"
 
 namespace mosskeel {
 
 /// `touched` is when it was last written, by the store's own count of the time that it was up.
-struct Line {
-  BOOST_HANA_DEFINE_STRUCT(Line, (Epoch, term), (Records, records), (Millis, touched));
+struct History {
+  BOOST_HANA_DEFINE_STRUCT(History, (Epoch, term), (Records, records), (Millis, touched));
 };
-using Lines = std::map<LineName, Line>;
-struct SlotStore {
-  BOOST_HANA_DEFINE_STRUCT(SlotStore, (Epoch, fence), (Lines, lines), (Tombstones, tombstones));
+using Histories = std::map<HistoryName, History>;
+struct StoredPartition {
+  BOOST_HANA_DEFINE_STRUCT(StoredPartition, (Epoch, fence), (Histories, histories), (Tombstones, tombstones));
 };
-using SlotStores = std::map<SlotId, SlotStore>;
-struct StreamRecord {
-  BOOST_HANA_DEFINE_STRUCT(StreamRecord, (SlotId, slot), (Epoch, fence), (std::vector<StreamedLine>, lines),
+using StoredPartitions = std::map<PartitionId, StoredPartition>;
+struct MergeRecord {
+  BOOST_HANA_DEFINE_STRUCT(MergeRecord, (PartitionId, partition), (Epoch, fence), (std::vector<HistoryCopy>, histories),
                            (std::vector<uint64_t>, tombstones));
 };
 
--- a/src/history/store_machine.cpp
+++ b/src/history/store_machine.cpp
@@ -7,10 +7,10 @@
 namespace mosskeel {
 
 StoreMachine::StoreMachine(const Identity& id, Recovered r, Millis now)
-    : out_(id), fol_(out_, led_, now), rep_(out_, led_, slots_), streams_(out_, led_), born_(now), now_(now) {
-  rep_.take = streams_.take = [this](const StreamRecord& q) {
-    auto news = merge(slots_[q.slot], q);
-    if (news.fence != Epoch{} || !news.lines.empty() || !news.tombstones.empty()) journal(news);
+    : out_(id), follower_(out_, metadata_log_, now), rep_(out_, metadata_log_, slots_), streams_(out_, metadata_log_), born_(now), now_(now) {
+  rep_.take = streams_.take = [this](const MergeRecord& q) {
+    auto news = merge(slots_[q.partition], q);
+    if (news.fence != Epoch{} || !news.histories.empty() || !news.tombstones.empty()) journal(news);
   };
   rep_.uptime = [this] { return uptime(); };
   if (r.checkpoint) recover(std::move(*r.checkpoint));
@@ -19,52 +19,52 @@
     if (auto x = codec::unpack<StoreRecord>(s)) replay(*x);
     s = {};
   }
-  out_.cluster = led_.view()->cluster;
-  out_.epoch = led_.epoch();
-  fol_.durable();
-  fol_.on_entry = [this](const Entry& e) { journal(e); };
-  fol_.on_jump = [this](const Metadata& m) { journal(m); };
+  out_.cluster = metadata_log_.view()->cluster;
+  out_.epoch = metadata_log_.epoch();
+  follower_.report_durable_epochs_only();
+  follower_.on_entry = [this](const Entry& e) { journal(e); };
+  follower_.on_snapshot = [this](const Metadata& m) { journal(m); };
 }
 
-/// Reads the form of `StoreCheckpoint` slot by slot, so that no more than one slot is in memory twice.
+/// Reads the form of `StoreCheckpoint` partition by partition, so that no more than one partition is in memory twice.
 void StoreMachine::recover(std::string checkpoint) {
   codec::Reader r{checkpoint};
   Metadata metadata;
-  SlotStores slots;
+  StoredPartitions partitions;
   uint32_t count = 0;
   bool whole = codec::get(r, metadata) && codec::get(r, count);
   for (; whole && count; --count) {
-    SlotId id;
-    whole = codec::get(r, id) && codec::get(r, slots[id]);
+    PartitionId id;
+    whole = codec::get(r, id) && codec::get(r, partitions[id]);
   }
   Millis uptime = 0;
   if (!whole || !codec::get(r, uptime) || !r.s.empty()) return;
-  led_.jump(metadata);
-  slots_ = std::move(slots);
+  metadata_log_.install_snapshot(metadata);
+  slots_ = std::move(partitions);
   before_ = uptime;
   checkpoint_size_ = checkpoint.size();
 }
 
 void StoreMachine::replay(const StoreRecord& r) {
-  std::visit(overload{[&](const Fence& f) { slots_[f.slot].fence = std::max(slots_[f.slot].fence, f.term); },
-                      [&](const LineWrite& w) { write(slots_[w.slot], w); },
-                      [&](const StreamRecord& q) { merge(slots_[q.slot], q); },
-                      [&](const BuryRecord& b) { bury(slots_[b.slot], b.line); }, [&](const Entry& e) { led_.add(e); },
-                      [&](const Metadata& m) { led_.jump(m); },
-                      [&](const AdoptRecord& a) {
-                        auto& s = slots_[a.slot];
-                        auto& l = s.lines[a.line];
+  std::visit(overload{[&](const FenceRecord& f) { slots_[f.partition].fence = std::max(slots_[f.partition].fence, f.term); },
+                      [&](const AppendHistory& w) { write(slots_[w.partition], w); },
+                      [&](const MergeRecord& q) { merge(slots_[q.partition], q); },
+                      [&](const TombstoneRecord& b) { bury(slots_[b.partition], b.history); }, [&](const Entry& e) { metadata_log_.add(e); },
+                      [&](const Metadata& m) { metadata_log_.install_snapshot(m); },
+                      [&](const HistoryTermRecord& a) {
+                        auto& s = slots_[a.partition];
+                        auto& l = s.histories[a.history];
                         s.fence = std::max(s.fence, a.term);
                         l.term = std::max(l.term, a.term);
                       },
-                      [&](const DropRecord& d) { slots_[d.slot].lines.clear(); }},
+                      [&](const DropPartitionRecord& d) { slots_[d.partition].histories.clear(); }},
              r);
 }
 
 std::string StoreMachine::checkpoint() const {
   std::string s;
   s.reserve(checkpoint_size_ + grown_ + limits::segment_bytes / 16);
-  codec::put(s, *led_.view());
+  codec::put(s, *metadata_log_.view());
   codec::put(s, slots_);
   codec::put(s, uptime());
   checkpoint_size_ = s.size();
@@ -86,38 +86,38 @@
   return out_.take();
 }
 
-bool StoreMachine::placed(const Envelope& e, SlotId s) const {
-  auto& m = *led_.view();
-  auto* me = m.find(out_.id().self.inc);
+bool StoreMachine::placed(const Envelope& e, PartitionId s) const {
+  auto& m = *metadata_log_.view();
+  auto* me = m.find(out_.id().self.incarnation);
   auto* you = m.find(e.from_inc);
-  if (!me || !you || s.v >= m.slots.size()) return false;
-  auto& x = m.slots[s.v];
+  if (!me || !you || s.v >= m.partitions.size()) return false;
+  auto& x = m.partitions[s.v];
   auto in = [&](auto& v) { return std::count(v.begin(), v.end(), me->id) > 0; };
-  return e.epoch >= std::max(x.term, x.changed) && x.owner == you->id && (in(x.stores) || in(x.pending));
+  return e.epoch >= std::max(x.term, x.stores_epoch) && x.owner == you->id && (in(x.stores) || in(x.pending_stores));
 }
 
-bool StoreMachine::fence(SlotId s, Epoch term) {
+bool StoreMachine::fence(PartitionId s, Epoch term) {
   auto& x = slots_[s];
   if (term < x.fence) return false;
   if (term > x.fence) {
     x.fence = term;
-    journal(Fence{s, term});
+    journal(FenceRecord{s, term});
   }
   return true;
 }
 
-void StoreMachine::on(const Envelope& e, const LineRead& r) {
-  bool yes = placed(e, r.slot) && fence(r.slot, r.term);
-  auto& s = slots_[r.slot];
-  LineReadReply a{r.line, r.term, yes, {}, s.tombstones.has(tombstone_of(r.line)), {}};
-  if (auto i = s.lines.find(r.line); yes && i != s.lines.end())
-    a.line_term = i->second.term, a.records = i->second.records;
+void StoreMachine::on(const Envelope& e, const ReadHistory& r) {
+  bool yes = placed(e, r.partition) && fence(r.partition, r.term);
+  auto& s = slots_[r.partition];
+  ReadHistoryReply a{r.history, r.term, yes, {}, s.tombstones.has(tombstone_of(r.history)), {}};
+  if (auto i = s.histories.find(r.history); yes && i != s.histories.end())
+    a.history_term = i->second.term, a.records = i->second.records;
   out_.send_synced(e.from, a, e.from_inc);
 }
 
-StoreMachine::Written StoreMachine::adopt(SlotStore& s, const LineWrite& w) {
-  auto& l = s.lines[w.line];
-  if (l.term > w.term) return {{w.line, w.term, false, false, 0}};
+StoreMachine::Written StoreMachine::adopt(StoredPartition& s, const AppendHistory& w) {
+  auto& l = s.histories[w.history];
+  if (l.term > w.term) return {{w.history, w.term, false, false, 0}};
   auto change = Change::nothing;
   if (l.records == w.records) {
     if (l.term < w.term) change = Change::term;
@@ -126,35 +126,35 @@
     change = Change::records;
     l = {w.term, w.records, l.records.size() == w.records.size() ? l.touched : uptime()};
   }
-  return {{w.line, w.term, true, false, l.records.size()}, change};
+  return {{w.history, w.term, true, false, l.records.size()}, change};
 }
 
-StoreMachine::Written StoreMachine::write(SlotStore& s, const LineWrite& w) {
+StoreMachine::Written StoreMachine::write(StoredPartition& s, const AppendHistory& w) {
   s.fence = std::max(s.fence, w.term);
-  if (s.tombstones.has(tombstone_of(w.line))) return {{w.line, w.term, false, false, 0}};
-  if (w.adopt) return adopt(s, w);
-  auto i = s.lines.find(w.line);
-  if (i == s.lines.end() || i->second.term != w.term || i->second.records.size() < w.from)
-    return {{w.line, w.term, true, true, 0}};
+  if (s.tombstones.has(tombstone_of(w.history))) return {{w.history, w.term, false, false, 0}};
+  if (w.replace) return adopt(s, w);
+  auto i = s.histories.find(w.history);
+  if (i == s.histories.end() || i->second.term != w.term || i->second.records.size() < w.from)
+    return {{w.history, w.term, true, true, 0}};
   auto& v = i->second.records;
   size_t have = v.size() - w.from;
   auto change = have < w.records.size() ? Change::records : Change::nothing;
   for (size_t k = have; k < w.records.size(); ++k) v.push_back(w.records[k]);
   i->second.touched = uptime();
-  return {{w.line, w.term, true, false, v.size()}, change};
+  return {{w.history, w.term, true, false, v.size()}, change};
 }
 
 /// The whole write where it brought records; what is here already is not written twice.
-void StoreMachine::journal_write(const LineWrite& w, Change change, bool fenced) {
+void StoreMachine::journal_write(const AppendHistory& w, Change change, bool fenced) {
   if (change == Change::records) return journal(w);
-  if (change == Change::term) return journal(AdoptRecord{w.slot, w.line, w.term});
-  if (fenced) journal(Fence{w.slot, w.term});
+  if (change == Change::term) return journal(HistoryTermRecord{w.partition, w.history, w.term});
+  if (fenced) journal(FenceRecord{w.partition, w.term});
 }
 
-void StoreMachine::on(const Envelope& e, const LineWrite& w) {
-  auto& s = slots_[w.slot];
-  if (!placed(e, w.slot) || s.fence > w.term) {
-    out_.send(e.from, LineWriteReply{w.line, w.term, false, false, 0}, e.from_inc);
+void StoreMachine::on(const Envelope& e, const AppendHistory& w) {
+  auto& s = slots_[w.partition];
+  if (!placed(e, w.partition) || s.fence > w.term) {
+    out_.send(e.from, AppendHistoryReply{w.history, w.term, false, false, 0}, e.from_inc);
     return;
   }
   bool fenced = s.fence < w.term;
@@ -163,19 +163,19 @@
   out_.send_synced(e.from, r.reply, e.from_inc);
 }
 
-void StoreMachine::on(const Envelope& e, const SlotStream& q) {
-  SlotStreamReply r{q.slot, q.sequence, q.after, q.tombstone, {}, {}, {}, false};
-  if (auto i = slots_.find(q.slot); i != slots_.end()) {
+void StoreMachine::on(const Envelope& e, const StreamPartition& q) {
+  StreamPartitionReply r{q.partition, q.sequence, q.after, q.tombstone, {}, {}, {}, false};
+  if (auto i = slots_.find(q.partition); i != slots_.end()) {
     r.fence = i->second.fence;
     size_t bytes = 0;
-    auto j = q.after.program.empty() ? i->second.lines.begin() : i->second.lines.upper_bound(q.after);
-    for (; j != i->second.lines.end(); ++j) {
+    auto j = q.after.program.empty() ? i->second.histories.begin() : i->second.histories.upper_bound(q.after);
+    for (; j != i->second.histories.end(); ++j) {
       if (bytes > limits::stream_page_bytes) {
         r.more = true;
         break;
       }
       for (auto& x : j->second.records) bytes += x.input.size() + x.output.size() + limits::record_overhead;
-      r.lines.push_back({j->first, j->second.term, j->second.records});
+      r.histories.push_back({j->first, j->second.term, j->second.records});
     }
     r.tombstones = i->second.tombstones.above(q.tombstone, limits::tombstones_page);
     r.more = r.more || r.tombstones.size() == limits::tombstones_page;
@@ -183,8 +183,8 @@
   out_.send(e.from, r, e.from_inc);
 }
 
-StreamRecord StoreMachine::merge(SlotStore& s, const StreamRecord& r) {
-  StreamRecord news{r.slot, {}, {}, {}};
+MergeRecord StoreMachine::merge(StoredPartition& s, const MergeRecord& r) {
+  MergeRecord news{r.partition, {}, {}, {}};
   if (s.fence < r.fence) s.fence = news.fence = r.fence;
   for (auto g : r.tombstones) {
     if (s.tombstones.has(g)) continue;
@@ -192,31 +192,31 @@
     news.tombstones.push_back(g);
   }
   if (!news.tombstones.empty())
-    std::erase_if(s.lines, [&](auto& l) { return s.tombstones.has(tombstone_of(l.first)); });
-  for (auto& l : r.lines) {
-    if (s.tombstones.has(tombstone_of(l.line))) continue;
-    auto& mine = s.lines[l.line];
-    if (std::make_pair(mine.term, mine.records.size()) >= std::make_pair(l.line_term, l.records.size())) continue;
-    mine = {l.line_term, l.records, uptime()};
-    news.lines.push_back(l);
+    std::erase_if(s.histories, [&](auto& l) { return s.tombstones.has(tombstone_of(l.first)); });
+  for (auto& l : r.histories) {
+    if (s.tombstones.has(tombstone_of(l.history))) continue;
+    auto& mine = s.histories[l.history];
+    if (std::make_pair(mine.term, mine.records.size()) >= std::make_pair(l.history_term, l.records.size())) continue;
+    mine = {l.history_term, l.records, uptime()};
+    news.histories.push_back(l);
   }
   return news;
 }
 
-void StoreMachine::on(const Envelope& e, const SlotStreamReply& r, Millis now) {
+void StoreMachine::on(const Envelope& e, const StreamPartitionReply& r, Millis now) {
   if (!streams_.on(e, r, now) || streams_.complete() < r.sequence) return;
   out_.note(Event::streamed, "sequence of epoch " + std::to_string(r.sequence.v));
-  fol_.hurry();
+  follower_.send_heartbeat_soon();
 }
 
 /// Whether a write begins a turn here or brings a history that is not here yet. What ends a turn or a history does
 /// not: its turn was admitted before, and an end sets memory free.
-bool StoreMachine::admits_more(const LineWrite& w) const {
-  auto slot = slots_.find(w.slot);
-  auto line = slot == slots_.end() ? Lines::const_iterator{} : slot->second.lines.find(w.line);
-  bool here = slot != slots_.end() && line != slot->second.lines.end();
-  auto have = here ? line->second.records.size() : 0;
-  if (w.adopt) return have < w.records.size();
+bool StoreMachine::admits_more(const AppendHistory& w) const {
+  auto partition = slots_.find(w.partition);
+  auto history = partition == slots_.end() ? Histories::const_iterator{} : partition->second.histories.find(w.history);
+  bool here = partition != slots_.end() && history != partition->second.histories.end();
+  auto have = here ? history->second.records.size() : 0;
+  if (w.replace) return have < w.records.size();
   return std::any_of(w.records.begin(), w.records.end(), [](auto& r) { return r.kind == RecordKind::reservation; });
 }
 
@@ -224,16 +224,16 @@
 /// asked for again.
 bool StoreMachine::refuse(const Envelope& e) {
   bool refused = std::visit(
-      overload{[&](const LineWrite& w) {
+      overload{[&](const AppendHistory& w) {
                  if (!load_.memory_short || !admits_more(w)) return false;
-                 out_.send(e.from, LineWriteReply{w.line, w.term, false, false, 0}, e.from_inc);
+                 out_.send(e.from, AppendHistoryReply{w.history, w.term, false, false, 0}, e.from_inc);
                  return true;
                },
-               [&](const SlotStreamReply&) { return load_.memory_short; },
-               [&](const LinesFetched&) { return load_.memory_short; },
-               [&](const LineRead&) { return load_.disk_behind; }, [&](const ChainFind&) { return load_.disk_behind; },
-               [&](const SlotStream&) { return load_.disk_behind || load_.memory_short; },
-               [&](const LinesFetch&) { return load_.disk_behind || load_.memory_short; },
+               [&](const StreamPartitionReply&) { return load_.memory_short; },
+               [&](const FetchHistoriesReply&) { return load_.memory_short; },
+               [&](const ReadHistory&) { return load_.disk_behind; }, [&](const FindChain&) { return load_.disk_behind; },
+               [&](const StreamPartition&) { return load_.disk_behind || load_.memory_short; },
+               [&](const FetchHistories&) { return load_.disk_behind || load_.memory_short; },
                [](const auto&) { return false; }},
       e.body);
   refused_ += refused;
@@ -241,27 +241,27 @@
 }
 
 void StoreMachine::handle(const Envelope& e, Millis now) {
-  if (fol_.handle(e, now)) return;
+  if (follower_.handle(e, now)) return;
   if (refuse(e)) return;
-  if (fol_.park(e, now)) return;
+  if (follower_.defer(e, now)) return;
   if (rep_.on(e, now)) return;
-  std::visit(overload{[&](const LineRead& r) { on(e, r); }, [&](const LineWrite& w) { on(e, w); },
-                      [&](const LineBury& b) { on(e, b); }, [&](const SlotStream& q) { on(e, q); },
-                      [&](const SlotStreamReply& r) { on(e, r, now); }, [&](const ChainFind& f) { on(e, f); },
+  std::visit(overload{[&](const ReadHistory& r) { on(e, r); }, [&](const AppendHistory& w) { on(e, w); },
+                      [&](const WriteTombstone& b) { on(e, b); }, [&](const StreamPartition& q) { on(e, q); },
+                      [&](const StreamPartitionReply& r) { on(e, r, now); }, [&](const FindChain& f) { on(e, f); },
                       [&](const auto&) {}},
              e.body);
 }
 
 Actions StoreMachine::step(const Envelope& e, Millis now) {
   now_ = now;
-  if (fol_.foreign(e)) {
+  if (follower_.is_foreign(e)) {
     out_.note(Event::foreign, "from " + e.from);
     return done();
   }
-  auto before = led_.epoch();
+  auto before = metadata_log_.epoch();
   handle(e, now);
-  if (led_.epoch() != before) {
-    for (auto& p : fol_.unpark()) handle(p, now);
+  if (metadata_log_.epoch() != before) {
+    for (auto& p : follower_.take_deferred()) handle(p, now);
     turn(now);
   }
   return done();
@@ -278,8 +278,8 @@
   if (now >= next_expire_) expire(now);
   if (now >= next_drop_) drop_moved(now);
   rep_.tick(now);
-  Heartbeat h{out_.id().self, {}, 0, streams_.complete(), 0, 0, false, rep_.lacking()};
-  fol_.tick(now, &h);
+  Heartbeat h{out_.id().self, {}, 0, streams_.complete(), 0, 0, false, rep_.incomplete_comparisons()};
+  follower_.tick(now, &h);
 }
 
 }  // namespace mosskeel
--- a/src/history/store_machine.hpp
+++ b/src/history/store_machine.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A store: fenced append logs, one a line; it syncs before it answers.
+// A store: fenced append logs, one a history; it syncs before it answers.
 #include "follow/follower.hpp"
 #include "history/repair.hpp"
 #include "history/slot_streams.hpp"
@@ -7,23 +7,23 @@
 namespace mosskeel {
 
 struct StoreCheckpoint {
-  BOOST_HANA_DEFINE_STRUCT(StoreCheckpoint, (Metadata, metadata), (SlotStores, slots), (Millis, uptime));
+  BOOST_HANA_DEFINE_STRUCT(StoreCheckpoint, (Metadata, metadata), (StoredPartitions, partitions), (Millis, uptime));
 };
-struct Fence {
-  BOOST_HANA_DEFINE_STRUCT(Fence, (SlotId, slot), (Epoch, term));
+struct FenceRecord {
+  BOOST_HANA_DEFINE_STRUCT(FenceRecord, (PartitionId, partition), (Epoch, term));
 };
-struct BuryRecord {
-  BOOST_HANA_DEFINE_STRUCT(BuryRecord, (SlotId, slot), (LineName, line));
+struct TombstoneRecord {
+  BOOST_HANA_DEFINE_STRUCT(TombstoneRecord, (PartitionId, partition), (HistoryName, history));
 };
-/// The line's records, as they are here, hold under a newer term.
-struct AdoptRecord {
-  BOOST_HANA_DEFINE_STRUCT(AdoptRecord, (SlotId, slot), (LineName, line), (Epoch, term));
+/// The history's records, as they are here, hold under a newer term.
+struct HistoryTermRecord {
+  BOOST_HANA_DEFINE_STRUCT(HistoryTermRecord, (PartitionId, partition), (HistoryName, history), (Epoch, term));
 };
-/// The slot's histories were dropped, since its places are elsewhere; its fence and ends stay.
-struct DropRecord {
-  BOOST_HANA_DEFINE_STRUCT(DropRecord, (SlotId, slot));
+/// The partition's histories were dropped, since its places are elsewhere; its fence and ends stay.
+struct DropPartitionRecord {
+  BOOST_HANA_DEFINE_STRUCT(DropPartitionRecord, (PartitionId, partition));
 };
-using StoreRecord = std::variant<Fence, LineWrite, StreamRecord, BuryRecord, Entry, Metadata, AdoptRecord, DropRecord>;
+using StoreRecord = std::variant<FenceRecord, AppendHistory, MergeRecord, TombstoneRecord, Entry, Metadata, HistoryTermRecord, DropPartitionRecord>;
 
 /// What a store's process says of itself, for the store to refuse work before its limits.
 struct StoreLoad {
@@ -36,13 +36,13 @@
   StoreMachine(const Identity& id, Recovered r, Millis now);
   Actions step(const Envelope& e, Millis now) override;
   Actions tick(Millis now) override;
-  View view() const override { return led_.view(); }
+  View view() const override { return metadata_log_.view(); }
   std::string checkpoint() const override;
-  const SlotStores& slots() const { return slots_; }
-  size_t kept_lines() const;
-  size_t kept_tombstones() const;
-  const Repair& repair() const { return rep_; }
-  const SlotStreams& streams() const { return streams_; }
+  const StoredPartitions& partitions() const { return slots_; }
+  size_t history_count() const;
+  size_t tombstone_count() const;
+  const PartitionRepair& repair() const { return rep_; }
+  const PartitionStreams& streams() const { return streams_; }
   void set_load(const StoreLoad& l) { load_ = l; }
   /// Writes and reads refused because of the load.
   uint64_t refused() const { return refused_; }
@@ -51,7 +51,7 @@
   /// What a write changed here, and so what the journal must say.
   enum class Change { nothing, term, records };
   struct Written {
-    LineWriteReply reply;
+    AppendHistoryReply reply;
     Change change = Change::nothing;
   };
   void recover(std::string checkpoint);
@@ -59,27 +59,27 @@
   void handle(const Envelope& e, Millis now);
   /// Refuses or leaves unanswered what the load forbids.
   bool refuse(const Envelope& e);
-  bool admits_more(const LineWrite& w) const;
-  bool placed(const Envelope& e, SlotId s) const;
-  bool fence(SlotId s, Epoch term);
-  void on(const Envelope& e, const LineRead& r);
-  void on(const Envelope& e, const LineWrite& w);
-  void on(const Envelope& e, const SlotStream& q);
-  void on(const Envelope& e, const SlotStreamReply& r, Millis now);
-  void on(const Envelope& e, const LineBury& b);
-  void on(const Envelope& e, const ChainFind& f);
-  Written write(SlotStore& s, const LineWrite& w);
-  Written adopt(SlotStore& s, const LineWrite& w);
-  void journal_write(const LineWrite& w, Change change, bool fenced);
+  bool admits_more(const AppendHistory& w) const;
+  bool placed(const Envelope& e, PartitionId s) const;
+  bool fence(PartitionId s, Epoch term);
+  void on(const Envelope& e, const ReadHistory& r);
+  void on(const Envelope& e, const AppendHistory& w);
+  void on(const Envelope& e, const StreamPartition& q);
+  void on(const Envelope& e, const StreamPartitionReply& r, Millis now);
+  void on(const Envelope& e, const WriteTombstone& b);
+  void on(const Envelope& e, const FindChain& f);
+  Written write(StoredPartition& s, const AppendHistory& w);
+  Written adopt(StoredPartition& s, const AppendHistory& w);
+  void journal_write(const AppendHistory& w, Change change, bool fenced);
   /// Takes what is newer than what is here; the part that was.
-  StreamRecord merge(SlotStore& s, const StreamRecord& r);
-  static void bury(SlotStore& s, const LineName& n);
-  /// Tells the owner of lines that have outlived their retention by this store's own clock.
+  MergeRecord merge(StoredPartition& s, const MergeRecord& r);
+  static void bury(StoredPartition& s, const HistoryName& n);
+  /// Tells the owner of histories that have outlived their retention by this store's own clock.
   void expire(Millis now);
-  bool aged(const Line& l) const;
-  /// Drops the histories of slots whose places went elsewhere some time ago.
+  bool aged(const History& l) const;
+  /// Drops the histories of partitions whose places went elsewhere some time ago.
   void drop_moved(Millis now);
-  bool moved(SlotId s, DaemonId me) const;
+  bool moved(PartitionId s, DaemonId me) const;
   Millis uptime() const { return before_ + (now_ - born_); }
   void turn(Millis now);
   size_t journal_limit() const;
@@ -87,20 +87,20 @@
   Actions done();
 
   Outbox out_;
-  Ledger led_;
-  Follower fol_;
-  SlotStores slots_;
-  Repair rep_;
-  SlotStreams streams_;
+  MetadataLog metadata_log_;
+  Follower follower_;
+  StoredPartitions slots_;
+  PartitionRepair rep_;
+  PartitionStreams streams_;
   StoreLoad load_;
   uint64_t refused_ = 0;
   /// Bytes of the journal since the last checkpoint, and of that checkpoint.
   size_t grown_ = 0;
   mutable size_t checkpoint_size_ = 0;
   Millis born_, now_, before_ = 0, next_expire_ = 0, next_drop_ = 0;
-  /// Since when slots with histories here have had no place here.
-  std::map<SlotId, Millis> moved_since_;
-  SlotId expiring_{};
+  /// Since when partitions with histories here have had no place here.
+  std::map<PartitionId, Millis> moved_since_;
+  PartitionId expiring_{};
 };
 
 }  // namespace mosskeel
--- a/src/history/tombstones.cpp
+++ b/src/history/tombstones.cpp
@@ -27,7 +27,7 @@
   return v;
 }
 
-uint64_t tombstone_of(const LineName& n) {
+uint64_t tombstone_of(const HistoryName& n) {
   return digest(n.program, digest(n.cell));
 }
 
--- a/src/history/tombstones.hpp
+++ b/src/history/tombstones.hpp
@@ -1,11 +1,11 @@
 #pragma once
-// What outlives a line's text: that it was there and has ended.
+// What outlives a history's text: that it was there and has ended.
 #include "kernel/limits.hpp"
 #include "kernel/messages.hpp"
 
 namespace mosskeel {
 
-/// Digests of the names of ended lines, bounded: the older half goes when the younger is full.
+/// Digests of the names of ended histories, bounded: the older half goes when the younger is full.
 struct Tombstones {
   BOOST_HANA_DEFINE_STRUCT(Tombstones, (std::vector<uint64_t>, young), (std::vector<uint64_t>, old));
   bool has(uint64_t x) const;
@@ -15,6 +15,6 @@
   size_t size() const { return young.size() + old.size(); }
 };
 
-uint64_t tombstone_of(const LineName& n);
+uint64_t tombstone_of(const HistoryName& n);
 
 }  // namespace mosskeel
--- a/src/kernel/backpressure.hpp
+++ b/src/kernel/backpressure.hpp
@@ -11,11 +11,11 @@
  public:
   Backpressure(HttpListener& callers, UpstreamClient& replicas) : callers_(callers), replicas_(replicas) {}
   /// Bytes of the answer to `upstream` have been given to the caller's exchange.
-  void passed(uint64_t exchange, uint64_t upstream);
+  void on_forwarded(uint64_t exchange, uint64_t upstream);
   /// The caller has taken most of what was waiting for it.
-  void drained(uint64_t exchange);
+  void on_drained(uint64_t exchange);
   /// The exchange is over.
-  void forget(uint64_t exchange) { paused_.erase(exchange); }
+  void on_finished(uint64_t exchange) { paused_.erase(exchange); }
   size_t paused() const { return paused_.size(); }
 
  private:
--- a/src/kernel/dialect.cpp
+++ b/src/kernel/dialect.cpp
@@ -5,26 +5,26 @@
 namespace mosskeel {
 namespace {
 
-std::vector<const Dialect*>& registry() {
-  static std::vector<const Dialect*> v;
+std::vector<const ProtocolCodec*>& registry() {
+  static std::vector<const ProtocolCodec*> v;
   return v;
 }
 
 }  // namespace
 
-std::string_view field(const Fields& f, std::string_view name) {
+std::string_view header_value(const HeaderFields& f, std::string_view name) {
   for (auto& [k, v] : f)
     if (k.size() == name.size() && strncasecmp(k.data(), name.data(), k.size()) == 0) return v;
   return {};
 }
 
-const Dialect* dialect(const std::string& name) {
+const ProtocolCodec* find_protocol_codec(const std::string& name) {
   for (auto* d : registry())
     if (name == d->name()) return d;
   return nullptr;
 }
 
-DialectEnrolled::DialectEnrolled(const Dialect* d) {
+ProtocolCodecRegistration::ProtocolCodecRegistration(const ProtocolCodec* d) {
   registry().push_back(d);
 }
 
--- a/src/kernel/disk.cpp
+++ b/src/kernel/disk.cpp
@@ -79,7 +79,7 @@
 }
 
 DiskResult Disk::mark() {
-  return put(frame(codec::pack(SyncMark{SyncMark::word, found_.inc, seq_, synced_})));
+  return put(frame(codec::pack(SyncMark{SyncMark::word, found_.incarnation, seq_, synced_})));
 }
 
 DiskResult Disk::settle() {
--- a/src/kernel/disk.hpp
+++ b/src/kernel/disk.hpp
@@ -39,7 +39,7 @@
   const Recovered& recovered() const { return found_; }
   /// Hands over what was found, so that its reader can free it piece by piece; only the incarnation stays.
   Recovered take_recovered() {
-    return {found_.inc, std::exchange(found_.checkpoint, {}), std::exchange(found_.journal, {})};
+    return {found_.incarnation, std::exchange(found_.checkpoint, {}), std::exchange(found_.journal, {})};
   }
   /// How many bytes of torn tail were cut at the start.
   size_t cut() const { return cut_; }
--- a/src/kernel/disk_load.cpp
+++ b/src/kernel/disk_load.cpp
@@ -28,7 +28,7 @@
 
 /// Whether something behind the first damaged byte `at` shows that the damage is not an unsynced tail: a mark which
 /// says that this byte was synced or, in a segment without marks, any whole record.
-bool proves_rot(codec::Reader r, size_t at, bool marked, Incarnation inc, uint64_t seq) {
+bool proves_rot(codec::Reader r, size_t at, bool marked, Incarnation incarnation, uint64_t seq) {
   for (auto p = at; r.s.size() > 12; ++p) {
     auto probe = r;
     uint32_t n = 0;
@@ -36,7 +36,7 @@
     probe = r;
     if (!marked || n == SyncMark::bytes)
       if (auto x = unframe(probe)) {
-        auto m = mark_of(*x, inc, seq);
+        auto m = mark_of(*x, incarnation, seq);
         if (!marked || (m && m->synced > at && m->synced <= p)) return true;
       }
     r.s.remove_prefix(1);
@@ -61,9 +61,9 @@
     return {{folder_, "is not writable or another daemon holds it"}};
   auto id = folder_ + "/identity";
   if (!fs::exists(id) && !write_whole(id, hex(dice ? dice : 1))) return {{id, "cannot be written"}};
-  auto inc = unhex(slurp(id));
-  if (!inc) return {{id, "is damaged; empty the folder to start as a new member"}};
-  found_.inc = Incarnation{*inc};
+  auto incarnation = unhex(slurp(id));
+  if (!incarnation) return {{id, "is damaged; empty the folder to start as a new member"}};
+  found_.incarnation = Incarnation{*incarnation};
   std::vector<uint64_t> segs, points;
   for (auto& f : fs::directory_iterator(folder_, ec)) {
     auto n = f.path().filename().string();
@@ -113,13 +113,13 @@
     auto at = s.size() - r.s.size();
     auto x = unframe(r);
     if (!x) {
-      if (!last || proves_rot(r, at, marked_, found_.inc, seq))
+      if (!last || proves_rot(r, at, marked_, found_.incarnation, seq))
         return {{path("log", seq),
                  "is damaged at byte " + std::to_string(at) +
                      "; restore the disk or empty the folder so that this machine joins as a new member"}};
       return cut_tail(seq, at, r.s.size());
     }
-    ends_in_mark_ = mark_of(*x, found_.inc, seq).has_value();
+    ends_in_mark_ = mark_of(*x, found_.incarnation, seq).has_value();
     if (at == 0) marked_ = ends_in_mark_;
     if (!ends_in_mark_) found_.journal.push_back(std::move(*x));
   }
--- a/src/kernel/events.hpp
+++ b/src/kernel/events.hpp
@@ -28,21 +28,21 @@
   X(lost_identity, 208, "the log says that this daemon has left or been replaced")            \
   X(lease_taken, 210, "the supervisor lease was taken")                                       \
   X(lease_lost, 211, "the supervisor lease ended")                                            \
-  X(node_silent, 212, "a daemon is silent for a majority of observers")                       \
+  X(heartbeats_missed, 212, "a majority of controllers misses a daemon's heartbeats")                       \
   X(sequence_step, 213, "a sequence's next step is proposed")                                 \
   X(sequence_blocked, 214, "a sequence is blocked past its deadline and is cancelled")        \
-  X(in_doubt, 302, "an intent without an outcome was found; it is never run again")           \
-  X(replica_fault, 304, "a replica's answer was not whole and sealed")                        \
-  X(proxied_lost, 305, "a proxied request was not answered; its outcome is unknown")          \
-  X(behind, 306, "something stamped with too old an epoch was refused")                       \
-  X(isolated, 307, "out of touch with a majority; dispatching stops")                         \
-  X(in_touch, 308, "in touch again; dispatching resumes")                                     \
-  X(handed_over, 309, "a running turn's outcome was handed to the slot's new owner")          \
-  X(streamed, 310, "a store has streamed the lines of its new slots")                         \
+  X(reservation_without_outcome, 302, "a reservation without an outcome was found; its turn is never run again")           \
+  X(replica_fault, 304, "a replica's response was not complete or its checksum was wrong")                        \
+  X(forwarded_response_lost, 305, "a forwarded request was not answered; its outcome is unknown")          \
+  X(stale_epoch_rejected, 306, "a request stamped with too old an epoch was rejected")                       \
+  X(majority_contact_lost, 307, "contact with a majority was lost; dispatching stops")                         \
+  X(majority_contact_restored, 308, "contact with a majority was restored; dispatching resumes")                                     \
+  X(turn_outcome_transferred, 309, "a running turn's outcome was handed to the partition's new owner")          \
+  X(streamed, 310, "a store has streamed the histories of its new partitions")                         \
   X(turn_refused, 311, "an owner refused a caller's turn; it has not run")                    \
-  X(operator_asked, 400, "an operator's sentence and its answer")                             \
-  X(platform_asked, 401, "a platform's ask and its answer")                                   \
-  X(list_unread, 402, "the list of replicas could not be read whole; the last view stays")
+  X(operator_command, 400, "an operator's command and its result")                             \
+  X(platform_request, 401, "a platform's request and its response")                                   \
+  X(replica_list_unreadable, 402, "the list of replicas could not be read in full; the last known list stays")
 
 enum class Event : uint16_t {
 #define X(name, number, text) name = number,
--- a/src/kernel/framing.cpp
+++ b/src/kernel/framing.cpp
@@ -63,7 +63,7 @@
 }
 
 struct Reading {
-  Head head;
+  HttpHead head;
   bool value = true, whole = false;
 };
 
@@ -103,12 +103,12 @@
   return made;
 }
 
-Head fail(Head h, uint32_t fault, std::string reason) {
+HttpHead fail(HttpHead h, uint32_t fault, std::string reason) {
   h.fault = fault, h.reason = std::move(reason);
   return h;
 }
 
-Head read_framing(Head h) {
+HttpHead read_framing(HttpHead h) {
   size_t lengths = 0, codings = 0;
   std::string_view length, coding;
   for (auto& [name, value] : h.fields) {
@@ -122,14 +122,14 @@
   if (lengths) {
     if (length.empty() || length.size() > 18 || length.find_first_not_of("0123456789") != std::string_view::npos)
       return fail(std::move(h), 400, "length malformed");
-    h.length = std::stoull(std::string(length));
+    h.content_length = std::stoull(std::string(length));
   }
   h.chunked = codings > 0;
   h.close = h.http_1_0 || names_token(h.fields, "Connection", "close");
   return h;
 }
 
-Head read_head(std::string_view head, http_parser_type type) {
+HttpHead read_head(std::string_view head, http_parser_type type) {
   bool good = all_lines(head, [&](std::string_view line, bool first) {
     if (!first) return is_field_line(line);
     return type == HTTP_REQUEST ? is_request_line(line) : is_status_line(line);
@@ -151,29 +151,29 @@
   return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) { return lower(x) == lower(y); });
 }
 
-Extent head_extent(std::string_view in, size_t& scanned) {
+HeadScan scan_head(std::string_view in, size_t& scanned) {
   for (; scanned < in.size(); ++scanned) {
     if (in[scanned] == '\n') {
-      if (scanned == 0 || in[scanned - 1] != '\r') return Extent::malformed;
-      if (scanned >= 3 && in[scanned - 2] == '\n') return ++scanned, Extent::whole;
+      if (scanned == 0 || in[scanned - 1] != '\r') return HeadScan::malformed;
+      if (scanned >= 3 && in[scanned - 2] == '\n') return ++scanned, HeadScan::complete;
     } else if (scanned > 0 && in[scanned - 1] == '\r') {
-      return Extent::malformed;
+      return HeadScan::malformed;
     }
   }
-  return Extent::more;
+  return HeadScan::incomplete;
 }
 
-Head read_request_head(std::string_view head) {
+HttpHead parse_request_head(std::string_view head) {
   auto h = read_head(head, HTTP_REQUEST);
   if (h.fault) return h;
   auto hosts = std::count_if(h.fields.begin(), h.fields.end(), [](auto& f) { return same_word(f.first, "Host"); });
   if (hosts > 1 || (hosts == 0 && !h.http_1_0)) return fail(std::move(h), 400, "not one Host");
-  if (!host_of(field(h.fields, "Host"))) return fail(std::move(h), 400, "Host malformed");
+  if (!host_of(header_value(h.fields, "Host"))) return fail(std::move(h), 400, "Host malformed");
   if (h.method == "CONNECT") return fail(std::move(h), 400, "no tunnels");
   return h;
 }
 
-Head read_answer_head(std::string_view head) {
+HttpHead parse_response_head(std::string_view head) {
   return read_head(head, HTTP_RESPONSE);
 }
 
@@ -195,7 +195,7 @@
   return host;
 }
 
-bool names_token(const Fields& f, std::string_view name, std::string_view token) {
+bool names_token(const HeaderFields& f, std::string_view name, std::string_view token) {
   for (auto& [n, value] : f) {
     if (!same_word(n, name)) continue;
     std::string_view rest = value;
@@ -208,10 +208,10 @@
   return false;
 }
 
-Fields end_to_end(const Fields& f) {
+HeaderFields end_to_end(const HeaderFields& f) {
   static constexpr std::string_view hop[] = {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "TE",
                                              "Trailer",    "Upgrade"};
-  Fields kept, naming;
+  HeaderFields kept, naming;
   std::copy_if(f.begin(), f.end(), std::back_inserter(naming),
                [](auto& x) { return same_word(x.first, "Connection"); });
   for (auto& x : f)
--- a/src/kernel/framing.hpp
+++ b/src/kernel/framing.hpp
@@ -6,34 +6,34 @@
 
 namespace mosskeel {
 
-enum class Extent { more, whole, malformed };
+enum class HeadScan { incomplete, complete, malformed };
 
 /// Whether `in` holds a whole head; `scanned` is where the last look ended, and behind the empty line once whole.
-Extent head_extent(std::string_view in, size_t& scanned);
+HeadScan scan_head(std::string_view in, size_t& scanned);
 
 /// A head and how the body behind it is framed.
-struct Head {
+struct HttpHead {
   std::string method, target;
   uint32_t status = 0;
   bool http_1_0 = false, chunked = false, close = false;
-  std::optional<uint64_t> length;
-  Fields fields;
+  std::optional<uint64_t> content_length;
+  HeaderFields fields;
   /// The status to refuse a request with; 0 where nothing is wrong. `reason` says what is.
   uint32_t fault = 0;
   std::string reason;
 };
 /// From a whole head with its empty line.
-Head read_request_head(std::string_view head);
-Head read_answer_head(std::string_view head);
+HttpHead parse_request_head(std::string_view head);
+HttpHead parse_response_head(std::string_view head);
 
 /// The host of a Host field, lower-cased and without port; nothing where it is malformed.
 std::optional<std::string> host_of(std::string_view value);
 
 /// Whether the field's comma-separated lists name the token, in any case.
-bool names_token(const Fields& f, std::string_view name, std::string_view token);
+bool names_token(const HeaderFields& f, std::string_view name, std::string_view token);
 
 /// The fields without those that belong to one connection, and without Content-Length.
-Fields end_to_end(const Fields& f);
+HeaderFields end_to_end(const HeaderFields& f);
 
 /// Whether name and value can be written without changing the framing.
 bool writable(const std::pair<std::string, std::string>& field);
--- a/src/kernel/host.cpp
+++ b/src/kernel/host.cpp
@@ -19,7 +19,7 @@
 size_t weight(const Batch& b) {
   size_t n = b.checkpoint ? b.checkpoint->size() : 0;
   for (auto& s : b.journal) n += s.size();
-  for (auto& e : b.sends) n += sizeof e + text_bytes(e.body);
+  for (auto& e : b.sends) n += sizeof e + history_bytes(e.body);
   return n;
 }
 
@@ -34,7 +34,7 @@
 Findings Host::start(const Make& make) {
   machine_ = make(disk_ ? disk_->take_recovered() : Recovered{}, process_now());
   std::atomic_store(&view_, machine_->view());
-  auto p = Post::open(self_, [this](Envelope e, size_t bytes) { in_.hear(std::move(e), bytes); });
+  auto p = Transport::open(self_, [this](Envelope e, size_t bytes) { in_.hear(std::move(e), bytes); });
   if (!ok(p)) return findings(p);
   post_ = std::move(std::get<0>(p));
   thinker_ = std::thread([this] { think(); });
--- a/src/kernel/host.hpp
+++ b/src/kernel/host.hpp
@@ -57,7 +57,7 @@
   std::unique_ptr<JournalWriter> journal_;
   Address self_;
   std::unique_ptr<Machine> machine_;
-  std::unique_ptr<Post> post_;
+  std::unique_ptr<Transport> post_;
   std::map<std::string, Deliver> routes_;
   Inbox in_;
   Queue<Batch> out_;
--- a/src/kernel/http.cpp
+++ b/src/kernel/http.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 struct Talk {
-  HttpAsk ask;
+  ApiRequest ask;
   bool too_long = false;
 };
 
@@ -25,15 +25,15 @@
 }
 
 ssize_t pull(void* cls, uint64_t, char* buf, size_t max) {
-  auto& s = *static_cast<std::pair<HttpAnswer, std::string>*>(cls);
+  auto& s = *static_cast<std::pair<ApiResponse, std::string>*>(cls);
   while (s.second.empty()) {
-    switch (s.first.next(s.second)) {
-      case HttpAnswer::Flow::more:
+    switch (s.first.next_chunk(s.second)) {
+      case ApiResponse::StreamState::more:
         break;
-      case HttpAnswer::Flow::end:
+      case ApiResponse::StreamState::finished:
         if (s.second.empty()) return MHD_CONTENT_READER_END_OF_STREAM;
         break;
-      case HttpAnswer::Flow::broken:
+      case ApiResponse::StreamState::aborted:
         if (s.second.empty()) return MHD_CONTENT_READER_END_WITH_ERROR;
         break;
     }
@@ -44,14 +44,14 @@
   return static_cast<ssize_t>(n);
 }
 
-MHD_Result queue(MHD_Connection* c, HttpAnswer a) {
+MHD_Result queue(MHD_Connection* c, ApiResponse a) {
   MHD_Response* r;
   auto status = a.status;
   auto headers = a.headers;
-  if (a.next) {
-    auto* s = new std::pair<HttpAnswer, std::string>(std::move(a), "");
+  if (a.next_chunk) {
+    auto* s = new std::pair<ApiResponse, std::string>(std::move(a), "");
     r = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, 32 << 10, pull, s,
-                                          [](void* p) { delete static_cast<std::pair<HttpAnswer, std::string>*>(p); });
+                                          [](void* p) { delete static_cast<std::pair<ApiResponse, std::string>*>(p); });
   } else {
     r = MHD_create_response_from_buffer(a.body.size(), a.body.data(), MHD_RESPMEM_MUST_COPY);
   }
@@ -82,7 +82,7 @@
   }
   if (t.too_long)
     return queue(c,
-                 HttpAnswer::error(413, "too_long", "body: exceeds " + std::to_string(limits::body_bytes) + " bytes"));
+                 ApiResponse::error(413, "too_long", "body: exceeds " + std::to_string(limits::body_bytes) + " bytes"));
   MHD_get_connection_values(c, MHD_HEADER_KIND, collect, &t.ask.headers);
   MHD_get_connection_values(c, MHD_GET_ARGUMENT_KIND, collect, &t.ask.query);
   return queue(c, static_cast<HttpServer*>(cls)->handler()(t.ask));
@@ -95,18 +95,18 @@
 
 }  // namespace
 
-HttpAnswer HttpAnswer::error(uint32_t status, const std::string& code, const Findings& f) {
+ApiResponse ApiResponse::error(uint32_t status, const std::string& code, const Findings& f) {
   nlohmann::json j{{"error", code}, {"findings", nlohmann::json::array()}};
   for (auto& x : f) j["findings"].push_back({{"place", x.place}, {"reason", x.reason}});
-  HttpAnswer a;
+  ApiResponse a;
   a.status = status;
   a.body = j.dump() + "\n";
   return a;
 }
 
-HttpAnswer HttpAnswer::error(uint32_t status, const std::string& code, const std::string& reason, uint32_t retry_ms) {
+ApiResponse ApiResponse::error(uint32_t status, const std::string& code, const std::string& reason, uint32_t retry_ms) {
   nlohmann::json j{{"error", code}, {"reason", reason}};
-  HttpAnswer a;
+  ApiResponse a;
   a.status = status;
   if (retry_ms) {
     j["retry_after_ms"] = retry_ms;
@@ -137,26 +137,26 @@
   if (mhd_) MHD_stop_daemon(mhd_);
 }
 
-std::pair<Address, std::shared_ptr<Sessions::Words>> Sessions::open() {
+std::pair<Address, std::shared_ptr<LocalMailboxes::Mailbox>> LocalMailboxes::open() {
   std::lock_guard l(m_);
   auto a = "local:" + std::to_string(++next_);
-  auto w = std::make_shared<Words>();
+  auto w = std::make_shared<Mailbox>();
   words_[a] = w;
   return {a, w};
 }
-void Sessions::close(const Address& a) {
+void LocalMailboxes::close(const Address& a) {
   std::lock_guard l(m_);
   words_.erase(a);
 }
-void Sessions::deliver(const Envelope& e) {
-  std::shared_ptr<Words> w;
+void LocalMailboxes::deliver(const Envelope& e) {
+  std::shared_ptr<Mailbox> w;
   {
     std::lock_guard l(m_);
     if (auto i = words_.find(e.to); i != words_.end()) w = i->second;
   }
   if (w) w->push(e.body);
 }
-size_t Sessions::size() const {
+size_t LocalMailboxes::size() const {
   std::lock_guard l(m_);
   return words_.size();
 }
--- a/src/kernel/http.hpp
+++ b/src/kernel/http.hpp
@@ -7,25 +7,25 @@
 
 namespace mosskeel {
 
-struct HttpAsk {
+struct ApiRequest {
   std::string method, path, body;
   std::map<std::string, std::string> headers, query;
 };
 
-/// A whole answer, or, with `next`, a stream: each call gives the next bytes.
-struct HttpAnswer {
+/// A whole answer, or, with `next_chunk`, a stream: each call gives the next bytes.
+struct ApiResponse {
   uint32_t status = 200;
   std::string body;
   std::map<std::string, std::string> headers;
-  enum class Flow { more, end, broken };
-  std::function<Flow(std::string&)> next;
-  static HttpAnswer error(uint32_t status, const std::string& code, const std::string& reason, uint32_t retry_ms = 0);
-  static HttpAnswer error(uint32_t status, const std::string& code, const Findings& f);
+  enum class StreamState { more, finished, aborted };
+  std::function<StreamState(std::string&)> next_chunk;
+  static ApiResponse error(uint32_t status, const std::string& code, const std::string& reason, uint32_t retry_ms = 0);
+  static ApiResponse error(uint32_t status, const std::string& code, const Findings& f);
 };
 
 class HttpServer {
  public:
-  using Handler = std::function<HttpAnswer(const HttpAsk&)>;
+  using Handler = std::function<ApiResponse(const ApiRequest&)>;
   static Result<std::unique_ptr<HttpServer>> open(const Address& at, Handler h);
   ~HttpServer();
   const Handler& handler() const { return handler_; }
@@ -37,10 +37,10 @@
 };
 
 /// Words waiting for one HTTP session, by token.
-class Sessions {
+class LocalMailboxes {
  public:
-  using Words = Queue<Message>;
-  std::pair<Address, std::shared_ptr<Words>> open();
+  using Mailbox = Queue<Message>;
+  std::pair<Address, std::shared_ptr<Mailbox>> open();
   void close(const Address& a);
   void deliver(const Envelope& e);
   size_t size() const;
@@ -48,7 +48,7 @@
  private:
   mutable std::mutex m_;
   uint64_t next_ = 0;
-  std::map<Address, std::shared_ptr<Words>> words_;
+  std::map<Address, std::shared_ptr<Mailbox>> words_;
 };
 
 }  // namespace mosskeel
--- a/src/kernel/http_listener.cpp
+++ b/src/kernel/http_listener.cpp
@@ -15,19 +15,19 @@
 constexpr Millis parting_ms = 1000, short_of_descriptors_ms = 100;
 }  // namespace
 
-Result<std::unique_ptr<HttpListener>> HttpListener::open(Loop& loop, const Address& at, Events events,
+Result<std::unique_ptr<HttpListener>> HttpListener::open(EventLoop& loop, const Address& at, Callbacks events,
                                                          int send_buffer) {
-  auto e = endpoint(at);
+  auto e = parse_endpoint(at);
   if (!e) return Findings{{at, "not an address to listen at"}};
-  Fd fd(::socket(e->bytes.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!fd || !set_option(fd.get(), SOL_SOCKET, SO_REUSEADDR, 1) ||
-      ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&e->bytes), e->size) != 0 || ::listen(fd.get(), 1024) != 0)
+  Fd fd(::socket(e->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  if (!fd || !set_socket_option(fd.get(), SOL_SOCKET, SO_REUSEADDR, 1) ||
+      ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&e->storage), e->length) != 0 || ::listen(fd.get(), 1024) != 0)
     return Findings{{at, std::string("cannot listen: ") + std::strerror(errno)}};
-  if (send_buffer) set_option(fd.get(), SOL_SOCKET, SO_SNDBUF, send_buffer);
+  if (send_buffer) set_socket_option(fd.get(), SOL_SOCKET, SO_SNDBUF, send_buffer);
   return std::unique_ptr<HttpListener>(new HttpListener(loop, std::move(events), std::move(fd)));
 }
 
-HttpListener::HttpListener(Loop& loop, Events events, Fd listening)
+HttpListener::HttpListener(EventLoop& loop, Callbacks events, Fd listening)
     : loop_(loop),
       events_(std::move(events)),
       listening_(std::move(listening)),
@@ -37,12 +37,12 @@
 }
 
 HttpListener::~HttpListener() {
-  if (listening_) loop_.forget(listening_.get());
+  if (listening_) loop_.unwatch(listening_.get());
   while (!sessions_.empty()) close(Held(sessions_.begin()->second));
 }
 
-Address HttpListener::at() const {
-  return bound_to(listening_.get());
+Address HttpListener::local_address() const {
+  return bound_address(listening_.get());
 }
 
 void HttpListener::accept() {
@@ -51,13 +51,13 @@
     if (!fd && (errno == EINTR || errno == ECONNABORTED)) continue;
     if (!fd && errno != EAGAIN) {
       loop_.watch(listening_.get(), 0);
-      loop_.after(short_of_descriptors_ms, [this, alive = std::weak_ptr(self_)] {
+      loop_.run_after(short_of_descriptors_ms, [this, alive = std::weak_ptr(self_)] {
         if (alive.lock() && listening_) loop_.watch(listening_.get(), EPOLLIN);
       });
     }
     if (!fd) return;
-    if (sessions_.size() >= limits_.sessions) continue;
-    set_option(fd.get(), IPPROTO_TCP, TCP_NODELAY, 1);
+    if (sessions_.size() >= limits_.max_connections) continue;
+    set_socket_option(fd.get(), IPPROTO_TCP, TCP_NODELAY, 1);
     auto s = std::make_shared<Session>();
     s->fd = std::move(fd);
     s->armed = EPOLLIN;
@@ -65,7 +65,7 @@
     loop_.watch(s->fd.get(), s->armed, [this, s = s.get()](uint32_t events) {
       if (auto it = sessions_.find(s); it != sessions_.end()) ready(Held(it->second), events);
     });
-    due(s, limits_.idle_ms);
+    due(s, limits_.idle_timeout_ms);
   }
 }
 
@@ -103,7 +103,7 @@
   s->phase = Session::Phase::head;
   s->headed = s->bodiless = s->in_chunks = s->above = false;
   s->answer_left.reset();
-  due(s, limits_.idle_ms);
+  due(s, limits_.idle_timeout_ms);
   pump(s);
 }
 
@@ -132,7 +132,7 @@
   if (std::exchange(s->phase, Session::Phase::gone) == Session::Phase::gone) return;
   if (s->id) exchanges_.erase(s->id);
   if (s->timer) loop_.cancel(s->timer);
-  loop_.forget(s->fd.get());
+  loop_.unwatch(s->fd.get());
   s->fd = Fd();
   std::string().swap(s->in), std::string().swap(s->out), s->sent = 0;
   sessions_.erase(s.get());
@@ -153,7 +153,7 @@
 
 void HttpListener::arm(const Held& s, Millis ms) {
   s->timer_at = monotonic_ms() + ms;
-  s->timer = loop_.after(ms, [this, s = s.get()] {
+  s->timer = loop_.run_after(ms, [this, s = s.get()] {
     if (auto it = sessions_.find(s); it != sessions_.end()) expire(Held(it->second));
   });
 }
@@ -168,14 +168,14 @@
   if (s->phase == P::over || s->phase == P::parting || s->phase == P::parting_unread) close(s);
 }
 
-void HttpListener::close_after_answers() {
+void HttpListener::close_after_responses() {
   closing_ = true;
 }
 
 void HttpListener::drain() {
   if (std::exchange(draining_, true)) return;
   closing_ = true;
-  loop_.forget(listening_.get());
+  loop_.unwatch(listening_.get());
   listening_ = Fd();
   std::vector<Held> idle;
   for (auto& [_, s] : sessions_)
@@ -188,7 +188,7 @@
   return it == exchanges_.end() ? nullptr : it->second;
 }
 
-size_t HttpListener::unsent(uint64_t id) const {
+size_t HttpListener::unsent_bytes(uint64_t id) const {
   auto s = held(id);
   return s ? s->unsent() : 0;
 }
--- a/src/kernel/http_listener.hpp
+++ b/src/kernel/http_listener.hpp
@@ -6,18 +6,18 @@
 namespace mosskeel {
 
 struct HttpListenerLimits {
-  size_t head_bytes = 16384, body_bytes = 4 << 20;
-  Millis head_ms = 3000, idle_ms = 15000;
-  size_t sessions = 2000;
+  size_t max_head_bytes = 16384, max_body_bytes = 4 << 20;
+  Millis head_timeout_ms = 3000, idle_timeout_ms = 15000;
+  size_t max_connections = 2000;
 };
 
 /// Listens, reads whole requests, one exchange at a time a session, and writes their answers. Malformed requests are
 /// answered here and their session closed. All of it, events too, on the loop's thread; must not be destroyed in an
-/// event. After end(), whole(), cut() or `left` an exchange's id is dead: it has no more events, and calls with it do
+/// event. After finish(), send_response(), abort() or `left` an exchange's id is dead: it has no more events, and calls with it do
 /// nothing.
 class HttpListener {
  public:
-  struct Events {
+  struct Callbacks {
     /// A whole request has been read; `id` names the exchange.
     std::function<void(uint64_t id, HttpRequest&&)> asked;
     /// The caller closed or reset before its answer was over.
@@ -28,32 +28,32 @@
   /// Bytes; 1,000 slow callers at the high one and a read more hold 64 MB, a quarter of a small machine's memory.
   static constexpr size_t low_watermark = 16 << 10, high_watermark = 48 << 10;
   /// `send_buffer` is in bytes and for each session; 0 leaves it to the system.
-  static Result<std::unique_ptr<HttpListener>> open(Loop& loop, const Address& at, Events events, int send_buffer = 0);
+  static Result<std::unique_ptr<HttpListener>> open(EventLoop& loop, const Address& at, Callbacks events, int send_buffer = 0);
   ~HttpListener();
-  void limits(const HttpListenerLimits& l) { limits_ = l; }
+  void set_limits(const HttpListenerLimits& l) { limits_ = l; }
   /// The address listened at, with the port the system chose where none was named.
-  Address at() const;
+  Address local_address() const;
   /// The answer's head; without a length its body is chunked. Fields of one connection are dropped.
-  void head(uint64_t id, uint32_t status, const Fields& f, std::optional<uint64_t> length);
-  void bytes(uint64_t id, std::string_view s);
+  void send_head(uint64_t id, uint32_t status, const HeaderFields& f, std::optional<uint64_t> length);
+  void send_body(uint64_t id, std::string_view s);
   /// The answer is over; one that is shorter than its length is cut.
-  void end(uint64_t id);
-  void whole(uint64_t id, uint32_t status, const Fields& f, std::string_view body);
+  void finish(uint64_t id);
+  void send_response(uint64_t id, uint32_t status, const HeaderFields& f, std::string_view body);
   /// Resets the connection, so that the answer can't look complete.
-  void cut(uint64_t id);
-  size_t unsent(uint64_t id) const;
+  void abort(uint64_t id);
+  size_t unsent_bytes(uint64_t id) const;
   /// Every answer from now on is the last of its session and says so. Listening goes on, and idle sessions stay open
   /// for one more request, for their callers may be sending one.
-  void close_after_answers();
+  void close_after_responses();
   /// Ends listening for good; idle sessions are closed without reading from them again, so that a request which
   /// crosses the close is known to its caller as unread. All other sessions end with their answer.
   void drain();
-  size_t sessions() const { return sessions_.size(); }
+  size_t connections() const { return sessions_.size(); }
 
  private:
   struct Session;
   using Held = std::shared_ptr<Session>;
-  HttpListener(Loop& loop, Events events, Fd listening);
+  HttpListener(EventLoop& loop, Callbacks events, Fd listening);
   void accept();
   void ready(const Held& s, uint32_t events);
   void receive(const Held& s);
@@ -76,8 +76,8 @@
   void arm(const Held& s, Millis ms);
   void expire(const Held& s);
   Held held(uint64_t id) const;
-  Loop& loop_;
-  Events events_;
+  EventLoop& loop_;
+  Callbacks events_;
   Fd listening_;
   HttpListenerLimits limits_;
   bool closing_ = false, draining_ = false, flush_posted_ = false;
--- a/src/kernel/http_listener_answer.cpp
+++ b/src/kernel/http_listener_answer.cpp
@@ -14,7 +14,7 @@
 }
 }  // namespace
 
-void HttpListener::head(uint64_t id, uint32_t status, const Fields& f, std::optional<uint64_t> length) {
+void HttpListener::send_head(uint64_t id, uint32_t status, const HeaderFields& f, std::optional<uint64_t> length) {
   auto s = held(id);
   if (!s || std::exchange(s->headed, true)) return;
   bool never_a_body = status == 204 || status == 304 || status < 200;
@@ -32,7 +32,7 @@
   mark(s);
 }
 
-void HttpListener::bytes(uint64_t id, std::string_view b) {
+void HttpListener::send_body(uint64_t id, std::string_view b) {
   auto s = held(id);
   if (!s || !s->headed || s->bodiless || b.empty()) return;
   if (s->answer_left) {
@@ -46,24 +46,24 @@
   mark(s);
 }
 
-void HttpListener::end(uint64_t id) {
+void HttpListener::finish(uint64_t id) {
   auto s = held(id);
   if (!s) return;
   if (!s->headed || s->answer_left.value_or(0)) return reset(s);
   if (s->in_chunks) s->out += "0\r\n\r\n";
   exchanges_.erase(std::exchange(s->id, 0));
   s->phase = Session::Phase::over;
-  due(s, limits_.idle_ms);
+  due(s, limits_.idle_timeout_ms);
   mark(s);
 }
 
-void HttpListener::whole(uint64_t id, uint32_t status, const Fields& f, std::string_view body) {
-  head(id, status, f, body.size());
-  bytes(id, body);
-  end(id);
+void HttpListener::send_response(uint64_t id, uint32_t status, const HeaderFields& f, std::string_view body) {
+  send_head(id, status, f, body.size());
+  send_body(id, body);
+  finish(id);
 }
 
-void HttpListener::cut(uint64_t id) {
+void HttpListener::abort(uint64_t id) {
   if (auto s = held(id)) reset(s);
 }
 
@@ -95,7 +95,7 @@
     if (n < 0 && errno == EAGAIN) break;
     if (n <= 0) return lose(s);
     s->sent += static_cast<size_t>(n);
-    if (s->phase == P::over) due(s, limits_.idle_ms);
+    if (s->phase == P::over) due(s, limits_.idle_timeout_ms);
   }
   if (!s->unsent()) {
     s->sent = 0;
--- a/src/kernel/loop.cpp
+++ b/src/kernel/loop.cpp
@@ -17,7 +17,7 @@
   return Millis{t.tv_sec} * 1000 + t.tv_nsec / 1000000;
 }
 
-Loop::Loop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
+EventLoop::EventLoop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
   if (!epoll_ || !wake_) throw std::system_error(errno, std::generic_category(), "epoll");
   watch(wake_.get(), EPOLLIN, [this](uint32_t) {
     uint64_t n;
@@ -25,15 +25,15 @@
   });
 }
 
-void Loop::control(int op, int fd, uint32_t events, uint32_t generation) {
+void EventLoop::control(int op, int fd, uint32_t events, uint32_t generation) {
   epoll_event e{};
   e.events = events;
   e.data.u64 = uint64_t{generation} << 32 | static_cast<uint32_t>(fd);
   if (::epoll_ctl(epoll_.get(), op, fd, &e) < 0) throw std::system_error(errno, std::generic_category(), "epoll_ctl");
 }
 
-void Loop::watch(int fd, uint32_t events, Ready f) {
-  auto ready = std::make_shared<Ready>(std::move(f));
+void EventLoop::watch(int fd, uint32_t events, ReadyCallback f) {
+  auto ready = std::make_shared<ReadyCallback>(std::move(f));
   auto it = watched_.find(fd);
   if (it == watched_.end()) {
     control(EPOLL_CTL_ADD, fd, events, ++generation_);
@@ -44,15 +44,15 @@
   }
 }
 
-void Loop::watch(int fd, uint32_t events) {
+void EventLoop::watch(int fd, uint32_t events) {
   if (auto it = watched_.find(fd); it != watched_.end()) control(EPOLL_CTL_MOD, fd, events, it->second.generation);
 }
 
-void Loop::forget(int fd) {
+void EventLoop::unwatch(int fd) {
   if (watched_.erase(fd)) ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
 }
 
-void Loop::post(std::function<void()> f) {
+void EventLoop::post(std::function<void()> f) {
   bool wake = false;
   {
     std::lock_guard g(lock_);
@@ -64,20 +64,20 @@
     auto r = ::write(wake_.get(), &one, sizeof one);
 }
 
-uint64_t Loop::after(Millis ms, std::function<void()> f) {
+uint64_t EventLoop::run_after(Millis ms, std::function<void()> f) {
   heap_.push_back({monotonic_ms() + std::max<Millis>(ms, 0), ++last_timer_});
   std::push_heap(heap_.begin(), heap_.end());
   timers_.emplace(last_timer_, std::move(f));
   return last_timer_;
 }
 
-void Loop::cancel(uint64_t timer) {
+void EventLoop::cancel(uint64_t timer) {
   if (!timers_.erase(timer) || heap_.size() < 2 * timers_.size() + 64) return;
   std::erase_if(heap_, [&](const Due& d) { return !timers_.contains(d.timer); });
   std::make_heap(heap_.begin(), heap_.end());
 }
 
-int Loop::patience() {
+int EventLoop::patience() {
   {
     std::lock_guard g(lock_);
     if (!posted_.empty()) return 0;
@@ -90,7 +90,7 @@
   return static_cast<int>(std::clamp<Millis>(heap_.front().at - monotonic_ms(), 0, 3600000));
 }
 
-void Loop::run_posted() {
+void EventLoop::run_posted() {
   std::vector<std::function<void()>> now;
   {
     std::lock_guard g(lock_);
@@ -100,7 +100,7 @@
   for (auto& f : now) f();
 }
 
-void Loop::run_due() {
+void EventLoop::run_due() {
   auto now = monotonic_ms();
   std::vector<uint64_t> due;
   while (!heap_.empty() && heap_.front().at <= now) {
@@ -114,7 +114,7 @@
   }
 }
 
-void Loop::run() {
+void EventLoop::run() {
   thread_ = std::this_thread::get_id();
   std::array<epoll_event, 256> events;
   while (!stopping_) {
@@ -132,7 +132,7 @@
   thread_ = std::thread::id{};
 }
 
-void Loop::stop() {
+void EventLoop::stop() {
   stopping_ = true;
   post([] {});
 }
--- a/src/kernel/loop.hpp
+++ b/src/kernel/loop.hpp
@@ -15,19 +15,19 @@
 
 /// epoll, an eventfd and a heap of timers; everything but post() and stop() only from the loop's own thread.
 /// One batch: the ready descriptors, then the posted functions, then the timers that are due.
-class Loop {
+class EventLoop {
  public:
-  using Ready = std::function<void(uint32_t events)>;
-  Loop();
+  using ReadyCallback = std::function<void(uint32_t events)>;
+  EventLoop();
   /// Adds or changes; the descriptor stays the caller's, who forgets it before closing it.
-  void watch(int fd, uint32_t events, Ready f);
+  void watch(int fd, uint32_t events, ReadyCallback f);
   /// Changes only the events of a watched descriptor.
   void watch(int fd, uint32_t events);
   /// Safe inside its own callback and for descriptors with pending events.
-  void forget(int fd);
+  void unwatch(int fd);
   /// From any thread; runs with the next batch at the latest.
   void post(std::function<void()> f);
-  uint64_t after(Millis ms, std::function<void()> f);
+  uint64_t run_after(Millis ms, std::function<void()> f);
   void cancel(uint64_t timer);
   /// Until stop().
   void run();
@@ -36,7 +36,7 @@
  private:
   struct Watched {
     uint32_t generation;
-    std::shared_ptr<Ready> ready;
+    std::shared_ptr<ReadyCallback> ready;
   };
   struct Due {
     Millis at;
--- a/src/kernel/machine.hpp
+++ b/src/kernel/machine.hpp
@@ -25,7 +25,7 @@
 
 /// What a daemon finds on its disk when it starts.
 struct Recovered {
-  Incarnation inc;
+  Incarnation incarnation;
   std::optional<std::string> checkpoint;
   std::vector<std::string> journal;
 };
@@ -36,11 +36,11 @@
   Addresses seeds;
   uint32_t core_size = 3;
   uint64_t dice = 1;
-  Millis tcm_rpc = limits::tcm_rpc;
+  Millis commit_attempt_timeout = limits::tcm_rpc;
   /// Forbids founding: an empty disk at a later start joins or waits.
   bool later_start = false;
-  /// As in `Found`.
-  uint32_t core_most = 0, copies = 0;
+  /// As in `FoundCluster`.
+  uint32_t max_core_size = 0, replication_factor = 0;
 };
 
 /// One interface for all daemons, driven alike by the hosts and the simulator.
@@ -77,7 +77,7 @@
 
  private:
   Envelope wrap(const Address& to, Message m, Incarnation to_inc) {
-    return {limits::protocol, cluster, epoch, dice_(), id_.self.addr, id_.self.inc, to, to_inc, std::move(m)};
+    return {limits::protocol, cluster, epoch, dice_(), id_.self.address, id_.self.incarnation, to, to_inc, std::move(m)};
   }
   Identity id_;
   std::mt19937_64 dice_;
--- a/src/kernel/message_weight.cpp
+++ b/src/kernel/message_weight.cpp
@@ -9,7 +9,7 @@
   return n;
 }
 
-size_t bytes_of(const std::vector<StreamedLine>& v) {
+size_t bytes_of(const std::vector<HistoryCopy>& v) {
   size_t n = 0;
   for (auto& l : v) n += bytes_of(l.records);
   return n;
@@ -17,12 +17,12 @@
 
 }  // namespace
 
-size_t text_bytes(const Message& m) {
-  return std::visit(overload{[](const LineReadReply& r) { return bytes_of(r.records); },
-                             [](const LineWrite& w) { return bytes_of(w.records); },
-                             [](const SlotStreamReply& r) { return bytes_of(r.lines); },
-                             [](const LinesFetched& r) { return bytes_of(r.lines); },
-                             [](const ChainFound& f) { return f.text.size(); }, [](const auto&) { return size_t{0}; }},
+size_t history_bytes(const Message& m) {
+  return std::visit(overload{[](const ReadHistoryReply& r) { return bytes_of(r.records); },
+                             [](const AppendHistory& w) { return bytes_of(w.records); },
+                             [](const StreamPartitionReply& r) { return bytes_of(r.histories); },
+                             [](const FetchHistoriesReply& r) { return bytes_of(r.histories); },
+                             [](const FindChainReply& f) { return f.text.size(); }, [](const auto&) { return size_t{0}; }},
                     m);
 }
 
--- a/src/kernel/message_weight.hpp
+++ b/src/kernel/message_weight.hpp
@@ -5,6 +5,6 @@
 namespace mosskeel {
 
 /// The bytes of the histories and chains in a message; 0 for kinds that carry none.
-size_t text_bytes(const Message& m);
+size_t history_bytes(const Message& m);
 
 }  // namespace mosskeel
--- a/src/kernel/settings.hpp
+++ b/src/kernel/settings.hpp
@@ -8,7 +8,7 @@
 
 /// `ready` is where a gateway tells if it is ready, empty for its own HTTP; `dialect` names the plug-in that
 /// speaks for a platform, empty for the product's own interface; `list` is where the replicas are listed;
-/// `later_start` forbids founding; `core_most` and `copies` as in `Found`;
+/// `later_start` forbids founding; `core_most` and `copies` as in `FoundCluster`;
 /// `tolerated_machines` and `tolerated_zones` are what may be lost at once.
 struct Settings {
   BOOST_HANA_DEFINE_STRUCT(Settings, (std::string, listen), (std::string, http), (std::string, agent),
--- a/src/kernel/transport.cpp
+++ b/src/kernel/transport.cpp
@@ -14,8 +14,8 @@
   if (id_) nng_close(nng_socket{id_});
 }
 
-Result<std::unique_ptr<Post>> Post::open(const Address& at, Hear hear) {
-  std::unique_ptr<Post> p(new Post);
+Result<std::unique_ptr<Transport>> Transport::open(const Address& at, Hear hear) {
+  std::unique_ptr<Transport> p(new Transport);
   p->hear_ = std::move(hear);
   nng_socket s;
   if (int rc = nng_pull0_open(&s)) return Findings{{at, nng_strerror(rc)}};
@@ -28,12 +28,12 @@
   return p;
 }
 
-Post::~Post() {
+Transport::~Transport() {
   stop_ = true;
   if (thread_.joinable()) thread_.join();
 }
 
-void Post::listen() {
+void Transport::listen() {
   while (!stop_) {
     void* b = nullptr;
     size_t n = 0;
@@ -51,7 +51,7 @@
   }
 }
 
-bool Post::send(const Envelope& e) {
+bool Transport::send(const Envelope& e) {
   nng_socket s;
   {
     std::lock_guard l(m_);
--- a/src/kernel/transport.hpp
+++ b/src/kernel/transport.hpp
@@ -21,13 +21,13 @@
   uint32_t id_;
 };
 
-class Post {
+class Transport {
  public:
   /// A message and its size as it came.
   using Hear = std::function<void(Envelope, size_t bytes)>;
   /// Findings if the address cannot be listened on.
-  static Result<std::unique_ptr<Post>> open(const Address& at, Hear hear);
-  ~Post();
+  static Result<std::unique_ptr<Transport>> open(const Address& at, Hear hear);
+  ~Transport();
   /// Never blocks, never resends; false where the peer's queue is full.
   bool send(const Envelope& e);
   uint64_t sent() const { return sent_; }
@@ -35,7 +35,7 @@
   uint64_t foreign() const { return foreign_; }
 
  private:
-  Post() = default;
+  Transport() = default;
   void listen();
   std::mutex m_;
   std::map<Address, Socket> peers_;
--- a/src/kernel/turn_messages.hpp
+++ b/src/kernel/turn_messages.hpp
@@ -7,31 +7,31 @@
 namespace mosskeel {
 
 /// A front that has a caller's turn asks the program's owner for it: budget, chain, and a durable reservation.
-struct TurnAsk {
-  BOOST_HANA_DEFINE_STRUCT(TurnAsk, (std::string, attempt), (std::string, program), (std::string, parent),
-                           (std::string, input), (uint64_t, budget), (uint64_t, most), (bool, kept),
-                           (int64_t, retention_ms), (int64_t, deadline_ms));
+struct ReserveTurn {
+  BOOST_HANA_DEFINE_STRUCT(ReserveTurn, (std::string, attempt), (std::string, program), (std::string, parent),
+                           (std::string, input), (uint64_t, budget), (uint64_t, max_tokens), (bool, keep_history),
+                           (int64_t, retention_ms), (int64_t, timeout_ms));
 };
 /// 200 means go, with the text of the chain before the input; anything else is final: the turn has not run.
-struct TurnGrant {
-  BOOST_HANA_DEFINE_STRUCT(TurnGrant, (std::string, attempt), (uint32_t, status), (uint32_t, retry_ms),
+struct ReserveTurnReply {
+  BOOST_HANA_DEFINE_STRUCT(ReserveTurnReply, (std::string, attempt), (uint32_t, status), (uint32_t, retry_after_ms),
                            (std::string, reason), (std::string, chain));
 };
 /// What became of a granted turn: 200 whole, 0 not run, 502 unknown or broken off. `tokens` were handed to the caller.
-struct TurnSettle {
-  BOOST_HANA_DEFINE_STRUCT(TurnSettle, (std::string, attempt), (std::string, program), (uint32_t, status),
-                           (uint64_t, tokens), (bool, kept), (std::string, output));
+struct CommitTurn {
+  BOOST_HANA_DEFINE_STRUCT(CommitTurn, (std::string, attempt), (std::string, program), (uint32_t, status),
+                           (uint64_t, tokens), (bool, keep_output), (std::string, output));
 };
-/// The outcome lies on a majority, or `kept` is false and it can't be there any more.
-struct TurnSettled {
-  BOOST_HANA_DEFINE_STRUCT(TurnSettled, (std::string, attempt), (bool, kept));
+/// The outcome lies on a majority, or `committed` is false and it can't be there any more.
+struct CommitTurnReply {
+  BOOST_HANA_DEFINE_STRUCT(CommitTurnReply, (std::string, attempt), (bool, committed));
 };
-/// Asks a store for the chain that ends with this turn, whichever program it was of.
-struct ChainFind {
-  BOOST_HANA_DEFINE_STRUCT(ChainFind, (std::string, turn));
+/// Asks a store for the text of the chain that ends with this turn, whichever program it belongs to.
+struct FindChain {
+  BOOST_HANA_DEFINE_STRUCT(FindChain, (std::string, turn));
 };
-struct ChainFound {
-  BOOST_HANA_DEFINE_STRUCT(ChainFound, (std::string, turn), (bool, found), (std::string, text));
+struct FindChainReply {
+  BOOST_HANA_DEFINE_STRUCT(FindChainReply, (std::string, turn), (bool, found), (std::string, text));
 };
 
 }  // namespace mosskeel
--- a/src/kernel/upstream.cpp
+++ b/src/kernel/upstream.cpp
@@ -21,11 +21,11 @@
 };
 
 struct Call {
-  ReplicaAsk ask;
+  ReplicaCall ask;
   std::unique_ptr<CURL, EasyClose> easy;
   std::unique_ptr<curl_slist, ListClose> headers;
   std::string rest, body, why;
-  ReplicaEnd end;
+  ReplicaCallResponse end;
   std::function<void(Message)>* hear;
   long status = 0;
 
@@ -34,14 +34,14 @@
     if (!j.is_object()) return why = "a line of the stream is no JSON", false;
     try {
       if (j.contains("seal")) {
-        end.sealed = true;
-        end.seal = unhex(j.at("seal").get<std::string>()).value_or(0);
-        end.pieces = j.at("pieces").get<uint32_t>();
+        end.complete = true;
+        end.checksum = unhex(j.at("seal").get<std::string>()).value_or(0);
+        end.chunks = j.at("pieces").get<uint32_t>();
         end.tokens = j.at("tokens").get<uint64_t>();
-      } else if (end.sealed) {
+      } else if (end.complete) {
         return why = "pieces came after the seal", false;
       } else {
-        (*hear)(ReplicaPiece{ask.attempt, j.at("n").get<uint32_t>(), j.at("text").get<std::string>(),
+        (*hear)(ReplicaCallChunk{ask.attempt, j.at("n").get<uint32_t>(), j.at("text").get<std::string>(),
                              j.at("tokens").get<uint64_t>()});
       }
     } catch (const nlohmann::json::exception& x) { return why = "a line of the stream lacks a field", false; }
@@ -71,22 +71,22 @@
   auto& x = *static_cast<Call*>(c);
   if (x.ask.kind != "model" && h.size() > 8 && strncasecmp(h.c_str(), "x-seal:", 7) == 0) {
     auto b = h.find_first_not_of(' ', 7), e = h.find_last_not_of("\r\n ");
-    if (auto v = unhex(h.substr(b, e - b + 1))) x.end.seal = *v, x.end.sealed = true;
+    if (auto v = unhex(h.substr(b, e - b + 1))) x.end.checksum = *v, x.end.complete = true;
   }
   return s * n;
 }
 
 }  // namespace
 
-struct Upstream::Impl {
+struct ReplicaClient::Impl {
   std::function<void(Message)> hear;
   std::unique_ptr<CURLM, MultiClose> multi{curl_multi_init()};
-  Queue<std::variant<ReplicaAsk, std::string>> in;
+  Queue<std::variant<ReplicaCall, std::string>> in;
   std::map<std::string, std::unique_ptr<Call>> calls;
   std::atomic<bool> halt{false};
   std::thread thread;
 
-  void begin(const ReplicaAsk& a) {
+  void begin(const ReplicaCall& a) {
     auto c = std::make_unique<Call>();
     c->ask = a;
     c->hear = &hear;
@@ -99,7 +99,7 @@
     curl_easy_setopt(e, CURLOPT_CUSTOMREQUEST, a.method.c_str());
     curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, 1000L);
     curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, static_cast<long>(a.deadline_ms));
-    if (!a.repeatable) {
+    if (!a.idempotent) {
       curl_easy_setopt(e, CURLOPT_FRESH_CONNECT, 1L);
       curl_easy_setopt(e, CURLOPT_FORBID_REUSE, 1L);
     }
@@ -126,15 +126,15 @@
     curl_easy_getinfo(c.easy.get(), CURLINFO_REQUEST_SIZE, &sent);
     curl_easy_getinfo(c.easy.get(), CURLINFO_RESPONSE_CODE, &c.status);
     auto& e = c.end;
-    e.sent = sent > 0;
+    e.request_sent = sent > 0;
     e.status = static_cast<uint32_t>(c.status);
     e.body = std::move(c.body);
     if (rc != CURLE_OK) {
-      e.sealed = false;
+      e.complete = false;
       e.reason = c.why.empty() ? curl_easy_strerror(rc) : c.why;
     } else if (e.status >= 400 && e.status < 500) {
-      e.sealed = true;
-    } else if (!e.sealed) {
+      e.complete = true;
+    } else if (!e.complete) {
       e.reason = "the answer came without its seal";
     }
     hear(e);
@@ -150,7 +150,7 @@
   void run() {
     while (!halt) {
       for (auto& x : in.take(0)) {
-        if (auto* a = std::get_if<ReplicaAsk>(&x))
+        if (auto* a = std::get_if<ReplicaCall>(&x))
           begin(*a);
         else
           drop(std::get<std::string>(x));
@@ -173,20 +173,20 @@
   }
 };
 
-Upstream::Upstream(std::function<void(Message)> hear) : i_(std::make_unique<Impl>()) {
+ReplicaClient::ReplicaClient(std::function<void(Message)> hear) : i_(std::make_unique<Impl>()) {
   i_->hear = std::move(hear);
   i_->thread = std::thread([this] { i_->run(); });
 }
-Upstream::~Upstream() {
+ReplicaClient::~ReplicaClient() {
   i_->halt = true;
   curl_multi_wakeup(i_->multi.get());
   i_->thread.join();
 }
-void Upstream::ask(const ReplicaAsk& a) {
+void ReplicaClient::send(const ReplicaCall& a) {
   i_->in.push(a);
   curl_multi_wakeup(i_->multi.get());
 }
-void Upstream::stop(const std::string& attempt) {
+void ReplicaClient::cancel(const std::string& attempt) {
   i_->in.push(attempt);
   curl_multi_wakeup(i_->multi.get());
 }
--- a/src/kernel/upstream.hpp
+++ b/src/kernel/upstream.hpp
@@ -7,13 +7,13 @@
 
 namespace mosskeel {
 
-class Upstream {
+class ReplicaClient {
  public:
-  /// `hear` gets ReplicaPiece and ReplicaEnd.
-  explicit Upstream(std::function<void(Message)> hear);
-  ~Upstream();
-  void ask(const ReplicaAsk& a);
-  void stop(const std::string& attempt);
+  /// `hear` gets ReplicaCallChunk and ReplicaCallResponse.
+  explicit ReplicaClient(std::function<void(Message)> hear);
+  ~ReplicaClient();
+  void send(const ReplicaCall& a);
+  void cancel(const std::string& attempt);
 
  private:
   struct Impl;
--- a/src/kernel/upstream_client.cpp
+++ b/src/kernel/upstream_client.cpp
@@ -20,7 +20,7 @@
   return ::recv(fd, &c, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
 }
 
-bool spell(const UpstreamClient::Ask& a, std::string& out) {
+bool spell(const UpstreamClient::Request& a, std::string& out) {
   auto plain = [](char c) { return c > 0x20 && c < 0x7f; };
   if (a.method.empty() || a.target.empty() || !std::all_of(a.method.begin(), a.method.end(), plain) ||
       !std::all_of(a.target.begin(), a.target.end(), plain))
@@ -40,19 +40,19 @@
 
 }  // namespace
 
-UpstreamClient::UpstreamClient(Loop& loop, Events events)
+UpstreamClient::UpstreamClient(EventLoop& loop, Callbacks events)
     : loop_(loop), events_(std::move(events)), buffer_(one_read), self_(std::make_shared<UpstreamClient*>(this)) {}
 
 UpstreamClient::~UpstreamClient() {
   while (!connections_.empty()) close(Held(connections_.begin()->second));
 }
 
-uint64_t UpstreamClient::ask(Ask a) {
+uint64_t UpstreamClient::send_request(Request a) {
   auto id = ++last_id_;
   std::string out, wrong;
   Held c;
   if (!spell(a, out)) wrong = "request malformed";
-  if (wrong.empty() && !a.fresh) c = kept(a.to, a.max_rest_ms);
+  if (wrong.empty() && !a.new_connection) c = kept(a.to, a.max_idle_ms);
   bool reused = c != nullptr;
   if (!c) c = std::make_shared<Connection>();
   c->to = a.to;
@@ -76,11 +76,11 @@
   return id;
 }
 
-UpstreamClient::Held UpstreamClient::kept(const Address& to, Millis max_rest_ms) {
+UpstreamClient::Held UpstreamClient::kept(const Address& to, Millis max_idle_ms) {
   auto it = idle_.find(to);
   while (it != idle_.end()) {
     Held c = it->second.back();
-    if (monotonic_ms() - c->idle_since > max_rest_ms) return nullptr;
+    if (monotonic_ms() - c->idle_since > max_idle_ms) return nullptr;
     if (monotonic_ms() >= c->keep_until || !silent(c->fd.get())) {
       close(c);
       it = idle_.find(to);
@@ -96,31 +96,31 @@
 }
 
 std::string UpstreamClient::open(const Held& c, Millis connect_ms) {
-  auto e = endpoint(c->to);
+  auto e = parse_endpoint(c->to);
   if (!e) return "not an address: " + c->to;
-  Fd fd(::socket(e->bytes.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  Fd fd(::socket(e->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) return std::string("socket: ") + std::strerror(errno);
-  set_option(fd.get(), IPPROTO_TCP, TCP_NODELAY, 1);
-  set_option(fd.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledged_ms);
+  set_socket_option(fd.get(), IPPROTO_TCP, TCP_NODELAY, 1);
+  set_socket_option(fd.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledged_ms);
   ++opened_;
-  if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&e->bytes), e->size) != 0 && errno != EINPROGRESS)
+  if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&e->storage), e->length) != 0 && errno != EINPROGRESS)
     return std::string("connect: ") + std::strerror(errno);
   c->fd = std::move(fd);
   connections_.emplace(c.get(), c);
   interest(c);
   c->connect_until = monotonic_ms() + connect_ms;
-  c->timer = loop_.after(connect_ms, [this, c = c.get()] {
+  c->timer = loop_.run_after(connect_ms, [this, c = c.get()] {
     c->timer = 0;
     lose(Held(connections_.at(c)), "connect: no answer in time");
   });
   return {};
 }
 
-void UpstreamClient::drop(uint64_t id) {
+void UpstreamClient::cancel(uint64_t id) {
   if (auto it = asks_.find(id); it != asks_.end()) close(Held(it->second));
 }
 
-void UpstreamClient::skip(uint64_t id) {
+void UpstreamClient::skip_response(uint64_t id) {
   auto it = asks_.find(id);
   if (it == asks_.end()) return;
   it->second->skipping = true;
@@ -160,7 +160,7 @@
   auto& q = idle_[c->to];
   q.push_back(c);
   interest(c);
-  c->timer = loop_.after(c->keep_ms, [this, c = c.get()] {
+  c->timer = loop_.run_after(c->keep_ms, [this, c = c.get()] {
     c->timer = 0;
     close(Held(connections_.at(c)));
   });
@@ -169,7 +169,7 @@
 
 void UpstreamClient::lose(const Held& c, std::string reason) {
   auto id = c->id;
-  auto how = c->handed ? Lost::sent : Lost::unsent;
+  auto how = c->handed ? Delivery::possibly_sent : Delivery::not_sent;
   close(c);
   if (id && events_.lost) events_.lost(id, how, std::move(reason));
 }
@@ -182,7 +182,7 @@
   }
   if (c->id) asks_.erase(std::exchange(c->id, 0));
   if (c->timer) loop_.cancel(std::exchange(c->timer, 0));
-  if (c->fd) loop_.forget(c->fd.get());
+  if (c->fd) loop_.unwatch(c->fd.get());
   c->fd = Fd();
   std::string().swap(c->in), std::string().swap(c->out);
   connections_.erase(c.get());
--- a/src/kernel/upstream_client_answer.cpp
+++ b/src/kernel/upstream_client_answer.cpp
@@ -14,8 +14,8 @@
 constexpr size_t longest_head = 64 << 10;
 constexpr Millis kept_unless_told_ms = 4000, safety_ms = 1000, longest_kept_ms = 600000;
 
-Millis keep_alive(const Fields& f) {
-  auto said = field(f, "Keep-Alive");
+Millis keep_alive(const HeaderFields& f) {
+  auto said = header_value(f, "Keep-Alive");
   for (auto rest = said; !rest.empty();) {
     auto comma = std::min(rest.find(','), rest.size());
     auto word = rest.substr(0, comma);
@@ -61,7 +61,7 @@
   if (c->phase == P::idle) return close(c);
   if (c->phase == P::connecting) return connected(c);
   if (c->paused && (events & (EPOLLERR | EPOLLHUP))) {
-    loop_.forget(c->fd.get());
+    loop_.unwatch(c->fd.get());
     c->watched = false;
     return;
   }
@@ -114,10 +114,10 @@
 }
 
 bool UpstreamClient::read_head(const Held& c) {
-  auto extent = head_extent(c->in, c->scanned);
-  if (extent == Extent::malformed || c->scanned > longest_head) return lose(c, "head malformed or too long"), false;
-  if (extent == Extent::more) return false;
-  auto h = read_answer_head(std::string_view(c->in).substr(0, c->scanned));
+  auto extent = scan_head(c->in, c->scanned);
+  if (extent == HeadScan::malformed || c->scanned > longest_head) return lose(c, "head malformed or too long"), false;
+  if (extent == HeadScan::incomplete) return false;
+  auto h = parse_response_head(std::string_view(c->in).substr(0, c->scanned));
   c->in.erase(0, std::exchange(c->scanned, 0));
   if (h.fault) return lose(c, "head: " + h.reason), false;
   if (h.status == 101) return lose(c, "switched protocols unasked"), false;
@@ -125,11 +125,11 @@
   c->headed = true;
   c->bodiless = c->head_asked || h.status == 204 || h.status == 304;
   c->chunked = h.chunked;
-  c->left = h.length;
+  c->left = h.content_length;
   c->chunks = Chunks();
   if (h.close) c->reusable = false;
   c->keep_ms = keep_alive(h.fields);
-  if (events_.head) events_.head(c->id, {h.status, std::move(h.fields), h.chunked, h.length, c->previous_tag});
+  if (events_.head) events_.head(c->id, {h.status, std::move(h.fields), h.chunked, h.content_length, c->previous_tag});
   return c->phase == Connection::Phase::asking;
 }
 
--- a/src/kernel/web.cpp
+++ b/src/kernel/web.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 size_t body(char* p, size_t s, size_t n, void* c) {
-  auto& x = *static_cast<std::pair<const WebAsk*, WebAnswer*>*>(c);
+  auto& x = *static_cast<std::pair<const FetchRequest*, FetchResponse*>*>(c);
   x.second->body.append(p, s * n);
-  if (x.first->on_bytes) x.first->on_bytes(std::string(p, s * n));
+  if (x.first->on_body) x.first->on_body(std::string(p, s * n));
   return s * n;
 }
 
@@ -19,14 +19,14 @@
   auto name = h.substr(0, k);
   for (auto& x : name) x = static_cast<char>(tolower(x));
   auto b = h.find_first_not_of(' ', k + 1), e = h.find_last_not_of("\r\n ");
-  if (b != std::string::npos && e >= b) static_cast<WebAnswer*>(c)->headers[name] = h.substr(b, e - b + 1);
+  if (b != std::string::npos && e >= b) static_cast<FetchResponse*>(c)->headers[name] = h.substr(b, e - b + 1);
   return s * n;
 }
 
 }  // namespace
 
-WebAnswer web(const WebAsk& a) {
-  WebAnswer r;
+FetchResponse http_fetch(const FetchRequest& a) {
+  FetchResponse r;
   std::unique_ptr<CURL, void (*)(CURL*)> c(curl_easy_init(), curl_easy_cleanup);
   auto* e = c.get();
   auto both = std::make_pair(&a, &r);
@@ -35,7 +35,7 @@
   curl_easy_setopt(e, CURLOPT_PROXY, "");
   curl_easy_setopt(e, CURLOPT_CUSTOMREQUEST, a.method.c_str());
   curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, 1000L);
-  curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, a.deadline_ms);
+  curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, a.timeout_ms);
   if (a.method != "GET") {
     curl_easy_setopt(e, CURLOPT_POSTFIELDSIZE, static_cast<long>(a.body.size()));
     curl_easy_setopt(e, CURLOPT_POSTFIELDS, a.body.c_str());
@@ -52,8 +52,8 @@
   curl_easy_getinfo(e, CURLINFO_RESPONSE_CODE, &r.status);
   long sent = 0;
   curl_easy_getinfo(e, CURLINFO_REQUEST_SIZE, &sent);
-  r.sent = sent > 0;
-  r.whole = rc == CURLE_OK;
+  r.request_sent = sent > 0;
+  r.complete = rc == CURLE_OK;
   if (rc != CURLE_OK) r.error = curl_easy_strerror(rc);
   return r;
 }
--- a/src/kernel/web.hpp
+++ b/src/kernel/web.hpp
@@ -4,19 +4,19 @@
 
 namespace mosskeel {
 
-struct WebAsk {
+struct FetchRequest {
   std::string method = "GET", url, body;
   std::map<std::string, std::string> headers;
-  long deadline_ms = 15000;
+  long timeout_ms = 15000;
   /// Called with the bytes as they come; empty keeps them in the answer.
-  std::function<void(const std::string&)> on_bytes;
+  std::function<void(const std::string&)> on_body;
 };
-struct WebAnswer {
+struct FetchResponse {
   long status = 0;
   std::string body, error;
   std::map<std::string, std::string> headers;
-  bool whole = false, sent = false;
+  bool complete = false, request_sent = false;
 };
-WebAnswer web(const WebAsk& a);
+FetchResponse http_fetch(const FetchRequest& a);
 
 }  // namespace mosskeel
--- a/src/metadata/describe.cpp
+++ b/src/metadata/describe.cpp
@@ -48,47 +48,47 @@
   return std::visit(
       overload{
           [](const std::monostate&) -> std::string { return "no change"; },
-          [](const Found& x) {
+          [](const FoundCluster& x) {
             return "found cluster " + hex(x.cluster) + " with " + std::to_string(x.members.size()) + " core members";
           },
           [](const Register& x) {
-            return std::string("register ") + name(x.self.role) + " at " + x.self.addr + " in zone " + x.self.zone;
+            return std::string("register ") + name(x.self.role) + " at " + x.self.address + " in zone " + x.self.zone;
           },
-          [](const AdmitCore& x) { return "admit " + id(x.fresh) + " to the core"; },
-          [](const ReplaceCore& x) { return "replace core " + id(x.old) + " by " + id(x.fresh); },
+          [](const AddCoreMember& x) { return "admit " + id(x.node) + " to the core"; },
+          [](const ReplaceCoreMember& x) { return "replace core " + id(x.removed) + " by " + id(x.added); },
           [](const MarkDown& x) { return "mark " + id(x.node) + " down"; },
           [](const MarkUp& x) { return "mark " + id(x.node) + " up"; },
           [](const PrepareJoin& x) { return "prepare the join of " + id(x.node); },
           [](const PrepareDrain& x) { return "prepare the drain of " + id(x.node); },
           [](const PrepareRepair& x) { return "prepare the repair of the places of " + id(x.node); },
           [](const ForgetStore& x) { return "forget " + id(x.node) + ", a store without places"; },
-          [](const Advance& x) { return std::string(name(x.step)) + " the sequence of " + id(x.node); },
+          [](const AdvanceSequence& x) { return std::string(name(x.step)) + " the sequence of " + id(x.node); },
           [](const CancelSequence& x) { return "cancel the sequence of " + id(x.node) + ": " + x.reason; },
           [](const ApplyConfiguration& x) {
             return "apply a configuration of " + std::to_string(x.configuration.cells.size()) + " cells on revision " +
                    std::to_string(x.base.v);
           },
           [](const SetReplica& x) { return "replica " + x.replica.name + " is " + name(x.replica.health); },
-          [](const DropReplica& x) { return "forget replica " + x.name; },
+          [](const RemoveReplica& x) { return "forget replica " + x.name; },
           [](const EvacuateZone& x) { return "evacuate zone " + x.zone; },
           [](const RestoreZone& x) { return "restore zone " + x.zone; },
-          [](const MoveRoutes& x) { return "move the routes of " + id(x.from) + " to " + id(x.to); },
-          [](const Refound& x) {
+          [](const MoveAllPartitions& x) { return "move the routes of " + id(x.from) + " to " + id(x.to); },
+          [](const RefoundCluster& x) {
             return "found the core anew as generation " + std::to_string(x.generation + 1) + " without " +
                    std::to_string(x.lost.size()) + " lost members";
           },
-          [](const Recount&) -> std::string { return "recount who counts in touch and acknowledgements"; },
-          [](const Recounted& x) { return "end the recount of epoch " + std::to_string(x.since.v); },
-          [](const ListReplicas& x) {
-            return "list " + std::to_string(x.set.size()) + " replicas, forget " + std::to_string(x.gone.size());
+          [](const BeginQuorumChange&) -> std::string { return "recount who counts in touch and acknowledgements"; },
+          [](const FinishQuorumChange& x) { return "end the recount of epoch " + std::to_string(x.since.v); },
+          [](const UpdateReplicas& x) {
+            return "list " + std::to_string(x.updated.size()) + " replicas, forget " + std::to_string(x.removed.size());
           },
-          [](const DropCore& x) { return "take " + id(x.old) + " out of the core"; },
-          [](const MoveSlot& x) { return "move slot " + std::to_string(x.slot.v) + " to " + id(x.owner); },
+          [](const RemoveCoreMember& x) { return "take " + id(x.node) + " out of the core"; },
+          [](const MovePartition& x) { return "move slot " + std::to_string(x.partition.v) + " to " + id(x.owner); },
       },
       t);
 }
 
-Findings check(const Configuration& m) {
+Findings validate(const Configuration& m) {
   Findings f;
   std::set<std::string> seen;
   for (size_t i = 0; i < m.cells.size(); ++i) {
--- a/src/metadata/listing.cpp
+++ b/src/metadata/listing.cpp
@@ -6,13 +6,13 @@
 namespace {
 
 bool same_but_cold(const Replica& a, const Replica& b) {
-  return a.kind == b.kind && a.zone == b.zone && a.url == b.url && a.places == b.places && a.service == b.service;
+  return a.kind == b.kind && a.zone == b.zone && a.url == b.url && a.capacity == b.capacity && a.service == b.service;
 }
 
 }  // namespace
 
-std::optional<ListReplicas> Listing::compare(const Replicas& log, const std::vector<Replica>& listed, Millis now) {
-  ListReplicas change;
+std::optional<UpdateReplicas> ReplicaListReconciler::reconcile(const Replicas& log, const std::vector<Replica>& listed, Millis now) {
+  UpdateReplicas change;
   std::set<std::string> there;
   for (auto& r : listed) {
     if (!there.insert(r.name).second) continue;
@@ -23,28 +23,28 @@
     bool known = i != log.end() && same_but_cold(i->second, r);
     auto* l = known ? &i->second : nullptr;
     // Without a memory the log's time may have run for a while already, so only a longer one is news.
-    auto expected = fresh ? now + (l ? std::min(l->cold_ms, r.cold_ms) : 0) : s.warm;
-    bool longer = r.cold_ms > std::max<Millis>(0, expected - now) + limits::list_cold_slack;
+    auto expected = fresh ? now + (l ? std::min(l->warm_up_ms, r.warm_up_ms) : 0) : s.warm;
+    bool longer = r.warm_up_ms > std::max<Millis>(0, expected - now) + limits::list_cold_slack;
     bool unheard = l && s.told && l->since == *s.told;
-    if (l && l->health == Health::cold && l->cold_ms == 0 && r.health == Health::ready) {
+    if (l && l->health == ReplicaHealth::warming_up && l->warm_up_ms == 0 && r.health == ReplicaHealth::ready) {
       if (!s.restored) s.restored = now;
       if (now - s.restored < limits::list_lag) continue;
     } else {
       s.restored = 0;
     }
-    if (l && l->health == r.health && !(r.health == Health::cold && (longer || unheard))) {
+    if (l && l->health == r.health && !(r.health == ReplicaHealth::warming_up && (longer || unheard))) {
       s.warm = expected;
       s.told.reset();
       continue;
     }
-    s.warm = now + r.cold_ms;
+    s.warm = now + r.warm_up_ms;
     s.told = l ? std::optional(l->since) : std::nullopt;
-    change.set.push_back(r);
+    change.updated.push_back(r);
   }
   for (auto& [n, r] : log)
-    if (!r.service.empty() && !there.count(n) && ++seen_[n].missing >= 2) change.gone.push_back(n);
+    if (!r.service.empty() && !there.count(n) && ++seen_[n].missing >= 2) change.removed.push_back(n);
   std::erase_if(seen_, [&](auto& x) { return !there.count(x.first) && !log.count(x.first); });
-  if (change.set.empty() && change.gone.empty()) return std::nullopt;
+  if (change.updated.empty() && change.removed.empty()) return std::nullopt;
   return change;
 }
 
--- a/src/metadata/listing.hpp
+++ b/src/metadata/listing.hpp
@@ -5,13 +5,13 @@
 namespace mosskeel {
 
 /// Compares whole readings of a list with the log; remembers of earlier readings what a single one cannot tell.
-class Listing {
+class ReplicaListReconciler {
  public:
   /// The change that the log lacks, or nothing. A replica goes once two readings in a row lack it, since a list may
   /// shift between its pages. One that a restored zone left cold stays so until the list has had time to say it.
-  std::optional<ListReplicas> compare(const Replicas& log, const std::vector<Replica>& listed, Millis now);
+  std::optional<UpdateReplicas> reconcile(const Replicas& log, const std::vector<Replica>& listed, Millis now);
   /// For a reader that was not the one to read for a while.
-  void forget() { seen_.clear(); }
+  void reset() { seen_.clear(); }
 
  private:
   struct Seen {
--- a/src/metadata/liveness.hpp
+++ b/src/metadata/liveness.hpp
@@ -2,7 +2,7 @@
 // Whether a daemon may hold places, by its state in the directory.
 #include "metadata/values.hpp"
 
-namespace mosskeel::places {
+namespace mosskeel::placement {
 
 /// Up, or registered and about to join.
 inline bool alive(const Metadata& metadata, DaemonId id) {
@@ -16,4 +16,4 @@
   return !daemon || daemon->state == DaemonState::down || daemon->state == DaemonState::left;
 }
 
-}  // namespace mosskeel::places
+}  // namespace mosskeel::placement
--- a/src/metadata/membership.cpp
+++ b/src/metadata/membership.cpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-size_t members_down(const Metadata& m) {
+size_t count_down_members(const Metadata& m) {
   auto down = std::count_if(m.members.begin(), m.members.end(), [&](auto id) {
     auto* d = m.find(id);
     return d && d->state == DaemonState::down;
--- a/src/metadata/membership.hpp
+++ b/src/metadata/membership.hpp
@@ -5,6 +5,6 @@
 namespace mosskeel {
 
 /// How many core members are marked down.
-size_t members_down(const Metadata& m);
+size_t count_down_members(const Metadata& m);
 
 }  // namespace mosskeel
--- a/src/metadata/rejection.cpp
+++ b/src/metadata/rejection.cpp
@@ -7,7 +7,7 @@
 
 Rejection why(const Metadata& m, const ApplyConfiguration& t) {
   if (t.base == m.revision) return Rejection::invalid;
-  return m.forgotten(t.base) ? Rejection::forgotten : Rejection::other_revision;
+  return m.forgotten(t.base) ? Rejection::forgotten : Rejection::revision_conflict;
 }
 
 bool known_zone(const Metadata& m, const std::string& zone) {
@@ -16,12 +16,12 @@
 }
 
 Rejection why(const Metadata& m, const EvacuateZone& t) {
-  if (m.evacuated.count(t.zone)) return Rejection::already_so;
+  if (m.evacuated.count(t.zone)) return Rejection::already_in_effect;
   return known_zone(m, t.zone) ? Rejection::refused : Rejection::unknown_target;
 }
 
 Rejection why(const Metadata& m, const RestoreZone& t) {
-  return m.evacuated.count(t.zone) ? Rejection::refused : Rejection::already_so;
+  return m.evacuated.count(t.zone) ? Rejection::refused : Rejection::already_in_effect;
 }
 
 Rejection why(const Metadata& m, const PrepareDrain& t) {
@@ -29,8 +29,8 @@
   if (!d) return Rejection::unknown_target;
   auto q = m.sequences.find(t.node);
   bool drains = q != m.sequences.end() && q->second.kind == SequenceKind::drain;
-  if (d->state == DaemonState::left || d->state == DaemonState::draining || drains) return Rejection::already_so;
-  return ok(places::for_drain(m, *d)) ? Rejection::busy : Rejection::refused;
+  if (d->state == DaemonState::left || d->state == DaemonState::draining || drains) return Rejection::already_in_effect;
+  return ok(placement::plan_drain(m, *d)) ? Rejection::busy : Rejection::refused;
 }
 
 template <class T>
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-Rejection rejection(const Metadata& m, const Transformation& t) {
+Rejection rejection_reason(const Metadata& m, const Transformation& t) {
   return std::visit([&](auto& x) { return why(m, x); }, t);
 }
 
--- a/src/metadata/steps.hpp
+++ b/src/metadata/steps.hpp
@@ -14,16 +14,16 @@
   return "daemon " + std::to_string(id.v);
 }
 
-R go(Metadata m, const Found& f);
-R go(Metadata m, const AdmitCore& a);
-R go(Metadata m, const ReplaceCore& r);
-R go(Metadata m, const Refound& t);
+R go(Metadata m, const FoundCluster& f);
+R go(Metadata m, const AddCoreMember& a);
+R go(Metadata m, const ReplaceCoreMember& r);
+R go(Metadata m, const RefoundCluster& t);
 R go(Metadata m, const ApplyConfiguration& t);
 R go(Metadata m, const SetReplica& t);
-R go(Metadata m, const DropReplica& t);
-R go(Metadata m, const Recount& t);
-R go(Metadata m, const Recounted& t);
-R go(Metadata m, const ListReplicas& t);
-R go(Metadata m, const DropCore& t);
+R go(Metadata m, const RemoveReplica& t);
+R go(Metadata m, const BeginQuorumChange& t);
+R go(Metadata m, const FinishQuorumChange& t);
+R go(Metadata m, const UpdateReplicas& t);
+R go(Metadata m, const RemoveCoreMember& t);
 
 }  // namespace mosskeel::steps
--- a/src/metadata/store_places.cpp
+++ b/src/metadata/store_places.cpp
@@ -5,7 +5,7 @@
 #include "metadata/liveness.hpp"
 #include "metadata/transform.hpp"
 
-namespace mosskeel::places {
+namespace mosskeel::placement {
 
 namespace {
 
@@ -25,8 +25,8 @@
   std::map<DaemonId, int> kept;
   for (auto& [id, daemon] : metadata.directory)
     if (daemon.self.role == Role::store && daemon.state == DaemonState::up) kept[id] = 0;
-  for (auto& slot : metadata.slots)
-    for (auto id : slot.stores) ++kept[id];
+  for (auto& partition : metadata.partitions)
+    for (auto id : partition.stores) ++kept[id];
   return kept;
 }
 
@@ -72,7 +72,7 @@
     ++kept[*fresh];
     id = *fresh;
   }
-  while (set.size() < metadata.full_copies()) {
+  while (set.size() < metadata.replication_factor()) {
     auto fresh = substitute(metadata, set, DaemonId{}, kept);
     if (!fresh) break;
     ++kept[*fresh];
@@ -83,22 +83,22 @@
 
 }  // namespace
 
-std::vector<Move> for_store_join(const Metadata& metadata, const Daemon& joining) {
-  std::vector<Move> moves;
+std::vector<PartitionMove> plan_store_join(const Metadata& metadata, const Daemon& joining) {
+  std::vector<PartitionMove> moves;
   auto kept = copies_kept(metadata);
   kept[joining.id];
   auto live = std::count_if(kept.begin(), kept.end(),
                             [&](auto& entry) { return entry.first == joining.id || alive(metadata, entry.first); });
-  auto copies = std::min<size_t>(metadata.full_copies(), static_cast<size_t>(live));
-  auto share = static_cast<int>(metadata.slots.size() * copies / std::max<size_t>(static_cast<size_t>(live), 1));
-  for (uint32_t i = 0; i < metadata.slots.size(); ++i) {
-    auto& slot = metadata.slots[i];
-    if (metadata.locks.count(SlotId{i}) || contains(slot.stores, joining.id)) continue;
-    auto set = slot.stores;
+  auto copies = std::min<size_t>(metadata.replication_factor(), static_cast<size_t>(live));
+  auto share = static_cast<int>(metadata.partitions.size() * copies / std::max<size_t>(static_cast<size_t>(live), 1));
+  for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
+    auto& partition = metadata.partitions[i];
+    if (metadata.locks.count(PartitionId{i}) || contains(partition.stores, joining.id)) continue;
+    auto set = partition.stores;
     auto dead = std::find_if(set.begin(), set.end(), [&](auto id) { return lost(metadata, id); });
     if (dead != set.end()) {
       *dead = joining.id;
-    } else if (set.size() < metadata.full_copies()) {
+    } else if (set.size() < metadata.replication_factor()) {
       set.push_back(joining.id);
     } else if (kept[joining.id] < share) {
       auto* leaver = most_replaceable(metadata, set, joining, kept);
@@ -109,40 +109,40 @@
       continue;
     }
     ++kept[joining.id];
-    moves.push_back({SlotId{i}, slot.owner, set});
+    moves.push_back({PartitionId{i}, partition.owner, set});
   }
   return moves;
 }
 
-Result<std::vector<Move>> for_store_drain(const Metadata& metadata, const Daemon& leaving) {
-  std::vector<Move> moves;
+Result<std::vector<PartitionMove>> plan_store_drain(const Metadata& metadata, const Daemon& leaving) {
+  std::vector<PartitionMove> moves;
   auto kept = copies_kept(metadata);
-  for (uint32_t i = 0; i < metadata.slots.size(); ++i) {
-    auto& slot = metadata.slots[i];
-    if (!contains(slot.stores, leaving.id)) continue;
-    auto set = slot.stores;
+  for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
+    auto& partition = metadata.partitions[i];
+    if (!contains(partition.stores, leaving.id)) continue;
+    auto set = partition.stores;
     auto fresh = substitute(metadata, set, leaving.id, kept);
     if (!fresh)
       return Findings{{"slot " + std::to_string(i),
                        "retiring this store would leave " + std::to_string(set.size() - 1) + " of " +
-                           std::to_string(metadata.full_copies()) + " copies and no other store can take its place"}};
+                           std::to_string(metadata.replication_factor()) + " copies and no other store can take its place"}};
     std::replace(set.begin(), set.end(), leaving.id, *fresh);
     ++kept[*fresh];
-    moves.push_back({SlotId{i}, slot.owner, set});
+    moves.push_back({PartitionId{i}, partition.owner, set});
   }
   return moves;
 }
 
-std::vector<Move> for_repair(const Metadata& metadata, const Daemon& lost_store) {
-  std::vector<Move> moves;
+std::vector<PartitionMove> plan_repair(const Metadata& metadata, const Daemon& lost_store) {
+  std::vector<PartitionMove> moves;
   auto kept = copies_kept(metadata);
-  for (uint32_t i = 0; i < metadata.slots.size(); ++i) {
-    auto& slot = metadata.slots[i];
-    if (metadata.locks.count(SlotId{i}) || !contains(slot.stores, lost_store.id)) continue;
-    auto set = slot.stores;
-    if (refill(metadata, set, lost_store.id, kept)) moves.push_back({SlotId{i}, slot.owner, set});
+  for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
+    auto& partition = metadata.partitions[i];
+    if (metadata.locks.count(PartitionId{i}) || !contains(partition.stores, lost_store.id)) continue;
+    auto set = partition.stores;
+    if (refill(metadata, set, lost_store.id, kept)) moves.push_back({PartitionId{i}, partition.owner, set});
   }
   return moves;
 }
 
-}  // namespace mosskeel::places
+}  // namespace mosskeel::placement
