--- a/src/metadata/transform.hpp
+++ b/src/metadata/transform.hpp
@@ -4,24 +4,24 @@
 
 namespace mosskeel {
 
-/// `core_most` lets further controllers be admitted up to that number (0: core_size); `copies` is how many stores
-/// keep a line (0: the default).
-struct Found {
-  BOOST_HANA_DEFINE_STRUCT(Found, (uint64_t, cluster), (uint32_t, core_size), (std::vector<Candidate>, members),
-                           (uint32_t, core_most), (uint32_t, copies));
-  bool operator==(const Found&) const = default;
+/// `max_core_size` lets further controllers be admitted up to that number (0: core_size); `replication_factor` is how many stores
+/// keep a history (0: the default).
+struct FoundCluster {
+  BOOST_HANA_DEFINE_STRUCT(FoundCluster, (uint64_t, cluster), (uint32_t, core_size), (std::vector<Candidate>, members),
+                           (uint32_t, max_core_size), (uint32_t, replication_factor));
+  bool operator==(const FoundCluster&) const = default;
 };
 struct Register {
   BOOST_HANA_DEFINE_STRUCT(Register, (Candidate, self));
   bool operator==(const Register&) const = default;
 };
-struct AdmitCore {
-  BOOST_HANA_DEFINE_STRUCT(AdmitCore, (DaemonId, fresh));
-  bool operator==(const AdmitCore&) const = default;
+struct AddCoreMember {
+  BOOST_HANA_DEFINE_STRUCT(AddCoreMember, (DaemonId, node));
+  bool operator==(const AddCoreMember&) const = default;
 };
-struct ReplaceCore {
-  BOOST_HANA_DEFINE_STRUCT(ReplaceCore, (DaemonId, old), (DaemonId, fresh));
-  bool operator==(const ReplaceCore&) const = default;
+struct ReplaceCoreMember {
+  BOOST_HANA_DEFINE_STRUCT(ReplaceCoreMember, (DaemonId, removed), (DaemonId, added));
+  bool operator==(const ReplaceCoreMember&) const = default;
 };
 struct MarkDown {
   BOOST_HANA_DEFINE_STRUCT(MarkDown, (DaemonId, node));
@@ -40,9 +40,9 @@
   bool operator==(const PrepareDrain&) const = default;
 };
 /// The next step of a node's sequence: StartJoin, MidJoin, FinishJoin and their drain kin.
-struct Advance {
-  BOOST_HANA_DEFINE_STRUCT(Advance, (DaemonId, node), (Step, step));
-  bool operator==(const Advance&) const = default;
+struct AdvanceSequence {
+  BOOST_HANA_DEFINE_STRUCT(AdvanceSequence, (DaemonId, node), (SequenceStep, step));
+  bool operator==(const AdvanceSequence&) const = default;
 };
 struct CancelSequence {
   BOOST_HANA_DEFINE_STRUCT(CancelSequence, (DaemonId, node), (std::string, reason));
@@ -57,9 +57,9 @@
   BOOST_HANA_DEFINE_STRUCT(SetReplica, (Replica, replica));
   bool operator==(const SetReplica&) const = default;
 };
-struct DropReplica {
-  BOOST_HANA_DEFINE_STRUCT(DropReplica, (std::string, name));
-  bool operator==(const DropReplica&) const = default;
+struct RemoveReplica {
+  BOOST_HANA_DEFINE_STRUCT(RemoveReplica, (std::string, name));
+  bool operator==(const RemoveReplica&) const = default;
 };
 struct EvacuateZone {
   BOOST_HANA_DEFINE_STRUCT(EvacuateZone, (std::string, zone));
@@ -69,44 +69,44 @@
   BOOST_HANA_DEFINE_STRUCT(RestoreZone, (std::string, zone));
   bool operator==(const RestoreZone&) const = default;
 };
-/// Moves one slot's lease to another front at once: `move routes`.
-struct MoveSlot {
-  BOOST_HANA_DEFINE_STRUCT(MoveSlot, (SlotId, slot), (DaemonId, owner));
-  bool operator==(const MoveSlot&) const = default;
+/// Moves one partition's lease to another front at once: `move routes`.
+struct MovePartition {
+  BOOST_HANA_DEFINE_STRUCT(MovePartition, (PartitionId, partition), (DaemonId, owner));
+  bool operator==(const MovePartition&) const = default;
 };
 
 /// Moves all of one front's leases to another.
-struct MoveRoutes {
-  BOOST_HANA_DEFINE_STRUCT(MoveRoutes, (DaemonId, from), (DaemonId, to));
-  bool operator==(const MoveRoutes&) const = default;
+struct MoveAllPartitions {
+  BOOST_HANA_DEFINE_STRUCT(MoveAllPartitions, (DaemonId, from), (DaemonId, to));
+  bool operator==(const MoveAllPartitions&) const = default;
 };
 
 /// Founds the core anew from its survivors: the lost members never vote again, the cluster's id changes.
-struct Refound {
-  BOOST_HANA_DEFINE_STRUCT(Refound, (uint64_t, generation), (std::vector<DaemonId>, lost),
+struct RefoundCluster {
+  BOOST_HANA_DEFINE_STRUCT(RefoundCluster, (uint64_t, generation), (std::vector<DaemonId>, lost),
                            (std::vector<Candidate>, fresh));
-  bool operator==(const Refound&) const = default;
+  bool operator==(const RefoundCluster&) const = default;
 };
 
-/// Everybody in the directory is to count in touch and acknowledgements; until `Recounted` both sets do.
-struct Recount {
-  bool operator==(const Recount&) const = default;
+/// Everybody in the directory is to count in touch and acknowledgements; until `FinishQuorumChange` both sets do.
+struct BeginQuorumChange {
+  bool operator==(const BeginQuorumChange&) const = default;
 };
 /// A majority of the old and of the new set know of the recount of that epoch: the old set counts no more.
-struct Recounted {
-  BOOST_HANA_DEFINE_STRUCT(Recounted, (Epoch, since));
-  bool operator==(const Recounted&) const = default;
+struct FinishQuorumChange {
+  BOOST_HANA_DEFINE_STRUCT(FinishQuorumChange, (Epoch, since));
+  bool operator==(const FinishQuorumChange&) const = default;
 };
 
-/// What a list of replicas says that the log does not have yet, in one epoch; names in `gone` are dropped.
-struct ListReplicas {
-  BOOST_HANA_DEFINE_STRUCT(ListReplicas, (std::vector<Replica>, set), (std::vector<std::string>, gone));
-  bool operator==(const ListReplicas&) const = default;
+/// What a list of replicas says that the log does not have yet, in one epoch; names in `removed` are dropped.
+struct UpdateReplicas {
+  BOOST_HANA_DEFINE_STRUCT(UpdateReplicas, (std::vector<Replica>, updated), (std::vector<std::string>, removed));
+  bool operator==(const UpdateReplicas&) const = default;
 };
 /// Takes a member that is down out of a core that keeps a majority without it.
-struct DropCore {
-  BOOST_HANA_DEFINE_STRUCT(DropCore, (DaemonId, old));
-  bool operator==(const DropCore&) const = default;
+struct RemoveCoreMember {
+  BOOST_HANA_DEFINE_STRUCT(RemoveCoreMember, (DaemonId, node));
+  bool operator==(const RemoveCoreMember&) const = default;
 };
 
 /// Gives the unlocked places of a store that is down to other stores; it stays down, and may come back empty-handed.
@@ -122,12 +122,12 @@
 
 /// Append only: the index is what the log keeps.
 using Transformation =
-    std::variant<std::monostate, Found, Register, AdmitCore, ReplaceCore, MarkDown, MarkUp, PrepareJoin, PrepareDrain,
-                 Advance, CancelSequence, ApplyConfiguration, SetReplica, DropReplica, EvacuateZone, RestoreZone,
-                 MoveSlot, MoveRoutes, Refound, Recount, Recounted, ListReplicas, DropCore, PrepareRepair, ForgetStore>;
+    std::variant<std::monostate, FoundCluster, Register, AddCoreMember, ReplaceCoreMember, MarkDown, MarkUp, PrepareJoin, PrepareDrain,
+                 AdvanceSequence, CancelSequence, ApplyConfiguration, SetReplica, RemoveReplica, EvacuateZone, RestoreZone,
+                 MovePartition, MoveAllPartitions, RefoundCluster, BeginQuorumChange, FinishQuorumChange, UpdateReplicas, RemoveCoreMember, PrepareRepair, ForgetStore>;
 
 struct Entry {
-  BOOST_HANA_DEFINE_STRUCT(Entry, (Epoch, epoch), (std::string, commit), (Transformation, change));
+  BOOST_HANA_DEFINE_STRUCT(Entry, (Epoch, epoch), (std::string, commit_id), (Transformation, change));
   bool operator==(const Entry&) const = default;
 };
 
@@ -135,27 +135,27 @@
 Result<Metadata> apply(const Metadata& m, const Entry& e);
 
 /// Everybody in the directory that has not left nor lost its address to another, as a recount would have it.
-std::vector<DaemonId> everybody(const Metadata& m);
+std::vector<DaemonId> eligible_quorum_members(const Metadata& m);
 
 /// A configuration's findings, each with its place.
-Findings check(const Configuration& m);
+Findings validate(const Configuration& m);
 
 /// One line on what a transformation does, for logs and `explain`.
 std::string describe(const Transformation& t);
 
-namespace places {
+namespace placement {
 /// Gives a joining node its share; empty findings where there is nothing to refuse.
-std::vector<Move> for_join(const Metadata& m, const Daemon& d);
-Result<std::vector<Move>> for_drain(const Metadata& m, const Daemon& d);
+std::vector<PartitionMove> plan_join(const Metadata& m, const Daemon& d);
+Result<std::vector<PartitionMove>> plan_drain(const Metadata& m, const Daemon& d);
 /// The stores' part of the two above.
-std::vector<Move> for_store_join(const Metadata& m, const Daemon& joining);
-Result<std::vector<Move>> for_store_drain(const Metadata& m, const Daemon& leaving);
+std::vector<PartitionMove> plan_store_join(const Metadata& m, const Daemon& joining);
+Result<std::vector<PartitionMove>> plan_store_drain(const Metadata& m, const Daemon& leaving);
 /// New sets for the unlocked partitions of a store that is down, without it and without any other store that is down;
 /// a partition for which no other store could take a place is left out.
-std::vector<Move> for_repair(const Metadata& m, const Daemon& lost);
-/// Fronts that may own slots now, busiest last.
-DaemonId least_owner(const Metadata& m, const std::map<DaemonId, int>& load, DaemonId except);
-std::map<DaemonId, int> owned(const Metadata& m);
-}  // namespace places
+std::vector<PartitionMove> plan_repair(const Metadata& m, const Daemon& lost);
+/// Fronts that may own partitions now, busiest last.
+DaemonId least_loaded_front(const Metadata& m, const std::map<DaemonId, int>& load, DaemonId except);
+std::map<DaemonId, int> partitions_per_front(const Metadata& m);
+}  // namespace placement
 
 }  // namespace mosskeel
--- a/src/metadata/values.cpp
+++ b/src/metadata/values.cpp
@@ -14,7 +14,7 @@
   static const char* const n[] = {"registered", "up", "draining", "down", "left"};
   return n[static_cast<int>(s)];
 }
-const char* name(Health f) {
+const char* name(ReplicaHealth f) {
   static const char* const n[] = {"cold", "ready", "leaving"};
   return n[static_cast<int>(f)];
 }
@@ -22,7 +22,7 @@
   static const char* const n[] = {"join", "drain", "repair"};
   return n[static_cast<int>(k)];
 }
-const char* name(Step s) {
+const char* name(SequenceStep s) {
   static const char* const n[] = {"start", "mid", "finish"};
   return n[static_cast<int>(s)];
 }
@@ -49,34 +49,34 @@
   return i == directory.end() ? nullptr : &i->second;
 }
 
-const Daemon* Metadata::find(Incarnation inc) const {
+const Daemon* Metadata::find(Incarnation incarnation) const {
   for (auto& [id, d] : directory)
-    if (d.self.inc == inc) return &d;
+    if (d.self.incarnation == incarnation) return &d;
   return nullptr;
 }
 
-const Daemon* Metadata::at(const Address& a) const {
+const Daemon* Metadata::find_at(const Address& a) const {
   const Daemon* last = nullptr;
   for (auto& [id, d] : directory)
-    if (d.self.addr == a && d.state != DaemonState::left) last = &d;
+    if (d.self.address == a && d.state != DaemonState::left) last = &d;
   return last;
 }
 
-bool Metadata::member(Incarnation inc) const {
+bool Metadata::is_core_member(Incarnation incarnation) const {
   for (auto id : members)
-    if (auto* d = find(id); d && d->self.inc == inc) return true;
+    if (auto* d = find(id); d && d->self.incarnation == incarnation) return true;
   return false;
 }
 
-void Metadata::succeed(DaemonId old, DaemonId fresh) {
-  for (auto* v : {&quorum, &incoming}) {
+void Metadata::replace_in_quorum(DaemonId old, DaemonId fresh) {
+  for (auto* v : {&quorum_members, &incoming_quorum_members}) {
     std::replace(v->begin(), v->end(), old, fresh);
     std::sort(v->begin(), v->end());
     v->erase(std::unique(v->begin(), v->end()), v->end());
   }
 }
 
-bool Metadata::quorate(const std::function<bool(const Daemon&)>& has) const {
+bool Metadata::has_quorum(const std::function<bool(const Daemon&)>& has) const {
   auto most = [&](const std::vector<DaemonId>& v) {
     auto n = std::count_if(v.begin(), v.end(), [&](auto id) {
       auto* d = find(id);
@@ -84,36 +84,36 @@
     });
     return static_cast<size_t>(n) >= majority_of(v.size());
   };
-  return most(quorum) && (incoming.empty() || most(incoming));
+  return most(quorum_members) && (incoming_quorum_members.empty() || most(incoming_quorum_members));
 }
 
-bool Metadata::heir(const Candidate& c) const {
+bool Metadata::replaces_member(const Candidate& c) const {
   return c.role == Role::controller && std::any_of(members.begin(), members.end(), [&](auto id) {
            auto* d = find(id);
-           return d && d->self.addr == c.addr && d->self.inc != c.inc;
+           return d && d->self.address == c.address && d->self.incarnation != c.incarnation;
          });
 }
 
-std::optional<Epoch> Metadata::outcome(const std::string& commit) const {
-  for (auto& r : remembered)
+std::optional<Epoch> Metadata::epoch_of_commit(const std::string& commit) const {
+  for (auto& r : applied_commits)
     if (r.id == commit) return r.epoch;
   auto id = digest(commit);
-  for (auto& o : orders)
-    if (o.commit == id) return o.epoch;
+  for (auto& o : applied_configurations)
+    if (o.commit_digest == id) return o.epoch;
   return std::nullopt;
 }
 
 bool Metadata::forgotten(Revision base) const {
-  return !orders.empty() && base < orders.front().base;
+  return !applied_configurations.empty() && base < applied_configurations.front().base;
 }
 
-size_t Metadata::full_copies() const {
-  return std::max(copies, limits::copies);
+size_t Metadata::replication_factor() const {
+  return std::max(configured_replication_factor, limits::copies);
 }
 
 /// Never fewer than a majority of the full number, however few stores there are.
 size_t Metadata::write_quorum(size_t set) const {
-  return majority_of(std::max(set, full_copies()));
+  return majority_of(std::max(set, replication_factor()));
 }
 
 /// Too few stores for any record to count are all asked.
@@ -122,30 +122,30 @@
   return set < write ? set : set + 1 - write;
 }
 
-bool Metadata::holds_places(DaemonId store) const {
-  return std::any_of(slots.begin(), slots.end(), [&](auto& s) {
-    return std::count(s.stores.begin(), s.stores.end(), store) || std::count(s.pending.begin(), s.pending.end(), store);
+bool Metadata::holds_partitions(DaemonId store) const {
+  return std::any_of(partitions.begin(), partitions.end(), [&](auto& s) {
+    return std::count(s.stores.begin(), s.stores.end(), store) || std::count(s.pending_stores.begin(), s.pending_stores.end(), store);
   });
 }
 
-uint64_t successor(uint64_t cluster, uint64_t generation) {
+uint64_t next_cluster_id(uint64_t cluster, uint64_t generation) {
   return digest(hex(cluster), generation);
 }
 
-bool succeeds(const Metadata& m, uint64_t later) {
+bool is_successor_cluster(const Metadata& m, uint64_t later) {
   auto c = m.cluster;
   for (uint64_t k = 0; k < limits::generations_ahead; ++k) {
-    c = successor(c, m.generation + k);
+    c = next_cluster_id(c, m.generation + k);
     if (c == later) return true;
   }
   return false;
 }
 
-SlotId slot_of(const std::string& cell, const std::string& program) {
-  return SlotId{static_cast<uint32_t>(digest(program, digest(cell)) % limits::slots)};
+PartitionId partition_of(const std::string& cell, const std::string& program) {
+  return PartitionId{static_cast<uint32_t>(digest(program, digest(cell)) % limits::slots)};
 }
 
-uint32_t copies_for(uint32_t machines, uint32_t zones) {
+uint32_t replication_factor_for(uint32_t machines, uint32_t zones) {
   return std::max(limits::copies, 2 * std::max(machines, zones) + 1);
 }
 
--- a/src/metadata/values.hpp
+++ b/src/metadata/values.hpp
@@ -8,21 +8,21 @@
 
 enum class Role : uint8_t { controller, front, store };
 enum class DaemonState : uint8_t { registered, up, draining, down, left };
-enum class Health : uint8_t { cold, ready, leaving };
+enum class ReplicaHealth : uint8_t { warming_up, ready, draining };
 /// A `repair` gives the places of a store that is down to others; the store itself may come back and join anew.
 enum class SequenceKind : uint8_t { join, drain, repair };
-enum class Step : uint8_t { start, mid, finish };
+enum class SequenceStep : uint8_t { start, mid, finish };
 
 const char* name(Role r);
 const char* name(DaemonState s);
-const char* name(Health f);
+const char* name(ReplicaHealth f);
 const char* name(SequenceKind k);
-const char* name(Step s);
+const char* name(SequenceStep s);
 
 /// What a daemon says of itself before the log knows it.
 struct Candidate {
-  BOOST_HANA_DEFINE_STRUCT(Candidate, (Incarnation, inc), (Role, role), (std::string, zone), (Address, addr),
-                           (Address, agent), (Address, http), (std::string, machine));
+  BOOST_HANA_DEFINE_STRUCT(Candidate, (Incarnation, incarnation), (Role, role), (std::string, zone), (Address, address),
+                           (Address, agent_address), (Address, http_address), (std::string, machine));
   bool operator==(const Candidate&) const = default;
 };
 
@@ -31,31 +31,31 @@
   bool operator==(const Daemon&) const = default;
 };
 
-/// `service` names the service of the configuration that it belongs to, empty for a cell's own replica; `cold_ms` is
+/// `service` names the service of the configuration that it belongs to, empty for a cell's own replica; `warm_up_ms` is
 /// how much longer it is cold, counted from when its list said so.
 struct Replica {
   BOOST_HANA_DEFINE_STRUCT(Replica, (std::string, name), (std::string, kind), (std::string, zone), (std::string, url),
-                           (Health, health), (Epoch, since), (uint32_t, places), (std::string, service),
-                           (int64_t, cold_ms));
+                           (ReplicaHealth, health), (Epoch, since), (uint32_t, capacity), (std::string, service),
+                           (int64_t, warm_up_ms));
   bool operator==(const Replica&) const = default;
 };
 
-/// Who owns a slot's programs, since when, and where their lines lie.
-struct Slot {
-  BOOST_HANA_DEFINE_STRUCT(Slot, (DaemonId, owner), (Epoch, term), (std::vector<DaemonId>, stores),
-                           (std::vector<DaemonId>, pending), (Epoch, changed));
-  bool operator==(const Slot&) const = default;
+/// Who owns a partition's programs, since when, and which stores hold their histories.
+struct Partition {
+  BOOST_HANA_DEFINE_STRUCT(Partition, (DaemonId, owner), (Epoch, term), (std::vector<DaemonId>, stores),
+                           (std::vector<DaemonId>, pending_stores), (Epoch, stores_epoch));
+  bool operator==(const Partition&) const = default;
 };
 
-struct Move {
-  BOOST_HANA_DEFINE_STRUCT(Move, (SlotId, slot), (DaemonId, owner), (std::vector<DaemonId>, stores));
-  bool operator==(const Move&) const = default;
+struct PartitionMove {
+  BOOST_HANA_DEFINE_STRUCT(PartitionMove, (PartitionId, partition), (DaemonId, owner), (std::vector<DaemonId>, stores));
+  bool operator==(const PartitionMove&) const = default;
 };
 
-/// A join or a drain under way; `last` is the epoch that enacted the previous step.
+/// A join or a drain under way; `last_step_epoch` is the epoch that enacted the previous step.
 struct Sequence {
-  BOOST_HANA_DEFINE_STRUCT(Sequence, (DaemonId, node), (SequenceKind, kind), (Step, due), (Epoch, started),
-                           (Epoch, last), (std::vector<Move>, moves));
+  BOOST_HANA_DEFINE_STRUCT(Sequence, (DaemonId, node), (SequenceKind, kind), (SequenceStep, next_step), (Epoch, started_epoch),
+                           (Epoch, last_step_epoch), (std::vector<PartitionMove>, moves));
   bool operator==(const Sequence&) const = default;
 };
 
@@ -130,68 +130,68 @@
 };
 
 /// What became of a commit id.
-struct Remembered {
-  BOOST_HANA_DEFINE_STRUCT(Remembered, (std::string, id), (Epoch, epoch));
-  bool operator==(const Remembered&) const = default;
+struct AppliedCommit {
+  BOOST_HANA_DEFINE_STRUCT(AppliedCommit, (std::string, id), (Epoch, epoch));
+  bool operator==(const AppliedCommit&) const = default;
 };
 
 /// A configuration order that was taken: the revision that it replaced, its epoch and the digest of its commit id.
-struct TakenOrder {
-  BOOST_HANA_DEFINE_STRUCT(TakenOrder, (Revision, base), (Epoch, epoch), (uint64_t, commit));
-  bool operator==(const TakenOrder&) const = default;
+struct AppliedConfiguration {
+  BOOST_HANA_DEFINE_STRUCT(AppliedConfiguration, (Revision, base), (Epoch, epoch), (uint64_t, commit_digest));
+  bool operator==(const AppliedConfiguration&) const = default;
 };
 
 using Directory = std::map<DaemonId, Daemon>;
 using Replicas = std::map<std::string, Replica>;
-using Locks = std::map<SlotId, DaemonId>;
+using Locks = std::map<PartitionId, DaemonId>;
 using Sequences = std::map<DaemonId, Sequence>;
 
 struct Metadata {
   BOOST_HANA_DEFINE_STRUCT(Metadata, (Epoch, epoch), (uint64_t, cluster), (uint32_t, core_size), (uint64_t, generation),
                            (std::vector<DaemonId>, members), (Directory, directory), (uint64_t, next_id),
-                           (Replicas, replicas), (std::vector<Slot>, slots), (Locks, locks), (Sequences, sequences),
+                           (Replicas, replicas), (std::vector<Partition>, partitions), (Locks, locks), (Sequences, sequences),
                            (Revision, revision), (Configuration, configuration), (std::set<std::string>, evacuated),
-                           (std::vector<Remembered>, remembered), (std::vector<uint64_t>, former),
-                           (std::vector<DaemonId>, quorum), (std::vector<DaemonId>, incoming), (Epoch, recounted),
-                           (uint32_t, core_most), (uint32_t, copies), (std::vector<TakenOrder>, orders));
+                           (std::vector<AppliedCommit>, applied_commits), (std::vector<uint64_t>, former_clusters),
+                           (std::vector<DaemonId>, quorum_members), (std::vector<DaemonId>, incoming_quorum_members), (Epoch, quorum_change_epoch),
+                           (uint32_t, max_core_size), (uint32_t, configured_replication_factor), (std::vector<AppliedConfiguration>, applied_configurations));
   bool operator==(const Metadata&) const = default;
 
   const Daemon* find(DaemonId id) const;
-  const Daemon* find(Incarnation inc) const;
+  const Daemon* find(Incarnation incarnation) const;
   /// Who has this address now: the last that came there.
-  const Daemon* at(const Address& a) const;
-  bool member(Incarnation inc) const;
+  const Daemon* find_at(const Address& a) const;
+  bool is_core_member(Incarnation incarnation) const;
   /// An empty controller at the address of a member: it may help to found anew a core of which nobody is left.
-  bool heir(const Candidate& c) const;
+  bool replaces_member(const Candidate& c) const;
   /// Lets a daemon count in place of one that lost its address to it, and so provably runs no more.
-  void succeed(DaemonId old, DaemonId fresh);
+  void replace_in_quorum(DaemonId old, DaemonId fresh);
   /// Whether those for whom `has` holds are a majority of everybody who counts, before and after a recount.
-  bool quorate(const std::function<bool(const Daemon&)>& has) const;
+  bool has_quorum(const std::function<bool(const Daemon&)>& has) const;
   /// The epoch at which this commit was taken; nothing where it was not, or is remembered no more.
-  std::optional<Epoch> outcome(const std::string& commit) const;
+  std::optional<Epoch> epoch_of_commit(const std::string& commit) const;
   /// Orders on this revision are remembered no more: one that was taken looks like one that lost its race.
   bool forgotten(Revision base) const;
   /// How many stores are to keep a history log.
-  size_t full_copies() const;
+  size_t replication_factor() const;
   /// How many of a partition's `set` stores must have synced a record before it counts; so many less one may be lost.
   size_t write_quorum(size_t set) const;
   /// So many of `set` stores hold between them every record that counts.
   size_t read_quorum(size_t set) const;
   /// Whether a store is in, or to come into, the set of any partition.
-  bool holds_places(DaemonId store) const;
+  bool holds_partitions(DaemonId store) const;
 };
 using View = std::shared_ptr<const Metadata>;
 
 /// The cluster's id after its next re-founding; the old one is fenced off by it.
-uint64_t successor(uint64_t cluster, uint64_t generation);
+uint64_t next_cluster_id(uint64_t cluster, uint64_t generation);
 /// Whether `later` is what `m`'s cluster becomes by a few re-foundings.
-bool succeeds(const Metadata& m, uint64_t later);
+bool is_successor_cluster(const Metadata& m, uint64_t later);
 
-/// The slot of a program, by its root's id.
-SlotId slot_of(const std::string& cell, const std::string& program);
+/// The partition of a program, by its root's id.
+PartitionId partition_of(const std::string& cell, const std::string& program);
 
 /// How many stores keep a history log, so that a write quorum outlives these losses at once.
-uint32_t copies_for(uint32_t machines, uint32_t zones);
+uint32_t replication_factor_for(uint32_t machines, uint32_t zones);
 
 /// How many of a set must agree; never fewer than a majority of the full number of copies.
 size_t majority_of(size_t n);
--- a/src/mosskeelctl/main.cpp
+++ b/src/mosskeelctl/main.cpp
@@ -20,11 +20,11 @@
   return 2;
 }
 
-std::optional<WebAnswer> ask(const std::vector<std::string>& controllers, const WebAsk& a, const std::string& path) {
+std::optional<FetchResponse> ask(const std::vector<std::string>& controllers, const FetchRequest& a, const std::string& path) {
   for (auto& m : controllers) {
     auto x = a;
     x.url = "http://" + m + path;
-    if (auto r = web(x); r.status && r.status != 503) return r;
+    if (auto r = http_fetch(x); r.status && r.status != 503) return r;
   }
   return std::nullopt;
 }
@@ -59,7 +59,7 @@
   std::stringstream l(controllers ? controllers : "127.0.0.1:8101");
   for (std::string x; std::getline(l, x, ',');) v.push_back(x);
   curl_global_init(CURL_GLOBAL_DEFAULT);
-  WebAsk a;
+  FetchRequest a;
   if (id) a.headers["Idempotency-Key"] = id;
   if (auto f = applying(s)) {
     std::ifstream in(f->first);
--- a/src/operator/answers.cpp
+++ b/src/operator/answers.cpp
@@ -4,7 +4,7 @@
 #include "configuration/json.hpp"
 #include "operator/language.hpp"
 
-namespace mosskeel::operators {
+namespace mosskeel::command_language {
 namespace {
 
 std::string ids(const std::vector<DaemonId>& v) {
@@ -15,14 +15,14 @@
 
 void fleet(std::ostream& o, const Metadata& m) {
   std::map<DaemonId, int> own, keep;
-  for (auto& s : m.slots) {
+  for (auto& s : m.partitions) {
     ++own[s.owner];
     for (auto r : s.stores) ++keep[r];
   }
   for (auto& [id, d] : m.directory) {
-    o << id.v << " " << name(d.self.role) << " " << name(d.state) << " zone " << d.self.zone << " at " << d.self.addr;
-    if (!d.self.http.empty()) o << " http " << d.self.http;
-    if (m.member(d.self.inc)) o << " core";
+    o << id.v << " " << name(d.self.role) << " " << name(d.state) << " zone " << d.self.zone << " at " << d.self.address;
+    if (!d.self.http_address.empty()) o << " http " << d.self.http_address;
+    if (m.is_core_member(d.self.incarnation)) o << " core";
     if (own.count(id)) o << " owns " << own[id];
     if (keep.count(id)) o << " keeps " << keep[id];
     o << "\n";
@@ -35,26 +35,26 @@
       overload{[&](const MarkDown& x) { return x.node == id; }, [&](const MarkUp& x) { return x.node == id; },
                [&](const PrepareJoin& x) { return x.node == id; }, [&](const PrepareDrain& x) { return x.node == id; },
                [&](const PrepareRepair& x) { return x.node == id; }, [&](const ForgetStore& x) { return x.node == id; },
-               [&](const Advance& x) { return x.node == id; }, [&](const CancelSequence& x) { return x.node == id; },
-               [&](const AdmitCore& x) { return x.fresh == id; },
-               [&](const ReplaceCore& x) { return x.old == id || x.fresh == id; },
-               [&](const MoveSlot& x) { return x.owner == id; },
-               [&](const MoveRoutes& x) { return x.from == id || x.to == id; }, [](const auto&) { return false; }},
+               [&](const AdvanceSequence& x) { return x.node == id; }, [&](const CancelSequence& x) { return x.node == id; },
+               [&](const AddCoreMember& x) { return x.node == id; },
+               [&](const ReplaceCoreMember& x) { return x.removed == id || x.added == id; },
+               [&](const MovePartition& x) { return x.owner == id; },
+               [&](const MoveAllPartitions& x) { return x.from == id || x.to == id; }, [](const auto&) { return false; }},
       t);
 }
 
 void slot_line(std::ostream& o, const Metadata& m, uint32_t i) {
-  auto& s = m.slots[i];
+  auto& s = m.partitions[i];
   o << "slot " << i << ": owned by daemon " << s.owner.v << " since epoch " << s.term.v << ", kept by " << ids(s.stores)
-    << " since epoch " << s.changed.v;
-  if (!s.pending.empty()) o << ", moving to " << ids(s.pending);
-  if (auto l = m.locks.find(SlotId{i}); l != m.locks.end()) o << ", locked by the sequence of daemon " << l->second.v;
+    << " since epoch " << s.stores_epoch.v;
+  if (!s.pending_stores.empty()) o << ", moving to " << ids(s.pending_stores);
+  if (auto l = m.locks.find(PartitionId{i}); l != m.locks.end()) o << ", locked by the sequence of daemon " << l->second.v;
   o << "\n";
 }
 
 }  // namespace
 
-std::string show(const Show& s, const Metadata& m) {
+std::string show(const ShowQuery& s, const Metadata& m) {
   std::ostringstream o;
   if (s.what == "epoch")
     o << "epoch " << m.epoch.v << " revision " << m.revision.v << " cluster " << hex(m.cluster) << "\n";
@@ -65,13 +65,13 @@
     o << "revision " << m.revision.v << "\n" << json::write(m.configuration).dump(2) << "\n";
   if (s.what == "replicas")
     for (auto& [n, r] : m.replicas)
-      o << n << " " << r.kind << " " << name(r.health) << " zone " << r.zone << " places " << r.places << " at "
+      o << n << " " << r.kind << " " << name(r.health) << " zone " << r.zone << " places " << r.capacity << " at "
         << r.url << "\n";
   if (s.what == "slots")
-    for (uint32_t i = 0; i < m.slots.size(); ++i) slot_line(o, m, i);
+    for (uint32_t i = 0; i < m.partitions.size(); ++i) slot_line(o, m, i);
   if (s.what == "sequences")
     for (auto& [id, q] : m.sequences)
-      o << name(q.kind) << " of daemon " << id.v << " since epoch " << q.started.v << ", next step " << name(q.due)
+      o << name(q.kind) << " of daemon " << id.v << " since epoch " << q.started_epoch.v << ", next step " << name(q.next_step)
         << ", " << q.moves.size() << " slots\n";
   if (s.what == "cell") {
     auto* c = m.configuration.cell(s.name);
@@ -81,13 +81,13 @@
   return "yes\n" + o.str();
 }
 
-std::string explain(const Explain& x, const Metadata& m, const std::vector<Entry>& recent) {
+std::string explain(const ExplainQuery& x, const Metadata& m, const std::vector<Entry>& recent) {
   std::ostringstream o;
   auto line = [&](const Entry& e) { o << "epoch " << e.epoch.v << ": " << describe(e.change) << "\n"; };
   if (x.what == "program") {
     auto k = x.name.find('/');
-    if (k == std::string::npos || m.slots.empty()) return "no: a program is named CELL/PROGRAM";
-    auto s = slot_of(x.name.substr(0, k), x.name.substr(k + 1));
+    if (k == std::string::npos || m.partitions.empty()) return "no: a program is named CELL/PROGRAM";
+    auto s = partition_of(x.name.substr(0, k), x.name.substr(k + 1));
     slot_line(o, m, s.v);
     return "yes\n" + o.str();
   }
@@ -97,18 +97,18 @@
   if (x.what == "node") {
     auto* d = m.find(DaemonId{n});
     if (!d) return "no: daemon " + x.name + " is unknown";
-    o << name(d->self.role) << " " << name(d->state) << " since epoch " << d->since.v << " at " << d->self.addr
+    o << name(d->self.role) << " " << name(d->state) << " since epoch " << d->since.v << " at " << d->self.address
       << " zone " << d->self.zone << "\n";
     if (auto q = m.sequences.find(d->id); q != m.sequences.end())
-      o << "its " << name(q->second.kind) << " waits for step " << name(q->second.due) << "\n";
+      o << "its " << name(q->second.kind) << " waits for step " << name(q->second.next_step) << "\n";
     for (auto& e : recent)
       if (about(e.change, d->id)) line(e);
   }
   if (x.what == "slot") {
-    if (n >= m.slots.size()) return "no: slot " + x.name + " is unknown";
+    if (n >= m.partitions.size()) return "no: slot " + x.name + " is unknown";
     slot_line(o, m, static_cast<uint32_t>(n));
     for (auto& e : recent)
-      if (e.epoch == m.slots[n].term || e.epoch == m.slots[n].changed) line(e);
+      if (e.epoch == m.partitions[n].term || e.epoch == m.partitions[n].stores_epoch) line(e);
   }
   if (x.what == "epoch") {
     auto i = std::find_if(recent.begin(), recent.end(), [&](auto& e) { return e.epoch.v == n; });
@@ -119,4 +119,4 @@
   return "yes\n" + o.str();
 }
 
-}  // namespace mosskeel::operators
+}  // namespace mosskeel::command_language
--- a/src/operator/control.cpp
+++ b/src/operator/control.cpp
@@ -3,20 +3,20 @@
 namespace mosskeel {
 namespace {
 
-std::vector<const ControlDialect*>& control_dialects() {
-  static std::vector<const ControlDialect*> v;
+std::vector<const ControlProtocol*>& control_dialects() {
+  static std::vector<const ControlProtocol*> v;
   return v;
 }
 
 }  // namespace
 
-const ControlDialect* control_dialect(const std::string& name) {
+const ControlProtocol* find_control_protocol(const std::string& name) {
   for (auto* d : control_dialects())
     if (name == d->name()) return d;
   return nullptr;
 }
 
-ControlEnrolled::ControlEnrolled(const ControlDialect* d) {
+ControlProtocolRegistration::ControlProtocolRegistration(const ControlProtocol* d) {
   control_dialects().push_back(d);
 }
 
--- a/src/operator/control_session.hpp
+++ b/src/operator/control_session.hpp
@@ -19,28 +19,28 @@
 };
 
 /// The metadata, at least as new as what a majority of the core confirmed since the call; nothing where none did.
-View confirmed(ControllerAccess& controller, Millis patience);
+View linearizable_read(ControllerAccess& controller, Millis patience);
 
 /// Why an order is not safe by what this controller has observed, or nothing.
-std::string unsafe(ControllerMachine& m, const Transformation& t, Millis now);
+std::string drain_hazard(ControllerMachine& m, const Transformation& t, Millis now);
 
-class ControlSession : public Control {
+class ControlSession : public ClusterControl {
  public:
   /// A request that came at `arrived` has its answer within `limits::operator_patience` of that.
   ControlSession(ControllerAccess& controller, Millis arrived);
-  std::optional<Absent> absent() override;
-  View newest() override;
-  Verdict settled() override;
-  Verdict apply(const std::string& commit, Revision base, Revision own, const Configuration& m) override;
-  Verdict evacuate(const std::string& zone) override;
-  Verdict restore(const std::string& zone) override;
-  Verdict retire(const std::string& machine) override;
-  Retirement retirement(const std::string& machine) override;
+  std::optional<Unavailable> unavailability() override;
+  View read_metadata() override;
+  CommandResult wait_until_in_force() override;
+  CommandResult apply_configuration(const std::string& commit, Revision base, Revision own, const Configuration& m) override;
+  CommandResult evacuate(const std::string& zone) override;
+  CommandResult restore(const std::string& zone) override;
+  CommandResult retire(const std::string& machine) override;
+  RetirementState retirement_state(const std::string& machine) override;
 
  private:
   Millis left();
-  Verdict order(const Transformation& t, const std::string& id);
-  Verdict in_force(Epoch at);
+  CommandResult order(const Transformation& t, const std::string& id);
+  CommandResult in_force(Epoch at);
   ControllerAccess& controller_;
   Millis until_;
 };
--- a/src/operator/language.cpp
+++ b/src/operator/language.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace mosskeel::operators {
+namespace mosskeel::command_language {
 namespace {
 
 struct Word {
@@ -72,9 +72,9 @@
 
 std::optional<Command> show_sentence(Parser& p) {
   for (auto* w : {"fleet", "epoch", "cells", "replicas", "slots", "sequences", "configuration"})
-    if (p.take(w)) return p.end() ? std::optional<Command>(Show{w, ""}) : std::nullopt;
+    if (p.take(w)) return p.end() ? std::optional<Command>(ShowQuery{w, ""}) : std::nullopt;
   std::string n;
-  if (p.take("cell") && p.word(n, "a cell's name") && p.end()) return Show{"cell", n};
+  if (p.take("cell") && p.word(n, "a cell's name") && p.end()) return ShowQuery{"cell", n};
   return std::nullopt;
 }
 
@@ -83,7 +83,7 @@
   for (auto* w : {"node", "slot", "epoch", "program"})
     if (p.take(w))
       return p.word(n, std::string(w) == "program" ? "CELL/PROGRAM" : "a number") && p.end()
-                 ? std::optional<Command>(Explain{w, n})
+                 ? std::optional<Command>(ExplainQuery{w, n})
                  : std::nullopt;
   return std::nullopt;
 }
@@ -121,19 +121,19 @@
                : std::nullopt;
   if (p.take("replace"))
     return p.take("core") && p.node(a) && p.take("with") && p.node(b) && p.end()
-               ? std::optional<Command>(Change{ReplaceCore{a, b}})
+               ? std::optional<Command>(Change{ReplaceCoreMember{a, b}})
                : std::nullopt;
   if (p.take("forget"))
     return p.take("replica") && p.word(z, "a replica's name") && p.end()
-               ? std::optional<Command>(Change{DropReplica{z}})
+               ? std::optional<Command>(Change{RemoveReplica{z}})
                : std::nullopt;
   if (p.take("move")) {
     if (p.take("routes"))
       return p.take("from") && p.node(a) && p.take("to") && p.node(b) && p.end()
-                 ? std::optional<Command>(Change{MoveRoutes{a, b}})
+                 ? std::optional<Command>(Change{MoveAllPartitions{a, b}})
                  : std::nullopt;
     if (p.take("slot") && p.number(n, "a slot's number") && p.take("to") && p.node(b) && p.end())
-      return Change{MoveSlot{SlotId{static_cast<uint32_t>(n)}, b}};
+      return Change{MovePartition{PartitionId{static_cast<uint32_t>(n)}, b}};
     return std::nullopt;
   }
   return std::nullopt;
@@ -158,7 +158,7 @@
     if (p.take("cell") && p.word(n, "a cell's name"))
       for (auto* w : {"budget", "turn", "retention"})
         if (p.take(w)) {
-          if (p.number(x, "a number") && p.end()) c = SetCell{n, w, x};
+          if (p.number(x, "a number") && p.end()) c = UpdateCell{n, w, x};
           break;
         }
   } else if (p.take("rebuild")) {
@@ -176,7 +176,7 @@
   return *c;
 }
 
-Result<Transformation> to_change(const Command& c, const Metadata& m) {
+Result<Transformation> to_transformation(const Command& c, const Metadata& m) {
   auto next = m.configuration;
   auto find = [&](const std::string& n) {
     for (auto i = next.cells.begin(); i != next.cells.end(); ++i)
@@ -193,7 +193,7 @@
     if (i == next.cells.end()) return Findings{{"cell " + x->name, "is unknown"}};
     next.cells.erase(i);
   }
-  if (auto* x = std::get_if<SetCell>(&c)) {
+  if (auto* x = std::get_if<UpdateCell>(&c)) {
     auto i = find(x->name);
     if (i == next.cells.end()) return Findings{{"cell " + x->name, "is unknown"}};
     if (x->field == "budget") i->budget = x->value;
@@ -203,4 +203,4 @@
   return Transformation{ApplyConfiguration{m.revision, next}};
 }
 
-}  // namespace mosskeel::operators
+}  // namespace mosskeel::command_language
--- a/src/operator/language.hpp
+++ b/src/operator/language.hpp
@@ -2,12 +2,12 @@
 // The operators' small language: sentences in, commands or findings with their position out.
 #include "metadata/transform.hpp"
 
-namespace mosskeel::operators {
+namespace mosskeel::command_language {
 
-struct Show {
+struct ShowQuery {
   std::string what, name;
 };
-struct Explain {
+struct ExplainQuery {
   std::string what, name;
 };
 struct CreateCell {
@@ -16,7 +16,7 @@
 struct DropCell {
   std::string name;
 };
-struct SetCell {
+struct UpdateCell {
   std::string name, field;
   uint64_t value = 0;
 };
@@ -26,15 +26,15 @@
 struct RebuildCore {
   std::vector<DaemonId> lost;
 };
-using Command = std::variant<Show, Explain, CreateCell, DropCell, SetCell, Change, RebuildCore>;
+using Command = std::variant<ShowQuery, ExplainQuery, CreateCell, DropCell, UpdateCell, Change, RebuildCore>;
 
 /// A command, or where the sentence went wrong and what was expected there.
 Result<Command> parse(const std::string& sentence);
 
 /// The answer to a question, from the metadata and the entries still kept.
-std::string show(const Show& s, const Metadata& m);
-std::string explain(const Explain& x, const Metadata& m, const std::vector<Entry>& recent);
+std::string show(const ShowQuery& s, const Metadata& m);
+std::string explain(const ExplainQuery& x, const Metadata& m, const std::vector<Entry>& recent);
 /// What a naming command asks of the log, or why it cannot be asked.
-Result<Transformation> to_change(const Command& c, const Metadata& m);
+Result<Transformation> to_transformation(const Command& c, const Metadata& m);
 
-}  // namespace mosskeel::operators
+}  // namespace mosskeel::command_language
--- a/src/request/dispatch.cpp
+++ b/src/request/dispatch.cpp
@@ -45,7 +45,7 @@
     if (i == works_.end() || i->second.stage != Stage::queued) continue;
     auto& w = i->second;
     bool any = false;
-    auto* r = in_touch(now) ? nom_.select_replica(w.e, *led_.view(), *d, now, any) : nullptr;
+    auto* r = has_majority_contact(now) ? nom_.select_replica(w.e, *metadata_log_.view(), *d, now, any) : nullptr;
     if (!r) {
       if (any)
         back.push_back(k);
@@ -54,11 +54,11 @@
       continue;
     }
     if (!w.direct) {
-      if (keep_.open(w.line, now) != HistoryWriter::State::open || keep_.term(w.line) != w.term) {
+      if (history_writer_.open(w.history, now) != HistoryWriter::State::open || history_writer_.term(w.history) != w.term) {
         route(w, now);
         continue;
       }
-      if (keep_.ended(w.line)) {
+      if (history_writer_.ended(w.history)) {
         gone(w, now);
         continue;
       }
@@ -70,7 +70,7 @@
     if (w.direct)
       dispatch(w, now);
     else
-      intend(w, now);
+      reserve(w, now);
   }
   for (auto& k : back) queue_.push(k);
 }
@@ -81,18 +81,18 @@
 }
 
 void GatewayMachine::dispatch(Ref w, Millis now) {
-  auto& m = *led_.view();
+  auto& m = *metadata_log_.view();
   auto i = m.replicas.find(w.replica);
-  bool fit = i != m.replicas.end() && me() && nom_.places(i->second, m, *me(), now) > 0;
-  if (!fit || !in_touch(now) || now >= w.deadline)
+  bool fit = i != m.replicas.end() && me() && nom_.usable_capacity(i->second, m, *me(), now) > 0;
+  if (!fit || !has_majority_contact(now) || now >= w.deadline)
     return settle(w, 0, Outcome::no, "the replica left before the request reached it", 0, now);
   w.stage = Stage::running;
   w.last = now;
-  ReplicaAsk a{w.e.attempt, w.e.kind, i->second.url, w.e.method, w.e.body, w.deadline - now, w.e.repeatable};
+  ReplicaCall a{w.e.attempt, w.e.kind, i->second.url, w.e.method, w.e.body, w.deadline - now, w.e.idempotent};
   if (w.e.kind == "model") {
     std::vector<ChainLink> chain;
     std::map<std::string, std::string> input;
-    for (auto& r : keep_.records(w.line)) {
+    for (auto& r : history_writer_.records(w.history)) {
       if (r.thread != w.e.thread) continue;
       if (r.kind == RecordKind::reservation)
         input[r.key] = r.input;
@@ -109,7 +109,7 @@
   out_.send("replica:" + w.replica, std::move(a));
 }
 
-void GatewayMachine::on(const ReplicaPiece& p, Millis now) {
+void GatewayMachine::on(const ReplicaCallChunk& p, Millis now) {
   auto i = works_.find(p.attempt);
   if (i == works_.end() || i->second.stage != Stage::running) return;
   auto& w = i->second;
@@ -117,24 +117,24 @@
   auto fail = [&](const std::string& why) {
     out_.note(Event::replica_fault, w.replica + ": " + why);
     ++metrics_["replica_faults"];
-    out_.send("replica:" + w.replica, ReplicaStop{p.attempt});
+    out_.send("replica:" + w.replica, CancelReplicaCall{p.attempt});
     settle(w, 502, Outcome::unknown, why, w.reservation, now);
   };
-  if (p.n != w.pieces) return fail("the replica's stream skipped or repeated a piece");
+  if (p.index != w.pieces) return fail("the replica's stream skipped or repeated a piece");
   if (w.tokens + p.tokens > w.reservation) return fail("the replica's answer exceeds the turn's tokens");
   w.tokens += p.tokens;
   w.text += p.text;
   ++w.pieces;
-  out_.send(w.reply, RequestPiece{p.attempt, p.n, p.text}, w.reply_inc);
+  out_.send(w.reply, ProgramResponseChunk{p.attempt, p.index, p.text}, w.reply_inc);
 }
 
-void GatewayMachine::on(const ReplicaEnd& r, Millis now) {
+void GatewayMachine::on(const ReplicaCallResponse& r, Millis now) {
   auto i = works_.find(r.attempt);
   if (i == works_.end() || i->second.stage != Stage::running) return;
   auto& w = i->second;
   if (w.e.kind == "app") w.text = r.body;
-  bool whole = r.sealed && r.status == 200 && r.seal == digest(w.text);
-  if (w.e.kind == "model") whole = whole && r.pieces == w.pieces && r.tokens == w.tokens;
+  bool whole = r.complete && r.status == 200 && r.checksum == digest(w.text);
+  if (w.e.kind == "model") whole = whole && r.chunks == w.pieces && r.tokens == w.tokens;
   if (whole) {
     retries_ = std::min(retries_ + limits::retry_share, 10.0);
     return settle(w, 200, Outcome::yes, "", w.tokens, now);
@@ -142,7 +142,7 @@
   ++metrics_["replica_faults"];
   out_.note(Event::replica_fault,
             w.replica + ": " + (r.reason.empty() ? "status " + std::to_string(r.status) : r.reason));
-  if (!r.sent || w.e.repeatable) {
+  if (!r.request_sent || w.e.idempotent) {
     nom_.back_off(w.replica, now);
     if (retries_ >= 1 && w.pieces == 0 && now < w.deadline) {
       retries_ -= 1;
@@ -153,7 +153,7 @@
         return enqueue(w);
       }
       bool any = false;
-      auto* n = me() ? nom_.select_replica(w.e, *led_.view(), *me(), now, any) : nullptr;
+      auto* n = me() ? nom_.select_replica(w.e, *metadata_log_.view(), *me(), now, any) : nullptr;
       if (n) {
         free_replica(w);
         w.replica = n->name;
@@ -161,9 +161,9 @@
         return dispatch(w, now);
       }
     }
-    if (!r.sent) return settle(w, 0, Outcome::no, "no replica could be reached", 0, now);
+    if (!r.request_sent) return settle(w, 0, Outcome::no, "no replica could be reached", 0, now);
   }
-  if (r.sealed && r.status >= 400 && r.status < 500)
+  if (r.complete && r.status >= 400 && r.status < 500)
     return settle(w, r.status, Outcome::yes, "the replica refused: " + r.body, 0, now);
   settle(w, 502, Outcome::unknown,
          "the replica's answer was not whole and sealed" + (r.reason.empty() ? "" : ": " + r.reason), w.reservation,
@@ -171,19 +171,19 @@
 }
 
 void GatewayMachine::history(Ref w, Millis now) {
-  auto& v = keep_.records(w.line);
-  auto* c = led_.view()->configuration.cell(w.e.cell);
+  auto& v = history_writer_.records(w.history);
+  auto* c = metadata_log_.view()->configuration.cell(w.e.cell);
   if (v.empty())
     return refuse(w, 404, "the conversation is missing: a majority of its stores keeps no such turns", 0, now);
   nlohmann::json j{{"program", w.e.program}, {"turns", nlohmann::json::array()}};
-  std::map<std::string, const Record*> intents;
+  std::map<std::string, const Record*> reservations;
   std::map<std::string, bool> open;
   uint64_t spent = 0;
   for (auto& r : v) {
-    if (!keep_.kept(w.line, r)) break;
+    if (!history_writer_.is_committed(w.history, r)) break;
     open[r.key] = r.kind == RecordKind::reservation;
     if (r.kind == RecordKind::reservation) {
-      intents[r.key] = &r;
+      reservations[r.key] = &r;
       continue;
     }
     spent += r.tokens;
@@ -192,12 +192,12 @@
                           {"key", r.key},
                           {"status", r.status},
                           {"tokens", r.tokens},
-                          {"input", intents.count(r.key) ? intents[r.key]->input : ""},
+                          {"input", reservations.count(r.key) ? reservations[r.key]->input : ""},
                           {"output", r.output}});
   }
   uint64_t reserved = 0;
   for (auto& [k, o] : open)
-    if (o) reserved += intents[k]->tokens;
+    if (o) reserved += reservations[k]->tokens;
   j["tokens"] = {{"spent", spent}, {"reserved", reserved}, {"budget", c ? c->budget : 0}};
   w.end = {w.e.attempt, 200, Outcome::yes, "", j.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace), 0,
            0,           0,   false,        0};
--- a/src/request/owner.cpp
+++ b/src/request/owner.cpp
@@ -1,4 +1,4 @@
-// The owner's turn: line, key, budget, intent, settlement.
+// The owner's turn: history, key, budget, reservation, settlement.
 #include <algorithm>
 
 #include <nlohmann/json.hpp>
@@ -9,13 +9,13 @@
 namespace mosskeel {
 
 void GatewayMachine::advance(Ref w, Millis now) {
-  auto* o = w.direct ? nullptr : owner(w.slot);
-  bool mine = o && o->self.inc == out_.id().self.inc;
-  bool line_held = mine && keep_.term(w.line) == w.term && w.term.v;
+  auto* o = w.direct ? nullptr : owner(w.partition);
+  bool mine = o && o->self.incarnation == out_.id().self.incarnation;
+  bool line_held = mine && history_writer_.term(w.history) == w.term && w.term.v;
   switch (w.stage) {
     case Stage::opening:
       if (!mine) return route(w, now);
-      switch (keep_.open(w.line, now)) {
+      switch (history_writer_.open(w.history, now)) {
         case HistoryWriter::State::open:
           return opened(w, now);
         case HistoryWriter::State::unavailable:
@@ -32,30 +32,30 @@
     case Stage::queued:
       if (!w.direct && !mine) return route(w, now);
       if (now >= w.deadline || now - w.asked > limits::queue_patience)
-        return ++metrics_["requests_admitted_refused"],
+        return ++metrics_["requests_rejected_after_queueing"],
                refuse(w, 503, "no replica had a free place in time", limits::retry_ms * 2, now);
       return;
-    case Stage::intending:
+    case Stage::reserving:
       if (!line_held) {
         free_replica(w);
         w.again = true;
-        w.settled.kind = RecordKind::settled;
+        w.settled.kind = RecordKind::outcome;
         w.settled.status = 0;
         return hand_over(w, now);
       }
-      if (keep_.committed(w.line) >= w.mark) return dispatch(w, now);
+      if (history_writer_.committed_length(w.history) >= w.mark) return dispatch(w, now);
       return;
     case Stage::running:
       if (now >= w.deadline || now - w.last > limits::replica_stall) {
         auto why = now >= w.deadline ? "the deadline passed while the turn was running" : "the replica fell silent";
-        out_.send("replica:" + w.replica, ReplicaStop{w.e.attempt});
+        out_.send("replica:" + w.replica, CancelReplicaCall{w.e.attempt});
         nom_.back_off(w.replica, now);
         settle(w, 504, Outcome::unknown, why, w.reservation, now);
       }
       return;
     case Stage::settling:
       if (!line_held) return hand_over(w, now);
-      if (keep_.committed(w.line) >= w.mark) return end(w, now);
+      if (history_writer_.committed_length(w.history) >= w.mark) return end(w, now);
       return;
     case Stage::handing:
       if (now - w.asked > limits::handover_patience)
@@ -64,7 +64,7 @@
       return;
     case Stage::proxying: {
       if (now >= w.deadline) return refuse(w, 504, "the deadline passed", limits::retry_ms, now);
-      auto* t = led_.view()->find(w.target);
+      auto* t = metadata_log_.view()->find(w.target);
       bool gone = !t || t->state == DaemonState::down || t->state == DaemonState::left;
       if (o && o->id != w.target && (gone || !w.seen)) return route(w, now);
       if (!w.seen && now - w.asked > limits::proxy_patience + limits::line_patience)
@@ -75,50 +75,50 @@
   }
 }
 
-bool GatewayMachine::running_elsewhere(const LineName& n, const Record& r, Millis now) {
-  auto* d = led_.view()->find(r.runner);
-  if (!d || d->self.inc == out_.id().self.inc || d->state == DaemonState::down || d->state == DaemonState::left)
+bool GatewayMachine::running_elsewhere(const HistoryName& n, const Record& r, Millis now) {
+  auto* d = metadata_log_.view()->find(r.runner);
+  if (!d || d->self.incarnation == out_.id().self.incarnation || d->state == DaemonState::down || d->state == DaemonState::left)
     return false;
   auto& x = runners_[{n, r.key, r.runner}];
   if (!x.over && now - x.at >= limits::line_retry) {
     x.at = now;
-    out_.send(d->self.addr, RunnerAsk{n, r.key}, d->self.inc);
+    out_.send(d->self.address, QueryTurnRunner{n, r.key}, d->self.incarnation);
   }
   return !x.over;
 }
 
-bool GatewayMachine::running_here(const LineName& n, const std::string& key) const {
+bool GatewayMachine::running_here(const HistoryName& n, const std::string& key) const {
   return std::any_of(works_.begin(), works_.end(), [&](auto& x) {
     auto& w = x.second;
-    return w.line == n && w.e.key == key && w.stage >= Stage::intending && w.stage <= Stage::handing;
+    return w.history == n && w.e.key == key && w.stage >= Stage::reserving && w.stage <= Stage::handing;
   });
 }
 
 void GatewayMachine::opened(Ref w, Millis now) {
-  w.doubt = false;
-  if (keep_.ended(w.line)) return gone(w, now);
+  w.outcome_unknown = false;
+  if (history_writer_.ended(w.history)) return gone(w, now);
   if (w.e.kind == "history") return history(w, now);
   if (examine(w, now)) enqueue(w);
 }
 
 /// Whether the turn may go on; otherwise it was answered, or waits.
 bool GatewayMachine::examine(Ref w, Millis now) {
-  auto& v = keep_.records(w.line);
-  auto* c = led_.view()->configuration.cell(w.e.cell);
+  auto& v = history_writer_.records(w.history);
+  auto* c = metadata_log_.view()->configuration.cell(w.e.cell);
   if (!c) return refuse(w, 404, "cell '" + w.e.cell + "' is unknown", 0, now), false;
-  std::map<std::string, const Record*> last, intents;
+  std::map<std::string, const Record*> last, reservations;
   for (auto& r : v) {
     last[r.key] = &r;
-    if (r.kind == RecordKind::reservation) intents[r.key] = &r;
+    if (r.kind == RecordKind::reservation) reservations[r.key] = &r;
   }
   if (auto i = last.find(w.e.key);
-      i != last.end() && !(i->second->kind == RecordKind::settled && i->second->status == 0)) {
+      i != last.end() && !(i->second->kind == RecordKind::outcome && i->second->status == 0)) {
     auto& r = *i->second;
-    if (intents[w.e.key]->body_digest != digest(w.e.body + '\0' + w.e.path))
+    if (reservations[w.e.key]->body_digest != digest(w.e.body + '\0' + w.e.path))
       return refuse(w, 409, "key: was used with another body", 0, now), false;
-    if (r.kind == RecordKind::settled && !keep_.kept(w.line, r))
+    if (r.kind == RecordKind::outcome && !history_writer_.is_committed(w.history, r))
       return refuse(w, 409, "key: this turn is running now", limits::retry_ms * 2, now, Outcome::yes), false;
-    if (r.kind == RecordKind::settled) {
+    if (r.kind == RecordKind::outcome) {
       w.end = {w.e.attempt,
                r.status,
                r.status == 200 ? Outcome::yes : Outcome::unknown,
@@ -131,9 +131,9 @@
                0};
       return complete(w, now), false;
     }
-    if (running_here(w.line, w.e.key) || running_elsewhere(w.line, r, now))
+    if (running_here(w.history, w.e.key) || running_elsewhere(w.history, r, now))
       return refuse(w, 409, "key: this turn is running now", limits::retry_ms * 2, now, Outcome::yes), false;
-    out_.note(Event::in_doubt, w.line.program + " key " + w.e.key);
+    out_.note(Event::reservation_without_outcome, w.history.program + " key " + w.e.key);
     return refuse(w, 502, "the outcome of this turn is unknown; it will not be run again", 0, now, Outcome::unknown),
            false;
   }
@@ -145,29 +145,29 @@
     if (open || r->status != 0) spent += r->tokens;
     if (r->thread != w.e.thread) continue;
     if (!open && r->status == 200) ++turns;
-    if (open && (running_here(w.line, k) || running_elsewhere(w.line, *r, now))) busy = true;
+    if (open && (running_here(w.history, k) || running_elsewhere(w.history, *r, now))) busy = true;
   }
-  if (w.e.kind == "model" && w.e.after && *w.e.after > 0 && turns == 0)
+  if (w.e.kind == "model" && w.e.expected_turns && *w.e.expected_turns > 0 && turns == 0)
     return refuse(w, 404, "the conversation is missing: a majority of its stores keeps no such turns", 0, now), false;
   if (busy) {
     auto waiting = std::count_if(works_.begin(), works_.end(),
-                                 [&](auto& x) { return x.second.line == w.line && x.second.stage == Stage::waiting; });
+                                 [&](auto& x) { return x.second.history == w.history && x.second.stage == Stage::waiting; });
     if (static_cast<uint32_t>(waiting) >= limits::thread_queue)
       return refuse(w, 503, "too many turns wait for the one before them", limits::retry_ms * 2, now), false;
     w.stage = Stage::waiting;
     return false;
   }
-  if (w.e.kind == "model" && w.e.after && *w.e.after != turns)
+  if (w.e.kind == "model" && w.e.expected_turns && *w.e.expected_turns != turns)
     return refuse(w, 409, "after: the thread has " + std::to_string(turns) + " settled turns", 0, now), false;
   if (w.e.kind == "model" && spent >= c->budget)
     return refuse(w, 429, "the program's budget of " + std::to_string(c->budget) + " tokens is spent", 0, now), false;
   w.reservation = w.e.kind == "model" ? w.e.max_tokens : 0;
   w.turn = turns + 1;
-  w.term = keep_.term(w.line);
+  w.term = history_writer_.term(w.history);
   return true;
 }
 
-void GatewayMachine::intend(Ref w, Millis now) {
+void GatewayMachine::reserve(Ref w, Millis now) {
   Record r{};
   r.kind = RecordKind::reservation;
   r.key = w.e.key;
@@ -177,10 +177,10 @@
   r.turn = w.turn;
   r.runner = me()->id;
   r.input = w.e.body;
-  r.keep_ms = led_.view()->configuration.cell(w.e.cell)->retention_ms;
+  r.retention_ms = metadata_log_.view()->configuration.cell(w.e.cell)->retention_ms;
   w.settled = r;
-  w.stage = Stage::intending;
-  w.mark = keep_.append(w.line, r, now);
+  w.stage = Stage::reserving;
+  w.mark = history_writer_.append(w.history, r, now);
 }
 
 void GatewayMachine::settle(Ref w, uint32_t status, Outcome ran, std::string reason, uint64_t tokens, Millis now) {
@@ -189,57 +189,57 @@
            tokens,      status ? 0 : limits::retry_ms, false, w.pieces};
   if (w.direct) return end(w, now);
   auto& r = w.settled;
-  r.kind = RecordKind::settled;
+  r.kind = RecordKind::outcome;
   r.status = status;
   r.tokens = tokens;
   r.output = status == 200 ? w.text : reason;
   r.input.clear();
-  if (auto* c = led_.view()->configuration.cell(w.e.cell)) r.keep_ms = std::max(r.keep_ms, c->retention_ms);
-  if (keep_.term(w.line) != w.term) {
+  if (auto* c = metadata_log_.view()->configuration.cell(w.e.cell)) r.retention_ms = std::max(r.retention_ms, c->retention_ms);
+  if (history_writer_.term(w.history) != w.term) {
     w.asked = now;
     return hand_over(w, now);
   }
   w.stage = Stage::settling;
-  w.mark = keep_.append(w.line, r, now);
+  w.mark = history_writer_.append(w.history, r, now);
 }
 
 void GatewayMachine::hand_over(Ref w, Millis now) {
   if (w.stage != Stage::handing) w.asked = now;
   w.stage = Stage::handing;
   w.last = now;
-  auto* o = owner(w.slot);
-  if (o) out_.send(o->self.addr, LateSettle{w.e.attempt, w.line, w.settled}, o->self.inc);
+  auto* o = owner(w.partition);
+  if (o) out_.send(o->self.address, TransferTurnOutcome{w.e.attempt, w.history, w.settled}, o->self.incarnation);
 }
 
-void GatewayMachine::on(const Envelope& e, const LateSettle& x, Millis now) {
+void GatewayMachine::on(const Envelope& e, const TransferTurnOutcome& x, Millis now) {
   for (auto& l : lates_)
-    if (std::get<LateSettle>(l.from.body).attempt == x.attempt) return;
+    if (std::get<TransferTurnOutcome>(l.from.body).attempt == x.attempt) return;
   Late l{e, 0, now, {}};
   if (!late(l, now)) lates_.push_back(std::move(l));
 }
 
 bool GatewayMachine::late(Late& l, Millis now) {
-  auto& x = std::get<LateSettle>(l.from.body);
-  auto say = [&](Outcome o) { return out_.send(l.from.from, LateSettled{x.attempt, o}, l.from.from_inc), true; };
-  auto s = keep_.open(x.line, now);
+  auto& x = std::get<TransferTurnOutcome>(l.from.body);
+  auto say = [&](Outcome o) { return out_.send(l.from.from, TransferTurnOutcomeReply{x.attempt, o}, l.from.from_inc), true; };
+  auto s = history_writer_.open(x.history, now);
   if (s == HistoryWriter::State::fenced || now - l.born > limits::handover_patience) return true;
   if (s != HistoryWriter::State::open) return false;
-  if (keep_.ended(x.line)) return say(Outcome::no);
-  if (l.mark && l.term == keep_.term(x.line)) return keep_.committed(x.line) >= l.mark ? say(Outcome::yes) : false;
+  if (history_writer_.ended(x.history)) return say(Outcome::no);
+  if (l.mark && l.term == history_writer_.term(x.history)) return history_writer_.committed_length(x.history) >= l.mark ? say(Outcome::yes) : false;
   const Record *last = nullptr, *after = nullptr;
-  for (auto& r : keep_.records(x.line)) {
+  for (auto& r : history_writer_.records(x.history)) {
     if (r.key == x.record.key)
       last = &r, after = nullptr;
     else if (last && r.thread == x.record.thread)
       after = &r;
   }
   if (!last) return say(x.record.status == 0 ? Outcome::yes : Outcome::no);
-  if (last->kind == RecordKind::settled && !keep_.kept(x.line, *last)) return false;
-  if (last->kind == RecordKind::settled)
+  if (last->kind == RecordKind::outcome && !history_writer_.is_committed(x.history, *last)) return false;
+  if (last->kind == RecordKind::outcome)
     return say(last->status == x.record.status && last->output == x.record.output ? Outcome::yes : Outcome::no);
   if (last->runner != x.record.runner || after) return say(Outcome::no);
-  l.term = keep_.term(x.line);
-  l.mark = keep_.append(x.line, x.record, now);
+  l.term = history_writer_.term(x.history);
+  l.mark = history_writer_.append(x.history, x.record, now);
   return false;
 }
 
--- a/src/request/policies.cpp
+++ b/src/request/policies.cpp
@@ -29,7 +29,7 @@
 class Authenticate : public Policy {
   int order() const override { return 20; }
   const char* name() const override { return "authenticate"; }
-  std::optional<Refusal> judge(Request& e, const Situation& s) const override {
+  std::optional<Refusal> judge(ProgramRequest& e, const Situation& s) const override {
     auto* c = s.m.configuration.cell(e.cell);
     if (!c) return Refusal{404, "cell '" + e.cell + "' is unknown", 0};
     for (auto& r : c->routes)
@@ -42,10 +42,10 @@
 class Classify : public Policy {
   int order() const override { return 30; }
   const char* name() const override { return "classify"; }
-  std::optional<Refusal> judge(Request& e, const Situation& s) const override {
+  std::optional<Refusal> judge(ProgramRequest& e, const Situation& s) const override {
     auto* c = s.m.configuration.cell(e.cell);
     if (e.kind == "model") {
-      e.repeatable = false;
+      e.idempotent = false;
       if (e.program.empty()) return Refusal{400, "program: is empty", 0};
       e.max_tokens = e.max_tokens ? std::min(e.max_tokens, c->turn_limit) : c->turn_limit;
     }
@@ -60,7 +60,7 @@
 class Admit : public Policy {
   int order() const override { return 40; }
   const char* name() const override { return "admit"; }
-  std::optional<Refusal> judge(Request& e, const Situation& s) const override {
+  std::optional<Refusal> judge(ProgramRequest& e, const Situation& s) const override {
     size_t room = e.urgent ? limits::queue_requests + limits::urgent_share
                   : e.bulk ? limits::queue_requests / 4
                            : limits::queue_requests;
--- a/src/request/policy.hpp
+++ b/src/request/policy.hpp
@@ -29,7 +29,7 @@
   virtual ~Policy() = default;
   virtual int order() const = 0;
   virtual const char* name() const = 0;
-  virtual std::optional<Refusal> judge(Request& e, const Situation& s) const = 0;
+  virtual std::optional<Refusal> judge(ProgramRequest& e, const Situation& s) const = 0;
 };
 
 /// All registered policies in their order.
@@ -44,12 +44,12 @@
 class ReplicaSelector {
  public:
   /// The replica with a free place that suits best, or nothing; `busy` tells whether any would do later.
-  const Replica* select_replica(const Request& e, const Metadata& m, const Daemon& me, Millis now, bool& any) const;
-  void took(const std::string& replica, const Request& e);
-  void gave(const std::string& replica, const Request& e);
+  const Replica* select_replica(const ProgramRequest& e, const Metadata& m, const Daemon& me, Millis now, bool& any) const;
+  void took(const std::string& replica, const ProgramRequest& e);
+  void gave(const std::string& replica, const ProgramRequest& e);
   void back_off(const std::string& replica, Millis now);
   /// The share of a cold replica's places that may be used now.
-  uint32_t places(const Replica& r, const Metadata& m, const Daemon& me, Millis now) const;
+  uint32_t usable_capacity(const Replica& r, const Metadata& m, const Daemon& me, Millis now) const;
   const std::map<std::string, uint32_t>& load() const { return load_; }
 
  private:
--- a/src/request/replica_json.cpp
+++ b/src/request/replica_json.cpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-std::string model_body(const Request& e, const std::vector<ChainLink>& chain, uint64_t reservation) {
+std::string model_body(const ProgramRequest& e, const std::vector<ChainLink>& chain, uint64_t reservation) {
   nlohmann::json j{{"attempt", e.attempt}, {"cell", e.cell},     {"program", e.program}, {"thread", e.thread},
                    {"key", e.key},         {"prefix", e.prefix}, {"input", e.body},      {"max_tokens", reservation}};
   auto& c = j["chain"] = nlohmann::json::array();
--- a/src/request/replica_json.hpp
+++ b/src/request/replica_json.hpp
@@ -8,6 +8,6 @@
 struct ChainLink {
   std::string input, output;
 };
-std::string model_body(const Request& e, const std::vector<ChainLink>& chain, uint64_t reservation);
+std::string model_body(const ProgramRequest& e, const std::vector<ChainLink>& chain, uint64_t reservation);
 
 }  // namespace mosskeel
--- a/src/request/select_replica.cpp
+++ b/src/request/select_replica.cpp
@@ -6,8 +6,8 @@
 
 /// A replica's places are shared out over the fronts in the log; at least one each. While it is cold, one front alone
 /// ramps it up for the whole fleet.
-uint32_t ReplicaSelector::places(const Replica& r, const Metadata& m, const Daemon& me, Millis now) const {
-  if (r.health == Health::leaving || m.evacuated.count(r.zone)) return 0;
+uint32_t ReplicaSelector::usable_capacity(const Replica& r, const Metadata& m, const Daemon& me, Millis now) const {
+  if (r.health == ReplicaHealth::draining || m.evacuated.count(r.zone)) return 0;
   std::vector<std::pair<uint64_t, DaemonId>> v;
   for (auto& [id, d] : m.directory)
     if (d.self.role == Role::front && (d.state == DaemonState::up || d.state == DaemonState::draining) &&
@@ -17,15 +17,15 @@
   auto at = std::find_if(v.begin(), v.end(), [&](auto& x) { return x.second == me.id; });
   if (at == v.end()) return 0;
   auto rank = static_cast<uint32_t>(at - v.begin()), all = static_cast<uint32_t>(v.size());
-  if (r.health == Health::ready) return std::max(1u, r.places / all + (rank < r.places % all));
+  if (r.health == ReplicaHealth::ready) return std::max(1u, r.capacity / all + (rank < r.capacity % all));
   if (rank >= limits::cold_fronts) return 0;
   auto& c = cold_since_[r.name];
   if (c.first != r.since) c = {r.since, now};
-  auto grown = (now - c.second) * r.places / limits::cold_ramp;
-  return static_cast<uint32_t>(std::clamp<Millis>(grown, 1, r.places));
+  auto grown = (now - c.second) * r.capacity / limits::cold_ramp;
+  return static_cast<uint32_t>(std::clamp<Millis>(grown, 1, r.capacity));
 }
 
-const Replica* ReplicaSelector::select_replica(const Request& e, const Metadata& m, const Daemon& me, Millis now,
+const Replica* ReplicaSelector::select_replica(const ProgramRequest& e, const Metadata& m, const Daemon& me, Millis now,
                                                bool& any) const {
   any = false;
   auto* c = m.configuration.cell(e.cell);
@@ -41,7 +41,7 @@
     if (!route->replicas.empty() &&
         std::find(route->replicas.begin(), route->replicas.end(), n) == route->replicas.end())
       continue;
-    auto room = places(r, m, me, now);
+    auto room = usable_capacity(r, m, me, now);
     if (room == 0) continue;
     any = true;
     auto i = load_.find(n);
@@ -61,11 +61,11 @@
   return best;
 }
 
-void ReplicaSelector::took(const std::string& n, const Request& e) {
+void ReplicaSelector::took(const std::string& n, const ProgramRequest& e) {
   ++load_[n];
   if (e.bulk) ++bulk_[n];
 }
-void ReplicaSelector::gave(const std::string& n, const Request& e) {
+void ReplicaSelector::gave(const std::string& n, const ProgramRequest& e) {
   if (auto& p = load_[n]; p) --p;
   if (auto& b = bulk_[n]; e.bulk && b) --b;
 }
--- a/src/request/standing.cpp
+++ b/src/request/standing.cpp
@@ -12,7 +12,7 @@
 RoutingSnapshot GatewayMachine::routing_snapshot(Millis now) const {
   auto* d = me();
   bool whole = confirmed_ && d;
-  return {led_.view(), d ? d->id : DaemonId{}, whole ? in_touch_until() : 0, ready(now), stopping_};
+  return {metadata_log_.view(), d ? d->id : DaemonId{}, whole ? in_touch_until() : 0, ready(now), stopping_};
 }
 
 Millis GatewayMachine::in_touch_until() const {
@@ -20,28 +20,28 @@
   return behind_ ? std::min(touch, behind_->since + behind_patience) : touch;
 }
 
-bool GatewayMachine::in_touch(Millis now) const {
+bool GatewayMachine::has_majority_contact(Millis now) const {
   return now < in_touch_until();
 }
 
 bool GatewayMachine::ready(Millis now) const {
   auto* d = me();
-  return confirmed_ && !stopping_ && d && d->state == DaemonState::up && in_touch(now) &&
-         !led_.view()->evacuated.count(d->self.zone);
+  return confirmed_ && !stopping_ && d && d->state == DaemonState::up && has_majority_contact(now) &&
+         !metadata_log_.view()->evacuated.count(d->self.zone);
 }
 
-Situation GatewayMachine::situation(Millis now, const Request& e, bool proxied) const {
-  bool direct = e.kind == "app" && (e.repeatable || e.key.empty());
-  auto* o = direct ? nullptr : owner(slot_of(e.cell, e.program));
-  bool here = direct || proxied || (o && o->self.inc == out_.id().self.inc);
-  return {*led_.view(),
+Situation GatewayMachine::situation(Millis now, const ProgramRequest& e, bool proxied) const {
+  bool direct = e.kind == "app" && (e.idempotent || e.key.empty());
+  auto* o = direct ? nullptr : owner(partition_of(e.cell, e.program));
+  bool here = direct || proxied || (o && o->self.incarnation == out_.id().self.incarnation);
+  return {*metadata_log_.view(),
           me(),
           now,
-          in_touch(now),
+          has_majority_contact(now),
           confirmed_,
           stopping_,
           count(Stage::queued) + count(Stage::waiting) + count(Stage::opening),
-          count(Stage::running) + count(Stage::intending),
+          count(Stage::running) + count(Stage::reserving),
           proxied,
           here,
           expected_wait(e.kind, false),
--- a/src/store/main.cpp
+++ b/src/store/main.cpp
@@ -16,7 +16,7 @@
   if (auto* rc = std::get_if<int>(&d)) return *rc;
   auto disk = std::get<0>(d);
   Identity id{
-      {disk->recovered().inc, Role::store, p.zone, p.listen, "", p.http, p.machine}, p.seeds, 0, dice(), p.tcm_rpc_ms};
+      {disk->recovered().incarnation, Role::store, p.zone, p.listen, "", p.http, p.machine}, p.seeds, 0, dice(), p.tcm_rpc_ms};
   return_large_blocks();
   Host host(disk, p.listen, limits::store_inbox_bytes);
   Millis next_look = 0;
@@ -31,31 +31,31 @@
           host.start([&](Recovered r, Millis now) { return std::make_unique<StoreMachine>(id, std::move(r), now); });
       !f.empty())
     return cannot_start("store", f);
-  auto answer = [&](const HttpAsk& a) {
-    HttpAnswer x;
+  auto answer = [&](const ApiRequest& a) {
+    ApiResponse x;
     if (a.path == "/metrics") {
       size_t n = 0, g = 0, lacking = 0, fetched = 0, refused = 0;
       host.ask([&](Machine& m, Millis) {
-        n = static_cast<StoreMachine&>(m).kept_lines();
-        g = static_cast<StoreMachine&>(m).kept_tombstones();
-        lacking = static_cast<StoreMachine&>(m).repair().lacking();
+        n = static_cast<StoreMachine&>(m).history_count();
+        g = static_cast<StoreMachine&>(m).tombstone_count();
+        lacking = static_cast<StoreMachine&>(m).repair().incomplete_comparisons();
         fetched = static_cast<StoreMachine&>(m).repair().fetched();
         refused = static_cast<StoreMachine&>(m).refused();
       });
       x.body = metrics_of(host, "store",
-                          {{"lines", static_cast<double>(n)},
+                          {{"histories", static_cast<double>(n)},
                            {"tombstones", static_cast<double>(g)},
-                           {"slots_lacking", static_cast<double>(lacking)},
-                           {"lines_repaired", static_cast<double>(fetched)},
+                           {"incomplete_comparisons", static_cast<double>(lacking)},
+                           {"histories_repaired", static_cast<double>(fetched)},
                            {"store_refused", static_cast<double>(refused)},
                            {"messages_refused", static_cast<double>(host.refused())}});
       x.headers["Content-Type"] = "text/plain";
       return x;
     }
-    if (a.path != "/ready") return HttpAnswer::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
-    auto* me = host.view()->find(disk->recovered().inc);
+    if (a.path != "/ready") return ApiResponse::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
+    auto* me = host.view()->find(disk->recovered().incarnation);
     if (!me || me->state != DaemonState::up)
-      return HttpAnswer::error(503, "not_ready", "this store is not in the directory yet", limits::retry_ms);
+      return ApiResponse::error(503, "not_ready", "this store is not in the directory yet", limits::retry_ms);
     x.body = "{\"ready\":true}\n";
     return x;
   };
--- a/src/traffic/http_front.hpp
+++ b/src/traffic/http_front.hpp
@@ -9,35 +9,35 @@
 
 /// Carries events from the sockets into the traffic and its actions back to the sockets. All of it on the loop's
 /// thread.
-class HttpFront {
+class HttpFrontend {
  public:
   /// Takes what the traffic wants told to the owner of a program's turns.
-  using TellOwner = std::function<void(Message)>;
+  using SendToOwner = std::function<void(Message)>;
   /// Gives what the control state says now; asked for before each step.
   using Snapshot = std::function<std::shared_ptr<const RoutingSnapshot>()>;
   /// Findings where the address can't be listened on.
-  static Result<std::unique_ptr<HttpFront>> open(Loop& loop, const Dialect& dialect, const Address& at,
-                                                 Snapshot snapshot, TellOwner tell);
-  void step(traffic::Event event);
+  static Result<std::unique_ptr<HttpFrontend>> open(EventLoop& loop, const ProtocolCodec& dialect, const Address& at,
+                                                 Snapshot snapshot, SendToOwner tell);
+  void step(routing::Event event);
   void tick();
-  Address at() const { return callers_->at(); }
+  Address at() const { return callers_->local_address(); }
   /// Every answer from now on is the last of its session.
-  void close_after_answers() { callers_->close_after_answers(); }
+  void close_after_responses() { callers_->close_after_responses(); }
   /// Ends listening and idle sessions.
   void drain() { callers_->drain(); }
   /// Whether a caller's session is open or one of its requests is under way.
-  bool busy() const { return callers_->sessions() > 0 || traffic_.calls() > 0; }
+  bool has_active_callers() const { return callers_->connections() > 0 || traffic_.active_requests() > 0; }
   const UpstreamClient& replicas() const { return *replicas_; }
-  const traffic::Traffic& traffic() const { return traffic_; }
+  const routing::RequestRouter& router() const { return traffic_; }
 
  private:
-  HttpFront(Loop& loop, const Dialect& dialect, Snapshot snapshot, TellOwner tell);
+  HttpFrontend(EventLoop& loop, const ProtocolCodec& dialect, Snapshot snapshot, SendToOwner tell);
   void take_snapshot();
-  UpstreamClient::Events replica_events();
-  void act(traffic::Actions actions);
-  void act(traffic::AnswerBytes& bytes);
-  void act(traffic::AskReplica& ask);
-  void act(traffic::DropReplica& drop);
+  UpstreamClient::Callbacks replica_events();
+  void act(routing::Actions actions);
+  void act(routing::SendResponseData& bytes);
+  void act(routing::SendToReplica& ask);
+  void act(routing::CancelAttempt& drop);
   void take_limits(const CallerLimits& limits);
   /// The traffic's number of an ask of the upstream client's, or 0.
   uint64_t ask_of(uint64_t upstream) const;
@@ -45,8 +45,8 @@
   uint64_t forget_ask(uint64_t upstream);
 
   Snapshot snapshot_;
-  TellOwner tell_owner_;
-  traffic::Traffic traffic_;
+  SendToOwner tell_owner_;
+  routing::RequestRouter traffic_;
   std::unique_ptr<HttpListener> callers_;
   std::unique_ptr<UpstreamClient> replicas_;
   std::unique_ptr<Backpressure> backpressure_;
--- a/src/traffic/load_balancer.cpp
+++ b/src/traffic/load_balancer.cpp
@@ -8,9 +8,9 @@
 namespace mosskeel {
 
 void LoadBalancer::update(const RoutingSnapshot& o, Millis now) {
-  if (view_ == o.view && me_ == o.me) return;
+  if (view_ == o.view && me_ == o.self_id) return;
   view_ = o.view;
-  me_ = o.me;
+  me_ = o.self_id;
   auto& m = *view_;
   std::string zone;
   std::vector<DaemonId> fronts;
@@ -24,20 +24,20 @@
   by_service_.clear();
   for (auto& [n, s] : seen_) s.present = false;
   for (auto& [n, r] : m.replicas) {
-    if (r.service.empty() || r.health == Health::leaving || m.evacuated.count(r.zone)) continue;
+    if (r.service.empty() || r.health == ReplicaHealth::draining || m.evacuated.count(r.zone)) continue;
     auto& s = seen_[n];
     s.r = &r;
     s.present = true;
     s.local = r.zone == zone;
     auto z = in_zone.find(r.zone);
-    auto share = static_cast<double>(r.places) / std::max(1u, z == in_zone.end() ? 1u : z->second);
+    auto share = static_cast<double>(r.capacity) / std::max(1u, z == in_zone.end() ? 1u : z->second);
     s.cap = static_cast<uint32_t>(std::max(1.0, std::ceil(share * limits::crowd)));
     auto rank = [&](DaemonId id) { return digest(n, id.v + 1); };
     auto first = std::min_element(fronts.begin(), fronts.end(), [&](auto a, auto b) { return rank(a) < rank(b); });
-    s.mine = r.health != Health::cold || (first != fronts.end() && *first == me_);
+    s.mine = r.health != ReplicaHealth::warming_up || (first != fronts.end() && *first == me_);
     auto* c = m.configuration.service(r.service);
-    s.rate = r.health == Health::cold && c ? c->cold_per_s * limits::cold_share : 0;
-    if (r.health == Health::cold && s.since != r.since) s.tokens = 1, s.cold_at = now;
+    s.rate = r.health == ReplicaHealth::warming_up && c ? c->cold_per_s * limits::cold_share : 0;
+    if (r.health == ReplicaHealth::warming_up && s.since != r.since) s.tokens = 1, s.cold_at = now;
     s.since = r.since;
     by_service_[r.service].push_back(&s);
   }
@@ -46,13 +46,13 @@
 
 bool LoadBalancer::free(Seen& s, Millis now) {
   if (!s.mine || now < s.backed_off || s.running >= s.cap) return false;
-  if (s.rate <= 0) return s.r->health != Health::cold;
+  if (s.rate <= 0) return s.r->health != ReplicaHealth::warming_up;
   s.tokens = std::min(s.tokens + s.rate * static_cast<double>(now - s.cold_at) / 1000, std::max(1.0, s.rate / 10));
   s.cold_at = now;
   return s.tokens >= 1;
 }
 
-const Replica* LoadBalancer::pick(const Wanted& w, Millis now, bool& any) {
+const Replica* LoadBalancer::pick(const LoadBalancerContext& w, Millis now, bool& any) {
   any = false;
   auto i = by_service_.find(w.service);
   if (i == by_service_.end()) return nullptr;
--- a/src/traffic/load_balancer.hpp
+++ b/src/traffic/load_balancer.hpp
@@ -7,7 +7,7 @@
 namespace mosskeel {
 
 /// What a choice rests on. `key` keeps what belongs together on one replica; 0 spreads.
-struct Wanted {
+struct LoadBalancerContext {
   std::string service;
   uint64_t key = 0;
   const std::vector<std::string>* tried = nullptr;
@@ -18,7 +18,7 @@
   /// Takes over a new view: replicas that are gone are forgotten.
   void update(const RoutingSnapshot& o, Millis now);
   /// The replica that suits best and has a free place here, or nothing; `any` tells whether one would do later.
-  const Replica* pick(const Wanted& w, Millis now, bool& any);
+  const Replica* pick(const LoadBalancerContext& w, Millis now, bool& any);
   void took(const std::string& name, Millis now);
   void gave(const std::string& name);
   void back_off(const std::string& name, Millis until);
--- a/src/traffic/paths.cpp
+++ b/src/traffic/paths.cpp
@@ -2,7 +2,7 @@
 
 namespace mosskeel {
 
-PathTable::PathTable(View v) : view_(std::move(v)) {
+RouteTable::RouteTable(View v) : view_(std::move(v)) {
   for (auto& p : view_->configuration.paths) {
     by_[p.host + "\n" + p.prefix] = &p;
     auto& n = longest_[p.host];
@@ -10,7 +10,7 @@
   }
 }
 
-const Path* PathTable::find(const std::string& host, std::string_view target) const {
+const Path* RouteTable::find(const std::string& host, std::string_view target) const {
   auto l = longest_.find(host);
   if (l == longest_.end()) return nullptr;
   auto path = target.substr(0, target.find_first_of("?#"));
@@ -25,11 +25,11 @@
   return nullptr;
 }
 
-bool repeatable(const Path& p) {
+bool is_idempotent(const Path& p) {
   return p.path_kind() == PathKind::safe || (p.path_kind() == PathKind::streaming && p.resumable);
 }
 
-const std::string* service_of(const Path& p, uint64_t dice) {
+const std::string* select_service(const Path& p, uint64_t dice) {
   uint64_t sum = 0;
   for (auto& s : p.shares) sum += s.weight;
   if (sum == 0) return nullptr;
--- a/src/traffic/paths.hpp
+++ b/src/traffic/paths.hpp
@@ -6,9 +6,9 @@
 
 namespace mosskeel {
 
-class PathTable {
+class RouteTable {
  public:
-  explicit PathTable(View v);
+  explicit RouteTable(View v);
   /// The path with the longest prefix that begins `target` (its query does not count), or nothing.
   const Path* find(const std::string& host, std::string_view target) const;
   const View& view() const { return view_; }
@@ -20,9 +20,9 @@
 };
 
 /// Whether a request of this path may run more than once.
-bool repeatable(const Path& p);
+bool is_idempotent(const Path& p);
 
 /// The service that takes a request of this path: by weight, the same one for the same dice.
-const std::string* service_of(const Path& p, uint64_t dice);
+const std::string* select_service(const Path& p, uint64_t dice);
 
 }  // namespace mosskeel
--- a/src/traffic/routing_snapshot.hpp
+++ b/src/traffic/routing_snapshot.hpp
@@ -4,11 +4,11 @@
 
 namespace mosskeel {
 
-/// `until` is when, in the process's own ms, the view may no longer be dispatched on: it was in touch before.
+/// `dispatch_until` is when, in the process's own ms, the view may no longer be dispatched on: it was in touch before.
 struct RoutingSnapshot {
   View view;
-  DaemonId me{};
-  Millis until = 0;
+  DaemonId self_id{};
+  Millis dispatch_until = 0;
   bool ready = false, leaving = false;
 };
 
--- a/src/traffic/traffic.cpp
+++ b/src/traffic/traffic.cpp
@@ -4,7 +4,7 @@
 
 #include "kernel/limits.hpp"
 
-namespace mosskeel::traffic {
+namespace mosskeel::routing {
 namespace {
 
 /// Statuses that tell a caller that nothing has run and nothing will.
@@ -14,29 +14,29 @@
 
 }  // namespace
 
-void Traffic::routing_snapshot(std::shared_ptr<const RoutingSnapshot> o, Millis now) {
+void RequestRouter::routing_snapshot(std::shared_ptr<const RoutingSnapshot> o, Millis now) {
   if (o == snapshot_) return;
   bool moved = !snapshot_ || snapshot_->view != o->view;
   bool paths = !snapshot_ || snapshot_->view->revision != o->view->revision;
   snapshot_ = std::move(o);
   if (moved) balancer_.update(*snapshot_, now);
-  if (paths) table_ = std::make_shared<PathTable>(snapshot_->view);
+  if (paths) table_ = std::make_shared<RouteTable>(snapshot_->view);
 }
 
-AnyCall* Traffic::by_ask(uint64_t ask) {
+AnyRequest* RequestRouter::by_ask(uint64_t ask) {
   auto a = asks_.find(ask);
   if (a == asks_.end()) return nullptr;
   auto c = calls_.find(a->second);
   return c == calls_.end() ? nullptr : &c->second;
 }
 
-Actions Traffic::step(Event e, Millis now) {
+Actions RequestRouter::step(Event e, Millis now) {
   std::visit([&](auto& x) { on(x, now); }, e);
   serve_queue(now);
   return take();
 }
 
-Actions Traffic::tick(Millis now) {
+Actions RequestRouter::tick(Millis now) {
   std::vector<uint64_t> ids;
   for (auto& [id, c] : calls_) ids.push_back(id);
   for (auto id : ids)
@@ -45,128 +45,128 @@
   return take();
 }
 
-void Traffic::refuse(uint64_t id, uint32_t status, const std::string& why, Millis retry) {
+void RequestRouter::refuse(uint64_t id, uint32_t status, const std::string& why, Millis retry) {
   ++metrics_["refused_" + std::to_string(status)];
-  auto f = dialect_.refusal(retry);
+  auto f = dialect_.rejection_headers(retry);
   f.push_back({"Content-Type", "text/plain"});
-  out_.push_back(AnswerWhole{id, status, std::move(f), why + "\n"});
+  out_.push_back(SendResponse{id, status, std::move(f), why + "\n"});
 }
 
-void Traffic::on(Asked& a, Millis now) {
+void RequestRouter::on(RequestReceived& a, Millis now) {
   ++metrics_["asked"];
-  auto words = dialect_.caller(a.request);
+  auto words = dialect_.parse_request(a.request);
   if (!ok(words)) return refuse(a.id, 400, render(findings(words)), 0);
   auto& w = value(words);
-  if (w.attempt.empty()) return refuse(a.id, 400, "the attempt has no id", 0);
+  if (w.attempt_id.empty()) return refuse(a.id, 400, "the attempt has no id", 0);
   if (!in_touch(now)) return refuse(a.id, 503, "this front is out of touch", limits::retry_ms / 2);
   auto* p = table_->find(a.request.host, a.request.target);
   if (!p) return refuse(a.id, 404, "no path leads there", 0);
-  Call c;
+  ActiveRequest c;
   c.id = a.id;
   c.request = std::move(a.request);
   c.words = w;
   c.view = table_->view();
   c.path = p;
   c.born = now;
-  c.until = now + (w.left >= 0 ? std::min(w.left, p->timeout_ms) : p->timeout_ms);
+  c.until = now + (w.time_left >= 0 ? std::min(w.time_left, p->timeout_ms) : p->timeout_ms);
   c.hold = now + std::min(p->target_ms > 0 ? p->target_ms / 4 : limits::hold_most, limits::hold_most);
-  auto* s = service_of(*p, digest(w.program.empty() ? w.attempt : w.program));
+  auto* s = select_service(*p, digest(w.program_id.empty() ? w.attempt_id : w.program_id));
   c.service = s ? *s : "";
-  bool turn = p->path_kind() == PathKind::streaming && !w.program.empty();
-  bool once = turn || !repeatable(*p);
-  if (once && attempts_.count(w.attempt)) return refuse(a.id, 502, "this attempt is under way here already", 0);
-  if (once && ran_.contains(w.attempt)) return refuse(a.id, 502, "this attempt may have run here already", 0);
-  if (once) attempts_[w.attempt] = a.id;
+  bool turn = p->path_kind() == PathKind::streaming && !w.program_id.empty();
+  bool once = turn || !is_idempotent(*p);
+  if (once && attempts_.count(w.attempt_id)) return refuse(a.id, 502, "this attempt is under way here already", 0);
+  if (once && ran_.contains(w.attempt_id)) return refuse(a.id, 502, "this attempt may have run here already", 0);
+  if (once) attempts_[w.attempt_id] = a.id;
   if (turn) {
-    TurnCall t{std::move(c)};
-    t.key = digest(t.words.program);
+    TurnRequest t{std::move(c)};
+    t.key = digest(t.words.program_id);
     t.events = EventReader(p->kept);
-    TurnAsk q{w.attempt,
-              w.program,
-              w.parent,
+    ReserveTurn q{w.attempt_id,
+              w.program_id,
+              w.previous_turn,
               p->kept ? t.request.body : "",
-              w.budget.value_or(UINT64_MAX),
-              w.most_tokens,
+              w.token_budget.value_or(UINT64_MAX),
+              w.max_output_tokens,
               p->kept,
               std::max(p->retention_ms, limits::turn_retention),
               t.until - now};
-    out_.push_back(TellOwner{std::move(q)});
+    out_.push_back(SendToOwner{std::move(q)});
     calls_.emplace(t.id, std::move(t));
     return;
   }
-  Plain x{std::move(c)};
+  PlainRequest x{std::move(c)};
   if (p->sticky || p->path_kind() == PathKind::streaming)
-    x.key = x.words.affinity.empty() ? 0 : digest(x.words.affinity);
+    x.key = x.words.affinity_key.empty() ? 0 : digest(x.words.affinity_key);
   auto id = x.id;
   offer(calls_.emplace(id, std::move(x)).first->second, now);
 }
 
-void Traffic::on(TurnGrant& g, Millis now) {
+void RequestRouter::on(ReserveTurnReply& g, Millis now) {
   auto a = attempts_.find(g.attempt);
   auto i = a == attempts_.end() ? calls_.end() : calls_.find(a->second);
-  auto* t = i == calls_.end() ? nullptr : std::get_if<TurnCall>(&i->second);
-  if (!t || t->stage != TurnCall::Stage::asking) return;
+  auto* t = i == calls_.end() ? nullptr : std::get_if<TurnRequest>(&i->second);
+  if (!t || t->stage != TurnRequest::Stage::asking) return;
   if (g.status != 200) {
     auto status = g.status == 409 ? 502 : g.status;
-    refuse(t->id, status, g.reason, g.retry_ms);
+    refuse(t->id, status, g.reason, g.retry_after_ms);
     return finish(t->id);
   }
   t->chain = std::move(g.chain);
-  t->stage = TurnCall::Stage::waiting;
+  t->stage = TurnRequest::Stage::waiting;
   t->hold = std::max(t->hold, now + t->path->target_ms / 4);
   offer(i->second, now);
 }
 
-void Traffic::on(const TurnSettled& s, Millis) {
+void RequestRouter::on(const CommitTurnReply& s, Millis) {
   auto a = attempts_.find(s.attempt);
   auto i = a == attempts_.end() ? calls_.end() : calls_.find(a->second);
-  auto* t = i == calls_.end() ? nullptr : std::get_if<TurnCall>(&i->second);
-  if (!t || t->stage != TurnCall::Stage::settling) return;
-  if (s.kept)
-    out_.push_back(AnswerEnd{t->id});
+  auto* t = i == calls_.end() ? nullptr : std::get_if<TurnRequest>(&i->second);
+  if (!t || t->stage != TurnRequest::Stage::settling) return;
+  if (s.committed)
+    out_.push_back(EndResponse{t->id});
   else
-    out_.push_back(AnswerCut{t->id});
-  ++metrics_[s.kept ? "turns_done" : "turns_not_kept"];
+    out_.push_back(ResetResponse{t->id});
+  ++metrics_[s.committed ? "turns_done" : "turns_not_kept"];
   finish(t->id);
 }
 
-void Traffic::on(const CallerLeft& l, Millis) {
+void RequestRouter::on(const CallerDisconnected& l, Millis) {
   auto i = calls_.find(l.id);
   if (i == calls_.end()) return;
   ++metrics_["callers_left"];
   auto& c = base(i->second);
-  bool sent = c.doubt || c.offer;
-  c.doubt = sent;
+  bool sent = c.outcome_unknown || c.offer;
+  c.outcome_unknown = sent;
   if (c.offer) {
-    out_.push_back(DropReplica{c.offer->ask});
+    out_.push_back(CancelAttempt{c.offer->ask});
     free_offer(c);
   }
-  if (auto* t = std::get_if<TurnCall>(&i->second); t && t->stage != TurnCall::Stage::settling)
+  if (auto* t = std::get_if<TurnRequest>(&i->second); t && t->stage != TurnRequest::Stage::settling)
     settle(*t, sent ? 502 : 0);
   finish(l.id);
 }
 
-void Traffic::on(ReplicaHead& h, Millis now) {
+void RequestRouter::on(ResponseHeadersReceived& h, Millis now) {
   auto* c = by_ask(h.ask);
   if (!c) return;
   auto& b = base(*c);
-  auto w = dialect_.replica(h.status, h.fields);
+  auto w = dialect_.parse_response(h.status, h.fields);
   if (w.load) balancer_.told(b.offer->replica, *w.load, now);
-  bool ours = w.attempt == b.words.attempt || (w.not_run && w.attempt.empty());
-  if (!ours && !w.attempt.empty() && w.attempt == h.previous_attempt && !std::exchange(b.offer->skipped, true)) {
+  bool ours = w.attempt_id == b.words.attempt_id || (w.not_run && w.attempt_id.empty());
+  if (!ours && !w.attempt_id.empty() && w.attempt_id == h.previous_attempt && !std::exchange(b.offer->skipped, true)) {
     ++metrics_["late_answers_skipped"];
-    out_.push_back(SkipAnswer{h.ask});
+    out_.push_back(SkipStaleResponse{h.ask});
     return;
   }
   if (ours && w.not_run) {
     // A late one without an id could pass for the next request's: the connection is not used again.
-    if (w.attempt.empty()) out_.push_back(DropReplica{h.ask});
+    if (w.attempt_id.empty()) out_.push_back(CancelAttempt{h.ask});
     balancer_.back_off(b.offer->replica, now + (h.status == 421 ? limits::backoff_refused : limits::backoff_full));
     return failed(*c, Outcome::no, "the replica did not run it: " + std::to_string(h.status), now);
   }
   bool good = h.status >= 200 && h.status < 300;
   if (!ours || (good && !w.sealed) || promises(h.status)) {
-    out_.push_back(DropReplica{h.ask});
+    out_.push_back(CancelAttempt{h.ask});
     balancer_.back_off(b.offer->replica, now + limits::backoff_lost);
     return failed(*c, Outcome::unknown, "the replica's answer is not this request's, or promises what it can't", now);
   }
@@ -175,31 +175,31 @@
   std::visit([&](auto& x) { head(x, h); }, *c);
 }
 
-void Traffic::on(ReplicaBytes& r, Millis now) {
+void RequestRouter::on(ResponseDataReceived& r, Millis now) {
   auto* c = by_ask(r.ask);
   if (!c) return;
   auto& b = base(*c);
   if (!b.offer->streaming) {
     b.offer->body += r.bytes;
     if (b.offer->body.size() <= limits::whole_bytes) return;
-    if (b.offer->status >= 300 && std::holds_alternative<TurnCall>(*c)) {
-      out_.push_back(DropReplica{r.ask});
+    if (b.offer->status >= 300 && std::holds_alternative<TurnRequest>(*c)) {
+      out_.push_back(CancelAttempt{r.ask});
       return failed(*c, Outcome::unknown, "the replica's failure is too large", now);
     }
     b.offer->streaming = true;
-    out_.push_back(AnswerHead{b.id, b.offer->status, std::move(b.offer->fields)});
+    out_.push_back(SendResponseHeaders{b.id, b.offer->status, std::move(b.offer->fields)});
     r.bytes = std::move(b.offer->body);
-    if (auto* p = std::get_if<Plain>(c)) p->stage = Plain::Stage::passing;
+    if (auto* p = std::get_if<PlainRequest>(c)) p->stage = PlainRequest::Stage::passing;
   }
-  if (auto* t = std::get_if<TurnCall>(c)) t->events.read(r.bytes);
-  out_.push_back(AnswerBytes{b.id, std::move(r.bytes), r.ask});
+  if (auto* t = std::get_if<TurnRequest>(c)) t->events.read(r.bytes);
+  out_.push_back(SendResponseData{b.id, std::move(r.bytes), r.ask});
 }
 
-void Traffic::on(const ReplicaDone& d, Millis now) {
+void RequestRouter::on(const ResponseCompleted& d, Millis now) {
   if (auto* c = by_ask(d.ask)) std::visit([&](auto& x) { done(x, now); }, *c);
 }
 
-void Traffic::on(const ReplicaLost& l, Millis now) {
+void RequestRouter::on(const AttemptFailed& l, Millis now) {
   auto* c = by_ask(l.ask);
   if (!c) return;
   auto& b = base(*c);
@@ -208,4 +208,4 @@
   failed(*c, l.sent ? Outcome::unknown : Outcome::no, l.reason, now);
 }
 
-}  // namespace mosskeel::traffic
+}  // namespace mosskeel::routing
--- a/src/traffic/turn_client.cpp
+++ b/src/traffic/turn_client.cpp
@@ -3,10 +3,10 @@
 namespace mosskeel {
 
 const Daemon* TurnClient::owner(const std::string& program) const {
-  auto& m = *led_.view();
-  auto n = turn_line(program);
-  auto s = slot_of(n.cell, n.program);
-  return s.v < m.slots.size() ? m.find(m.slots[s.v].owner) : nullptr;
+  auto& m = *metadata_log_.view();
+  auto n = turn_history_name(program);
+  auto s = partition_of(n.cell, n.program);
+  return s.v < m.partitions.size() ? m.find(m.partitions[s.v].owner) : nullptr;
 }
 
 template <class T>
@@ -15,23 +15,23 @@
   if (!d || d->state == DaemonState::down || d->state == DaemonState::left) return false;
   x.last = now;
   x.owner = d->id;
-  out_.send(d->self.addr, x.body, d->self.inc);
+  out_.send(d->self.address, x.body, d->self.incarnation);
   return true;
 }
 
-bool TurnClient::on(const Envelope& e, Millis now) {
-  bool own = e.from == traffic_address;
-  if (auto* a = std::get_if<TurnAsk>(&e.body); a && own) {
+bool TurnClient::handle(const Envelope& e, Millis now) {
+  bool own = e.from == kRoutingAddress;
+  if (auto* a = std::get_if<ReserveTurn>(&e.body); a && own) {
     send(asks_[a->attempt] = {*a, now, 0, {}}, now);
     return true;
   }
-  if (auto* s = std::get_if<TurnSettle>(&e.body); s && own) {
+  if (auto* s = std::get_if<CommitTurn>(&e.body); s && own) {
     asks_.erase(s->attempt);
     running_.erase(s->attempt);
     send(ends_[s->attempt] = {*s, now, 0, {}}, now);
     return true;
   }
-  if (auto* g = std::get_if<TurnGrant>(&e.body)) {
+  if (auto* g = std::get_if<ReserveTurnReply>(&e.body)) {
     auto i = asks_.find(g->attempt);
     auto x = overtaken_.find(g->attempt);
     if (x != overtaken_.end() && g->status == 200) {
@@ -48,15 +48,15 @@
     else
       out_.note(Event::turn_refused, g->attempt + " with " + std::to_string(g->status) + ": " + g->reason);
     asks_.erase(i);
-    out_.send(traffic_address, *g);
+    out_.send(kRoutingAddress, *g);
     return true;
   }
-  if (auto* s = std::get_if<TurnSettled>(&e.body)) {
+  if (auto* s = std::get_if<CommitTurnReply>(&e.body)) {
     auto i = ends_.find(s->attempt);
     if (i == ends_.end()) return true;
-    if (!s->kept && i->second.body.status == 0) overtaken_[s->attempt] = {std::move(i->second.body), now};
+    if (!s->committed && i->second.body.status == 0) overtaken_[s->attempt] = {std::move(i->second.body), now};
     ends_.erase(i);
-    out_.send(traffic_address, *s);
+    out_.send(kRoutingAddress, *s);
     return true;
   }
   return false;
@@ -71,12 +71,12 @@
   auto due = [&](auto& x) { return now - x.last >= limits::line_retry || (moved(x) && now - x.last >= limits::tick); };
   for (auto i = asks_.begin(); i != asks_.end();) {
     auto& x = i->second;
-    if (now - x.born > std::min(limits::ask_patience, x.body.deadline_ms)) {
+    if (now - x.born > std::min(limits::ask_patience, x.body.timeout_ms)) {
       auto a = x.body;
       i = asks_.erase(i);
-      send(ends_[a.attempt] = {TurnSettle{a.attempt, a.program, 0, 0, false, {}}, now, 0, {}}, now);
-      out_.send(traffic_address,
-                TurnGrant{a.attempt, 503, limits::retry_ms, "the program's owner does not answer", {}});
+      send(ends_[a.attempt] = {CommitTurn{a.attempt, a.program, 0, 0, false, {}}, now, 0, {}}, now);
+      out_.send(kRoutingAddress,
+                ReserveTurnReply{a.attempt, 503, limits::retry_ms, "the program's owner does not answer", {}});
       continue;
     }
     if (due(x)) send(x, now);
@@ -84,7 +84,7 @@
   }
   for (auto i = ends_.begin(); i != ends_.end();) {
     if (now - i->second.born > limits::handover_patience) {
-      out_.send(traffic_address, TurnSettled{i->first, false});
+      out_.send(kRoutingAddress, CommitTurnReply{i->first, false});
       i = ends_.erase(i);
       continue;
     }
--- a/src/traffic/turn_coordinator.cpp
+++ b/src/traffic/turn_coordinator.cpp
@@ -13,46 +13,46 @@
 
 }  // namespace
 
-LineName turn_line(const std::string& program) {
+HistoryName turn_history_name(const std::string& program) {
   return {"=", program};
 }
 
-bool TurnCoordinator::mine(const LineName& n) const {
-  auto& m = *led_.view();
-  auto s = slot_of(n.cell, n.program);
-  if (s.v >= m.slots.size()) return false;
-  auto* d = m.find(m.slots[s.v].owner);
-  return d && d->self.inc == out_.id().self.inc;
+bool TurnCoordinator::mine(const HistoryName& n) const {
+  auto& m = *metadata_log_.view();
+  auto s = partition_of(n.cell, n.program);
+  if (s.v >= m.partitions.size()) return false;
+  auto* d = m.find(m.partitions[s.v].owner);
+  return d && d->self.incarnation == out_.id().self.incarnation;
 }
 
-bool TurnCoordinator::busy(const LineName& n) const {
-  auto on = [&](auto& x) { return x.second.line == n; };
+bool TurnCoordinator::busy(const HistoryName& n) const {
+  auto on = [&](auto& x) { return x.second.history == n; };
   return std::any_of(asks_.begin(), asks_.end(), on) || std::any_of(ends_.begin(), ends_.end(), on);
 }
 
-TurnCoordinator::Tab& TurnCoordinator::tab(const LineName& n) {
+TurnCoordinator::Tab& TurnCoordinator::tab(const HistoryName& n) {
   auto& t = tabs_[n];
-  auto& v = keep_.records(n);
-  if (t.term != keep_.term(n) || v.size() < t.seen) t = {keep_.term(n), 0, 0, 0, {}};
+  auto& v = history_writer_.records(n);
+  if (t.term != history_writer_.term(n) || v.size() < t.seen) t = {history_writer_.term(n), 0, 0, 0, {}};
   for (; t.seen < v.size(); ++t.seen) {
     auto& r = v[t.seen];
     if (r.kind == RecordKind::ended) continue;
     auto& x = t.turns[r.key];
-    if (r.kind == RecordKind::reservation && x.intent == none && x.settled == none) {
-      x.intent = t.seen;
+    if (r.kind == RecordKind::reservation && x.reservation == none && x.settled == none) {
+      x.reservation = t.seen;
       t.reserved += r.tokens;
-    } else if (r.kind == RecordKind::settled && x.settled == none) {
+    } else if (r.kind == RecordKind::outcome && x.settled == none) {
       x.settled = t.seen;
       x.status = r.status;
       t.spent += r.tokens;
-      if (x.intent != none) t.reserved -= v[x.intent].tokens;
+      if (x.reservation != none) t.reserved -= v[x.reservation].tokens;
     }
   }
   return t;
 }
 
-std::string TurnCoordinator::chain(const LineName& n, const Tab& t, const std::string& turn) const {
-  auto& v = keep_.records(n);
+std::string TurnCoordinator::chain(const HistoryName& n, const Tab& t, const std::string& turn) const {
+  auto& v = history_writer_.records(n);
   std::vector<const Turn*> w;
   size_t bytes = 0;
   for (auto i = t.turns.find(turn); i != t.turns.end() && w.size() <= t.turns.size();) {
@@ -60,14 +60,14 @@
     if (x.settled == none) break;
     w.push_back(&x);
     bytes += v[x.settled].output.size();
-    if (x.intent == none) break;
-    bytes += v[x.intent].input.size();
-    i = v[x.intent].parent.empty() ? t.turns.end() : t.turns.find(v[x.intent].parent);
+    if (x.reservation == none) break;
+    bytes += v[x.reservation].input.size();
+    i = v[x.reservation].parent.empty() ? t.turns.end() : t.turns.find(v[x.reservation].parent);
   }
   std::string s;
   s.reserve(bytes);
   for (auto i = w.rbegin(); i != w.rend(); ++i) {
-    if ((*i)->intent != none) s += v[(*i)->intent].input;
+    if ((*i)->reservation != none) s += v[(*i)->reservation].input;
     s += v[(*i)->settled].output;
   }
   return s;
@@ -75,14 +75,14 @@
 
 TurnCoordinator::Verdict TurnCoordinator::refuse(const Pending& p, uint32_t status, std::string reason,
                                                  uint32_t retry_ms) {
-  out_.send(p.from, TurnGrant{p.ask.attempt, status, retry_ms, std::move(reason), {}}, p.inc);
+  out_.send(p.from, ReserveTurnReply{p.ask.attempt, status, retry_ms, std::move(reason), {}}, p.incarnation);
   return Verdict::over;
 }
 
 TurnCoordinator::Verdict TurnCoordinator::serve(Pending& p, Millis now) {
   auto& a = p.ask;
-  if (!mine(p.line)) return refuse(p, 0, "another front owns the program", 0);
-  switch (keep_.open(p.line, now)) {
+  if (!mine(p.history)) return refuse(p, 0, "another front owns the program", 0);
+  switch (history_writer_.open(p.history, now)) {
     case HistoryWriter::State::open:
       break;
     case HistoryWriter::State::unavailable:
@@ -92,14 +92,14 @@
     case HistoryWriter::State::opening:
       return Verdict::wait;
   }
-  if (keep_.ended(p.line))
+  if (history_writer_.ended(p.history))
     return refuse(p, a.parent.empty() ? 503 : 404, "the program's retention is over", limits::retry_ms);
-  auto& t = tab(p.line);
-  if (auto i = t.turns.find(a.attempt); i != t.turns.end() && i->second.intent != none) {
+  auto& t = tab(p.history);
+  if (auto i = t.turns.find(a.attempt); i != t.turns.end() && i->second.reservation != none) {
     if (i->second.settled != none) return refuse(p, 409, "this attempt has an outcome already", 0);
-    if (!granted_to(*led_.view(), keep_.records(p.line)[i->second.intent], p.inc))
+    if (!granted_to(*metadata_log_.view(), history_writer_.records(p.history)[i->second.reservation], p.incarnation))
       return refuse(p, 409, "this attempt was granted to another front", 0);
-    p.mark = i->second.intent + 1;
+    p.mark = i->second.reservation + 1;
   }
   if (p.mark == 0) {
     if (!a.parent.empty()) {
@@ -109,33 +109,33 @@
         return refuse(p, 503, "the turn before this one, " + a.parent + ", has no outcome yet", limits::retry_ms / 2);
       if (i->second.status != 200) return refuse(p, 404, "the turn before this one did not end whole", 0);
     }
-    if (t.spent + t.reserved + a.most > a.budget) return refuse(p, 402, "the program's budget is spent", 0);
-    auto* d = led_.view()->find(p.inc);
+    if (t.spent + t.reserved + a.max_tokens > a.budget) return refuse(p, 402, "the program's budget is spent", 0);
+    auto* d = metadata_log_.view()->find(p.incarnation);
     Record r{};
     r.kind = RecordKind::reservation;
     r.key = a.attempt;
-    r.tokens = a.most;
+    r.tokens = a.max_tokens;
     r.runner = d ? d->id : DaemonId{};
-    r.keep_ms = a.retention_ms;
+    r.retention_ms = a.retention_ms;
     r.parent = a.parent;
-    if (a.kept) r.input = a.input;
-    p.mark = keep_.append(p.line, std::move(r), now);
-    tab(p.line);
+    if (a.keep_history) r.input = a.input;
+    p.mark = history_writer_.append(p.history, std::move(r), now);
+    tab(p.history);
   }
-  if (keep_.committed(p.line) < p.mark) return Verdict::wait;
-  out_.send(p.from, TurnGrant{a.attempt, 200, 0, {}, a.parent.empty() ? "" : chain(p.line, t, a.parent)}, p.inc);
+  if (history_writer_.committed_length(p.history) < p.mark) return Verdict::wait;
+  out_.send(p.from, ReserveTurnReply{a.attempt, 200, 0, {}, a.parent.empty() ? "" : chain(p.history, t, a.parent)}, p.incarnation);
   return Verdict::over;
 }
 
-/// A turn of another program, taken over into this one's line as one record, for its owner may change at any point: any
+/// A turn of another program, taken over into this one's history as one record, for its owner may change at any point: any
 /// store that has it settled has the chain. Missing is said only if all answer so.
 TurnCoordinator::Verdict TurnCoordinator::search(Pending& p, Millis now) {
   p.searching = true;
   size_t lacking = 0;
-  for (auto& [id, d] : led_.view()->directory) {
+  for (auto& [id, d] : metadata_log_.view()->directory) {
     if (d.self.role != Role::store || d.state == DaemonState::left || p.without.count(id)) continue;
     ++lacking;
-    if (now - p.searched >= limits::line_retry) out_.send(d.self.addr, ChainFind{p.ask.parent}, d.self.inc);
+    if (now - p.searched >= limits::line_retry) out_.send(d.self.address, FindChain{p.ask.parent}, d.self.incarnation);
   }
   if (now - p.searched >= limits::line_retry) p.searched = now;
   if (lacking == 0) return refuse(p, 404, "no store keeps the turn before this one", 0);
@@ -144,8 +144,8 @@
   return Verdict::wait;
 }
 
-void TurnCoordinator::found(const Envelope& e, const ChainFound& f, Millis now) {
-  auto* d = led_.view()->find(e.from_inc);
+void TurnCoordinator::found(const Envelope& e, const FindChainReply& f, Millis now) {
+  auto* d = metadata_log_.view()->find(e.from_inc);
   if (!d) return;
   for (auto i = asks_.begin(); i != asks_.end();) {
     auto& p = i->second;
@@ -153,15 +153,15 @@
     if (!p.searching || p.ask.parent != f.turn) continue;
     if (!f.found) {
       p.without.insert(d->id);
-    } else if (mine(p.line) && keep_.open(p.line, now) == HistoryWriter::State::open &&
-               !tab(p.line).turns.count(f.turn)) {
+    } else if (mine(p.history) && history_writer_.open(p.history, now) == HistoryWriter::State::open &&
+               !tab(p.history).turns.count(f.turn)) {
       Record r{};
-      r.kind = RecordKind::settled;
+      r.kind = RecordKind::outcome;
       r.key = f.turn;
       r.status = 200;
-      r.keep_ms = p.ask.retention_ms;
+      r.retention_ms = p.ask.retention_ms;
       r.output = f.text;
-      keep_.append(p.line, std::move(r), now);
+      history_writer_.append(p.history, std::move(r), now);
     }
     if (f.found) p.searching = false;
     if (serve(p, now) == Verdict::over) asks_.erase(j);
@@ -171,58 +171,58 @@
 TurnCoordinator::Verdict TurnCoordinator::settle(Ending& x, Millis now) {
   auto& s = x.settle;
   auto say = [&](bool kept) {
-    out_.send(x.from, TurnSettled{s.attempt, kept}, x.inc);
+    out_.send(x.from, CommitTurnReply{s.attempt, kept}, x.incarnation);
     return Verdict::over;
   };
-  if (!mine(x.line)) return Verdict::over;
-  if (keep_.open(x.line, now) != HistoryWriter::State::open)
+  if (!mine(x.history)) return Verdict::over;
+  if (history_writer_.open(x.history, now) != HistoryWriter::State::open)
     return now - x.born > limits::line_patience ? Verdict::over : Verdict::wait;
-  auto& t = tab(x.line);
+  auto& t = tab(x.history);
   auto i = t.turns.find(s.attempt);
-  if (i == t.turns.end() || i->second.intent == none) return say(false);
-  if (!granted_to(*led_.view(), keep_.records(x.line)[i->second.intent], x.inc)) return say(false);
+  if (i == t.turns.end() || i->second.reservation == none) return say(false);
+  if (!granted_to(*metadata_log_.view(), history_writer_.records(x.history)[i->second.reservation], x.incarnation)) return say(false);
   if (i->second.settled != none) {
     x.mark = i->second.settled + 1;
     if (i->second.status != s.status) return say(false);
   } else {
     Record r{};
-    r.kind = RecordKind::settled;
+    r.kind = RecordKind::outcome;
     r.key = s.attempt;
     r.status = s.status;
     r.tokens = s.tokens;
-    if (s.kept) r.output = s.output;
-    x.mark = keep_.append(x.line, std::move(r), now);
-    tab(x.line);
+    if (s.keep_output) r.output = s.output;
+    x.mark = history_writer_.append(x.history, std::move(r), now);
+    tab(x.history);
   }
-  return keep_.committed(x.line) >= x.mark ? say(true) : Verdict::wait;
+  return history_writer_.committed_length(x.history) >= x.mark ? say(true) : Verdict::wait;
 }
 
-bool TurnCoordinator::on(const Envelope& e, Millis now) {
-  if (auto* a = std::get_if<TurnAsk>(&e.body)) {
+bool TurnCoordinator::handle(const Envelope& e, Millis now) {
+  if (auto* a = std::get_if<ReserveTurn>(&e.body)) {
     auto [i, fresh] = asks_.try_emplace(a->attempt);
-    if (fresh) i->second = {*a, e.from, e.from_inc, turn_line(a->program), now};
+    if (fresh) i->second = {*a, e.from, e.from_inc, turn_history_name(a->program), now};
     if (serve(i->second, now) == Verdict::over) asks_.erase(i);
     return true;
   }
-  if (auto* s = std::get_if<TurnSettle>(&e.body)) {
+  if (auto* s = std::get_if<CommitTurn>(&e.body)) {
     if (auto i = asks_.find(s->attempt); i != asks_.end() && i->second.from == e.from) asks_.erase(i);
     auto [i, fresh] = ends_.try_emplace(s->attempt);
-    if (fresh) i->second = {*s, e.from, e.from_inc, turn_line(s->program), now};
+    if (fresh) i->second = {*s, e.from, e.from_inc, turn_history_name(s->program), now};
     if (settle(i->second, now) == Verdict::over) ends_.erase(i);
     return true;
   }
-  if (auto* f = std::get_if<ChainFound>(&e.body)) {
+  if (auto* f = std::get_if<FindChainReply>(&e.body)) {
     found(e, *f, now);
     return true;
   }
   return false;
 }
 
-void TurnCoordinator::advance(const std::set<LineName>& changed, Millis now) {
+void TurnCoordinator::advance(const std::set<HistoryName>& changed, Millis now) {
   for (auto i = asks_.begin(); i != asks_.end();)
-    i = changed.count(i->second.line) && serve(i->second, now) == Verdict::over ? asks_.erase(i) : std::next(i);
+    i = changed.count(i->second.history) && serve(i->second, now) == Verdict::over ? asks_.erase(i) : std::next(i);
   for (auto i = ends_.begin(); i != ends_.end();)
-    i = changed.count(i->second.line) && settle(i->second, now) == Verdict::over ? ends_.erase(i) : std::next(i);
+    i = changed.count(i->second.history) && settle(i->second, now) == Verdict::over ? ends_.erase(i) : std::next(i);
 }
 
 void TurnCoordinator::tick(Millis now) {
@@ -230,7 +230,7 @@
     i = serve(i->second, now) == Verdict::over ? asks_.erase(i) : std::next(i);
   for (auto i = ends_.begin(); i != ends_.end();)
     i = settle(i->second, now) == Verdict::over ? ends_.erase(i) : std::next(i);
-  std::erase_if(tabs_, [&](auto& t) { return keep_.term(t.first) != t.second.term; });
+  std::erase_if(tabs_, [&](auto& t) { return history_writer_.term(t.first) != t.second.term; });
 }
 
 }  // namespace mosskeel
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -16,11 +16,11 @@
 }
 
 /// A ledger at epoch 1 and entries that each apply a configuration of so many cells.
-Ledger ledger(int changes, int cells) {
+MetadataLog ledger(int changes, int cells) {
   auto p = small();
-  Ledger l;
+  MetadataLog l;
   auto seats = scale::seats(p, 1);
-  l.jump(scale::rest(p, seats));
+  l.install_snapshot(scale::rest(p, seats));
   p.cells = cells;
   for (int i = 0; i < changes; ++i)
     l.add({next(l.epoch()), "", ApplyConfiguration{l.view()->revision, scale::configuration(p), {}}});
@@ -60,19 +60,19 @@
 
 TEST_CASE("what a laggard lacks comes as entries while they are small, else as the whole value") {
   auto few = ledger(100, 4);
-  auto [none, entries] = few.since(Epoch{few.epoch().v - 100});
+  auto [none, entries] = few.updates_since(Epoch{few.epoch().v - 100});
   CHECK_FALSE(none);
   CHECK(entries.size() == 100);
   const int cells = 8000, changes = 5;
   auto many = ledger(changes, cells);
-  auto bytes = codec::pack(many.recent().back()).size();
+  auto bytes = codec::pack(many.recent_entries().back()).size();
   REQUIRE(bytes * changes > limits::log_keep_bytes);
-  CHECK(bytes * many.recent().size() <= limits::log_keep_bytes);
-  auto [whole, rest] = many.since(Epoch{many.epoch().v - changes});
+  CHECK(bytes * many.recent_entries().size() <= limits::log_keep_bytes);
+  auto [whole, rest] = many.updates_since(Epoch{many.epoch().v - changes});
   REQUIRE(whole);
   CHECK(whole->epoch == many.epoch());
   CHECK(rest.empty());
-  auto [again, last] = many.since(Epoch{many.epoch().v - 1});
+  auto [again, last] = many.updates_since(Epoch{many.epoch().v - 1});
   CHECK_FALSE(again);
   CHECK(last.size() == 1);
 }
--- a/tests/catchup_test.cpp
+++ b/tests/catchup_test.cpp
@@ -66,7 +66,7 @@
     auto base = newest()->revision;
     outcome_.reset();
     auto controllers = world_.names(Kind::controller);
-    for (size_t i = 0; i < controllers.size() * 4 && outcome_ != Outcome::yes; ++i) {
+    for (size_t i = 0; i < controllers.size() * 4 && outcome_ != CommitOutcome::committed; ++i) {
       auto& s = controllers[i % controllers.size()];
       if (!world_.alive(s) || away_ == s) continue;
       Envelope e{limits::protocol, 0, {}, world_.roll(), "local:operator", {}, s, {}, {}};
@@ -75,7 +75,7 @@
       world_.post(s, std::move(e));
       world_.until(change_patience, [this] { return outcome_.has_value(); });
     }
-    REQUIRE(outcome_ == Outcome::yes);
+    REQUIRE(outcome_ == CommitOutcome::committed);
   }
 
   void changes(int n) {
@@ -143,7 +143,7 @@
   sim::World world_;
   Configuration configuration_;
   std::string commit_, away_;
-  std::optional<Outcome> outcome_;
+  std::optional<CommitOutcome> outcome_;
 };
 
 void check(size_t paths, const std::string& name, Absence how, int lacking) {
--- a/tests/control_session_test.cpp
+++ b/tests/control_session_test.cpp
@@ -4,13 +4,13 @@
 #include "operator/control_session.hpp"
 
 using namespace mosskeel;
-using Kind = Verdict::Kind;
+using Code = CommandResult::Code;
 
 namespace {
 
 const char* const text = R"({"Revision":7,"Routes":[],"Services":[{"Name":"s"}]})";
 
-CommitReply reply(Outcome o, Rejection why = Rejection::none) {
+CommitReply reply(CommitOutcome o, Rejection why = Rejection::none) {
   CommitReply r{};
   r.outcome = o;
   r.rejection = why;
@@ -27,9 +27,9 @@
   CommitReply commit(const Transformation& t, const std::string&, Millis patience) override {
     asked.push_back(t);
     clock += std::min(delay, patience);
-    auto next = replies.empty() ? reply(Outcome::unknown) : replies.front();
+    auto next = replies.empty() ? reply(CommitOutcome::unknown) : replies.front();
     if (!replies.empty()) replies.erase(replies.begin());
-    return delay > patience ? reply(Outcome::unknown) : next;
+    return delay > patience ? reply(CommitOutcome::unknown) : next;
   }
   void inspect(const std::function<void(ControllerMachine&, Millis)>& look) override { look(machine, clock); }
   Millis now() override { return clock; }
@@ -39,52 +39,52 @@
 
 }  // namespace
 
-TEST_CASE("each rejection has its verdict, whatever the controller's own value has become since") {
-  const std::pair<Rejection, Kind> table[] = {{Rejection::other_revision, Kind::other_base},
-                                              {Rejection::forgotten, Kind::unclear},
-                                              {Rejection::invalid, Kind::invalid},
-                                              {Rejection::unknown_target, Kind::unknown},
-                                              {Rejection::refused, Kind::refused},
-                                              {Rejection::busy, Kind::unclear},
-                                              {Rejection::none, Kind::unclear}};
+TEST_CASE("ControlSession maps each rejection in a commit reply to its result code") {
+  const std::pair<Rejection, Code> table[] = {{Rejection::revision_conflict, Code::revision_mismatch},
+                                              {Rejection::forgotten, Code::outcome_unknown},
+                                              {Rejection::invalid, Code::invalid},
+                                              {Rejection::unknown_target, Code::not_found},
+                                              {Rejection::refused, Code::rejected},
+                                              {Rejection::busy, Code::outcome_unknown},
+                                              {Rejection::none, Code::outcome_unknown}};
   for (auto [why, kind] : table) {
     Controller c;
-    c.replies = {reply(Outcome::no, why), reply(Outcome::no, why), reply(Outcome::no, why)};
+    c.replies = {reply(CommitOutcome::rejected, why), reply(CommitOutcome::rejected, why), reply(CommitOutcome::rejected, why)};
     ControlSession s(c, c.clock);
     // The machine's own revision is 0, the base of this very order: a later look would call it invalid.
-    CHECK(s.apply("id", Revision{0}, Revision{1}, {}).kind == kind);
-    CHECK(s.evacuate("z").kind == kind);
-    CHECK(s.restore("z").kind == kind);
+    CHECK(s.apply_configuration("id", Revision{0}, Revision{1}, {}).code == kind);
+    CHECK(s.evacuate("z").code == kind);
+    CHECK(s.restore("z").code == kind);
   }
 }
 
-TEST_CASE("without a majority every answer is unclear") {
+TEST_CASE("ControlSession reports an unknown outcome when no majority answers") {
   Controller c;
   ControlSession s(c, c.clock);
-  CHECK(s.apply("id", Revision{0}, Revision{1}, {}).kind == Kind::unclear);
-  CHECK(s.evacuate("z").kind == Kind::unclear);
-  CHECK(s.restore("z").kind == Kind::unclear);
-  CHECK(s.retire("m").kind == Kind::unclear);
-  CHECK(s.retirement("m") == Retirement::unclear);
-  CHECK_FALSE(s.newest());
+  CHECK(s.apply_configuration("id", Revision{0}, Revision{1}, {}).code == Code::outcome_unknown);
+  CHECK(s.evacuate("z").code == Code::outcome_unknown);
+  CHECK(s.restore("z").code == Code::outcome_unknown);
+  CHECK(s.retire("m").code == Code::outcome_unknown);
+  CHECK(s.retirement_state("m") == RetirementState::unconfirmed);
+  CHECK_FALSE(s.read_metadata());
 }
 
-TEST_CASE("a retirement's state is only told from a confirmed value") {
+TEST_CASE("ControlSession reads a retirement state only from a linearizable read") {
   Controller c;
-  c.replies = {reply(Outcome::no, Rejection::refused)};
+  c.replies = {reply(CommitOutcome::rejected, Rejection::refused)};
   ControlSession s(c, c.clock);
-  CHECK(s.retirement("m") == Retirement::unknown);
-  CHECK(s.retirement("m") == Retirement::unclear);
+  CHECK(s.retirement_state("m") == RetirementState::unknown_machine);
+  CHECK(s.retirement_state("m") == RetirementState::unconfirmed);
 }
 
-TEST_CASE("all steps of one request share its deadline") {
-  auto* platform = control_dialect("platform");
+TEST_CASE("ControlSession ends a request of several commits within one deadline") {
+  auto* platform = find_control_protocol("platform");
   REQUIRE(platform);
   for (Millis delay : {100, 300, 500, 800, 1000, 5000}) {
     for (auto* method : {"PUT", "PATCH", "GET"}) {
       Controller c;
       c.delay = delay;
-      for (int i = 0; i < 4; ++i) c.replies.push_back(reply(Outcome::no, Rejection::other_revision));
+      for (int i = 0; i < 4; ++i) c.replies.push_back(reply(CommitOutcome::rejected, Rejection::revision_conflict));
       ControlSession s(c, c.clock);
       auto a = platform->answer({method, "/v1/config", text, {{"if-match", "5"}}, {}}, s);
       REQUIRE(a);
--- a/tests/disk_crash_test.cpp
+++ b/tests/disk_crash_test.cpp
@@ -141,7 +141,7 @@
     Progress p;
     run_until(disk, p);
     disk.never_kill();
-    auto used = value(Disk::open(disk.folder().path, 77, disk.calls()))->recovered().inc;
+    auto used = value(Disk::open(disk.folder().path, 77, disk.calls()))->recovered().incarnation;
     for (uint64_t kept = 0; kept < uint64_t{1} << std::min(disk.unsynced_names(), subset_bits); ++kept) {
       auto files = disk.after_power_loss(kept, [](size_t) { return size_t{0}; });
       REQUIRE(files.count("identity") == 1);
--- a/tests/disk_test.cpp
+++ b/tests/disk_test.cpp
@@ -11,7 +11,7 @@
   fill(f, 3);
   fill(f, 2, 3);
   auto d = f.open();
-  CHECK(d->recovered().inc == Incarnation{42});
+  CHECK(d->recovered().incarnation == Incarnation{42});
   CHECK(d->recovered().journal.size() == 5);
   CHECK(d->recovered().journal.back() == "record 4");
 }
--- a/tests/gateway_leave_test.cpp
+++ b/tests/gateway_leave_test.cpp
@@ -26,10 +26,10 @@
 TEST_CASE("a gateway that leaves does not stop while callers may have something under way") {
   Millis now = limits::process_start;
   GatewayMachine gateway(gateway_identity(), now);
-  gateway.carry(1);
-  gateway.leave();
+  gateway.set_open_routing_sessions(1);
+  gateway.begin_shutdown();
   CHECK_FALSE(stops(gateway, now, 10 * limits::farewell));
-  gateway.carry(0);
+  gateway.set_open_routing_sessions(0);
   CHECK_FALSE(stops(gateway, now, limits::farewell));
   CHECK(stops(gateway, now, 10 * limits::tick));
 }
@@ -37,11 +37,11 @@
 TEST_CASE("an agent that leaves outlives a gateway that is starved of its processor for a second") {
   Millis now = limits::process_start;
   auto id = gateway_identity();
-  std::swap(id.self.addr, id.self.agent);
+  std::swap(id.self.address, id.self.agent_address);
   AgentMachine agent(id, now);
   agent.leave();
   Envelope beat{};
-  beat.from = id.self.agent;
+  beat.from = id.self.agent_address;
   beat.body = Heartbeat{gateway_identity().self, Epoch{}, 0, {}, 0, now, true, 0};
   agent.step(beat, now);
   CHECK_FALSE(stops(agent, now, 1500));
@@ -51,16 +51,16 @@
 TEST_CASE("an agent that leaves ends as soon as its gateway was started anew") {
   Millis now = limits::process_start;
   auto id = gateway_identity();
-  std::swap(id.self.addr, id.self.agent);
+  std::swap(id.self.address, id.self.agent_address);
   AgentMachine agent(id, now);
   Envelope beat{};
-  beat.from = id.self.agent;
+  beat.from = id.self.agent_address;
   beat.body = Heartbeat{gateway_identity().self, Epoch{}, 0, {}, 0, now, true, 0};
   agent.step(beat, now);
   agent.leave();
   CHECK_FALSE(stops(agent, now, 3 * limits::tick));
   auto newer = gateway_identity().self;
-  newer.inc = Incarnation{2};
+  newer.incarnation = Incarnation{2};
   beat.body = Heartbeat{newer, Epoch{}, 0, {}, 0, now, false, 0};
   agent.step(beat, now);
   CHECK(stops(agent, now, 2 * limits::tick));
--- a/tests/gateway_touch_test.cpp
+++ b/tests/gateway_touch_test.cpp
@@ -25,19 +25,19 @@
     metadata = value(r);
   }
   Touch() {
-    commit(Found{7, 1, {candidate(1, Role::controller, "controller")}});
+    commit(FoundCluster{7, 1, {candidate(1, Role::controller, "controller")}});
     commit(Register{self});
     answer(start, metadata.epoch, metadata);
   }
   Envelope envelope(Epoch epoch, Message body) const {
-    return {limits::protocol, metadata.cluster, epoch, 1, "agent", Incarnation{}, "gateway", self.inc, std::move(body)};
+    return {limits::protocol, metadata.cluster, epoch, 1, "agent", Incarnation{}, "gateway", self.incarnation, std::move(body)};
   }
   Actions answer(Millis sent, Epoch epoch, std::optional<Metadata> checkpoint = std::nullopt, Millis now = 0) {
     HeartbeatReply r{epoch, std::move(checkpoint), {}, 0, true, sent};
     return gateway.step(envelope(epoch, std::move(r)), std::max(now, sent));
   }
   /// A message that is stamped with an epoch which the gateway does not have.
-  Actions hear_of(Epoch epoch, Millis now) { return gateway.step(envelope(epoch, RequestSeen{"nobody's"}), now); }
+  Actions hear_of(Epoch epoch, Millis now) { return gateway.step(envelope(epoch, ProgramRequestAcknowledgement{"nobody's"}), now); }
   Entry next_entry() const { return {next(metadata.epoch), "", Register{candidate(31, Role::store, "store")}}; }
 };
 
@@ -48,35 +48,35 @@
 
 }  // namespace
 
-TEST_CASE("a gateway that hears of a later epoch dispatches on for a while, and not beyond") {
+TEST_CASE("GatewayMachine dispatches for a limited time after it has heard of a later epoch") {
   Touch t;
-  CHECK(t.gateway.in_touch(start));
+  CHECK(t.gateway.has_majority_contact(start));
   t.hear_of(next(t.metadata.epoch), start + 10);
-  CHECK(t.gateway.in_touch(start + 11));
-  CHECK(t.gateway.routing_snapshot(start + 11).until > start + 11);
-  CHECK_FALSE(t.gateway.in_touch(start + 10 + limits::isolation / 2));
-  CHECK(t.gateway.routing_snapshot(start + 11).until <= start + 10 + limits::isolation / 2);
+  CHECK(t.gateway.has_majority_contact(start + 11));
+  CHECK(t.gateway.routing_snapshot(start + 11).dispatch_until > start + 11);
+  CHECK_FALSE(t.gateway.has_majority_contact(start + 10 + limits::isolation / 2));
+  CHECK(t.gateway.routing_snapshot(start + 11).dispatch_until <= start + 10 + limits::isolation / 2);
 }
 
-TEST_CASE("hearing of ever later epochs does not lengthen the time that a gateway may lack one") {
+TEST_CASE("GatewayMachine does not extend that time when it hears of ever later epochs") {
   Touch t;
   auto epoch = t.metadata.epoch.v;
   for (Millis k = 0; k < 20; ++k) t.hear_of(Epoch{epoch + 1 + static_cast<uint64_t>(k)}, start + 10 + k * 50);
-  CHECK_FALSE(t.gateway.in_touch(start + 10 + limits::isolation / 2));
+  CHECK_FALSE(t.gateway.has_majority_contact(start + 10 + limits::isolation / 2));
 }
 
-TEST_CASE("touch at an epoch that came ahead of its entry counts once the entry is there, and not before") {
+TEST_CASE("GatewayMachine counts contact at an epoch ahead of its entry once the entry is there, and not before") {
   Touch t;
   auto e = t.next_entry();
   t.answer(start + 1500, e.epoch);
-  CHECK(t.gateway.in_touch(start + limits::isolation - 1));
-  CHECK_FALSE(t.gateway.in_touch(start + limits::isolation));
+  CHECK(t.gateway.has_majority_contact(start + limits::isolation - 1));
+  CHECK_FALSE(t.gateway.has_majority_contact(start + limits::isolation));
   t.gateway.step(t.envelope(e.epoch, Decided{e}), start + 1600);
-  CHECK(t.gateway.in_touch(start + limits::isolation + 1));
-  CHECK_FALSE(t.gateway.in_touch(start + 1500 + limits::isolation));
+  CHECK(t.gateway.has_majority_contact(start + limits::isolation + 1));
+  CHECK_FALSE(t.gateway.has_majority_contact(start + 1500 + limits::isolation));
 }
 
-TEST_CASE("many messages of one later epoch ask once for what is lacking, and again where nothing comes") {
+TEST_CASE("GatewayMachine asks once for a missing epoch, and again when nothing comes") {
   Touch t;
   size_t asked = 0;
   for (Millis k = 0; k < 100; ++k) asked += catchups(t.hear_of(next(t.metadata.epoch), start + 10 + k));
--- a/tests/http/answers_test.cpp
+++ b/tests/http/answers_test.cpp
@@ -20,26 +20,26 @@
 };
 
 struct Scene {
-  Loop loop;
+  EventLoop loop;
   RunLedger ledger;
   std::mt19937_64 random;
   std::vector<std::unique_ptr<FaultyReplica>> replicas;
   std::shared_ptr<RoutingSnapshot> snapshot;
-  std::unique_ptr<HttpFront> front;
+  std::unique_ptr<HttpFrontend> front;
   std::map<uint64_t, Try> tries;
   int left, open = 0;
   bool caller_faults;
   UpstreamClient callers{loop,
-                         {[this](uint64_t id, UpstreamClient::Answer&& a) {
+                         {[this](uint64_t id, UpstreamClient::ResponseHead&& a) {
                             auto& t = tries.at(id);
                             t.status = a.status;
-                            t.seal = field(a.fields, "Mosskeel-Server-Seal");
-                            t.named = field(a.fields, "Mosskeel-Attempt-Id");
+                            t.seal = header_value(a.fields, "Mosskeel-Server-Seal");
+                            t.named = header_value(a.fields, "Mosskeel-Attempt-Id");
                           },
                           [this](uint64_t id, std::string_view s) { tries.at(id).body += s; },
                           [this](uint64_t id) { end(id, true, false); },
-                          [this](uint64_t id, UpstreamClient::Lost l, std::string) {
-                            end(id, false, l == UpstreamClient::Lost::unsent);
+                          [this](uint64_t id, UpstreamClient::Delivery l, std::string) {
+                            end(id, false, l == UpstreamClient::Delivery::not_sent);
                           }}};
 
   Scene(uint64_t seed, int requests, unsigned fault_percent, bool caller_faults_too)
@@ -52,14 +52,14 @@
     for (auto& p : m.configuration.paths) p.timeout_ms = 250;
     snapshot = std::make_shared<RoutingSnapshot>(
         RoutingSnapshot{std::make_shared<Metadata>(m), DaemonId{1}, INT64_MAX, true, false});
-    auto opened = HttpFront::open(
-        loop, *dialect("platform"), "127.0.0.1:0", [this] { return snapshot; }, [](Message) {});
+    auto opened = HttpFrontend::open(
+        loop, *find_protocol_codec("platform"), "127.0.0.1:0", [this] { return snapshot; }, [](Message) {});
     REQUIRE(ok(opened));
     front = std::move(std::get<0>(opened));
     tick();
   }
   void tick() {
-    loop.after(5, [this] { tick(); });
+    loop.run_after(5, [this] { tick(); });
     front->tick();
   }
   void start() {
@@ -75,20 +75,20 @@
     auto id = send(kind, attempt);
     if (twin) send(kind, attempt);
     if (!caller_faults || random() % 15) return;
-    loop.after(static_cast<Millis>(random() % 15), [this, id] {
+    loop.run_after(static_cast<Millis>(random() % 15), [this, id] {
       if (tries.at(id).over) return;
-      callers.drop(id);
+      callers.cancel(id);
       end(id, false, false);
     });
   }
   uint64_t send(const std::string& kind, const std::string& attempt) {
-    UpstreamClient::Ask a{front->at(),
+    UpstreamClient::Request a{front->at(),
                           "POST",
                           "/" + kind + "/1",
                           {{"Host", "h.example"}, {"Mosskeel-Attempt-Id", attempt}},
                           "body of " + attempt};
     ++open;
-    auto id = callers.ask(std::move(a));
+    auto id = callers.send_request(std::move(a));
     tries[id] = {attempt, kind};
     return id;
   }
@@ -97,7 +97,7 @@
     if (std::exchange(t.over, true)) return;
     t.whole = whole, t.unsent = unsent;
     --open;
-    loop.after(static_cast<Millis>(random() % 3), [this] { next(); });
+    loop.run_after(static_cast<Millis>(random() % 3), [this] { next(); });
   }
   bool done() const { return open == 0 && left <= 0; }
 
@@ -135,7 +135,7 @@
   turns(s.loop, 30);
   s.check();
   CHECK(s.served() > s.tries.size() / 3);
-  CHECK(s.front->traffic().calls() == 0);
+  CHECK(s.front->router().active_requests() == 0);
 }
 
 TEST_CASE("a front that drains under load loses no answer that it has begun") {
@@ -147,9 +147,9 @@
   auto begun = monotonic_ms();
   REQUIRE(until(s.loop, [&] {
     auto t = monotonic_ms() - begun;
-    if (t > 30 && !std::exchange(closing, true)) s.front->close_after_answers();
+    if (t > 30 && !std::exchange(closing, true)) s.front->close_after_responses();
     if (t > 60 && !std::exchange(draining, true)) s.front->drain();
-    return draining && s.done() && !s.front->busy();
+    return draining && s.done() && !s.front->has_active_callers();
   }));
   s.check();
   for (auto& [id, t] : s.tries) {
--- a/tests/http/faulty_replica.hpp
+++ b/tests/http/faulty_replica.hpp
@@ -36,19 +36,19 @@
     failure,
     count
   };
-  FaultyReplica(Loop& loop, RunLedger& ledger, uint64_t seed, unsigned fault_percent)
+  FaultyReplica(EventLoop& loop, RunLedger& ledger, uint64_t seed, unsigned fault_percent)
       : loop_(loop), ledger_(ledger), random_(seed), fault_percent_(fault_percent) {
-    auto e = endpoint("127.0.0.1:0");
-    REQUIRE(::bind(listening_.get(), reinterpret_cast<sockaddr*>(&e->bytes), e->size) == 0);
+    auto e = parse_endpoint("127.0.0.1:0");
+    REQUIRE(::bind(listening_.get(), reinterpret_cast<sockaddr*>(&e->storage), e->length) == 0);
     REQUIRE(::listen(listening_.get(), 100) == 0);
     loop_.watch(listening_.get(), EPOLLIN, [this](uint32_t) { accept(); });
   }
   ~FaultyReplica() {
     for (auto timer : timers_) loop_.cancel(timer);
     while (!sessions_.empty()) close(sessions_.begin()->first);
-    loop_.forget(listening_.get());
+    loop_.unwatch(listening_.get());
   }
-  Address at() const { return bound_to(listening_.get()); }
+  Address at() const { return bound_address(listening_.get()); }
 
  private:
   struct Session {
@@ -69,7 +69,7 @@
   void close(uint64_t id) {
     auto i = sessions_.find(id);
     if (i == sessions_.end()) return;
-    loop_.forget(i->second.fd.get());
+    loop_.unwatch(i->second.fd.get());
     sessions_.erase(i);
   }
   void reset(uint64_t id) {
@@ -89,13 +89,13 @@
     if (n <= 0) return close(id);
     s.in.append(buffer, static_cast<size_t>(n));
     size_t scanned = 0;
-    if (head_extent(s.in, scanned) != Extent::whole) return;
-    auto head = read_request_head(std::string_view(s.in).substr(0, scanned));
-    if (s.in.size() < scanned + head.length.value_or(0)) return;
-    s.in.erase(0, scanned + head.length.value_or(0));
-    auto attempt = std::string(field(head.fields, "Mosskeel-Attempt-Id"));
+    if (scan_head(s.in, scanned) != HeadScan::complete) return;
+    auto head = parse_request_head(std::string_view(s.in).substr(0, scanned));
+    if (s.in.size() < scanned + head.content_length.value_or(0)) return;
+    s.in.erase(0, scanned + head.content_length.value_or(0));
+    auto attempt = std::string(header_value(head.fields, "Mosskeel-Attempt-Id"));
     auto delay = static_cast<Millis>(roll(20));
-    timers_.push_back(loop_.after(delay, [this, id, attempt] { answer(id, attempt); }));
+    timers_.push_back(loop_.run_after(delay, [this, id, attempt] { answer(id, attempt); }));
   }
   static std::string head(const std::string& status, const std::string& fields, size_t length) {
     return "HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + std::to_string(length) + "\r\n\r\n";
@@ -146,11 +146,11 @@
     auto again = fault == Fault::late_refusal ? head("503 Busy", name + "Mosskeel-Not-Run: 1\r\n", 0) : whole;
     if (fault == Fault::surplus) say(id, again);
     if (fault == Fault::late_surplus || fault == Fault::late_refusal)
-      timers_.push_back(loop_.after(static_cast<Millis>(roll(10)), [this, id, again] { say(id, again); }));
+      timers_.push_back(loop_.run_after(static_cast<Millis>(roll(10)), [this, id, again] { say(id, again); }));
     if (fault == Fault::half_close) ::shutdown(sessions_.at(id).fd.get(), SHUT_WR);
   }
 
-  Loop& loop_;
+  EventLoop& loop_;
   RunLedger& ledger_;
   std::mt19937_64 random_;
   unsigned fault_percent_;
--- a/tests/http/loop_test.cpp
+++ b/tests/http/loop_test.cpp
@@ -5,20 +5,20 @@
 using namespace mosskeel;
 
 TEST_CASE("timers run in order, cancelled ones never") {
-  Loop l;
+  EventLoop l;
   std::string s;
-  l.after(3, [&] { s += "c", l.stop(); });
-  l.after(1, [&] { s += "a"; });
-  auto no = l.after(1, [&] { s += "x"; });
-  l.after(2, [&] { s += "b"; });
+  l.run_after(3, [&] { s += "c", l.stop(); });
+  l.run_after(1, [&] { s += "a"; });
+  auto no = l.run_after(1, [&] { s += "x"; });
+  l.run_after(2, [&] { s += "b"; });
   l.cancel(no);
-  for (int i = 0; i < 1000; ++i) l.cancel(l.after(1, [&] { s += "y"; }));
+  for (int i = 0; i < 1000; ++i) l.cancel(l.run_after(1, [&] { s += "y"; }));
   l.run();
   CHECK(s == "abc");
 }
 
 TEST_CASE("functions posted by other threads all run") {
-  Loop l;
+  EventLoop l;
   int n = 0;
   std::vector<std::jthread> ts;
   for (int t = 0; t < 4; ++t)
@@ -29,12 +29,12 @@
 }
 
 TEST_CASE("a descriptor forgotten in the same batch is not called") {
-  Loop l;
+  EventLoop l;
   int a[2], b[2], calls = 0;
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, a) == 0);
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, b) == 0);
   Fd fds[] = {Fd(a[0]), Fd(a[1]), Fd(b[0]), Fd(b[1])};
-  auto both = [&](uint32_t) { ++calls, l.forget(a[0]), l.forget(b[0]); };
+  auto both = [&](uint32_t) { ++calls, l.unwatch(a[0]), l.unwatch(b[0]); };
   l.watch(a[0], EPOLLIN, both);
   l.watch(b[0], EPOLLIN, both);
   REQUIRE(::send(a[1], "x", 1, 0) == 1);
--- a/tests/http/peer.hpp
+++ b/tests/http/peer.hpp
@@ -12,13 +12,13 @@
 
 /// Runs the loop until `holds`; false after 5 s.
 template <class F>
-bool until(Loop& loop, F holds) {
+bool until(EventLoop& loop, F holds) {
   auto end = monotonic_ms() + 5000;
   std::function<void()> look = [&] {
     if (holds() || monotonic_ms() > end)
       loop.stop();
     else
-      loop.after(1, look);
+      loop.run_after(1, look);
   };
   loop.post(look);
   loop.run();
@@ -26,7 +26,7 @@
 }
 
 /// Runs the loop for some of its own turns.
-inline void turns(Loop& loop, int n = 5) {
+inline void turns(EventLoop& loop, int n = 5) {
   until(loop, [&] { return n-- <= 0; });
 }
 
@@ -36,8 +36,8 @@
   bool closed = false, reset = false;
   explicit Peer(Fd f) : fd(std::move(f)) {}
   explicit Peer(const Address& to) : fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    auto e = endpoint(to);
-    REQUIRE(::connect(fd.get(), reinterpret_cast<sockaddr*>(&e->bytes), e->size) == 0);
+    auto e = parse_endpoint(to);
+    REQUIRE(::connect(fd.get(), reinterpret_cast<sockaddr*>(&e->storage), e->length) == 0);
   }
   void say(std::string_view s) {
     REQUIRE(::send(fd.get(), s.data(), s.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(s.size()));
--- a/tests/http/refusal_test.cpp
+++ b/tests/http/refusal_test.cpp
@@ -91,8 +91,8 @@
   CAPTURE(row.bytes);
   TestServer d;
   HttpListenerLimits l;
-  l.head_bytes = 2048, l.body_bytes = 1000;
-  d.in->limits(l);
+  l.max_head_bytes = 2048, l.max_body_bytes = 1000;
+  d.in->set_limits(l);
   auto got = d.talk(row.bytes);
   CHECK(got.starts_with("HTTP/1.1 " + std::to_string(row.status) + " "));
   CHECK(got.find("\r\nConnection: close\r\n") != std::string::npos);
--- a/tests/http/test_server.hpp
+++ b/tests/http/test_server.hpp
@@ -6,10 +6,10 @@
 namespace mosskeel {
 
 struct TestServer {
-  Loop loop;
+  EventLoop loop;
   std::vector<std::pair<uint64_t, HttpRequest>> asked;
   std::vector<uint64_t> left, drained;
-  std::function<void(uint64_t)> answer = [this](uint64_t id) { in->whole(id, 200, {{"X-A", "b"}}, "hello"); };
+  std::function<void(uint64_t)> answer = [this](uint64_t id) { in->send_response(id, 200, {{"X-A", "b"}}, "hello"); };
   std::function<void(uint64_t)> on_drained;
   std::unique_ptr<HttpListener> in;
   explicit TestServer(int send_buffer = 0) {
@@ -28,7 +28,7 @@
     in = std::move(std::get<0>(r));
   }
   std::string talk(const std::string& s) {
-    Peer p(in->at());
+    Peer p(in->local_address());
     p.say(s);
     CHECK(until(loop, [&] { return p.look(); }));
     return p.got;
--- a/tests/http/upstream_client_test.cpp
+++ b/tests/http/upstream_client_test.cpp
@@ -10,11 +10,11 @@
   Fd fd{::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)};
   std::deque<Peer> peers;
   Replica() {
-    auto e = endpoint("127.0.0.1:0");
-    REQUIRE(::bind(fd.get(), reinterpret_cast<sockaddr*>(&e->bytes), e->size) == 0);
+    auto e = parse_endpoint("127.0.0.1:0");
+    REQUIRE(::bind(fd.get(), reinterpret_cast<sockaddr*>(&e->storage), e->length) == 0);
     REQUIRE(::listen(fd.get(), 100) == 0);
   }
-  Address at() const { return bound_to(fd.get()); }
+  Address at() const { return bound_address(fd.get()); }
   size_t requests() {
     size_t n = 0;
     for (Fd c; (c = Fd(::accept(fd.get(), nullptr, nullptr)));) peers.emplace_back(std::move(c));
@@ -25,27 +25,27 @@
 
 struct ClientFixture {
   struct Told {
-    std::vector<UpstreamClient::Answer> heads;
+    std::vector<UpstreamClient::ResponseHead> heads;
     std::string body, reason;
     int ended = 0, lost = 0;
-    UpstreamClient::Lost how{};
+    UpstreamClient::Delivery how{};
     bool over() const { return ended + lost > 0; }
   };
-  Loop loop;
+  EventLoop loop;
   Replica replica;
   std::map<uint64_t, Told> told;
   UpstreamClient out{
       loop,
-      {[this](uint64_t id, UpstreamClient::Answer&& a) {
+      {[this](uint64_t id, UpstreamClient::ResponseHead&& a) {
          told[id].heads.push_back(std::move(a));
-         if (skip_heads > 0 && skip_heads--) out.skip(id);
+         if (skip_heads > 0 && skip_heads--) out.skip_response(id);
        },
        [this](uint64_t id, std::string_view s) { told[id].body += s; }, [this](uint64_t id) { ++told[id].ended; },
-       [this](uint64_t id, UpstreamClient::Lost how, std::string why) {
+       [this](uint64_t id, UpstreamClient::Delivery how, std::string why) {
          ++told[id].lost, told[id].how = how, told[id].reason = std::move(why);
        }}};
   uint64_t ask(const std::string& method = "POST", bool fresh = false) {
-    return out.ask({replica.at(), method, "/run", {{"Host", "r"}, {"X", "1"}}, method == "POST" ? "ask" : "", fresh});
+    return out.send_request({replica.at(), method, "/run", {{"Host", "r"}, {"X", "1"}}, method == "POST" ? "ask" : "", fresh});
   }
   /// Asks, waits for the request, answers on the connection it came by.
   uint64_t exchange(const std::string& answer, const std::string& method = "POST") {
@@ -85,7 +85,7 @@
   REQUIRE(t.heads.size() == 1);
   CHECK(t.heads[0].status == 201);
   CHECK(t.heads[0].chunked);
-  CHECK(t.heads[0].fields == Fields{{"A", "b"}, {"Transfer-Encoding", "chunked"}});
+  CHECK(t.heads[0].fields == HeaderFields{{"A", "b"}, {"Transfer-Encoding", "chunked"}});
   CHECK(t.body == "abcde");
   CHECK(t.ended == 1);
   CHECK(d.replica.peers[0].got == "POST /run HTTP/1.1\r\nHost: r\r\nX: 1\r\nContent-Length: 3\r\n\r\nask");
@@ -165,23 +165,23 @@
   auto at = d.replica.at();
   d.replica.fd = Fd();
   auto way = GENERATE(0, 1, 2);
-  UpstreamClient::Ask a{at, "POST", "/", {{"Host", "r"}}, "b"};
+  UpstreamClient::Request a{at, "POST", "/", {{"Host", "r"}}, "b"};
   if (way == 1) a.to = "no-address";
   if (way == 2) a.fields.emplace_back("X", "a\r\nContent-Length: 9");
-  auto id = d.out.ask(a);
+  auto id = d.out.send_request(a);
   CHECK_FALSE(d.told[id].over());
   auto& t = d.over(id);
   CHECK(t.lost == 1);
-  CHECK(t.how == UpstreamClient::Lost::unsent);
+  CHECK(t.how == UpstreamClient::Delivery::not_sent);
 }
 
 TEST_CASE("a connect without an answer in time is unsent") {
   ClientFixture d;
   REQUIRE(::listen(d.replica.fd.get(), 0) == 0);
   Peer fills(d.replica.at());
-  auto id = d.out.ask({d.replica.at(), "GET", "/", {}, "", false, 30});
+  auto id = d.out.send_request({d.replica.at(), "GET", "/", {}, "", false, 30});
   auto& t = d.over(id);
-  CHECK(t.how == UpstreamClient::Lost::unsent);
+  CHECK(t.how == UpstreamClient::Delivery::not_sent);
 }
 
 TEST_CASE("what is lost after that is sent, ends once, and is never asked twice") {
@@ -206,7 +206,7 @@
   breaks ? d.busy->break_off() : d.busy->close();
   auto& t = d.over(id);
   CHECK(t.ended == 0);
-  CHECK(t.how == UpstreamClient::Lost::sent);
+  CHECK(t.how == UpstreamClient::Delivery::possibly_sent);
   turns(d.loop, 20);
   CHECK(d.replica.requests() <= before + 1);
   CHECK(d.out.opened() == 1);
@@ -222,7 +222,7 @@
   turns(d.loop, 20);
   CHECK(d.told[id].body == "abc");
   bool dropped = GENERATE(true, false);
-  dropped ? d.out.drop(id) : d.out.pause(id, false);
+  dropped ? d.out.cancel(id) : d.out.pause(id, false);
   if (dropped) {
     REQUIRE(until(d.loop, [&] { return d.busy->look(); }));
     CHECK_FALSE(d.told[id].over());
@@ -233,7 +233,7 @@
 
 TEST_CASE("an answer that comes before the whole request was taken is read, its connection not kept") {
   ClientFixture d;
-  auto id = d.out.ask({d.replica.at(), "POST", "/", {{"Host", "r"}}, std::string(64 << 20, 'x')});
+  auto id = d.out.send_request({d.replica.at(), "POST", "/", {{"Host", "r"}}, std::string(64 << 20, 'x')});
   REQUIRE(until(d.loop, [&] {
     for (Fd c; (c = Fd(::accept(d.replica.fd.get(), nullptr, nullptr)));) d.replica.peers.emplace_back(std::move(c));
     return !d.replica.peers.empty();
@@ -246,11 +246,11 @@
 
 TEST_CASE("a connection that has rested too long for an ask is left alone, and a new one is opened") {
   ClientFixture d;
-  auto request = [&](Millis max_rest_ms) {
-    UpstreamClient::Ask a{d.replica.at(), "POST", "/run", {{"Host", "r"}}, "ask"};
-    a.max_rest_ms = max_rest_ms;
+  auto request = [&](Millis max_idle_ms) {
+    UpstreamClient::Request a{d.replica.at(), "POST", "/run", {{"Host", "r"}}, "ask"};
+    a.max_idle_ms = max_idle_ms;
     auto before = d.replica.requests();
-    auto id = d.out.ask(std::move(a));
+    auto id = d.out.send_request(std::move(a));
     REQUIRE(until(d.loop, [&] { return d.replica.requests() == before + 1; }));
     d.replica.peers.back().say(good);
     CHECK(d.over(id).ended == 1);
@@ -269,9 +269,9 @@
   ClientFixture d;
   d.over(d.exchange(good));
   auto before = d.replica.requests();
-  UpstreamClient::Ask a{d.replica.at(), "POST", "/run", {{"Host", "r"}}, "ask"};
+  UpstreamClient::Request a{d.replica.at(), "POST", "/run", {{"Host", "r"}}, "ask"};
   a.tag = "second";
-  auto id = d.out.ask(std::move(a));
+  auto id = d.out.send_request(std::move(a));
   REQUIRE(until(d.loop, [&] { return d.replica.requests() == before + 1; }));
   d.skip_heads = 1;
   auto split = GENERATE(size_t{0}, size_t{5}, size_t{40}, size_t{55});
@@ -290,10 +290,10 @@
 TEST_CASE("a head tells the tag of the ask that had its connection before") {
   ClientFixture d;
   auto request = [&](const std::string& tag) {
-    UpstreamClient::Ask a{d.replica.at(), "GET", "/", {{"Host", "r"}}, ""};
+    UpstreamClient::Request a{d.replica.at(), "GET", "/", {{"Host", "r"}}, ""};
     a.tag = tag;
     auto before = d.replica.requests();
-    auto id = d.out.ask(std::move(a));
+    auto id = d.out.send_request(std::move(a));
     REQUIRE(until(d.loop, [&] { return d.replica.requests() == before + 1; }));
     d.last().say(good);
     return d.over(id).heads.at(0).previous_tag;
--- a/tests/language_test.cpp
+++ b/tests/language_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace mosskeel;
 
-TEST_CASE("a sentence that goes wrong names its position and what was expected") {
+TEST_CASE("The command parser reports the position of an error and the expected words") {
   struct Row {
     const char *sentence, *finding;
   };
@@ -25,24 +25,24 @@
       {"replace core 1 by 2", "position 16: expected 'with', found 'by'"},
   };
   for (auto& r : rows) {
-    auto c = operators::parse(r.sentence);
+    auto c = command_language::parse(r.sentence);
     REQUIRE_FALSE(ok(c));
     CHECK(render(findings(c)) == r.finding);
   }
 }
 
-TEST_CASE("sentences become the changes they name") {
-  auto c = operators::parse("retire  store 7");
+TEST_CASE("Commands translate into the transformations they name") {
+  auto c = command_language::parse("retire  store 7");
   REQUIRE(ok(c));
-  auto t = operators::to_change(value(c), Metadata{});
+  auto t = command_language::to_transformation(value(c), Metadata{});
   REQUIRE(ok(t));
   CHECK(value(t) == Transformation{PrepareDrain{DaemonId{7}}});
   Metadata m{};
   m.revision = Revision{4};
-  auto d = operators::to_change(value(operators::parse("create cell news budget 400 turn 40 retention 60000")), m);
+  auto d = command_language::to_transformation(value(command_language::parse("create cell news budget 400 turn 40 retention 60000")), m);
   REQUIRE(ok(d));
   auto& a = std::get<ApplyConfiguration>(value(d));
   CHECK(a.base == Revision{4});
   CHECK(a.configuration.cells.at(0).budget == 400);
-  CHECK(ok(operators::to_change(value(operators::parse("drop cell news")), m)) == false);
+  CHECK(ok(command_language::to_transformation(value(command_language::parse("drop cell news")), m)) == false);
 }
--- a/tests/line_test.cpp
+++ b/tests/line_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace mosskeel;
 
-TEST_CASE("names of ended lines are found, and the oldest go when there are too many") {
+TEST_CASE("Tombstones are found until the older generation is dropped") {
   Tombstones g;
   for (uint64_t i = 1; i <= 20; ++i) g.add(i * 7 % 101, 8);
   CHECK(g.size() <= 16);
@@ -25,20 +25,20 @@
     m.directory[id] = {id, {Incarnation{i}, Role::front, "a", "f" + std::to_string(i), "", ""}, DaemonState::up, {}};
   }
   struct Row {
-    Health health;
+    ReplicaHealth health;
     uint32_t places;
     Millis after;
     uint32_t sum;
   };
-  for (auto& r : {Row{Health::ready, 32, 0, 32}, Row{Health::ready, 6, 0, 6}, Row{Health::ready, 3, 0, 6},
-                  Row{Health::leaving, 32, 0, 0}, Row{Health::cold, 32, 0, 1},
-                  Row{Health::cold, 32, limits::cold_ramp / 2, 16}, Row{Health::cold, 32, limits::cold_ramp * 2, 32}}) {
+  for (auto& r : {Row{ReplicaHealth::ready, 32, 0, 32}, Row{ReplicaHealth::ready, 6, 0, 6}, Row{ReplicaHealth::ready, 3, 0, 6},
+                  Row{ReplicaHealth::draining, 32, 0, 0}, Row{ReplicaHealth::warming_up, 32, 0, 1},
+                  Row{ReplicaHealth::warming_up, 32, limits::cold_ramp / 2, 16}, Row{ReplicaHealth::warming_up, 32, limits::cold_ramp * 2, 32}}) {
     uint32_t sum = 0;
     for (auto& [id, d] : m.directory) {
       ReplicaSelector n;
       Replica x{"model1", "model", "a", "http://x", r.health, Epoch{9}, r.places};
-      n.places(x, m, d, 1000);
-      sum += n.places(x, m, d, 1000 + r.after);
+      n.usable_capacity(x, m, d, 1000);
+      sum += n.usable_capacity(x, m, d, 1000 + r.after);
     }
     INFO(name(r.health) << " " << r.places << " after " << r.after);
     CHECK(sum == r.sum);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -20,7 +20,7 @@
       : w(seed, {controllers, 0, 0, 0, 3, 0}) {
     w.configure = [=](Identity& id) {
       id.core_size = core_size;
-      id.core_most = limits::core_most;
+      id.max_core_size = limits::core_most;
       id.later_start = later_start;
     };
     for (auto& s : w.names(Kind::controller)) w.wipe(s), w.start(s);
@@ -42,7 +42,7 @@
   std::set<std::string> members() {
     std::set<std::string> v;
     auto m = sim::latest(w);
-    for (auto id : m->members) v.insert(m->find(id)->self.addr);
+    for (auto id : m->members) v.insert(m->find(id)->self.address);
     return v;
   }
   bool until_members(Millis within, const std::set<std::string>& want) {
@@ -187,8 +187,8 @@
     c.w.run(c.w.below(2000));
     c.w.start(lost);
     auto start = c.w.now();
-    auto inc = c.w.node(lost).id.self.inc;
-    CHECK(c.w.until(2 * catch_up, [&] { return sim::latest(c.w)->member(inc); }));
+    auto incarnation = c.w.node(lost).id.self.incarnation;
+    CHECK(c.w.until(2 * catch_up, [&] { return sim::latest(c.w)->is_core_member(incarnation); }));
     worst = std::max(worst, c.w.now() - start);
     c.no_failures();
   }
@@ -298,8 +298,8 @@
         Envelope e{};
         e.protocol = limits::protocol;
         e.cluster = sim::latest(c.w)->cluster;
-        e.from = old.addr;
-        e.from_inc = old.inc;
+        e.from = old.address;
+        e.from_inc = old.incarnation;
         e.to = "controller1";
         e.body = Discover{old};
         c.w.post("controller1", e);
@@ -323,7 +323,7 @@
   for (auto& s : lost) {
     auto& n = c.w.node(s);
     c.w.power_off(s);
-    aside[s] = {n.id.self.inc, n.disk};
+    aside[s] = {n.id.self.incarnation, n.disk};
     c.w.wipe(s);
     c.w.start(s);
   }
@@ -332,7 +332,7 @@
   for (auto& s : back) {
     c.w.wipe(s);
     auto& n = c.w.node(s);
-    n.id.self.inc = aside[s].first;
+    n.id.self.incarnation = aside[s].first;
     n.disk = aside[s].second;
     c.w.start(s);
   }
@@ -350,7 +350,7 @@
     c.w.run(20000);
     CHECK(sim::latest(c.w)->generation == 2);
     CHECK(c.members() == first_three);
-    CHECK(sim::latest(c.w)->member(c.w.node("controller3").id.self.inc));
+    CHECK(sim::latest(c.w)->is_core_member(c.w.node("controller3").id.self.incarnation));
     CHECK(c.clusters().size() == 1);
     c.no_failures();
   }
@@ -388,7 +388,7 @@
     auto leaver = supervisor();
     auto start = c.w.now();
     auto& n = c.w.node(leaver);
-    static_cast<ControllerMachine&>(*n.machine).leave(c.w.clock(n));
+    static_cast<ControllerMachine&>(*n.machine).begin_shutdown(c.w.clock(n));
     CHECK(c.w.until(1000, [&] { return !n.machine; }));
     CHECK(c.w.until(2000, [&] { return c.members().count(leaver) == 0 && !supervisor().empty(); }));
     worst = std::max(worst, c.w.now() - start);
--- a/tests/metadata_test.cpp
+++ b/tests/metadata_test.cpp
@@ -35,13 +35,13 @@
     CHECK(m == before);
     return render(findings(r));
   }
-  DaemonId id(const std::string& addr) { return m.at(addr)->id; }
-  void join(const std::string& addr) {
-    must(PrepareJoin{id(addr)});
-    for (auto s : {Step::start, Step::mid, Step::finish}) must(Advance{id(addr), s});
+  DaemonId id(const std::string& address) { return m.find_at(address)->id; }
+  void join(const std::string& address) {
+    must(PrepareJoin{id(address)});
+    for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}) must(AdvanceSequence{id(address), s});
   }
   Fleet() {
-    must(Found{7, 3, {who(1, Role::controller, "a"), who(2, Role::controller, "b"), who(3, Role::controller, "c")}});
+    must(FoundCluster{7, 3, {who(1, Role::controller, "a"), who(2, Role::controller, "b"), who(3, Role::controller, "c")}});
     for (uint64_t n = 11; n <= 13; ++n)
       must(Register{who(n, Role::store, std::string(1, static_cast<char>('a' + n - 11)))});
     for (uint64_t n = 11; n <= 13; ++n) join("store" + std::to_string(n));
@@ -55,20 +55,20 @@
 TEST_CASE("a front that starts again at its address owns at once what it owned, under a new term") {
   Fleet f;
   auto old = f.id("front21");
-  auto terms = f.m.slots;
+  auto terms = f.m.partitions;
   f.must(Register{{Incarnation{99}, Role::front, "a", "front21", "", ""}});
   auto now = f.id("front21");
   REQUIRE(now != old);
   size_t n = 0;
-  for (size_t i = 0; i < f.m.slots.size(); ++i) {
-    CHECK(f.m.slots[i].owner != old);
+  for (size_t i = 0; i < f.m.partitions.size(); ++i) {
+    CHECK(f.m.partitions[i].owner != old);
     if (terms[i].owner != old) {
-      CHECK(f.m.slots[i] == terms[i]);
+      CHECK(f.m.partitions[i] == terms[i]);
       continue;
     }
     ++n;
-    CHECK(f.m.slots[i].owner == now);
-    CHECK(f.m.slots[i].term == f.m.epoch);
+    CHECK(f.m.partitions[i].owner == now);
+    CHECK(f.m.partitions[i].term == f.m.epoch);
   }
   CHECK(n > 0);
   f.must(PrepareJoin{now});
@@ -86,26 +86,26 @@
 
 TEST_CASE("who counts changes by two steps, and between them both sets must agree") {
   Fleet f;
-  CHECK(f.m.quorum.size() == 3);
+  CHECK(f.m.quorum_members.size() == 3);
   auto core = [](const Daemon& d) { return d.self.role == Role::controller; };
   auto most = [](const Daemon& d) { return d.self.role != Role::front; };
-  CHECK(f.m.quorate(core));
-  f.must(Recount{});
-  CHECK(f.m.incoming.size() == 8);
-  CHECK_FALSE(f.m.quorate(core));
-  CHECK(f.m.quorate(most));
-  CHECK_FALSE(f.m.quorate([&](const Daemon& d) { return !core(d); }));
-  CHECK(f.refused(Recount{}).find("is not over") != std::string::npos);
-  auto since = f.m.recounted;
-  f.must(Recounted{since});
-  CHECK(f.m.quorum.size() == 8);
+  CHECK(f.m.has_quorum(core));
+  f.must(BeginQuorumChange{});
+  CHECK(f.m.incoming_quorum_members.size() == 8);
+  CHECK_FALSE(f.m.has_quorum(core));
+  CHECK(f.m.has_quorum(most));
+  CHECK_FALSE(f.m.has_quorum([&](const Daemon& d) { return !core(d); }));
+  CHECK(f.refused(BeginQuorumChange{}).find("is not over") != std::string::npos);
+  auto since = f.m.quorum_change_epoch;
+  f.must(FinishQuorumChange{since});
+  CHECK(f.m.quorum_members.size() == 8);
   f.must(MarkDown{f.id("front21")});
-  CHECK(f.refused(Recount{}).find("nobody came or left") != std::string::npos);
+  CHECK(f.refused(BeginQuorumChange{}).find("nobody came or left") != std::string::npos);
   auto old = f.id("front21");
   f.must(Register{{Incarnation{99}, Role::front, "a", "front21", "", ""}});
   auto fresh = f.id("front21");
-  CHECK(std::count(f.m.quorum.begin(), f.m.quorum.end(), old) == 0);
-  CHECK(std::count(f.m.quorum.begin(), f.m.quorum.end(), fresh) == 1);
+  CHECK(std::count(f.m.quorum_members.begin(), f.m.quorum_members.end(), old) == 0);
+  CHECK(std::count(f.m.quorum_members.begin(), f.m.quorum_members.end(), fresh) == 1);
 }
 
 TEST_CASE("transformations are pure: the same input gives the same bytes") {
@@ -124,16 +124,16 @@
   f.must(PrepareJoin{n});
   CHECK(f.m.locks.size() == f.m.sequences.at(n).moves.size());
   CHECK(f.m.locks.size() >= limits::slots / 3 - 1);
-  CHECK(f.refused(Advance{n, Step::mid}) == "daemon " + std::to_string(n.v) + ": its next step is start, not mid");
+  CHECK(f.refused(AdvanceSequence{n, SequenceStep::mid}) == "daemon " + std::to_string(n.v) + ": its next step is start, not mid");
   CHECK(f.refused(PrepareJoin{n}).find("has a sequence in progress") != std::string::npos);
-  f.must(Advance{n, Step::start});
-  f.refused(Advance{n, Step::start});
-  f.must(Advance{n, Step::mid});
-  for (auto& s : f.m.slots) CHECK(s.owner != n);
-  f.must(Advance{n, Step::finish});
+  f.must(AdvanceSequence{n, SequenceStep::start});
+  f.refused(AdvanceSequence{n, SequenceStep::start});
+  f.must(AdvanceSequence{n, SequenceStep::mid});
+  for (auto& s : f.m.partitions) CHECK(s.owner != n);
+  f.must(AdvanceSequence{n, SequenceStep::finish});
   CHECK(f.m.locks.empty());
   CHECK(f.m.sequences.empty());
-  CHECK(std::count_if(f.m.slots.begin(), f.m.slots.end(),
+  CHECK(std::count_if(f.m.partitions.begin(), f.m.partitions.end(),
                       [&](auto& s) { return s.owner == n && s.term == f.m.epoch; }) >= limits::slots / 3 - 1);
 }
 
@@ -144,24 +144,24 @@
   f.must(PrepareJoin{n});
   CHECK(f.refused(PrepareDrain{other}).find("is locked by the sequence of daemon " + std::to_string(n.v)) !=
         std::string::npos);
-  CHECK(f.refused(MoveRoutes{other, f.id("front22")}).find("is locked by") != std::string::npos);
+  CHECK(f.refused(MoveAllPartitions{other, f.id("front22")}).find("is locked by") != std::string::npos);
   f.must(CancelSequence{n, "test"});
   f.must(PrepareDrain{other});
 }
 
-TEST_CASE("between start and finish a line's writes need both sets; cancel gives back the old one") {
+TEST_CASE("between start and finish a history's writes need both sets; cancel gives back the old one") {
   Fleet f;
   f.must(Register{who(14, Role::store, "a")});
   auto n = f.id("store14");
-  auto before = f.m.slots;
+  auto before = f.m.partitions;
   f.must(PrepareJoin{n});
-  f.must(Advance{n, Step::start});
-  auto moving = std::count_if(f.m.slots.begin(), f.m.slots.end(), [](auto& s) { return !s.pending.empty(); });
+  f.must(AdvanceSequence{n, SequenceStep::start});
+  auto moving = std::count_if(f.m.partitions.begin(), f.m.partitions.end(), [](auto& s) { return !s.pending_stores.empty(); });
   CHECK(moving == static_cast<long>(f.m.sequences.at(n).moves.size()));
   f.must(CancelSequence{n, "test"});
   for (size_t i = 0; i < before.size(); ++i) {
-    CHECK(f.m.slots[i].pending.empty());
-    CHECK(f.m.slots[i].stores == before[i].stores);
+    CHECK(f.m.partitions[i].pending_stores.empty());
+    CHECK(f.m.partitions[i].stores == before[i].stores);
   }
 }
 
@@ -174,25 +174,25 @@
   auto store = f.id("store11"), front = f.id("front21"), core = f.id("controller1");
   const Row rows[] = {
       {PrepareDrain{store}, "would leave 2 of 3 copies"},
-      {ReplaceCore{core, front}, "is not a spare controller"},
-      {AdmitCore{front}, "is not a registered controller"},
-      {AdmitCore{core}, "is a core member already"},
+      {ReplaceCoreMember{core, front}, "is not a spare controller"},
+      {AddCoreMember{front}, "is not a registered controller"},
+      {AddCoreMember{core}, "is a core member already"},
       {PrepareDrain{core}, "is no front worker or store"},
       {MarkDown{DaemonId{99}}, "is unknown"},
       {MarkUp{front}, "is not down"},
-      {Advance{front, Step::start}, "has no sequence in progress"},
+      {AdvanceSequence{front, SequenceStep::start}, "has no sequence in progress"},
       {CancelSequence{front, ""}, "has no sequence in progress"},
       {EvacuateZone{"q"}, "is unknown"},
       {RestoreZone{"a"}, "is not evacuated"},
-      {MoveSlot{SlotId{1}, store}, "is no front worker"},
-      {MoveRoutes{front, front}, "is the same node"},
-      {DropReplica{"m"}, "is no replica"},
-      {SetReplica{{"m", "modal", "a", "ftp://x", Health::ready, {}, 0}},
+      {MovePartition{PartitionId{1}, store}, "is no front worker"},
+      {MoveAllPartitions{front, front}, "is the same node"},
+      {RemoveReplica{"m"}, "is no replica"},
+      {SetReplica{{"m", "modal", "a", "ftp://x", ReplicaHealth::ready, {}, 0}},
        "kind: is neither model nor app; url: does not begin with http://"},
-      {SetReplica{{"m", "model", "a", "http://x", Health::ready, {}, 5000}}, "places: must be from 1 to 4096"},
-      {Recounted{Epoch{3}}, "none of epoch 3 is under way"},
+      {SetReplica{{"m", "model", "a", "http://x", ReplicaHealth::ready, {}, 5000}}, "places: must be from 1 to 4096"},
+      {FinishQuorumChange{Epoch{3}}, "none of epoch 3 is under way"},
       {ApplyConfiguration{Revision{3}, {}}, "built on 3, in force is 0"},
-      {Found{8, 3, {}}, "is founded already"},
+      {FoundCluster{8, 3, {}}, "is founded already"},
       {Register{who(21, Role::front, "a")}, "is registered already"},
   };
   for (auto& r : rows) {
@@ -200,12 +200,12 @@
     CHECK(f.refused(r.t).find(r.why) != std::string::npos);
   }
   auto fresh = who(31, Role::store, "a");
-  fresh.addr = "store11";
+  fresh.address = "store11";
   CHECK(f.refused(Register{fresh}).find("not known to be down") != std::string::npos);
   f.must(Register{who(4, Role::controller, "a")});
-  CHECK(f.refused(ReplaceCore{core, f.id("controller4")}).find("is a live member") != std::string::npos);
+  CHECK(f.refused(ReplaceCoreMember{core, f.id("controller4")}).find("is a live member") != std::string::npos);
   f.must(MarkDown{core});
-  f.must(ReplaceCore{core, f.id("controller4")});
+  f.must(ReplaceCoreMember{core, f.id("controller4")});
   CHECK(f.m.members.front() == f.id("controller4"));
 }
 
@@ -226,26 +226,26 @@
   Fleet f;
   auto n = f.id("front21");
   f.must(MarkDown{n});
-  for (auto& s : f.m.slots) { CHECK(s.owner == f.id("front22")); }
+  for (auto& s : f.m.partitions) { CHECK(s.owner == f.id("front22")); }
   f.must(MarkUp{n});
   CHECK(f.m.find(n)->state == DaemonState::registered);
   f.join("front21");
-  CHECK(places::owned(f.m).at(n) == limits::slots / 2);
+  CHECK(placement::partitions_per_front(f.m).at(n) == limits::slots / 2);
 }
 
 TEST_CASE("a drained front stays in the directory while its turns end, and leaves once it is silent") {
   Fleet f;
   auto n = f.id("front21");
   f.must(PrepareDrain{n});
-  for (auto s : {Step::start, Step::mid, Step::finish}) f.must(Advance{n, s});
+  for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}) f.must(AdvanceSequence{n, s});
   CHECK(f.m.find(n)->state == DaemonState::draining);
   f.must(MarkDown{n});
   CHECK(f.m.find(n)->state == DaemonState::left);
 }
 
-TEST_CASE("lines lie in as many zones as there are") {
+TEST_CASE("Histories are spread over as many zones as there are") {
   Fleet f;
-  for (auto& s : f.m.slots) {
+  for (auto& s : f.m.partitions) {
     std::set<std::string> z;
     for (auto r : s.stores) z.insert(f.m.find(r)->self.zone);
     CHECK(z.size() == 3);
@@ -253,8 +253,8 @@
   f.must(Register{who(14, Role::store, "a")});
   f.join("store14");
   f.must(PrepareDrain{f.id("store11")});
-  for (auto s : {Step::start, Step::mid, Step::finish}) f.must(Advance{f.id("store11"), s});
-  for (auto& s : f.m.slots) {
+  for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}) f.must(AdvanceSequence{f.id("store11"), s});
+  for (auto& s : f.m.partitions) {
     std::set<std::string> z;
     for (auto r : s.stores) z.insert(f.m.find(r)->self.zone);
     CHECK(z.size() == 3);
@@ -266,8 +266,8 @@
   REQUIRE(ok(f.go(EvacuateZone{"a"}, "once")));
   auto e = f.m.epoch;
   f.must(RestoreZone{"a"});
-  CHECK(f.m.outcome("once") == e);
-  CHECK_FALSE(f.m.outcome("twice"));
+  CHECK(f.m.epoch_of_commit("once") == e);
+  CHECK_FALSE(f.m.epoch_of_commit("twice"));
 }
 
 namespace {
@@ -315,26 +315,26 @@
     auto old = f.id("controller" + std::to_string(n));
     f.must(Register{who(n + 3, Role::controller, "a")});
     auto fresh = f.id("controller" + std::to_string(n + 3));
-    CHECK(f.refused(AdmitCore{fresh}).find("full number") != std::string::npos);
+    CHECK(f.refused(AddCoreMember{fresh}).find("full number") != std::string::npos);
     step(MarkDown{old});
-    step(AdmitCore{fresh});
+    step(AddCoreMember{fresh});
     CHECK(f.m.members.size() == 4);
-    CHECK(f.refused(DropCore{fresh}).find("is a live member") != std::string::npos);
-    step(DropCore{old});
+    CHECK(f.refused(RemoveCoreMember{fresh}).find("is a live member") != std::string::npos);
+    step(RemoveCoreMember{old});
     CHECK(f.m.members.size() == 3);
     CHECK(f.m.core_size == 3);
     CHECK(f.m.find(old)->state == DaemonState::left);
   }
-  CHECK(f.refused(DropCore{f.m.members[0]}).find("is a live member") != std::string::npos);
+  CHECK(f.refused(RemoveCoreMember{f.m.members[0]}).find("is a live member") != std::string::npos);
   step(MarkDown{f.m.members[0]});
-  CHECK(f.refused(DropCore{f.m.members[0]}).find("too small") != std::string::npos);
+  CHECK(f.refused(RemoveCoreMember{f.m.members[0]}).find("too small") != std::string::npos);
 }
 
 TEST_CASE("no admission or removal that the log takes parts the majorities of the two cores") {
   uint64_t dice = 7;
   auto roll = [&](size_t n) { return (dice = digest("roll", dice)) % n; };
   Fleet f;
-  f.m.core_most = 7;
+  f.m.max_core_size = 7;
   uint64_t next_controller = 4;
   size_t changes = 0;
   for (int i = 0; i < 300; ++i) {
@@ -342,7 +342,7 @@
     auto one = f.m.members[roll(f.m.members.size())];
     auto spare = before.front();
     for (auto& [id, d] : f.m.directory)
-      if (d.self.role == Role::controller && !f.m.member(d.self.inc)) spare = id;
+      if (d.self.role == Role::controller && !f.m.is_core_member(d.self.incarnation)) spare = id;
     switch (roll(6)) {
       case 0:
         f.go(Register{who(next_controller++, Role::controller, "b")});
@@ -354,10 +354,10 @@
         f.go(MarkUp{one});
         break;
       case 3:
-        f.go(DropCore{one});
+        f.go(RemoveCoreMember{one});
         break;
       default:
-        f.go(AdmitCore{spare});
+        f.go(AddCoreMember{spare});
     }
     changes += before != f.m.members;
     if (before != f.m.members) CHECK(majorities_meet(before, f.m.members));
@@ -371,16 +371,16 @@
   auto again = who(1, Role::controller, "a");
   CHECK(f.refused(Register{again}).find("is registered already") != std::string::npos);
   auto fresh = again;
-  fresh.inc = Incarnation{91};
+  fresh.incarnation = Incarnation{91};
   f.must(Register{fresh});
   CHECK(f.m.find(old)->state == DaemonState::down);
-  f.must(AdmitCore{f.id("controller1")});
-  f.must(DropCore{old});
+  f.must(AddCoreMember{f.id("controller1")});
+  f.must(RemoveCoreMember{old});
   CHECK(f.refused(Register{again}).find("belongs to") != std::string::npos);
-  f.must(MarkDown{f.m.find(fresh.inc)->id});
+  f.must(MarkDown{f.m.find(fresh.incarnation)->id});
   f.must(Register{again});
   CHECK(f.m.find(old)->state == DaemonState::up);
-  CHECK_FALSE(f.m.member(again.inc));
+  CHECK_FALSE(f.m.is_core_member(again.incarnation));
 }
 
 TEST_CASE("a taken configuration is known again after the memory of all commits has rolled over") {
@@ -389,33 +389,33 @@
   auto at = f.m.epoch;
   for (size_t i = 0; i <= limits::commit_memory; ++i)
     f.go(MarkDown{f.id("store11")}, "m" + std::to_string(i)), f.go(MarkUp{f.id("store11")}, "u" + std::to_string(i));
-  CHECK(f.m.remembered.front().id != "first");
-  CHECK(f.m.outcome("first") == at);
-  CHECK_FALSE(f.m.outcome("rival"));
+  CHECK(f.m.applied_commits.front().id != "first");
+  CHECK(f.m.epoch_of_commit("first") == at);
+  CHECK_FALSE(f.m.epoch_of_commit("rival"));
 }
 
 TEST_CASE("an order on a revision older than all that is remembered cannot be told from a taken one") {
   Fleet f;
   auto order = [](uint64_t base) { return ApplyConfiguration{Revision{base}, {}, {}}; };
   for (uint64_t r = 0; r < limits::order_memory; ++r) REQUIRE(ok(f.go(order(r), "o" + std::to_string(r))));
-  CHECK(f.m.outcome("o0"));
-  CHECK(rejection(f.m, order(0)) == Rejection::other_revision);
+  CHECK(f.m.epoch_of_commit("o0"));
+  CHECK(rejection_reason(f.m, order(0)) == Rejection::revision_conflict);
   REQUIRE(ok(f.go(order(limits::order_memory), "last")));
-  CHECK(f.m.orders.size() == limits::order_memory);
-  CHECK(rejection(f.m, order(0)) == Rejection::forgotten);
-  CHECK(rejection(f.m, order(1)) == Rejection::other_revision);
-  CHECK(rejection(f.m, order(limits::order_memory + 9)) == Rejection::other_revision);
+  CHECK(f.m.applied_configurations.size() == limits::order_memory);
+  CHECK(rejection_reason(f.m, order(0)) == Rejection::forgotten);
+  CHECK(rejection_reason(f.m, order(1)) == Rejection::revision_conflict);
+  CHECK(rejection_reason(f.m, order(limits::order_memory + 9)) == Rejection::revision_conflict);
 }
 
 TEST_CASE("a rejection says which of its reasons it has") {
   Fleet f;
   REQUIRE(ok(f.go(ApplyConfiguration{f.m.revision, {}, Revision{7}}, "first")));
-  CHECK(rejection(f.m, ApplyConfiguration{Revision{7}, {}, Revision{7}}) == Rejection::invalid);
-  CHECK(rejection(f.m, ApplyConfiguration{Revision{5}, {}, Revision{8}}) == Rejection::other_revision);
-  CHECK(rejection(f.m, ApplyConfiguration{Revision{9}, {}, Revision{10}}) == Rejection::other_revision);
-  CHECK(rejection(f.m, EvacuateZone{"nowhere"}) == Rejection::unknown_target);
-  CHECK(rejection(f.m, RestoreZone{"a"}) == Rejection::already_so);
+  CHECK(rejection_reason(f.m, ApplyConfiguration{Revision{7}, {}, Revision{7}}) == Rejection::invalid);
+  CHECK(rejection_reason(f.m, ApplyConfiguration{Revision{5}, {}, Revision{8}}) == Rejection::revision_conflict);
+  CHECK(rejection_reason(f.m, ApplyConfiguration{Revision{9}, {}, Revision{10}}) == Rejection::revision_conflict);
+  CHECK(rejection_reason(f.m, EvacuateZone{"nowhere"}) == Rejection::unknown_target);
+  CHECK(rejection_reason(f.m, RestoreZone{"a"}) == Rejection::already_in_effect);
   f.must(EvacuateZone{"a"});
-  CHECK(rejection(f.m, EvacuateZone{"a"}) == Rejection::already_so);
-  CHECK(rejection(f.m, PrepareDrain{DaemonId{999}}) == Rejection::unknown_target);
+  CHECK(rejection_reason(f.m, EvacuateZone{"a"}) == Rejection::already_in_effect);
+  CHECK(rejection_reason(f.m, PrepareDrain{DaemonId{999}}) == Rejection::unknown_target);
 }
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -60,24 +60,24 @@
 
 std::optional<size_t> Cluster::at(const Address& a) const {
   for (size_t i = 0; i < nodes_.size(); ++i)
-    if (nodes_[i].identity.self.addr == a) return i;
+    if (nodes_[i].identity.self.address == a) return i;
   return std::nullopt;
 }
 
 void Cluster::start(size_t node) {
   auto& n = nodes_[node];
-  n.found = {n.identity.self.inc, n.checkpoint, n.journal};
+  n.found = {n.identity.self.incarnation, n.checkpoint, n.journal};
   n.started = n.clock;
   ++n.identity.dice;
   n.inputs = nullptr;
   n.unsynced.clear();
   n.unordered = 0;
-  n.history = mix(n.identity.self.inc.v, digest(n.checkpoint.value_or("")));
+  n.history = mix(n.identity.self.incarnation.v, digest(n.checkpoint.value_or("")));
   for (auto& record : n.journal) n.history = mix(n.history, digest(record));
   n.running.machine.reset();
   n.view = machine(n).view();
   n.durable = model::durable(machine(n));
-  observer_.restarted(n.identity.self.inc, n.durable);
+  observer_.restarted(n.identity.self.incarnation, n.durable);
   observer_.disks(disks());
   look(node);
 }
@@ -90,17 +90,17 @@
 
 void Cluster::wipe(size_t node) {
   auto& n = nodes_[node];
-  n.lost = Disk{n.identity.self.inc, n.checkpoint, n.journal};
+  n.lost = Disk{n.identity.self.incarnation, n.checkpoint, n.journal};
   n.checkpoint.reset();
   n.journal.clear();
-  n.identity.self.inc = Incarnation{next_incarnation_++};
+  n.identity.self.incarnation = Incarnation{next_incarnation_++};
   n.identity.later_start = true;
   crash(node);
 }
 
 void Cluster::return_disk(size_t node) {
   auto& n = nodes_[node];
-  n.identity.self.inc = n.lost->inc;
+  n.identity.self.incarnation = n.lost->incarnation;
   n.checkpoint = n.lost->checkpoint;
   n.journal = n.lost->journal;
   n.lost.reset();
@@ -109,12 +109,12 @@
 
 /// Tells the observer what a node shows and what all disks hold.
 void Cluster::look(size_t node) {
-  observer_.saw(nodes_[node].identity.self.inc, nodes_[node].view);
+  observer_.saw(nodes_[node].identity.self.incarnation, nodes_[node].view);
 }
 
 std::map<Incarnation, Durable> Cluster::disks() const {
   std::map<Incarnation, Durable> all;
-  for (auto& n : nodes_) all[n.identity.self.inc] = n.durable;
+  for (auto& n : nodes_) all[n.identity.self.incarnation] = n.durable;
   return all;
 }
 
@@ -177,7 +177,7 @@
     for (auto& e : b.sends) sends.push_back(std::move(e));
   }
   if (changed) {
-    n.durable = model::durable(ControllerMachine(n.identity, {n.identity.self.inc, n.checkpoint, n.journal}, n.clock));
+    n.durable = model::durable(ControllerMachine(n.identity, {n.identity.self.incarnation, n.checkpoint, n.journal}, n.clock));
     observer_.disks(disks());
   }
   for (auto& e : sends) send(node, std::move(e));
@@ -225,7 +225,7 @@
 }
 
 void Cluster::inject(size_t node, Envelope e) {
-  e.to = nodes_[node].identity.self.addr;
+  e.to = nodes_[node].identity.self.address;
   receive(node, std::make_shared<Envelope>(std::move(e)));
   drain();
 }
--- a/tests/model/cluster.hpp
+++ b/tests/model/cluster.hpp
@@ -88,7 +88,7 @@
   Millis clock(size_t node) const { return nodes_[node].clock; }
   size_t in_flight() const { return network_.size(); }
   const Envelope& message(size_t index) const { return *network_[index].envelope; }
-  Incarnation incarnation(size_t node) const { return nodes_[node].identity.self.inc; }
+  Incarnation incarnation(size_t node) const { return nodes_[node].identity.self.incarnation; }
   const Candidate& candidate(size_t node) const { return nodes_[node].identity.self; }
   const Observer& observer() const { return observer_; }
   Budget budget;
@@ -115,7 +115,7 @@
     std::vector<Envelope> sends;
   };
   struct Disk {
-    Incarnation inc{};
+    Incarnation incarnation{};
     std::optional<std::string> checkpoint;
     std::vector<std::string> journal;
   };
--- a/tests/model/fault_test.cpp
+++ b/tests/model/fault_test.cpp
@@ -42,7 +42,7 @@
 bool deliver(Cluster& c, size_t from, size_t to) {
   for (size_t i = 0; i < c.in_flight(); ++i) {
     auto& m = c.message(i);
-    if (std::holds_alternative<T>(m.body) && m.from_inc == c.incarnation(from) && m.to == c.candidate(to).addr)
+    if (std::holds_alternative<T>(m.body) && m.from_inc == c.incarnation(from) && m.to == c.candidate(to).address)
       return c.apply({Kind::deliver, to, i, 0}), true;
   }
   return false;
@@ -52,7 +52,7 @@
 void force(Cluster& c, const Transformation& change, const std::string& id) {
   auto before = c.view(0)->epoch;
   c.inject(0, from_outside(c.view(0)->cluster, Commit{id, change, before}));
-  REQUIRE(settle(c, 400, [&](auto& x) { return x.view(0)->outcome(id) || !x.observer().broken().empty(); }));
+  REQUIRE(settle(c, 400, [&](auto& x) { return x.view(0)->epoch_of_commit(id) || !x.observer().broken().empty(); }));
 }
 
 }  // namespace
@@ -110,7 +110,7 @@
   c.apply({Kind::cut, 3, 8, 0});
   force(c, Register{c.candidate(3)}, "register");
   REQUIRE(c.observer().broken().empty());
-  force(c, AdmitCore{c.view(0)->find(c.incarnation(3))->id}, "admit");
+  force(c, AddCoreMember{c.view(0)->find(c.incarnation(3))->id}, "admit");
   CHECK(c.observer().broken().find("before it held the log") != std::string::npos);
 }
 
@@ -153,7 +153,7 @@
   auto fresh = c.view(0)->find(c.incarnation(3))->id, lost = c.view(0)->find(c.incarnation(2))->id;
   c.apply({Kind::cut, 2, 4, 0});
   force(c, MarkDown{lost}, "down");
-  force(c, ReplaceCore{lost, fresh}, "replace");
+  force(c, ReplaceCoreMember{lost, fresh}, "replace");
   CHECK(c.observer().broken().find("need not meet") != std::string::npos);
 }
 
@@ -181,10 +181,10 @@
   REQUIRE(deliver<Prepare>(c, 0, 2));
   deliver<Promise>(c, 2, 0);
   REQUIRE(deliver<Accepted>(c, 1, 0));
-  CHECK(!c.view(0)->outcome("fourth"));
+  CHECK(!c.view(0)->epoch_of_commit("fourth"));
   c.apply({Kind::cut, 0, 1, 0});
   c.apply({Kind::order, 1, 2, 0});
   settle(c, 400, [](auto& x) { return !x.observer().broken().empty(); });
   CHECK(c.observer().broken().empty());
-  CHECK(c.view(1)->outcome("third"));
+  CHECK(c.view(1)->epoch_of_commit("third"));
 }
--- a/tests/model/observer.cpp
+++ b/tests/model/observer.cpp
@@ -11,7 +11,7 @@
 
 bool holds(const Durable& d, uint64_t generation, Epoch epoch, const std::string& commit) {
   if (d.generation > generation || d.epoch >= epoch) return true;
-  return d.open == epoch && d.accepted && d.accepted->second.commit == commit;
+  return d.open == epoch && d.accepted && d.accepted->entry.commit_id == commit;
 }
 
 }  // namespace
@@ -20,10 +20,10 @@
   if (broken_.empty()) broken_ = std::move(what);
 }
 
-void Observer::saw(Incarnation inc, const View& v) {
+void Observer::saw(Incarnation incarnation, const View& v) {
   if (!v->cluster) return;
-  auto& t = told_[inc];
-  if (v->generation < t.generation) fail("incarnation " + hex(inc.v) + " went back to an earlier generation");
+  auto& t = told_[incarnation];
+  if (v->generation < t.generation) fail("incarnation " + hex(incarnation.v) + " went back to an earlier generation");
   t.generation = std::max(t.generation, v->generation);
   agreement(v);
   contains_acknowledged(*v);
@@ -48,8 +48,8 @@
 void Observer::newcomers_hold_log(const Metadata& before, const Metadata& after) {
   for (auto id : after.members) {
     auto* d = after.find(id);
-    auto disk = disks_.find(d->self.inc);
-    if (before.member(d->self.inc) || disk == disks_.end()) continue;
+    auto disk = disks_.find(d->self.incarnation);
+    if (before.is_core_member(d->self.incarnation) || disk == disks_.end()) continue;
     if (disk->second.generation < after.generation || disk->second.epoch < d->since)
       fail("daemon " + std::to_string(id.v) + " became a member at epoch " + std::to_string(after.epoch.v) +
            " before it held the log");
@@ -66,7 +66,7 @@
 
 void Observer::contains_acknowledged(const Metadata& m) {
   for (auto& a : acknowledged_)
-    if (m.epoch >= a.epoch && !m.outcome(a.commit))
+    if (m.epoch >= a.epoch && !m.epoch_of_commit(a.commit))
       fail("acknowledged change " + a.commit + " is missing at epoch " + std::to_string(m.epoch.v) + " of generation " +
            std::to_string(m.generation));
 }
@@ -83,17 +83,17 @@
       t.accepted_at = a->epoch, t.accepted = a->ballot;
 }
 
-void Observer::restarted(Incarnation inc, const Durable& d) {
-  auto i = told_.find(inc);
+void Observer::restarted(Incarnation incarnation, const Durable& d) {
+  auto i = told_.find(incarnation);
   if (i == told_.end()) return;
   auto& t = i->second;
-  auto who = "incarnation " + hex(inc.v) + " ";
+  auto who = "incarnation " + hex(incarnation.v) + " ";
   t.generation = d.generation;  // what it had not told may be lost
   if (d.epoch < t.epoch) fail(who + "told epoch " + std::to_string(t.epoch.v) + " and went back by a restart");
   bool promise_kept = d.epoch >= t.promised_at || (d.open == t.promised_at && d.promised >= t.promised);
   if (t.promised_at.v && !promise_kept) fail(who + "forgot a promise by a restart");
   bool vote_kept =
-      d.epoch >= t.accepted_at || (d.open == t.accepted_at && d.accepted && d.accepted->first >= t.accepted);
+      d.epoch >= t.accepted_at || (d.open == t.accepted_at && d.accepted && d.accepted->ballot >= t.accepted);
   if (t.accepted_at.v && !vote_kept) fail(who + "forgot a vote by a restart");
 }
 
@@ -105,8 +105,8 @@
 }
 
 void Observer::answered(const Transformation& t, const CommitReply& r) {
-  if (r.outcome == Outcome::unknown) return;
-  if (r.outcome == Outcome::yes) {
+  if (r.outcome == CommitOutcome::unknown) return;
+  if (r.outcome == CommitOutcome::committed) {
     one_for_each_base(r.id, t);
     if (rejected_.count(r.id)) fail("change " + r.id + " was refused and then acknowledged");
     auto known = [&](auto& a) { return a.commit == r.id; };
@@ -114,7 +114,7 @@
     return majority_holds_acknowledged();
   }
   rejected_.insert(r.id);
-  if (newest_->outcome(r.id)) return fail("change " + r.id + " was decided and then refused");
+  if (newest_->epoch_of_commit(r.id)) return fail("change " + r.id + " was decided and then refused");
   if (ok(apply(*newest_, Entry{next(newest_->epoch), r.id, t})))
     fail("change " + r.id + " was refused though the newest epoch takes it");
 }
@@ -130,7 +130,7 @@
   for (auto& a : acknowledged_) {
     size_t lacking = 0;
     for (auto id : m.members) {
-      auto i = disks_.find(m.find(id)->self.inc);
+      auto i = disks_.find(m.find(id)->self.incarnation);
       lacking += i != disks_.end() && !holds(i->second, m.generation, a.epoch, a.commit);
     }
     if (lacking >= majority_of(m.members.size()))
--- a/tests/model/observer.hpp
+++ b/tests/model/observer.hpp
@@ -10,17 +10,17 @@
   Epoch epoch{};
   Epoch open{};
   Ballot promised{};
-  std::optional<Accept_> accepted;
+  std::optional<AcceptedProposal> accepted;
 };
 
 class Observer {
  public:
   /// A node shows another value than before.
-  void saw(Incarnation inc, const View& v);
+  void saw(Incarnation incarnation, const View& v);
   /// A message leaves a node; what it promises must outlive the process.
   void sent(const Envelope& e);
   /// A node has started with this on its disk.
-  void restarted(Incarnation inc, const Durable& d);
+  void restarted(Incarnation incarnation, const Durable& d);
   /// The operator's order was answered, with these disks.
   void answered(const Transformation& t, const CommitReply& r);
   /// Disks changed: whatever was acknowledged must still be found by any later majority.
--- a/tests/newest_epoch_test.cpp
+++ b/tests/newest_epoch_test.cpp
@@ -29,7 +29,7 @@
     m = value(r);
   }
   Restarted() {
-    commit(old, {Epoch{1}, "", Found{7, 3, {controller(1), controller(2), controller(3)}}});
+    commit(old, {Epoch{1}, "", FoundCluster{7, 3, {controller(1), controller(2), controller(3)}}});
     newest = old;
     for (uint64_t n = 11; n <= 13; ++n) {
       Candidate store{Incarnation{n}, Role::store, "zone", "store" + std::to_string(n), "", "", ""};
@@ -54,7 +54,7 @@
       for (auto& e : a.now)
         if (auto* r = std::get_if<LeaseRequest>(&e.body)) {
           auto by = e.to_inc.v;
-          from(by, by == 1 ? machine->view()->epoch : epoch, LeaseGrant{r->number, true, {}});
+          from(by, by == 1 ? machine->view()->epoch : epoch, LeaseGrant{r->request_id, true, {}});
         }
       if (machine->is_supervisor(now)) return true;
     }
@@ -106,9 +106,9 @@
   REQUIRE(reply != nullptr);
   CHECK_FALSE(reply->checkpoint);
   CHECK(reply->entries.empty());
-  Ledger ledger;
-  REQUIRE(ledger.jump(r.newest));
-  CHECK_FALSE(ledger.jump(r.old));
+  MetadataLog ledger;
+  REQUIRE(ledger.install_snapshot(r.newest));
+  CHECK_FALSE(ledger.install_snapshot(r.old));
   CHECK(ledger.add(r.lacking.front()).empty());
   CHECK(*ledger.view() == r.newest);
 }
@@ -131,7 +131,7 @@
   c.metadata = r.old;
   c.open = next(r.old.epoch);
   c.promised = {9, 9};
-  c.accepted = Accept_{{9, 9}, {next(r.old.epoch), "open", Register{controller(4)}}};
+  c.accepted = AcceptedProposal{{9, 9}, {next(r.old.epoch), "open", Register{controller(4)}}};
   auto starts_with = [&](std::vector<std::string> journal) {
     return ControllerMachine(Identity{controller(1), {}}, Recovered{Incarnation{1}, codec::pack(c), std::move(journal)},
                              start);
