--- a/src/configuration/json.hpp
+++ b/src/base/json.hpp
@@ -3,7 +3,7 @@
 #include <boost/hana.hpp>
 #include <nlohmann/json.hpp>
 
-#include "kernel/codec.hpp"
+#include "base/codec.hpp"
 
 namespace mosskeel::json {
 using Json = nlohmann::json;
--- a/src/kernel/log.cpp
+++ b/src/base/log.cpp
@@ -1,4 +1,4 @@
-#include "kernel/log.hpp"
+#include "base/log.hpp"
 
 #include <glog/logging.h>
 
--- a/src/kernel/log.hpp
+++ b/src/base/log.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Numbered events through glog.
-#include "kernel/events.hpp"
+#include "base/events.hpp"
 #include "mosskeel.hpp"
 
 namespace mosskeel {
--- a/src/kernel/memory.cpp
+++ b/src/base/memory.cpp
@@ -1,4 +1,4 @@
-#include "kernel/memory.hpp"
+#include "base/memory.hpp"
 
 #include <malloc.h>
 #include <sys/sysinfo.h>
--- a/src/mosskeelctl/main.cpp
+++ b/src/cli/main.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "kernel/web.hpp"
+#include "net/http_fetch.hpp"
 
 using namespace mosskeel;
 
--- a/src/consensus/acceptor.hpp
+++ b/src/consensus/acceptor.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // The Paxos acceptor of the one open instance: the epoch after the last decided one.
-#include "follow/ledger.hpp"
+#include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
--- a/src/consensus/failure_detector.hpp
+++ b/src/consensus/failure_detector.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Who was heard when, and what they knew: the observations of one controller.
-#include "follow/ledger.hpp"
+#include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
--- a/src/consensus/supervisor_core.cpp
+++ b/src/consensus/supervisor_core.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "consensus/supervisor.hpp"
-#include "metadata/membership.hpp"
+#include "metadata/core_membership.hpp"
 
 namespace mosskeel {
 
--- a/src/controller/admin_api.cpp
+++ b/src/control/admin_api.cpp
@@ -1,7 +1,7 @@
-#include "controller/admin_api.hpp"
+#include "control/admin_api.hpp"
 
-#include "kernel/daemon.hpp"
-#include "configuration/json.hpp"
+#include "runtime/daemon.hpp"
+#include "base/json.hpp"
 
 namespace mosskeel {
 using json::Json;
--- a/src/operator/control.hpp
+++ b/src/control/cluster_control.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // What a platform may order of the core, in the product's words, and how its way of asking plugs in.
-#include "kernel/http.hpp"
+#include "net/http_server.hpp"
 
 namespace mosskeel {
 
--- a/src/operator/language.cpp
+++ b/src/control/command_language.cpp
@@ -1,4 +1,4 @@
-#include "operator/language.hpp"
+#include "control/command_language.hpp"
 
 #include <algorithm>
 
--- a/src/operator/language.hpp
+++ b/src/control/command_language.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // The operators' small language: sentences in, commands or findings with their position out.
-#include "metadata/transform.hpp"
+#include "metadata/transformation.hpp"
 
 namespace mosskeel::command_language {
 
--- a/src/operator/answers.cpp
+++ b/src/control/command_queries.cpp
@@ -1,8 +1,8 @@
 #include <algorithm>
 #include <sstream>
 
-#include "configuration/json.hpp"
-#include "operator/language.hpp"
+#include "base/json.hpp"
+#include "control/command_language.hpp"
 
 namespace mosskeel::command_language {
 namespace {
--- a/src/operator/control.cpp
+++ b/src/control/control_protocol.cpp
@@ -1,4 +1,4 @@
-#include "operator/control.hpp"
+#include "control/cluster_control.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/operator/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -1,8 +1,8 @@
-#include "operator/control_session.hpp"
+#include "control/control_session.hpp"
 
 #include <algorithm>
 
-#include "kernel/settings.hpp"
+#include "runtime/settings.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/operator/control_session.hpp
+++ b/src/control/control_session.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // One operator's request on one controller: every step of it shares one deadline.
 #include "consensus/controller_machine.hpp"
-#include "operator/control.hpp"
+#include "control/cluster_control.hpp"
 
 namespace mosskeel {
 
--- a/src/controller/commits.cpp
+++ b/src/control/host_controller_access.cpp
@@ -1,8 +1,8 @@
 // How the admin API reaches the machine: commits through a session, and looks in the machine's own thread.
 #include <thread>
 
-#include "controller/admin_api.hpp"
-#include "kernel/daemon.hpp"
+#include "control/admin_api.hpp"
+#include "runtime/daemon.hpp"
 
 namespace mosskeel {
 
--- a/src/controller/replica_poller.cpp
+++ b/src/control/replica_poller.cpp
@@ -1,8 +1,8 @@
-#include "controller/replica_poller.hpp"
+#include "control/replica_poller.hpp"
 
 #include <curl/curl.h>
 
-#include "kernel/daemon.hpp"
+#include "runtime/daemon.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/controller/replica_poller.hpp
+++ b/src/control/replica_poller.hpp
@@ -2,8 +2,8 @@
 // Reads the list of replicas while this controller holds the supervisor lease, and brings the log up to it.
 #include <thread>
 
-#include "controller/admin_api.hpp"
-#include "metadata/listing.hpp"
+#include "control/admin_api.hpp"
+#include "metadata/replica_list_reconciler.hpp"
 
 namespace mosskeel {
 
--- a/src/agent/main.cpp
+++ b/src/daemons/agent/main.cpp
@@ -1,5 +1,5 @@
-#include "follow/agent_machine.hpp"
-#include "kernel/daemon.hpp"
+#include "replication/agent_machine.hpp"
+#include "runtime/daemon.hpp"
 
 using namespace mosskeel;
 
--- a/src/controller/main.cpp
+++ b/src/daemons/controller/main.cpp
@@ -1,7 +1,7 @@
 #include <curl/curl.h>
 
-#include "kernel/daemon.hpp"
-#include "controller/replica_poller.hpp"
+#include "runtime/daemon.hpp"
+#include "control/replica_poller.hpp"
 
 using namespace mosskeel;
 
--- a/src/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -1,9 +1,9 @@
 #include <curl/curl.h>
 
-#include "kernel/daemon.hpp"
-#include "kernel/upstream.hpp"
-#include "gateway/callers.hpp"
-#include "gateway/exchange.hpp"
+#include "runtime/daemon.hpp"
+#include "net/replica_client.hpp"
+#include "gateway/program_api.hpp"
+#include "gateway/routing_thread.hpp"
 
 using namespace mosskeel;
 
--- a/src/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -1,7 +1,7 @@
-#include "kernel/daemon.hpp"
+#include "runtime/daemon.hpp"
 #include "history/history_limits.hpp"
 #include "history/store_machine.hpp"
-#include "kernel/memory.hpp"
+#include "base/memory.hpp"
 
 using namespace mosskeel;
 
--- a/src/gateway/callers.cpp
+++ b/src/gateway/program_api.cpp
@@ -1,8 +1,8 @@
-#include "gateway/callers.hpp"
+#include "gateway/program_api.hpp"
 
 #include <nlohmann/json.hpp>
 
-#include "kernel/daemon.hpp"
+#include "runtime/daemon.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/gateway/metrics.cpp
+++ b/src/gateway/program_api_metrics.cpp
@@ -1,6 +1,6 @@
 // The counters of a gateway in the text form of metrics.
-#include "kernel/daemon.hpp"
-#include "gateway/callers.hpp"
+#include "runtime/daemon.hpp"
+#include "gateway/program_api.hpp"
 
 namespace mosskeel {
 
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/routing_thread.cpp
@@ -1,4 +1,4 @@
-#include "gateway/exchange.hpp"
+#include "gateway/routing_thread.hpp"
 
 #include "kernel/traffic_limits.hpp"
 
--- a/src/gateway/exchange.hpp
+++ b/src/gateway/routing_thread.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // The traffic thread of a gateway: the HTTP front on its own loop, beside the gateway's control state.
-#include "kernel/host.hpp"
-#include "request/gateway_machine.hpp"
-#include "traffic/http_front.hpp"
+#include "runtime/host.hpp"
+#include "programs/gateway_machine.hpp"
+#include "routing/http_frontend.hpp"
 
 namespace mosskeel {
 
--- a/src/history/history_writer.hpp
+++ b/src/history/history_writer.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // The owner's side of the histories: fence, read from a majority, adopt, append.
-#include "follow/ledger.hpp"
+#include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
--- a/src/history/repair.cpp
+++ b/src/history/partition_repair.cpp
@@ -1,4 +1,4 @@
-#include "history/repair.hpp"
+#include "history/partition_repair.hpp"
 
 #include <algorithm>
 
--- a/src/history/repair.hpp
+++ b/src/history/partition_repair.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // A store's background repair: compare partitions with the other stores, fetch the histories that are lacking here.
-#include "follow/ledger.hpp"
-#include "history/store.hpp"
+#include "replication/metadata_log.hpp"
+#include "history/stored_partition.hpp"
 
 namespace mosskeel {
 
--- a/src/history/slot_streams.cpp
+++ b/src/history/partition_streams.cpp
@@ -1,4 +1,4 @@
-#include "history/slot_streams.hpp"
+#include "history/partition_streams.hpp"
 
 #include <algorithm>
 
--- a/src/history/slot_streams.hpp
+++ b/src/history/partition_streams.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // A store's copying of partitions that it is about to hold, in pages, with a bound on those under way.
-#include "follow/ledger.hpp"
+#include "replication/metadata_log.hpp"
 #include "history/history_limits.hpp"
-#include "history/store.hpp"
+#include "history/stored_partition.hpp"
 
 namespace mosskeel {
 
--- a/src/history/store_machine.hpp
+++ b/src/history/store_machine.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // A store: fenced append logs, one a history; it syncs before it answers.
-#include "follow/follower.hpp"
-#include "history/repair.hpp"
-#include "history/slot_streams.hpp"
+#include "replication/follower.hpp"
+#include "history/partition_repair.hpp"
+#include "history/partition_streams.hpp"
 
 namespace mosskeel {
 
--- a/src/history/tombstones.hpp
+++ b/src/history/tombstones.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // What outlives a history's text: that it was there and has ended.
 #include "kernel/limits.hpp"
-#include "kernel/messages.hpp"
+#include "messages/message.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/messages.hpp
+++ b/src/messages/message.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // What daemons say to each other. Append only: the index in Message is the kind on the wire.
-#include "kernel/codec.hpp"
-#include "kernel/turn_messages.hpp"
+#include "base/codec.hpp"
+#include "messages/turn_messages.hpp"
 #include "metadata/rejection.hpp"
 
 namespace mosskeel {
--- a/src/metadata/membership.cpp
+++ b/src/metadata/core_membership.cpp
@@ -1,4 +1,4 @@
-#include "metadata/membership.hpp"
+#include "metadata/core_membership.hpp"
 
 #include <algorithm>
 
--- a/src/metadata/membership.hpp
+++ b/src/metadata/core_membership.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // What the log's steps and the supervisor both ask of the core's membership.
-#include "metadata/values.hpp"
+#include "metadata/metadata.hpp"
 
 namespace mosskeel {
 
--- a/src/metadata/core_steps.cpp
+++ b/src/metadata/core_steps.cpp
@@ -1,8 +1,8 @@
 // Transformations of the core and of what operators and platform say.
 #include <algorithm>
 
-#include "metadata/membership.hpp"
-#include "metadata/steps.hpp"
+#include "metadata/core_membership.hpp"
+#include "metadata/transformation_steps.hpp"
 
 namespace mosskeel::steps {
 
--- a/src/metadata/describe.cpp
+++ b/src/metadata/describe.cpp
@@ -1,4 +1,4 @@
-#include "metadata/transform.hpp"
+#include "metadata/transformation.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/metadata/places.cpp
+++ b/src/metadata/front_placement.cpp
@@ -3,7 +3,7 @@
 
 #include "kernel/limits.hpp"
 #include "metadata/liveness.hpp"
-#include "metadata/transform.hpp"
+#include "metadata/transformation.hpp"
 
 namespace mosskeel::placement {
 
--- a/src/metadata/liveness.hpp
+++ b/src/metadata/liveness.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Whether a daemon may hold places, by its state in the directory.
-#include "metadata/values.hpp"
+#include "metadata/metadata.hpp"
 
 namespace mosskeel::placement {
 
--- a/src/metadata/values.cpp
+++ b/src/metadata/metadata.cpp
@@ -1,4 +1,4 @@
-#include "metadata/values.hpp"
+#include "metadata/metadata.hpp"
 
 #include <algorithm>
 
--- a/src/metadata/rejection.hpp
+++ b/src/metadata/rejection.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Why a transformation does not apply, typed, so that no caller has to look at a later value to find out.
-#include "metadata/transform.hpp"
+#include "metadata/transformation.hpp"
 
 namespace mosskeel {
 
--- a/src/metadata/listing.cpp
+++ b/src/metadata/replica_list_reconciler.cpp
@@ -1,4 +1,4 @@
-#include "metadata/listing.hpp"
+#include "metadata/replica_list_reconciler.hpp"
 
 #include "kernel/limits.hpp"
 
--- a/src/metadata/listing.hpp
+++ b/src/metadata/replica_list_reconciler.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // What a list of replicas says beyond the log.
-#include "metadata/transform.hpp"
+#include "metadata/transformation.hpp"
 
 namespace mosskeel {
 
--- a/src/metadata/transform.cpp
+++ b/src/metadata/transformation.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "metadata/steps.hpp"
+#include "metadata/transformation_steps.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/metadata/transform.hpp
+++ b/src/metadata/transformation.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Pure transformations: the only way from one metadata value to the next.
-#include "metadata/values.hpp"
+#include "metadata/metadata.hpp"
 
 namespace mosskeel {
 
--- a/src/metadata/steps.hpp
+++ b/src/metadata/transformation_steps.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // What the transformations share; only src/metadata includes this.
 #include "kernel/limits.hpp"
-#include "metadata/transform.hpp"
+#include "metadata/transformation.hpp"
 
 namespace mosskeel::steps {
 
--- a/src/kernel/backpressure.cpp
+++ b/src/net/backpressure.cpp
@@ -1,4 +1,4 @@
-#include "kernel/backpressure.hpp"
+#include "net/backpressure.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/backpressure.hpp
+++ b/src/net/backpressure.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Flow control between an answer's two connections.
-#include "kernel/http_listener.hpp"
-#include "kernel/upstream_client.hpp"
+#include "net/http_listener.hpp"
+#include "net/upstream_client.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/endpoint.cpp
+++ b/src/net/endpoint.cpp
@@ -1,4 +1,4 @@
-#include "kernel/endpoint.hpp"
+#include "net/endpoint.hpp"
 
 #include <netdb.h>
 
--- a/src/kernel/loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "kernel/loop.hpp"
+#include "net/event_loop.hpp"
 
 #include <sys/epoll.h>
 #include <sys/eventfd.h>
--- a/src/kernel/loop.hpp
+++ b/src/net/event_loop.hpp
@@ -5,7 +5,7 @@
 #include <thread>
 #include <unordered_map>
 
-#include "kernel/fd.hpp"
+#include "base/fd.hpp"
 #include "mosskeel.hpp"
 
 namespace mosskeel {
--- a/src/kernel/web.cpp
+++ b/src/net/http_fetch.cpp
@@ -1,4 +1,4 @@
-#include "kernel/web.hpp"
+#include "net/http_fetch.hpp"
 
 #include <curl/curl.h>
 
--- a/src/kernel/framing.cpp
+++ b/src/net/http_head.cpp
@@ -1,4 +1,4 @@
-#include "kernel/framing.hpp"
+#include "net/http_head.hpp"
 
 #include <http_parser.h>
 
--- a/src/kernel/framing.hpp
+++ b/src/net/http_head.hpp
@@ -2,7 +2,7 @@
 // HTTP/1.1 heads and chunked bodies, read strictly: what two readers might frame differently is refused.
 #include <string_view>
 
-#include "kernel/dialect.hpp"
+#include "net/protocol_codec.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/http_listener.cpp
+++ b/src/net/http_listener.cpp
@@ -6,8 +6,8 @@
 #include <cerrno>
 #include <cstring>
 
-#include "kernel/endpoint.hpp"
-#include "kernel/http_listener_session.hpp"
+#include "net/endpoint.hpp"
+#include "net/http_server_connection.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/kernel/http_listener.hpp
+++ b/src/net/http_listener.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // HTTP/1.1 towards callers, on a loop.
-#include "kernel/dialect.hpp"
-#include "kernel/loop.hpp"
+#include "net/protocol_codec.hpp"
+#include "net/event_loop.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/http_listener_request.cpp
+++ b/src/net/http_listener_request.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "kernel/http_listener_session.hpp"
+#include "net/http_server_connection.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/kernel/http_listener_answer.cpp
+++ b/src/net/http_listener_response.cpp
@@ -3,7 +3,7 @@
 
 #include <cerrno>
 
-#include "kernel/http_listener_session.hpp"
+#include "net/http_server_connection.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/kernel/http.cpp
+++ b/src/net/http_server.cpp
@@ -1,4 +1,4 @@
-#include "kernel/http.hpp"
+#include "net/http_server.hpp"
 
 #include <arpa/inet.h>
 #include <microhttpd.h>
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 
 #include "kernel/limits.hpp"
-#include "kernel/settings.hpp"
+#include "runtime/settings.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/kernel/http.hpp
+++ b/src/net/http_server.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // HTTP/1.1 towards callers, platform and operators, by libmicrohttpd.
-#include "kernel/queue.hpp"
-#include "kernel/messages.hpp"
+#include "base/queue.hpp"
+#include "messages/message.hpp"
 
 struct MHD_Daemon;
 
--- a/src/kernel/http_listener_session.hpp
+++ b/src/net/http_server_connection.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // What an http_listener keeps of one connection.
-#include "kernel/framing.hpp"
-#include "kernel/http_listener.hpp"
+#include "net/http_head.hpp"
+#include "net/http_listener.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/message_weight.cpp
+++ b/src/net/message_size.cpp
@@ -1,4 +1,4 @@
-#include "kernel/message_weight.hpp"
+#include "net/message_size.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/kernel/message_weight.hpp
+++ b/src/net/message_size.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // How much text a message carries, to bound what waits in memory.
-#include "kernel/messages.hpp"
+#include "messages/message.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/dialect.cpp
+++ b/src/net/protocol_codec.cpp
@@ -1,4 +1,4 @@
-#include "kernel/dialect.hpp"
+#include "net/protocol_codec.hpp"
 
 #include <strings.h>
 
--- a/src/kernel/upstream.cpp
+++ b/src/net/replica_client.cpp
@@ -1,4 +1,4 @@
-#include "kernel/upstream.hpp"
+#include "net/replica_client.hpp"
 
 #include <curl/curl.h>
 
--- a/src/kernel/upstream.hpp
+++ b/src/net/replica_client.hpp
@@ -2,8 +2,8 @@
 // Asks replicas over HTTP by libcurl: one thread, fresh sessions for what may not be repeated.
 #include <thread>
 
-#include "kernel/queue.hpp"
-#include "kernel/messages.hpp"
+#include "base/queue.hpp"
+#include "messages/message.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/transport.cpp
+++ b/src/net/transport.cpp
@@ -1,12 +1,12 @@
-#include "kernel/transport.hpp"
+#include "net/transport.hpp"
 
 #include <nng/nng.h>
 #include <nng/protocol/pipeline0/pull.h>
 #include <nng/protocol/pipeline0/push.h>
 
 #include "kernel/limits.hpp"
-#include "kernel/log.hpp"
-#include "kernel/wire.hpp"
+#include "base/log.hpp"
+#include "net/wire.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/transport.hpp
+++ b/src/net/transport.hpp
@@ -4,7 +4,7 @@
 #include <mutex>
 #include <thread>
 
-#include "kernel/messages.hpp"
+#include "messages/message.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -6,8 +6,8 @@
 #include <cerrno>
 #include <cstring>
 
-#include "kernel/endpoint.hpp"
-#include "kernel/upstream_client_connection.hpp"
+#include "net/endpoint.hpp"
+#include "net/upstream_connection.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/kernel/upstream_client_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // What an upstream_client keeps of one connection.
-#include "kernel/framing.hpp"
-#include "kernel/upstream_client.hpp"
+#include "net/http_head.hpp"
+#include "net/upstream_client.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/wire.cpp
+++ b/src/net/wire.cpp
@@ -1,4 +1,4 @@
-#include "kernel/wire.hpp"
+#include "net/wire.hpp"
 
 #include "kernel/limits.hpp"
 
--- a/src/kernel/wire.hpp
+++ b/src/net/wire.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // The one place where whole messages become bytes and back.
-#include "kernel/messages.hpp"
+#include "messages/message.hpp"
 
 namespace mosskeel {
 
--- a/src/request/policies.cpp
+++ b/src/programs/admission_policy.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "request/policy.hpp"
+#include "programs/admission_policy.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/request/policy.hpp
+++ b/src/programs/admission_policy.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // The way of a request: policies as plug-ins that register themselves, behind one interface.
-#include "kernel/machine.hpp"
+#include "runtime/state_machine.hpp"
 
 namespace mosskeel {
 
--- a/src/request/gateway_machine.cpp
+++ b/src/programs/gateway_machine.cpp
@@ -1,4 +1,4 @@
-#include "request/gateway_machine.hpp"
+#include "programs/gateway_machine.hpp"
 
 #include <algorithm>
 
--- a/src/request/gateway_machine.hpp
+++ b/src/programs/gateway_machine.hpp
@@ -2,11 +2,11 @@
 // A gateway: owner of its partitions' programs, proxy to the owners of all others.
 #include <boost/heap/priority_queue.hpp>
 
-#include "request/policy.hpp"
-#include "follow/follower.hpp"
+#include "programs/admission_policy.hpp"
+#include "replication/follower.hpp"
 #include "history/history_writer.hpp"
-#include "traffic/routing_snapshot.hpp"
-#include "traffic/turn_client.hpp"
+#include "routing/routing_snapshot.hpp"
+#include "routing/turn_client.hpp"
 
 namespace mosskeel {
 
--- a/src/request/ending.cpp
+++ b/src/programs/history_closer.cpp
@@ -1,7 +1,7 @@
 // How the owner ends a history that has outlived its retention.
 #include <algorithm>
 
-#include "request/gateway_machine.hpp"
+#include "programs/gateway_machine.hpp"
 
 namespace mosskeel {
 
--- a/src/request/standing.cpp
+++ b/src/programs/majority_contact.cpp
@@ -1,5 +1,5 @@
 // Whether a front is in touch and ready, and what a request meets there.
-#include "request/gateway_machine.hpp"
+#include "programs/gateway_machine.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/request/replica_json.cpp
+++ b/src/programs/model_request_body.cpp
@@ -1,4 +1,4 @@
-#include "request/replica_json.hpp"
+#include "programs/model_request_body.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/request/replica_json.hpp
+++ b/src/programs/model_request_body.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // The shape of what a model replica is asked; the one place to change it.
-#include "kernel/messages.hpp"
+#include "messages/message.hpp"
 
 namespace mosskeel {
 
--- a/src/request/relay.cpp
+++ b/src/programs/request_forwarder.cpp
@@ -1,5 +1,5 @@
 // Proxying a request to the owner of its program, and the way back.
-#include "request/gateway_machine.hpp"
+#include "programs/gateway_machine.hpp"
 
 namespace mosskeel {
 
--- a/src/request/owner.cpp
+++ b/src/programs/turn_owner.cpp
@@ -3,8 +3,8 @@
 
 #include <nlohmann/json.hpp>
 
-#include "request/replica_json.hpp"
-#include "request/gateway_machine.hpp"
+#include "programs/model_request_body.hpp"
+#include "programs/gateway_machine.hpp"
 
 namespace mosskeel {
 
--- a/src/follow/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -1,4 +1,4 @@
-#include "follow/agent_machine.hpp"
+#include "replication/agent_machine.hpp"
 
 #include "kernel/traffic_limits.hpp"
 
--- a/src/follow/agent_machine.hpp
+++ b/src/replication/agent_machine.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // The agent beside a gateway: its link to the core, its feed, its voice.
-#include "follow/follower.hpp"
+#include "replication/follower.hpp"
 
 namespace mosskeel {
 
--- a/src/follow/follower.cpp
+++ b/src/replication/follower.cpp
@@ -1,4 +1,4 @@
-#include "follow/follower.hpp"
+#include "replication/follower.hpp"
 
 #include <algorithm>
 
--- a/src/follow/follower.hpp
+++ b/src/replication/follower.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // How a daemon outside the core finds it, registers, keeps in touch and catches up.
-#include "follow/ledger.hpp"
+#include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
--- a/src/follow/ledger.cpp
+++ b/src/replication/metadata_log.cpp
@@ -1,4 +1,4 @@
-#include "follow/ledger.hpp"
+#include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
--- a/src/follow/ledger.hpp
+++ b/src/replication/metadata_log.hpp
@@ -2,7 +2,7 @@
 // The local log: entries in order, the value they make, and what a laggard needs.
 #include <deque>
 
-#include "kernel/machine.hpp"
+#include "runtime/state_machine.hpp"
 
 namespace mosskeel {
 
--- a/src/traffic/event_reader.cpp
+++ b/src/routing/event_reader.cpp
@@ -1,4 +1,4 @@
-#include "traffic/event_reader.hpp"
+#include "routing/event_reader.hpp"
 
 namespace mosskeel {
 
--- a/src/traffic/http_front.cpp
+++ b/src/routing/http_frontend.cpp
@@ -1,6 +1,6 @@
-#include "traffic/http_front.hpp"
+#include "routing/http_frontend.hpp"
 
-#include "kernel/host.hpp"
+#include "runtime/host.hpp"
 
 namespace mosskeel {
 
--- a/src/traffic/http_front.hpp
+++ b/src/routing/http_frontend.hpp
@@ -1,9 +1,9 @@
 #pragma once
 // The HTTP side of a gateway: the sockets to callers and replicas around the traffic's state machine.
-#include "kernel/backpressure.hpp"
-#include "kernel/http_listener.hpp"
-#include "kernel/upstream_client.hpp"
-#include "traffic/traffic.hpp"
+#include "net/backpressure.hpp"
+#include "net/http_listener.hpp"
+#include "net/upstream_client.hpp"
+#include "routing/request_router.hpp"
 
 namespace mosskeel {
 
--- a/src/traffic/load_balancer.cpp
+++ b/src/routing/load_balancer.cpp
@@ -1,4 +1,4 @@
-#include "traffic/load_balancer.hpp"
+#include "routing/load_balancer.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/traffic/load_balancer.hpp
+++ b/src/routing/load_balancer.hpp
@@ -2,7 +2,7 @@
 // Which replica takes a request: rendezvous hashing with bounded load, the own zone first.
 #include <unordered_map>
 
-#include "traffic/routing_snapshot.hpp"
+#include "routing/routing_snapshot.hpp"
 
 namespace mosskeel {
 
--- a/src/traffic/recent_attempts.cpp
+++ b/src/routing/recent_attempts.cpp
@@ -1,4 +1,4 @@
-#include "traffic/recent_attempts.hpp"
+#include "routing/recent_attempts.hpp"
 
 #include "kernel/traffic_limits.hpp"
 
--- a/src/traffic/stages.cpp
+++ b/src/routing/request_dispatch.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "kernel/traffic_limits.hpp"
-#include "traffic/traffic.hpp"
+#include "routing/request_router.hpp"
 
 namespace mosskeel::routing {
 namespace {
--- a/src/traffic/traffic.cpp
+++ b/src/routing/request_router.cpp
@@ -1,4 +1,4 @@
-#include "traffic/traffic.hpp"
+#include "routing/request_router.hpp"
 
 #include <algorithm>
 
--- a/src/traffic/traffic.hpp
+++ b/src/routing/request_router.hpp
@@ -1,11 +1,11 @@
 #pragma once
 // A front's way of callers' HTTP: one machine for all requests on the traffic thread, without socket or clock.
-#include "kernel/dialect.hpp"
-#include "kernel/messages.hpp"
-#include "traffic/event_reader.hpp"
-#include "traffic/paths.hpp"
-#include "traffic/recent_attempts.hpp"
-#include "traffic/load_balancer.hpp"
+#include "net/protocol_codec.hpp"
+#include "messages/message.hpp"
+#include "routing/event_reader.hpp"
+#include "routing/route_table.hpp"
+#include "routing/recent_attempts.hpp"
+#include "routing/load_balancer.hpp"
 
 namespace mosskeel::routing {
 
--- a/src/traffic/paths.cpp
+++ b/src/routing/route_table.cpp
@@ -1,4 +1,4 @@
-#include "traffic/paths.hpp"
+#include "routing/route_table.hpp"
 
 namespace mosskeel {
 
--- a/src/traffic/paths.hpp
+++ b/src/routing/route_table.hpp
@@ -2,7 +2,7 @@
 // The lookup of a configuration's paths by host and longest prefix, built once a revision.
 #include <unordered_map>
 
-#include "metadata/values.hpp"
+#include "metadata/metadata.hpp"
 
 namespace mosskeel {
 
--- a/src/traffic/routing_snapshot.hpp
+++ b/src/routing/routing_snapshot.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // What the control state of a front tells its traffic, swapped whole.
-#include "metadata/values.hpp"
+#include "metadata/metadata.hpp"
 
 namespace mosskeel {
 
--- a/src/traffic/turn_client.cpp
+++ b/src/routing/turn_client.cpp
@@ -1,4 +1,4 @@
-#include "traffic/turn_client.hpp"
+#include "routing/turn_client.hpp"
 
 namespace mosskeel {
 
--- a/src/traffic/turn_client.hpp
+++ b/src/routing/turn_client.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // A front's link to the owners of its callers' turns: asks until there is an answer, follows a program that moves.
-#include "traffic/turn_coordinator.hpp"
+#include "routing/turn_coordinator.hpp"
 
 namespace mosskeel {
 
--- a/src/traffic/turn_coordinator.cpp
+++ b/src/routing/turn_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "traffic/turn_coordinator.hpp"
+#include "routing/turn_coordinator.hpp"
 
 #include <algorithm>
 
--- a/src/kernel/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -1,4 +1,4 @@
-#include "kernel/daemon.hpp"
+#include "runtime/daemon.hpp"
 
 #include <sstream>
 
--- a/src/kernel/daemon.hpp
+++ b/src/runtime/daemon.hpp
@@ -1,9 +1,9 @@
 #pragma once
 // What every daemon's main does alike.
-#include "kernel/host.hpp"
-#include "kernel/http.hpp"
-#include "kernel/log.hpp"
-#include "kernel/settings.hpp"
+#include "runtime/host.hpp"
+#include "net/http_server.hpp"
+#include "base/log.hpp"
+#include "runtime/settings.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/host.cpp
+++ b/src/runtime/host.cpp
@@ -1,10 +1,10 @@
-#include "kernel/host.hpp"
+#include "runtime/host.hpp"
 
 #include <chrono>
 #include <future>
 
-#include "kernel/log.hpp"
-#include "kernel/message_weight.hpp"
+#include "base/log.hpp"
+#include "net/message_size.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/host.hpp
+++ b/src/runtime/host.hpp
@@ -2,10 +2,10 @@
 // Runs a machine: one thread for its state, one for its disk, the post's for hearing.
 #include <thread>
 
-#include "kernel/inbox.hpp"
-#include "kernel/journal_writer.hpp"
-#include "kernel/transport.hpp"
-#include "kernel/queue.hpp"
+#include "runtime/inbox.hpp"
+#include "storage/journal_writer.hpp"
+#include "net/transport.hpp"
+#include "base/queue.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/inbox.hpp
+++ b/src/runtime/inbox.hpp
@@ -3,8 +3,8 @@
 #include <atomic>
 #include <functional>
 
-#include "kernel/machine.hpp"
-#include "kernel/queue.hpp"
+#include "runtime/state_machine.hpp"
+#include "base/queue.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -1,4 +1,4 @@
-#include "kernel/settings.hpp"
+#include "runtime/settings.hpp"
 
 #include <arpa/inet.h>
 #include <popt.h>
@@ -11,8 +11,8 @@
 #include <sstream>
 
 #include "kernel/limits.hpp"
-#include "kernel/log.hpp"
-#include "configuration/json.hpp"
+#include "base/log.hpp"
+#include "base/json.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/kernel/settings.hpp
+++ b/src/runtime/settings.hpp
@@ -2,7 +2,7 @@
 // A daemon's settings: a JSON file, flags over it, all findings at once.
 #include <boost/hana/define_struct.hpp>
 
-#include "metadata/values.hpp"
+#include "metadata/metadata.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/machine.hpp
+++ b/src/runtime/state_machine.hpp
@@ -2,9 +2,9 @@
 // A protocol as a state machine: no thread, clock, socket or file of its own.
 #include <random>
 
-#include "kernel/events.hpp"
+#include "base/events.hpp"
 #include "kernel/limits.hpp"
-#include "kernel/messages.hpp"
+#include "messages/message.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/disk.cpp
+++ b/src/storage/disk.cpp
@@ -1,4 +1,4 @@
-#include "kernel/disk.hpp"
+#include "storage/disk.hpp"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -9,7 +9,7 @@
 #include <cerrno>
 #include <filesystem>
 
-#include "kernel/log_frame.hpp"
+#include "storage/log_frame.hpp"
 
 namespace mosskeel {
 namespace fs = std::filesystem;
--- a/src/kernel/disk.hpp
+++ b/src/storage/disk.hpp
@@ -2,8 +2,8 @@
 // A log in segments with checkpoints beside it, and a daemon's identity.
 #include <atomic>
 
-#include "kernel/fd.hpp"
-#include "kernel/machine.hpp"
+#include "base/fd.hpp"
+#include "runtime/state_machine.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/disk_load.cpp
+++ b/src/storage/disk_load.cpp
@@ -7,8 +7,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "kernel/disk.hpp"
-#include "kernel/log_frame.hpp"
+#include "storage/disk.hpp"
+#include "storage/log_frame.hpp"
 
 namespace mosskeel {
 namespace fs = std::filesystem;
--- a/src/kernel/journal_writer.cpp
+++ b/src/storage/journal_writer.cpp
@@ -1,4 +1,4 @@
-#include "kernel/journal_writer.hpp"
+#include "storage/journal_writer.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/journal_writer.hpp
+++ b/src/storage/journal_writer.hpp
@@ -2,7 +2,7 @@
 // Brings a machine's journal to its disk in order, and holds it back in memory while the disk is full.
 #include <deque>
 
-#include "kernel/disk.hpp"
+#include "storage/disk.hpp"
 
 namespace mosskeel {
 
--- a/src/kernel/log_frame.hpp
+++ b/src/storage/log_frame.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // How records lie in a segment, and the marks between them that say how far it was synced.
-#include "kernel/codec.hpp"
+#include "base/codec.hpp"
 
 namespace mosskeel {
 
--- a/tests/model/bytes.cpp
+++ b/tests/model/bytes.cpp
@@ -1,6 +1,6 @@
 #include "model/bytes.hpp"
 
-#include "kernel/wire.hpp"
+#include "net/wire.hpp"
 
 namespace mosskeel::model {
 
--- a/tests/standin/book.cpp
+++ b/tests/platform_stub/book.cpp
@@ -1,4 +1,4 @@
-#include "standin/book.hpp"
+#include "platform_stub/book.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/standin/book.hpp
+++ b/tests/platform_stub/book.hpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "kernel/dialect.hpp"
-#include "kernel/loop.hpp"
+#include "net/protocol_codec.hpp"
+#include "net/event_loop.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/standin/callers.cpp
+++ b/tests/platform_stub/callers.cpp
@@ -1,6 +1,6 @@
-#include "standin/callers.hpp"
+#include "platform_stub/callers.hpp"
 
-#include "standin/replicas.hpp"
+#include "platform_stub/replicas.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/standin/callers.hpp
+++ b/tests/platform_stub/callers.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Callers as the platform plays them: tries, retries, programs.
-#include "standin/world.hpp"
+#include "platform_stub/world.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/standin/list.cpp
+++ b/tests/platform_stub/list.cpp
@@ -1,6 +1,6 @@
 #include <nlohmann/json.hpp>
 
-#include "standin/replicas.hpp"
+#include "platform_stub/replicas.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/standin/main.cpp
+++ b/tests/platform_stub/main.cpp
@@ -5,9 +5,9 @@
 #include <cstring>
 #include <fstream>
 
-#include "standin/callers.hpp"
-#include "standin/operator.hpp"
-#include "standin/replicas.hpp"
+#include "platform_stub/callers.hpp"
+#include "platform_stub/operator.hpp"
+#include "platform_stub/replicas.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::standin;
--- a/tests/standin/operator.cpp
+++ b/tests/platform_stub/operator.cpp
@@ -1,6 +1,6 @@
-#include "standin/operator.hpp"
+#include "platform_stub/operator.hpp"
 
-#include "standin/replicas.hpp"
+#include "platform_stub/replicas.hpp"
 
 namespace mosskeel::standin {
 namespace {
--- a/tests/standin/operator.hpp
+++ b/tests/platform_stub/operator.hpp
@@ -2,7 +2,7 @@
 // The operator: configurations, evacuations, retirements, at whichever daemon answers.
 #include <nlohmann/json.hpp>
 
-#include "standin/world.hpp"
+#include "platform_stub/world.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/standin/programs.cpp
+++ b/tests/platform_stub/programs.cpp
@@ -1,5 +1,5 @@
 // Programs: rows of turns with tools between, helpers beside, a budget over all of them.
-#include "standin/callers.hpp"
+#include "platform_stub/callers.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/standin/replicas.cpp
+++ b/tests/platform_stub/replicas.cpp
@@ -1,4 +1,4 @@
-#include "standin/replicas.hpp"
+#include "platform_stub/replicas.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/standin/replicas.hpp
+++ b/tests/platform_stub/replicas.hpp
@@ -4,7 +4,7 @@
 #include <list>
 #include <unordered_set>
 
-#include "standin/world.hpp"
+#include "platform_stub/world.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/standin/rogue.cpp
+++ b/tests/platform_stub/rogue.cpp
@@ -1,9 +1,9 @@
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-#include "kernel/endpoint.hpp"
-#include "kernel/framing.hpp"
-#include "standin/replicas.hpp"
+#include "net/endpoint.hpp"
+#include "net/http_head.hpp"
+#include "platform_stub/replicas.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/standin/world.cpp
+++ b/tests/platform_stub/world.cpp
@@ -1,4 +1,4 @@
-#include "standin/world.hpp"
+#include "platform_stub/world.hpp"
 
 #include <arpa/inet.h>
 #include <sys/socket.h>
--- a/tests/standin/world.hpp
+++ b/tests/platform_stub/world.hpp
@@ -2,9 +2,9 @@
 // The one loop of the stand-in, its sockets out, its addresses.
 #include <random>
 
-#include "kernel/http_listener.hpp"
-#include "kernel/upstream_client.hpp"
-#include "standin/book.hpp"
+#include "net/http_listener.hpp"
+#include "net/upstream_client.hpp"
+#include "platform_stub/book.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/sim/callers.cpp
+++ b/tests/simulation/callers.cpp
@@ -1,4 +1,4 @@
-#include "sim/callers.hpp"
+#include "simulation/callers.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/tests/sim/callers.hpp
+++ b/tests/simulation/callers.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Simulated callers, replicas and operators; and the independent checker of what they saw.
-#include "sim/world.hpp"
+#include "simulation/world.hpp"
 
 namespace mosskeel::sim {
 
--- a/tests/sim/cores.cpp
+++ b/tests/simulation/cores.cpp
@@ -1,5 +1,5 @@
 // Scenarios in which the core is lost, in part or whole.
-#include "sim/day.hpp"
+#include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 
--- a/tests/sim/counts.cpp
+++ b/tests/simulation/counts.cpp
@@ -1,5 +1,5 @@
 // Simulated callers of plain requests that may not be repeated: counts and fixes.
-#include "sim/callers.hpp"
+#include "simulation/callers.hpp"
 
 namespace mosskeel::sim {
 
--- a/tests/sim/cuts.cpp
+++ b/tests/simulation/cuts.cpp
@@ -1,5 +1,5 @@
 // Scenarios in which parts of the fleet cannot hear each other while operators reach the core.
-#include "sim/day.hpp"
+#include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 namespace {
--- a/tests/sim/day.hpp
+++ b/tests/simulation/day.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // One simulated day: a world, its callers, and the closing check.
-#include "sim/scenarios.hpp"
+#include "simulation/scenarios.hpp"
 
 namespace mosskeel::sim {
 
--- a/tests/sim/losses.cpp
+++ b/tests/simulation/losses.cpp
@@ -1,7 +1,7 @@
 // Losses of stores at the worst moments: right after an acknowledgement, in the middle of a leave, twice in a row.
 #include <algorithm>
 
-#include "sim/day.hpp"
+#include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 namespace {
--- a/tests/sim/operator_request.cpp
+++ b/tests/simulation/operator_request.cpp
@@ -1,4 +1,4 @@
-#include "sim/operator_request.hpp"
+#include "simulation/operator_request.hpp"
 
 namespace mosskeel::sim {
 
--- a/tests/sim/operator_request.hpp
+++ b/tests/simulation/operator_request.hpp
@@ -4,8 +4,8 @@
 #include <mutex>
 #include <thread>
 
-#include "operator/control_session.hpp"
-#include "sim/day.hpp"
+#include "control/control_session.hpp"
+#include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 
--- a/tests/sim/operators.cpp
+++ b/tests/simulation/operators.cpp
@@ -1,5 +1,5 @@
 // Simulated operators and platform.
-#include "sim/callers.hpp"
+#include "simulation/callers.hpp"
 
 namespace mosskeel::sim {
 
--- a/tests/sim/orders.cpp
+++ b/tests/simulation/orders.cpp
@@ -1,7 +1,7 @@
 // Operators race through the platform's interface while controllers are cut off, frozen, killed and emptied.
 #include <memory>
 
-#include "sim/operator_request.hpp"
+#include "simulation/operator_request.hpp"
 
 namespace mosskeel::sim {
 namespace {
--- a/tests/sim/replicas.cpp
+++ b/tests/simulation/replicas.cpp
@@ -1,7 +1,7 @@
 // Simulated replicas, and the checks that only they can make.
 #include <nlohmann/json.hpp>
 
-#include "sim/callers.hpp"
+#include "simulation/callers.hpp"
 
 namespace mosskeel::sim {
 using Json = nlohmann::json;
--- a/tests/sim/retention.cpp
+++ b/tests/simulation/retention.cpp
@@ -1,5 +1,5 @@
 // Retention runs out, is shortened and lengthened, and cells go and come back, while turns are kept.
-#include "sim/day.hpp"
+#include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 namespace {
--- a/tests/sim/scenarios.cpp
+++ b/tests/simulation/scenarios.cpp
@@ -1,4 +1,4 @@
-#include "sim/day.hpp"
+#include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 namespace {
--- a/tests/sim/scenarios.hpp
+++ b/tests/simulation/scenarios.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Seeded days in the life of a fleet, each with its own troubles.
-#include "sim/callers.hpp"
+#include "simulation/callers.hpp"
 
 namespace mosskeel::sim {
 
--- a/tests/sim/sizes.cpp
+++ b/tests/simulation/sizes.cpp
@@ -1,7 +1,7 @@
 // Days at the deployments' sizes: the brief's troubles under its load, then a closing fault that stays.
 #include <algorithm>
 
-#include "sim/day.hpp"
+#include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 namespace {
--- a/tests/sim/troubles.cpp
+++ b/tests/simulation/troubles.cpp
@@ -1,5 +1,5 @@
 // Scenarios of whole zones, stores and crowds.
-#include "sim/day.hpp"
+#include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 /// The core falls into parts, whole and one-way.
--- a/tests/sim/watch.cpp
+++ b/tests/simulation/watch.cpp
@@ -1,5 +1,5 @@
 // What a world writes down and watches: messages in a replay's notes, epochs and values that must agree.
-#include "sim/world.hpp"
+#include "simulation/world.hpp"
 
 namespace mosskeel::sim {
 
--- a/tests/sim/world.cpp
+++ b/tests/simulation/world.cpp
@@ -1,6 +1,6 @@
-#include "sim/world.hpp"
+#include "simulation/world.hpp"
 
-#include "kernel/wire.hpp"
+#include "net/wire.hpp"
 
 namespace mosskeel::sim {
 
--- a/tests/sim/world.hpp
+++ b/tests/simulation/world.hpp
@@ -3,8 +3,8 @@
 #include <queue>
 
 #include "consensus/controller_machine.hpp"
-#include "request/gateway_machine.hpp"
-#include "follow/agent_machine.hpp"
+#include "programs/gateway_machine.hpp"
+#include "replication/agent_machine.hpp"
 #include "history/store_machine.hpp"
 
 namespace mosskeel::sim {
--- a/tests/membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "sim/day.hpp"
+#include "simulation/day.hpp"
 
 using namespace mosskeel;
 using sim::Kind;
--- a/tests/proposer_test.cpp
+++ b/tests/unit/consensus/proposer_test.cpp
@@ -1,7 +1,7 @@
 // What the proposer answers whom, over every point of a cut, on real controllers in a simulated world.
 #include <catch2/catch.hpp>
 
-#include "sim/world.hpp"
+#include "simulation/world.hpp"
 
 using namespace mosskeel;
 using sim::World;
--- a/tests/newest_epoch_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "consensus/controller_machine.hpp"
-#include "kernel/codec.hpp"
+#include "base/codec.hpp"
 
 using namespace mosskeel;
 
--- a/tests/language_test.cpp
+++ b/tests/unit/control/command_language_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "operator/language.hpp"
+#include "control/command_language.hpp"
 
 using namespace mosskeel;
 
--- a/tests/control_session_test.cpp
+++ b/tests/unit/control/control_session_test.cpp
@@ -1,7 +1,7 @@
 // Verdicts on orders come out of the commit's own reply, and one deadline covers a whole request.
 #include <catch2/catch.hpp>
 
-#include "operator/control_session.hpp"
+#include "control/control_session.hpp"
 
 using namespace mosskeel;
 using Code = CommandResult::Code;
--- a/tests/copies_test.cpp
+++ b/tests/unit/history/replica_sets_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "consensus/sequence_barrier.hpp"
-#include "traffic/fixture.hpp"
+#include "unit/routing/turn_owner_fixture.hpp"
 
 using namespace mosskeel;
 
--- a/tests/store_test.cpp
+++ b/tests/unit/history/store_machine_test.cpp
@@ -9,7 +9,7 @@
 
 #include "history/history_limits.hpp"
 #include "history/store_machine.hpp"
-#include "kernel/inbox.hpp"
+#include "runtime/inbox.hpp"
 
 using namespace mosskeel;
 
--- a/tests/line_test.cpp
+++ b/tests/unit/history/tombstones_test.cpp
@@ -1,7 +1,7 @@
 // What a store keeps of ended lines, and how a replica's places are shared.
 #include <catch2/catch.hpp>
 
-#include "request/policy.hpp"
+#include "programs/admission_policy.hpp"
 #include "history/tombstones.hpp"
 
 using namespace mosskeel;
--- a/tests/metadata_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "kernel/codec.hpp"
+#include "base/codec.hpp"
 #include "kernel/limits.hpp"
 #include "metadata/rejection.hpp"
 
--- a/tests/http/backpressure_test.cpp
+++ b/tests/unit/net/backpressure_test.cpp
@@ -3,7 +3,7 @@
 
 #include <fstream>
 
-#include "kernel/backpressure.hpp"
+#include "net/backpressure.hpp"
 #include "test_server.hpp"
 
 using namespace mosskeel;
--- a/tests/http/faulty_replica.hpp
+++ b/tests/unit/net/faulty_replica.hpp
@@ -2,7 +2,7 @@
 // A replica on a real socket that spoils its answers by seed and counts what it ran by attempt.
 #include <random>
 
-#include "kernel/framing.hpp"
+#include "net/http_head.hpp"
 #include "peer.hpp"
 
 namespace mosskeel {
--- a/tests/http/answers_test.cpp
+++ b/tests/unit/net/http_front_faults_test.cpp
@@ -2,8 +2,8 @@
 #include <sys/epoll.h>
 
 #include "faulty_replica.hpp"
-#include "traffic/front.hpp"
-#include "traffic/http_front.hpp"
+#include "unit/routing/request_router_fixture.hpp"
+#include "routing/http_frontend.hpp"
 
 using namespace mosskeel;
 
--- a/tests/upstream_test.cpp
+++ b/tests/unit/net/replica_client_test.cpp
@@ -7,8 +7,8 @@
 #include <atomic>
 #include <catch2/catch.hpp>
 
-#include "kernel/disk.hpp"
-#include "kernel/upstream.hpp"
+#include "storage/disk.hpp"
+#include "net/replica_client.hpp"
 
 using namespace mosskeel;
 
--- a/tests/http/peer.hpp
+++ b/tests/unit/net/socket_peer.hpp
@@ -5,8 +5,8 @@
 
 #include <catch2/catch.hpp>
 
-#include "kernel/endpoint.hpp"
-#include "kernel/loop.hpp"
+#include "net/endpoint.hpp"
+#include "net/event_loop.hpp"
 
 namespace mosskeel {
 
--- a/tests/http/test_server.hpp
+++ b/tests/unit/net/test_server.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // An http_listener whose requests are noted and answered.
-#include "kernel/http_listener.hpp"
+#include "net/http_listener.hpp"
 #include "peer.hpp"
 
 namespace mosskeel {
--- a/tests/http/upstream_client_test.cpp
+++ b/tests/unit/net/upstream_client_test.cpp
@@ -1,4 +1,4 @@
-#include "kernel/upstream_client.hpp"
+#include "net/upstream_client.hpp"
 #include "peer.hpp"
 
 using namespace mosskeel;
--- a/tests/wire_test.cpp
+++ b/tests/unit/net/wire_test.cpp
@@ -2,10 +2,10 @@
 #include <fstream>
 #include <sstream>
 
-#include "kernel/log.hpp"
+#include "base/log.hpp"
 #include "kernel/limits.hpp"
-#include "kernel/wire.hpp"
-#include "configuration/json.hpp"
+#include "net/wire.hpp"
+#include "base/json.hpp"
 
 using namespace mosskeel;
 
--- a/tests/platform_admin_api_test.cpp
+++ b/tests/unit/platform/admin_api_test.cpp
@@ -2,8 +2,8 @@
 #include <catch2/catch.hpp>
 
 #include "kernel/limits.hpp"
-#include "metadata/listing.hpp"
-#include "operator/control.hpp"
+#include "metadata/replica_list_reconciler.hpp"
+#include "control/cluster_control.hpp"
 
 using namespace mosskeel;
 using Code = CommandResult::Code;
--- a/tests/platform_config_test.cpp
+++ b/tests/unit/platform/configuration_test.cpp
@@ -3,7 +3,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "platform/config.hpp"
+#include "platform/configuration.hpp"
 
 using namespace mosskeel;
 using platform::patch_configuration;
--- a/tests/platform_dialect_test.cpp
+++ b/tests/unit/platform/protocol_codec_test.cpp
@@ -1,7 +1,7 @@
 // The platform's heads.
 #include <catch2/catch.hpp>
 
-#include "kernel/dialect.hpp"
+#include "net/protocol_codec.hpp"
 
 using namespace mosskeel;
 
--- a/tests/gateway_leave_test.cpp
+++ b/tests/unit/programs/gateway_shutdown_test.cpp
@@ -1,9 +1,9 @@
 // When a gateway that was told to leave may stop.
 #include <catch2/catch.hpp>
 
-#include "follow/agent_machine.hpp"
+#include "replication/agent_machine.hpp"
 #include "kernel/traffic_limits.hpp"
-#include "request/gateway_machine.hpp"
+#include "programs/gateway_machine.hpp"
 
 using namespace mosskeel;
 
--- a/tests/gateway_touch_test.cpp
+++ b/tests/unit/programs/majority_contact_test.cpp
@@ -1,7 +1,7 @@
 // How long a gateway dispatches while the log moves on ahead of it.
 #include <catch2/catch.hpp>
 
-#include "request/gateway_machine.hpp"
+#include "programs/gateway_machine.hpp"
 
 using namespace mosskeel;
 
--- a/tests/request_test.cpp
+++ b/tests/unit/programs/program_requests_test.cpp
@@ -1,7 +1,7 @@
 // The gateway's word on keys, retention and order, in a simulated fleet without troubles.
 #include <catch2/catch.hpp>
 
-#include "sim/callers.hpp"
+#include "simulation/callers.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::sim;
--- a/tests/catchup_test.cpp
+++ b/tests/unit/replication/catchup_test.cpp
@@ -1,8 +1,8 @@
 // Members that come back, or come new, after many changes while further ones go on: how soon and for how many bytes.
 #include <catch2/catch.hpp>
 
-#include "kernel/codec.hpp"
-#include "sim/world.hpp"
+#include "base/codec.hpp"
+#include "simulation/world.hpp"
 
 using namespace mosskeel;
 using sim::Kind;
--- a/tests/traffic/parts_test.cpp
+++ b/tests/unit/routing/load_balancer_test.cpp
@@ -1,5 +1,5 @@
 // The parts of the traffic: events, paths, the choice of a replica.
-#include "traffic/front.hpp"
+#include "unit/routing/request_router_fixture.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
--- a/tests/traffic/front.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 
 #include "kernel/traffic_limits.hpp"
-#include "traffic/traffic.hpp"
+#include "routing/request_router.hpp"
 
 namespace mosskeel::test {
 
--- a/tests/traffic/traffic_test.cpp
+++ b/tests/unit/routing/request_router_test.cpp
@@ -1,5 +1,5 @@
 // Every point at which a try can fail: what is known then, and what is answered.
-#include "traffic/front.hpp"
+#include "unit/routing/request_router_fixture.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
--- a/tests/traffic/turn_client_test.cpp
+++ b/tests/unit/routing/turn_client_test.cpp
@@ -1,8 +1,8 @@
 // A front's link to the owners of its turns.
 #include <catch2/catch.hpp>
 
-#include "traffic/fixture.hpp"
-#include "traffic/turn_client.hpp"
+#include "unit/routing/turn_owner_fixture.hpp"
+#include "routing/turn_client.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
--- a/tests/traffic/turn_coordinator_test.cpp
+++ b/tests/unit/routing/turn_coordinator_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "traffic/fixture.hpp"
+#include "unit/routing/turn_owner_fixture.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
--- a/tests/traffic/fixture.hpp
+++ b/tests/unit/routing/turn_owner_fixture.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // A front with three stores in a directory of its own making, for the parts of the traffic.
-#include "traffic/turn_coordinator.hpp"
+#include "routing/turn_coordinator.hpp"
 
 namespace mosskeel::test {
 
--- a/tests/traffic/turns_test.cpp
+++ b/tests/unit/routing/turn_request_test.cpp
@@ -1,5 +1,5 @@
 // A turn's stages: who is told what when it ends there.
-#include "traffic/front.hpp"
+#include "unit/routing/request_router_fixture.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
--- a/tests/sim_test.cpp
+++ b/tests/unit/simulation/sim_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "sim/scenarios.hpp"
+#include "simulation/scenarios.hpp"
 
 using namespace mosskeel;
 
--- a/tests/crash_disk.hpp
+++ b/tests/unit/storage/crash_disk.hpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <random>
 
-#include "disk_fixture.hpp"
+#include "unit/storage/disk_fixture.hpp"
 
 namespace mosskeel {
 
--- a/tests/disk_crash_test.cpp
+++ b/tests/unit/storage/disk_crash_test.cpp
@@ -1,5 +1,5 @@
 // A kill or a loss of power between any two changes on disk: what was acknowledged is there, nothing else is.
-#include "crash_disk.hpp"
+#include "unit/storage/crash_disk.hpp"
 
 using namespace mosskeel;
 
--- a/tests/disk_fixture.hpp
+++ b/tests/unit/storage/disk_fixture.hpp
@@ -8,7 +8,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "kernel/disk.hpp"
+#include "storage/disk.hpp"
 
 namespace mosskeel {
 
--- a/tests/disk_full_test.cpp
+++ b/tests/unit/storage/disk_full_test.cpp
@@ -1,5 +1,5 @@
-#include "disk_fixture.hpp"
-#include "kernel/journal_writer.hpp"
+#include "unit/storage/disk_fixture.hpp"
+#include "storage/journal_writer.hpp"
 
 using namespace mosskeel;
 
--- a/tests/disk_test.cpp
+++ b/tests/unit/storage/disk_test.cpp
@@ -1,6 +1,6 @@
 #include "consensus/acceptor.hpp"
-#include "disk_fixture.hpp"
-#include "kernel/log_frame.hpp"
+#include "unit/storage/disk_fixture.hpp"
+#include "storage/log_frame.hpp"
 #include "history/store_machine.hpp"
 
 using namespace mosskeel;
--- a/tools/loadgen/checks.cpp
+++ b/tools/loadgen/checks.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <sstream>
 
-#include "kernel/web.hpp"
+#include "net/http_fetch.hpp"
 #include "load.hpp"
 
 namespace mosskeel::loadgen {
--- a/tools/loadgen/har.cpp
+++ b/tools/loadgen/har.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "kernel/web.hpp"
+#include "net/http_fetch.hpp"
 #include "load.hpp"
 
 namespace mosskeel::loadgen {
--- a/tools/loadgen/harm.cpp
+++ b/tools/loadgen/harm.cpp
@@ -1,7 +1,7 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "kernel/web.hpp"
+#include "net/http_fetch.hpp"
 #include "load.hpp"
 
 namespace mosskeel::loadgen {
--- a/tools/loadgen/load.cpp
+++ b/tools/loadgen/load.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "kernel/web.hpp"
+#include "net/http_fetch.hpp"
 
 namespace mosskeel::loadgen {
 using Json = nlohmann::json;
--- a/tools/local-cluster/fleet.cpp
+++ b/tools/local-cluster/fleet.cpp
@@ -12,9 +12,9 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "kernel/host.hpp"
-#include "kernel/settings.hpp"
-#include "kernel/web.hpp"
+#include "runtime/host.hpp"
+#include "runtime/settings.hpp"
+#include "net/http_fetch.hpp"
 
 extern char** environ;
 
--- a/tools/local-cluster/main.cpp
+++ b/tools/local-cluster/main.cpp
@@ -8,11 +8,11 @@
 #include <thread>
 
 #include "fleet.hpp"
-#include "kernel/host.hpp"
-#include "kernel/http.hpp"
-#include "kernel/log.hpp"
-#include "kernel/settings.hpp"
-#include "kernel/web.hpp"
+#include "runtime/host.hpp"
+#include "net/http_server.hpp"
+#include "base/log.hpp"
+#include "runtime/settings.hpp"
+#include "net/http_fetch.hpp"
 
 using namespace mosskeel;
 using Json = nlohmann::json;
--- a/tools/replica-sim/main.cpp
+++ b/tools/replica-sim/main.cpp
@@ -7,10 +7,10 @@
 #include <mutex>
 #include <nlohmann/json.hpp>
 
-#include "kernel/http.hpp"
+#include "net/http_server.hpp"
 #include "kernel/limits.hpp"
-#include "kernel/log.hpp"
-#include "kernel/settings.hpp"
+#include "base/log.hpp"
+#include "runtime/settings.hpp"
 
 using namespace mosskeel;
 using Json = nlohmann::json;
--- a/tools/scale/control.cpp
+++ b/tools/scale/control.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 
 #include "consensus/controller_machine.hpp"
-#include "configuration/json.hpp"
+#include "base/json.hpp"
 #include "scale/experiments.hpp"
 #include "scale/field.hpp"
 
--- a/tools/scale/crew.cpp
+++ b/tools/scale/crew.cpp
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "kernel/host.hpp"
+#include "runtime/host.hpp"
 
 extern char** environ;
 
--- a/tools/scale/crew.hpp
+++ b/tools/scale/crew.hpp
@@ -2,9 +2,9 @@
 // The driver's side of a fleet run: processes of hollow daemons, and a voice of its own towards the controllers.
 #include <sys/types.h>
 
-#include "follow/ledger.hpp"
-#include "kernel/transport.hpp"
-#include "kernel/queue.hpp"
+#include "replication/metadata_log.hpp"
+#include "net/transport.hpp"
+#include "base/queue.hpp"
 #include "scale/fleet.hpp"
 
 namespace mosskeel::scale {
--- a/tools/scale/field.cpp
+++ b/tools/scale/field.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 
 #include "consensus/controller_machine.hpp"
-#include "follow/agent_machine.hpp"
-#include "kernel/wire.hpp"
+#include "replication/agent_machine.hpp"
+#include "net/wire.hpp"
 
 namespace mosskeel::scale {
 namespace {
--- a/tools/scale/field.hpp
+++ b/tools/scale/field.hpp
@@ -2,7 +2,7 @@
 // A world of the daemons' own machines on virtual time that counts every message and the processor time of each step.
 #include <unordered_map>
 
-#include "request/gateway_machine.hpp"
+#include "programs/gateway_machine.hpp"
 #include "history/store_machine.hpp"
 #include "scale/plan.hpp"
 
--- a/tools/scale/fleet.cpp
+++ b/tools/scale/fleet.cpp
@@ -5,8 +5,8 @@
 #include <sstream>
 #include <thread>
 
-#include "kernel/log.hpp"
-#include "configuration/json.hpp"
+#include "base/log.hpp"
+#include "base/json.hpp"
 #include "scale/run.hpp"
 
 namespace mosskeel::scale {
--- a/tools/scale/hollow.cpp
+++ b/tools/scale/hollow.cpp
@@ -7,10 +7,10 @@
 #include <sstream>
 #include <thread>
 
-#include "follow/agent_machine.hpp"
-#include "kernel/host.hpp"
-#include "kernel/transport.hpp"
-#include "kernel/queue.hpp"
+#include "replication/agent_machine.hpp"
+#include "runtime/host.hpp"
+#include "net/transport.hpp"
+#include "base/queue.hpp"
 #include "scale/fleet.hpp"
 
 namespace mosskeel::scale {
--- a/tools/scale/plan.cpp
+++ b/tools/scale/plan.cpp
@@ -2,7 +2,7 @@
 
 #include <stdexcept>
 
-#include "kernel/codec.hpp"
+#include "base/codec.hpp"
 
 namespace mosskeel::scale {
 namespace {
--- a/tools/scale/plan.hpp
+++ b/tools/scale/plan.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // How large a fleet and its configuration are, and the metadata value that such a fleet has once it is at rest.
-#include "kernel/machine.hpp"
+#include "runtime/state_machine.hpp"
 
 namespace mosskeel::scale {
 
--- a/tools/simulate/main.cpp
+++ b/tools/simulate/main.cpp
@@ -7,7 +7,7 @@
 #include <mutex>
 #include <thread>
 
-#include "sim/scenarios.hpp"
+#include "simulation/scenarios.hpp"
 
 using namespace mosskeel;
 
