--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -1,4 +1,7 @@
 #include "consensus/controller_machine.hpp"
+#include "consensus/constants.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
 
 #include <algorithm>
 
@@ -46,7 +49,7 @@
 
 Actions ControllerMachine::done() {
   for (auto& s : out_.act.journal) grown_ += s.size();
-  if (grown_ > limits::checkpoint_bytes) {
+  if (grown_ > kCheckpointJournalBytes) {
     out_.act.checkpoint = checkpoint();
     grown_ = 0;
   }
@@ -217,7 +220,7 @@
 }
 
 void ControllerMachine::beat(Millis now) {
-  next_beat_ = now + limits::heartbeat;
+  next_beat_ = now + kHeartbeatInterval;
   beaten_ = metadata_log_.epoch();
   auto& self = out_.id().self;
   Heartbeat h{self, metadata_log_.epoch(), 0, {}, 0, now, leaving_since_.has_value(), 0};
@@ -230,7 +233,7 @@
 
 /// Asks one member after the other to put this controller into the directory, again if it was taken out of it.
 void ControllerMachine::register_self(Millis now) {
-  next_register_ = now + limits::register_retry;
+  next_register_ = now + kRegistrationRetryInterval;
   auto& m = *metadata_log_.view();
   auto& self = out_.id().self;
   auto* me = m.find(self.incarnation);
@@ -250,8 +253,8 @@
   lease_.tick(now);
   sup_.tick(now);
   if (!acc_.open() || open_at_ != metadata_log_.epoch()) open_since_ = now, open_at_ = metadata_log_.epoch();
-  if (out_.cluster && now - open_since_ > limits::heartbeat * 2 && prop_.idle()) {
-    open_since_ = now + out_.jitter(limits::paxos_jitter);
+  if (out_.cluster && now - open_since_ > kHeartbeatInterval * 2 && prop_.idle()) {
+    open_since_ = now + out_.jitter(kProposalJitter);
     prop_.finish(now);
   }
   prop_.tick(now);
--- a/src/consensus/discovery.cpp
+++ b/src/consensus/discovery.cpp
@@ -2,6 +2,8 @@
 #include <algorithm>
 
 #include "consensus/controller_machine.hpp"
+#include "consensus/constants.hpp"
+#include "replication/constants.hpp"
 
 namespace mosskeel {
 
@@ -22,7 +24,7 @@
 
 /// Whether this controller may vote for or propose a founding now.
 bool ControllerMachine::may_found(Millis now) const {
-  return founder(out_.id().self.address) && now - evidence_ > limits::evidence;
+  return founder(out_.id().self.address) && now - evidence_ > kFoundingHoldOff;
 }
 
 /// The candidates heard lately, one for each address, lowest incarnation first.
@@ -42,8 +44,8 @@
 }
 
 void ControllerMachine::discover(Millis now) {
-  next_discover_ = now + limits::discover;
-  std::erase_if(fellows_, [&](auto& f) { return now - f.second.second > limits::discover * 8; });
+  next_discover_ = now + kDiscoveryInterval;
+  std::erase_if(fellows_, [&](auto& f) { return now - f.second.second > kDiscoveryInterval * 8; });
   auto& self = out_.id().self;
   for (auto& a : out_.id().seeds)
     if (a != self.address) out_.send(a, Discover{self});
@@ -60,7 +62,7 @@
   Millis age = now - born_;
   bool complete = electors.size() == founders_.size();
   bool lowest = electors.front().incarnation == id.self.incarnation;
-  auto patience = lowest ? (complete ? limits::found_pause : limits::found_patience) : limits::found_patience * 3;
+  auto patience = lowest ? (complete ? kFoundingDelay : kFoundingStragglerTimeout) : kFoundingStragglerTimeout * 3;
   if (age <= patience) return;
   auto members = electors;
   if (members.size() > id.core_size) members.resize(id.core_size);
--- a/src/consensus/failure_detector.hpp
+++ b/src/consensus/failure_detector.hpp
@@ -1,6 +1,7 @@
 #pragma once
 // Who was heard when, and what they knew: the observations of one controller.
 #include "replication/metadata_log.hpp"
+#include "consensus/constants.hpp"
 
 namespace mosskeel {
 
@@ -35,7 +36,7 @@
   bool superseded(const Daemon& daemon, Millis now) const {
     auto* own = status_of(daemon.self.incarnation);
     for (auto& [incarnation, status] : heard_)
-      if (incarnation != daemon.self.incarnation && status.self.address == daemon.self.address && now - status.last_heartbeat_at < limits::silence &&
+      if (incarnation != daemon.self.incarnation && status.self.address == daemon.self.address && now - status.last_heartbeat_at < kHeartbeatTimeout &&
           (!own || status.last_heartbeat_at > own->last_heartbeat_at))
         return true;
     return false;
--- a/src/consensus/in_force.cpp
+++ b/src/consensus/in_force.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "consensus/controller_machine.hpp"
+#include "consensus/constants.hpp"
 
 namespace mosskeel {
 
@@ -22,7 +23,7 @@
     return "no majority of the core has it; missing:" + who;
   if (!m.has_quorum(knows)) return "no majority of the fleet has it; missing:" + who;
   for (auto& [id, d] : m.directory)
-    if (d.self.role != Role::front && d.state == DaemonState::up && detector_.heartbeat_age(d, now) < limits::silence &&
+    if (d.self.role != Role::front && d.state == DaemonState::up && detector_.heartbeat_age(d, now) < kHeartbeatTimeout &&
         !knows(d))
       return "a disk in touch lacks it; missing:" + who;
   return "";
--- a/src/consensus/leaving.cpp
+++ b/src/consensus/leaving.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "consensus/controller_machine.hpp"
+#include "consensus/constants.hpp"
 
 namespace mosskeel {
 
@@ -31,7 +32,7 @@
     return d.self.role == Role::controller && d.state == DaemonState::up && !m.is_core_member(d.self.incarnation);
   });
   bool handed_over = marked && (!member || !replaceable);
-  if (handed_over || now - *leaving_since_ >= limits::leave_patience) out_.act.stop = true;
+  if (handed_over || now - *leaving_since_ >= kControllerShutdownTimeout) out_.act.stop = true;
 }
 
 }  // namespace mosskeel
--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -1,4 +1,5 @@
 #include "consensus/proposer.hpp"
+#include "consensus/constants.hpp"
 
 #include <algorithm>
 
@@ -109,7 +110,7 @@
   if (finish_only) r.entry.epoch = Epoch{0};
   r.peers = refound_ ? refound_->second : members();
   r.need = votes_needed(r.peers.size());
-  r.until = now + limits::paxos_round + out_.jitter(limits::paxos_jitter);
+  r.until = now + kProposalTimeout + out_.jitter(kProposalJitter);
   for (auto& [incarnation, a] : r.peers) out_.send(a, Prepare{r.epoch, r.ballot}, incarnation);
   round_ = std::move(r);
 }
@@ -123,7 +124,7 @@
   r.last_ticket = queue_.back().ticket;
   r.peers = members();
   r.need = majority_of(r.peers.size());
-  r.until = now + limits::paxos_round;
+  r.until = now + kProposalTimeout;
   for (auto& [incarnation, a] : r.peers) out_.send(a, QuorumRead{r.read}, incarnation);
   round_ = std::move(r);
 }
@@ -202,7 +203,7 @@
 void Proposer::again(Millis now, Ballot seen) {
   top_ = std::max(top_, seen.round);
   round_.reset();
-  pause_ = now + 1 + out_.jitter(limits::paxos_jitter);
+  pause_ = now + 1 + out_.jitter(kProposalJitter);
 }
 
 /// What somebody outside relies on once it is acknowledged.
--- a/src/consensus/refounding.cpp
+++ b/src/consensus/refounding.cpp
@@ -2,13 +2,15 @@
 #include <algorithm>
 
 #include "consensus/controller_machine.hpp"
+#include "consensus/constants.hpp"
+#include "replication/constants.hpp"
 
 namespace mosskeel {
 
 bool ControllerMachine::core_lives(Millis now) const {
   auto& m = *metadata_log_.view();
   auto n = std::count_if(m.members.begin(), m.members.end(),
-                         [&](auto id) { return detector_.heartbeat_age(*m.find(id), now) < limits::core_loss; });
+                         [&](auto id) { return detector_.heartbeat_age(*m.find(id), now) < kCoreLossTimeout; });
   return static_cast<size_t>(n) >= majority_of(m.members.size());
 }
 
@@ -27,10 +29,10 @@
 }
 
 void ControllerMachine::survey(Millis now) {
-  next_survey_ = now + limits::discover;
+  next_survey_ = now + kDiscoveryInterval;
   auto& m = *metadata_log_.view();
   auto& self = out_.id().self;
-  std::erase_if(fellows_, [&](auto& f) { return now - f.second.second > limits::discover * 8; });
+  std::erase_if(fellows_, [&](auto& f) { return now - f.second.second > kDiscoveryInterval * 8; });
   if (core_lives(now) || !(m.is_core_member(self.incarnation) || m.replaces_member(self))) {
     survey_since_ = 0;
     return;
@@ -41,7 +43,7 @@
   Incarnation heir = self.incarnation;
   for (auto id : m.members) {
     auto* d = m.find(id);
-    if (detector_.heartbeat_age(*d, now) < limits::core_loss) {
+    if (detector_.heartbeat_age(*d, now) < kCoreLossTimeout) {
       if (!first) first = d;
       continue;
     }
@@ -64,7 +66,7 @@
       if (d.state != DaemonState::left)
         out_.send(d.self.agent_address.empty() ? d.self.address : d.self.agent_address, Catchup{metadata_log_.epoch()});
   }
-  if (now - survey_since_ >= limits::survey && !prop_.refounding()) refound(lost, now);
+  if (now - survey_since_ >= kRefoundingCatchUpTime && !prop_.refounding()) refound(lost, now);
 }
 
 void ControllerMachine::refound(const std::vector<DaemonId>& lost, Millis now) {
@@ -96,12 +98,12 @@
   for (auto id : r.lost) {
     if (std::find(m.members.begin(), m.members.end(), id) == m.members.end())
       return say(CommitOutcome::rejected, "daemon " + std::to_string(id.v) + " is no core member");
-    if (detector_.heartbeat_age(*m.find(id), now) < limits::core_loss)
+    if (detector_.heartbeat_age(*m.find(id), now) < kCoreLossTimeout)
       return say(CommitOutcome::rejected, "daemon " + std::to_string(id.v) + " lives");
   }
   for (auto id : m.members)
     if (std::find(r.lost.begin(), r.lost.end(), id) == r.lost.end() &&
-        detector_.heartbeat_age(*m.find(id), now) >= limits::core_loss)
+        detector_.heartbeat_age(*m.find(id), now) >= kCoreLossTimeout)
       return say(CommitOutcome::rejected, "daemon " + std::to_string(id.v) + " is silent too, but was not named as lost");
   refound(r.lost, now);
   say(CommitOutcome::committed, "");
--- a/src/consensus/sequence_barrier.cpp
+++ b/src/consensus/sequence_barrier.cpp
@@ -1,4 +1,5 @@
 #include "consensus/sequence_barrier.hpp"
+#include "consensus/constants.hpp"
 
 #include <algorithm>
 
@@ -12,7 +13,7 @@
 /// What a daemon said of itself, if that was lately; what it said before a silence is no word on what it holds now.
 const PeerStatus* lately(const Daemon* daemon, const FailureDetector& detector, Millis now) {
   auto* status = daemon ? detector.status_of(daemon->self.incarnation) : nullptr;
-  return status && now - status->last_heartbeat_at < limits::silence ? status : nullptr;
+  return status && now - status->last_heartbeat_at < kHeartbeatTimeout ? status : nullptr;
 }
 
 /// Owners and stores of all places that a sequence moves, before and after.
--- a/src/consensus/supervisor.cpp
+++ b/src/consensus/supervisor.cpp
@@ -1,4 +1,8 @@
 #include "consensus/supervisor.hpp"
+#include "consensus/constants.hpp"
+#include "metadata/constants.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
 
 #include <algorithm>
 
@@ -15,7 +19,7 @@
   auto t = decide(now);
   if (!t) return;
   busy_ = "supervisor-" + hex(out_.roll());
-  busy_until_ = now + limits::tcm_rpc;
+  busy_until_ = now + kCommitAttemptTimeout;
   out_.send(out_.id().self.address, Commit{busy_, *t, metadata_log_.epoch()});
 }
 
@@ -23,7 +27,7 @@
   size_t n = 0;
   for (auto& [incarnation, s] : lease_.observers()) {
     auto i = s.second.find(d.id);
-    if (now - s.first < limits::supervisor_lease && metadata_log_.view()->is_core_member(incarnation) && i != s.second.end() &&
+    if (now - s.first < kSupervisorLeaseDuration && metadata_log_.view()->is_core_member(incarnation) && i != s.second.end() &&
         i->second >= limit)
       ++n;
   }
@@ -34,8 +38,8 @@
   size_t n = 0;
   for (auto& [incarnation, s] : lease_.observers()) {
     auto i = s.second.find(d.id);
-    if (now - s.first < limits::supervisor_lease && metadata_log_.view()->is_core_member(incarnation) && i != s.second.end() &&
-        i->second < limits::heartbeat * 3)
+    if (now - s.first < kSupervisorLeaseDuration && metadata_log_.view()->is_core_member(incarnation) && i != s.second.end() &&
+        i->second < kHeartbeatInterval * 3)
       ++n;
   }
   return n >= majority_of(metadata_log_.view()->members.size());
@@ -46,7 +50,7 @@
     if (r.health != ReplicaHealth::warming_up || !r.service.empty()) continue;
     auto& c = cold_[n];
     if (c.first != r.since) c = {r.since, now};
-    if (now - c.second < limits::cold_ramp + limits::isolation) continue;
+    if (now - c.second < kSlowStartDuration + kIsolationTimeout) continue;
     auto x = r;
     x.health = ReplicaHealth::ready;
     return SetReplica{x};
@@ -67,8 +71,8 @@
 
 std::optional<Transformation> Supervisor::decide(Millis now) {
   auto& m = *metadata_log_.view();
-  bool alone = !m.has_quorum([&](const Daemon& d) { return detector_.heartbeat_age(d, now) < limits::silence; });
-  auto limit = alone ? limits::silence_many : limits::silence;
+  bool alone = !m.has_quorum([&](const Daemon& d) { return detector_.heartbeat_age(d, now) < kHeartbeatTimeout; });
+  auto limit = alone ? kIsolatedHeartbeatTimeout : kHeartbeatTimeout;
   for (auto& [id, d] : m.directory) {
     if (d.state == DaemonState::left || (d.state == DaemonState::registered && d.self.role == Role::controller))
       continue;
--- a/src/consensus/supervisor_core.cpp
+++ b/src/consensus/supervisor_core.cpp
@@ -3,6 +3,9 @@
 
 #include "consensus/supervisor.hpp"
 #include "metadata/core_membership.hpp"
+#include "consensus/constants.hpp"
+#include "metadata/constants.hpp"
+#include "replication/constants.hpp"
 
 namespace mosskeel {
 
@@ -61,14 +64,14 @@
   auto* lost = lost_member(now);
   auto down = count_down_members(m);
   bool smaller_majority = m.members.size() % 2 == 0 || down > 1;
-  if (lost && smaller_majority && m.members.size() > limits::core_least) return RemoveCoreMember{lost->id};
+  if (lost && smaller_majority && m.members.size() > kMinCoreSize) return RemoveCoreMember{lost->id};
   auto most = std::max<size_t>(m.core_size, m.max_core_size);
   bool room = m.members.size() - down < most && m.members.size() <= most;
   auto* fresh = room ? newcomer(now) : nullptr;
   if (!fresh) return std::nullopt;
   if (!lost) {
     // A loss before the newcomer came is marked by then; and a lease granted by a smaller core has ended.
-    auto not_before = later_.try_emplace(fresh->id, now + limits::silence + limits::heartbeat).first->second;
+    auto not_before = later_.try_emplace(fresh->id, now + kHeartbeatTimeout + kHeartbeatInterval).first->second;
     if (now < not_before || !all_members_heard(now)) return std::nullopt;
   }
   return AddCoreMember{fresh->id};
--- a/src/consensus/supervisor_lease.cpp
+++ b/src/consensus/supervisor_lease.cpp
@@ -1,4 +1,5 @@
 #include "consensus/supervisor_lease.hpp"
+#include "consensus/constants.hpp"
 
 #include <algorithm>
 
@@ -10,7 +11,7 @@
   bool yes = now >= granted_until_ || granted_to_ == e.from_inc;
   if (yes) {
     granted_to_ = e.from_inc;
-    granted_until_ = now + limits::supervisor_lease;
+    granted_until_ = now + kSupervisorLeaseDuration;
   }
   out_.send(e.from, LeaseGrant{a.request_id, yes, detector_.heartbeat_ages(m, now)}, e.from_inc);
 }
@@ -24,7 +25,7 @@
   if (!g.granted || e.epoch > metadata_log_.epoch()) return;
   grants_.insert(e.from_inc);
   if (grants_.size() >= majority_of(m.members.size()))
-    until_ = asked_ + limits::supervisor_lease - limits::supervisor_lease_margin;
+    until_ = asked_ + kSupervisorLeaseDuration - kSupervisorLeaseMargin;
 }
 
 void SupervisorLease::resign() {
@@ -40,7 +41,7 @@
   auto& m = *metadata_log_.view();
   auto rank = std::find_if(m.members.begin(), m.members.end(),
                            [&](auto id) { return m.find(id)->self.incarnation == out_.id().self.incarnation; });
-  next_ask_ = now + 1 + (rank - m.members.begin()) * limits::supervisor_lease_margin / 2;
+  next_ask_ = now + 1 + (rank - m.members.begin()) * kSupervisorLeaseMargin / 2;
 }
 
 void SupervisorLease::tick(Millis now) {
@@ -53,7 +54,7 @@
   if (resigned_ || !m.is_core_member(me) || now < next_ask_) return;
   if (now < granted_until_ && granted_to_ != me) {
     auto rank = std::find_if(m.members.begin(), m.members.end(), [&](auto id) { return m.find(id)->self.incarnation == me; });
-    next_ask_ = granted_until_ + 1 + (rank - m.members.begin()) * limits::supervisor_lease_margin / 2;
+    next_ask_ = granted_until_ + 1 + (rank - m.members.begin()) * kSupervisorLeaseMargin / 2;
     return;
   }
   if (denied_ && !held(now)) {
@@ -61,10 +62,10 @@
     denied_ = false;
     if (granted_to_ == me) granted_to_ = {}, granted_until_ = now;
     number_ = 0;
-    next_ask_ = now + 1 + out_.jitter(limits::supervisor_lease_renew);
+    next_ask_ = now + 1 + out_.jitter(kSupervisorLeaseRenewInterval);
     return;
   }
-  next_ask_ = now + limits::supervisor_lease_renew;
+  next_ask_ = now + kSupervisorLeaseRenewInterval;
   asked_ = now;
   number_ = out_.roll();
   grants_.clear();
--- a/src/consensus/supervisor_lease.hpp
+++ b/src/consensus/supervisor_lease.hpp
@@ -1,13 +1,14 @@
 #pragma once
 // The supervisor's lease: a majority of the core grants it, its holder stops before it ends.
 #include "consensus/failure_detector.hpp"
+#include "consensus/constants.hpp"
 
 namespace mosskeel {
 
 class SupervisorLease {
  public:
   SupervisorLease(Outbox& out, MetadataLog& metadata_log, const FailureDetector& detector, Millis start)
-      : out_(out), metadata_log_(metadata_log), detector_(detector), granted_until_(start + limits::supervisor_lease) {}
+      : out_(out), metadata_log_(metadata_log), detector_(detector), granted_until_(start + kSupervisorLeaseDuration) {}
   void on(const Envelope& e, const LeaseRequest& a, Millis now);
   void on(const Envelope& e, const LeaseGrant& g, Millis now);
   void tick(Millis now);
--- a/src/consensus/supervisor_sequences.cpp
+++ b/src/consensus/supervisor_sequences.cpp
@@ -3,6 +3,7 @@
 
 #include "consensus/sequence_barrier.hpp"
 #include "consensus/supervisor.hpp"
+#include "consensus/constants.hpp"
 
 namespace mosskeel {
 
@@ -22,7 +23,7 @@
   if (sequence.kind == SequenceKind::join && node && node->state == DaemonState::down) return "its node is down";
   if (sequence.kind == SequenceKind::repair && node && node->state == DaemonState::up) return "its node is back";
   if (sequence_barrier::has_lost_target(metadata, sequence)) return "a store that was to take places is lost";
-  if (now - barrier.second > limits::barrier_timeout)
+  if (now - barrier.second > kSequenceStepTimeout)
     return std::string("barrier blocked before ") + name(sequence.next_step);
   return "";
 }
@@ -34,7 +35,7 @@
     auto daemon = " of daemon " + std::to_string(id.v);
     auto why = hindrance(sequence, now);
     if (!why.empty()) {
-      later_[id] = now + limits::sequence_pause;
+      later_[id] = now + kSequenceRetryDelay;
       out_.note(Event::sequence_blocked, std::string(name(sequence.kind)) + daemon + " at step " + name(sequence.next_step));
       return CancelSequence{id, why};
     }
@@ -56,7 +57,7 @@
   return std::any_of(directory.begin(), directory.end(), [&](auto& entry) {
     auto& daemon = entry.second;
     return daemon.self.role == Role::store && daemon.state == DaemonState::up &&
-           silent(daemon, now, limits::store_doubt);
+           silent(daemon, now, kStoreSuspectTimeout);
   });
 }
 
@@ -91,7 +92,7 @@
 /// How long a store may be silent before its places go to others; the longer, the more often it came back before.
 Millis Supervisor::repair_patience(DaemonId id) const {
   auto i = repairs_.find(id);
-  return limits::repair_after << (i == repairs_.end() ? 0 : std::min(i->second, limits::repair_backoff));
+  return kRepairDelay << (i == repairs_.end() ? 0 : std::min(i->second, kMaxRepairDelayDoublings));
 }
 
 /// The places of stores that stay down go to others at once, several stores' beside each other; first come those of
@@ -125,7 +126,7 @@
   for (auto& [id, daemon] : metadata.directory) {
     if (daemon.self.role != Role::store || daemon.state != DaemonState::down) continue;
     if (metadata.holds_partitions(id) || metadata.sequences.count(id)) continue;
-    if (metadata.find_at(daemon.self.address) != &daemon || silent(daemon, now, limits::forget_store)) return ForgetStore{id};
+    if (metadata.find_at(daemon.self.address) != &daemon || silent(daemon, now, kForgetStoreDelay)) return ForgetStore{id};
   }
   return std::nullopt;
 }
--- a/src/control/admin_api.cpp
+++ b/src/control/admin_api.cpp
@@ -2,6 +2,10 @@
 
 #include "runtime/daemon.hpp"
 #include "base/json.hpp"
+#include "control/constants.hpp"
+#include "metadata/constants.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel {
 using json::Json;
@@ -57,8 +61,8 @@
 }
 
 ApiResponse AdminApi::read(const std::function<ApiResponse(const Metadata&)>& show) {
-  if (auto v = linearizable_read(*this, limits::operator_patience)) return show(*v);
-  return ApiResponse::error(503, "unclear", "no majority of the core answered in time", limits::retry_ms);
+  if (auto v = linearizable_read(*this, kOperatorRequestTimeout)) return show(*v);
+  return ApiResponse::error(503, "unclear", "no majority of the core answered in time", kDefaultRetryAfter);
 }
 
 ApiResponse AdminApi::say(const ApiRequest& a) {
@@ -66,7 +70,7 @@
   std::string s;
   bool rebuilds = ok(c) && std::holds_alternative<command_language::RebuildCore>(value(c));
   // The core that is to be founded anew has no majority to confirm anything.
-  auto v = !ok(c) || rebuilds ? host_.view() : linearizable_read(*this, limits::operator_patience);
+  auto v = !ok(c) || rebuilds ? host_.view() : linearizable_read(*this, kOperatorRequestTimeout);
   if (!ok(c)) {
     s = "no: " + render(findings(c));
   } else if (!v) {
@@ -106,13 +110,13 @@
     f.push_back({k, "is missing or no string"});
     return "";
   };
-  Replica r{name, text("kind"), text("zone"), text("url"), ReplicaHealth::ready, {}, limits::replica_places};
+  Replica r{name, text("kind"), text("zone"), text("url"), ReplicaHealth::ready, {}, kDefaultReplicaCapacity};
   if (j.contains("places")) {
     auto& p = j["places"];
-    if (p.is_number_unsigned() && p >= 1 && p <= limits::replica_places_most)
+    if (p.is_number_unsigned() && p >= 1 && p <= kMaxReplicaCapacity)
       r.capacity = p;
     else
-      f.push_back({"places", "must be a whole number from 1 to " + std::to_string(limits::replica_places_most)});
+      f.push_back({"places", "must be a whole number from 1 to " + std::to_string(kMaxReplicaCapacity)});
   }
   auto fit = j.contains("health") ? text("health") : "cold";
   if (fit == "cold")
@@ -145,7 +149,7 @@
     for (auto& [id, d] : m.directory) {
       if (d.self.role != Role::front || d.state == DaemonState::left) continue;
       auto* x = h.status_of(d.self.incarnation);
-      bool fresh = x && now - x->last_heartbeat_at < limits::heartbeat * 4;
+      bool fresh = x && now - x->last_heartbeat_at < kHeartbeatInterval * 4;
       j.push_back({{"id", id.v},
                    {"http", d.self.http_address},
                    {"zone", d.self.zone},
@@ -196,7 +200,7 @@
   auto v = host_.view();
   if (a.path == "/ready")
     return v->cluster ? body({{"ready", true}, {"epoch", v->epoch.v}})
-                      : ApiResponse::error(503, "not_ready", "the cluster is not founded yet", limits::retry_ms);
+                      : ApiResponse::error(503, "not_ready", "the cluster is not founded yet", kDefaultRetryAfter);
   return ApiResponse::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
 }
 
--- a/src/control/cluster_control.hpp
+++ b/src/control/cluster_control.hpp
@@ -1,6 +1,7 @@
 #pragma once
 // What a platform may order of the core, in the product's words, and how its way of asking plugs in.
 #include "net/http_server.hpp"
+#include "control/constants.hpp"
 
 namespace mosskeel {
 
@@ -13,7 +14,7 @@
 /// `unconfirmed`: no majority of the core has confirmed any state.
 enum class RetirementState { unconfirmed, unknown_machine, serving, finished };
 
-/// All calls for one request together end within `limits::operator_patience`.
+/// All calls for one request together end within `kOperatorRequestTimeout`.
 class ClusterControl {
  public:
   virtual ~ClusterControl() = default;
--- a/src/control/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 
 #include "runtime/settings.hpp"
+#include "consensus/constants.hpp"
+#include "control/constants.hpp"
+#include "replication/constants.hpp"
 
 namespace mosskeel {
 namespace {
@@ -70,7 +73,7 @@
   for (auto& [id, x] : v->directory) {
     if (x.self.role != Role::store || x.state != DaemonState::up) continue;
     auto* o = m.failure_detector().status_of(x.self.incarnation);
-    if (!o || now - o->last_heartbeat_at > limits::silence)
+    if (!o || now - o->last_heartbeat_at > kHeartbeatTimeout)
       s += " daemon " + std::to_string(id.v) + " is silent;";
     else if (o->incomplete_comparisons)
       s += " daemon " + std::to_string(id.v) + " lacks copies in " + std::to_string(o->incomplete_comparisons) + " comparisons;";
@@ -79,7 +82,7 @@
 }
 
 ControlSession::ControlSession(ControllerAccess& controller, Millis arrived)
-    : controller_(controller), until_(arrived + limits::operator_patience) {}
+    : controller_(controller), until_(arrived + kOperatorRequestTimeout) {}
 
 Millis ControlSession::left() {
   return std::max<Millis>(0, until_ - controller_.now());
@@ -93,7 +96,7 @@
     auto& m = *k.view();
     auto near = [&](DaemonId id) {
       auto* d = m.find(id);
-      return d && k.failure_detector().heartbeat_age(*d, now) < limits::heartbeat * 4;
+      return d && k.failure_detector().heartbeat_age(*d, now) < kHeartbeatInterval * 4;
     };
     if (k.removed_by_refounding()) return void(x = {"", "the core was founded anew without this controller"});
     if (!m.cluster) return void(x = {"", "the cluster is not founded yet"});
@@ -119,8 +122,8 @@
   while (!controller_.stopped()) {
     controller_.inspect([&](ControllerMachine& m, Millis now) { why = m.missing_acknowledgements(at, now); });
     if (why.empty()) return {Code::done, ""};
-    if (left() <= limits::order_poll) break;
-    controller_.pause(limits::order_poll);
+    if (left() <= kInForcePollInterval) break;
+    controller_.pause(kInForcePollInterval);
   }
   return {Code::outcome_unknown, "epoch " + std::to_string(at.v) + " is not yet in force: " + why};
 }
--- a/src/control/control_session.hpp
+++ b/src/control/control_session.hpp
@@ -2,6 +2,7 @@
 // One operator's request on one controller: every step of it shares one deadline.
 #include "consensus/controller_machine.hpp"
 #include "control/cluster_control.hpp"
+#include "control/constants.hpp"
 
 namespace mosskeel {
 
@@ -26,7 +27,7 @@
 
 class ControlSession : public ClusterControl {
  public:
-  /// A request that came at `arrived` has its answer within `limits::operator_patience` of that.
+  /// A request that came at `arrived` has its answer within `kOperatorRequestTimeout` of that.
   ControlSession(ControllerAccess& controller, Millis arrived);
   std::optional<Unavailable> unavailability() override;
   View read_metadata() override;
--- a/src/control/host_controller_access.cpp
+++ b/src/control/host_controller_access.cpp
@@ -3,6 +3,8 @@
 
 #include "control/admin_api.hpp"
 #include "runtime/daemon.hpp"
+#include "control/constants.hpp"
+#include "replication/constants.hpp"
 
 namespace mosskeel {
 
@@ -20,7 +22,7 @@
     e.epoch = v->epoch;
     e.body = Commit{id, t, v->epoch, until - process_now()};
     host_.post(std::move(e));
-    auto m = words->pop(std::min<Millis>(rpc_ + limits::heartbeat, until - process_now()));
+    auto m = words->pop(std::min<Millis>(rpc_ + kHeartbeatInterval, until - process_now()));
     if (!m) continue;
     if (auto* r = std::get_if<CommitReply>(&*m)) {
       last = *r;
@@ -35,7 +37,7 @@
   std::string why;
   inspect([&](ControllerMachine& m, Millis now) { why = drain_hazard(m, t, now); });
   if (why.empty()) return commit(t, id, await_);
-  auto v = linearizable_read(*this, limits::operator_patience);
+  auto v = linearizable_read(*this, kOperatorRequestTimeout);
   if (!v) return {id, CommitOutcome::unknown, "no majority of the core answered in time", host_.view()->epoch, {}, {}};
   return {id, CommitOutcome::rejected, why, v->epoch, {}, {}, Rejection::busy};
 }
--- a/src/control/replica_poller.cpp
+++ b/src/control/replica_poller.cpp
@@ -3,13 +3,16 @@
 #include <curl/curl.h>
 
 #include "runtime/daemon.hpp"
+#include "control/constants.hpp"
+#include "net/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel {
 namespace {
 
 size_t collect(char* p, size_t s, size_t n, void* to) {
   auto& b = *static_cast<std::string*>(to);
-  if (b.size() + s * n > limits::body_bytes * 8) return 0;
+  if (b.size() + s * n > kMaxHttpBodyBytes * 8) return 0;
   b.append(p, s * n);
   return s * n;
 }
@@ -34,7 +37,7 @@
   while (!halt_.closed()) {
     halt_.pop(std::max<Millis>(1, next - process_now()));
     if (halt_.closed()) return;
-    next = process_now() + limits::list_beat;
+    next = process_now() + kReplicaListPollInterval;
     beat();
   }
 }
@@ -48,14 +51,14 @@
   if (!v) return note(Event::replica_list_unreadable, failed_);
   auto change = listing_.reconcile(host_.view()->replicas, *v, process_now());
   if (!change) return;
-  auto r = desk_.commit(*change, "list-" + hex(dice()), limits::tcm_rpc);
+  auto r = desk_.commit(*change, "list-" + hex(dice()), kCommitAttemptTimeout);
   if (r.outcome != CommitOutcome::committed) note(Event::platform_request, describe(*change) + ": " + r.reason);
 }
 
 std::optional<std::vector<Replica>> ReplicaPoller::read() {
   std::vector<Replica> all;
   std::string next;
-  for (size_t i = 0; i < limits::list_pages && !halt_.closed(); ++i) {
+  for (size_t i = 0; i < kReplicaListMaxPages && !halt_.closed(); ++i) {
     auto text = page(dialect_.replica_list_path(next));
     if (!text) return std::nullopt;
     auto p = dialect_.parse_replica_list_page(*text);
@@ -74,7 +77,7 @@
   curl_easy_setopt(e, CURLOPT_URL, url.c_str());
   curl_easy_setopt(e, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(e, CURLOPT_PROXY, "");
-  curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, static_cast<long>(limits::list_patience));
+  curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, static_cast<long>(kReplicaListPageTimeout));
   curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, collect);
   curl_easy_setopt(e, CURLOPT_WRITEDATA, &body);
   auto rc = curl_easy_perform(e);
--- a/src/daemons/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -1,7 +1,8 @@
 #include "runtime/daemon.hpp"
-#include "history/history_limits.hpp"
 #include "history/store_machine.hpp"
 #include "base/memory.hpp"
+#include "history/constants.hpp"
+#include "runtime/constants.hpp"
 
 using namespace mosskeel;
 
@@ -18,14 +19,14 @@
   Identity id{
       {disk->recovered().incarnation, Role::store, p.zone, p.listen, "", p.http, p.machine}, p.seeds, 0, dice(), p.tcm_rpc_ms};
   return_large_blocks();
-  Host host(disk, p.listen, limits::store_inbox_bytes);
+  Host host(disk, p.listen, kStoreInboxBytes);
   Millis next_look = 0;
   host.watch([&host, next_look](Machine& m, Millis now) mutable {
     if (now < next_look) return;
-    next_look = now + limits::store_load_pace;
-    bool held_back = host.journal()->held() > limits::store_waiting_bytes;
+    next_look = now + kStoreLoadInterval;
+    bool held_back = host.journal()->held() > kMaxBytesWaitingForDisk;
     static_cast<StoreMachine&>(m).set_load(
-        {held_back || process_memory().over(limits::store_memory_share), host.waiting() > limits::store_waiting_bytes});
+        {held_back || process_memory().over(kStoreMemoryShare), host.waiting() > kMaxBytesWaitingForDisk});
   });
   if (auto f =
           host.start([&](Recovered r, Millis now) { return std::make_unique<StoreMachine>(id, std::move(r), now); });
@@ -55,7 +56,7 @@
     if (a.path != "/ready") return ApiResponse::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
     auto* me = host.view()->find(disk->recovered().incarnation);
     if (!me || me->state != DaemonState::up)
-      return ApiResponse::error(503, "not_ready", "this store is not in the directory yet", limits::retry_ms);
+      return ApiResponse::error(503, "not_ready", "this store is not in the directory yet", kDefaultRetryAfter);
     x.body = "{\"ready\":true}\n";
     return x;
   };
--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -3,6 +3,9 @@
 #include <nlohmann/json.hpp>
 
 #include "runtime/daemon.hpp"
+#include "programs/constants.hpp"
+#include "routing/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel {
 namespace {
@@ -97,14 +100,14 @@
   env.epoch = v->epoch;
   auto attempt = e.attempt;
   auto patience =
-      (e.deadline_ms > 0 ? std::min<Millis>(e.deadline_ms, limits::request_timeout) : limits::request_timeout) +
-      limits::handover_patience;
+      (e.deadline_ms > 0 ? std::min<Millis>(e.deadline_ms, kDefaultRequestTimeout) : kDefaultRequestTimeout) +
+      kOutcomeTransferTimeout;
   env.body = std::move(e);
   host_.post(std::move(env));
   std::string text;
   uint32_t n = 0;
   auto until = process_now() + patience;
-  ProgramResponse lost{attempt, 504, Outcome::unknown, "this worker lost sight of the request", "", 0, 0, limits::retry_ms,
+  ProgramResponse lost{attempt, 504, Outcome::unknown, "this worker lost sight of the request", "", 0, 0, kDefaultRetryAfter,
                   false,   0};
   while (true) {
     auto m = w->pop(std::max<Millis>(1, until - process_now()));
@@ -219,7 +222,7 @@
     host_.ask([&](Machine& m, Millis now) { up = static_cast<GatewayMachine&>(m).ready(now); });
     ApiResponse r;
     r.body = "{\"ready\":true}\n";
-    return up ? r : ApiResponse::error(503, "not_ready", "this worker is not ready", limits::retry_ms);
+    return up ? r : ApiResponse::error(503, "not_ready", "this worker is not ready", kDefaultRetryAfter);
   }
   if (a.path.starts_with("/v1/cells/")) {
     auto rest = a.path.substr(10);
--- a/src/gateway/routing_thread.cpp
+++ b/src/gateway/routing_thread.cpp
@@ -1,6 +1,7 @@
 #include "gateway/routing_thread.hpp"
+#include "gateway/constants.hpp"
+#include "runtime/constants.hpp"
 
-#include "kernel/traffic_limits.hpp"
 
 namespace mosskeel {
 
@@ -55,7 +56,7 @@
 }
 
 void RoutingThread::go_on_leaving(Millis now) {
-  if (!leaving_since_ || now - leaving_since_ < limits::unready_patience) return;
+  if (!leaving_since_ || now - leaving_since_ < kReadinessPropagation) return;
   front_->drain();
   open_ = front_->has_active_callers();
 }
@@ -68,7 +69,7 @@
 }
 
 void RoutingThread::tick() {
-  loop_.run_after(limits::tick, [this] { tick(); });
+  loop_.run_after(kTickInterval, [this] { tick(); });
   front_->tick();
   go_on_leaving(process_now());
 }
--- a/src/history/expiry.cpp
+++ b/src/history/expiry.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "history/store_machine.hpp"
+#include "history/constants.hpp"
 
 namespace mosskeel {
 
@@ -17,11 +18,11 @@
   if (l.records.back().kind == RecordKind::ended) return true;
   int64_t keep = 0;
   for (auto& r : l.records) keep = std::max(keep, r.retention_ms);
-  return uptime() - l.touched > keep + keep / limits::retention_slack + limits::retention_margin;
+  return uptime() - l.touched > keep + keep / kRetentionStretchDivisor + kRetentionMargin;
 }
 
 void StoreMachine::expire(Millis now) {
-  next_expire_ = now + limits::expiry_pace;
+  next_expire_ = now + kExpiryScanInterval;
   auto& m = *metadata_log_.view();
   if (m.partitions.empty()) return;
   expiring_.v = (expiring_.v + 1) % static_cast<uint32_t>(m.partitions.size());
@@ -30,7 +31,7 @@
   if (i == slots_.end() || !o) return;
   size_t n = 0;
   for (auto& [name, l] : i->second.histories)
-    if (aged(l) && n++ < limits::expiry_batch)
+    if (aged(l) && n++ < kMaxExpiredPerScan)
       out_.send(o->self.address, HistoryExpired{name, expiring_, l.records.size()}, o->self.incarnation);
 }
 
--- a/src/history/history_writer.cpp
+++ b/src/history/history_writer.cpp
@@ -1,4 +1,5 @@
 #include "history/history_writer.hpp"
+#include "history/constants.hpp"
 
 #include <algorithm>
 
@@ -58,7 +59,7 @@
   }
   i->second.used = now;
   auto& h = i->second;
-  if (h.state == State::opening && now - h.since > limits::line_patience) {
+  if (h.state == State::opening && now - h.since > kHistoryQuorumTimeout) {
     if (h.reading) lines_.erase(i);
     return State::unavailable;
   }
@@ -113,7 +114,7 @@
       p = {};
       incarnation = d->self.incarnation;
     }
-    bool due = p.last == 0 || (retry && now - p.last >= limits::line_retry);
+    bool due = p.last == 0 || (retry && now - p.last >= kStoreRetryInterval);
     if (h.reading) {
       if (has_read(h, p) || !due) continue;
       out_.send(d->self.address, ReadHistory{n, h.partition, h.term}, d->self.incarnation);
@@ -122,7 +123,7 @@
       p.sent = h.records.size();
       out_.send(d->self.address, AppendHistory{n, h.partition, h.term, true, 0, h.records}, d->self.incarnation);
     } else {
-      if (retry && p.acked < h.records.size() && now - p.last >= limits::line_retry) p.sent = p.acked;
+      if (retry && p.acked < h.records.size() && now - p.last >= kStoreRetryInterval) p.sent = p.acked;
       if (p.sent >= h.records.size()) continue;
       Records v(h.records.begin() + static_cast<ptrdiff_t>(p.sent), h.records.end());
       out_.send(d->self.address, AppendHistory{n, h.partition, h.term, false, p.sent, std::move(v)}, d->self.incarnation);
@@ -216,7 +217,7 @@
     if (h.state == State::opening || h.committed < h.records.size()) {
       settle(n, h, now);
       pump(n, h, now, true);
-    } else if (now - h.used > limits::line_idle) {
+    } else if (now - h.used > kIdleHistoryTimeout) {
       i = lines_.erase(i);
       continue;
     }
--- a/src/history/moved_partitions.cpp
+++ b/src/history/moved_partitions.cpp
@@ -1,8 +1,8 @@
 // How a store frees what it keeps of partitions whose places went to other stores.
 #include <algorithm>
 
-#include "history/history_limits.hpp"
 #include "history/store_machine.hpp"
+#include "history/constants.hpp"
 
 namespace mosskeel {
 
@@ -17,7 +17,7 @@
 /// A store that gets a place later reads the partition anew from those that hold it; only what fences and what has ended
 /// stays.
 void StoreMachine::drop_moved(Millis now) {
-  next_drop_ = now + limits::moved_pace;
+  next_drop_ = now + kMovedPartitionScanInterval;
   auto* me = metadata_log_.view()->find(out_.id().self.incarnation);
   if (!me) return;
   for (auto& [id, s] : slots_) {
@@ -26,7 +26,7 @@
       continue;
     }
     auto since = moved_since_.emplace(id, now).first->second;
-    if (now - since < limits::moved_keep) continue;
+    if (now - since < kMovedPartitionKeepTime) continue;
     s.histories.clear();
     moved_since_.erase(id);
     journal(DropPartitionRecord{id});
--- a/src/history/partition_repair.cpp
+++ b/src/history/partition_repair.cpp
@@ -1,4 +1,7 @@
 #include "history/partition_repair.hpp"
+#include "history/constants.hpp"
+#include "net/constants.hpp"
+#include "replication/constants.hpp"
 
 #include <algorithm>
 
@@ -57,19 +60,19 @@
   j.answered = false;
   j.asked = now;
   if (j.want.empty()) return out_.send(d->self.address, ListHistories{j.pair.first, j.after}, d->self.incarnation);
-  auto n = std::min(j.want.size(), limits::repair_lines);
+  auto n = std::min(j.want.size(), kRepairHistoriesPerMessage);
   out_.send(d->self.address, FetchHistories{j.pair.first, {j.want.begin(), j.want.begin() + static_cast<ptrdiff_t>(n)}},
             d->self.incarnation);
 }
 
 void PartitionRepair::tick(Millis now) {
-  if (now - ticked_ > limits::isolation) whole_.clear();
+  if (now - ticked_ > kIsolationTimeout) whole_.clear();
   ticked_ = now;
   if (now < next_) return;
-  next_ = now + limits::repair_pace;
+  next_ = now + kRepairInterval;
   if (!job_) return begin(now);
   if (job_->answered) return proceed(now);
-  if (now - job_->asked < limits::repair_patience) return;
+  if (now - job_->asked < kRepairRequestTimeout) return;
   whole_.erase(job_->pair);
   job_.reset();
 }
@@ -113,7 +116,7 @@
   if (auto i = slots_.find(q.partition); i != slots_.end()) {
     auto& v = i->second.histories;
     for (auto j = q.after.program.empty() ? v.begin() : v.upper_bound(q.after); j != v.end(); ++j) {
-      if (r.summaries.size() == limits::repair_marks) {
+      if (r.summaries.size() == kRepairSummariesPerMessage) {
         r.more = true;
         break;
       }
@@ -145,7 +148,7 @@
   auto i = slots_.find(q.partition);
   size_t bytes = 0;
   for (auto& n : q.names) {
-    if (i == slots_.end() || bytes > limits::body_bytes / 4) break;
+    if (i == slots_.end() || bytes > kMaxHttpBodyBytes / 4) break;
     auto l = i->second.histories.find(n);
     if (l == i->second.histories.end()) continue;
     for (auto& x : l->second.records) bytes += x.input.size() + x.output.size() + sizeof x;
@@ -155,7 +158,7 @@
 }
 
 void PartitionRepair::on(const FetchHistoriesReply& r) {
-  auto n = std::min(job_->want.size(), limits::repair_lines);
+  auto n = std::min(job_->want.size(), kRepairHistoriesPerMessage);
   auto last = job_->want[n - 1];
   if (!r.histories.empty()) {
     fetched_ += r.histories.size();
--- a/src/history/partition_repair.hpp
+++ b/src/history/partition_repair.hpp
@@ -2,6 +2,7 @@
 // A store's background repair: compare partitions with the other stores, fetch the histories that are lacking here.
 #include "replication/metadata_log.hpp"
 #include "history/stored_partition.hpp"
+#include "history/constants.hpp"
 
 namespace mosskeel {
 
@@ -32,7 +33,7 @@
   };
   std::vector<Pair> pairs() const;
   uint64_t sum(PartitionId s) const;
-  bool settled(const History& l) const { return uptime() - l.touched > limits::repair_age; }
+  bool settled(const History& l) const { return uptime() - l.touched > kRepairMinimumAge; }
   void begin(Millis now);
   void proceed(Millis now);
   void finish() { whole_[job_->pair] = job_->changed, job_.reset(); }
--- a/src/history/partition_streams.cpp
+++ b/src/history/partition_streams.cpp
@@ -1,4 +1,5 @@
 #include "history/partition_streams.hpp"
+#include "history/constants.hpp"
 
 #include <algorithm>
 
@@ -38,7 +39,7 @@
   for (auto i = streams_.upper_bound(last_); i != streams_.end(); ++i) order.push_back(i->first);
   for (auto i = streams_.begin(); i != streams_.end() && i->first <= last_; ++i) order.push_back(i->first);
   for (auto id : order) {
-    if (under_way(now) >= limits::stream_pages) return;
+    if (under_way(now) >= kTransferWindowPages) return;
     last_ = id;
     if (auto& x = streams_[id]; !x.complete) ask_slot(id, x, now);
   }
@@ -60,7 +61,7 @@
   size_t engaged = 0;
   for (auto& [source_id, source] : x.sources) engaged += source.done || source.busy(now);
   for (auto* d : by_promise(partition, x)) {
-    if (engaged >= metadata_log_.view()->read_quorum(partition.stores.size()) || under_way(now) >= limits::stream_pages) return;
+    if (engaged >= metadata_log_.view()->read_quorum(partition.stores.size()) || under_way(now) >= kTransferWindowPages) return;
     auto& source = x.sources[d->id];
     if (source.done || asks(d->id, now)) continue;
     ask(id, x, source, *d, now);
--- a/src/history/partition_streams.hpp
+++ b/src/history/partition_streams.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // A store's copying of partitions that it is about to hold, in pages, with a bound on those under way.
 #include "replication/metadata_log.hpp"
-#include "history/history_limits.hpp"
 #include "history/stored_partition.hpp"
+#include "history/constants.hpp"
 
 namespace mosskeel {
 
@@ -27,7 +27,7 @@
     uint64_t tombstone = 0;
     Millis asked = 0;
     bool waiting = false, done = false;
-    bool busy(Millis now) const { return waiting && now - asked < limits::stream_patience; }
+    bool busy(Millis now) const { return waiting && now - asked < kTransferPageTimeout; }
   };
   struct Streaming {
     Epoch sequence;
--- a/src/history/store_machine.cpp
+++ b/src/history/store_machine.cpp
@@ -1,8 +1,10 @@
 #include "history/store_machine.hpp"
+#include "history/constants.hpp"
+#include "runtime/constants.hpp"
+#include "storage/constants.hpp"
 
 #include <algorithm>
 
-#include "history/history_limits.hpp"
 
 namespace mosskeel {
 
@@ -63,7 +65,7 @@
 
 std::string StoreMachine::checkpoint() const {
   std::string s;
-  s.reserve(checkpoint_size_ + grown_ + limits::segment_bytes / 16);
+  s.reserve(checkpoint_size_ + grown_ + kSegmentBytes / 16);
   codec::put(s, *metadata_log_.view());
   codec::put(s, slots_);
   codec::put(s, uptime());
@@ -74,7 +76,7 @@
 /// As long as the last checkpoint, so that a checkpoint is written for as many bytes of journal, and a start reads
 /// no more than twice the state.
 size_t StoreMachine::journal_limit() const {
-  return std::clamp(checkpoint_size_, limits::store_journal_least, limits::checkpoint_bytes);
+  return std::clamp(checkpoint_size_, kMinCheckpointJournalBytes, kCheckpointJournalBytes);
 }
 
 Actions StoreMachine::done() {
@@ -170,15 +172,15 @@
     size_t bytes = 0;
     auto j = q.after.program.empty() ? i->second.histories.begin() : i->second.histories.upper_bound(q.after);
     for (; j != i->second.histories.end(); ++j) {
-      if (bytes > limits::stream_page_bytes) {
+      if (bytes > kTransferPageBytes) {
         r.more = true;
         break;
       }
-      for (auto& x : j->second.records) bytes += x.input.size() + x.output.size() + limits::record_overhead;
+      for (auto& x : j->second.records) bytes += x.input.size() + x.output.size() + kRecordOverheadBytes;
       r.histories.push_back({j->first, j->second.term, j->second.records});
     }
-    r.tombstones = i->second.tombstones.above(q.tombstone, limits::tombstones_page);
-    r.more = r.more || r.tombstones.size() == limits::tombstones_page;
+    r.tombstones = i->second.tombstones.above(q.tombstone, kTombstonesPerMessage);
+    r.more = r.more || r.tombstones.size() == kTombstonesPerMessage;
   }
   out_.send(e.from, r, e.from_inc);
 }
--- /dev/null
+++ b/src/messages/constants.hpp
@@ -0,0 +1,10 @@
+#pragma once
+// Constants of the protocol between daemons.
+#include "mosskeel/common.hpp"
+
+namespace mosskeel {
+
+/// revision of the protocol between daemons
+constexpr uint16_t kProtocolRevision = 2;
+
+}  // namespace mosskeel
--- a/src/metadata/core_steps.cpp
+++ b/src/metadata/core_steps.cpp
@@ -3,6 +3,7 @@
 
 #include "metadata/core_membership.hpp"
 #include "metadata/transformation_steps.hpp"
+#include "metadata/constants.hpp"
 
 namespace mosskeel::steps {
 
@@ -11,10 +12,10 @@
   m.cluster = f.cluster;
   m.core_size = f.core_size;
   m.max_core_size = std::max(f.max_core_size, f.core_size);
-  m.configured_replication_factor = f.replication_factor ? f.replication_factor : limits::copies;
+  m.configured_replication_factor = f.replication_factor ? f.replication_factor : kDefaultHistoryReplicas;
   m.generation = 1;
   m.next_id = 1;
-  m.partitions.resize(limits::slots);
+  m.partitions.resize(kPartitionCount);
   for (auto& c : f.members) {
     DaemonId id{m.next_id++};
     m.directory[id] = {id, c, DaemonState::up, m.epoch};
@@ -105,7 +106,7 @@
   auto* o = m.find(t.node);
   if (i == m.members.end() || !o) return no(who(t.node), "is not a core member");
   if (o->state != DaemonState::down) return no(who(t.node), std::string("is a live member (") + name(o->state) + ")");
-  if (m.members.size() <= limits::core_least) return no(who(t.node), "the core would be too small without it");
+  if (m.members.size() <= kMinCoreSize) return no(who(t.node), "the core would be too small without it");
   m.members.erase(i);
   m.directory[t.node].state = DaemonState::left;
   m.directory[t.node].since = m.epoch;
@@ -118,11 +119,11 @@
   if (r.name.empty()) f.push_back({"name", "is empty"});
   if (r.kind != "model" && r.kind != "app") f.push_back({"kind", "is neither model nor app"});
   if (!r.url.starts_with("http://")) f.push_back({"url", "does not begin with http://"});
-  if (r.capacity > limits::replica_places_most)
-    f.push_back({"places", "must be from 1 to " + std::to_string(limits::replica_places_most)});
+  if (r.capacity > kMaxReplicaCapacity)
+    f.push_back({"places", "must be from 1 to " + std::to_string(kMaxReplicaCapacity)});
   if (!f.empty()) return f;
   auto c = r;
-  if (c.capacity == 0) c.capacity = limits::replica_places;
+  if (c.capacity == 0) c.capacity = kDefaultReplicaCapacity;
   auto i = m.replicas.find(r.name);
   c.since = m.epoch;
   if (i != m.replicas.end()) {
--- a/src/metadata/front_placement.cpp
+++ b/src/metadata/front_placement.cpp
@@ -1,7 +1,6 @@
 // Placement: which front owns a partition. store_places.cpp has the stores that keep it.
 #include <algorithm>
 
-#include "kernel/limits.hpp"
 #include "metadata/liveness.hpp"
 #include "metadata/transformation.hpp"
 
--- a/src/metadata/metadata.cpp
+++ b/src/metadata/metadata.cpp
@@ -1,8 +1,8 @@
 #include "metadata/metadata.hpp"
+#include "metadata/constants.hpp"
 
 #include <algorithm>
 
-#include "kernel/limits.hpp"
 
 namespace mosskeel {
 
@@ -108,7 +108,7 @@
 }
 
 size_t Metadata::replication_factor() const {
-  return std::max(configured_replication_factor, limits::copies);
+  return std::max(configured_replication_factor, kDefaultHistoryReplicas);
 }
 
 /// Never fewer than a majority of the full number, however few stores there are.
@@ -134,7 +134,7 @@
 
 bool is_successor_cluster(const Metadata& m, uint64_t later) {
   auto c = m.cluster;
-  for (uint64_t k = 0; k < limits::generations_ahead; ++k) {
+  for (uint64_t k = 0; k < kMaxMissedGenerations; ++k) {
     c = next_cluster_id(c, m.generation + k);
     if (c == later) return true;
   }
@@ -142,11 +142,11 @@
 }
 
 PartitionId partition_of(const std::string& cell, const std::string& program) {
-  return PartitionId{static_cast<uint32_t>(digest(program, digest(cell)) % limits::slots)};
+  return PartitionId{static_cast<uint32_t>(digest(program, digest(cell)) % kPartitionCount)};
 }
 
 uint32_t replication_factor_for(uint32_t machines, uint32_t zones) {
-  return std::max(limits::copies, 2 * std::max(machines, zones) + 1);
+  return std::max(kDefaultHistoryReplicas, 2 * std::max(machines, zones) + 1);
 }
 
 size_t majority_of(size_t n) {
--- a/src/metadata/replica_list_reconciler.cpp
+++ b/src/metadata/replica_list_reconciler.cpp
@@ -1,6 +1,6 @@
 #include "metadata/replica_list_reconciler.hpp"
+#include "metadata/constants.hpp"
 
-#include "kernel/limits.hpp"
 
 namespace mosskeel {
 namespace {
@@ -24,11 +24,11 @@
     auto* l = known ? &i->second : nullptr;
     // Without a memory the log's time may have run for a while already, so only a longer one is news.
     auto expected = fresh ? now + (l ? std::min(l->warm_up_ms, r.warm_up_ms) : 0) : s.warm;
-    bool longer = r.warm_up_ms > std::max<Millis>(0, expected - now) + limits::list_cold_slack;
+    bool longer = r.warm_up_ms > std::max<Millis>(0, expected - now) + kWarmUpTolerance;
     bool unheard = l && s.told && l->since == *s.told;
     if (l && l->health == ReplicaHealth::warming_up && l->warm_up_ms == 0 && r.health == ReplicaHealth::ready) {
       if (!s.restored) s.restored = now;
-      if (now - s.restored < limits::list_lag) continue;
+      if (now - s.restored < kMaxReplicaListLag) continue;
     } else {
       s.restored = 0;
     }
--- a/src/metadata/store_placement.cpp
+++ b/src/metadata/store_placement.cpp
@@ -1,7 +1,6 @@
 // Placement of copies: which stores keep a partition, as many as the log says, spread over zones.
 #include <algorithm>
 
-#include "kernel/limits.hpp"
 #include "metadata/liveness.hpp"
 #include "metadata/transformation.hpp"
 
--- a/src/metadata/transformation.cpp
+++ b/src/metadata/transformation.cpp
@@ -1,6 +1,7 @@
 #include <algorithm>
 
 #include "metadata/transformation_steps.hpp"
+#include "metadata/constants.hpp"
 
 namespace mosskeel {
 namespace {
@@ -271,11 +272,11 @@
 void remember(Metadata& m, const Entry& e) {
   if (e.commit_id.empty()) return;
   m.applied_commits.push_back({e.commit_id, e.epoch});
-  if (m.applied_commits.size() > limits::commit_memory) m.applied_commits.erase(m.applied_commits.begin());
+  if (m.applied_commits.size() > kRememberedCommits) m.applied_commits.erase(m.applied_commits.begin());
   auto* order = std::get_if<ApplyConfiguration>(&e.change);
   if (!order) return;
   m.applied_configurations.push_back({order->base, e.epoch, digest(e.commit_id)});
-  if (m.applied_configurations.size() > limits::order_memory) m.applied_configurations.erase(m.applied_configurations.begin());
+  if (m.applied_configurations.size() > kRememberedConfigurationChanges) m.applied_configurations.erase(m.applied_configurations.begin());
 }
 
 }  // namespace
--- a/src/metadata/transformation_steps.hpp
+++ b/src/metadata/transformation_steps.hpp
@@ -1,6 +1,5 @@
 #pragma once
 // What the transformations share; only src/metadata includes this.
-#include "kernel/limits.hpp"
 #include "metadata/transformation.hpp"
 
 namespace mosskeel::steps {
--- /dev/null
+++ b/src/net/constants.hpp
@@ -0,0 +1,14 @@
+#pragma once
+// Constants of sockets, HTTP and the links between daemons.
+#include "mosskeel/common.hpp"
+
+namespace mosskeel {
+
+/// bytes; the largest HTTP body that is accepted
+constexpr size_t kMaxHttpBodyBytes = 1u << 20;
+/// connections of one HTTP listener
+constexpr unsigned kMaxHttpConnections = 2000;
+/// messages that may wait for one peer
+constexpr int kMaxQueuedMessagesPerPeer = 1024;
+
+}  // namespace mosskeel
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -6,8 +6,8 @@
 
 #include <nlohmann/json.hpp>
 
-#include "kernel/limits.hpp"
 #include "runtime/settings.hpp"
+#include "net/constants.hpp"
 
 namespace mosskeel {
 namespace {
@@ -73,7 +73,7 @@
   }
   auto& t = *static_cast<Talk*>(*ctx);
   if (*size) {
-    if (t.ask.body.size() + *size > limits::body_bytes)
+    if (t.ask.body.size() + *size > kMaxHttpBodyBytes)
       t.too_long = true;
     else
       t.ask.body.append(data, *size);
@@ -82,7 +82,7 @@
   }
   if (t.too_long)
     return queue(c,
-                 ApiResponse::error(413, "too_long", "body: exceeds " + std::to_string(limits::body_bytes) + " bytes"));
+                 ApiResponse::error(413, "too_long", "body: exceeds " + std::to_string(kMaxHttpBodyBytes) + " bytes"));
   MHD_get_connection_values(c, MHD_HEADER_KIND, collect, &t.ask.headers);
   MHD_get_connection_values(c, MHD_GET_ARGUMENT_KIND, collect, &t.ask.query);
   return queue(c, static_cast<HttpServer*>(cls)->handler()(t.ask));
@@ -127,7 +127,7 @@
   s->mhd_ = MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, p->second, nullptr,
                              nullptr, on_ask, s.get(), MHD_OPTION_SOCK_ADDR, reinterpret_cast<sockaddr*>(&a),
                              MHD_OPTION_NOTIFY_COMPLETED, on_done, nullptr, MHD_OPTION_CONNECTION_LIMIT,
-                             limits::http_sessions, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
+                             kMaxHttpConnections, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
                              MHD_OPTION_THREAD_STACK_SIZE, size_t{256 << 10}, MHD_OPTION_END);
   if (!s->mhd_) return Findings{{at, "cannot be listened on"}};
   return s;
--- a/src/net/replica_client.cpp
+++ b/src/net/replica_client.cpp
@@ -1,11 +1,11 @@
 #include "net/replica_client.hpp"
+#include "net/constants.hpp"
 
 #include <curl/curl.h>
 
 #include <atomic>
 #include <nlohmann/json.hpp>
 
-#include "kernel/limits.hpp"
 
 namespace mosskeel {
 namespace {
@@ -50,7 +50,7 @@
 
   size_t take(const char* p, size_t n) {
     if (!status) curl_easy_getinfo(easy.get(), CURLINFO_RESPONSE_CODE, &status);
-    if (body.size() + n > limits::body_bytes * 8) return why = "the answer is too long", 0;
+    if (body.size() + n > kMaxHttpBodyBytes * 8) return why = "the answer is too long", 0;
     if (ask.kind != "model" || status != 200) {
       body.append(p, n);
       return n;
--- a/src/net/transport.cpp
+++ b/src/net/transport.cpp
@@ -4,9 +4,9 @@
 #include <nng/protocol/pipeline0/pull.h>
 #include <nng/protocol/pipeline0/push.h>
 
-#include "kernel/limits.hpp"
 #include "base/log.hpp"
 #include "net/wire.hpp"
+#include "net/constants.hpp"
 
 namespace mosskeel {
 
@@ -20,7 +20,7 @@
   nng_socket s;
   if (int rc = nng_pull0_open(&s)) return Findings{{at, nng_strerror(rc)}};
   p->in_ = std::make_unique<Socket>(s.id);
-  nng_socket_set_int(s, NNG_OPT_RECVBUF, limits::nng_queue);
+  nng_socket_set_int(s, NNG_OPT_RECVBUF, kMaxQueuedMessagesPerPeer);
   nng_socket_set_ms(s, NNG_OPT_RECVTIMEO, 200);
   nng_socket_set_size(s, NNG_OPT_RECVMAXSZ, 64u << 20);
   if (int rc = nng_listen(s, ("tcp://" + at).c_str(), nullptr, 0)) return Findings{{at, nng_strerror(rc)}};
@@ -59,7 +59,7 @@
     if (i == peers_.end()) {
       if (nng_push0_open(&s)) return false;
       i = peers_.emplace(e.to, Socket(s.id)).first;
-      nng_socket_set_int(s, NNG_OPT_SENDBUF, limits::nng_queue);
+      nng_socket_set_int(s, NNG_OPT_SENDBUF, kMaxQueuedMessagesPerPeer);
       nng_socket_set_ms(s, NNG_OPT_RECONNMINT, 50);
       nng_socket_set_ms(s, NNG_OPT_RECONNMAXT, 200);
       nng_dial(s, ("tcp://" + e.to).c_str(), nullptr, NNG_FLAG_NONBLOCK);
--- a/src/net/wire.cpp
+++ b/src/net/wire.cpp
@@ -1,6 +1,6 @@
 #include "net/wire.hpp"
+#include "messages/constants.hpp"
 
-#include "kernel/limits.hpp"
 
 namespace mosskeel {
 
@@ -17,7 +17,7 @@
   s.remove_suffix(sizeof sum);
   if (!codec::get(r, sum) || sum != digest(s)) return std::nullopt;
   auto e = codec::unpack<Envelope>(s);
-  if (!e || e->protocol != limits::protocol) return std::nullopt;
+  if (!e || e->protocol != kProtocolRevision) return std::nullopt;
   return e;
 }
 
--- a/src/programs/admission_policy.cpp
+++ b/src/programs/admission_policy.cpp
@@ -1,6 +1,8 @@
 #include <algorithm>
 
 #include "programs/admission_policy.hpp"
+#include "programs/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel {
 namespace {
@@ -15,12 +17,12 @@
   int order() const override { return 10; }
   const char* name() const override { return "touch"; }
   std::optional<Refusal> judge(Request&, const Situation& s) const override {
-    if (!s.confirmed || !s.me) return Refusal{503, "this worker is not ready yet", limits::retry_ms};
-    if (s.stopping && !s.proxied) return Refusal{503, "this worker is stopping", limits::retry_ms};
-    if (!s.in_touch) return Refusal{503, "this worker is out of touch with the fleet", limits::retry_ms * 2};
-    if (s.m.evacuated.count(s.me->self.zone)) return Refusal{503, "this worker's zone is evacuated", limits::retry_ms};
+    if (!s.confirmed || !s.me) return Refusal{503, "this worker is not ready yet", kDefaultRetryAfter};
+    if (s.stopping && !s.proxied) return Refusal{503, "this worker is stopping", kDefaultRetryAfter};
+    if (!s.in_touch) return Refusal{503, "this worker is out of touch with the fleet", kDefaultRetryAfter * 2};
+    if (s.m.evacuated.count(s.me->self.zone)) return Refusal{503, "this worker's zone is evacuated", kDefaultRetryAfter};
     if (s.me->state == DaemonState::down || s.me->state == DaemonState::left)
-      return Refusal{503, "this worker is marked down", limits::retry_ms};
+      return Refusal{503, "this worker is marked down", kDefaultRetryAfter};
     return std::nullopt;
   }
 };
@@ -50,7 +52,7 @@
       e.max_tokens = e.max_tokens ? std::min(e.max_tokens, c->turn_limit) : c->turn_limit;
     }
     if (e.key.empty()) e.key = e.attempt;
-    if (e.deadline_ms <= 0 || e.deadline_ms > limits::request_timeout) e.deadline_ms = limits::request_timeout;
+    if (e.deadline_ms <= 0 || e.deadline_ms > kDefaultRequestTimeout) e.deadline_ms = kDefaultRequestTimeout;
     return std::nullopt;
   }
 };
@@ -61,16 +63,16 @@
   int order() const override { return 40; }
   const char* name() const override { return "admit"; }
   std::optional<Refusal> judge(ProgramRequest& e, const Situation& s) const override {
-    size_t room = e.urgent ? limits::queue_requests + limits::urgent_share
-                  : e.bulk ? limits::queue_requests / 4
-                           : limits::queue_requests;
-    if (s.running >= limits::running_requests)
-      return Refusal{503, "too many requests are running", limits::retry_ms * 2};
+    size_t room = e.urgent ? kMaxQueuedRequests + kUrgentQueueReserve
+                  : e.bulk ? kMaxQueuedRequests / 4
+                           : kMaxQueuedRequests;
+    if (s.running >= kMaxRunningRequests)
+      return Refusal{503, "too many requests are running", kDefaultRetryAfter * 2};
     if (!s.here) return std::nullopt;
     auto wait = e.urgent ? s.urgent_wait : s.wait;
-    auto back = static_cast<uint32_t>(std::clamp<Millis>(wait, limits::retry_ms, limits::queue_patience * 2));
+    auto back = static_cast<uint32_t>(std::clamp<Millis>(wait, kDefaultRetryAfter, kMaxQueueWait * 2));
     if (s.queued >= room) return Refusal{503, "the queue is full", back};
-    if (wait > std::min(limits::queue_patience / 2, e.deadline_ms / 2))
+    if (wait > std::min(kMaxQueueWait / 2, e.deadline_ms / 2))
       return Refusal{503, "it would wait " + std::to_string(wait) + " ms for a replica", back};
     return std::nullopt;
   }
--- a/src/programs/gateway_machine.cpp
+++ b/src/programs/gateway_machine.cpp
@@ -1,4 +1,7 @@
 #include "programs/gateway_machine.hpp"
+#include "history/constants.hpp"
+#include "programs/constants.hpp"
+#include "replication/constants.hpp"
 
 #include <algorithm>
 
@@ -111,7 +114,7 @@
 }
 
 void GatewayMachine::beat(Millis now) {
-  next_beat_ = now + limits::agent_beat;
+  next_beat_ = now + kAgentHeartbeatInterval;
   beaten_ = metadata_log_.epoch();
   Heartbeat h{out_.id().self,
               metadata_log_.epoch(),
@@ -125,18 +128,18 @@
 }
 
 void GatewayMachine::sweep(Millis now) {
-  next_sweep_ = now + limits::agent_beat;
+  next_sweep_ = now + kAgentHeartbeatInterval;
   std::vector<std::string> v;
   for (auto& [a, w] : works_) v.push_back(a);
   for (auto& a : v)
     if (auto i = works_.find(a); i != works_.end()) advance(i->second, now);
   std::erase_if(lates_, [&](auto& l) { return late(l, now); });
-  if (aged_.size() > limits::log_keep * limits::expiry_batch) aged_.clear();
-  std::erase_if(runners_, [&](auto& x) { return now - x.second.at > limits::line_idle; });
+  if (aged_.size() > kLogEntriesKept * kMaxExpiredPerScan) aged_.clear();
+  std::erase_if(runners_, [&](auto& x) { return now - x.second.at > kIdleHistoryTimeout; });
   for (auto i = ended_.begin(); i != ended_.end();) {
     auto age = now - i->second.first;
-    if (age > limits::end_memory) i->second.second.reset();
-    i = age > limits::attempt_memory ? ended_.erase(i) : std::next(i);
+    if (age > kResponseRetention) i->second.second.reset();
+    i = age > kAttemptIdRetention ? ended_.erase(i) : std::next(i);
   }
 }
 
@@ -154,7 +157,7 @@
   bool handed = !d || d->state == DaemonState::left || d->state == DaemonState::down ||
                 (d->state == DaemonState::draining && !metadata_log_.view()->sequences.count(d->id));
   if (!works_.empty() || !lates_.empty() || turn_client_.waiting() || carried_) last_work_ = now;
-  if (stopping_ && handed && now - last_work_ > limits::farewell) out_.act.stop = true;
+  if (stopping_ && handed && now - last_work_ > kShutdownGracePeriod) out_.act.stop = true;
   return out_.take();
 }
 
@@ -188,7 +191,7 @@
     if (r.e.kind == "history" && p->order() > 10) break;
     if (auto f = p->judge(r.e, s)) return refuse(r, f->status, f->reason, f->retry_ms, now);
   }
-  r.deadline = now + (r.e.deadline_ms > 0 ? r.e.deadline_ms : limits::request_timeout);
+  r.deadline = now + (r.e.deadline_ms > 0 ? r.e.deadline_ms : kDefaultRequestTimeout);
   r.direct = r.e.kind == "app" && (r.e.idempotent || r.e.key == r.e.attempt);
   if (r.e.kind == "app" && !r.direct) r.e.program = "app:" + r.e.key, r.e.thread = r.e.key;
   if (r.direct) return enqueue(r);
--- a/src/programs/majority_contact.cpp
+++ b/src/programs/majority_contact.cpp
@@ -1,11 +1,12 @@
 // Whether a front is in touch and ready, and what a request meets there.
 #include "programs/gateway_machine.hpp"
+#include "replication/constants.hpp"
 
 namespace mosskeel {
 namespace {
 
 /// ms; a gateway goes on without an epoch that it has heard of: shorter than the touch that an acknowledgement rests on
-constexpr Millis behind_patience = limits::isolation / 2;
+constexpr Millis behind_patience = kIsolationTimeout / 2;
 
 }  // namespace
 
@@ -16,7 +17,7 @@
 }
 
 Millis GatewayMachine::in_touch_until() const {
-  auto touch = touched_ + limits::isolation;
+  auto touch = touched_ + kIsolationTimeout;
   return behind_ ? std::min(touch, behind_->since + behind_patience) : touch;
 }
 
--- a/src/programs/replica_dispatcher.cpp
+++ b/src/programs/replica_dispatcher.cpp
@@ -5,6 +5,8 @@
 
 #include "programs/model_request_body.hpp"
 #include "programs/gateway_machine.hpp"
+#include "programs/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel {
 
@@ -31,7 +33,7 @@
   bool busy = p.last && count(Stage::queued) > 1;
   if (busy)
     p.interval +=
-        (static_cast<double>(std::min(now - p.last, limits::queue_patience)) - p.interval) * limits::pace_share;
+        (static_cast<double>(std::min(now - p.last, kMaxQueueWait)) - p.interval) * kQueuePaceSmoothing;
   p.last = now;
 }
 
@@ -50,7 +52,7 @@
       if (any)
         back.push_back(k);
       else
-        refuse(w, 503, "no replica serves this route now", limits::retry_ms * 2, now);
+        refuse(w, 503, "no replica serves this route now", kDefaultRetryAfter * 2, now);
       continue;
     }
     if (!w.direct) {
@@ -136,7 +138,7 @@
   bool whole = r.complete && r.status == 200 && r.checksum == digest(w.text);
   if (w.e.kind == "model") whole = whole && r.chunks == w.pieces && r.tokens == w.tokens;
   if (whole) {
-    retries_ = std::min(retries_ + limits::retry_share, 10.0);
+    retries_ = std::min(retries_ + kRetryBudgetPerSuccess, 10.0);
     return settle(w, 200, Outcome::yes, "", w.tokens, now);
   }
   ++metrics_["replica_faults"];
--- a/src/programs/replica_selector.cpp
+++ b/src/programs/replica_selector.cpp
@@ -1,6 +1,8 @@
 #include <algorithm>
 
 #include "programs/admission_policy.hpp"
+#include "metadata/constants.hpp"
+#include "programs/constants.hpp"
 
 namespace mosskeel {
 
@@ -18,10 +20,10 @@
   if (at == v.end()) return 0;
   auto rank = static_cast<uint32_t>(at - v.begin()), all = static_cast<uint32_t>(v.size());
   if (r.health == ReplicaHealth::ready) return std::max(1u, r.capacity / all + (rank < r.capacity % all));
-  if (rank >= limits::cold_fronts) return 0;
+  if (rank >= kFrontsPerColdReplica) return 0;
   auto& c = cold_since_[r.name];
   if (c.first != r.since) c = {r.since, now};
-  auto grown = (now - c.second) * r.capacity / limits::cold_ramp;
+  auto grown = (now - c.second) * r.capacity / kSlowStartDuration;
   return static_cast<uint32_t>(std::clamp<Millis>(grown, 1, r.capacity));
 }
 
@@ -47,7 +49,7 @@
     auto i = load_.find(n);
     uint32_t p = i == load_.end() ? 0 : i->second;
     auto b = bulk_.find(n);
-    if (e.bulk && (b == bulk_.end() ? 0 : b->second) >= std::min(room, limits::bulk_load)) continue;
+    if (e.bulk && (b == bulk_.end() ? 0 : b->second) >= std::min(room, kMaxBulkRequestsPerReplica)) continue;
     if (p >= room) continue;
     auto s = backed_off_.find(n);
     int back_off = s != backed_off_.end() && now < s->second;
@@ -70,7 +72,7 @@
   if (auto& b = bulk_[n]; e.bulk && b) --b;
 }
 void ReplicaSelector::back_off(const std::string& n, Millis now) {
-  backed_off_[n] = now + limits::replica_backoff;
+  backed_off_[n] = now + kReplicaBackoff;
 }
 
 }  // namespace mosskeel
--- a/src/programs/request_forwarder.cpp
+++ b/src/programs/request_forwarder.cpp
@@ -1,5 +1,6 @@
 // Proxying a request to the owner of its program, and the way back.
 #include "programs/gateway_machine.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel {
 
@@ -51,7 +52,7 @@
     auto& b = w.end.body;
     if (!b.starts_with(w.text)) {
       out_.note(Event::forwarded_response_lost, w.e.attempt + " streamed another text than was kept");
-      return refuse(w, 502, "the stream broke; the answer is kept under the key", limits::retry_ms, now,
+      return refuse(w, 502, "the stream broke; the answer is kept under the key", kDefaultRetryAfter, now,
                     Outcome::unknown);
     }
     if (b.size() > w.text.size()) {
--- a/src/programs/turn_owner.cpp
+++ b/src/programs/turn_owner.cpp
@@ -5,6 +5,10 @@
 
 #include "programs/model_request_body.hpp"
 #include "programs/gateway_machine.hpp"
+#include "history/constants.hpp"
+#include "programs/constants.hpp"
+#include "routing/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel {
 
@@ -19,21 +23,21 @@
         case HistoryWriter::State::open:
           return opened(w, now);
         case HistoryWriter::State::unavailable:
-          return refuse(w, 503, "too few stores answer", limits::retry_ms * 2, now);
+          return refuse(w, 503, "too few stores answer", kDefaultRetryAfter * 2, now);
         default:
           return;
       }
     case Stage::waiting:
       if (!mine) return route(w, now);
-      if (now - w.born > limits::queue_patience)
-        return refuse(w, 503, "the turn before this one is still running", limits::retry_ms * 2, now);
+      if (now - w.born > kMaxQueueWait)
+        return refuse(w, 503, "the turn before this one is still running", kDefaultRetryAfter * 2, now);
       w.stage = Stage::opening;
       return advance(w, now);
     case Stage::queued:
       if (!w.direct && !mine) return route(w, now);
-      if (now >= w.deadline || now - w.asked > limits::queue_patience)
+      if (now >= w.deadline || now - w.asked > kMaxQueueWait)
         return ++metrics_["requests_rejected_after_queueing"],
-               refuse(w, 503, "no replica had a free place in time", limits::retry_ms * 2, now);
+               refuse(w, 503, "no replica had a free place in time", kDefaultRetryAfter * 2, now);
       return;
     case Stage::reserving:
       if (!line_held) {
@@ -46,7 +50,7 @@
       if (history_writer_.committed_length(w.history) >= w.mark) return dispatch(w, now);
       return;
     case Stage::running:
-      if (now >= w.deadline || now - w.last > limits::replica_stall) {
+      if (now >= w.deadline || now - w.last > kReplicaStallTimeout) {
         auto why = now >= w.deadline ? "the deadline passed while the turn was running" : "the replica fell silent";
         out_.send("replica:" + w.replica, CancelReplicaCall{w.e.attempt});
         nom_.back_off(w.replica, now);
@@ -58,18 +62,18 @@
       if (history_writer_.committed_length(w.history) >= w.mark) return end(w, now);
       return;
     case Stage::handing:
-      if (now - w.asked > limits::handover_patience)
+      if (now - w.asked > kOutcomeTransferTimeout)
         return refuse(w, 502, "the outcome could not be kept", 0, now, Outcome::unknown);
-      if (now - w.last >= limits::line_retry) hand_over(w, now);
+      if (now - w.last >= kStoreRetryInterval) hand_over(w, now);
       return;
     case Stage::proxying: {
-      if (now >= w.deadline) return refuse(w, 504, "the deadline passed", limits::retry_ms, now);
+      if (now >= w.deadline) return refuse(w, 504, "the deadline passed", kDefaultRetryAfter, now);
       auto* t = metadata_log_.view()->find(w.target);
       bool gone = !t || t->state == DaemonState::down || t->state == DaemonState::left;
       if (o && o->id != w.target && (gone || !w.seen)) return route(w, now);
-      if (!w.seen && now - w.asked > limits::proxy_patience + limits::line_patience)
-        return refuse(w, 503, "the program's owner does not answer", limits::retry_ms, now);
-      if (now - w.last >= limits::line_retry * (w.seen ? 4 : 1)) proxy(w, now);
+      if (!w.seen && now - w.asked > kForwardAcknowledgementTimeout + kHistoryQuorumTimeout)
+        return refuse(w, 503, "the program's owner does not answer", kDefaultRetryAfter, now);
+      if (now - w.last >= kStoreRetryInterval * (w.seen ? 4 : 1)) proxy(w, now);
       return;
     }
   }
@@ -80,7 +84,7 @@
   if (!d || d->self.incarnation == out_.id().self.incarnation || d->state == DaemonState::down || d->state == DaemonState::left)
     return false;
   auto& x = runners_[{n, r.key, r.runner}];
-  if (!x.over && now - x.at >= limits::line_retry) {
+  if (!x.over && now - x.at >= kStoreRetryInterval) {
     x.at = now;
     out_.send(d->self.address, QueryTurnRunner{n, r.key}, d->self.incarnation);
   }
@@ -117,7 +121,7 @@
     if (reservations[w.e.key]->body_digest != digest(w.e.body + '\0' + w.e.path))
       return refuse(w, 409, "key: was used with another body", 0, now), false;
     if (r.kind == RecordKind::outcome && !history_writer_.is_committed(w.history, r))
-      return refuse(w, 409, "key: this turn is running now", limits::retry_ms * 2, now, Outcome::yes), false;
+      return refuse(w, 409, "key: this turn is running now", kDefaultRetryAfter * 2, now, Outcome::yes), false;
     if (r.kind == RecordKind::outcome) {
       w.end = {w.e.attempt,
                r.status,
@@ -132,7 +136,7 @@
       return complete(w, now), false;
     }
     if (running_here(w.history, w.e.key) || running_elsewhere(w.history, r, now))
-      return refuse(w, 409, "key: this turn is running now", limits::retry_ms * 2, now, Outcome::yes), false;
+      return refuse(w, 409, "key: this turn is running now", kDefaultRetryAfter * 2, now, Outcome::yes), false;
     out_.note(Event::reservation_without_outcome, w.history.program + " key " + w.e.key);
     return refuse(w, 502, "the outcome of this turn is unknown; it will not be run again", 0, now, Outcome::unknown),
            false;
@@ -152,8 +156,8 @@
   if (busy) {
     auto waiting = std::count_if(works_.begin(), works_.end(),
                                  [&](auto& x) { return x.second.history == w.history && x.second.stage == Stage::waiting; });
-    if (static_cast<uint32_t>(waiting) >= limits::thread_queue)
-      return refuse(w, 503, "too many turns wait for the one before them", limits::retry_ms * 2, now), false;
+    if (static_cast<uint32_t>(waiting) >= kMaxQueuedTurnsPerThread)
+      return refuse(w, 503, "too many turns wait for the one before them", kDefaultRetryAfter * 2, now), false;
     w.stage = Stage::waiting;
     return false;
   }
@@ -186,7 +190,7 @@
 void GatewayMachine::settle(Ref w, uint32_t status, Outcome ran, std::string reason, uint64_t tokens, Millis now) {
   free_replica(w);
   w.end = {w.e.attempt, status ? status : 503,         ran,   reason,  status == 200 ? w.text : "", w.turn,
-           tokens,      status ? 0 : limits::retry_ms, false, w.pieces};
+           tokens,      status ? 0 : kDefaultRetryAfter, false, w.pieces};
   if (w.direct) return end(w, now);
   auto& r = w.settled;
   r.kind = RecordKind::outcome;
@@ -222,7 +226,7 @@
   auto& x = std::get<TransferTurnOutcome>(l.from.body);
   auto say = [&](Outcome o) { return out_.send(l.from.from, TransferTurnOutcomeReply{x.attempt, o}, l.from.from_inc), true; };
   auto s = history_writer_.open(x.history, now);
-  if (s == HistoryWriter::State::fenced || now - l.born > limits::handover_patience) return true;
+  if (s == HistoryWriter::State::fenced || now - l.born > kOutcomeTransferTimeout) return true;
   if (s != HistoryWriter::State::open) return false;
   if (history_writer_.ended(x.history)) return say(Outcome::no);
   if (l.mark && l.term == history_writer_.term(x.history)) return history_writer_.committed_length(x.history) >= l.mark ? say(Outcome::yes) : false;
--- a/src/replication/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -1,6 +1,7 @@
 #include "replication/agent_machine.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
 
-#include "kernel/traffic_limits.hpp"
 
 namespace mosskeel {
 
@@ -29,14 +30,14 @@
 }
 
 Actions AgentMachine::tick(Millis now) {
-  if (leaving_ && (gateway_replaced_ || now - heard_ > limits::agent_farewell)) out_.act.stop = true;
-  bool fresh = mine_ && now - heard_ < limits::heartbeat * 3;
+  if (leaving_ && (gateway_replaced_ || now - heard_ > kAgentShutdownDelay)) out_.act.stop = true;
+  bool fresh = mine_ && now - heard_ < kHeartbeatInterval * 3;
   follower_.tick(now, fresh ? &*mine_ : nullptr);
   auto& m = *metadata_log_.view();
   auto* d = mine_ ? m.find(mine_->self.incarnation) : nullptr;
   if (fresh && mine_->leaving && d && now >= next_leave_ &&
       (d->state == DaemonState::up || d->state == DaemonState::registered)) {
-    next_leave_ = now + limits::tcm_rpc / 4;
+    next_leave_ = now + kCommitAttemptTimeout / 4;
     for (auto id : m.members)
       if (auto* c = m.find(id); c->state != DaemonState::down) {
         out_.send(c->self.address, Commit{"leave-" + hex(d->self.incarnation.v), PrepareDrain{d->id}, metadata_log_.epoch()});
--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -1,4 +1,6 @@
 #include "replication/follower.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
 
 #include <algorithm>
 
@@ -129,7 +131,7 @@
 
 bool Follower::defer(const Envelope& e, Millis now) {
   if (e.epoch <= metadata_log_.epoch() || !out_.cluster) return false;
-  if (parked_.size() < limits::log_keep) parked_.push_back(e);
+  if (parked_.size() < kLogEntriesKept) parked_.push_back(e);
   if (pace_.may_request(metadata_log_.epoch(), now)) out_.send(e.from, Catchup{metadata_log_.epoch()});
   return true;
 }
@@ -145,7 +147,7 @@
 }
 
 void Follower::discover(Millis now) {
-  next_discover_ = now + limits::discover;
+  next_discover_ = now + kDiscoveryInterval;
   for (auto& a : out_.id().seeds)
     if (a != out_.id().self.address) out_.send(a, Discover{out_.id().self});
 }
@@ -163,7 +165,7 @@
   if (vacated) vacated_ = before->since, next_enroll_ = now;
   if ((d && d->state != DaemonState::left) || now < next_enroll_ || m.members.empty()) return;
   if (d) return;
-  next_enroll_ = now + limits::tcm_rpc / 2;
+  next_enroll_ = now + kCommitAttemptTimeout / 2;
   for (size_t i = 0; i < m.members.size(); ++i) {
     auto* x = m.find(m.members[turn_++ % m.members.size()]);
     if (x->state == DaemonState::down) continue;
@@ -173,11 +175,11 @@
 
 void Follower::tick(Millis now, const Heartbeat* mine) {
   auto& m = *metadata_log_.view();
-  if (now >= next_discover_ && (!m.cluster || now - last_majority_contact(now) > limits::isolation)) discover(now);
+  if (now >= next_discover_ && (!m.cluster || now - last_majority_contact(now) > kIsolationTimeout)) discover(now);
   if (!m.cluster) return;
   if (mine) enroll(now, mine->self);
   if (now < next_beat_ && beaten_ == metadata_log_.epoch()) return;
-  next_beat_ = now + limits::heartbeat;
+  next_beat_ = now + kHeartbeatInterval;
   beaten_ = metadata_log_.epoch();
   Heartbeat h{};
   if (mine)
@@ -188,8 +190,8 @@
   h.sent = now;
   for (auto id : m.members) tell(m.find(id)->self.address, h);
   auto core = std::max(born_, majority_time(m, m.members, heard_, out_.id().self));
-  if (now < next_peers_ || now - core < limits::core_quiet || !reports_stable_epoch()) return;
-  next_peers_ = now + limits::heartbeat * 2;
+  if (now < next_peers_ || now - core < kCoreSilenceTimeout || !reports_stable_epoch()) return;
+  next_peers_ = now + kHeartbeatInterval * 2;
   for (auto& [id, d] : m.directory)
     if (d.self.role != Role::controller && d.state != DaemonState::left && d.state != DaemonState::down &&
         ear(d) != out_.id().self.address)
--- a/src/replication/metadata_log.cpp
+++ b/src/replication/metadata_log.cpp
@@ -1,11 +1,12 @@
 #include "replication/metadata_log.hpp"
+#include "replication/constants.hpp"
 
 namespace mosskeel {
 
 std::vector<Entry> MetadataLog::add(const Entry& e) {
   std::vector<Entry> done;
   if (e.epoch <= epoch()) return done;
-  if (waiting_.size() < limits::log_keep || e.epoch == next(epoch())) waiting_[e.epoch] = e;
+  if (waiting_.size() < kLogEntriesKept || e.epoch == next(epoch())) waiting_[e.epoch] = e;
   while (!waiting_.empty() && waiting_.begin()->first <= next(epoch())) {
     auto x = std::move(waiting_.begin()->second);
     waiting_.erase(waiting_.begin());
@@ -16,7 +17,7 @@
     recent_.push_back(x);
     weights_.push_back(codec::pack(x).size());
     weight_ += weights_.back();
-    while (recent_.size() > limits::log_keep || weight_ > limits::log_keep_bytes) {
+    while (recent_.size() > kLogEntriesKept || weight_ > kLogBytesKept) {
       weight_ -= weights_.front();
       recent_.pop_front(), weights_.pop_front();
     }
@@ -39,7 +40,7 @@
 std::pair<std::optional<Metadata>, Entries> MetadataLog::updates_since(Epoch known) const {
   if (known >= epoch()) return {};
   size_t lack = epoch().v - known.v;
-  if (lack > recent_.size() || lack > limits::reply_entries) return {*view_, {}};
+  if (lack > recent_.size() || lack > kMaxEntriesPerReply) return {*view_, {}};
   return {std::nullopt, Entries(recent_.end() - static_cast<ptrdiff_t>(lack), recent_.end())};
 }
 
@@ -47,7 +48,7 @@
   size_t lack = known < epoch() ? epoch().v - known.v : 0, bytes = 0;
   if (lack > recent_.size()) return {};
   for (size_t i = weights_.size() - lack; i < weights_.size(); ++i) bytes += weights_[i];
-  if (bytes > limits::beat_bytes) return {};
+  if (bytes > kMaxHeartbeatReplyBytes) return {};
   return updates_since(known);
 }
 
--- a/src/replication/metadata_log.hpp
+++ b/src/replication/metadata_log.hpp
@@ -3,6 +3,7 @@
 #include <deque>
 
 #include "runtime/state_machine.hpp"
+#include "replication/constants.hpp"
 
 namespace mosskeel {
 
@@ -36,7 +37,7 @@
  public:
   bool may_request(Epoch known, Millis now) {
     if (now < next_ && asked_ == known) return false;
-    next_ = now + limits::catchup_pace;
+    next_ = now + kCatchUpInterval;
     asked_ = known;
     return true;
   }
--- a/src/routing/load_balancer.cpp
+++ b/src/routing/load_balancer.cpp
@@ -1,9 +1,9 @@
 #include "routing/load_balancer.hpp"
+#include "routing/constants.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "kernel/limits.hpp"
 
 namespace mosskeel {
 
@@ -31,12 +31,12 @@
     s.local = r.zone == zone;
     auto z = in_zone.find(r.zone);
     auto share = static_cast<double>(r.capacity) / std::max(1u, z == in_zone.end() ? 1u : z->second);
-    s.cap = static_cast<uint32_t>(std::max(1.0, std::ceil(share * limits::crowd)));
+    s.cap = static_cast<uint32_t>(std::max(1.0, std::ceil(share * kCapacityShareFactor)));
     auto rank = [&](DaemonId id) { return digest(n, id.v + 1); };
     auto first = std::min_element(fronts.begin(), fronts.end(), [&](auto a, auto b) { return rank(a) < rank(b); });
     s.mine = r.health != ReplicaHealth::warming_up || (first != fronts.end() && *first == me_);
     auto* c = m.configuration.service(r.service);
-    s.rate = r.health == ReplicaHealth::warming_up && c ? c->cold_per_s * limits::cold_share : 0;
+    s.rate = r.health == ReplicaHealth::warming_up && c ? c->cold_per_s * kSlowStartRateShare : 0;
     if (r.health == ReplicaHealth::warming_up && s.since != r.since) s.tokens = 1, s.cold_at = now;
     s.since = r.since;
     by_service_[r.service].push_back(&s);
--- a/src/routing/recent_attempts.cpp
+++ b/src/routing/recent_attempts.cpp
@@ -1,6 +1,6 @@
 #include "routing/recent_attempts.hpp"
+#include "routing/constants.hpp"
 
-#include "kernel/traffic_limits.hpp"
 
 namespace mosskeel {
 
@@ -8,7 +8,7 @@
   auto id = digest(attempt);
   if (!known_.insert(id).second) return;
   order_.push_back(id);
-  if (order_.size() <= limits::recent_attempts) return;
+  if (order_.size() <= kRecentAttempts) return;
   known_.erase(order_.front());
   order_.pop_front();
 }
--- a/src/routing/recent_attempts.hpp
+++ b/src/routing/recent_attempts.hpp
@@ -4,10 +4,11 @@
 #include <unordered_set>
 
 #include "mosskeel.hpp"
+#include "routing/constants.hpp"
 
 namespace mosskeel {
 
-/// Remembers the last `limits::recent_attempts` ids, the oldest go first.
+/// Remembers the last `kRecentAttempts` ids, the oldest go first.
 class RecentAttempts {
  public:
   void add(const std::string& attempt);
--- a/src/routing/request_dispatch.cpp
+++ b/src/routing/request_dispatch.cpp
@@ -1,8 +1,9 @@
 // The stages of a request: waiting, offered, passed on, settled, refused.
 #include <algorithm>
 
-#include "kernel/traffic_limits.hpp"
 #include "routing/request_router.hpp"
+#include "routing/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel::routing {
 namespace {
@@ -62,13 +63,13 @@
   auto& c = base(any);
   if (!reroute(c)) {
     bool there = table_->find(c.request.host, c.request.target);
-    return give_up(any, c.outcome_unknown ? 502 : there ? 503 : 404, "its path leads there no more", limits::retry_ms / 4);
+    return give_up(any, c.outcome_unknown ? 502 : there ? 503 : 404, "its path leads there no more", kDefaultRetryAfter / 4);
   }
   bool later = false;
   auto* r = in_touch(now) ? balancer_.pick({c.service, c.key, &c.tried}, now, later) : nullptr;
   if (!r) {
     if (!later && in_touch(now) && !c.tried.empty())
-      return give_up(any, c.outcome_unknown ? 502 : 503, "no other replica serves this", limits::retry_ms / 4);
+      return give_up(any, c.outcome_unknown ? 502 : 503, "no other replica serves this", kDefaultRetryAfter / 4);
     return queue(c, now);
   }
   unqueue(c);
@@ -81,7 +82,7 @@
   asks_[o.ask] = c.id;
   SendToReplica q{o.ask, r->url.substr(scheme.size()), c.request.method, c.request.target, c.request.fields, {}};
   q.tag = c.words.attempt_id;
-  q.max_idle_ms = is_idempotent(*c.path) ? INT64_MAX : limits::sure_rest;
+  q.max_idle_ms = is_idempotent(*c.path) ? INT64_MAX : kMaxReuseIdle;
   dialect_.set_upstream_headers(q.fields, r->name, c.until - now, std::nullopt);
   if (auto* t = std::get_if<TurnRequest>(&any)) {
     t->stage = TurnRequest::Stage::offered;
@@ -153,9 +154,9 @@
     return finish(c.id);
   }
   bool again = (ran == Outcome::no || is_idempotent(*c.path)) && c.offers < std::max(1u, c.path->attempts) &&
-               c.tried.size() < limits::offers_most && now < c.until;
-  if (!again) return give_up(any, c.outcome_unknown ? 502 : 503, why, limits::retry_ms / 4);
-  c.hold = std::max(c.hold, now + std::min(c.path->target_ms / 4, limits::hold_most));
+               c.tried.size() < kMaxReplicasPerRequest && now < c.until;
+  if (!again) return give_up(any, c.outcome_unknown ? 502 : 503, why, kDefaultRetryAfter / 4);
+  c.hold = std::max(c.hold, now + std::min(c.path->target_ms / 4, kMaxReplicaWait));
   if (auto* t = std::get_if<TurnRequest>(&any)) t->stage = TurnRequest::Stage::waiting;
   if (auto* p = std::get_if<PlainRequest>(&any)) p->stage = PlainRequest::Stage::waiting;
   offer(any, now);
@@ -172,7 +173,7 @@
   auto& c = base(any);
   auto* t = std::get_if<TurnRequest>(&any);
   if (t && t->stage == TurnRequest::Stage::settling) {
-    if (now < c.until + limits::settle_patience) return;
+    if (now < c.until + kTurnCommitGrace) return;
     out_.push_back(ResetResponse{c.id});
     return finish(c.id);
   }
@@ -186,7 +187,7 @@
   }
   if (t && t->stage == TurnRequest::Stage::asking && now < c.until) return;
   if (now >= c.until || now >= c.hold)
-    give_up(any, c.outcome_unknown ? 502 : 503, "no replica had a free place in time", limits::retry_ms / 4);
+    give_up(any, c.outcome_unknown ? 502 : 503, "no replica had a free place in time", kDefaultRetryAfter / 4);
 }
 
 void RequestRouter::serve_queue(Millis now) {
--- a/src/routing/request_router.cpp
+++ b/src/routing/request_router.cpp
@@ -1,8 +1,9 @@
 #include "routing/request_router.hpp"
+#include "routing/constants.hpp"
+#include "runtime/constants.hpp"
 
 #include <algorithm>
 
-#include "kernel/limits.hpp"
 
 namespace mosskeel::routing {
 namespace {
@@ -58,7 +59,7 @@
   if (!ok(words)) return refuse(a.id, 400, render(findings(words)), 0);
   auto& w = value(words);
   if (w.attempt_id.empty()) return refuse(a.id, 400, "the attempt has no id", 0);
-  if (!in_touch(now)) return refuse(a.id, 503, "this front is out of touch", limits::retry_ms / 2);
+  if (!in_touch(now)) return refuse(a.id, 503, "this front is out of touch", kDefaultRetryAfter / 2);
   auto* p = table_->find(a.request.host, a.request.target);
   if (!p) return refuse(a.id, 404, "no path leads there", 0);
   ActiveRequest c;
@@ -69,7 +70,7 @@
   c.path = p;
   c.born = now;
   c.until = now + (w.time_left >= 0 ? std::min(w.time_left, p->timeout_ms) : p->timeout_ms);
-  c.hold = now + std::min(p->target_ms > 0 ? p->target_ms / 4 : limits::hold_most, limits::hold_most);
+  c.hold = now + std::min(p->target_ms > 0 ? p->target_ms / 4 : kMaxReplicaWait, kMaxReplicaWait);
   auto* s = select_service(*p, digest(w.program_id.empty() ? w.attempt_id : w.program_id));
   c.service = s ? *s : "";
   bool turn = p->path_kind() == PathKind::streaming && !w.program_id.empty();
@@ -88,7 +89,7 @@
               w.token_budget.value_or(UINT64_MAX),
               w.max_output_tokens,
               p->kept,
-              std::max(p->retention_ms, limits::turn_retention),
+              std::max(p->retention_ms, kMinTurnRetention),
               t.until - now};
     out_.push_back(SendToOwner{std::move(q)});
     calls_.emplace(t.id, std::move(t));
@@ -161,13 +162,13 @@
   if (ours && w.not_run) {
     // A late one without an id could pass for the next request's: the connection is not used again.
     if (w.attempt_id.empty()) out_.push_back(CancelAttempt{h.ask});
-    balancer_.back_off(b.offer->replica, now + (h.status == 421 ? limits::backoff_refused : limits::backoff_full));
+    balancer_.back_off(b.offer->replica, now + (h.status == 421 ? kConnectFailureBackoff : kReplicaFullBackoff));
     return failed(*c, Outcome::no, "the replica did not run it: " + std::to_string(h.status), now);
   }
   bool good = h.status >= 200 && h.status < 300;
   if (!ours || (good && !w.sealed) || promises(h.status)) {
     out_.push_back(CancelAttempt{h.ask});
-    balancer_.back_off(b.offer->replica, now + limits::backoff_lost);
+    balancer_.back_off(b.offer->replica, now + kLostResponseBackoff);
     return failed(*c, Outcome::unknown, "the replica's answer is not this request's, or promises what it can't", now);
   }
   b.offer->headed = true;
@@ -181,7 +182,7 @@
   auto& b = base(*c);
   if (!b.offer->streaming) {
     b.offer->body += r.bytes;
-    if (b.offer->body.size() <= limits::whole_bytes) return;
+    if (b.offer->body.size() <= kMaxBufferedResponseBytes) return;
     if (b.offer->status >= 300 && std::holds_alternative<TurnRequest>(*c)) {
       out_.push_back(CancelAttempt{r.ask});
       return failed(*c, Outcome::unknown, "the replica's failure is too large", now);
@@ -203,7 +204,7 @@
   auto* c = by_ask(l.ask);
   if (!c) return;
   auto& b = base(*c);
-  balancer_.back_off(b.offer->replica, now + (l.sent ? limits::backoff_lost : limits::backoff_refused));
+  balancer_.back_off(b.offer->replica, now + (l.sent ? kLostResponseBackoff : kConnectFailureBackoff));
   if (!l.sent) --b.offers;
   failed(*c, l.sent ? Outcome::unknown : Outcome::no, l.reason, now);
 }
--- a/src/routing/turn_client.cpp
+++ b/src/routing/turn_client.cpp
@@ -1,4 +1,7 @@
 #include "routing/turn_client.hpp"
+#include "history/constants.hpp"
+#include "routing/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel {
 
@@ -63,27 +66,27 @@
 }
 
 void TurnClient::tick(Millis now) {
-  std::erase_if(overtaken_, [&](auto& x) { return now - x.second.second > limits::handover_patience; });
+  std::erase_if(overtaken_, [&](auto& x) { return now - x.second.second > kOutcomeTransferTimeout; });
   auto moved = [&](auto& x) {
     auto* d = owner(x.body.program);
     return d && d->id != x.owner;
   };
-  auto due = [&](auto& x) { return now - x.last >= limits::line_retry || (moved(x) && now - x.last >= limits::tick); };
+  auto due = [&](auto& x) { return now - x.last >= kStoreRetryInterval || (moved(x) && now - x.last >= kTickInterval); };
   for (auto i = asks_.begin(); i != asks_.end();) {
     auto& x = i->second;
-    if (now - x.born > std::min(limits::ask_patience, x.body.timeout_ms)) {
+    if (now - x.born > std::min(kTurnReservationTimeout, x.body.timeout_ms)) {
       auto a = x.body;
       i = asks_.erase(i);
       send(ends_[a.attempt] = {CommitTurn{a.attempt, a.program, 0, 0, false, {}}, now, 0, {}}, now);
       out_.send(kRoutingAddress,
-                ReserveTurnReply{a.attempt, 503, limits::retry_ms, "the program's owner does not answer", {}});
+                ReserveTurnReply{a.attempt, 503, kDefaultRetryAfter, "the program's owner does not answer", {}});
       continue;
     }
     if (due(x)) send(x, now);
     ++i;
   }
   for (auto i = ends_.begin(); i != ends_.end();) {
-    if (now - i->second.born > limits::handover_patience) {
+    if (now - i->second.born > kOutcomeTransferTimeout) {
       out_.send(kRoutingAddress, CommitTurnReply{i->first, false});
       i = ends_.erase(i);
       continue;
--- a/src/routing/turn_coordinator.cpp
+++ b/src/routing/turn_coordinator.cpp
@@ -1,4 +1,7 @@
 #include "routing/turn_coordinator.hpp"
+#include "history/constants.hpp"
+#include "routing/constants.hpp"
+#include "runtime/constants.hpp"
 
 #include <algorithm>
 
@@ -86,14 +89,14 @@
     case HistoryWriter::State::open:
       break;
     case HistoryWriter::State::unavailable:
-      return refuse(p, 503, "too few stores answer", limits::retry_ms);
+      return refuse(p, 503, "too few stores answer", kDefaultRetryAfter);
     case HistoryWriter::State::fenced:
       return refuse(p, 0, "another front owns the program", 0);
     case HistoryWriter::State::opening:
       return Verdict::wait;
   }
   if (history_writer_.ended(p.history))
-    return refuse(p, a.parent.empty() ? 503 : 404, "the program's retention is over", limits::retry_ms);
+    return refuse(p, a.parent.empty() ? 503 : 404, "the program's retention is over", kDefaultRetryAfter);
   auto& t = tab(p.history);
   if (auto i = t.turns.find(a.attempt); i != t.turns.end() && i->second.reservation != none) {
     if (i->second.settled != none) return refuse(p, 409, "this attempt has an outcome already", 0);
@@ -106,7 +109,7 @@
       auto i = t.turns.find(a.parent);
       if (i == t.turns.end()) return search(p, now);
       if (i->second.settled == none)
-        return refuse(p, 503, "the turn before this one, " + a.parent + ", has no outcome yet", limits::retry_ms / 2);
+        return refuse(p, 503, "the turn before this one, " + a.parent + ", has no outcome yet", kDefaultRetryAfter / 2);
       if (i->second.status != 200) return refuse(p, 404, "the turn before this one did not end whole", 0);
     }
     if (t.spent + t.reserved + a.max_tokens > a.budget) return refuse(p, 402, "the program's budget is spent", 0);
@@ -135,12 +138,12 @@
   for (auto& [id, d] : metadata_log_.view()->directory) {
     if (d.self.role != Role::store || d.state == DaemonState::left || p.without.count(id)) continue;
     ++lacking;
-    if (now - p.searched >= limits::line_retry) out_.send(d.self.address, FindChain{p.ask.parent}, d.self.incarnation);
+    if (now - p.searched >= kStoreRetryInterval) out_.send(d.self.address, FindChain{p.ask.parent}, d.self.incarnation);
   }
-  if (now - p.searched >= limits::line_retry) p.searched = now;
+  if (now - p.searched >= kStoreRetryInterval) p.searched = now;
   if (lacking == 0) return refuse(p, 404, "no store keeps the turn before this one", 0);
-  if (now - p.born > limits::search_patience)
-    return refuse(p, 503, "not all stores answer for the turn before", limits::retry_ms);
+  if (now - p.born > kChainSearchTimeout)
+    return refuse(p, 503, "not all stores answer for the turn before", kDefaultRetryAfter);
   return Verdict::wait;
 }
 
@@ -176,7 +179,7 @@
   };
   if (!mine(x.history)) return Verdict::over;
   if (history_writer_.open(x.history, now) != HistoryWriter::State::open)
-    return now - x.born > limits::line_patience ? Verdict::over : Verdict::wait;
+    return now - x.born > kHistoryQuorumTimeout ? Verdict::over : Verdict::wait;
   auto& t = tab(x.history);
   auto i = t.turns.find(s.attempt);
   if (i == t.turns.end() || i->second.reservation == none) return say(false);
--- a/src/runtime/host.cpp
+++ b/src/runtime/host.cpp
@@ -5,13 +5,15 @@
 
 #include "base/log.hpp"
 #include "net/message_size.hpp"
+#include "runtime/constants.hpp"
+#include "storage/constants.hpp"
 
 namespace mosskeel {
 
 Millis process_now() {
   using namespace std::chrono;
   static const auto base = steady_clock::now();
-  return limits::process_start + duration_cast<milliseconds>(steady_clock::now() - base).count();
+  return kProcessClockStart + duration_cast<milliseconds>(steady_clock::now() - base).count();
 }
 
 namespace {
@@ -94,7 +96,7 @@
     auto now = process_now();
     if (now >= next) {
       act(machine_->tick(now));
-      next = now + limits::tick;
+      next = now + kTickInterval;
     }
     for (auto& x : in_.take(std::max<Millis>(1, next - process_now()))) {
       if (auto* e = std::get_if<Envelope>(&x.what))
@@ -121,7 +123,7 @@
 
 void Host::write() {
   while (true) {
-    auto v = out_.take(journal_->full() ? limits::full_retry : 200);
+    auto v = out_.take(journal_->full() ? kFullDiskRetryInterval : 200);
     bool last = v.empty() && out_.closed();
     size_t bytes = 0;
     for (auto& b : v) bytes += b.bytes;
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -10,9 +10,9 @@
 #include <random>
 #include <sstream>
 
-#include "kernel/limits.hpp"
 #include "base/log.hpp"
 #include "base/json.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel {
 namespace {
@@ -50,10 +50,10 @@
 }
 
 uint16_t port_offset(const std::string& program) {
-  if (program == "gateway") return limits::gateway_port;
-  if (program == "agent") return limits::agent_port;
-  if (program == "store") return limits::store_port;
-  return limits::controller_port;
+  if (program == "gateway") return kGatewayPortOffset;
+  if (program == "agent") return kAgentPortOffset;
+  if (program == "store") return kStorePortOffset;
+  return kControllerPortOffset;
 }
 
 std::optional<std::pair<std::string, uint16_t>> split_address(const std::string& a) {
@@ -125,16 +125,16 @@
     return 0;
   }
   Settings p{};
-  p.tcm_await_ms = limits::tcm_await;
-  p.tcm_rpc_ms = limits::tcm_rpc;
+  p.tcm_await_ms = kCommitTimeout;
+  p.tcm_rpc_ms = kCommitAttemptTimeout;
   bool flags = file || listen || http || agent || zone || seeds || data || core || await || rpc;
   auto* source = flags ? nullptr : applying();
   if (source && f.empty()) {
     auto r = source->read(n.program);
     if (ok(r)) {
       p = value(r);
-      p.tcm_await_ms = limits::tcm_await;
-      p.tcm_rpc_ms = limits::tcm_rpc;
+      p.tcm_await_ms = kCommitTimeout;
+      p.tcm_rpc_ms = kCommitAttemptTimeout;
     } else {
       return wrong(n, findings(r));
     }
@@ -178,7 +178,7 @@
   if (n.seeds && p.seeds.empty()) f.push_back({"seeds", "are missing"});
   for (size_t i = 0; n.seeds && i < p.seeds.size(); ++i)
     address(f, ("seeds[" + std::to_string(i) + "]").c_str(), p.seeds[i]);
-  if (n.core_size && (p.core_size < 1 || p.core_size > limits::core_most || (!source && p.core_size % 2 == 0)))
+  if (n.core_size && (p.core_size < 1 || p.core_size > kMaxCoreSize || (!source && p.core_size % 2 == 0)))
     f.push_back({"core_size", "must be an odd number from 1 to 9"});
   if (p.tcm_rpc_ms < 100 || p.tcm_rpc_ms > 30000) f.push_back({"tcm_rpc_ms", "must be from 100 to 30000"});
   if (p.tcm_await_ms < p.tcm_rpc_ms || p.tcm_await_ms > 60000)
--- a/src/runtime/state_machine.hpp
+++ b/src/runtime/state_machine.hpp
@@ -3,8 +3,9 @@
 #include <random>
 
 #include "base/events.hpp"
-#include "kernel/limits.hpp"
 #include "messages/message.hpp"
+#include "messages/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel {
 
@@ -36,7 +37,7 @@
   Addresses seeds;
   uint32_t core_size = 3;
   uint64_t dice = 1;
-  Millis commit_attempt_timeout = limits::tcm_rpc;
+  Millis commit_attempt_timeout = kCommitAttemptTimeout;
   /// Forbids founding: an empty disk at a later start joins or waits.
   bool later_start = false;
   /// As in `FoundCluster`.
@@ -77,7 +78,7 @@
 
  private:
   Envelope wrap(const Address& to, Message m, Incarnation to_inc) {
-    return {limits::protocol, cluster, epoch, dice_(), id_.self.address, id_.self.incarnation, to, to_inc, std::move(m)};
+    return {kProtocolRevision, cluster, epoch, dice_(), id_.self.address, id_.self.incarnation, to, to_inc, std::move(m)};
   }
   Identity id_;
   std::mt19937_64 dice_;
--- a/src/storage/disk.cpp
+++ b/src/storage/disk.cpp
@@ -10,6 +10,7 @@
 #include <filesystem>
 
 #include "storage/log_frame.hpp"
+#include "storage/constants.hpp"
 
 namespace mosskeel {
 namespace fs = std::filesystem;
@@ -113,7 +114,7 @@
 
 /// The first mark is on disk before any record: where it cannot be read, a segment has lost what it had.
 DiskResult Disk::begin_segment() {
-  if (size_ && (size_ > limits::segment_bytes || !marked_)) {
+  if (size_ && (size_ > kSegmentBytes || !marked_)) {
     if (auto r = settle(); !r) return r;
     if (auto r = open_segment(seq_ + 1); !r) return r;
   }
@@ -151,10 +152,10 @@
 
 void Disk::reserve() {
   auto p = folder_ + "/reserve";
-  auto want = std::max(limits::reserve_bytes, point_);
+  auto want = std::max(kDiskReserveBytes, point_);
   struct stat st {};
   if (::stat(p.c_str(), &st) == 0 && static_cast<size_t>(st.st_size) >= want) return;
-  if (calls_.room(folder_) < limits::reserve_share * want) return;
+  if (calls_.room(folder_) < kDiskReserveMinimumFactor * want) return;
   Fd f(calls_.open(p.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC));
   if (f && calls_.allocate(f.get(), want) != 0) calls_.remove(p.c_str());
 }
--- a/src/storage/journal_writer.cpp
+++ b/src/storage/journal_writer.cpp
@@ -1,4 +1,5 @@
 #include "storage/journal_writer.hpp"
+#include "storage/constants.hpp"
 
 namespace mosskeel {
 
@@ -64,7 +65,7 @@
 
 bool JournalWriter::wants_checkpoint(Millis now) {
   if ((!full_ && !wants_) || now < next_checkpoint_) return false;
-  next_checkpoint_ = now + limits::full_checkpoint;
+  next_checkpoint_ = now + kFullDiskCheckpointInterval;
   return true;
 }
 
--- a/src/storage/journal_writer.hpp
+++ b/src/storage/journal_writer.hpp
@@ -3,6 +3,7 @@
 #include <deque>
 
 #include "storage/disk.hpp"
+#include "storage/constants.hpp"
 
 namespace mosskeel {
 
@@ -23,7 +24,7 @@
     std::vector<Envelope> sends;
     std::vector<Note> notes;
   };
-  explicit JournalWriter(Disk& disk, size_t most = limits::held_bytes) : disk_(disk), most_(most) {}
+  explicit JournalWriter(Disk& disk, size_t most = kMaxPendingJournalBytes) : disk_(disk), most_(most) {}
   /// Writes what is held back, then these. `failed` where the disk is broken or too much is held back.
   Written write(std::deque<Batch> v);
   /// Whether a new checkpoint is worth a try now; asked once, it waits for a while.
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "model/bytes.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel::model {
 namespace {
@@ -38,7 +39,7 @@
   Node n;
   n.identity = {
       {Incarnation{next_incarnation_++}, Role::controller, "z", address, "", "", ""}, seeds, core_size, first_dice};
-  n.clock = limits::process_start;
+  n.clock = kProcessClockStart;
   nodes_.push_back(std::move(n));
   start(nodes_.size() - 1);
   return nodes_.size() - 1;
--- a/tests/model/starts.cpp
+++ b/tests/model/starts.cpp
@@ -1,4 +1,6 @@
 #include "model/starts.hpp"
+#include "consensus/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel::model {
 namespace {
@@ -57,8 +59,8 @@
   Script s(c, 100, false);
   for (auto& a : seeds) c.add(a, seeds, 3);
   c.add("c4", seeds, 3);
-  auto age = [](const Cluster& x) { return x.clock(0) - limits::process_start; };
-  need(settle(c, patience, [&](auto& x) { return age(x) >= limits::found_pause && x.in_flight() == 0; }), "age");
+  auto age = [](const Cluster& x) { return x.clock(0) - kProcessClockStart; };
+  need(settle(c, patience, [&](auto& x) { return age(x) >= kFoundingDelay && x.in_flight() == 0; }), "age");
   c.submit(order("first", "a"));
   return c;
 }
@@ -133,7 +135,7 @@
   c.apply({Kind::wipe, 1, 0, 0});
   c.apply({Kind::wipe, 2, 0, 0});
   auto began = c.clock(0);
-  need(settle(c, patience, [&](auto& x) { return x.clock(0) - began >= limits::core_loss; }), "silence");
+  need(settle(c, patience, [&](auto& x) { return x.clock(0) - began >= kCoreLossTimeout; }), "silence");
   c.budget = {};
   c.budget.returns = 1;
   return c;
--- a/tests/simulation/operator_request.cpp
+++ b/tests/simulation/operator_request.cpp
@@ -1,4 +1,6 @@
 #include "simulation/operator_request.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel::sim {
 
@@ -74,7 +76,7 @@
 void OperatorRequest::thaw() {
   while (!stopped() && w_.node(controller_).frozen) {
     was_frozen_ = true;
-    wait_until(w_.now() + limits::tick);
+    wait_until(w_.now() + kTickInterval);
   }
 }
 
@@ -117,7 +119,7 @@
     w_.at(w_.now(), [this, e] {
       if (lives()) w_.post(controller_, e);
     });
-    wait_until(w_.now() + std::min<Millis>(limits::tcm_rpc + limits::heartbeat, until - now()));
+    wait_until(w_.now() + std::min<Millis>(kCommitAttemptTimeout + kHeartbeatInterval, until - now()));
     thaw();
     if (reply_ && reply_->id == id) {
       last = *reply_;
--- a/tests/simulation/operators.cpp
+++ b/tests/simulation/operators.cpp
@@ -1,5 +1,6 @@
 // Simulated operators and platform.
 #include "simulation/callers.hpp"
+#include "metadata/constants.hpp"
 
 namespace mosskeel::sim {
 
@@ -101,7 +102,7 @@
       if (!w_.ready(s)) return false;
     auto v = w_.node("gateway1").machine->view();
     for (auto& s : v->partitions)
-      if (s.stores.size() < std::min<size_t>(limits::copies, w_.names(Kind::store).size()) || !s.owner.v) return false;
+      if (s.stores.size() < std::min<size_t>(kDefaultHistoryReplicas, w_.names(Kind::store).size()) || !s.owner.v) return false;
     return v->sequences.empty();
   });
 }
--- a/tests/simulation/orders.cpp
+++ b/tests/simulation/orders.cpp
@@ -2,6 +2,7 @@
 #include <memory>
 
 #include "simulation/operator_request.hpp"
+#include "control/constants.hpp"
 
 namespace mosskeel::sim {
 namespace {
@@ -166,7 +167,7 @@
       w_.fail("order " + std::to_string(o->number) + " was refused and is in force");
   }
   if (winners_.size() < 5) w_.fail("hardly an order was acknowledged: " + std::to_string(winners_.size()));
-  if (slowest > static_cast<uint64_t>(limits::operator_patience) + 100)
+  if (slowest > static_cast<uint64_t>(kOperatorRequestTimeout) + 100)
     w_.fail("an answer took " + std::to_string(slowest) + " ms");
 }
 
--- a/tests/simulation/replicas.cpp
+++ b/tests/simulation/replicas.cpp
@@ -2,6 +2,8 @@
 #include <nlohmann/json.hpp>
 
 #include "simulation/callers.hpp"
+#include "metadata/constants.hpp"
+#include "programs/constants.hpp"
 
 namespace mosskeel::sim {
 using Json = nlohmann::json;
@@ -77,16 +79,16 @@
   check_chain(program, j["thread"], a->body);
   ++r.now;
   if (r.cold_since && w_.now() > r.cold_since + 2000) {
-    auto grown = 2 + (w_.now() - r.cold_since) * limits::replica_places / limits::cold_ramp;
+    auto grown = 2 + (w_.now() - r.cold_since) * kDefaultReplicaCapacity / kSlowStartDuration;
     if (r.now > grown)
       w_.fail("cold " + name + " is flooded: " + std::to_string(r.now) + " turns " +
               std::to_string(w_.now() - r.cold_since) + " ms after its mark");
     ++r.from[front];
-    if (r.from.size() > limits::cold_fronts)
+    if (r.from.size() > kFrontsPerColdReplica)
       w_.fail("cold " + name + " is reached by " + std::to_string(r.from.size()) + " fronts");
   }
-  if (!r.cold_since && r.now > static_cast<int>(limits::replica_places) * 3 / 2)
-    w_.fail(name + " runs " + std::to_string(r.now) + " turns on " + std::to_string(limits::replica_places) +
+  if (!r.cold_since && r.now > static_cast<int>(kDefaultReplicaCapacity) * 3 / 2)
+    w_.fail(name + " runs " + std::to_string(r.now) + " turns on " + std::to_string(kDefaultReplicaCapacity) +
             " places");
   std::string fault = r.every && w_.roll() % static_cast<uint64_t>(r.every) == 0 ? r.fault : "";
   piece(front, life, name, *a, 0, 3 + static_cast<uint32_t>(w_.below(5)), fault, "");
--- a/tests/simulation/retention.cpp
+++ b/tests/simulation/retention.cpp
@@ -1,5 +1,6 @@
 // Retention runs out, is shortened and lengthened, and cells go and come back, while turns are kept.
 #include "simulation/day.hpp"
+#include "metadata/constants.hpp"
 
 namespace mosskeel::sim {
 namespace {
@@ -148,7 +149,7 @@
   };
   auto same = [&] {
     size_t histories = 0;
-    for (uint32_t i = 0; i < limits::slots; ++i) {
+    for (uint32_t i = 0; i < kPartitionCount; ++i) {
       std::map<HistoryName, Records> first;
       for (auto& s : stores) {
         std::map<HistoryName, Records> v;
--- a/tests/simulation/sizes.cpp
+++ b/tests/simulation/sizes.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "simulation/day.hpp"
+#include "metadata/constants.hpp"
 
 namespace mosskeel::sim {
 namespace {
@@ -131,7 +132,7 @@
   auto& w = d.w;
   std::vector<std::string> ask;
   std::set<PartitionId> have;
-  for (int i = 0; have.size() < limits::slots; ++i)
+  for (int i = 0; have.size() < kPartitionCount; ++i)
     if (auto n = "after" + std::to_string(i); have.insert(partition_of("news", n)).second) ask.push_back(n);
   auto old = d.c.programs();
   for (size_t i = 0; i < old.size() && i < 120; ++i) ask.push_back(old[w.roll() % old.size()]);
--- a/tests/simulation/troubles.cpp
+++ b/tests/simulation/troubles.cpp
@@ -1,5 +1,7 @@
 // Scenarios of whole zones, stores and crowds.
 #include "simulation/day.hpp"
+#include "metadata/constants.hpp"
+#include "programs/constants.hpp"
 
 namespace mosskeel::sim {
 /// The core falls into parts, whole and one-way.
@@ -70,7 +72,7 @@
     d.c.commit(SetReplica{{n, "model", r.zone, "http://" + n, ReplicaHealth::warming_up, {}, 0}}, [&](const CommitReply& c) {
       if (c.outcome == CommitOutcome::committed) r.cold_since = w.now(), r.from.clear();
     });
-    w.run(limits::cold_ramp - 500);
+    w.run(kSlowStartDuration - 500);
     auto v = latest(w);
     if (v && v->replicas.at(n).health != ReplicaHealth::warming_up) w.fail(n + " was called ready before its ramp was over");
     r.cold_since = 0;
@@ -95,7 +97,7 @@
   if (done < 200) w.fail("goodput fell under the crowd: " + std::to_string(done));
   if (d.c.refusals < 50) w.fail("nothing was refused, so this was no crowd");
   w.run(45000);
-  if (d.c.slowest_refusal > limits::queue_patience + 1000)
+  if (d.c.slowest_refusal > kMaxQueueWait + 1000)
     w.fail("a refusal was held back " + std::to_string(d.c.slowest_refusal) + " ms");
   d.c.tries = 12;
   d.c.pace = 40;
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -1,6 +1,7 @@
 #include "simulation/world.hpp"
 
 #include "net/wire.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel::sim {
 
@@ -47,7 +48,7 @@
 }
 
 void World::fail(const std::string& what) {
-  if (failures.size() < 20) failures.push_back(std::to_string(now_ - limits::process_start) + " ms: " + what);
+  if (failures.size() < 20) failures.push_back(std::to_string(now_ - kProcessClockStart) + " ms: " + what);
 }
 
 void World::start(const std::string& name) {
@@ -81,7 +82,7 @@
       n.machine = std::make_unique<GatewayMachine>(n.id, now);
       break;
   }
-  at(now_ + below(limits::tick), [this, name, life = n.life] { tick(name, life); });
+  at(now_ + below(kTickInterval), [this, name, life = n.life] { tick(name, life); });
 }
 
 void World::die(Node& n) {
@@ -148,8 +149,8 @@
 }
 
 Millis World::clock(const Node& n) const {
-  return limits::process_start + n.skew +
-         static_cast<Millis>(static_cast<double>(now_ - limits::process_start) * n.rate);
+  return kProcessClockStart + n.skew +
+         static_cast<Millis>(static_cast<double>(now_ - kProcessClockStart) * n.rate);
 }
 
 bool World::ready(const std::string& front) {
@@ -188,7 +189,7 @@
       if (s != name && x->machine && !x->frozen && x->kind == Kind::controller &&
           static_cast<ControllerMachine&>(*x->machine).is_supervisor(clock(*x)))
         fail("two supervisors at once: " + name + " and " + s);
-  at(now_ + limits::tick, [this, name, life] { tick(name, life); });
+  at(now_ + kTickInterval, [this, name, life] { tick(name, life); });
 }
 
 void World::post(const std::string& name, Envelope e) {
@@ -202,7 +203,7 @@
 
 void World::step(Node& n, const Envelope& e) {
   if (keep_notes)
-    notes.push_back(std::to_string(now_ - limits::process_start) + " " + n.name + " <- " + e.from + " " +
+    notes.push_back(std::to_string(now_ - kProcessClockStart) + " " + n.name + " <- " + e.from + " " +
                     kind_name(e.body) + detail(e.body));
   act(n, n.machine->step(e, clock(n)));
 }
@@ -210,7 +211,7 @@
 void World::act(Node& n, Actions a) {
   if (keep_notes)
     for (auto& x : a.notes)
-      notes.push_back(std::to_string(now_ - limits::process_start) + " " + n.name + " " +
+      notes.push_back(std::to_string(now_ - kProcessClockStart) + " " + n.name + " " +
                       std::to_string(static_cast<int>(x.event)) + " " + x.text);
   look(n);
   for (auto& e : a.now) send(n, e);
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -6,6 +6,8 @@
 #include "programs/gateway_machine.hpp"
 #include "replication/agent_machine.hpp"
 #include "history/store_machine.hpp"
+#include "metadata/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel::sim {
 
@@ -96,7 +98,7 @@
   /// Last word on the settings of whoever starts.
   std::function<void(Identity&)> configure;
   /// How many stores keep a history log, as the settings of a deployment give it.
-  uint32_t copies = limits::copies;
+  uint32_t copies = kDefaultHistoryReplicas;
 
   Net net;
   std::vector<std::string> notes, failures;
@@ -126,7 +128,7 @@
   void look(Node& n);
   void die(Node& n);
   std::mt19937_64 dice_;
-  Millis now_ = limits::process_start;
+  Millis now_ = kProcessClockStart;
   uint64_t seq_ = 0;
   std::priority_queue<Item> items_;
   std::map<std::string, std::unique_ptr<Node>> nodes_;
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -4,6 +4,9 @@
 #include <algorithm>
 
 #include "simulation/day.hpp"
+#include "consensus/constants.hpp"
+#include "messages/constants.hpp"
+#include "runtime/constants.hpp"
 
 using namespace mosskeel;
 using sim::Kind;
@@ -20,7 +23,7 @@
       : w(seed, {controllers, 0, 0, 0, 3, 0}) {
     w.configure = [=](Identity& id) {
       id.core_size = core_size;
-      id.max_core_size = limits::core_most;
+      id.max_core_size = kMaxCoreSize;
       id.later_start = later_start;
     };
     for (auto& s : w.names(Kind::controller)) w.wipe(s), w.start(s);
@@ -146,7 +149,7 @@
   CHECK(c.members() == all);
   for (int i = 6; i <= 11; ++i) c.w.add("controller" + std::to_string(i), Kind::controller, "a");
   c.w.run(30000);
-  CHECK(c.members().size() == limits::core_most);
+  CHECK(c.members().size() == kMaxCoreSize);
   c.no_failures();
 }
 
@@ -296,7 +299,7 @@
     for (int i = 0; i < 100; ++i) {
       for (auto& old : earlier) {
         Envelope e{};
-        e.protocol = limits::protocol;
+        e.protocol = kProtocolRevision;
         e.cluster = sim::latest(c.w)->cluster;
         e.from = old.address;
         e.from_inc = old.incarnation;
@@ -397,5 +400,5 @@
     c.no_failures();
   }
   INFO("worst " << worst << " ms");
-  CHECK(worst < limits::supervisor_lease);
+  CHECK(worst < kSupervisorLeaseDuration);
 }
--- a/tests/unit/consensus/stale_log_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -3,12 +3,14 @@
 
 #include "consensus/controller_machine.hpp"
 #include "base/codec.hpp"
+#include "messages/constants.hpp"
+#include "runtime/constants.hpp"
 
 using namespace mosskeel;
 
 namespace {
 
-constexpr Millis start = limits::process_start;
+constexpr Millis start = kProcessClockStart;
 constexpr Millis long_enough = 10000;  // ms; several leases
 
 Candidate controller(uint64_t n) {
@@ -43,13 +45,13 @@
   }
   Actions from(uint64_t n, Epoch epoch, Message body) {
     Envelope e{
-        limits::protocol, 7, epoch, 1, "controller" + std::to_string(n), Incarnation{n}, "controller1", Incarnation{1},
+        kProtocolRevision, 7, epoch, 1, "controller" + std::to_string(n), Incarnation{n}, "controller1", Incarnation{1},
         std::move(body)};
     return machine->step(e, now);
   }
   /// Lets time pass; the others grant each lease asked for, stamped with `epoch`, and say nothing else.
   bool supervises_with_grants_at(Epoch epoch) {
-    for (auto end = now + long_enough; now < end; now += limits::tick) {
+    for (auto end = now + long_enough; now < end; now += kTickInterval) {
       auto a = machine->tick(now);
       for (auto& e : a.now)
         if (auto* r = std::get_if<LeaseRequest>(&e.body)) {
--- a/tests/unit/control/control_session_test.cpp
+++ b/tests/unit/control/control_session_test.cpp
@@ -2,6 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "control/control_session.hpp"
+#include "control/constants.hpp"
 
 using namespace mosskeel;
 using Code = CommandResult::Code;
@@ -89,8 +90,8 @@
       auto a = platform->answer({method, "/v1/config", text, {{"if-match", "5"}}, {}}, s);
       REQUIRE(a);
       INFO(method << " with commits of " << delay << " ms");
-      CHECK(c.clock - 1000 <= limits::operator_patience);
-      if (delay > limits::operator_patience) CHECK(a->status == 503);
+      CHECK(c.clock - 1000 <= kOperatorRequestTimeout);
+      if (delay > kOperatorRequestTimeout) CHECK(a->status == 503);
     }
   }
 }
--- a/tests/unit/history/replica_sets_test.cpp
+++ b/tests/unit/history/replica_sets_test.cpp
@@ -5,6 +5,9 @@
 
 #include "consensus/sequence_barrier.hpp"
 #include "unit/routing/turn_owner_fixture.hpp"
+#include "consensus/constants.hpp"
+#include "history/constants.hpp"
+#include "metadata/constants.hpp"
 
 using namespace mosskeel;
 
@@ -69,7 +72,7 @@
 
 TEST_CASE("fewer stores than a record needs keep none, and a founding without a number keeps three") {
   Fleet fleet(2, 0);
-  CHECK(fleet.metadata.replication_factor() == limits::copies);
+  CHECK(fleet.metadata.replication_factor() == kDefaultHistoryReplicas);
   CHECK(fleet.metadata.write_quorum(1) == 2);
   CHECK(fleet.metadata.write_quorum(2) == 2);
   Fleet wide(2);
@@ -84,7 +87,7 @@
     CHECK(most_in_one_zone(fleet.metadata, partition) <= 2);
     for (auto id : partition.stores) ++kept[id];
   }
-  for (auto& [id, copies] : kept) CHECK(copies >= static_cast<int>(limits::slots) * 5 / 8 / 2);
+  for (auto& [id, copies] : kept) CHECK(copies >= static_cast<int>(kPartitionCount) * 5 / 8 / 2);
 }
 
 TEST_CASE("the places of two lost stores go to others beside each other") {
@@ -159,7 +162,7 @@
   CHECK_FALSE(proven());
   for (auto id : fresh) say(id, begun);
   CHECK(proven());
-  now += limits::silence + 1;
+  now += kHeartbeatTimeout + 1;
   CHECK_FALSE(proven());
   for (auto id : fresh) say(id, begun);
   fleet.must(AdvanceSequence{leaver, SequenceStep::mid});
@@ -189,7 +192,7 @@
   for (auto& partition : metadata.partitions) partition.stores = std::exchange(partition.pending_stores, {}), partition.stores_epoch = Epoch{7};
   metadata.epoch = Epoch{7};
   owner.metadata_log.install_snapshot(metadata);
-  owner.history_writer.tick(owner.now += limits::line_retry + 1);
+  owner.history_writer.tick(owner.now += kStoreRetryInterval + 1);
   CHECK(owner.history_writer.open(history, owner.now) == HistoryWriter::State::opening);
   Record kept{};
   kept.key = "acknowledged";
--- a/tests/unit/history/store_machine_test.cpp
+++ b/tests/unit/history/store_machine_test.cpp
@@ -7,15 +7,18 @@
 #include <chrono>
 #include <fstream>
 
-#include "history/history_limits.hpp"
 #include "history/store_machine.hpp"
 #include "runtime/inbox.hpp"
+#include "history/constants.hpp"
+#include "messages/constants.hpp"
+#include "metadata/constants.hpp"
+#include "runtime/constants.hpp"
 
 using namespace mosskeel;
 
 namespace {
 
-constexpr Millis start = limits::process_start;
+constexpr Millis start = kProcessClockStart;
 constexpr uint64_t cluster = 7;
 const Incarnation owner{100};
 const Epoch now_epoch{50};
@@ -37,7 +40,7 @@
   for (uint64_t i = 1; i <= 4; ++i) m.directory[DaemonId{i}] = daemon(i, store_inc(i), Role::store);
   m.directory[DaemonId{9}] = daemon(9, owner, Role::front);
   std::vector<DaemonId> old{DaemonId{2}, DaemonId{3}, DaemonId{4}}, fresh{DaemonId{1}, DaemonId{3}, DaemonId{4}};
-  for (uint32_t i = 0; i < limits::slots; ++i) m.partitions.push_back({DaemonId{9}, Epoch{2}, old, fresh, Epoch{40}});
+  for (uint32_t i = 0; i < kPartitionCount; ++i) m.partitions.push_back({DaemonId{9}, Epoch{2}, old, fresh, Epoch{40}});
   return m;
 }
 
@@ -68,7 +71,7 @@
 }
 
 Envelope from(Incarnation incarnation, const std::string& address, Message m) {
-  return {limits::protocol, cluster, now_epoch, 1, address, incarnation, "store", {}, std::move(m)};
+  return {kProtocolRevision, cluster, now_epoch, 1, address, incarnation, "store", {}, std::move(m)};
 }
 
 /// A store with histories of `turns` turns, each `bytes` long, recovered from its journal.
@@ -195,7 +198,7 @@
 
 TEST_CASE("a store that takes over partitions copies them in few pages at a time") {
   auto c = copying(400, 4, 4000);
-  c.run(start + limits::tick);
+  c.run(start + kTickInterval);
   CHECK(c.store->streams().complete() == Epoch{40});
   CHECK(c.store->history_count() == 400);
   CHECK(c.most_under_way <= 3);
@@ -204,23 +207,23 @@
 
 TEST_CASE("what two stores both sent is journaled once") {
   auto c = copying(200, 2, 4000);
-  c.run(start + limits::tick);
+  c.run(start + kTickInterval);
   CHECK(c.journal > 200 * 2 * 4000);
   CHECK(c.journal < 200 * 2 * 4000 * 5 / 4);
 }
 
 TEST_CASE("a page that is under way is not asked for again until it is given up") {
   auto c = copying(50, 2, 1000);
-  auto first = c.asks(c.store->tick(start + limits::tick));
+  auto first = c.asks(c.store->tick(start + kTickInterval));
   CHECK(first.size() == 3);
-  for (Millis t = 2 * limits::tick; t < limits::stream_patience; t += limits::tick)
+  for (Millis t = 2 * kTickInterval; t < kTransferPageTimeout; t += kTickInterval)
     CHECK(c.asks(c.store->tick(start + t)).empty());
-  CHECK(c.asks(c.store->tick(start + limits::tick + limits::stream_patience)).size() == 3);
+  CHECK(c.asks(c.store->tick(start + kTickInterval + kTransferPageTimeout)).size() == 3);
 }
 
 TEST_CASE("partitions are copied though one of their stores is silent") {
   auto c = copying(100, 2, 4000);
-  for (Millis t = limits::tick; t < 4 * limits::stream_patience; t += limits::tick) c.run(start + t, {"daemon3"});
+  for (Millis t = kTickInterval; t < 4 * kTransferPageTimeout; t += kTickInterval) c.run(start + t, {"daemon3"});
   CHECK(c.store->streams().complete() == Epoch{40});
   CHECK(c.store->history_count() == 100);
 }
@@ -258,10 +261,10 @@
 }
 
 TEST_CASE("a start counts the journal that it read, so that restarts do not let it grow") {
-  auto r = journal_of(2, joining(), 20, 1, limits::store_journal_least / 10);
+  auto r = journal_of(2, joining(), 20, 1, kMinCheckpointJournalBytes / 10);
   StoreMachine store(identity(2), r, start);
-  CHECK(store.tick(start + limits::tick).checkpoint);
-  CHECK_FALSE(store.tick(start + 2 * limits::tick).checkpoint);
+  CHECK(store.tick(start + kTickInterval).checkpoint);
+  CHECK_FALSE(store.tick(start + 2 * kTickInterval).checkpoint);
 }
 
 TEST_CASE("a checkpoint read partition by partition gives the same histories") {
@@ -283,10 +286,10 @@
   for (auto& s : m.partitions) s.stores = std::exchange(s.pending_stores, {}), s.term = Epoch{3};
   StoreMachine store(identity(2), r, start);
   auto learned = store.step(from(owner, "front", CatchupReply{m.epoch, m, {}}), start + 1);
-  CHECK(store.tick(start + limits::tick).journal.empty());
-  CHECK(store.tick(start + limits::moved_keep / 2).journal.empty());
+  CHECK(store.tick(start + kTickInterval).journal.empty());
+  CHECK(store.tick(start + kMovedPartitionKeepTime / 2).journal.empty());
   CHECK(store.history_count() == 100);
-  auto a = store.tick(start + limits::moved_keep + limits::moved_pace);
+  auto a = store.tick(start + kMovedPartitionKeepTime + kMovedPartitionScanInterval);
   CHECK(store.history_count() == 0);
   CHECK(journaled(a) < 64 * 100);
   r.journal.insert(r.journal.end(), learned.journal.begin(), learned.journal.end());
@@ -296,7 +299,7 @@
 
 TEST_CASE("a store keeps the histories of partitions that are on their way elsewhere") {
   StoreMachine store(identity(2), journal_of(2, joining(), 100, 1, 1000), start);
-  for (Millis t = 0; t < 3 * limits::moved_keep; t += limits::moved_pace) store.tick(start + t);
+  for (Millis t = 0; t < 3 * kMovedPartitionKeepTime; t += kMovedPartitionScanInterval) store.tick(start + t);
   CHECK(store.history_count() == 100);
 }
 
--- a/tests/unit/history/tombstones_test.cpp
+++ b/tests/unit/history/tombstones_test.cpp
@@ -3,6 +3,7 @@
 
 #include "programs/admission_policy.hpp"
 #include "history/tombstones.hpp"
+#include "metadata/constants.hpp"
 
 using namespace mosskeel;
 
@@ -32,7 +33,7 @@
   };
   for (auto& r : {Row{ReplicaHealth::ready, 32, 0, 32}, Row{ReplicaHealth::ready, 6, 0, 6}, Row{ReplicaHealth::ready, 3, 0, 6},
                   Row{ReplicaHealth::draining, 32, 0, 0}, Row{ReplicaHealth::warming_up, 32, 0, 1},
-                  Row{ReplicaHealth::warming_up, 32, limits::cold_ramp / 2, 16}, Row{ReplicaHealth::warming_up, 32, limits::cold_ramp * 2, 32}}) {
+                  Row{ReplicaHealth::warming_up, 32, kSlowStartDuration / 2, 16}, Row{ReplicaHealth::warming_up, 32, kSlowStartDuration * 2, 32}}) {
     uint32_t sum = 0;
     for (auto& [id, d] : m.directory) {
       ReplicaSelector n;
--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 
 #include "base/codec.hpp"
-#include "kernel/limits.hpp"
 #include "metadata/rejection.hpp"
+#include "metadata/constants.hpp"
 
 using namespace mosskeel;
 
@@ -123,7 +123,7 @@
   auto n = f.id("front23");
   f.must(PrepareJoin{n});
   CHECK(f.m.locks.size() == f.m.sequences.at(n).moves.size());
-  CHECK(f.m.locks.size() >= limits::slots / 3 - 1);
+  CHECK(f.m.locks.size() >= kPartitionCount / 3 - 1);
   CHECK(f.refused(AdvanceSequence{n, SequenceStep::mid}) == "daemon " + std::to_string(n.v) + ": its next step is start, not mid");
   CHECK(f.refused(PrepareJoin{n}).find("has a sequence in progress") != std::string::npos);
   f.must(AdvanceSequence{n, SequenceStep::start});
@@ -134,7 +134,7 @@
   CHECK(f.m.locks.empty());
   CHECK(f.m.sequences.empty());
   CHECK(std::count_if(f.m.partitions.begin(), f.m.partitions.end(),
-                      [&](auto& s) { return s.owner == n && s.term == f.m.epoch; }) >= limits::slots / 3 - 1);
+                      [&](auto& s) { return s.owner == n && s.term == f.m.epoch; }) >= kPartitionCount / 3 - 1);
 }
 
 TEST_CASE("a sequence whose places overlap locked ones is refused") {
@@ -230,7 +230,7 @@
   f.must(MarkUp{n});
   CHECK(f.m.find(n)->state == DaemonState::registered);
   f.join("front21");
-  CHECK(placement::partitions_per_front(f.m).at(n) == limits::slots / 2);
+  CHECK(placement::partitions_per_front(f.m).at(n) == kPartitionCount / 2);
 }
 
 TEST_CASE("a drained front stays in the directory while its turns end, and leaves once it is silent") {
@@ -387,7 +387,7 @@
   Fleet f;
   REQUIRE(ok(f.go(ApplyConfiguration{f.m.revision, {}, {}}, "first")));
   auto at = f.m.epoch;
-  for (size_t i = 0; i <= limits::commit_memory; ++i)
+  for (size_t i = 0; i <= kRememberedCommits; ++i)
     f.go(MarkDown{f.id("store11")}, "m" + std::to_string(i)), f.go(MarkUp{f.id("store11")}, "u" + std::to_string(i));
   CHECK(f.m.applied_commits.front().id != "first");
   CHECK(f.m.epoch_of_commit("first") == at);
@@ -397,14 +397,14 @@
 TEST_CASE("an order on a revision older than all that is remembered cannot be told from a taken one") {
   Fleet f;
   auto order = [](uint64_t base) { return ApplyConfiguration{Revision{base}, {}, {}}; };
-  for (uint64_t r = 0; r < limits::order_memory; ++r) REQUIRE(ok(f.go(order(r), "o" + std::to_string(r))));
+  for (uint64_t r = 0; r < kRememberedConfigurationChanges; ++r) REQUIRE(ok(f.go(order(r), "o" + std::to_string(r))));
   CHECK(f.m.epoch_of_commit("o0"));
   CHECK(rejection_reason(f.m, order(0)) == Rejection::revision_conflict);
-  REQUIRE(ok(f.go(order(limits::order_memory), "last")));
-  CHECK(f.m.applied_configurations.size() == limits::order_memory);
+  REQUIRE(ok(f.go(order(kRememberedConfigurationChanges), "last")));
+  CHECK(f.m.applied_configurations.size() == kRememberedConfigurationChanges);
   CHECK(rejection_reason(f.m, order(0)) == Rejection::forgotten);
   CHECK(rejection_reason(f.m, order(1)) == Rejection::revision_conflict);
-  CHECK(rejection_reason(f.m, order(limits::order_memory + 9)) == Rejection::revision_conflict);
+  CHECK(rejection_reason(f.m, order(kRememberedConfigurationChanges + 9)) == Rejection::revision_conflict);
 }
 
 TEST_CASE("a rejection says which of its reasons it has") {
--- a/tests/unit/net/wire_test.cpp
+++ b/tests/unit/net/wire_test.cpp
@@ -3,16 +3,16 @@
 #include <sstream>
 
 #include "base/log.hpp"
-#include "kernel/limits.hpp"
 #include "net/wire.hpp"
 #include "base/json.hpp"
+#include "messages/constants.hpp"
 
 using namespace mosskeel;
 
 namespace {
 Envelope sample() {
   Envelope e{};
-  e.protocol = limits::protocol;
+  e.protocol = kProtocolRevision;
   e.cluster = 9;
   e.from = "127.0.0.1:1";
   e.body = AppendHistory{
--- a/tests/unit/platform/admin_api_test.cpp
+++ b/tests/unit/platform/admin_api_test.cpp
@@ -1,9 +1,10 @@
 // The operator's asks and the statuses that the product's verdicts become; the platform's list of replicas.
 #include <catch2/catch.hpp>
 
-#include "kernel/limits.hpp"
 #include "metadata/replica_list_reconciler.hpp"
 #include "control/cluster_control.hpp"
+#include "metadata/constants.hpp"
+#include "runtime/constants.hpp"
 
 using namespace mosskeel;
 using Code = CommandResult::Code;
@@ -284,7 +285,7 @@
 
 TEST_CASE("Replica list comparison commits only what the log lacks") {
   Log log;
-  Millis t = limits::process_start;
+  Millis t = kProcessClockStart;
   auto c = log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 3000)}, t);
   REQUIRE(c);
   CHECK(c->updated.size() == 2);
@@ -306,7 +307,7 @@
 
 TEST_CASE("A listed replica is removed after two readings without it, a configured one never") {
   Log log;
-  Millis t = limits::process_start;
+  Millis t = kProcessClockStart;
   log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::ready)}, t);
   log.m.replicas["own"] = {"own", "model", "z", "http://x", ReplicaHealth::ready, {}, 8, "", 0};
   CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready)}, t + 500));
@@ -320,7 +321,7 @@
 
 TEST_CASE("Replica list comparison recovers after a change of reader and a lost commit") {
   Log log;
-  Millis t = limits::process_start;
+  Millis t = kProcessClockStart;
   log.read({listed("b", ReplicaHealth::warming_up, 3000)}, t);
   log.listing.reset();
   CHECK_FALSE(log.read({listed("b", ReplicaHealth::warming_up, 1000)}, t + 2000));
@@ -333,11 +334,11 @@
 
 TEST_CASE("A replica of a restored zone stays cold until the list can have caught up") {
   Log log;
-  Millis t = limits::process_start;
+  Millis t = kProcessClockStart;
   log.read({listed("a", ReplicaHealth::ready)}, t);
   log.m.replicas["a"].health = ReplicaHealth::warming_up;
   CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready)}, t + 500));
-  CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready)}, t + 500 + limits::list_lag - 1));
-  REQUIRE(log.read({listed("a", ReplicaHealth::ready)}, t + 500 + limits::list_lag));
+  CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready)}, t + 500 + kMaxReplicaListLag - 1));
+  REQUIRE(log.read({listed("a", ReplicaHealth::ready)}, t + 500 + kMaxReplicaListLag));
   CHECK(log.m.replicas["a"].health == ReplicaHealth::ready);
 }
--- a/tests/unit/platform/settings_test.cpp
+++ b/tests/unit/platform/settings_test.cpp
@@ -5,8 +5,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "kernel/limits.hpp"
 #include "platform/settings.hpp"
+#include "metadata/constants.hpp"
+#include "runtime/constants.hpp"
 
 using namespace mosskeel;
 
@@ -112,7 +113,7 @@
   auto r = read_settings(1, bare, store);
   REQUIRE(std::holds_alternative<Settings>(r));
   CHECK(std::get<Settings>(r).listen == "10.1.0.32:7383");
-  CHECK(std::get<Settings>(r).tcm_await_ms == limits::tcm_await);
+  CHECK(std::get<Settings>(r).tcm_await_ms == kCommitTimeout);
   const char* flags[] = {"store", "--zone", "b", nullptr};
   CHECK(std::get<int>(read_settings(3, flags, store)) == 2);
   std::ofstream(path) << with("SeedNodes = [\"10.1.0.33:8144\",", "SeedNodes = [");
@@ -128,7 +129,7 @@
 }
 
 TEST_CASE("A majority of a history's replicas outlives the tolerated losses") {
-  CHECK(replication_factor_for(0, 0) == limits::copies);
+  CHECK(replication_factor_for(0, 0) == kDefaultHistoryReplicas);
   CHECK(replication_factor_for(1, 1) == 3);
   CHECK(replication_factor_for(2, 1) == 5);
   CHECK(replication_factor_for(0, 2) == 5);
--- a/tests/unit/programs/majority_contact_test.cpp
+++ b/tests/unit/programs/majority_contact_test.cpp
@@ -2,12 +2,15 @@
 #include <catch2/catch.hpp>
 
 #include "programs/gateway_machine.hpp"
+#include "messages/constants.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
 
 using namespace mosskeel;
 
 namespace {
 
-constexpr Millis start = limits::process_start;
+constexpr Millis start = kProcessClockStart;
 
 Candidate candidate(uint64_t incarnation, Role role, const std::string& address, const std::string& agent = "") {
   return {Incarnation{incarnation}, role, "zone", address, agent, "http-" + address, address};
@@ -30,7 +33,7 @@
     answer(start, metadata.epoch, metadata);
   }
   Envelope envelope(Epoch epoch, Message body) const {
-    return {limits::protocol, metadata.cluster, epoch, 1, "agent", Incarnation{}, "gateway", self.incarnation, std::move(body)};
+    return {kProtocolRevision, metadata.cluster, epoch, 1, "agent", Incarnation{}, "gateway", self.incarnation, std::move(body)};
   }
   Actions answer(Millis sent, Epoch epoch, std::optional<Metadata> checkpoint = std::nullopt, Millis now = 0) {
     HeartbeatReply r{epoch, std::move(checkpoint), {}, 0, true, sent};
@@ -54,26 +57,26 @@
   t.hear_of(next(t.metadata.epoch), start + 10);
   CHECK(t.gateway.has_majority_contact(start + 11));
   CHECK(t.gateway.routing_snapshot(start + 11).dispatch_until > start + 11);
-  CHECK_FALSE(t.gateway.has_majority_contact(start + 10 + limits::isolation / 2));
-  CHECK(t.gateway.routing_snapshot(start + 11).dispatch_until <= start + 10 + limits::isolation / 2);
+  CHECK_FALSE(t.gateway.has_majority_contact(start + 10 + kIsolationTimeout / 2));
+  CHECK(t.gateway.routing_snapshot(start + 11).dispatch_until <= start + 10 + kIsolationTimeout / 2);
 }
 
 TEST_CASE("GatewayMachine does not extend that time when it hears of ever later epochs") {
   Touch t;
   auto epoch = t.metadata.epoch.v;
   for (Millis k = 0; k < 20; ++k) t.hear_of(Epoch{epoch + 1 + static_cast<uint64_t>(k)}, start + 10 + k * 50);
-  CHECK_FALSE(t.gateway.has_majority_contact(start + 10 + limits::isolation / 2));
+  CHECK_FALSE(t.gateway.has_majority_contact(start + 10 + kIsolationTimeout / 2));
 }
 
 TEST_CASE("GatewayMachine counts contact at an epoch ahead of its entry once the entry is there, and not before") {
   Touch t;
   auto e = t.next_entry();
   t.answer(start + 1500, e.epoch);
-  CHECK(t.gateway.has_majority_contact(start + limits::isolation - 1));
-  CHECK_FALSE(t.gateway.has_majority_contact(start + limits::isolation));
+  CHECK(t.gateway.has_majority_contact(start + kIsolationTimeout - 1));
+  CHECK_FALSE(t.gateway.has_majority_contact(start + kIsolationTimeout));
   t.gateway.step(t.envelope(e.epoch, Decided{e}), start + 1600);
-  CHECK(t.gateway.has_majority_contact(start + limits::isolation + 1));
-  CHECK_FALSE(t.gateway.has_majority_contact(start + 1500 + limits::isolation));
+  CHECK(t.gateway.has_majority_contact(start + kIsolationTimeout + 1));
+  CHECK_FALSE(t.gateway.has_majority_contact(start + 1500 + kIsolationTimeout));
 }
 
 TEST_CASE("GatewayMachine asks once for a missing epoch, and again when nothing comes") {
@@ -81,5 +84,5 @@
   size_t asked = 0;
   for (Millis k = 0; k < 100; ++k) asked += catchups(t.hear_of(next(t.metadata.epoch), start + 10 + k));
   CHECK(asked == 1);
-  CHECK(catchups(t.hear_of(next(t.metadata.epoch), start + 10 + limits::catchup_pace)) == 1);
+  CHECK(catchups(t.hear_of(next(t.metadata.epoch), start + 10 + kCatchUpInterval)) == 1);
 }
--- a/tests/unit/programs/program_requests_test.cpp
+++ b/tests/unit/programs/program_requests_test.cpp
@@ -2,6 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "simulation/callers.hpp"
+#include "history/constants.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::sim;
@@ -89,7 +90,7 @@
   CHECK(f.turn("p", "k2", "b", 1).status == 200);
   f.w.run(4500);
   CHECK(f.history("p").status == 200);
-  f.w.run(5000 + limits::retention_margin + 40000);
+  f.w.run(5000 + kRetentionMargin + 40000);
   CHECK(f.history("p").status == 410);
   CHECK(f.turn("p", "k3", "c", 2).status == 410);
   CHECK(f.turn("p", "k1", "a").executed == Outcome::unknown);
--- a/tests/unit/replication/catchup_test.cpp
+++ b/tests/unit/replication/catchup_test.cpp
@@ -3,6 +3,7 @@
 
 #include "base/codec.hpp"
 #include "simulation/world.hpp"
+#include "messages/constants.hpp"
 
 using namespace mosskeel;
 using sim::Kind;
@@ -69,7 +70,7 @@
     for (size_t i = 0; i < controllers.size() * 4 && outcome_ != CommitOutcome::committed; ++i) {
       auto& s = controllers[i % controllers.size()];
       if (!world_.alive(s) || away_ == s) continue;
-      Envelope e{limits::protocol, 0, {}, world_.roll(), "local:operator", {}, s, {}, {}};
+      Envelope e{kProtocolRevision, 0, {}, world_.roll(), "local:operator", {}, s, {}, {}};
       e.body = Commit{commit_, ApplyConfiguration{base, configuration_, {}}, {}};
       outcome_.reset();
       world_.post(s, std::move(e));
--- a/tests/unit/routing/load_balancer_test.cpp
+++ b/tests/unit/routing/load_balancer_test.cpp
@@ -1,5 +1,6 @@
 // The parts of the traffic: events, paths, the choice of a replica.
 #include "unit/routing/request_router_fixture.hpp"
+#include "routing/constants.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
@@ -91,7 +92,7 @@
   c.update();
   std::map<std::string, int> n;
   for (int i = 0; i < 100; ++i) ++n[c.take(7)];
-  auto share = static_cast<int>(std::ceil(8 * limits::crowd / 2));
+  auto share = static_cast<int>(std::ceil(8 * kCapacityShareFactor / 2));
   CHECK(n["app1"] == share);
   CHECK(n["later"] == 100 - 3 * share);
   c.p.gave("app2");
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -2,7 +2,6 @@
 // A front's traffic with replicas and callers played by hand, in the platform's words.
 #include <catch2/catch.hpp>
 
-#include "kernel/traffic_limits.hpp"
 #include "routing/request_router.hpp"
 
 namespace mosskeel::test {
--- a/tests/unit/routing/request_router_test.cpp
+++ b/tests/unit/routing/request_router_test.cpp
@@ -1,5 +1,6 @@
 // Every point at which a try can fail: what is known then, and what is answered.
 #include "unit/routing/request_router_fixture.hpp"
+#include "routing/constants.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
@@ -150,9 +151,9 @@
 
 TEST_CASE("RequestRouter sends what is not idempotent only on a new connection or one that was just used") {
   Front f;
-  CHECK(f.offered("unsafe").max_idle_ms == limits::sure_rest);
-  CHECK(f.offered("stream").max_idle_ms == limits::sure_rest);
-  CHECK(f.offered("turn").max_idle_ms == limits::sure_rest);
+  CHECK(f.offered("unsafe").max_idle_ms == kMaxReuseIdle);
+  CHECK(f.offered("stream").max_idle_ms == kMaxReuseIdle);
+  CHECK(f.offered("turn").max_idle_ms == kMaxReuseIdle);
   CHECK(f.offered("safe").max_idle_ms == INT64_MAX);
   CHECK(f.offered("resume").max_idle_ms == INT64_MAX);
 }
@@ -162,7 +163,7 @@
   auto turn = GENERATE(false, true);
   auto q = f.offered(turn ? "turn" : "unsafe");
   f.head(q, 400);
-  std::string large(limits::whole_bytes + 1, 'x');
+  std::string large(kMaxBufferedResponseBytes + 1, 'x');
   f.happen(ResponseDataReceived{q.ask, large});
   if (turn) {
     CHECK(f.one<routing::CancelAttempt>().ask == q.ask);
@@ -218,9 +219,9 @@
     CHECK(f.one<SendResponse>().status == 502);
   }
   SECTION("passed on") {
-    f.happen(ResponseDataReceived{q.ask, std::string(limits::whole_bytes, 'x')});
+    f.happen(ResponseDataReceived{q.ask, std::string(kMaxBufferedResponseBytes, 'x')});
     CHECK(f.one<SendResponseHeaders>().status == 200);
-    CHECK(f.one<SendResponseData>().bytes.size() == limits::whole_bytes + 4);
+    CHECK(f.one<SendResponseData>().bytes.size() == kMaxBufferedResponseBytes + 4);
     f.happen(AttemptFailed{q.ask, true, "cut"});
     f.one<ResetResponse>();
     CHECK(f.none<EndResponse>());
--- a/tests/unit/routing/turn_client_test.cpp
+++ b/tests/unit/routing/turn_client_test.cpp
@@ -3,6 +3,8 @@
 
 #include "unit/routing/turn_owner_fixture.hpp"
 #include "routing/turn_client.hpp"
+#include "history/constants.hpp"
+#include "routing/constants.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
@@ -44,7 +46,7 @@
   CHECK(c.sent<CommitTurn>().size() == 1);
   SECTION("before the owner has answered the outcome") {
     c.hear(ReserveTurnReply{"a", 200, 0, "", ""});
-    c.now += limits::line_retry;
+    c.now += kStoreRetryInterval;
     c.turn_client.tick(c.now);
     CHECK(c.sent<CommitTurn>().size() == 1);
   }
@@ -82,7 +84,7 @@
 TEST_CASE("TurnClient rejects a turn whose owner is silent, and tells the owner that it has not run") {
   Carrier c;
   c.own(turn("a"));
-  c.now += limits::ask_patience + 1;
+  c.now += kTurnReservationTimeout + 1;
   c.turn_client.tick(c.now);
   auto g = c.sent<ReserveTurnReply>();
   REQUIRE(g.size() == 1);
--- a/tests/unit/routing/turn_request_test.cpp
+++ b/tests/unit/routing/turn_request_test.cpp
@@ -1,5 +1,6 @@
 // A turn's stages: who is told what when it ends there.
 #include "unit/routing/request_router_fixture.hpp"
+#include "routing/constants.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
@@ -126,7 +127,7 @@
         break;
       case Stage::settling:
         CHECK(f.got.empty());
-        f.pass(limits::settle_patience);
+        f.pass(kTurnCommitGrace);
         f.one<ResetResponse>();
         CHECK(f.none<EndResponse>());
     }
--- a/tests/unit/storage/disk_full_test.cpp
+++ b/tests/unit/storage/disk_full_test.cpp
@@ -1,5 +1,6 @@
 #include "unit/storage/disk_fixture.hpp"
 #include "storage/journal_writer.hpp"
+#include "storage/constants.hpp"
 
 using namespace mosskeel;
 
@@ -131,7 +132,7 @@
   s.size = s.used();
   REQUIRE(w.write({batch({"held"}, 1)}).result == full);
   CHECK(w.wants_checkpoint(1));
-  CHECK_FALSE(w.wants_checkpoint(limits::full_checkpoint));
+  CHECK_FALSE(w.wants_checkpoint(kFullDiskCheckpointInterval));
   auto r = w.write({batch({}, 0, std::string(900000, 'y'))});
   CHECK(r.result == full);
   CHECK(w.unwritten_checkpoints() == 1);
@@ -139,7 +140,7 @@
   CHECK(r.result == done);
   CHECK(sent(r) == Ids{2});
   CHECK(said(r) == Events{Event::checkpointed, Event::disk_room});
-  CHECK_FALSE(w.wants_checkpoint(limits::full_checkpoint * 3));
+  CHECK_FALSE(w.wants_checkpoint(kFullDiskCheckpointInterval * 3));
   d.reset();
   d = f.open(s.calls());
   CHECK(d->recovered().checkpoint == std::string(300000, 'y'));
@@ -148,7 +149,7 @@
 
 TEST_CASE("a checkpoint without room leaves the log as it is") {
   Folder f;
-  SmallDisk s{f, limits::reserve_bytes * 2};
+  SmallDisk s{f, kDiskReserveBytes * 2};
   auto d = f.open(s.calls());
   CHECK(f.only("reserve").empty());
   JournalWriter w(*d);
--- a/tests/unit/storage/disk_test.cpp
+++ b/tests/unit/storage/disk_test.cpp
@@ -2,6 +2,7 @@
 #include "unit/storage/disk_fixture.hpp"
 #include "storage/log_frame.hpp"
 #include "history/store_machine.hpp"
+#include "storage/constants.hpp"
 
 using namespace mosskeel;
 namespace fs = std::filesystem;
@@ -62,7 +63,7 @@
   Folder f;
   auto d = f.open();
   CHECK_FALSE(ok(Disk::open(f.path, 1)));
-  std::string big(limits::segment_bytes, 'x');
+  std::string big(kSegmentBytes, 'x');
   for (int i = 0; i < 4; ++i) REQUIRE(d->append({big}));
   REQUIRE(d->sync());
   d.reset();
--- a/tests/unit/tools/capacity_test.cpp
+++ b/tests/unit/tools/capacity_test.cpp
@@ -4,6 +4,7 @@
 
 #include "scale/experiments.hpp"
 #include "scale/field.hpp"
+#include "replication/constants.hpp"
 
 using namespace mosskeel;
 
@@ -66,8 +67,8 @@
   const int cells = 8000, changes = 5;
   auto many = ledger(changes, cells);
   auto bytes = codec::pack(many.recent_entries().back()).size();
-  REQUIRE(bytes * changes > limits::log_keep_bytes);
-  CHECK(bytes * many.recent_entries().size() <= limits::log_keep_bytes);
+  REQUIRE(bytes * changes > kLogBytesKept);
+  CHECK(bytes * many.recent_entries().size() <= kLogBytesKept);
   auto [whole, rest] = many.updates_since(Epoch{many.epoch().v - changes});
   REQUIRE(whole);
   CHECK(whole->epoch == many.epoch());
--- a/tools/replica-sim/main.cpp
+++ b/tools/replica-sim/main.cpp
@@ -8,7 +8,6 @@
 #include <nlohmann/json.hpp>
 
 #include "net/http_server.hpp"
-#include "kernel/limits.hpp"
 #include "base/log.hpp"
 #include "runtime/settings.hpp"
 
--- a/tools/scale/churn.cpp
+++ b/tools/scale/churn.cpp
@@ -4,6 +4,9 @@
 #include "consensus/controller_machine.hpp"
 #include "scale/experiments.hpp"
 #include "scale/field.hpp"
+#include "consensus/constants.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel::scale {
 namespace {
@@ -70,7 +73,7 @@
   e.epoch = v->epoch;
   e.body = Commit{id, std::move(t), v->epoch};
   f.post(controller, std::move(e));
-  f.until(limits::tcm_rpc * 2, [&] { return yes; });
+  f.until(kCommitAttemptTimeout * 2, [&] { return yes; });
   f.local = nullptr;
   return yes;
 }
@@ -119,7 +122,7 @@
   for (int i = 0; i < count && good; ++i) {
     auto k = v.v[static_cast<size_t>(i) % v.v.size()];
     v.stop(k);
-    f.run(limits::heartbeat);
+    f.run(kHeartbeatInterval);
     auto at = f.now();
     v.start(k);
     good = f.until(deadline, [&] { return calm(f); });
@@ -177,7 +180,7 @@
   auto begun = f.now();
   auto before = core(f)->epoch;
   f.cut = [](const Station& a, const Station& b) { return a.seat.region != b.seat.region; };
-  f.run(limits::silence_many * 2);
+  f.run(kIsolatedHeartbeatTimeout * 2);
   size_t serving = 0, cut_off = 0;
   for (auto& s : f.stations()) {
     if (s.seat.part != Part::gateway) continue;
--- a/tools/scale/crew.cpp
+++ b/tools/scale/crew.cpp
@@ -10,6 +10,9 @@
 #include <sstream>
 
 #include "runtime/host.hpp"
+#include "messages/constants.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
 
 extern char** environ;
 
@@ -90,7 +93,7 @@
 
 std::optional<Message> Voice::ask(const Address& to, Message m, Millis patience) {
   auto kind = m.index();
-  Envelope e{limits::protocol, metadata_log_.view()->cluster, metadata_log_.epoch(), ++next_, self_, {}, to, {}, std::move(m)};
+  Envelope e{kProtocolRevision, metadata_log_.view()->cluster, metadata_log_.epoch(), ++next_, self_, {}, to, {}, std::move(m)};
   auto id = kind == Message(Commit{}).index() ? std::get<Commit>(e.body).id : "";
   post_->send(e);
   auto until = process_now() + patience;
@@ -112,17 +115,17 @@
 }
 
 View Voice::view() {
-  for (auto& m : controllers) ask(m, Catchup{metadata_log_.epoch()}, limits::tcm_rpc / 2);
+  for (auto& m : controllers) ask(m, Catchup{metadata_log_.epoch()}, kCommitAttemptTimeout / 2);
   return metadata_log_.view();
 }
 
 Voice::Verdict Voice::commit(Transformation t) {
   Verdict v;
   v.begun = machine_now();
-  auto until = process_now() + limits::tcm_await;
+  auto until = process_now() + kCommitTimeout;
   auto id = "scale-" + std::to_string(++next_);
   for (size_t i = 0; process_now() < until; ++i) {
-    auto r = ask(controllers[i % controllers.size()], Commit{id, t, metadata_log_.epoch()}, limits::tcm_rpc + limits::heartbeat);
+    auto r = ask(controllers[i % controllers.size()], Commit{id, t, metadata_log_.epoch()}, kCommitAttemptTimeout + kHeartbeatInterval);
     if (!r) continue;
     auto& c = std::get<CommitReply>(*r);
     v.reason = c.reason;
--- a/tools/scale/data.cpp
+++ b/tools/scale/data.cpp
@@ -3,6 +3,7 @@
 
 #include "scale/experiments.hpp"
 #include "scale/field.hpp"
+#include "history/constants.hpp"
 
 namespace mosskeel::scale {
 namespace {
@@ -100,7 +101,7 @@
   Talk t(f, programs);
   auto before = static_cast<size_t>(turns) - std::min<size_t>(static_cast<size_t>(turns), last_turns);
   if (before) t.run(before);
-  f.run(limits::line_retry);
+  f.run(kStoreRetryInterval);
   f.forget();
   t.asked_bytes = 0;
   auto begun = f.now();
@@ -146,11 +147,11 @@
     slots[partition_of(n.cell, n.program)].histories[n] = std::move(l);
   }
   Field f(small(), seed, slots);
-  f.run(limits::repair_age * 2);
+  f.run(kRepairMinimumAge * 2);
   f.forget();
-  f.run(limits::repair_age);
+  f.run(kRepairMinimumAge);
   auto s = f.sum(Part::store);
-  auto n = static_cast<double>(f.all(Part::store).size()), seconds = limits::repair_age / 1000.0;
+  auto n = static_cast<double>(f.all(Part::store).size()), seconds = kRepairMinimumAge / 1000.0;
   r.times["store.core_percent"] = static_cast<double>(s.nanos) / 1e7 / n / seconds;
   Tally wire;
   for (auto& [k, x] : s.out) wire += x;
--- a/tools/scale/field.cpp
+++ b/tools/scale/field.cpp
@@ -7,6 +7,8 @@
 #include "consensus/controller_machine.hpp"
 #include "replication/agent_machine.hpp"
 #include "net/wire.hpp"
+#include "history/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel::scale {
 namespace {
@@ -35,7 +37,7 @@
   auto v = seats(p, seed);
   auto m = rest(p, v);
   ControllerCheckpoint mc{m, {}, next(m.epoch), {}, std::nullopt};
-  StoreCheckpoint rc{m, histories, 2 * limits::repair_age};
+  StoreCheckpoint rc{m, histories, 2 * kRepairMinimumAge};
   auto mb = codec::pack(mc), rb = codec::pack(rc);
   stations_.resize(v.size());
   for (size_t i = 0; i < v.size(); ++i) {
@@ -84,7 +86,7 @@
       s.machine = std::make_unique<GatewayMachine>(s.seat.id, now_);
       break;
   }
-  at(now_ + static_cast<Millis>(dice_() % limits::tick), [this, i, life = s.life] { tick(i, life); });
+  at(now_ + static_cast<Millis>(dice_() % kTickInterval), [this, i, life = s.life] { tick(i, life); });
 }
 
 void Field::stop(size_t i) {
@@ -129,7 +131,7 @@
   auto& s = stations_[i];
   if (s.life != life || !s.machine) return;
   act(s, timed(s, [&] { return s.machine->tick(now_); }));
-  at(now_ + limits::tick, [this, i, life] { tick(i, life); });
+  at(now_ + kTickInterval, [this, i, life] { tick(i, life); });
 }
 
 void Field::act(Station& s, Actions a) {
--- a/tools/scale/field.hpp
+++ b/tools/scale/field.hpp
@@ -5,6 +5,7 @@
 #include "programs/gateway_machine.hpp"
 #include "history/store_machine.hpp"
 #include "scale/plan.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel::scale {
 
@@ -89,7 +90,7 @@
   Actions timed(Station& s, F f);
   size_t index(const Station& s) const { return static_cast<size_t>(&s - stations_.data()); }
   std::mt19937_64 dice_;
-  Millis now_ = limits::process_start;
+  Millis now_ = kProcessClockStart;
   uint64_t lives_ = 0;
   std::map<Millis, std::vector<Event>> items_;
   std::vector<Station> stations_;
--- a/tools/scale/fleet.cpp
+++ b/tools/scale/fleet.cpp
@@ -8,6 +8,7 @@
 #include "base/log.hpp"
 #include "base/json.hpp"
 #include "scale/run.hpp"
+#include "replication/constants.hpp"
 
 namespace mosskeel::scale {
 namespace {
@@ -114,7 +115,7 @@
   r = voice_.commit(ApplyConfiguration{v->revision, m, {}});
   if (!r.yes) fail("the first configuration: " + r.reason);
   put("configuration", "configuration.ack.ms", static_cast<double>(r.acked - r.begun));
-  wait(limits::isolation);
+  wait(kIsolationTimeout);
   v = voice_.view();
   for (auto& [k, n] : tables(*v))
     if (n > 1000) put("configuration", "bytes." + k, static_cast<double>(n));
@@ -194,7 +195,7 @@
     acks.push_back(static_cast<double>(r.acked - r.begun));
     auto v = in_force(r.at, r.begun);
     every.insert(every.end(), v.begin(), v.end());
-    wait(limits::isolation);
+    wait(kIsolationTimeout);
   }
   distribution("change", every);
   std::sort(acks.begin(), acks.end());
--- a/tools/scale/hollow.cpp
+++ b/tools/scale/hollow.cpp
@@ -12,6 +12,9 @@
 #include "net/transport.hpp"
 #include "base/queue.hpp"
 #include "scale/fleet.hpp"
+#include "programs/constants.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel::scale {
 namespace {
@@ -55,7 +58,7 @@
     while (!stop_) {
       auto now = process_now();
       if (now >= next) {
-        next = now + limits::tick;
+        next = now + kTickInterval;
         for (size_t i = 0; i < v_.size(); ++i) tick(i, now);
       }
       for (auto& x : in_.take(std::max<Millis>(1, next - process_now()))) {
@@ -88,7 +91,7 @@
     auto& h = *v_[i];
     if (!h.machine) return;
     if (now >= h.next_beat) {
-      h.next_beat = now + limits::agent_beat;
+      h.next_beat = now + kAgentHeartbeatInterval;
       auto v = h.machine->view();
       Envelope e{};
       e.cluster = v->cluster;
@@ -106,7 +109,7 @@
     auto v = h.machine->view();
     if (v->epoch < h.seen) ++broken_;
     if (v->epoch != h.seen) h.known[h.seen = v->epoch] = machine_now();
-    if (h.known.size() > limits::log_keep) h.known.erase(h.known.begin());
+    if (h.known.size() > kLogEntriesKept) h.known.erase(h.known.begin());
     for (auto* x : {&a.now, &a.synced})
       for (auto& e : *x)
         if (e.to != h.shadow && !cut(e.to)) h.post->send(e);
--- a/tools/scale/troubles.cpp
+++ b/tools/scale/troubles.cpp
@@ -3,13 +3,16 @@
 #include <sstream>
 
 #include "scale/run.hpp"
+#include "consensus/constants.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel::scale {
 
 void Run::newcomer() {
   auto& c = *crews_.back();
   c.ask("stop 0");
-  wait(limits::silence * 2);
+  wait(kHeartbeatTimeout * 2);
   until_calm("newcomer gone", all() - 1);
   auto e = voice_.view()->epoch;
   auto begun = machine_now();
@@ -23,7 +26,7 @@
       break;
     }
     if (machine_now() - begun > calm_patience) return fail("the newcomer never had the value");
-    wait(limits::tick / 4);
+    wait(kTickInterval / 4);
   }
   until_calm("newcomer", all());
   put("newcomer", "joined.ms", static_cast<double>(machine_now() - begun));
@@ -64,8 +67,8 @@
     auto k = std::to_string(i / static_cast<int>(crews_.size()) % c.size());
     c.ask("stop " + k);
     c.ask("start " + k);
-    wait(limits::heartbeat);
-    v.push_back(static_cast<double>(until_calm("restart", all()) + limits::heartbeat));
+    wait(kHeartbeatInterval);
+    v.push_back(static_cast<double>(until_calm("restart", all()) + kHeartbeatInterval));
   }
   if (v.empty()) return;
   std::sort(v.begin(), v.end());
@@ -106,7 +109,7 @@
 }
 
 void Run::values() {
-  wait(limits::isolation);
+  wait(kIsolationTimeout);
   auto v = voice_.view();
   auto want = std::to_string(v->epoch.v) + ":" + fingerprint(*v);
   size_t same = 0, n = 0;
