--- /dev/null
+++ b/include/mosskeel/overload.hpp
@@ -0,0 +1,12 @@
+#pragma once
+// Visitor made of lambdas, for std::visit.
+namespace mosskeel {
+
+template <class... F>
+struct overload : F... {
+  using F::operator()...;
+};
+template <class... F>
+overload(F...) -> overload<F...>;
+
+}  // namespace mosskeel
--- a/src/base/codec.hpp
+++ b/src/base/codec.hpp
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <type_traits>
 
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel::codec {
 namespace hana = boost::hana;
@@ -13,7 +13,8 @@
 struct Reader {
   std::string_view s;
   bool take(void* p, size_t n) {
-    if (s.size() < n) return false;
+    if (s.size() < n)
+      return false;
     std::memcpy(p, s.data(), n);
     s.remove_prefix(n);
     return true;
@@ -62,7 +63,8 @@
 }
 inline bool get(Reader& r, std::string& x) {
   uint32_t n;
-  if (!get(r, n) || r.s.size() < n) return false;
+  if (!get(r, n) || r.s.size() < n)
+    return false;
   x.assign(r.s.data(), n);
   r.s.remove_prefix(n);
   return true;
@@ -81,7 +83,8 @@
 template <class C>
 void put_all(std::string& o, const C& c) {
   put(o, static_cast<uint32_t>(c.size()));
-  for (auto& e : c) put(o, e);
+  for (auto& e : c)
+    put(o, e);
 }
 template <class T>
 void put(std::string& o, const std::vector<T>& x) {
@@ -98,7 +101,8 @@
 template <class T>
 void put(std::string& o, const std::optional<T>& x) {
   put(o, static_cast<uint8_t>(x.has_value()));
-  if (x) put(o, *x);
+  if (x)
+    put(o, *x);
 }
 template <class... T>
 void put(std::string& o, const std::variant<T...>& x) {
@@ -109,32 +113,37 @@
 template <class T>
 bool get(Reader& r, std::vector<T>& x) {
   uint32_t n;
-  if (!get(r, n) || n > r.s.size()) return false;
+  if (!get(r, n) || n > r.s.size())
+    return false;
   x.clear();
   for (uint32_t i = 0; i < n; ++i) {
     x.emplace_back();
-    if (!get(r, x.back())) return false;
+    if (!get(r, x.back()))
+      return false;
   }
   return true;
 }
 template <class T>
 bool get(Reader& r, std::set<T>& x) {
   std::vector<T> v;
-  if (!get(r, v)) return false;
+  if (!get(r, v))
+    return false;
   x = std::set<T>(v.begin(), v.end());
   return true;
 }
 template <class K, class V>
 bool get(Reader& r, std::map<K, V>& x) {
   std::vector<std::pair<K, V>> v;
-  if (!get(r, v)) return false;
+  if (!get(r, v))
+    return false;
   x = std::map<K, V>(v.begin(), v.end());
   return true;
 }
 template <class T>
 bool get(Reader& r, std::optional<T>& x) {
   uint8_t b;
-  if (!get(r, b) || b > 1) return false;
+  if (!get(r, b) || b > 1)
+    return false;
   if (!b) {
     x.reset();
     return true;
@@ -145,7 +154,8 @@
 template <size_t I = 0, class... T>
 bool get_at(Reader& r, std::variant<T...>& x, size_t i) {
   if constexpr (I < sizeof...(T)) {
-    if (i == I) return get(r, x.template emplace<I>());
+    if (i == I)
+      return get(r, x.template emplace<I>());
     return get_at<I + 1>(r, x, i);
   } else {
     return false;
@@ -162,7 +172,7 @@
   if constexpr (std::is_arithmetic_v<T> || std::is_enum_v<T>) {
     o.append(reinterpret_cast<const char*>(&x), sizeof x);
   } else if constexpr (is_strong<T>::value) {
-    put(o, x.v);
+    put(o, x.value());
   } else if constexpr (!std::is_empty_v<T>) {
     hana::for_each(hana::accessors<T>(), [&](auto a) { put(o, hana::second(a)(x)); });
   }
@@ -171,13 +181,18 @@
 bool get(Reader& r, T& x) {
   if constexpr (std::is_same_v<T, bool>) {
     uint8_t b;
-    if (!get(r, b) || b > 1) return false;
+    if (!get(r, b) || b > 1)
+      return false;
     x = b;
     return true;
   } else if constexpr (std::is_arithmetic_v<T> || std::is_enum_v<T>) {
     return r.take(&x, sizeof x);
   } else if constexpr (is_strong<T>::value) {
-    return get(r, x.v);
+    std::remove_cvref_t<decltype(x.value())> value{};
+    if (!get(r, value))
+      return false;
+    x = T(value);
+    return true;
   } else if constexpr (std::is_empty_v<T>) {
     return true;
   } else {
@@ -198,7 +213,8 @@
 std::optional<T> unpack(std::string_view s) {
   Reader r{s};
   T x{};
-  if (!get(r, x) || !r.s.empty()) return std::nullopt;
+  if (!get(r, x) || !r.s.empty())
+    return std::nullopt;
   return x;
 }
 
--- a/src/base/fd.hpp
+++ b/src/base/fd.hpp
@@ -13,13 +13,15 @@
   Fd(Fd&& o) noexcept : fd_(std::exchange(o.fd_, -1)) {}
   Fd& operator=(Fd&& o) noexcept {
     if (this != &o) {
-      if (fd_ >= 0) ::close(fd_);
+      if (fd_ >= 0)
+        ::close(fd_);
       fd_ = std::exchange(o.fd_, -1);
     }
     return *this;
   }
   ~Fd() {
-    if (fd_ >= 0) ::close(fd_);
+    if (fd_ >= 0)
+      ::close(fd_);
   }
   int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -1,18 +1,14 @@
-#include "mosskeel.hpp"
+#include "mosskeel/hash.hpp"
 
 #include <charconv>
+#include <cstdio>
 
 namespace mosskeel {
 
-std::string render(const Findings& f) {
-  std::string s;
-  for (auto& x : f) s += (s.empty() ? "" : "; ") + x.place + ": " + x.reason;
-  return s;
-}
-
 uint64_t digest(std::string_view s, uint64_t seed) {
   uint64_t h = seed;
-  for (unsigned char c : s) h = (h ^ c) * 1099511628211ULL;
+  for (unsigned char c : s)
+    h = (h ^ c) * 1099511628211ULL;
   h ^= h >> 33;
   h *= 0xff51afd7ed558ccdULL;
   h ^= h >> 33;
@@ -29,7 +25,8 @@
 std::optional<uint64_t> unhex(std::string_view s) {
   uint64_t x = 0;
   auto [p, e] = std::from_chars(s.data(), s.data() + s.size(), x, 16);
-  if (e != std::errc{} || p != s.data() + s.size()) return std::nullopt;
+  if (e != std::errc{} || p != s.data() + s.size())
+    return std::nullopt;
   return x;
 }
 
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -10,13 +10,14 @@
 namespace hana = boost::hana;
 
 template <class T>
-void read(const Json& j, const std::string& at, T& x, Findings& f);
+void read(const Json& j, const std::string& at, T& x, Errors& f);
 template <class T>
-void read(const Json& j, const std::string& at, std::vector<T>& v, Findings& f);
+void read(const Json& j, const std::string& at, std::vector<T>& v, Errors& f);
 
 template <class T>
-void read(const Json& j, const std::string& at, std::vector<T>& v, Findings& f) {
-  if (!j.is_array()) return f.push_back({at, "must be a list"});
+void read(const Json& j, const std::string& at, std::vector<T>& v, Errors& f) {
+  if (!j.is_array())
+    return f.push_back({at, "must be a list"});
   v.clear();
   for (size_t i = 0; i < j.size(); ++i) {
     v.emplace_back();
@@ -25,7 +26,7 @@
 }
 
 template <class T>
-void read(const Json& j, const std::string& at, T& x, Findings& f) {
+void read(const Json& j, const std::string& at, T& x, Errors& f) {
   if constexpr (std::is_same_v<T, std::string>) {
     if (j.is_string())
       x = j.get<std::string>();
@@ -49,9 +50,12 @@
     else
       f.push_back({at, "must be a number"});
   } else if constexpr (codec::is_strong<T>::value) {
-    read(j, at, x.v, f);
+    std::remove_cvref_t<decltype(x.value())> value{};
+    read(j, at, value, f);
+    x = T(value);
   } else {
-    if (!j.is_object()) return f.push_back({at.empty() ? "body" : at, "must be an object"});
+    if (!j.is_object())
+      return f.push_back({at.empty() ? "body" : at, "must be an object"});
     std::set<std::string> known;
     hana::for_each(hana::accessors<T>(), [&](auto a) {
       std::string n = hana::to<char const*>(hana::first(a));
@@ -64,7 +68,8 @@
         f.push_back({p, "is missing"});
     });
     for (auto& [n, v] : j.items())
-      if (!known.count(n)) f.push_back({at.empty() ? n : at + "." + n, "is not known"});
+      if (!known.count(n))
+        f.push_back({at.empty() ? n : at + "." + n, "is not known"});
   }
 }
 
@@ -75,7 +80,7 @@
   if constexpr (std::is_arithmetic_v<T> || std::is_same_v<T, std::string>) {
     return x;
   } else if constexpr (codec::is_strong<T>::value) {
-    return x.v;
+    return x.value();
   } else {
     Json j = Json::object();
     hana::for_each(hana::accessors<T>(),
@@ -86,7 +91,8 @@
 template <class T>
 Json write(const std::vector<T>& v) {
   Json j = Json::array();
-  for (auto& x : v) j.push_back(write(x));
+  for (auto& x : v)
+    j.push_back(write(x));
   return j;
 }
 
@@ -94,11 +100,13 @@
 template <class T>
 Result<T> parse(const std::string& text) {
   Json j = Json::parse(text, nullptr, false);
-  if (j.is_discarded()) return Findings{{"body", "is no JSON"}};
+  if (j.is_discarded())
+    return Errors{{"body", "is no JSON"}};
   T x{};
-  Findings f;
+  Errors f;
   read(j, "", x, f);
-  if (!f.empty()) return f;
+  if (!f.empty())
+    return f;
   return x;
 }
 
--- a/src/base/memory.cpp
+++ b/src/base/memory.cpp
@@ -14,7 +14,8 @@
 Memory process_memory() {
   auto heap = ::mallinfo2();
   struct sysinfo machine {};
-  if (::sysinfo(&machine) != 0) return {heap.uordblks + heap.hblkhd, 0};
+  if (::sysinfo(&machine) != 0)
+    return {heap.uordblks + heap.hblkhd, 0};
   return {heap.uordblks + heap.hblkhd, static_cast<size_t>(machine.totalram) * machine.mem_unit};
 }
 
--- a/src/base/queue.hpp
+++ b/src/base/queue.hpp
@@ -4,7 +4,7 @@
 #include <deque>
 #include <mutex>
 
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
@@ -25,7 +25,8 @@
   std::optional<T> pop(Millis wait) {
     std::unique_lock l(m_);
     c_.wait_for(l, std::chrono::milliseconds(wait), [&] { return !q_.empty() || closed_; });
-    if (q_.empty()) return std::nullopt;
+    if (q_.empty())
+      return std::nullopt;
     T x = std::move(q_.front());
     q_.pop_front();
     return x;
--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -4,7 +4,7 @@
 
 bool Acceptor::current(const Envelope& e, Epoch epoch) {
   if (epoch <= metadata_log_.epoch()) {
-    auto [c, v] = metadata_log_.updates_since(Epoch{epoch.v - 1});
+    auto [c, v] = metadata_log_.updates_since(Epoch{epoch.value() - 1});
     out_.send(e.from, CatchupReply{metadata_log_.epoch(), c, v});
     return false;
   }
@@ -18,7 +18,8 @@
 }
 
 void Acceptor::on(const Envelope& e, const Prepare& p) {
-  if (!current(e, p.epoch)) return;
+  if (!current(e, p.epoch))
+    return;
   bool yes = p.ballot >= promised_;
   if (p.ballot > promised_) {
     promised_ = p.ballot;
@@ -28,7 +29,8 @@
 }
 
 void Acceptor::on(const Envelope& e, const Accept& a) {
-  if (!current(e, a.entry.epoch)) return;
+  if (!current(e, a.entry.epoch))
+    return;
   bool yes = a.ballot >= promised_;
   if (yes) {
     promised_ = a.ballot;
@@ -43,10 +45,12 @@
   accepted_ = c.accepted;
 }
 void Acceptor::recover(const PromiseRecord& r) {
-  if (r.epoch == next(metadata_log_.epoch()) && r.ballot > promised_) promised_ = r.ballot;
+  if (r.epoch == next(metadata_log_.epoch()) && r.ballot > promised_)
+    promised_ = r.ballot;
 }
 void Acceptor::recover(const AcceptRecord& r) {
-  if (r.entry.epoch != next(metadata_log_.epoch()) || r.ballot < promised_) return;
+  if (r.entry.epoch != next(metadata_log_.epoch()) || r.ballot < promised_)
+    return;
   promised_ = r.ballot;
   accepted_ = {r.ballot, r.entry};
 }
--- a/src/consensus/constants.hpp
+++ b/src/consensus/constants.hpp
@@ -4,45 +4,45 @@
 
 namespace mosskeel {
 
-/// ms; between two requests to be registered, each to another member
+/// Milliseconds; between two requests to be registered, each to another member.
 constexpr Millis kRegistrationRetryInterval = 300;
-/// ms; a controller that stops waits this long until the core goes on without it
+/// Milliseconds; a controller that stops waits this long until the core goes on without it.
 constexpr Millis kControllerShutdownTimeout = 600;
-/// ms; three heartbeats of an older cluster's daemons arrive before a founding
+/// Milliseconds; three heartbeats of an older cluster's daemons arrive before a founding.
 constexpr Millis kFoundingDelay = 1000;
-/// ms; wait for late candidates before founding with a majority
+/// Milliseconds; wait for late candidates before founding with a majority.
 constexpr Millis kFoundingStragglerTimeout = 1500;
-/// ms; a round without a majority by then starts anew
+/// Milliseconds; a round without a majority by then starts anew.
 constexpr Millis kProposalTimeout = 300;
-/// ms; spread of restarts, so that duelling proposers separate
+/// Milliseconds; spread of restarts, so that duelling proposers separate.
 constexpr Millis kProposalJitter = 120;
-/// ms; a daemon unheard by a majority of controllers for this long is down
+/// Milliseconds; a daemon unheard by a majority of controllers for this long is down.
 constexpr Millis kHeartbeatTimeout = 2500;
-/// ms; when most are silent this controller may be the one cut off: it waits longer
+/// Milliseconds; when most are silent this controller may be the one cut off: it waits longer.
 constexpr Millis kIsolatedHeartbeatTimeout = 6000;
-/// ms; duration of the supervisor lease
+/// Milliseconds; duration of the supervisor lease.
 constexpr Millis kSupervisorLeaseDuration = 2000;
-/// ms; the holder stops this long before its lease ends
+/// Milliseconds; the holder stops this long before its lease ends.
 constexpr Millis kSupervisorLeaseMargin = 400;
-/// ms; between renewals
+/// Milliseconds; between renewals.
 constexpr Millis kSupervisorLeaseRenewInterval = 500;
-/// ms; a sequence whose barrier is blocked longer is cancelled
+/// Milliseconds; a sequence whose barrier is blocked longer is cancelled.
 constexpr Millis kSequenceStepTimeout = 15000;
-/// ms; a store silent this long loses its partitions; a restart takes less
+/// Milliseconds; a store silent this long loses its partitions; a restart takes less.
 constexpr Millis kRepairDelay = 3000;
-/// doublings of kStoreRepairDelay for a store that comes and goes
+/// Doublings of kStoreRepairDelay for a store that comes and goes.
 constexpr uint32_t kMaxRepairDelayDoublings = 4;
-/// ms; a store silent this long may be lost: joins wait for its repair
+/// Milliseconds; a store silent this long may be lost: joins wait for its repair.
 constexpr Millis kStoreSuspectTimeout = 1200;
-/// ms; before a daemon whose sequence was cancelled begins another
+/// Milliseconds; before a daemon whose sequence was cancelled begins another.
 constexpr Millis kSequenceRetryDelay = 1000;
-/// ms; a lost store without partitions is removed from the directory
+/// Milliseconds; a lost store without partitions is removed from the directory.
 constexpr Millis kForgetStoreDelay = 30000;
-/// ms; a majority silent this long calls for a look at re-founding
+/// Milliseconds; a majority silent this long calls for a look at re-founding.
 constexpr Millis kCoreLossTimeout = 4000;
-/// ms; log copies are gathered this long before a re-founding
+/// Milliseconds; log copies are gathered this long before a re-founding.
 constexpr Millis kRefoundingCatchUpTime = 1000;
-/// ms; no founding this long after a sign of an older cluster
+/// Milliseconds; no founding this long after a sign of an older cluster.
 constexpr Millis kFoundingHoldOff = 10000;
 
 }  // namespace mosskeel
--- a/src/consensus/controller_machine.hpp
+++ b/src/consensus/controller_machine.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // A controller: acceptor, proposer, founder, observer and, with the lease, supervisor.
-#include "consensus/sequence_barrier.hpp"
 #include "consensus/proposer.hpp"
+#include "consensus/sequence_barrier.hpp"
 #include "consensus/supervisor.hpp"
 
 namespace mosskeel {
@@ -22,7 +22,9 @@
   /// What still hinders that an epoch is in force; empty if nothing.
   std::string missing_acknowledgements(Epoch at, Millis now) const;
   /// Which partitions have a lost or silent member, so that a store that was emptied may not go yet; empty if none.
-  std::string endangered(Millis now) const { return sequence_barrier::endangered(*metadata_log_.view(), detector_, now); }
+  std::string endangered(Millis now) const {
+    return sequence_barrier::endangered(*metadata_log_.view(), detector_, now);
+  }
   std::string checkpoint() const override;
   /// Begins to stop in order: hands the lease over, lets the core go on without this member, then asks to be stopped.
   /// What it sends goes out with the next tick.
--- a/src/consensus/discovery.cpp
+++ b/src/consensus/discovery.cpp
@@ -1,8 +1,8 @@
 // How controllers without a log find each other and found the cluster.
 #include <algorithm>
 
-#include "consensus/controller_machine.hpp"
 #include "consensus/constants.hpp"
+#include "consensus/controller_machine.hpp"
 #include "replication/constants.hpp"
 
 namespace mosskeel {
@@ -12,9 +12,11 @@
 /// have promised before is lost.
 void ControllerMachine::init_founders(const Recovered& r) {
   bool empty_disk = !r.checkpoint && r.journal.empty();
-  if (out_.id().later_start || !empty_disk) return;
+  if (out_.id().later_start || !empty_disk)
+    return;
   founders_ = out_.id().seeds;
-  if (founders_.empty()) founders_ = {out_.id().self.address};
+  if (founders_.empty())
+    founders_ = {out_.id().self.address};
   out_.write(codec::pack(ControllerRecord{FoundersRecord{founders_}}));
 }
 
@@ -33,12 +35,15 @@
   std::map<Address, std::pair<Candidate, Millis>> latest;
   for (auto& [incarnation, f] : fellows_) {
     auto& [fellow, heard] = f;
-    if (!founder(fellow.address) || fellow.address == self.address) continue;
+    if (!founder(fellow.address) || fellow.address == self.address)
+      continue;
     auto& known = latest[fellow.address];
-    if (heard > known.second) known = f;
+    if (heard > known.second)
+      known = f;
   }
   Candidates v{self};
-  for (auto& [address, f] : latest) v.push_back(f.first);
+  for (auto& [address, f] : latest)
+    v.push_back(f.first);
   std::sort(v.begin(), v.end(), [](auto& a, auto& b) { return a.incarnation < b.incarnation; });
   return v;
 }
@@ -48,9 +53,12 @@
   std::erase_if(fellows_, [&](auto& f) { return now - f.second.second > kDiscoveryInterval * 8; });
   auto& self = out_.id().self;
   for (auto& a : out_.id().seeds)
-    if (a != self.address) out_.send(a, Discover{self});
-  for (auto& [incarnation, f] : fellows_) out_.send(f.first.address, Discover{self});
-  if (may_found(now) && prop_.idle()) found(now);
+    if (a != self.address)
+      out_.send(a, Discover{self});
+  for (auto& [incarnation, f] : fellows_)
+    out_.send(f.first.address, Discover{self});
+  if (may_found(now) && prop_.idle())
+    found(now);
 }
 
 /// The lowest candidate proposes once it sees all others, or a majority after a while; anybody if that one fails.
@@ -58,17 +66,21 @@
   auto& id = out_.id();
   auto electors = candidates();
   size_t votes = majority_of(founders_.size());
-  if (electors.size() < votes) return;
+  if (electors.size() < votes)
+    return;
   Millis age = now - born_;
   bool complete = electors.size() == founders_.size();
   bool lowest = electors.front().incarnation == id.self.incarnation;
   auto patience = lowest ? (complete ? kFoundingDelay : kFoundingStragglerTimeout) : kFoundingStragglerTimeout * 3;
-  if (age <= patience) return;
+  if (age <= patience)
+    return;
   auto members = electors;
-  if (members.size() > id.core_size) members.resize(id.core_size);
+  if (members.size() > id.core_size)
+    members.resize(id.core_size);
   out_.note(Event::founding,
             std::to_string(electors.size()) + " of " + std::to_string(founders_.size()) + " candidates");
-  FoundCluster f{digest(hex(id.self.incarnation.v)), id.core_size, members, id.max_core_size, id.replication_factor};
+  FoundCluster f{digest(hex(id.self.incarnation.value())), id.core_size, members, id.max_core_size,
+                 id.replication_factor};
   prop_.found(f, electors, votes, now);
 }
 
--- a/src/consensus/failure_detector.hpp
+++ b/src/consensus/failure_detector.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // Who was heard when, and what they knew: the observations of one controller.
-#include "replication/metadata_log.hpp"
 #include "consensus/constants.hpp"
+#include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
@@ -22,7 +22,8 @@
   explicit FailureDetector(Millis start) : start_(start) {}
   void record(const Heartbeat& h, Millis now) {
     auto& x = heard_[h.self.incarnation];
-    x = {now, std::max(x.known_epoch, h.known), h.load, h.streamed, h.running, h.self, h.incomplete_comparisons, h.leaving};
+    x = {now,    std::max(x.known_epoch, h.known), h.load,   h.streamed, h.running,
+         h.self, h.incomplete_comparisons,         h.leaving};
   }
   const PeerStatus* status_of(Incarnation incarnation) const {
     auto i = heard_.find(incarnation);
@@ -36,7 +37,8 @@
   bool superseded(const Daemon& daemon, Millis now) const {
     auto* own = status_of(daemon.self.incarnation);
     for (auto& [incarnation, status] : heard_)
-      if (incarnation != daemon.self.incarnation && status.self.address == daemon.self.address && now - status.last_heartbeat_at < kHeartbeatTimeout &&
+      if (incarnation != daemon.self.incarnation && status.self.address == daemon.self.address &&
+          now - status.last_heartbeat_at < kHeartbeatTimeout &&
           (!own || status.last_heartbeat_at > own->last_heartbeat_at))
         return true;
     return false;
@@ -44,7 +46,8 @@
   HeartbeatAges heartbeat_ages(const Metadata& m, Millis now) const {
     HeartbeatAges s;
     for (auto& [id, d] : m.directory)
-      if (d.state != DaemonState::left) s[id] = heartbeat_age(d, now);
+      if (d.state != DaemonState::left)
+        s[id] = heartbeat_age(d, now);
     return s;
   }
 
--- a/src/consensus/leaving.cpp
+++ b/src/consensus/leaving.cpp
@@ -1,14 +1,15 @@
 // How a controller stops in order.
 #include <algorithm>
 
-#include "consensus/controller_machine.hpp"
 #include "consensus/constants.hpp"
+#include "consensus/controller_machine.hpp"
 
 namespace mosskeel {
 
 /// The others hear at once that this member stops: they take the lease over and need not wait for its silence.
 void ControllerMachine::begin_shutdown(Millis now) {
-  if (leaving_since_) return;
+  if (leaving_since_)
+    return;
   leaving_since_ = now;
   lease_.resign();
   auto* me = metadata_log_.view()->find(out_.id().self.incarnation);
@@ -17,7 +18,7 @@
     return;
   }
   beat(now);
-  auto commit = "leave-" + hex(me->self.incarnation.v) + "-" + std::to_string(metadata_log_.epoch().v);
+  auto commit = "leave-" + hex(me->self.incarnation.value()) + "-" + std::to_string(metadata_log_.epoch().value());
   out_.send(out_.id().self.address, Commit{commit, MarkDown{me->id}, metadata_log_.epoch()});
 }
 
@@ -32,7 +33,8 @@
     return d.self.role == Role::controller && d.state == DaemonState::up && !m.is_core_member(d.self.incarnation);
   });
   bool handed_over = marked && (!member || !replaceable);
-  if (handed_over || now - *leaving_since_ >= kControllerShutdownTimeout) out_.act.stop = true;
+  if (handed_over || now - *leaving_since_ >= kControllerShutdownTimeout)
+    out_.act.stop = true;
 }
 
 }  // namespace mosskeel
--- a/src/consensus/proposer.hpp
+++ b/src/consensus/proposer.hpp
@@ -27,7 +27,8 @@
   bool refounding() const { return refound_.has_value(); }
   /// Brings an instance to its end that its proposer left open.
   void finish(Millis now) {
-    if (!round_) start(Entry{next(metadata_log_.epoch()), "", std::monostate{}}, now, true);
+    if (!round_)
+      start(Entry{next(metadata_log_.epoch()), "", std::monostate{}}, now, true);
   }
   bool idle() const { return !round_; }
   /// What still hinders that an epoch is in force everywhere in touch and on every disk in touch; empty if nothing.
--- a/src/consensus/refounding.cpp
+++ b/src/consensus/refounding.cpp
@@ -1,8 +1,8 @@
 // What a controller does when a majority of the core is gone for good.
 #include <algorithm>
 
-#include "consensus/controller_machine.hpp"
 #include "consensus/constants.hpp"
+#include "consensus/controller_machine.hpp"
 #include "replication/constants.hpp"
 
 namespace mosskeel {
@@ -22,9 +22,11 @@
     auto* known = metadata_log_.view()->find(c.incarnation);
     return c.address == d.self.address && c.incarnation != d.self.incarnation && (!known || known->id > d.id);
   };
-  if (later(self)) return self.incarnation;
+  if (later(self))
+    return self.incarnation;
   for (auto& [incarnation, f] : fellows_)
-    if (later(f.first)) return incarnation;
+    if (later(f.first))
+      return incarnation;
   return std::nullopt;
 }
 
@@ -44,7 +46,8 @@
   for (auto id : m.members) {
     auto* d = m.find(id);
     if (detector_.heartbeat_age(*d, now) < kCoreLossTimeout) {
-      if (!first) first = d;
+      if (!first)
+        first = d;
       continue;
     }
     out_.send(d->self.address, Discover{self});
@@ -66,7 +69,8 @@
       if (d.state != DaemonState::left)
         out_.send(d.self.agent_address.empty() ? d.self.address : d.self.agent_address, Catchup{metadata_log_.epoch()});
   }
-  if (now - survey_since_ >= kRefoundingCatchUpTime && !prop_.refounding()) refound(lost, now);
+  if (now - survey_since_ >= kRefoundingCatchUpTime && !prop_.refounding())
+    refound(lost, now);
 }
 
 void ControllerMachine::refound(const std::vector<DaemonId>& lost, Millis now) {
@@ -74,17 +78,21 @@
   RefoundCluster r{m.generation, lost, {}};
   std::map<Incarnation, Address> survivors;
   for (auto id : m.members)
-    if (std::find(lost.begin(), lost.end(), id) == lost.end()) survivors[m.find(id)->self.incarnation] = m.find(id)->self.address;
+    if (std::find(lost.begin(), lost.end(), id) == lost.end())
+      survivors[m.find(id)->self.incarnation] = m.find(id)->self.address;
   bool nobody = survivors.empty();
   auto elect = [&](const Candidate& c) {
-    if (nobody && m.replaces_member(c)) survivors[c.incarnation] = c.address;
+    if (nobody && m.replaces_member(c))
+      survivors[c.incarnation] = c.address;
   };
   elect(out_.id().self);
-  if (!m.is_core_member(out_.id().self.incarnation)) r.fresh.push_back(out_.id().self);
+  if (!m.is_core_member(out_.id().self.incarnation))
+    r.fresh.push_back(out_.id().self);
   for (auto& [incarnation, f] : fellows_)
-    if (!m.is_core_member(incarnation)) r.fresh.push_back(f.first), elect(f.first);
+    if (!m.is_core_member(incarnation))
+      r.fresh.push_back(f.first), elect(f.first);
   out_.note(Event::refounding, std::to_string(lost.size()) + " of " + std::to_string(m.members.size()) +
-                                   " members are lost at epoch " + std::to_string(m.epoch.v));
+                                   " members are lost at epoch " + std::to_string(m.epoch.value()));
   prop_.refound(r, survivors, now);
 }
 
@@ -93,18 +101,21 @@
     out_.send(e.from, CommitReply{r.id, o, why, metadata_log_.epoch(), std::nullopt, {}});
   };
   auto& m = *metadata_log_.view();
-  if (!m.cluster) return say(CommitOutcome::rejected, "this controller holds no log");
-  if (core_lives(now)) return say(CommitOutcome::rejected, "a majority of the core lives; use replace core");
+  if (!m.cluster)
+    return say(CommitOutcome::rejected, "this controller holds no log");
+  if (core_lives(now))
+    return say(CommitOutcome::rejected, "a majority of the core lives; use replace core");
   for (auto id : r.lost) {
     if (std::find(m.members.begin(), m.members.end(), id) == m.members.end())
-      return say(CommitOutcome::rejected, "daemon " + std::to_string(id.v) + " is no core member");
+      return say(CommitOutcome::rejected, "daemon " + std::to_string(id.value()) + " is no core member");
     if (detector_.heartbeat_age(*m.find(id), now) < kCoreLossTimeout)
-      return say(CommitOutcome::rejected, "daemon " + std::to_string(id.v) + " lives");
+      return say(CommitOutcome::rejected, "daemon " + std::to_string(id.value()) + " lives");
   }
   for (auto id : m.members)
     if (std::find(r.lost.begin(), r.lost.end(), id) == r.lost.end() &&
         detector_.heartbeat_age(*m.find(id), now) >= kCoreLossTimeout)
-      return say(CommitOutcome::rejected, "daemon " + std::to_string(id.v) + " is silent too, but was not named as lost");
+      return say(CommitOutcome::rejected,
+                 "daemon " + std::to_string(id.value()) + " is silent too, but was not named as lost");
   refound(r.lost, now);
   say(CommitOutcome::committed, "");
 }
--- a/src/consensus/sequence_barrier.cpp
+++ b/src/consensus/sequence_barrier.cpp
@@ -20,7 +20,7 @@
 std::set<DaemonId> touched(const Metadata& metadata, const Sequence& sequence) {
   std::set<DaemonId> ids{sequence.node};
   for (auto& move : sequence.moves) {
-    auto& partition = metadata.partitions[move.partition.v];
+    auto& partition = metadata.partitions[move.partition.value()];
     ids.insert(partition.owner);
     ids.insert(move.owner);
     ids.insert(partition.stores.begin(), partition.stores.end());
@@ -34,9 +34,10 @@
 std::set<DaemonId> newcomers(const Metadata& metadata, const Sequence& sequence) {
   std::set<DaemonId> ids;
   for (auto& move : sequence.moves) {
-    auto& old = metadata.partitions[move.partition.v].stores;
+    auto& old = metadata.partitions[move.partition.value()].stores;
     for (auto id : move.stores)
-      if (std::find(old.begin(), old.end(), id) == old.end()) ids.insert(id);
+      if (std::find(old.begin(), old.end(), id) == old.end())
+        ids.insert(id);
   }
   return ids;
 }
@@ -45,7 +46,8 @@
   size_t all = 0, know = 0;
   for (auto id : touched(metadata, sequence)) {
     auto* daemon = metadata.find(id);
-    if (is_lost(daemon)) continue;
+    if (is_lost(daemon))
+      continue;
     ++all;
     auto* status = lately(daemon, detector, now);
     know += status && status->known_epoch >= sequence.last_step_epoch;
@@ -57,7 +59,8 @@
   auto ids = newcomers(metadata, sequence);
   Epoch begun{};
   for (auto& move : sequence.moves)
-    if (auto& partition = metadata.partitions[move.partition.v]; !partition.pending_stores.empty()) begun = std::max(begun, partition.stores_epoch);
+    if (auto& partition = metadata.partitions[move.partition.value()]; !partition.pending_stores.empty())
+      begun = std::max(begun, partition.stores_epoch);
   return std::all_of(ids.begin(), ids.end(), [&](auto id) {
     auto* daemon = metadata.find(id);
     auto* status = is_lost(daemon) ? nullptr : lately(daemon, detector, now);
@@ -78,7 +81,8 @@
       auto* daemon = metadata.find(id);
       return is_lost(daemon) || !lately(daemon, detector, now);
     });
-    if (lacking) text += " " + std::to_string(i);
+    if (lacking)
+      text += " " + std::to_string(i);
   }
   return text;
 }
--- a/src/consensus/supervisor.hpp
+++ b/src/consensus/supervisor.hpp
@@ -10,7 +10,8 @@
       : out_(out), metadata_log_(metadata_log), detector_(detector), lease_(lease) {}
   void tick(Millis now);
   void on(const CommitReply& r) {
-    if (r.id == busy_) busy_.clear();
+    if (r.id == busy_)
+      busy_.clear();
   }
 
  private:
--- a/src/consensus/supervisor_core.cpp
+++ b/src/consensus/supervisor_core.cpp
@@ -1,10 +1,10 @@
 // Which controllers make the core: admission and removal, one member a step.
 #include <algorithm>
 
-#include "consensus/supervisor.hpp"
-#include "metadata/core_membership.hpp"
 #include "consensus/constants.hpp"
+#include "consensus/supervisor.hpp"
 #include "metadata/constants.hpp"
+#include "metadata/core_membership.hpp"
 #include "replication/constants.hpp"
 
 namespace mosskeel {
@@ -20,7 +20,8 @@
   auto& m = *metadata_log_.view();
   for (auto& [id, d] : m.directory) {
     bool spare = d.self.role == Role::controller && d.state == DaemonState::up && !m.is_core_member(d.self.incarnation);
-    if (spare && heard(d, now) && holds_log(d)) return &d;
+    if (spare && heard(d, now) && holds_log(d))
+      return &d;
   }
   return nullptr;
 }
@@ -37,7 +38,8 @@
   auto& m = *metadata_log_.view();
   for (auto id : m.members) {
     auto* d = m.find(id);
-    if (d->state == DaemonState::down && gone(*d, now)) return d;
+    if (d->state == DaemonState::down && gone(*d, now))
+      return d;
   }
   return nullptr;
 }
@@ -49,10 +51,13 @@
 
 /// Whether a daemon that is marked down runs again. A controller's words from before the mark prove nothing.
 bool Supervisor::returned(const Daemon& d, Millis now) const {
-  if (!heard(d, now)) return false;
-  if (d.self.role != Role::controller) return true;
+  if (!heard(d, now))
+    return false;
+  if (d.self.role != Role::controller)
+    return true;
   auto* status = detector_.status_of(d.self.incarnation);
-  return status && !status->leaving && status->known_epoch >= d.since && metadata_log_.view()->find_at(d.self.address) == &d;
+  return status && !status->leaving && status->known_epoch >= d.since &&
+         metadata_log_.view()->find_at(d.self.address) == &d;
 }
 
 /// Members come and go one at a time: a newcomer is admitted first and the lost member is removed next, since the
@@ -64,15 +69,18 @@
   auto* lost = lost_member(now);
   auto down = count_down_members(m);
   bool smaller_majority = m.members.size() % 2 == 0 || down > 1;
-  if (lost && smaller_majority && m.members.size() > kMinCoreSize) return RemoveCoreMember{lost->id};
+  if (lost && smaller_majority && m.members.size() > kMinCoreSize)
+    return RemoveCoreMember{lost->id};
   auto most = std::max<size_t>(m.core_size, m.max_core_size);
   bool room = m.members.size() - down < most && m.members.size() <= most;
   auto* fresh = room ? newcomer(now) : nullptr;
-  if (!fresh) return std::nullopt;
+  if (!fresh)
+    return std::nullopt;
   if (!lost) {
     // A loss before the newcomer came is marked by then; and a lease granted by a smaller core has ended.
     auto not_before = later_.try_emplace(fresh->id, now + kHeartbeatTimeout + kHeartbeatInterval).first->second;
-    if (now < not_before || !all_members_heard(now)) return std::nullopt;
+    if (now < not_before || !all_members_heard(now))
+      return std::nullopt;
   }
   return AddCoreMember{fresh->id};
 }
--- a/src/consensus/supervisor_lease.hpp
+++ b/src/consensus/supervisor_lease.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // The supervisor's lease: a majority of the core grants it, its holder stops before it ends.
-#include "consensus/failure_detector.hpp"
 #include "consensus/constants.hpp"
+#include "consensus/failure_detector.hpp"
 
 namespace mosskeel {
 
--- a/src/consensus/supervisor_sequences.cpp
+++ b/src/consensus/supervisor_sequences.cpp
@@ -1,16 +1,17 @@
 // The supervisor's joins, drains and repairs: when one begins, when its next step may be taken, when it is given up.
 #include <algorithm>
 
+#include "consensus/constants.hpp"
 #include "consensus/sequence_barrier.hpp"
 #include "consensus/supervisor.hpp"
-#include "consensus/constants.hpp"
 
 namespace mosskeel {
 
 /// Each step waits until those concerned know the one before; the last two also for the newcomers' own word.
 bool Supervisor::passed(const Sequence& sequence, Millis now) const {
   auto& metadata = *metadata_log_.view();
-  if (!sequence_barrier::is_known(metadata, sequence, detector_, now)) return false;
+  if (!sequence_barrier::is_known(metadata, sequence, detector_, now))
+    return false;
   return sequence.next_step == SequenceStep::start || sequence_barrier::is_streamed(metadata, sequence, detector_, now);
 }
 
@@ -18,11 +19,15 @@
 std::string Supervisor::hindrance(const Sequence& sequence, Millis now) {
   auto& metadata = *metadata_log_.view();
   auto& barrier = barrier_[sequence.node];
-  if (barrier.first != sequence.last_step_epoch) barrier = {sequence.last_step_epoch, now};
+  if (barrier.first != sequence.last_step_epoch)
+    barrier = {sequence.last_step_epoch, now};
   auto* node = metadata.find(sequence.node);
-  if (sequence.kind == SequenceKind::join && node && node->state == DaemonState::down) return "its node is down";
-  if (sequence.kind == SequenceKind::repair && node && node->state == DaemonState::up) return "its node is back";
-  if (sequence_barrier::has_lost_target(metadata, sequence)) return "a store that was to take places is lost";
+  if (sequence.kind == SequenceKind::join && node && node->state == DaemonState::down)
+    return "its node is down";
+  if (sequence.kind == SequenceKind::repair && node && node->state == DaemonState::up)
+    return "its node is back";
+  if (sequence_barrier::has_lost_target(metadata, sequence))
+    return "a store that was to take places is lost";
   if (now - barrier.second > kSequenceStepTimeout)
     return std::string("barrier blocked before ") + name(sequence.next_step);
   return "";
@@ -32,14 +37,16 @@
   auto& metadata = *metadata_log_.view();
   std::erase_if(barrier_, [&](auto& barrier) { return !metadata.sequences.count(barrier.first); });
   for (auto& [id, sequence] : metadata.sequences) {
-    auto daemon = " of daemon " + std::to_string(id.v);
+    auto daemon = " of daemon " + std::to_string(id.value());
     auto why = hindrance(sequence, now);
     if (!why.empty()) {
       later_[id] = now + kSequenceRetryDelay;
-      out_.note(Event::sequence_blocked, std::string(name(sequence.kind)) + daemon + " at step " + name(sequence.next_step));
+      out_.note(Event::sequence_blocked,
+                std::string(name(sequence.kind)) + daemon + " at step " + name(sequence.next_step));
       return CancelSequence{id, why};
     }
-    if (!passed(sequence, now)) continue;
+    if (!passed(sequence, now))
+      continue;
     out_.note(Event::sequence_step, std::string(name(sequence.next_step)) + " of the " + name(sequence.kind) + daemon);
     return AdvanceSequence{id, sequence.next_step};
   }
@@ -65,12 +72,17 @@
 std::optional<Transformation> Supervisor::begin_join(Millis now) const {
   auto& metadata = *metadata_log_.view();
   for (auto& [id, sequence] : metadata.sequences)
-    if (sequence.kind != SequenceKind::repair) return std::nullopt;
+    if (sequence.kind != SequenceKind::repair)
+      return std::nullopt;
   for (auto& [id, daemon] : metadata.directory) {
-    if (daemon.self.role == Role::controller || daemon.state != DaemonState::registered) continue;
-    if (!heard(daemon, now) || paused(id, now)) continue;
-    if (daemon.self.role == Role::store && store_in_doubt(now)) continue;
-    if (metadata.sequences.empty() || !placement::plan_join(metadata, daemon).empty()) return PrepareJoin{id};
+    if (daemon.self.role == Role::controller || daemon.state != DaemonState::registered)
+      continue;
+    if (!heard(daemon, now) || paused(id, now))
+      continue;
+    if (daemon.self.role == Role::store && store_in_doubt(now))
+      continue;
+    if (metadata.sequences.empty() || !placement::plan_join(metadata, daemon).empty())
+      return PrepareJoin{id};
   }
   return std::nullopt;
 }
@@ -79,12 +91,18 @@
 std::optional<Transformation> Supervisor::resume_drain(Millis now) const {
   auto& metadata = *metadata_log_.view();
   for (auto& [id, daemon] : metadata.directory) {
-    if (daemon.self.role != Role::store || daemon.state != DaemonState::draining) continue;
-    if (metadata.sequences.count(id) || paused(id, now)) continue;
+    if (daemon.self.role != Role::store || daemon.state != DaemonState::draining)
+      continue;
+    if (metadata.sequences.count(id) || paused(id, now))
+      continue;
     auto moves = placement::plan_drain(metadata, daemon);
-    if (!ok(moves)) continue;
-    auto locked = [&](auto& move) { return metadata.locks.count(move.partition) > 0; };
-    if (std::none_of(value(moves).begin(), value(moves).end(), locked)) return PrepareDrain{id};
+    if (!moves.ok())
+      continue;
+    auto locked = [&](auto& move) {
+      return metadata.locks.count(move.partition) > 0;
+    };
+    if (std::none_of(value(moves).begin(), value(moves).end(), locked))
+      return PrepareDrain{id};
   }
   return std::nullopt;
 }
@@ -108,14 +126,18 @@
   std::optional<DaemonId> worst;
   long worst_lost = 0;
   for (auto& [id, daemon] : metadata.directory) {
-    if (daemon.self.role != Role::store || daemon.state != DaemonState::down) continue;
-    if (metadata.sequences.count(id) || paused(id, now) || !silent(daemon, now, repair_patience(id))) continue;
+    if (daemon.self.role != Role::store || daemon.state != DaemonState::down)
+      continue;
+    if (metadata.sequences.count(id) || paused(id, now) || !silent(daemon, now, repair_patience(id)))
+      continue;
     for (auto& move : placement::plan_repair(metadata, daemon)) {
-      auto lost = lost_members(metadata.partitions[move.partition.v]);
-      if (lost > worst_lost) worst = id, worst_lost = lost;
+      auto lost = lost_members(metadata.partitions[move.partition.value()]);
+      if (lost > worst_lost)
+        worst = id, worst_lost = lost;
     }
   }
-  if (!worst) return std::nullopt;
+  if (!worst)
+    return std::nullopt;
   ++repairs_[*worst];
   return PrepareRepair{*worst};
 }
@@ -124,18 +146,25 @@
 std::optional<Transformation> Supervisor::forget(Millis now) const {
   auto& metadata = *metadata_log_.view();
   for (auto& [id, daemon] : metadata.directory) {
-    if (daemon.self.role != Role::store || daemon.state != DaemonState::down) continue;
-    if (metadata.holds_partitions(id) || metadata.sequences.count(id)) continue;
-    if (metadata.find_at(daemon.self.address) != &daemon || silent(daemon, now, kForgetStoreDelay)) return ForgetStore{id};
+    if (daemon.self.role != Role::store || daemon.state != DaemonState::down)
+      continue;
+    if (metadata.holds_partitions(id) || metadata.sequences.count(id))
+      continue;
+    if (metadata.find_at(daemon.self.address) != &daemon || silent(daemon, now, kForgetStoreDelay))
+      return ForgetStore{id};
   }
   return std::nullopt;
 }
 
 std::optional<Transformation> Supervisor::sequences(Millis now) {
-  if (auto step = proceed(now)) return step;
-  if (auto join = begin_join(now)) return join;
-  if (auto drain = resume_drain(now)) return drain;
-  if (auto repaired = repair(now)) return repaired;
+  if (auto step = proceed(now))
+    return step;
+  if (auto join = begin_join(now))
+    return join;
+  if (auto drain = resume_drain(now))
+    return drain;
+  if (auto repaired = repair(now))
+    return repaired;
   return forget(now);
 }
 
--- a/src/control/admin_api.hpp
+++ b/src/control/admin_api.hpp
@@ -1,9 +1,9 @@
 #pragma once
 // The operators' and the platform's HTTP; the one place to change its shape.
 #include "consensus/controller_machine.hpp"
-#include "runtime/host.hpp"
-#include "control/control_session.hpp"
 #include "control/command_language.hpp"
+#include "control/control_session.hpp"
+#include "runtime/host.hpp"
 
 namespace mosskeel {
 
--- a/src/control/cluster_control.hpp
+++ b/src/control/cluster_control.hpp
@@ -1,13 +1,21 @@
 #pragma once
 // What a platform may order of the core, in the product's words, and how its way of asking plugs in.
-#include "net/http_server.hpp"
 #include "control/constants.hpp"
+#include "net/http_server.hpp"
 
 namespace mosskeel {
 
-/// What became of a command. `outcome_unknown`: neither done nor refused yet; asking again under the same words finds out.
+/// What became of a command. `outcome_unknown`: neither done nor refused yet; asking again under the same words finds
+/// out.
 struct CommandResult {
-  enum class Code { done, revision_mismatch, invalid, rejected, not_found, outcome_unknown } code = Code::outcome_unknown;
+  enum class Code {
+    done,
+    revision_mismatch,
+    invalid,
+    rejected,
+    not_found,
+    outcome_unknown
+  } code = Code::outcome_unknown;
   std::string reason;
 };
 
@@ -29,7 +37,8 @@
   /// Done once everything that this controller knows is in force.
   virtual CommandResult wait_until_in_force() = 0;
   /// Applies a configuration under its own revision on top of `base`; a repeated `commit` is never applied twice.
-  virtual CommandResult apply_configuration(const std::string& commit, Revision base, Revision own, const Configuration& m) = 0;
+  virtual CommandResult apply_configuration(const std::string& commit, Revision base, Revision own,
+                                            const Configuration& m) = 0;
   virtual CommandResult evacuate(const std::string& zone) = 0;
   virtual CommandResult restore(const std::string& zone) = 0;
   /// Empties the store on this machine; refused where too few copies would remain.
--- a/src/control/command_language.cpp
+++ b/src/control/command_language.cpp
@@ -19,18 +19,21 @@
         continue;
       }
       auto j = i;
-      while (j < s.size() && !isspace(static_cast<unsigned char>(s[j]))) ++j;
+      while (j < s.size() && !isspace(static_cast<unsigned char>(s[j])))
+        ++j;
       v_.push_back({s.substr(i, j - i), i + 1});
       i = j;
     }
   }
   bool take(const char* w) {
-    if (i_ < v_.size() && v_[i_].s == w) return ++i_, true;
+    if (i_ < v_.size() && v_[i_].s == w)
+      return ++i_, true;
     hope(std::string("'") + w + "'");
     return false;
   }
   bool word(std::string& x, const char* what) {
-    if (i_ < v_.size()) return x = v_[i_++].s, hopes_.clear(), true;
+    if (i_ < v_.size())
+      return x = v_[i_++].s, hopes_.clear(), true;
     hope(what);
     return false;
   }
@@ -42,19 +45,22 @@
   }
   bool node(DaemonId& x) {
     uint64_t n;
-    if (!number(n, "a daemon's number")) return false;
+    if (!number(n, "a daemon's number"))
+      return false;
     x = DaemonId{n};
     return true;
   }
   bool end() {
-    if (i_ == v_.size()) return true;
+    if (i_ == v_.size())
+      return true;
     hope("the end of the sentence");
     return false;
   }
   void step() { hopes_.clear(); }
-  Findings lost() const {
+  Errors lost() const {
     std::string s;
-    for (size_t k = 0; k < hopes_.size(); ++k) s += (k ? (k + 1 == hopes_.size() ? " or " : ", ") : "") + hopes_[k];
+    for (size_t k = 0; k < hopes_.size(); ++k)
+      s += (k ? (k + 1 == hopes_.size() ? " or " : ", ") : "") + hopes_[k];
     auto at = i_ < v_.size() ? v_[i_].at : end_;
     return {{"position " + std::to_string(at),
              "expected " + s + (i_ < v_.size() ? ", found '" + v_[i_].s + "'" : ", found the end")}};
@@ -62,8 +68,10 @@
 
  private:
   void hope(std::string s) {
-    if (at_ != i_) hopes_.clear(), at_ = i_;
-    if (std::find(hopes_.begin(), hopes_.end(), s) == hopes_.end()) hopes_.push_back(std::move(s));
+    if (at_ != i_)
+      hopes_.clear(), at_ = i_;
+    if (std::find(hopes_.begin(), hopes_.end(), s) == hopes_.end())
+      hopes_.push_back(std::move(s));
   }
   std::vector<Word> v_;
   std::vector<std::string> hopes_;
@@ -72,9 +80,11 @@
 
 std::optional<Command> show_sentence(Parser& p) {
   for (auto* w : {"fleet", "epoch", "cells", "replicas", "slots", "sequences", "configuration"})
-    if (p.take(w)) return p.end() ? std::optional<Command>(ShowQuery{w, ""}) : std::nullopt;
+    if (p.take(w))
+      return p.end() ? std::optional<Command>(ShowQuery{w, ""}) : std::nullopt;
   std::string n;
-  if (p.take("cell") && p.word(n, "a cell's name") && p.end()) return ShowQuery{"cell", n};
+  if (p.take("cell") && p.word(n, "a cell's name") && p.end())
+    return ShowQuery{"cell", n};
   return std::nullopt;
 }
 
@@ -107,7 +117,8 @@
   if (p.take("drain")) {
     if (p.take("zone"))
       return p.word(z, "a zone's name") && p.end() ? std::optional<Command>(Change{EvacuateZone{z}}) : std::nullopt;
-    if (p.take("node") && p.node(a) && p.end()) return Change{PrepareDrain{a}};
+    if (p.take("node") && p.node(a) && p.end())
+      return Change{PrepareDrain{a}};
     return std::nullopt;
   }
   if (p.take("restore"))
@@ -153,26 +164,31 @@
   else if (p.take("create"))
     c = cell_sentence(p);
   else if (p.take("drop")) {
-    if (p.take("cell") && p.word(n, "a cell's name") && p.end()) c = DropCell{n};
+    if (p.take("cell") && p.word(n, "a cell's name") && p.end())
+      c = DropCell{n};
   } else if (p.take("set")) {
     if (p.take("cell") && p.word(n, "a cell's name"))
       for (auto* w : {"budget", "turn", "retention"})
         if (p.take(w)) {
-          if (p.number(x, "a number") && p.end()) c = UpdateCell{n, w, x};
+          if (p.number(x, "a number") && p.end())
+            c = UpdateCell{n, w, x};
           break;
         }
   } else if (p.take("rebuild")) {
     RebuildCore r;
     DaemonId d;
     if (p.take("core") && p.take("without") && p.node(d)) {
-      do r.lost.push_back(d);
+      do
+        r.lost.push_back(d);
       while (!p.end() && p.node(d));
-      if (p.end()) c = r;
+      if (p.end())
+        c = r;
     }
   } else {
     c = change_sentence(p);
   }
-  if (!c) return p.lost();
+  if (!c)
+    return p.lost();
   return *c;
 }
 
@@ -180,25 +196,33 @@
   auto next = m.configuration;
   auto find = [&](const std::string& n) {
     for (auto i = next.cells.begin(); i != next.cells.end(); ++i)
-      if (i->name == n) return i;
+      if (i->name == n)
+        return i;
     return next.cells.end();
   };
-  if (auto* x = std::get_if<Change>(&c)) return x->t;
+  if (auto* x = std::get_if<Change>(&c))
+    return x->t;
   if (auto* x = std::get_if<CreateCell>(&c)) {
-    if (find(x->cell.name) != next.cells.end()) return Findings{{"cell " + x->cell.name, "exists already"}};
+    if (find(x->cell.name) != next.cells.end())
+      return Errors{{"cell " + x->cell.name, "exists already"}};
     next.cells.push_back(x->cell);
   }
   if (auto* x = std::get_if<DropCell>(&c)) {
     auto i = find(x->name);
-    if (i == next.cells.end()) return Findings{{"cell " + x->name, "is unknown"}};
+    if (i == next.cells.end())
+      return Errors{{"cell " + x->name, "is unknown"}};
     next.cells.erase(i);
   }
   if (auto* x = std::get_if<UpdateCell>(&c)) {
     auto i = find(x->name);
-    if (i == next.cells.end()) return Findings{{"cell " + x->name, "is unknown"}};
-    if (x->field == "budget") i->budget = x->value;
-    if (x->field == "turn") i->turn_limit = x->value;
-    if (x->field == "retention") i->retention_ms = static_cast<int64_t>(x->value);
+    if (i == next.cells.end())
+      return Errors{{"cell " + x->name, "is unknown"}};
+    if (x->field == "budget")
+      i->budget = x->value;
+    if (x->field == "turn")
+      i->turn_limit = x->value;
+    if (x->field == "retention")
+      i->retention_ms = static_cast<int64_t>(x->value);
   }
   return Transformation{ApplyConfiguration{m.revision, next}};
 }
--- a/src/control/constants.hpp
+++ b/src/control/constants.hpp
@@ -4,17 +4,17 @@
 
 namespace mosskeel {
 
-/// ms; an operator turns to another controller after a second of silence
+/// Milliseconds; an operator turns to another controller after a second of silence.
 constexpr Millis kOperatorRequestTimeout = 900;
-/// ms; when an operator without a clear answer may ask again
+/// Milliseconds; when an operator without a clear answer may ask again.
 constexpr Millis kOperatorRetryDelay = 200;
-/// ms; between two looks whether an epoch is in force; one tick
+/// Milliseconds; between two looks whether an epoch is in force; one tick.
 constexpr Millis kInForcePollInterval = 20;
-/// ms; between readings of the replica list, whose rate is limited
+/// Milliseconds; between readings of the replica list, whose rate is limited.
 constexpr Millis kReplicaListPollInterval = 500;
-/// ms; a page that takes longer is given up, and its reading with it
+/// Milliseconds; a page that takes longer is given up, and its reading with it.
 constexpr Millis kReplicaListPageTimeout = 1000;
-/// pages; a longer list goes round in circles
+/// Pages; a longer list goes round in circles.
 constexpr size_t kReplicaListMaxPages = 200;
 
 }  // namespace mosskeel
--- a/src/control/control_protocol.cpp
+++ b/src/control/control_protocol.cpp
@@ -12,7 +12,8 @@
 
 const ControlProtocol* find_control_protocol(const std::string& name) {
   for (auto* d : control_dialects())
-    if (name == d->name()) return d;
+    if (name == d->name())
+      return d;
   return nullptr;
 }
 
--- a/src/control/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-#include "runtime/settings.hpp"
 #include "consensus/constants.hpp"
 #include "control/constants.hpp"
 #include "replication/constants.hpp"
+#include "runtime/settings.hpp"
 
 namespace mosskeel {
 namespace {
@@ -18,14 +18,17 @@
 const Daemon* store_on(const Metadata& m, const std::string& machine) {
   const Daemon* last = nullptr;
   for (auto& [id, d] : m.directory)
-    if (d.self.role == Role::store && !machine.empty() && d.self.machine == machine) last = &d;
+    if (d.self.role == Role::store && !machine.empty() && d.self.machine == machine)
+      last = &d;
   return last;
 }
 
 bool emptied(const Metadata& m, const Daemon& d) {
-  if (d.state != DaemonState::left || m.sequences.count(d.id)) return false;
+  if (d.state != DaemonState::left || m.sequences.count(d.id))
+    return false;
   return std::none_of(m.partitions.begin(), m.partitions.end(), [&](auto& s) {
-    return std::count(s.stores.begin(), s.stores.end(), d.id) || std::count(s.pending_stores.begin(), s.pending_stores.end(), d.id);
+    return std::count(s.stores.begin(), s.stores.end(), d.id) ||
+           std::count(s.pending_stores.begin(), s.pending_stores.end(), d.id);
   });
 }
 
@@ -33,7 +36,8 @@
 Address other_member(const Metadata& m) {
   std::vector<Address> others;
   for (auto id : m.members)
-    if (auto* d = m.find(id); d && d->state == DaemonState::up && !d->self.http_address.empty()) others.push_back(d->self.http_address);
+    if (auto* d = m.find(id); d && d->state == DaemonState::up && !d->self.http_address.empty())
+      others.push_back(d->self.http_address);
   return others.empty() ? "" : others[dice() % others.size()];
 }
 
@@ -59,7 +63,8 @@
 View linearizable_read(ControllerAccess& controller, Millis patience) {
   auto r = controller.commit(RemoveReplica{""}, "read-" + hex(dice()), patience);
   View v;
-  if (r.outcome == CommitOutcome::rejected) controller.inspect([&](ControllerMachine& m, Millis) { v = m.view(); });
+  if (r.outcome == CommitOutcome::rejected)
+    controller.inspect([&](ControllerMachine& m, Millis) { v = m.view(); });
   return v;
 }
 
@@ -68,15 +73,18 @@
   auto* p = std::get_if<PrepareDrain>(&t);
   auto v = m.view();
   auto* d = p ? v->find(p->node) : nullptr;
-  if (!d || d->self.role != Role::store) return "";
+  if (!d || d->self.role != Role::store)
+    return "";
   std::string s;
   for (auto& [id, x] : v->directory) {
-    if (x.self.role != Role::store || x.state != DaemonState::up) continue;
+    if (x.self.role != Role::store || x.state != DaemonState::up)
+      continue;
     auto* o = m.failure_detector().status_of(x.self.incarnation);
     if (!o || now - o->last_heartbeat_at > kHeartbeatTimeout)
-      s += " daemon " + std::to_string(id.v) + " is silent;";
+      s += " daemon " + std::to_string(id.value()) + " is silent;";
     else if (o->incomplete_comparisons)
-      s += " daemon " + std::to_string(id.v) + " lacks copies in " + std::to_string(o->incomplete_comparisons) + " comparisons;";
+      s += " daemon " + std::to_string(id.value()) + " lacks copies in " + std::to_string(o->incomplete_comparisons) +
+           " comparisons;";
   }
   return s.empty() ? "" : "copies are lacking:" + s + " wait for the repair (metric incomplete_comparisons must be 0)";
 }
@@ -98,11 +106,15 @@
       auto* d = m.find(id);
       return d && k.failure_detector().heartbeat_age(*d, now) < kHeartbeatInterval * 4;
     };
-    if (k.removed_by_refounding()) return void(x = {"", "the core was founded anew without this controller"});
-    if (!m.cluster) return void(x = {"", "the cluster is not founded yet"});
-    if (!m.is_core_member(k.self().incarnation)) return void(x = {other_member(m), "this controller is no core member yet"});
+    if (k.removed_by_refounding())
+      return void(x = {"", "the core was founded anew without this controller"});
+    if (!m.cluster)
+      return void(x = {"", "the cluster is not founded yet"});
+    if (!m.is_core_member(k.self().incarnation))
+      return void(x = {other_member(m), "this controller is no core member yet"});
     auto heard = std::count_if(m.members.begin(), m.members.end(), near);
-    if (static_cast<size_t>(heard) < majority_of(m.members.size())) x = {"", "cut off from a majority of the core"};
+    if (static_cast<size_t>(heard) < majority_of(m.members.size()))
+      x = {"", "cut off from a majority of the core"};
   });
   return x;
 }
@@ -121,23 +133,29 @@
   std::string why = "the machine has stopped";
   while (!controller_.stopped()) {
     controller_.inspect([&](ControllerMachine& m, Millis now) { why = m.missing_acknowledgements(at, now); });
-    if (why.empty()) return {Code::done, ""};
-    if (left() <= kInForcePollInterval) break;
+    if (why.empty())
+      return {Code::done, ""};
+    if (left() <= kInForcePollInterval)
+      break;
     controller_.pause(kInForcePollInterval);
   }
-  return {Code::outcome_unknown, "epoch " + std::to_string(at.v) + " is not yet in force: " + why};
+  return {Code::outcome_unknown, "epoch " + std::to_string(at.value()) + " is not yet in force: " + why};
 }
 
 /// The verdict comes out of the reply alone: a later look at the value may see another state than was decided on.
 CommandResult ControlSession::order(const Transformation& t, const std::string& id) {
   auto r = controller_.commit(t, id, left());
-  if (r.outcome == CommitOutcome::committed) return {Code::done, ""};
-  if (r.outcome == CommitOutcome::unknown) return {Code::outcome_unknown, r.reason};
-  if (r.rejection == Rejection::already_in_effect) return in_force(r.epoch);
+  if (r.outcome == CommitOutcome::committed)
+    return {Code::done, ""};
+  if (r.outcome == CommitOutcome::unknown)
+    return {Code::outcome_unknown, r.reason};
+  if (r.rejection == Rejection::already_in_effect)
+    return in_force(r.epoch);
   return {code_of(r.rejection), r.reason};
 }
 
-CommandResult ControlSession::apply_configuration(const std::string& id, Revision base, Revision own, const Configuration& m) {
+CommandResult ControlSession::apply_configuration(const std::string& id, Revision base, Revision own,
+                                                  const Configuration& m) {
   return order(ApplyConfiguration{base, m, own}, id);
 }
 
@@ -151,21 +169,26 @@
 
 CommandResult ControlSession::retire(const std::string& machine) {
   auto v = read_metadata();
-  if (!v) return {Code::outcome_unknown, unconfirmed};
+  if (!v)
+    return {Code::outcome_unknown, unconfirmed};
   auto* d = store_on(*v, machine);
-  if (!d) return {Code::not_found, "no store has come up on machine " + machine};
+  if (!d)
+    return {Code::not_found, "no store has come up on machine " + machine};
   PrepareDrain drain{d->id};
   std::string why;
   controller_.inspect([&](ControllerMachine& m, Millis now) { why = drain_hazard(m, drain, now); });
-  if (!why.empty() && ok(mosskeel::apply(*v, {next(v->epoch), "", drain}))) return {Code::outcome_unknown, why};
+  if (!why.empty() && mosskeel::apply(*v, {next(v->epoch), "", drain}).ok())
+    return {Code::outcome_unknown, why};
   return order(drain, "retire-" + hex(dice()));
 }
 
 RetirementState ControlSession::retirement_state(const std::string& machine) {
   auto v = read_metadata();
-  if (!v) return RetirementState::unconfirmed;
+  if (!v)
+    return RetirementState::unconfirmed;
   auto* d = store_on(*v, machine);
-  if (!d) return RetirementState::unknown_machine;
+  if (!d)
+    return RetirementState::unknown_machine;
   std::string lacking;
   controller_.inspect([&](ControllerMachine& m, Millis now) { lacking = m.missing_acknowledgements(d->since, now); });
   return emptied(*v, *d) && lacking.empty() ? RetirementState::finished : RetirementState::serving;
--- a/src/control/control_session.hpp
+++ b/src/control/control_session.hpp
@@ -32,7 +32,8 @@
   std::optional<Unavailable> unavailability() override;
   View read_metadata() override;
   CommandResult wait_until_in_force() override;
-  CommandResult apply_configuration(const std::string& commit, Revision base, Revision own, const Configuration& m) override;
+  CommandResult apply_configuration(const std::string& commit, Revision base, Revision own,
+                                    const Configuration& m) override;
   CommandResult evacuate(const std::string& zone) override;
   CommandResult restore(const std::string& zone) override;
   CommandResult retire(const std::string& machine) override;
--- a/src/control/host_controller_access.cpp
+++ b/src/control/host_controller_access.cpp
@@ -2,9 +2,9 @@
 #include <thread>
 
 #include "control/admin_api.hpp"
-#include "runtime/daemon.hpp"
 #include "control/constants.hpp"
 #include "replication/constants.hpp"
+#include "runtime/daemon.hpp"
 
 namespace mosskeel {
 
@@ -23,10 +23,12 @@
     e.body = Commit{id, t, v->epoch, until - process_now()};
     host_.post(std::move(e));
     auto m = words->pop(std::min<Millis>(rpc_ + kHeartbeatInterval, until - process_now()));
-    if (!m) continue;
+    if (!m)
+      continue;
     if (auto* r = std::get_if<CommitReply>(&*m)) {
       last = *r;
-      if (r->outcome != CommitOutcome::unknown) break;
+      if (r->outcome != CommitOutcome::unknown)
+        break;
     }
   }
   sessions_.close(address);
@@ -36,9 +38,11 @@
 CommitReply AdminApi::commit_safely(const Transformation& t, const std::string& id) {
   std::string why;
   inspect([&](ControllerMachine& m, Millis now) { why = drain_hazard(m, t, now); });
-  if (why.empty()) return commit(t, id, await_);
+  if (why.empty())
+    return commit(t, id, await_);
   auto v = linearizable_read(*this, kOperatorRequestTimeout);
-  if (!v) return {id, CommitOutcome::unknown, "no majority of the core answered in time", host_.view()->epoch, {}, {}};
+  if (!v)
+    return {id, CommitOutcome::unknown, "no majority of the core answered in time", host_.view()->epoch, {}, {}};
   return {id, CommitOutcome::rejected, why, v->epoch, {}, {}, Rejection::busy};
 }
 
@@ -53,7 +57,8 @@
   e.body = RefoundRequest{r.id, lost};
   host_.post(std::move(e));
   if (auto m = words->pop(rpc_))
-    if (auto* x = std::get_if<CommitReply>(&*m)) r = *x;
+    if (auto* x = std::get_if<CommitReply>(&*m))
+      r = *x;
   sessions_.close(address);
   return r;
 }
--- a/src/daemons/agent/main.cpp
+++ b/src/daemons/agent/main.cpp
@@ -7,7 +7,8 @@
   auto r = read_settings(argc, argv,
                          {"agent", "The agent beside a gateway: keeps its link to the core.", true, false, true, true,
                           true, false, false});
-  if (auto* rc = std::get_if<int>(&r)) return *rc;
+  if (auto* rc = std::get_if<int>(&r))
+    return *rc;
   auto& p = std::get<Settings>(r);
   start_log("agent");
   hold_signals();
--- a/src/daemons/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -1,28 +1,34 @@
-#include "runtime/daemon.hpp"
-#include "history/store_machine.hpp"
 #include "base/memory.hpp"
 #include "history/constants.hpp"
+#include "history/store_machine.hpp"
 #include "runtime/constants.hpp"
+#include "runtime/daemon.hpp"
 
 using namespace mosskeel;
 
 int main(int argc, const char** argv) {
   auto r = read_settings(
       argc, argv, {"store", "A storage daemon: keeps the histories.", true, true, false, true, true, true, false});
-  if (auto* rc = std::get_if<int>(&r)) return *rc;
+  if (auto* rc = std::get_if<int>(&r))
+    return *rc;
   auto& p = std::get<Settings>(r);
   start_log("store");
   hold_signals();
   auto d = open_disk(p.data);
-  if (auto* rc = std::get_if<int>(&d)) return *rc;
+  if (auto* rc = std::get_if<int>(&d))
+    return *rc;
   auto disk = std::get<0>(d);
-  Identity id{
-      {disk->recovered().incarnation, Role::store, p.zone, p.listen, "", p.http, p.machine}, p.seeds, 0, dice(), p.tcm_rpc_ms};
+  Identity id{{disk->recovered().incarnation, Role::store, p.zone, p.listen, "", p.http, p.machine},
+              p.seeds,
+              0,
+              dice(),
+              p.tcm_rpc_ms};
   return_large_blocks();
   Host host(disk, p.listen, kStoreInboxBytes);
   Millis next_look = 0;
   host.watch([&host, next_look](Machine& m, Millis now) mutable {
-    if (now < next_look) return;
+    if (now < next_look)
+      return;
     next_look = now + kStoreLoadInterval;
     bool held_back = host.journal()->held() > kMaxBytesWaitingForDisk;
     static_cast<StoreMachine&>(m).set_load(
@@ -53,17 +59,20 @@
       x.headers["Content-Type"] = "text/plain";
       return x;
     }
-    if (a.path != "/ready") return ApiResponse::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
+    if (a.path != "/ready")
+      return ApiResponse::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
     auto* me = host.view()->find(disk->recovered().incarnation);
     if (!me || me->state != DaemonState::up)
       return ApiResponse::error(503, "not_ready", "this store is not in the directory yet", kDefaultRetryAfter);
     x.body = "{\"ready\":true}\n";
     return x;
   };
-  Result<std::unique_ptr<HttpServer>> web;
-  if (!p.http.empty()) web = HttpServer::open(p.http, answer);
-  if (!ok(web)) return cannot_start("store", findings(web));
+  Result<std::unique_ptr<HttpServer>> web = std::unique_ptr<HttpServer>{};
+  if (!p.http.empty())
+    web = HttpServer::open(p.http, answer);
+  if (!web.ok())
+    return cannot_start("store", web.errors());
   auto rc = run_until_stopped(host, "store", [] { return true; });
-  std::get<0>(web).reset();
+  web.value().reset();
   return rc;
 }
--- a/src/gateway/constants.hpp
+++ b/src/gateway/constants.hpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-/// ms; a platform that asks each second has seen "not ready" twice by then
+/// Milliseconds; a platform that asks each second has seen "not ready" twice by then.
 constexpr Millis kReadinessPropagation = 3200;
 
 }  // namespace mosskeel
--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -2,10 +2,10 @@
 
 #include <nlohmann/json.hpp>
 
-#include "runtime/daemon.hpp"
 #include "programs/constants.hpp"
 #include "routing/constants.hpp"
 #include "runtime/constants.hpp"
+#include "runtime/daemon.hpp"
 
 namespace mosskeel {
 namespace {
@@ -21,8 +21,10 @@
 }
 
 const char* code(const ProgramResponse& e) {
-  if (e.status == 410) return "ended";
-  if (e.executed == Outcome::unknown) return "outcome_unknown";
+  if (e.status == 410)
+    return "ended";
+  if (e.executed == Outcome::unknown)
+    return "outcome_unknown";
   switch (e.status) {
     case 400:
       return "invalid";
@@ -46,8 +48,9 @@
          {"reason", e.reason},
          {"ran", e.executed == Outcome::yes  ? "yes"
                  : e.executed == Outcome::no ? "no"
-                                        : "unknown"}};
-  if (e.retry_ms) j["retry_after_ms"] = e.retry_ms;
+                                             : "unknown"}};
+  if (e.retry_ms)
+    j["retry_after_ms"] = e.retry_ms;
   return j;
 }
 
@@ -55,7 +58,8 @@
   ApiResponse a;
   a.status = e.status;
   a.body = dump(verdict(e));
-  if (e.retry_ms) a.headers["Retry-After"] = std::to_string((e.retry_ms + 999) / 1000);
+  if (e.retry_ms)
+    a.headers["Retry-After"] = std::to_string((e.retry_ms + 999) / 1000);
   return a;
 }
 
@@ -64,10 +68,11 @@
 }
 
 /// Common headers: deadline, class, key.
-Findings dress(const ApiRequest& a, ProgramRequest& e) {
-  Findings f;
+Errors dress(const ApiRequest& a, ProgramRequest& e) {
+  Errors f;
   e.key = header(a, "idempotency-key");
-  if (e.key.size() > 256) f.push_back({"Idempotency-Key", "is longer than 256 bytes"});
+  if (e.key.size() > 256)
+    f.push_back({"Idempotency-Key", "is longer than 256 bytes"});
   auto h = header(a, "x-deadline-ms");
   if (!h.empty()) {
     if (h.size() > 9 || h.find_first_not_of("0123456789") != std::string::npos)
@@ -107,22 +112,27 @@
   std::string text;
   uint32_t n = 0;
   auto until = process_now() + patience;
-  ProgramResponse lost{attempt, 504, Outcome::unknown, "this worker lost sight of the request", "", 0, 0, kDefaultRetryAfter,
-                  false,   0};
+  ProgramResponse lost{
+      attempt, 504, Outcome::unknown, "this worker lost sight of the request", "", 0, 0, kDefaultRetryAfter, false, 0};
   while (true) {
     auto m = w->pop(std::max<Millis>(1, until - process_now()));
-    if (!m) return refused(lost);
+    if (!m)
+      return refused(lost);
     if (auto* p = std::get_if<ProgramResponseChunk>(&*m)) {
       text += p->text;
       ++n;
-      if (!stream) continue;
+      if (!stream)
+        continue;
       ApiResponse r;
       r.headers["Content-Type"] = "application/x-ndjson";
       auto first = std::make_shared<std::optional<ProgramResponseChunk>>(*p);
       auto over = std::make_shared<int>(0);
       r.next_chunk = [=](std::string& o) mutable -> ApiResponse::StreamState {
-        auto piece = [](const ProgramResponseChunk& x) { return dump({{"n", x.index}, {"text", x.text}}); };
-        if (*over) return *over == 1 ? ApiResponse::StreamState::finished : ApiResponse::StreamState::aborted;
+        auto piece = [](const ProgramResponseChunk& x) {
+          return dump({{"n", x.index}, {"text", x.text}});
+        };
+        if (*over)
+          return *over == 1 ? ApiResponse::StreamState::finished : ApiResponse::StreamState::aborted;
         if (*first) {
           o = piece(**first);
           first->reset();
@@ -132,7 +142,8 @@
         if (m && std::holds_alternative<ProgramResponseChunk>(*m))
           return o = piece(std::get<ProgramResponseChunk>(*m)), ApiResponse::StreamState::more;
         auto* end = m ? std::get_if<ProgramResponse>(&*m) : nullptr;
-        if (m && !end) return ApiResponse::StreamState::more;
+        if (m && !end)
+          return ApiResponse::StreamState::more;
         bool good = end && end->status == 200;
         o = dump(good ? done(*end) : verdict(end ? *end : lost));
         *over = good ? 1 : 2;
@@ -142,7 +153,8 @@
       return r;
     }
     if (auto* end = std::get_if<ProgramResponse>(&*m)) {
-      if (end->status != 200) return refused(*end);
+      if (end->status != 200)
+        return refused(*end);
       ApiResponse r;
       if (stream) {
         r.headers["Content-Type"] = "application/x-ndjson";
@@ -185,11 +197,15 @@
       else
         f.push_back({k, "is not known here or of another type"});
     }
-    if (!j.contains("input")) f.push_back({"input", "is missing"});
+    if (!j.contains("input"))
+      f.push_back({"input", "is missing"});
   }
-  if (e.thread.empty()) e.thread = "main";
-  if (e.route.empty()) e.route = "chat";
-  if (!f.empty()) return ApiResponse::error(400, "invalid", f);
+  if (e.thread.empty())
+    e.thread = "main";
+  if (e.route.empty())
+    e.route = "chat";
+  if (!f.empty())
+    return ApiResponse::error(400, "invalid", f);
   e.kind = "model";
   e.cell = cell;
   e.program = program;
@@ -198,7 +214,8 @@
 
 ApiResponse Callers::app(const ApiRequest& a, const std::string& cell, const std::string& path) {
   ProgramRequest e{};
-  if (auto f = dress(a, e); !f.empty()) return ApiResponse::error(400, "invalid", f);
+  if (auto f = dress(a, e); !f.empty())
+    return ApiResponse::error(400, "invalid", f);
   e.kind = "app";
   e.cell = cell;
   e.route = header(a, "x-route").empty() ? "app" : header(a, "x-route");
@@ -206,9 +223,11 @@
   e.path = path;
   e.body = a.body;
   e.idempotent = a.method == "GET" || a.method == "HEAD" || header(a, "x-repeatable") == "yes";
-  if (a.method == "HEAD") e.method = "GET";
+  if (a.method == "HEAD")
+    e.method = "GET";
   auto r = run(std::move(e), false);
-  if (r.status != 200) return r;
+  if (r.status != 200)
+    return r;
   auto j = Json::parse(r.body, nullptr, false);
   r.body = j["output"].get<std::string>();
   r.headers["Content-Type"] = "application/octet-stream";
@@ -216,7 +235,8 @@
 }
 
 ApiResponse Callers::answer(const ApiRequest& a) {
-  if (a.path == "/metrics") return metrics();
+  if (a.path == "/metrics")
+    return metrics();
   if (a.path == "/ready") {
     bool up = false;
     host_.ask([&](Machine& m, Millis now) { up = static_cast<GatewayMachine&>(m).ready(now); });
@@ -229,7 +249,8 @@
     auto k = rest.find('/');
     auto cell = rest.substr(0, k);
     auto tail = k == std::string::npos ? "" : rest.substr(k);
-    if (tail.starts_with("/app/")) return app(a, cell, tail.substr(4));
+    if (tail.starts_with("/app/"))
+      return app(a, cell, tail.substr(4));
     if (tail.starts_with("/programs/")) {
       auto p = tail.substr(10);
       auto t = p.find('/');
@@ -238,12 +259,14 @@
         return turn(a, cell, name);
       if (!name.empty() && t == std::string::npos && a.method == "GET") {
         ProgramRequest e{};
-        if (auto f = dress(a, e); !f.empty()) return ApiResponse::error(400, "invalid", f);
+        if (auto f = dress(a, e); !f.empty())
+          return ApiResponse::error(400, "invalid", f);
         e.kind = "history";
         e.cell = cell;
         e.program = name;
         auto r = run(std::move(e), false);
-        if (r.status == 200) r.body = Json::parse(r.body)["output"].get<std::string>() + "\n";
+        if (r.status == 200)
+          r.body = Json::parse(r.body)["output"].get<std::string>() + "\n";
         return r;
       }
     }
--- a/src/gateway/program_api.hpp
+++ b/src/gateway/program_api.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // The callers' HTTP; the one place to change its shape.
+#include "net/http_server.hpp"
 #include "programs/gateway_machine.hpp"
 #include "runtime/host.hpp"
-#include "net/http_server.hpp"
 
 namespace mosskeel {
 
--- a/src/gateway/program_api_metrics.cpp
+++ b/src/gateway/program_api_metrics.cpp
@@ -1,6 +1,6 @@
 // The counters of a gateway in the text form of metrics.
-#include "runtime/daemon.hpp"
 #include "gateway/program_api.hpp"
+#include "runtime/daemon.hpp"
 
 namespace mosskeel {
 
@@ -8,7 +8,8 @@
   std::map<std::string, double> more;
   host_.ask([&](Machine& m, Millis now) {
     auto& s = static_cast<GatewayMachine&>(m);
-    for (auto& [n, v] : s.metrics()) more[n] = static_cast<double>(v);
+    for (auto& [n, v] : s.metrics())
+      more[n] = static_cast<double>(v);
     more["requests_active"] = static_cast<double>(s.active_requests());
     more["ready"] = s.ready(now);
   });
--- a/src/gateway/routing_thread.cpp
+++ b/src/gateway/routing_thread.cpp
@@ -2,23 +2,26 @@
 #include "gateway/constants.hpp"
 #include "runtime/constants.hpp"
 
-
 namespace mosskeel {
 
 Result<std::unique_ptr<RoutingThread>> RoutingThread::start(Host& h, const ProtocolCodec& d, const Address& front,
-                                                 const Address& ready) {
+                                                            const Address& ready) {
   std::unique_ptr<RoutingThread> made(new RoutingThread(h, d));
   auto* routing_thread = made.get();
   auto opened = HttpFrontend::open(
       routing_thread->loop_, d, front, [routing_thread] { return routing_thread->snapshot(); },
       [routing_thread](Message body) { routing_thread->tell_owner(std::move(body)); });
-  if (!ok(opened)) return findings(opened);
-  routing_thread->front_ = std::move(std::get<0>(opened));
-  if (auto f = routing_thread->listen_for_readiness(ready); !f.empty()) return f;
+  if (!opened.ok())
+    return opened.errors();
+  routing_thread->front_ = std::move(opened).value();
+  if (auto f = routing_thread->listen_for_readiness(ready); !f.empty())
+    return f;
   h.route(kRoutingAddress, [routing_thread](const Envelope& e) {
     routing_thread->loop_.post([routing_thread, body = e.body]() mutable {
-      if (auto* grant = std::get_if<ReserveTurnReply>(&body)) routing_thread->front_->step(std::move(*grant));
-      if (auto* settled = std::get_if<CommitTurnReply>(&body)) routing_thread->front_->step(std::move(*settled));
+      if (auto* grant = std::get_if<ReserveTurnReply>(&body))
+        routing_thread->front_->step(std::move(*grant));
+      if (auto* settled = std::get_if<CommitTurnReply>(&body))
+        routing_thread->front_->step(std::move(*settled));
     });
   });
   h.watch([routing_thread](Machine& m, Millis now) { routing_thread->publish(m, now); });
@@ -31,20 +34,26 @@
 
 RoutingThread::~RoutingThread() {
   loop_.stop();
-  if (thread_.joinable()) thread_.join();
+  if (thread_.joinable())
+    thread_.join();
 }
 
-Findings RoutingThread::listen_for_readiness(const Address& at) {
-  if (at.empty()) return {};
+Errors RoutingThread::listen_for_readiness(const Address& at) {
+  if (at.empty())
+    return {};
   auto answer = [this](uint64_t id, HttpRequest&& request) {
     auto now = snapshot();
     bool asked = dialect_.is_readiness_probe(request);
     bool ready = now->ready && process_now() < now->dispatch_until;
     ready_->send_response(id, !asked ? 404 : ready ? 200 : 503, {}, "");
   };
-  auto opened = HttpListener::open(loop_, at, {answer, [](uint64_t) {}, [](uint64_t) {}});
-  if (!ok(opened)) return findings(opened);
-  ready_ = std::move(std::get<0>(opened));
+  auto opened = HttpListener::open(loop_, at,
+                                   {answer, [](uint64_t) {},
+                                    [](uint64_t) {
+                                    }});
+  if (!opened.ok())
+    return opened.errors();
+  ready_ = std::move(opened).value();
   return {};
 }
 
@@ -56,7 +65,8 @@
 }
 
 void RoutingThread::go_on_leaving(Millis now) {
-  if (!leaving_since_ || now - leaving_since_ < kReadinessPropagation) return;
+  if (!leaving_since_ || now - leaving_since_ < kReadinessPropagation)
+    return;
   front_->drain();
   open_ = front_->has_active_callers();
 }
--- a/src/gateway/routing_thread.hpp
+++ b/src/gateway/routing_thread.hpp
@@ -1,15 +1,16 @@
 #pragma once
 // The traffic thread of a gateway: the HTTP front on its own loop, beside the gateway's control state.
-#include "runtime/host.hpp"
 #include "programs/gateway_machine.hpp"
 #include "routing/http_frontend.hpp"
+#include "runtime/host.hpp"
 
 namespace mosskeel {
 
 class RoutingThread {
  public:
-  /// Findings where an address can't be listened on. `ready` may be empty.
-  static Result<std::unique_ptr<RoutingThread>> start(Host& h, const ProtocolCodec& d, const Address& front, const Address& ready);
+  /// Errors where an address can't be listened on. `ready` may be empty.
+  static Result<std::unique_ptr<RoutingThread>> start(Host& h, const ProtocolCodec& d, const Address& front,
+                                                      const Address& ready);
   ~RoutingThread();
   /// Begins to leave: every answer ends its session at once; listening ends once the platform has had its time to see
   /// that this front is not ready. The control state is told when the last session is over.
@@ -17,7 +18,7 @@
 
  private:
   RoutingThread(Host& h, const ProtocolCodec& d) : host_(h), dialect_(d) {}
-  Findings listen_for_readiness(const Address& at);
+  Errors listen_for_readiness(const Address& at);
   void tick();
   void tell_owner(Message body);
   void publish(Machine& m, Millis now);
--- a/src/history/constants.hpp
+++ b/src/history/constants.hpp
@@ -4,55 +4,55 @@
 
 namespace mosskeel {
 
-/// ms; an unanswered store is asked again
+/// Milliseconds; an unanswered store is asked again.
 constexpr Millis kStoreRetryInterval = 250;
-/// ms; without a quorum of stores by then the request ends in 503
+/// Milliseconds; without a quorum of stores by then the request ends in 503.
 constexpr Millis kHistoryQuorumTimeout = 4000;
-/// ms; an answer may reach its caller this long after its record was kept
+/// Milliseconds; an answer may reach its caller this long after its record was kept.
 constexpr Millis kRetentionMargin = 30000;
-/// retention is stretched by 1/64, for clocks that run fast
+/// Retention is stretched by 1/64, for clocks that run fast.
 constexpr int64_t kRetentionStretchDivisor = 64;
-/// ms; a store scans one partition for expired histories each time
+/// Milliseconds; a store scans one partition for expired histories each time.
 constexpr Millis kExpiryScanInterval = 100;
-/// expired histories reported by one scan
+/// Expired histories reported by one scan.
 constexpr size_t kMaxExpiredPerScan = 16;
-/// names of deleted histories a partition: the last 2^18 to 2^19, 8 bytes each
+/// Names of deleted histories a partition: the last 2^18 to 2^19, 8 bytes each.
 constexpr size_t kTombstonesPerPartition = 1u << 18;
-/// of them in one message
+/// Of them in one message.
 constexpr size_t kTombstonesPerMessage = 4096;
-/// ms; between two requests of a store's repair: 5 MB a second at most
+/// Milliseconds; between two requests of a store's repair: 5 MB a second at most.
 constexpr Millis kRepairInterval = 50;
-/// ms; an unanswered repair request is given up
+/// Milliseconds; an unanswered repair request is given up.
 constexpr Millis kRepairRequestTimeout = 1000;
-/// ms; histories written later than this are not compared yet
+/// Milliseconds; histories written later than this are not compared yet.
 constexpr Millis kRepairMinimumAge = 5000;
-/// histories named in one message
+/// Histories named in one message.
 constexpr size_t kRepairSummariesPerMessage = 512;
-/// histories fetched by one message
+/// Histories fetched by one message.
 constexpr size_t kRepairHistoriesPerMessage = 16;
-/// ms; an idle history leaves its owner's memory
+/// Milliseconds; an idle history leaves its owner's memory.
 constexpr Millis kIdleHistoryTimeout = 60000;
-/// pages requested and not yet answered; 2 MB with their copies
+/// Pages requested and not yet answered; 2 MB with their copies.
 constexpr size_t kTransferWindowPages = 8;
-/// bytes; a page ends after the history that exceeds this
+/// Bytes; a page ends after the history that exceeds this.
 constexpr size_t kTransferPageBytes = 128 << 10;
-/// ms; an unanswered page is requested again, from another store first
+/// Milliseconds; an unanswered page is requested again, from another store first.
 constexpr Millis kTransferPageTimeout = 1000;
-/// bytes; a shorter journal calls for no checkpoint, however small the state
+/// Bytes; a shorter journal calls for no checkpoint, however small the state.
 constexpr size_t kMinCheckpointJournalBytes = 4u << 20;
-/// ms; a partition that moved to other stores is dropped after this
+/// Milliseconds; a partition that moved to other stores is dropped after this.
 constexpr Millis kMovedPartitionKeepTime = 10000;
-/// ms; between two scans for such partitions
+/// Milliseconds; between two scans for such partitions.
 constexpr Millis kMovedPartitionScanInterval = 500;
-/// share of the machine's memory in use beyond which no new text is taken
+/// Share of the machine's memory in use beyond which no new text is taken.
 constexpr double kStoreMemoryShare = 0.6;
-/// bytes; larger messages than 1 KB are dropped beyond this
+/// Bytes; larger messages than 1 KB are dropped beyond this.
 constexpr size_t kStoreInboxBytes = 4u << 20;
-/// bytes; while more waits for the disk, no history is sent
+/// Bytes; while more waits for the disk, no history is sent.
 constexpr size_t kMaxBytesWaitingForDisk = 4u << 20;
-/// ms; between two looks at a store's own load
+/// Milliseconds; between two looks at a store's own load.
 constexpr Millis kStoreLoadInterval = 100;
-/// bytes of a record beside its text, encoded or in memory
+/// Bytes of a record beside its text, encoded or in memory.
 constexpr size_t kRecordOverheadBytes = 128;
 
 }  // namespace mosskeel
--- a/src/history/history_writer.cpp
+++ b/src/history/history_writer.cpp
@@ -7,44 +7,50 @@
 
 bool HistoryWriter::mine(PartitionId s) const {
   auto& m = *metadata_log_.view();
-  if (s.v >= m.partitions.size()) return false;
-  auto* d = m.find(m.partitions[s.v].owner);
+  if (s.value() >= m.partitions.size())
+    return false;
+  auto* d = m.find(m.partitions[s.value()].owner);
   return d && d->self.incarnation == out_.id().self.incarnation;
 }
 
 std::vector<const Daemon*> HistoryWriter::targets(const Held& h) const {
   auto& m = *metadata_log_.view();
-  auto& s = m.partitions[h.partition.v];
+  auto& s = m.partitions[h.partition.value()];
   std::set<DaemonId> ids(s.stores.begin(), s.stores.end());
   ids.insert(s.pending_stores.begin(), s.pending_stores.end());
   std::vector<const Daemon*> v;
   for (auto id : ids)
-    if (auto* d = m.find(id); d && d->state != DaemonState::left && !m.evacuated.count(d->self.zone)) v.push_back(d);
+    if (auto* d = m.find(id); d && d->state != DaemonState::left && !m.evacuated.count(d->self.zone))
+      v.push_back(d);
   return v;
 }
 
 /// A read quorum of the set in force, or a write quorum of both sets while places move.
 bool HistoryWriter::enough(const Held& h, const std::function<bool(DaemonId)>& has) const {
   auto& metadata = *metadata_log_.view();
-  auto& partition = metadata.partitions[h.partition.v];
+  auto& partition = metadata.partitions[h.partition.value()];
   auto count = [&](const std::vector<DaemonId>& set) {
     return static_cast<size_t>(std::count_if(set.begin(), set.end(), has));
   };
-  auto written = [&](const std::vector<DaemonId>& set) { return count(set) >= metadata.write_quorum(set.size()); };
+  auto written = [&](const std::vector<DaemonId>& set) {
+    return count(set) >= metadata.write_quorum(set.size());
+  };
   auto size = partition.stores.size();
-  if (h.reading) return size >= metadata.write_quorum(size) && count(partition.stores) >= metadata.read_quorum(size);
+  if (h.reading)
+    return size >= metadata.write_quorum(size) && count(partition.stores) >= metadata.read_quorum(size);
   return written(partition.stores) && (partition.pending_stores.empty() || written(partition.pending_stores));
 }
 
 /// What a store said before it knew of the set in force is no word on what it holds as a member of that set.
 bool HistoryWriter::has_read(const Held& h, const Peer& p) const {
-  return p.read && p.read_at >= metadata_log_.view()->partitions[h.partition.v].stores_epoch;
+  return p.read && p.read_at >= metadata_log_.view()->partitions[h.partition.value()].stores_epoch;
 }
 
 HistoryWriter::State HistoryWriter::open(const HistoryName& n, Millis now) {
   auto partition = partition_of(n.cell, n.program);
-  if (!mine(partition)) return State::fenced;
-  auto term = metadata_log_.view()->partitions[partition.v].term;
+  if (!mine(partition))
+    return State::fenced;
+  auto term = metadata_log_.view()->partitions[partition.value()].term;
   auto i = lines_.find(n);
   if (i != lines_.end() && i->second.term != term) {
     lines_.erase(i);
@@ -60,7 +66,8 @@
   i->second.used = now;
   auto& h = i->second;
   if (h.state == State::opening && now - h.since > kHistoryQuorumTimeout) {
-    if (h.reading) lines_.erase(i);
+    if (h.reading)
+      lines_.erase(i);
     return State::unavailable;
   }
   return h.state;
@@ -88,7 +95,8 @@
 
 bool HistoryWriter::ended(const HistoryName& n) const {
   auto i = lines_.find(n);
-  if (i == lines_.end()) return false;
+  if (i == lines_.end())
+    return false;
   auto& v = i->second.records;
   return i->second.has_tombstone || (!v.empty() && v.back().kind == RecordKind::ended);
 }
@@ -100,14 +108,16 @@
 
 uint64_t HistoryWriter::append(const HistoryName& n, Record r, Millis now) {
   auto i = lines_.find(n);
-  if (i == lines_.end()) return 0;
+  if (i == lines_.end())
+    return 0;
   i->second.records.push_back(std::move(r));
   pump(n, i->second, now, false);
   return i->second.records.size();
 }
 
 void HistoryWriter::pump(const HistoryName& n, Held& h, Millis now, bool retry) {
-  if (h.state == State::fenced) return;
+  if (h.state == State::fenced)
+    return;
   for (auto* d : targets(h)) {
     auto& p = h.peers[d->id];
     if (auto& incarnation = h.incs[d->id]; incarnation != d->self.incarnation) {
@@ -116,17 +126,22 @@
     }
     bool due = p.last == 0 || (retry && now - p.last >= kStoreRetryInterval);
     if (h.reading) {
-      if (has_read(h, p) || !due) continue;
+      if (has_read(h, p) || !due)
+        continue;
       out_.send(d->self.address, ReadHistory{n, h.partition, h.term}, d->self.incarnation);
     } else if (!p.adopted) {
-      if (!due || h.records.empty()) continue;
+      if (!due || h.records.empty())
+        continue;
       p.sent = h.records.size();
       out_.send(d->self.address, AppendHistory{n, h.partition, h.term, true, 0, h.records}, d->self.incarnation);
     } else {
-      if (retry && p.acked < h.records.size() && now - p.last >= kStoreRetryInterval) p.sent = p.acked;
-      if (p.sent >= h.records.size()) continue;
+      if (retry && p.acked < h.records.size() && now - p.last >= kStoreRetryInterval)
+        p.sent = p.acked;
+      if (p.sent >= h.records.size())
+        continue;
       Records v(h.records.begin() + static_cast<ptrdiff_t>(p.sent), h.records.end());
-      out_.send(d->self.address, AppendHistory{n, h.partition, h.term, false, p.sent, std::move(v)}, d->self.incarnation);
+      out_.send(d->self.address, AppendHistory{n, h.partition, h.term, false, p.sent, std::move(v)},
+                d->self.incarnation);
       p.sent = h.records.size();
     }
     p.last = now;
@@ -135,10 +150,13 @@
 
 void HistoryWriter::settle(const HistoryName& n, Held& h, Millis now) {
   if (h.reading) {
-    if (!enough(h, [&](DaemonId id) { return h.peers.count(id) && has_read(h, h.peers[id]); })) return;
+    if (!enough(h, [&](DaemonId id) { return h.peers.count(id) && has_read(h, h.peers[id]); }))
+      return;
     h.reading = false;
-    for (auto& [id, p] : h.peers) p.last = 0, p.adopted = false;
-    if (h.has_tombstone) h.records.clear();
+    for (auto& [id, p] : h.peers)
+      p.last = 0, p.adopted = false;
+    if (h.has_tombstone)
+      h.records.clear();
     if (h.records.empty()) {
       h.state = State::open;
       changed_.insert(n);
@@ -149,10 +167,12 @@
   auto before = h.committed;
   std::vector<uint64_t> marks;
   for (auto& [id, p] : h.peers)
-    if (p.adopted) marks.push_back(p.acked);
+    if (p.adopted)
+      marks.push_back(p.acked);
   std::sort(marks.rbegin(), marks.rend());
   for (auto k : marks) {
-    if (k < h.committed || (k == h.committed && h.state == State::open)) break;
+    if (k < h.committed || (k == h.committed && h.state == State::open))
+      break;
     if (!enough(h, [&](DaemonId id) { return h.peers.count(id) && h.peers[id].adopted && h.peers[id].acked >= k; }))
       continue;
     h.committed = k;
@@ -163,16 +183,19 @@
     h.state = State::open;
     changed_.insert(n);
   }
-  if (h.committed != before) changed_.insert(n);
+  if (h.committed != before)
+    changed_.insert(n);
 }
 
 bool HistoryWriter::handle(const Envelope& e, Millis now) {
   if (auto* r = std::get_if<ReadHistoryReply>(&e.body)) {
     auto i = lines_.find(r->history);
     auto* d = metadata_log_.view()->find(e.from_inc);
-    if (i == lines_.end() || i->second.term != r->term || !d) return true;
+    if (i == lines_.end() || i->second.term != r->term || !d)
+      return true;
     auto& h = i->second;
-    if (!r->granted || !h.reading) return true;
+    if (!r->granted || !h.reading)
+      return true;
     auto& p = h.peers[d->id];
     p.read = true;
     p.read_at = std::max(p.read_at, e.epoch);
@@ -187,10 +210,12 @@
   if (auto* r = std::get_if<AppendHistoryReply>(&e.body)) {
     auto i = lines_.find(r->history);
     auto* d = metadata_log_.view()->find(e.from_inc);
-    if (i == lines_.end() || i->second.term != r->term || !d) return true;
+    if (i == lines_.end() || i->second.term != r->term || !d)
+      return true;
     auto& h = i->second;
     auto& p = h.peers[d->id];
-    if (!r->granted) return true;
+    if (!r->granted)
+      return true;
     if (r->gap) {
       p.adopted = false;
       p.last = 0;
@@ -200,7 +225,8 @@
     p.adopted = true;
     p.acked = std::max(p.acked, r->length);
     settle(r->history, h, now);
-    if (h.state == State::open) pump(r->history, h, now, false);
+    if (h.state == State::open)
+      pump(r->history, h, now, false);
     return true;
   }
   return false;
@@ -209,7 +235,7 @@
 void HistoryWriter::tick(Millis now) {
   for (auto i = lines_.begin(); i != lines_.end();) {
     auto& [n, h] = *i;
-    if (!mine(h.partition) || metadata_log_.view()->partitions[h.partition.v].term != h.term) {
+    if (!mine(h.partition) || metadata_log_.view()->partitions[h.partition.value()].term != h.term) {
       changed_.insert(n);
       i = lines_.erase(i);
       continue;
--- a/src/history/partition_repair.hpp
+++ b/src/history/partition_repair.hpp
@@ -1,14 +1,15 @@
 #pragma once
 // A store's background repair: compare partitions with the other stores, fetch the histories that are lacking here.
-#include "replication/metadata_log.hpp"
-#include "history/stored_partition.hpp"
 #include "history/constants.hpp"
+#include "history/stored_partition.hpp"
+#include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
 class PartitionRepair {
  public:
-  PartitionRepair(Outbox& out, MetadataLog& metadata_log, const StoredPartitions& partitions) : out_(out), metadata_log_(metadata_log), slots_(partitions) {}
+  PartitionRepair(Outbox& out, MetadataLog& metadata_log, const StoredPartitions& partitions)
+      : out_(out), metadata_log_(metadata_log), slots_(partitions) {}
   /// Handles what concerns repair; false leaves the message to the caller.
   bool on(const Envelope& e, Millis now);
   void tick(Millis now);
--- a/src/history/partition_streams.hpp
+++ b/src/history/partition_streams.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // A store's copying of partitions that it is about to hold, in pages, with a bound on those under way.
-#include "replication/metadata_log.hpp"
-#include "history/stored_partition.hpp"
 #include "history/constants.hpp"
+#include "history/stored_partition.hpp"
+#include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
--- a/src/history/store_machine.cpp
+++ b/src/history/store_machine.cpp
@@ -5,27 +5,40 @@
 
 #include <algorithm>
 
-
 namespace mosskeel {
 
 StoreMachine::StoreMachine(const Identity& id, Recovered r, Millis now)
-    : out_(id), follower_(out_, metadata_log_, now), rep_(out_, metadata_log_, slots_), streams_(out_, metadata_log_), born_(now), now_(now) {
+    : out_(id),
+      follower_(out_, metadata_log_, now),
+      rep_(out_, metadata_log_, slots_),
+      streams_(out_, metadata_log_),
+      born_(now),
+      now_(now) {
   rep_.take = streams_.take = [this](const MergeRecord& q) {
     auto news = merge(slots_[q.partition], q);
-    if (news.fence != Epoch{} || !news.histories.empty() || !news.tombstones.empty()) journal(news);
+    if (news.fence != Epoch{} || !news.histories.empty() || !news.tombstones.empty())
+      journal(news);
+  };
+  rep_.uptime = [this] {
+    return uptime();
   };
-  rep_.uptime = [this] { return uptime(); };
-  if (r.checkpoint) recover(std::move(*r.checkpoint));
+  if (r.checkpoint)
+    recover(std::move(*r.checkpoint));
   for (auto& s : r.journal) {
     grown_ += s.size();
-    if (auto x = codec::unpack<StoreRecord>(s)) replay(*x);
+    if (auto x = codec::unpack<StoreRecord>(s))
+      replay(*x);
     s = {};
   }
   out_.cluster = metadata_log_.view()->cluster;
   out_.epoch = metadata_log_.epoch();
   follower_.report_durable_epochs_only();
-  follower_.on_entry = [this](const Entry& e) { journal(e); };
-  follower_.on_snapshot = [this](const Metadata& m) { journal(m); };
+  follower_.on_entry = [this](const Entry& e) {
+    journal(e);
+  };
+  follower_.on_snapshot = [this](const Metadata& m) {
+    journal(m);
+  };
 }
 
 /// Reads the form of `StoreCheckpoint` partition by partition, so that no more than one partition is in memory twice.
@@ -40,7 +53,8 @@
     whole = codec::get(r, id) && codec::get(r, partitions[id]);
   }
   Millis uptime = 0;
-  if (!whole || !codec::get(r, uptime) || !r.s.empty()) return;
+  if (!whole || !codec::get(r, uptime) || !r.s.empty())
+    return;
   metadata_log_.install_snapshot(metadata);
   slots_ = std::move(partitions);
   before_ = uptime;
@@ -48,19 +62,23 @@
 }
 
 void StoreMachine::replay(const StoreRecord& r) {
-  std::visit(overload{[&](const FenceRecord& f) { slots_[f.partition].fence = std::max(slots_[f.partition].fence, f.term); },
-                      [&](const AppendHistory& w) { write(slots_[w.partition], w); },
-                      [&](const MergeRecord& q) { merge(slots_[q.partition], q); },
-                      [&](const TombstoneRecord& b) { bury(slots_[b.partition], b.history); }, [&](const Entry& e) { metadata_log_.add(e); },
-                      [&](const Metadata& m) { metadata_log_.install_snapshot(m); },
-                      [&](const HistoryTermRecord& a) {
-                        auto& s = slots_[a.partition];
-                        auto& l = s.histories[a.history];
-                        s.fence = std::max(s.fence, a.term);
-                        l.term = std::max(l.term, a.term);
-                      },
-                      [&](const DropPartitionRecord& d) { slots_[d.partition].histories.clear(); }},
-             r);
+  std::visit(
+      overload{[&](const FenceRecord& f) { slots_[f.partition].fence = std::max(slots_[f.partition].fence, f.term); },
+               [&](const AppendHistory& w) { write(slots_[w.partition], w); },
+               [&](const MergeRecord& q) { merge(slots_[q.partition], q); },
+               [&](const TombstoneRecord& b) { bury(slots_[b.partition], b.history); },
+               [&](const Entry& e) { metadata_log_.add(e); },
+               [&](const Metadata& m) { metadata_log_.install_snapshot(m); },
+               [&](const HistoryTermRecord& a) {
+                 auto& s = slots_[a.partition];
+                 auto& l = s.histories[a.history];
+                 s.fence = std::max(s.fence, a.term);
+                 l.term = std::max(l.term, a.term);
+               },
+               [&](const DropPartitionRecord& d) {
+                 slots_[d.partition].histories.clear();
+               }},
+      r);
 }
 
 std::string StoreMachine::checkpoint() const {
@@ -80,7 +98,8 @@
 }
 
 Actions StoreMachine::done() {
-  for (auto& s : out_.act.journal) grown_ += s.size();
+  for (auto& s : out_.act.journal)
+    grown_ += s.size();
   if (grown_ > journal_limit()) {
     out_.act.checkpoint = checkpoint();
     grown_ = 0;
@@ -92,15 +111,19 @@
   auto& m = *metadata_log_.view();
   auto* me = m.find(out_.id().self.incarnation);
   auto* you = m.find(e.from_inc);
-  if (!me || !you || s.v >= m.partitions.size()) return false;
-  auto& x = m.partitions[s.v];
-  auto in = [&](auto& v) { return std::count(v.begin(), v.end(), me->id) > 0; };
+  if (!me || !you || s.value() >= m.partitions.size())
+    return false;
+  auto& x = m.partitions[s.value()];
+  auto in = [&](auto& v) {
+    return std::count(v.begin(), v.end(), me->id) > 0;
+  };
   return e.epoch >= std::max(x.term, x.stores_epoch) && x.owner == you->id && (in(x.stores) || in(x.pending_stores));
 }
 
 bool StoreMachine::fence(PartitionId s, Epoch term) {
   auto& x = slots_[s];
-  if (term < x.fence) return false;
+  if (term < x.fence)
+    return false;
   if (term > x.fence) {
     x.fence = term;
     journal(FenceRecord{s, term});
@@ -119,10 +142,12 @@
 
 StoreMachine::Written StoreMachine::adopt(StoredPartition& s, const AppendHistory& w) {
   auto& l = s.histories[w.history];
-  if (l.term > w.term) return {{w.history, w.term, false, false, 0}};
+  if (l.term > w.term)
+    return {{w.history, w.term, false, false, 0}};
   auto change = Change::nothing;
   if (l.records == w.records) {
-    if (l.term < w.term) change = Change::term;
+    if (l.term < w.term)
+      change = Change::term;
     l.term = w.term;
   } else if (l.term < w.term || w.records.size() >= l.records.size()) {
     change = Change::records;
@@ -133,24 +158,30 @@
 
 StoreMachine::Written StoreMachine::write(StoredPartition& s, const AppendHistory& w) {
   s.fence = std::max(s.fence, w.term);
-  if (s.tombstones.has(tombstone_of(w.history))) return {{w.history, w.term, false, false, 0}};
-  if (w.replace) return adopt(s, w);
+  if (s.tombstones.has(tombstone_of(w.history)))
+    return {{w.history, w.term, false, false, 0}};
+  if (w.replace)
+    return adopt(s, w);
   auto i = s.histories.find(w.history);
   if (i == s.histories.end() || i->second.term != w.term || i->second.records.size() < w.from)
     return {{w.history, w.term, true, true, 0}};
   auto& v = i->second.records;
   size_t have = v.size() - w.from;
   auto change = have < w.records.size() ? Change::records : Change::nothing;
-  for (size_t k = have; k < w.records.size(); ++k) v.push_back(w.records[k]);
+  for (size_t k = have; k < w.records.size(); ++k)
+    v.push_back(w.records[k]);
   i->second.touched = uptime();
   return {{w.history, w.term, true, false, v.size()}, change};
 }
 
 /// The whole write where it brought records; what is here already is not written twice.
 void StoreMachine::journal_write(const AppendHistory& w, Change change, bool fenced) {
-  if (change == Change::records) return journal(w);
-  if (change == Change::term) return journal(HistoryTermRecord{w.partition, w.history, w.term});
-  if (fenced) journal(FenceRecord{w.partition, w.term});
+  if (change == Change::records)
+    return journal(w);
+  if (change == Change::term)
+    return journal(HistoryTermRecord{w.partition, w.history, w.term});
+  if (fenced)
+    journal(FenceRecord{w.partition, w.term});
 }
 
 void StoreMachine::on(const Envelope& e, const AppendHistory& w) {
@@ -176,7 +207,8 @@
         r.more = true;
         break;
       }
-      for (auto& x : j->second.records) bytes += x.input.size() + x.output.size() + kRecordOverheadBytes;
+      for (auto& x : j->second.records)
+        bytes += x.input.size() + x.output.size() + kRecordOverheadBytes;
       r.histories.push_back({j->first, j->second.term, j->second.records});
     }
     r.tombstones = i->second.tombstones.above(q.tombstone, kTombstonesPerMessage);
@@ -187,18 +219,22 @@
 
 MergeRecord StoreMachine::merge(StoredPartition& s, const MergeRecord& r) {
   MergeRecord news{r.partition, {}, {}, {}};
-  if (s.fence < r.fence) s.fence = news.fence = r.fence;
+  if (s.fence < r.fence)
+    s.fence = news.fence = r.fence;
   for (auto g : r.tombstones) {
-    if (s.tombstones.has(g)) continue;
+    if (s.tombstones.has(g))
+      continue;
     s.tombstones.add(g);
     news.tombstones.push_back(g);
   }
   if (!news.tombstones.empty())
     std::erase_if(s.histories, [&](auto& l) { return s.tombstones.has(tombstone_of(l.first)); });
   for (auto& l : r.histories) {
-    if (s.tombstones.has(tombstone_of(l.history))) continue;
+    if (s.tombstones.has(tombstone_of(l.history)))
+      continue;
     auto& mine = s.histories[l.history];
-    if (std::make_pair(mine.term, mine.records.size()) >= std::make_pair(l.history_term, l.records.size())) continue;
+    if (std::make_pair(mine.term, mine.records.size()) >= std::make_pair(l.history_term, l.records.size()))
+      continue;
     mine = {l.history_term, l.records, uptime()};
     news.histories.push_back(l);
   }
@@ -206,8 +242,9 @@
 }
 
 void StoreMachine::on(const Envelope& e, const StreamPartitionReply& r, Millis now) {
-  if (!streams_.on(e, r, now) || streams_.complete() < r.sequence) return;
-  out_.note(Event::streamed, "sequence of epoch " + std::to_string(r.sequence.v));
+  if (!streams_.on(e, r, now) || streams_.complete() < r.sequence)
+    return;
+  out_.note(Event::streamed, "sequence of epoch " + std::to_string(r.sequence.value()));
   follower_.send_heartbeat_soon();
 }
 
@@ -218,39 +255,49 @@
   auto history = partition == slots_.end() ? Histories::const_iterator{} : partition->second.histories.find(w.history);
   bool here = partition != slots_.end() && history != partition->second.histories.end();
   auto have = here ? history->second.records.size() : 0;
-  if (w.replace) return have < w.records.size();
+  if (w.replace)
+    return have < w.records.size();
   return std::any_of(w.records.begin(), w.records.end(), [](auto& r) { return r.kind == RecordKind::reservation; });
 }
 
 /// A refused write is tried again by its owner, who answers 503 if no majority takes it in time. Pages and reads are
 /// asked for again.
 bool StoreMachine::refuse(const Envelope& e) {
-  bool refused = std::visit(
-      overload{[&](const AppendHistory& w) {
-                 if (!load_.memory_short || !admits_more(w)) return false;
-                 out_.send(e.from, AppendHistoryReply{w.history, w.term, false, false, 0}, e.from_inc);
-                 return true;
-               },
-               [&](const StreamPartitionReply&) { return load_.memory_short; },
-               [&](const FetchHistoriesReply&) { return load_.memory_short; },
-               [&](const ReadHistory&) { return load_.disk_behind; }, [&](const FindChain&) { return load_.disk_behind; },
-               [&](const StreamPartition&) { return load_.disk_behind || load_.memory_short; },
-               [&](const FetchHistories&) { return load_.disk_behind || load_.memory_short; },
-               [](const auto&) { return false; }},
-      e.body);
+  bool refused =
+      std::visit(overload{[&](const AppendHistory& w) {
+                            if (!load_.memory_short || !admits_more(w))
+                              return false;
+                            out_.send(e.from, AppendHistoryReply{w.history, w.term, false, false, 0}, e.from_inc);
+                            return true;
+                          },
+                          [&](const StreamPartitionReply&) { return load_.memory_short; },
+                          [&](const FetchHistoriesReply&) { return load_.memory_short; },
+                          [&](const ReadHistory&) { return load_.disk_behind; },
+                          [&](const FindChain&) { return load_.disk_behind; },
+                          [&](const StreamPartition&) { return load_.disk_behind || load_.memory_short; },
+                          [&](const FetchHistories&) { return load_.disk_behind || load_.memory_short; },
+                          [](const auto&) {
+                            return false;
+                          }},
+                 e.body);
   refused_ += refused;
   return refused;
 }
 
 void StoreMachine::handle(const Envelope& e, Millis now) {
-  if (follower_.handle(e, now)) return;
-  if (refuse(e)) return;
-  if (follower_.defer(e, now)) return;
-  if (rep_.on(e, now)) return;
+  if (follower_.handle(e, now))
+    return;
+  if (refuse(e))
+    return;
+  if (follower_.defer(e, now))
+    return;
+  if (rep_.on(e, now))
+    return;
   std::visit(overload{[&](const ReadHistory& r) { on(e, r); }, [&](const AppendHistory& w) { on(e, w); },
                       [&](const WriteTombstone& b) { on(e, b); }, [&](const StreamPartition& q) { on(e, q); },
                       [&](const StreamPartitionReply& r) { on(e, r, now); }, [&](const FindChain& f) { on(e, f); },
-                      [&](const auto&) {}},
+                      [&](const auto&) {
+                      }},
              e.body);
 }
 
@@ -263,7 +310,8 @@
   auto before = metadata_log_.epoch();
   handle(e, now);
   if (metadata_log_.epoch() != before) {
-    for (auto& p : follower_.take_deferred()) handle(p, now);
+    for (auto& p : follower_.take_deferred())
+      handle(p, now);
     turn(now);
   }
   return done();
@@ -277,8 +325,10 @@
 
 void StoreMachine::turn(Millis now) {
   streams_.tick(now);
-  if (now >= next_expire_) expire(now);
-  if (now >= next_drop_) drop_moved(now);
+  if (now >= next_expire_)
+    expire(now);
+  if (now >= next_drop_)
+    drop_moved(now);
   rep_.tick(now);
   Heartbeat h{out_.id().self, {}, 0, streams_.complete(), 0, 0, false, rep_.incomplete_comparisons()};
   follower_.tick(now, &h);
--- a/src/history/store_machine.hpp
+++ b/src/history/store_machine.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // A store: fenced append logs, one a history; it syncs before it answers.
-#include "replication/follower.hpp"
 #include "history/partition_repair.hpp"
 #include "history/partition_streams.hpp"
+#include "replication/follower.hpp"
 
 namespace mosskeel {
 
@@ -23,7 +23,8 @@
 struct DropPartitionRecord {
   BOOST_HANA_DEFINE_STRUCT(DropPartitionRecord, (PartitionId, partition));
 };
-using StoreRecord = std::variant<FenceRecord, AppendHistory, MergeRecord, TombstoneRecord, Entry, Metadata, HistoryTermRecord, DropPartitionRecord>;
+using StoreRecord = std::variant<FenceRecord, AppendHistory, MergeRecord, TombstoneRecord, Entry, Metadata,
+                                 HistoryTermRecord, DropPartitionRecord>;
 
 /// What a store's process says of itself, for the store to refuse work before its limits.
 struct StoreLoad {
--- a/src/history/tombstones.cpp
+++ b/src/history/tombstones.cpp
@@ -10,9 +10,11 @@
 
 void Tombstones::add(uint64_t x, size_t bound) {
   auto i = std::lower_bound(young.begin(), young.end(), x);
-  if (i != young.end() && *i == x) return;
+  if (i != young.end() && *i == x)
+    return;
   young.insert(i, x);
-  if (young.size() < bound) return;
+  if (young.size() < bound)
+    return;
   old = std::exchange(young, {});
 }
 
@@ -22,7 +24,8 @@
   while (v.size() < most && (a != young.end() || b != old.end())) {
     bool first = b == old.end() || (a != young.end() && *a <= *b);
     auto x = first ? *a++ : *b++;
-    if (v.empty() || v.back() != x) v.push_back(x);
+    if (v.empty() || v.back() != x)
+      v.push_back(x);
   }
   return v;
 }
--- a/src/history/tombstones.hpp
+++ b/src/history/tombstones.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // What outlives a history's text: that it was there and has ended.
-#include "messages/message.hpp"
 #include "history/constants.hpp"
+#include "messages/message.hpp"
 
 namespace mosskeel {
 
--- a/src/messages/constants.hpp
+++ b/src/messages/constants.hpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-/// revision of the protocol between daemons
+/// Revision of the protocol between daemons.
 constexpr uint16_t kProtocolRevision = 2;
 
 }  // namespace mosskeel
--- a/src/messages/turn_messages.hpp
+++ b/src/messages/turn_messages.hpp
@@ -2,7 +2,7 @@
 // What fronts, owners and stores say to each other of callers' turns.
 #include <boost/hana/define_struct.hpp>
 
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
--- a/src/metadata/constants.hpp
+++ b/src/metadata/constants.hpp
@@ -4,27 +4,27 @@
 
 namespace mosskeel {
 
-/// re-foundings that a lagging daemon may have missed
+/// Re-foundings that a lagging daemon may have missed.
 constexpr uint64_t kMaxMissedGenerations = 4;
-/// partitions; some ten a gateway at today's sizes
+/// Partitions; some ten a gateway at today's sizes.
 constexpr uint32_t kPartitionCount = 64;
-/// stores that keep each history, one a zone where zones allow
+/// Stores that keep each history, one a zone where zones allow.
 constexpr uint32_t kDefaultHistoryReplicas = 3;
-/// commit ids that the log remembers for retries
+/// Commit ids that the log remembers for retries.
 constexpr size_t kRememberedCommits = 4096;
-/// acknowledged configuration changes that are remembered, 24 bytes each; 10 busy days
+/// Acknowledged configuration changes that are remembered, 24 bytes each; 10 busy days.
 constexpr size_t kRememberedConfigurationChanges = 4096;
-/// requests that all gateways together run on one replica, unless its record says
+/// Requests that all gateways together run on one replica, unless its record says.
 constexpr uint32_t kDefaultReplicaCapacity = 32;
-/// requests; a larger capacity in a record is an error
+/// Requests; a larger capacity in a record is an error.
 constexpr uint32_t kMaxReplicaCapacity = 4096;
-/// members; none leaves a core of this size without another in its place
+/// Members; none leaves a core of this size without another in its place.
 constexpr size_t kMinCoreSize = 3;
-/// ms; a replica that just started reaches its full share in this time
+/// Milliseconds; a replica that just started reaches its full share in this time.
 constexpr Millis kSlowStartDuration = 10000;
-/// ms; a warm-up time that differs less from the expected one is not a change
+/// Milliseconds; a warm-up time that differs less from the expected one is not a change.
 constexpr Millis kWarmUpTolerance = 500;
-/// ms; for this long the replica list may not show that a restored zone's replica is warming up
+/// Milliseconds; for this long the replica list may not show that a restored zone's replica is warming up.
 constexpr Millis kMaxReplicaListLag = 1500;
 
 }  // namespace mosskeel
--- a/src/metadata/core_steps.cpp
+++ b/src/metadata/core_steps.cpp
@@ -1,14 +1,15 @@
 // Transformations of the core and of what operators and platform say.
 #include <algorithm>
 
+#include "metadata/constants.hpp"
 #include "metadata/core_membership.hpp"
 #include "metadata/transformation_steps.hpp"
-#include "metadata/constants.hpp"
 
 namespace mosskeel::steps {
 
 R go(Metadata m, const FoundCluster& f) {
-  if (m.cluster) return no("found", "this cluster is founded already");
+  if (m.cluster)
+    return no("found", "this cluster is founded already");
   m.cluster = f.cluster;
   m.core_size = f.core_size;
   m.max_core_size = std::max(f.max_core_size, f.core_size);
@@ -27,9 +28,12 @@
 
 R go(Metadata m, const AddCoreMember& a) {
   auto* d = m.find(a.node);
-  if (!d || d->self.role != Role::controller) return no(who(a.node), "is not a registered controller");
-  if (d->state != DaemonState::up) return no(who(a.node), std::string("is ") + name(d->state));
-  if (m.is_core_member(d->self.incarnation)) return no(who(a.node), "is a core member already");
+  if (!d || d->self.role != Role::controller)
+    return no(who(a.node), "is not a registered controller");
+  if (d->state != DaemonState::up)
+    return no(who(a.node), std::string("is ") + name(d->state));
+  if (m.is_core_member(d->self.incarnation))
+    return no(who(a.node), "is a core member already");
   auto down = count_down_members(m);
   auto most = std::max<size_t>(m.core_size, m.max_core_size);
   if (m.members.size() - down >= most || m.members.size() > most)
@@ -43,10 +47,13 @@
   auto *o = m.find(r.removed), *f = m.find(r.added);
   if (!f || f->self.role != Role::controller || m.is_core_member(f->self.incarnation))
     return no(who(r.added), "is not a spare controller");
-  if (f->state != DaemonState::up) return no(who(r.added), std::string("is ") + name(f->state));
+  if (f->state != DaemonState::up)
+    return no(who(r.added), std::string("is ") + name(f->state));
   auto i = std::find(m.members.begin(), m.members.end(), r.removed);
-  if (i == m.members.end() || !o) return no(who(r.removed), "is not a core member");
-  if (o->state != DaemonState::down) return no(who(r.removed), std::string("is a live member (") + name(o->state) + ")");
+  if (i == m.members.end() || !o)
+    return no(who(r.removed), "is not a core member");
+  if (o->state != DaemonState::down)
+    return no(who(r.removed), std::string("is a live member (") + name(o->state) + ")");
   *i = r.added;
   m.directory[r.removed].state = DaemonState::left;
   m.directory[r.removed].since = m.epoch;
@@ -61,15 +68,19 @@
     if (auto i = m.directory.find(id); i != m.directory.end())
       i->second.state = DaemonState::left, i->second.since = m.epoch;
   for (auto& c : t.fresh) {
-    if (m.members.size() >= m.core_size) break;
+    if (m.members.size() >= m.core_size)
+      break;
     auto* d = m.find(c.incarnation);
     DaemonId id = d ? d->id : DaemonId{m.next_id++};
     m.directory[id] = {id, c, DaemonState::up, m.epoch};
-    if (std::find(m.members.begin(), m.members.end(), id) == m.members.end()) m.members.push_back(id);
+    if (std::find(m.members.begin(), m.members.end(), id) == m.members.end())
+      m.members.push_back(id);
     for (auto old : t.lost)
-      if (auto* o = m.find(old); o && o->self.address == c.address) m.replace_in_quorum(old, id);
+      if (auto* o = m.find(old); o && o->self.address == c.address)
+        m.replace_in_quorum(old, id);
   }
-  if (m.members.empty()) return no("refound", "no member would be left");
+  if (m.members.empty())
+    return no("refound", "no member would be left");
   m.former_clusters.push_back(m.cluster);
   m.cluster = next_cluster_id(m.cluster, m.generation++);
   return m;
@@ -77,17 +88,21 @@
 
 R go(Metadata m, const ApplyConfiguration& t) {
   if (t.base != m.revision)
-    return no("revision", "built on " + std::to_string(t.base.v) + ", in force is " + std::to_string(m.revision.v));
-  if (auto f = validate(t.configuration); !f.empty()) return f;
-  if (t.revision.v && t.revision <= m.revision) return no("revision", "is not above " + std::to_string(m.revision.v));
+    return no("revision",
+              "built on " + std::to_string(t.base.value()) + ", in force is " + std::to_string(m.revision.value()));
+  if (auto f = validate(t.configuration); !f.empty())
+    return f;
+  if (t.revision.value() && t.revision <= m.revision)
+    return no("revision", "is not above " + std::to_string(m.revision.value()));
   m.configuration = t.configuration;
-  m.revision = t.revision.v ? t.revision : Revision{m.revision.v + 1};
+  m.revision = t.revision.value() ? t.revision : Revision{m.revision.value() + 1};
   return m;
 }
 
 R go(Metadata m, const UpdateReplicas& t) {
   auto before = m.replicas;
-  for (auto& n : t.removed) m.replicas.erase(n);
+  for (auto& n : t.removed)
+    m.replicas.erase(n);
   for (auto r : t.updated) {
     if (r.name.empty() || r.service.empty() || !r.url.starts_with("http://"))
       return no(r.name, "lacks a name, a service or an address");
@@ -97,16 +112,20 @@
     r.since = stays ? i->second.since : m.epoch;
     m.replicas[r.name] = r;
   }
-  if (m.replicas == before) return no("replicas", "are so already");
+  if (m.replicas == before)
+    return no("replicas", "are so already");
   return m;
 }
 
 R go(Metadata m, const RemoveCoreMember& t) {
   auto i = std::find(m.members.begin(), m.members.end(), t.node);
   auto* o = m.find(t.node);
-  if (i == m.members.end() || !o) return no(who(t.node), "is not a core member");
-  if (o->state != DaemonState::down) return no(who(t.node), std::string("is a live member (") + name(o->state) + ")");
-  if (m.members.size() <= kMinCoreSize) return no(who(t.node), "the core would be too small without it");
+  if (i == m.members.end() || !o)
+    return no(who(t.node), "is not a core member");
+  if (o->state != DaemonState::down)
+    return no(who(t.node), std::string("is a live member (") + name(o->state) + ")");
+  if (m.members.size() <= kMinCoreSize)
+    return no(who(t.node), "the core would be too small without it");
   m.members.erase(i);
   m.directory[t.node].state = DaemonState::left;
   m.directory[t.node].since = m.epoch;
@@ -115,35 +134,44 @@
 
 R go(Metadata m, const SetReplica& t) {
   auto& r = t.replica;
-  Findings f;
-  if (r.name.empty()) f.push_back({"name", "is empty"});
-  if (r.kind != "model" && r.kind != "app") f.push_back({"kind", "is neither model nor app"});
-  if (!r.url.starts_with("http://")) f.push_back({"url", "does not begin with http://"});
+  Errors f;
+  if (r.name.empty())
+    f.push_back({"name", "is empty"});
+  if (r.kind != "model" && r.kind != "app")
+    f.push_back({"kind", "is neither model nor app"});
+  if (!r.url.starts_with("http://"))
+    f.push_back({"url", "does not begin with http://"});
   if (r.capacity > kMaxReplicaCapacity)
     f.push_back({"places", "must be from 1 to " + std::to_string(kMaxReplicaCapacity)});
-  if (!f.empty()) return f;
+  if (!f.empty())
+    return f;
   auto c = r;
-  if (c.capacity == 0) c.capacity = kDefaultReplicaCapacity;
+  if (c.capacity == 0)
+    c.capacity = kDefaultReplicaCapacity;
   auto i = m.replicas.find(r.name);
   c.since = m.epoch;
   if (i != m.replicas.end()) {
     auto same = i->second;
     same.since = c.since;
-    if (same == c) return no(r.name, "is so already");
+    if (same == c)
+      return no(r.name, "is so already");
   }
   m.replicas[r.name] = c;
   return m;
 }
 
 R go(Metadata m, const RemoveReplica& t) {
-  if (!m.replicas.erase(t.name)) return no(t.name, "is no replica");
+  if (!m.replicas.erase(t.name))
+    return no(t.name, "is no replica");
   return m;
 }
 
 R go(Metadata m, const BeginQuorumChange&) {
-  if (!m.incoming_quorum_members.empty()) return no("recount", "the one of epoch " + std::to_string(m.quorum_change_epoch.v) + " is not over");
+  if (!m.incoming_quorum_members.empty())
+    return no("recount", "the one of epoch " + std::to_string(m.quorum_change_epoch.value()) + " is not over");
   auto v = eligible_quorum_members(m);
-  if (v == m.quorum_members) return no("recount", "nobody came or left");
+  if (v == m.quorum_members)
+    return no("recount", "nobody came or left");
   m.incoming_quorum_members = std::move(v);
   m.quorum_change_epoch = m.epoch;
   return m;
@@ -151,7 +179,7 @@
 
 R go(Metadata m, const FinishQuorumChange& t) {
   if (m.incoming_quorum_members.empty() || m.quorum_change_epoch != t.since)
-    return no("recount", "none of epoch " + std::to_string(t.since.v) + " is under way");
+    return no("recount", "none of epoch " + std::to_string(t.since.value()) + " is under way");
   m.quorum_members = std::exchange(m.incoming_quorum_members, {});
   return m;
 }
@@ -163,7 +191,8 @@
 std::vector<DaemonId> eligible_quorum_members(const Metadata& m) {
   std::vector<DaemonId> v;
   for (auto& [id, d] : m.directory)
-    if (d.state != DaemonState::left && (d.state != DaemonState::down || m.find_at(d.self.address) == &d)) v.push_back(id);
+    if (d.state != DaemonState::left && (d.state != DaemonState::down || m.find_at(d.self.address) == &d))
+      v.push_back(id);
   return v;
 }
 
--- a/src/metadata/metadata.cpp
+++ b/src/metadata/metadata.cpp
@@ -3,7 +3,6 @@
 
 #include <algorithm>
 
-
 namespace mosskeel {
 
 const char* name(Role r) {
@@ -34,13 +33,15 @@
 
 const Cell* Configuration::cell(const std::string& n) const {
   for (auto& c : cells)
-    if (c.name == n) return &c;
+    if (c.name == n)
+      return &c;
   return nullptr;
 }
 
 const Service* Configuration::service(const std::string& n) const {
   for (auto& s : services)
-    if (s.name == n) return &s;
+    if (s.name == n)
+      return &s;
   return nullptr;
 }
 
@@ -51,20 +52,23 @@
 
 const Daemon* Metadata::find(Incarnation incarnation) const {
   for (auto& [id, d] : directory)
-    if (d.self.incarnation == incarnation) return &d;
+    if (d.self.incarnation == incarnation)
+      return &d;
   return nullptr;
 }
 
 const Daemon* Metadata::find_at(const Address& a) const {
   const Daemon* last = nullptr;
   for (auto& [id, d] : directory)
-    if (d.self.address == a && d.state != DaemonState::left) last = &d;
+    if (d.self.address == a && d.state != DaemonState::left)
+      last = &d;
   return last;
 }
 
 bool Metadata::is_core_member(Incarnation incarnation) const {
   for (auto id : members)
-    if (auto* d = find(id); d && d->self.incarnation == incarnation) return true;
+    if (auto* d = find(id); d && d->self.incarnation == incarnation)
+      return true;
   return false;
 }
 
@@ -96,10 +100,12 @@
 
 std::optional<Epoch> Metadata::epoch_of_commit(const std::string& commit) const {
   for (auto& r : applied_commits)
-    if (r.id == commit) return r.epoch;
+    if (r.id == commit)
+      return r.epoch;
   auto id = digest(commit);
   for (auto& o : applied_configurations)
-    if (o.commit_digest == id) return o.epoch;
+    if (o.commit_digest == id)
+      return o.epoch;
   return std::nullopt;
 }
 
@@ -124,7 +130,8 @@
 
 bool Metadata::holds_partitions(DaemonId store) const {
   return std::any_of(partitions.begin(), partitions.end(), [&](auto& s) {
-    return std::count(s.stores.begin(), s.stores.end(), store) || std::count(s.pending_stores.begin(), s.pending_stores.end(), store);
+    return std::count(s.stores.begin(), s.stores.end(), store) ||
+           std::count(s.pending_stores.begin(), s.pending_stores.end(), store);
   });
 }
 
@@ -136,7 +143,8 @@
   auto c = m.cluster;
   for (uint64_t k = 0; k < kMaxMissedGenerations; ++k) {
     c = next_cluster_id(c, m.generation + k);
-    if (c == later) return true;
+    if (c == later)
+      return true;
   }
   return false;
 }
--- a/src/metadata/metadata.hpp
+++ b/src/metadata/metadata.hpp
@@ -2,7 +2,7 @@
 // The one immutable metadata value, and what it is made of.
 #include <boost/hana/define_struct.hpp>
 
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
@@ -54,8 +54,8 @@
 
 /// A join or a drain under way; `last_step_epoch` is the epoch that enacted the previous step.
 struct Sequence {
-  BOOST_HANA_DEFINE_STRUCT(Sequence, (DaemonId, node), (SequenceKind, kind), (SequenceStep, next_step), (Epoch, started_epoch),
-                           (Epoch, last_step_epoch), (std::vector<PartitionMove>, moves));
+  BOOST_HANA_DEFINE_STRUCT(Sequence, (DaemonId, node), (SequenceKind, kind), (SequenceStep, next_step),
+                           (Epoch, started_epoch), (Epoch, last_step_epoch), (std::vector<PartitionMove>, moves));
   bool operator==(const Sequence&) const = default;
 };
 
@@ -149,11 +149,13 @@
 struct Metadata {
   BOOST_HANA_DEFINE_STRUCT(Metadata, (Epoch, epoch), (uint64_t, cluster), (uint32_t, core_size), (uint64_t, generation),
                            (std::vector<DaemonId>, members), (Directory, directory), (uint64_t, next_id),
-                           (Replicas, replicas), (std::vector<Partition>, partitions), (Locks, locks), (Sequences, sequences),
-                           (Revision, revision), (Configuration, configuration), (std::set<std::string>, evacuated),
-                           (std::vector<AppliedCommit>, applied_commits), (std::vector<uint64_t>, former_clusters),
-                           (std::vector<DaemonId>, quorum_members), (std::vector<DaemonId>, incoming_quorum_members), (Epoch, quorum_change_epoch),
-                           (uint32_t, max_core_size), (uint32_t, configured_replication_factor), (std::vector<AppliedConfiguration>, applied_configurations));
+                           (Replicas, replicas), (std::vector<Partition>, partitions), (Locks, locks),
+                           (Sequences, sequences), (Revision, revision), (Configuration, configuration),
+                           (std::set<std::string>, evacuated), (std::vector<AppliedCommit>, applied_commits),
+                           (std::vector<uint64_t>, former_clusters), (std::vector<DaemonId>, quorum_members),
+                           (std::vector<DaemonId>, incoming_quorum_members), (Epoch, quorum_change_epoch),
+                           (uint32_t, max_core_size), (uint32_t, configured_replication_factor),
+                           (std::vector<AppliedConfiguration>, applied_configurations));
   bool operator==(const Metadata&) const = default;
 
   const Daemon* find(DaemonId id) const;
--- a/src/metadata/rejection.cpp
+++ b/src/metadata/rejection.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 Rejection why(const Metadata& m, const ApplyConfiguration& t) {
-  if (t.base == m.revision) return Rejection::invalid;
+  if (t.base == m.revision)
+    return Rejection::invalid;
   return m.forgotten(t.base) ? Rejection::forgotten : Rejection::revision_conflict;
 }
 
@@ -16,7 +17,8 @@
 }
 
 Rejection why(const Metadata& m, const EvacuateZone& t) {
-  if (m.evacuated.count(t.zone)) return Rejection::already_in_effect;
+  if (m.evacuated.count(t.zone))
+    return Rejection::already_in_effect;
   return known_zone(m, t.zone) ? Rejection::refused : Rejection::unknown_target;
 }
 
@@ -26,11 +28,13 @@
 
 Rejection why(const Metadata& m, const PrepareDrain& t) {
   auto* d = m.find(t.node);
-  if (!d) return Rejection::unknown_target;
+  if (!d)
+    return Rejection::unknown_target;
   auto q = m.sequences.find(t.node);
   bool drains = q != m.sequences.end() && q->second.kind == SequenceKind::drain;
-  if (d->state == DaemonState::left || d->state == DaemonState::draining || drains) return Rejection::already_in_effect;
-  return ok(placement::plan_drain(m, *d)) ? Rejection::busy : Rejection::refused;
+  if (d->state == DaemonState::left || d->state == DaemonState::draining || drains)
+    return Rejection::already_in_effect;
+  return placement::plan_drain(m, *d).ok() ? Rejection::busy : Rejection::refused;
 }
 
 template <class T>
--- a/src/metadata/replica_list_reconciler.cpp
+++ b/src/metadata/replica_list_reconciler.cpp
@@ -1,7 +1,6 @@
 #include "metadata/replica_list_reconciler.hpp"
 #include "metadata/constants.hpp"
 
-
 namespace mosskeel {
 namespace {
 
@@ -11,11 +10,13 @@
 
 }  // namespace
 
-std::optional<UpdateReplicas> ReplicaListReconciler::reconcile(const Replicas& log, const std::vector<Replica>& listed, Millis now) {
+std::optional<UpdateReplicas> ReplicaListReconciler::reconcile(const Replicas& log, const std::vector<Replica>& listed,
+                                                               Millis now) {
   UpdateReplicas change;
   std::set<std::string> there;
   for (auto& r : listed) {
-    if (!there.insert(r.name).second) continue;
+    if (!there.insert(r.name).second)
+      continue;
     auto i = log.find(r.name);
     auto [at, fresh] = seen_.try_emplace(r.name);
     auto& s = at->second;
@@ -27,8 +28,10 @@
     bool longer = r.warm_up_ms > std::max<Millis>(0, expected - now) + kWarmUpTolerance;
     bool unheard = l && s.told && l->since == *s.told;
     if (l && l->health == ReplicaHealth::warming_up && l->warm_up_ms == 0 && r.health == ReplicaHealth::ready) {
-      if (!s.restored) s.restored = now;
-      if (now - s.restored < kMaxReplicaListLag) continue;
+      if (!s.restored)
+        s.restored = now;
+      if (now - s.restored < kMaxReplicaListLag)
+        continue;
     } else {
       s.restored = 0;
     }
@@ -42,9 +45,11 @@
     change.updated.push_back(r);
   }
   for (auto& [n, r] : log)
-    if (!r.service.empty() && !there.count(n) && ++seen_[n].missing >= 2) change.removed.push_back(n);
+    if (!r.service.empty() && !there.count(n) && ++seen_[n].missing >= 2)
+      change.removed.push_back(n);
   std::erase_if(seen_, [&](auto& x) { return !there.count(x.first) && !log.count(x.first); });
-  if (change.updated.empty() && change.removed.empty()) return std::nullopt;
+  if (change.updated.empty() && change.removed.empty())
+    return std::nullopt;
   return change;
 }
 
--- a/src/metadata/store_placement.cpp
+++ b/src/metadata/store_placement.cpp
@@ -23,9 +23,11 @@
 std::map<DaemonId, int> copies_kept(const Metadata& metadata) {
   std::map<DaemonId, int> kept;
   for (auto& [id, daemon] : metadata.directory)
-    if (daemon.self.role == Role::store && daemon.state == DaemonState::up) kept[id] = 0;
+    if (daemon.self.role == Role::store && daemon.state == DaemonState::up)
+      kept[id] = 0;
   for (auto& partition : metadata.partitions)
-    for (auto id : partition.stores) ++kept[id];
+    for (auto id : partition.stores)
+      ++kept[id];
   return kept;
 }
 
@@ -43,8 +45,10 @@
     return std::make_pair(in_zone(metadata, set, zone(metadata, id), leaver), kept.at(id));
   };
   for (auto& [id, copies] : kept) {
-    if (id == leaver || !alive(metadata, id) || contains(set, id)) continue;
-    if (!best || key(id) < key(*best)) best = id;
+    if (id == leaver || !alive(metadata, id) || contains(set, id))
+      continue;
+    if (!best || key(id) < key(*best))
+      best = id;
   }
   return best;
 }
@@ -53,9 +57,15 @@
 /// most loaded; nobody if it would put more copies into one zone than before.
 DaemonId* most_replaceable(const Metadata& metadata, Stores& set, const Daemon& joining,
                            const std::map<DaemonId, int>& kept) {
-  auto crowd = [&](DaemonId id) { return in_zone(metadata, set, zone(metadata, id), id); };
-  auto crowd_after = [&](DaemonId id) { return in_zone(metadata, set, joining.self.zone, id); };
-  auto key = [&](DaemonId id) { return std::make_pair(crowd(id) - crowd_after(id), kept.at(id)); };
+  auto crowd = [&](DaemonId id) {
+    return in_zone(metadata, set, zone(metadata, id), id);
+  };
+  auto crowd_after = [&](DaemonId id) {
+    return in_zone(metadata, set, joining.self.zone, id);
+  };
+  auto key = [&](DaemonId id) {
+    return std::make_pair(crowd(id) - crowd_after(id), kept.at(id));
+  };
   auto best = std::max_element(set.begin(), set.end(), [&](auto a, auto b) { return key(a) < key(b); });
   return crowd_after(*best) > crowd(*best) ? nullptr : &*best;
 }
@@ -64,16 +74,19 @@
 bool refill(const Metadata& metadata, Stores& set, DaemonId must, std::map<DaemonId, int>& kept) {
   bool replaced = false;
   for (auto& id : set) {
-    if (!lost(metadata, id)) continue;
+    if (!lost(metadata, id))
+      continue;
     auto fresh = substitute(metadata, set, id, kept);
-    if (!fresh) continue;
+    if (!fresh)
+      continue;
     replaced = replaced || id == must;
     ++kept[*fresh];
     id = *fresh;
   }
   while (set.size() < metadata.replication_factor()) {
     auto fresh = substitute(metadata, set, DaemonId{}, kept);
-    if (!fresh) break;
+    if (!fresh)
+      break;
     ++kept[*fresh];
     set.push_back(*fresh);
   }
@@ -92,7 +105,8 @@
   auto share = static_cast<int>(metadata.partitions.size() * copies / std::max<size_t>(static_cast<size_t>(live), 1));
   for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
     auto& partition = metadata.partitions[i];
-    if (metadata.locks.count(PartitionId{i}) || contains(partition.stores, joining.id)) continue;
+    if (metadata.locks.count(PartitionId{i}) || contains(partition.stores, joining.id))
+      continue;
     auto set = partition.stores;
     auto dead = std::find_if(set.begin(), set.end(), [&](auto id) { return lost(metadata, id); });
     if (dead != set.end()) {
@@ -101,7 +115,8 @@
       set.push_back(joining.id);
     } else if (kept[joining.id] < share) {
       auto* leaver = most_replaceable(metadata, set, joining, kept);
-      if (!leaver) continue;
+      if (!leaver)
+        continue;
       --kept[*leaver];
       *leaver = joining.id;
     } else {
@@ -118,13 +133,14 @@
   auto kept = copies_kept(metadata);
   for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
     auto& partition = metadata.partitions[i];
-    if (!contains(partition.stores, leaving.id)) continue;
+    if (!contains(partition.stores, leaving.id))
+      continue;
     auto set = partition.stores;
     auto fresh = substitute(metadata, set, leaving.id, kept);
     if (!fresh)
-      return Findings{{"slot " + std::to_string(i),
-                       "retiring this store would leave " + std::to_string(set.size() - 1) + " of " +
-                           std::to_string(metadata.replication_factor()) + " copies and no other store can take its place"}};
+      return Errors{{"slot " + std::to_string(i), "retiring this store would leave " + std::to_string(set.size() - 1) +
+                                                      " of " + std::to_string(metadata.replication_factor()) +
+                                                      " copies and no other store can take its place"}};
     std::replace(set.begin(), set.end(), leaving.id, *fresh);
     ++kept[*fresh];
     moves.push_back({PartitionId{i}, partition.owner, set});
@@ -137,9 +153,11 @@
   auto kept = copies_kept(metadata);
   for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
     auto& partition = metadata.partitions[i];
-    if (metadata.locks.count(PartitionId{i}) || !contains(partition.stores, lost_store.id)) continue;
+    if (metadata.locks.count(PartitionId{i}) || !contains(partition.stores, lost_store.id))
+      continue;
     auto set = partition.stores;
-    if (refill(metadata, set, lost_store.id, kept)) moves.push_back({PartitionId{i}, partition.owner, set});
+    if (refill(metadata, set, lost_store.id, kept))
+      moves.push_back({PartitionId{i}, partition.owner, set});
   }
   return moves;
 }
--- a/src/metadata/transformation.hpp
+++ b/src/metadata/transformation.hpp
@@ -4,8 +4,8 @@
 
 namespace mosskeel {
 
-/// `max_core_size` lets further controllers be admitted up to that number (0: core_size); `replication_factor` is how many stores
-/// keep a history (0: the default).
+/// `max_core_size` lets further controllers be admitted up to that number (0: core_size); `replication_factor` is how
+/// many stores keep a history (0: the default).
 struct FoundCluster {
   BOOST_HANA_DEFINE_STRUCT(FoundCluster, (uint64_t, cluster), (uint32_t, core_size), (std::vector<Candidate>, members),
                            (uint32_t, max_core_size), (uint32_t, replication_factor));
@@ -122,9 +122,10 @@
 
 /// Append only: the index is what the log keeps.
 using Transformation =
-    std::variant<std::monostate, FoundCluster, Register, AddCoreMember, ReplaceCoreMember, MarkDown, MarkUp, PrepareJoin, PrepareDrain,
-                 AdvanceSequence, CancelSequence, ApplyConfiguration, SetReplica, RemoveReplica, EvacuateZone, RestoreZone,
-                 MovePartition, MoveAllPartitions, RefoundCluster, BeginQuorumChange, FinishQuorumChange, UpdateReplicas, RemoveCoreMember, PrepareRepair, ForgetStore>;
+    std::variant<std::monostate, FoundCluster, Register, AddCoreMember, ReplaceCoreMember, MarkDown, MarkUp,
+                 PrepareJoin, PrepareDrain, AdvanceSequence, CancelSequence, ApplyConfiguration, SetReplica,
+                 RemoveReplica, EvacuateZone, RestoreZone, MovePartition, MoveAllPartitions, RefoundCluster,
+                 BeginQuorumChange, FinishQuorumChange, UpdateReplicas, RemoveCoreMember, PrepareRepair, ForgetStore>;
 
 struct Entry {
   BOOST_HANA_DEFINE_STRUCT(Entry, (Epoch, epoch), (std::string, commit_id), (Transformation, change));
@@ -138,7 +139,7 @@
 std::vector<DaemonId> eligible_quorum_members(const Metadata& m);
 
 /// A configuration's findings, each with its place.
-Findings validate(const Configuration& m);
+Errors validate(const Configuration& m);
 
 /// One line on what a transformation does, for logs and `explain`.
 std::string describe(const Transformation& t);
--- a/src/metadata/transformation_steps.hpp
+++ b/src/metadata/transformation_steps.hpp
@@ -6,11 +6,11 @@
 
 using R = Result<Metadata>;
 
-inline Findings no(std::string place, std::string reason) {
+inline Errors no(std::string place, std::string reason) {
   return {{std::move(place), std::move(reason)}};
 }
 inline std::string who(DaemonId id) {
-  return "daemon " + std::to_string(id.v);
+  return "daemon " + std::to_string(id.value());
 }
 
 R go(Metadata m, const FoundCluster& f);
--- a/src/net/chunked_decoder.cpp
+++ b/src/net/chunked_decoder.cpp
@@ -14,7 +14,8 @@
       auto n = std::min<uint64_t>(left_, s.size() - at);
       out.append(s.substr(at, n));
       at += n, left_ -= n;
-      if (left_ == 0) state_ = State::data_end;
+      if (left_ == 0)
+        state_ = State::data_end;
     } else if (line(s[at++])) {
       if (state_ == State::size)
         size_line();
@@ -30,7 +31,8 @@
 
 bool Chunks::line(char c) {
   bool after_cr = !line_.empty() && line_.back() == '\r';
-  if (after_cr && c == '\n') return line_.pop_back(), true;
+  if (after_cr && c == '\n')
+    return line_.pop_back(), true;
   auto u = static_cast<unsigned char>(c);
   bool text = c == '\r' || c == '\t' || (u >= 0x20 && u != 0x7f);
   if (after_cr || !text || line_.size() >= longest_chunk_line || (state_ == State::data_end && c != '\r'))
@@ -42,7 +44,8 @@
 void Chunks::size_line() {
   auto digits = std::min(line_.find(';'), line_.size());
   state_ = State::malformed;
-  if (digits == 0 || digits > 15 || line_.find_first_not_of("0123456789abcdefABCDEF") < digits) return;
+  if (digits == 0 || digits > 15 || line_.find_first_not_of("0123456789abcdefABCDEF") < digits)
+    return;
   left_ = std::stoull(line_.substr(0, digits), nullptr, 16);
   state_ = left_ ? State::data : State::trailer;
 }
--- a/src/net/constants.hpp
+++ b/src/net/constants.hpp
@@ -4,11 +4,11 @@
 
 namespace mosskeel {
 
-/// bytes; the largest HTTP body that is accepted
+/// Bytes; the largest HTTP body that is accepted.
 constexpr size_t kMaxHttpBodyBytes = 1u << 20;
-/// connections of one HTTP listener
+/// Connections of one HTTP listener.
 constexpr unsigned kMaxHttpConnections = 2000;
-/// messages that may wait for one peer
+/// Messages that may wait for one peer.
 constexpr int kMaxQueuedMessagesPerPeer = 1024;
 
 }  // namespace mosskeel
--- a/src/net/endpoint.cpp
+++ b/src/net/endpoint.cpp
@@ -8,13 +8,16 @@
 
 std::optional<Endpoint> parse_endpoint(const Address& a) {
   auto colon = a.rfind(':');
-  if (colon == std::string::npos || colon == 0 || colon + 1 == a.size()) return std::nullopt;
+  if (colon == std::string::npos || colon == 0 || colon + 1 == a.size())
+    return std::nullopt;
   auto host = a.substr(0, colon);
-  if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
+  if (host.size() > 2 && host.front() == '[' && host.back() == ']')
+    host = host.substr(1, host.size() - 2);
   addrinfo want{}, *found = nullptr;
   want.ai_flags = AI_NUMERICHOST | AI_NUMERICSERV;
   want.ai_socktype = SOCK_STREAM;
-  if (::getaddrinfo(host.c_str(), a.c_str() + colon + 1, &want, &found) != 0) return std::nullopt;
+  if (::getaddrinfo(host.c_str(), a.c_str() + colon + 1, &want, &found) != 0)
+    return std::nullopt;
   Endpoint e;
   e.length = found->ai_addrlen;
   std::memcpy(&e.storage, found->ai_addr, found->ai_addrlen);
--- a/src/net/endpoint.hpp
+++ b/src/net/endpoint.hpp
@@ -2,7 +2,7 @@
 // Numeric addresses as the sockets want them.
 #include <sys/socket.h>
 
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -18,7 +18,8 @@
 }
 
 EventLoop::EventLoop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
-  if (!epoll_ || !wake_) throw std::system_error(errno, std::generic_category(), "epoll");
+  if (!epoll_ || !wake_)
+    throw std::system_error(errno, std::generic_category(), "epoll");
   watch(wake_.get(), EPOLLIN, [this](uint32_t) {
     uint64_t n;
     [[maybe_unused]] auto r = ::read(wake_.get(), &n, sizeof n);
@@ -29,7 +30,8 @@
   epoll_event e{};
   e.events = events;
   e.data.u64 = uint64_t{generation} << 32 | static_cast<uint32_t>(fd);
-  if (::epoll_ctl(epoll_.get(), op, fd, &e) < 0) throw std::system_error(errno, std::generic_category(), "epoll_ctl");
+  if (::epoll_ctl(epoll_.get(), op, fd, &e) < 0)
+    throw std::system_error(errno, std::generic_category(), "epoll_ctl");
 }
 
 void EventLoop::watch(int fd, uint32_t events, ReadyCallback f) {
@@ -45,11 +47,13 @@
 }
 
 void EventLoop::watch(int fd, uint32_t events) {
-  if (auto it = watched_.find(fd); it != watched_.end()) control(EPOLL_CTL_MOD, fd, events, it->second.generation);
+  if (auto it = watched_.find(fd); it != watched_.end())
+    control(EPOLL_CTL_MOD, fd, events, it->second.generation);
 }
 
 void EventLoop::unwatch(int fd) {
-  if (watched_.erase(fd)) ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
+  if (watched_.erase(fd))
+    ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
 }
 
 void EventLoop::post(std::function<void()> f) {
@@ -57,7 +61,8 @@
   {
     std::lock_guard g(lock_);
     posted_.push_back(std::move(f));
-    if (thread_.load() != std::this_thread::get_id()) wake = !std::exchange(woken_, true);
+    if (thread_.load() != std::this_thread::get_id())
+      wake = !std::exchange(woken_, true);
   }
   uint64_t one = 1;
   if (wake) [[maybe_unused]]
@@ -72,7 +77,8 @@
 }
 
 void EventLoop::cancel(uint64_t timer) {
-  if (!timers_.erase(timer) || heap_.size() < 2 * timers_.size() + 64) return;
+  if (!timers_.erase(timer) || heap_.size() < 2 * timers_.size() + 64)
+    return;
   std::erase_if(heap_, [&](const Due& d) { return !timers_.contains(d.timer); });
   std::make_heap(heap_.begin(), heap_.end());
 }
@@ -80,13 +86,15 @@
 int EventLoop::patience() {
   {
     std::lock_guard g(lock_);
-    if (!posted_.empty()) return 0;
+    if (!posted_.empty())
+      return 0;
   }
   while (!heap_.empty() && !timers_.contains(heap_.front().timer)) {
     std::pop_heap(heap_.begin(), heap_.end());
     heap_.pop_back();
   }
-  if (heap_.empty()) return -1;
+  if (heap_.empty())
+    return -1;
   return static_cast<int>(std::clamp<Millis>(heap_.front().at - monotonic_ms(), 0, 3600000));
 }
 
@@ -97,7 +105,8 @@
     now.swap(posted_);
     woken_ = false;
   }
-  for (auto& f : now) f();
+  for (auto& f : now)
+    f();
 }
 
 void EventLoop::run_due() {
@@ -110,7 +119,8 @@
   }
   for (auto timer : due) {
     auto node = timers_.extract(timer);
-    if (node) node.mapped()();
+    if (node)
+      node.mapped()();
   }
 }
 
@@ -121,7 +131,8 @@
     auto n = ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), patience());
     for (int i = 0; i < n; ++i) {
       auto it = watched_.find(static_cast<int>(events[i].data.u64 & 0xffffffff));
-      if (it == watched_.end() || it->second.generation != events[i].data.u64 >> 32) continue;
+      if (it == watched_.end() || it->second.generation != events[i].data.u64 >> 32)
+        continue;
       auto ready = it->second.ready;
       (*ready)(events[i].events);
     }
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -6,7 +6,7 @@
 #include <unordered_map>
 
 #include "base/fd.hpp"
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
--- a/src/net/http_fetch.cpp
+++ b/src/net/http_fetch.cpp
@@ -8,18 +8,22 @@
 size_t body(char* p, size_t s, size_t n, void* c) {
   auto& x = *static_cast<std::pair<const FetchRequest*, FetchResponse*>*>(c);
   x.second->body.append(p, s * n);
-  if (x.first->on_body) x.first->on_body(std::string(p, s * n));
+  if (x.first->on_body)
+    x.first->on_body(std::string(p, s * n));
   return s * n;
 }
 
 size_t header(char* p, size_t s, size_t n, void* c) {
   std::string h(p, s * n);
   auto k = h.find(':');
-  if (k == std::string::npos) return s * n;
+  if (k == std::string::npos)
+    return s * n;
   auto name = h.substr(0, k);
-  for (auto& x : name) x = static_cast<char>(tolower(x));
+  for (auto& x : name)
+    x = static_cast<char>(tolower(x));
   auto b = h.find_first_not_of(' ', k + 1), e = h.find_last_not_of("\r\n ");
-  if (b != std::string::npos && e >= b) static_cast<FetchResponse*>(c)->headers[name] = h.substr(b, e - b + 1);
+  if (b != std::string::npos && e >= b)
+    static_cast<FetchResponse*>(c)->headers[name] = h.substr(b, e - b + 1);
   return s * n;
 }
 
@@ -41,7 +45,8 @@
     curl_easy_setopt(e, CURLOPT_POSTFIELDS, a.body.c_str());
   }
   curl_slist* l = curl_slist_append(nullptr, "Expect:");
-  for (auto& [k, v] : a.headers) l = curl_slist_append(l, (k + ": " + v).c_str());
+  for (auto& [k, v] : a.headers)
+    l = curl_slist_append(l, (k + ": " + v).c_str());
   std::unique_ptr<curl_slist, void (*)(curl_slist*)> list(l, curl_slist_free_all);
   curl_easy_setopt(e, CURLOPT_HTTPHEADER, l);
   curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, body);
@@ -54,7 +59,8 @@
   curl_easy_getinfo(e, CURLINFO_REQUEST_SIZE, &sent);
   r.request_sent = sent > 0;
   r.complete = rc == CURLE_OK;
-  if (rc != CURLE_OK) r.error = curl_easy_strerror(rc);
+  if (rc != CURLE_OK)
+    r.error = curl_easy_strerror(rc);
   return r;
 }
 
--- a/src/net/http_fetch.hpp
+++ b/src/net/http_fetch.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // One HTTP ask from a tool, by libcurl, on a fresh session.
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
--- a/src/net/http_head.cpp
+++ b/src/net/http_head.cpp
@@ -29,7 +29,8 @@
 
 std::string_view trim(std::string_view s) {
   auto from = s.find_first_not_of(" \t");
-  if (from == std::string_view::npos) return {};
+  if (from == std::string_view::npos)
+    return {};
   return s.substr(from, s.find_last_not_of(" \t") - from + 1);
 }
 
@@ -43,7 +44,8 @@
 bool all_lines(std::string_view head, F f) {
   for (bool first = true; head.size() > 2; first = false) {
     auto end = head.find("\r\n");
-    if (!f(head.substr(0, end), first)) return false;
+    if (!f(head.substr(0, end), first))
+      return false;
     head.remove_prefix(end + 2);
   }
   return true;
@@ -51,7 +53,8 @@
 
 bool is_request_line(std::string_view s) {
   auto a = s.find(' '), b = s.rfind(' ');
-  if (a == std::string_view::npos || a + 1 >= b) return false;
+  if (a == std::string_view::npos || a + 1 >= b)
+    return false;
   auto target = s.substr(a + 1, b - a - 1), version = s.substr(b + 1);
   return is_token(s.substr(0, a)) && target.front() == '/' && (version == "HTTP/1.1" || version == "HTTP/1.0") &&
          std::all_of(target.begin(), target.end(), [](char c) { return c > 0x20 && c < 0x7f && c != '#'; });
@@ -75,10 +78,13 @@
   static const auto made = [] {
     http_parser_settings s;
     http_parser_settings_init(&s);
-    s.on_url = [](http_parser* p, const char* at, size_t n) { return reading(p).head.target.append(at, n), 0; };
+    s.on_url = [](http_parser* p, const char* at, size_t n) {
+      return reading(p).head.target.append(at, n), 0;
+    };
     s.on_header_field = [](http_parser* p, const char* at, size_t n) {
       auto& r = reading(p);
-      if (std::exchange(r.value, false)) r.head.fields.emplace_back();
+      if (std::exchange(r.value, false))
+        r.head.fields.emplace_back();
       r.head.fields.back().first.append(at, n);
       return 0;
     };
@@ -113,12 +119,17 @@
   std::string_view length, coding;
   for (auto& [name, value] : h.fields) {
     value = std::string(trim(value));
-    if (same_word(name, "Content-Length")) ++lengths, length = value;
-    if (same_word(name, "Transfer-Encoding")) ++codings, coding = value;
+    if (same_word(name, "Content-Length"))
+      ++lengths, length = value;
+    if (same_word(name, "Transfer-Encoding"))
+      ++codings, coding = value;
   }
-  if (lengths + codings > 1) return fail(std::move(h), 400, "framed twice");
-  if (codings && h.http_1_0) return fail(std::move(h), 400, "transfer coding in HTTP/1.0");
-  if (codings && !same_word(coding, "chunked")) return fail(std::move(h), 501, "transfer coding not known");
+  if (lengths + codings > 1)
+    return fail(std::move(h), 400, "framed twice");
+  if (codings && h.http_1_0)
+    return fail(std::move(h), 400, "transfer coding in HTTP/1.0");
+  if (codings && !same_word(coding, "chunked"))
+    return fail(std::move(h), 501, "transfer coding not known");
   if (lengths) {
     if (length.empty() || length.size() > 18 || length.find_first_not_of("0123456789") != std::string_view::npos)
       return fail(std::move(h), 400, "length malformed");
@@ -131,17 +142,20 @@
 
 HttpHead read_head(std::string_view head, http_parser_type type) {
   bool good = all_lines(head, [&](std::string_view line, bool first) {
-    if (!first) return is_field_line(line);
+    if (!first)
+      return is_field_line(line);
     return type == HTTP_REQUEST ? is_request_line(line) : is_status_line(line);
   });
-  if (!good) return fail({}, 400, "head malformed");
+  if (!good)
+    return fail({}, 400, "head malformed");
   Reading r;
   http_parser p;
   http_parser_init(&p, type);
   p.data = &r;
   p.allow_chunked_length = 1;
   http_parser_execute(&p, &callbacks(), head.data(), head.size());
-  if (!r.whole) return fail({}, 400, http_errno_name(HTTP_PARSER_ERRNO(&p)));
+  if (!r.whole)
+    return fail({}, 400, http_errno_name(HTTP_PARSER_ERRNO(&p)));
   return read_framing(std::move(r.head));
 }
 
@@ -154,8 +168,10 @@
 HeadScan scan_head(std::string_view in, size_t& scanned) {
   for (; scanned < in.size(); ++scanned) {
     if (in[scanned] == '\n') {
-      if (scanned == 0 || in[scanned - 1] != '\r') return HeadScan::malformed;
-      if (scanned >= 3 && in[scanned - 2] == '\n') return ++scanned, HeadScan::complete;
+      if (scanned == 0 || in[scanned - 1] != '\r')
+        return HeadScan::malformed;
+      if (scanned >= 3 && in[scanned - 2] == '\n')
+        return ++scanned, HeadScan::complete;
     } else if (scanned > 0 && in[scanned - 1] == '\r') {
       return HeadScan::malformed;
     }
@@ -165,11 +181,15 @@
 
 HttpHead parse_request_head(std::string_view head) {
   auto h = read_head(head, HTTP_REQUEST);
-  if (h.fault) return h;
+  if (h.fault)
+    return h;
   auto hosts = std::count_if(h.fields.begin(), h.fields.end(), [](auto& f) { return same_word(f.first, "Host"); });
-  if (hosts > 1 || (hosts == 0 && !h.http_1_0)) return fail(std::move(h), 400, "not one Host");
-  if (!host_of(header_value(h.fields, "Host"))) return fail(std::move(h), 400, "Host malformed");
-  if (h.method == "CONNECT") return fail(std::move(h), 400, "no tunnels");
+  if (hosts > 1 || (hosts == 0 && !h.http_1_0))
+    return fail(std::move(h), 400, "not one Host");
+  if (!host_of(header_value(h.fields, "Host")))
+    return fail(std::move(h), 400, "Host malformed");
+  if (h.method == "CONNECT")
+    return fail(std::move(h), 400, "no tunnels");
   return h;
 }
 
@@ -183,7 +203,8 @@
       bracket != std::string_view::npos && port != std::string_view::npos && port < bracket)
     port = std::string_view::npos;
   if (port != std::string_view::npos) {
-    if (value.substr(port + 1).find_first_not_of("0123456789") != std::string_view::npos) return std::nullopt;
+    if (value.substr(port + 1).find_first_not_of("0123456789") != std::string_view::npos)
+      return std::nullopt;
     value = value.substr(0, port);
   }
   std::string host;
@@ -197,11 +218,13 @@
 
 bool names_token(const HeaderFields& f, std::string_view name, std::string_view token) {
   for (auto& [n, value] : f) {
-    if (!same_word(n, name)) continue;
+    if (!same_word(n, name))
+      continue;
     std::string_view rest = value;
     while (!rest.empty()) {
       auto comma = std::min(rest.find(','), rest.size());
-      if (same_word(trim(rest.substr(0, comma)), token)) return true;
+      if (same_word(trim(rest.substr(0, comma)), token))
+        return true;
       rest.remove_prefix(std::min(comma + 1, rest.size()));
     }
   }
--- a/src/net/http_listener.hpp
+++ b/src/net/http_listener.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // HTTP/1.1 towards callers, on a loop.
-#include "net/protocol_codec.hpp"
 #include "net/event_loop.hpp"
+#include "net/protocol_codec.hpp"
 
 namespace mosskeel {
 
@@ -13,8 +13,8 @@
 
 /// Listens, reads whole requests, one exchange at a time a session, and writes their answers. Malformed requests are
 /// answered here and their session closed. All of it, events too, on the loop's thread; must not be destroyed in an
-/// event. After finish(), send_response(), abort() or `left` an exchange's id is dead: it has no more events, and calls with it do
-/// nothing.
+/// event. After finish(), send_response(), abort() or `left` an exchange's id is dead: it has no more events, and calls
+/// with it do nothing.
 class HttpListener {
  public:
   struct Callbacks {
@@ -28,7 +28,8 @@
   /// Bytes; 1,000 slow callers at the high one and a read more hold 64 MB, a quarter of a small machine's memory.
   static constexpr size_t low_watermark = 16 << 10, high_watermark = 48 << 10;
   /// `send_buffer` is in bytes and for each session; 0 leaves it to the system.
-  static Result<std::unique_ptr<HttpListener>> open(EventLoop& loop, const Address& at, Callbacks events, int send_buffer = 0);
+  static Result<std::unique_ptr<HttpListener>> open(EventLoop& loop, const Address& at, Callbacks events,
+                                                    int send_buffer = 0);
   ~HttpListener();
   void set_limits(const HttpListenerLimits& l) { limits_ = l; }
   /// The address listened at, with the port the system chose where none was named.
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -6,7 +6,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "runtime/settings.hpp"
+#include "base/address.hpp"
 #include "net/constants.hpp"
 
 namespace mosskeel {
@@ -19,7 +19,8 @@
 
 MHD_Result collect(void* to, MHD_ValueKind, const char* k, const char* v) {
   std::string n(k);
-  for (auto& c : n) c = static_cast<char>(tolower(c));
+  for (auto& c : n)
+    c = static_cast<char>(tolower(c));
   (*static_cast<std::map<std::string, std::string>*>(to))[n] = v ? v : "";
   return MHD_YES;
 }
@@ -31,10 +32,12 @@
       case ApiResponse::StreamState::more:
         break;
       case ApiResponse::StreamState::finished:
-        if (s.second.empty()) return MHD_CONTENT_READER_END_OF_STREAM;
+        if (s.second.empty())
+          return MHD_CONTENT_READER_END_OF_STREAM;
         break;
       case ApiResponse::StreamState::aborted:
-        if (s.second.empty()) return MHD_CONTENT_READER_END_WITH_ERROR;
+        if (s.second.empty())
+          return MHD_CONTENT_READER_END_WITH_ERROR;
         break;
     }
   }
@@ -55,8 +58,10 @@
   } else {
     r = MHD_create_response_from_buffer(a.body.size(), a.body.data(), MHD_RESPMEM_MUST_COPY);
   }
-  if (!headers.count("Content-Type")) headers["Content-Type"] = "application/json";
-  for (auto& [k, v] : headers) MHD_add_response_header(r, k.c_str(), v.c_str());
+  if (!headers.count("Content-Type"))
+    headers["Content-Type"] = "application/json";
+  for (auto& [k, v] : headers)
+    MHD_add_response_header(r, k.c_str(), v.c_str());
   auto rc = MHD_queue_response(c, status, r);
   MHD_destroy_response(r);
   return rc;
@@ -95,9 +100,10 @@
 
 }  // namespace
 
-ApiResponse ApiResponse::error(uint32_t status, const std::string& code, const Findings& f) {
+ApiResponse ApiResponse::error(uint32_t status, const std::string& code, const Errors& f) {
   nlohmann::json j{{"error", code}, {"findings", nlohmann::json::array()}};
-  for (auto& x : f) j["findings"].push_back({{"place", x.place}, {"reason", x.reason}});
+  for (auto& x : f)
+    j["findings"].push_back({{"place", x.location}, {"reason", x.message}});
   ApiResponse a;
   a.status = status;
   a.body = j.dump() + "\n";
@@ -119,22 +125,26 @@
 Result<std::unique_ptr<HttpServer>> HttpServer::open(const Address& at, Handler h) {
   std::unique_ptr<HttpServer> s(new HttpServer(std::move(h)));
   auto p = split_address(at);
-  if (!p) return Findings{{at, "is no IP:port"}};
+  if (!p)
+    return Errors{{at, "is no IP:port"}};
   sockaddr_in a{};
   a.sin_family = AF_INET;
   a.sin_port = htons(p->second);
-  if (inet_pton(AF_INET, p->first.c_str(), &a.sin_addr) != 1) return Findings{{at, "is no IP:port"}};
+  if (inet_pton(AF_INET, p->first.c_str(), &a.sin_addr) != 1)
+    return Errors{{at, "is no IP:port"}};
   s->mhd_ = MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, p->second, nullptr,
                              nullptr, on_ask, s.get(), MHD_OPTION_SOCK_ADDR, reinterpret_cast<sockaddr*>(&a),
                              MHD_OPTION_NOTIFY_COMPLETED, on_done, nullptr, MHD_OPTION_CONNECTION_LIMIT,
-                             kMaxHttpConnections, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
-                             MHD_OPTION_THREAD_STACK_SIZE, size_t{256 << 10}, MHD_OPTION_END);
-  if (!s->mhd_) return Findings{{at, "cannot be listened on"}};
+                             kMaxHttpConnections, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_THREAD_STACK_SIZE,
+                             size_t{256 << 10}, MHD_OPTION_END);
+  if (!s->mhd_)
+    return Errors{{at, "cannot be listened on"}};
   return s;
 }
 
 HttpServer::~HttpServer() {
-  if (mhd_) MHD_stop_daemon(mhd_);
+  if (mhd_)
+    MHD_stop_daemon(mhd_);
 }
 
 std::pair<Address, std::shared_ptr<LocalMailboxes::Mailbox>> LocalMailboxes::open() {
@@ -152,9 +162,11 @@
   std::shared_ptr<Mailbox> w;
   {
     std::lock_guard l(m_);
-    if (auto i = words_.find(e.to); i != words_.end()) w = i->second;
+    if (auto i = words_.find(e.to); i != words_.end())
+      w = i->second;
   }
-  if (w) w->push(e.body);
+  if (w)
+    w->push(e.body);
 }
 size_t LocalMailboxes::size() const {
   std::lock_guard l(m_);
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -20,7 +20,7 @@
   enum class StreamState { more, finished, aborted };
   std::function<StreamState(std::string&)> next_chunk;
   static ApiResponse error(uint32_t status, const std::string& code, const std::string& reason, uint32_t retry_ms = 0);
-  static ApiResponse error(uint32_t status, const std::string& code, const Findings& f);
+  static ApiResponse error(uint32_t status, const std::string& code, const Errors& f);
 };
 
 class HttpServer {
--- a/src/net/message_size.cpp
+++ b/src/net/message_size.cpp
@@ -5,13 +5,15 @@
 
 size_t bytes_of(const Records& v) {
   size_t n = 0;
-  for (auto& r : v) n += sizeof r + r.input.size() + r.output.size();
+  for (auto& r : v)
+    n += sizeof r + r.input.size() + r.output.size();
   return n;
 }
 
 size_t bytes_of(const std::vector<HistoryCopy>& v) {
   size_t n = 0;
-  for (auto& l : v) n += bytes_of(l.records);
+  for (auto& l : v)
+    n += bytes_of(l.records);
   return n;
 }
 
@@ -22,7 +24,10 @@
                              [](const AppendHistory& w) { return bytes_of(w.records); },
                              [](const StreamPartitionReply& r) { return bytes_of(r.histories); },
                              [](const FetchHistoriesReply& r) { return bytes_of(r.histories); },
-                             [](const FindChainReply& f) { return f.text.size(); }, [](const auto&) { return size_t{0}; }},
+                             [](const FindChainReply& f) { return f.text.size(); },
+                             [](const auto&) {
+                               return size_t{0};
+                             }},
                     m);
 }
 
--- a/src/net/protocol_codec.cpp
+++ b/src/net/protocol_codec.cpp
@@ -14,13 +14,15 @@
 
 std::string_view header_value(const HeaderFields& f, std::string_view name) {
   for (auto& [k, v] : f)
-    if (k.size() == name.size() && strncasecmp(k.data(), name.data(), k.size()) == 0) return v;
+    if (k.size() == name.size() && strncasecmp(k.data(), name.data(), k.size()) == 0)
+      return v;
   return {};
 }
 
 const ProtocolCodec* find_protocol_codec(const std::string& name) {
   for (auto* d : registry())
-    if (name == d->name()) return d;
+    if (name == d->name())
+      return d;
   return nullptr;
 }
 
--- a/src/net/protocol_codec.hpp
+++ b/src/net/protocol_codec.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // How the heads of callers and replicas are spelt; a platform's dialect is a plug-in that registers itself.
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
@@ -38,11 +38,12 @@
  public:
   virtual ~ProtocolCodec() = default;
   virtual const char* name() const = 0;
-  /// Findings where the head can't be understood.
+  /// Errors where the head can't be understood.
   virtual Result<RequestHeaders> parse_request(const HttpRequest& r) const = 0;
   virtual ResponseHeaders parse_response(uint32_t status, const HeaderFields& f) const = 0;
   /// Puts what is for the replica into a request's fields: the one meant, the time left, how urgent (0 first, 9 last).
-  virtual void set_upstream_headers(HeaderFields& f, const std::string& replica, Millis left, std::optional<uint32_t> urgency) const = 0;
+  virtual void set_upstream_headers(HeaderFields& f, const std::string& replica, Millis left,
+                                    std::optional<uint32_t> urgency) const = 0;
   /// The fields of a refusal, for a caller that may come back after `retry_ms` (0: says nothing).
   virtual HeaderFields rejection_headers(Millis retry_ms) const = 0;
   /// Whether this is the question if the front is ready.
--- a/src/net/replica_client.cpp
+++ b/src/net/replica_client.cpp
@@ -6,7 +6,6 @@
 #include <atomic>
 #include <nlohmann/json.hpp>
 
-
 namespace mosskeel {
 namespace {
 
@@ -31,7 +30,8 @@
 
   bool line(const std::string& s) {
     auto j = nlohmann::json::parse(s, nullptr, false);
-    if (!j.is_object()) return why = "a line of the stream is no JSON", false;
+    if (!j.is_object())
+      return why = "a line of the stream is no JSON", false;
     try {
       if (j.contains("seal")) {
         end.complete = true;
@@ -42,22 +42,27 @@
         return why = "pieces came after the seal", false;
       } else {
         (*hear)(ReplicaCallChunk{ask.attempt, j.at("n").get<uint32_t>(), j.at("text").get<std::string>(),
-                             j.at("tokens").get<uint64_t>()});
+                                 j.at("tokens").get<uint64_t>()});
       }
-    } catch (const nlohmann::json::exception& x) { return why = "a line of the stream lacks a field", false; }
+    } catch (const nlohmann::json::exception& x) {
+      return why = "a line of the stream lacks a field", false;
+    }
     return true;
   }
 
   size_t take(const char* p, size_t n) {
-    if (!status) curl_easy_getinfo(easy.get(), CURLINFO_RESPONSE_CODE, &status);
-    if (body.size() + n > kMaxHttpBodyBytes * 8) return why = "the answer is too long", 0;
+    if (!status)
+      curl_easy_getinfo(easy.get(), CURLINFO_RESPONSE_CODE, &status);
+    if (body.size() + n > kMaxHttpBodyBytes * 8)
+      return why = "the answer is too long", 0;
     if (ask.kind != "model" || status != 200) {
       body.append(p, n);
       return n;
     }
     rest.append(p, n);
     for (size_t at; (at = rest.find('\n')) != std::string::npos; rest.erase(0, at + 1))
-      if (!line(rest.substr(0, at))) return 0;
+      if (!line(rest.substr(0, at)))
+        return 0;
     return n;
   }
 };
@@ -71,7 +76,8 @@
   auto& x = *static_cast<Call*>(c);
   if (x.ask.kind != "model" && h.size() > 8 && strncasecmp(h.c_str(), "x-seal:", 7) == 0) {
     auto b = h.find_first_not_of(' ', 7), e = h.find_last_not_of("\r\n ");
-    if (auto v = unhex(h.substr(b, e - b + 1))) x.end.checksum = *v, x.end.complete = true;
+    if (auto v = unhex(h.substr(b, e - b + 1)))
+      x.end.checksum = *v, x.end.complete = true;
   }
   return s * n;
 }
@@ -142,7 +148,8 @@
 
   void drop(const std::string& attempt) {
     auto i = calls.find(attempt);
-    if (i == calls.end()) return;
+    if (i == calls.end())
+      return;
     curl_multi_remove_handle(multi.get(), i->second->easy.get());
     calls.erase(i);
   }
@@ -159,7 +166,8 @@
       curl_multi_perform(multi.get(), &n);
       CURLMsg* m;
       while ((m = curl_multi_info_read(multi.get(), &n))) {
-        if (m->msg != CURLMSG_DONE) continue;
+        if (m->msg != CURLMSG_DONE)
+          continue;
         Call* c = nullptr;
         auto rc = m->data.result;
         curl_easy_getinfo(m->easy_handle, CURLINFO_PRIVATE, &c);
@@ -168,7 +176,8 @@
       }
       curl_multi_poll(multi.get(), nullptr, 0, 100, nullptr);
     }
-    for (auto& [a, c] : calls) curl_multi_remove_handle(multi.get(), c->easy.get());
+    for (auto& [a, c] : calls)
+      curl_multi_remove_handle(multi.get(), c->easy.get());
     calls.clear();
   }
 };
--- a/src/net/transport.hpp
+++ b/src/net/transport.hpp
@@ -25,7 +25,7 @@
  public:
   /// A message and its size as it came.
   using Hear = std::function<void(Envelope, size_t bytes)>;
-  /// Findings if the address cannot be listened on.
+  /// Errors if the address cannot be listened on.
   static Result<std::unique_ptr<Transport>> open(const Address& at, Hear hear);
   ~Transport();
   /// Never blocks, never resends; false where the peer's queue is full.
--- a/src/net/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -21,14 +21,18 @@
 }
 
 bool spell(const UpstreamClient::Request& a, std::string& out) {
-  auto plain = [](char c) { return c > 0x20 && c < 0x7f; };
+  auto plain = [](char c) {
+    return c > 0x20 && c < 0x7f;
+  };
   if (a.method.empty() || a.target.empty() || !std::all_of(a.method.begin(), a.method.end(), plain) ||
       !std::all_of(a.target.begin(), a.target.end(), plain))
     return false;
   out = a.method + " " + a.target + " HTTP/1.1\r\n";
   for (auto& x : a.fields) {
-    if (!writable(x)) return false;
-    if (same_word(x.first, "Content-Length") || same_word(x.first, "Transfer-Encoding")) continue;
+    if (!writable(x))
+      return false;
+    if (same_word(x.first, "Content-Length") || same_word(x.first, "Transfer-Encoding"))
+      continue;
     out += x.first + ": " + x.second + "\r\n";
   }
   if (!a.body.empty() || a.method == "POST" || a.method == "PUT" || a.method == "PATCH")
@@ -44,17 +48,21 @@
     : loop_(loop), events_(std::move(events)), buffer_(one_read), self_(std::make_shared<UpstreamClient*>(this)) {}
 
 UpstreamClient::~UpstreamClient() {
-  while (!connections_.empty()) close(Held(connections_.begin()->second));
+  while (!connections_.empty())
+    close(Held(connections_.begin()->second));
 }
 
 uint64_t UpstreamClient::send_request(Request a) {
   auto id = ++last_id_;
   std::string out, wrong;
   Held c;
-  if (!spell(a, out)) wrong = "request malformed";
-  if (wrong.empty() && !a.new_connection) c = kept(a.to, a.max_idle_ms);
+  if (!spell(a, out))
+    wrong = "request malformed";
+  if (wrong.empty() && !a.new_connection)
+    c = kept(a.to, a.max_idle_ms);
   bool reused = c != nullptr;
-  if (!c) c = std::make_shared<Connection>();
+  if (!c)
+    c = std::make_shared<Connection>();
   c->to = a.to;
   c->id = id;
   c->out = std::move(out);
@@ -67,11 +75,14 @@
     send(c);
     return id;
   }
-  if (wrong.empty()) wrong = open(c, a.connect_ms);
+  if (wrong.empty())
+    wrong = open(c, a.connect_ms);
   if (!wrong.empty())
     loop_.post([this, id, wrong, alive = std::weak_ptr(self_)] {
-      if (!alive.lock()) return;
-      if (auto it = asks_.find(id); it != asks_.end()) lose(Held(it->second), wrong);
+      if (!alive.lock())
+        return;
+      if (auto it = asks_.find(id); it != asks_.end())
+        lose(Held(it->second), wrong);
     });
   return id;
 }
@@ -80,15 +91,18 @@
   auto it = idle_.find(to);
   while (it != idle_.end()) {
     Held c = it->second.back();
-    if (monotonic_ms() - c->idle_since > max_idle_ms) return nullptr;
+    if (monotonic_ms() - c->idle_since > max_idle_ms)
+      return nullptr;
     if (monotonic_ms() >= c->keep_until || !silent(c->fd.get())) {
       close(c);
       it = idle_.find(to);
       continue;
     }
     it->second.pop_back();
-    if (it->second.empty()) idle_.erase(it);
-    if (c->timer) loop_.cancel(std::exchange(c->timer, 0));
+    if (it->second.empty())
+      idle_.erase(it);
+    if (c->timer)
+      loop_.cancel(std::exchange(c->timer, 0));
     c->phase = Connection::Phase::asking;
     return c;
   }
@@ -97,9 +111,11 @@
 
 std::string UpstreamClient::open(const Held& c, Millis connect_ms) {
   auto e = parse_endpoint(c->to);
-  if (!e) return "not an address: " + c->to;
+  if (!e)
+    return "not an address: " + c->to;
   Fd fd(::socket(e->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!fd) return std::string("socket: ") + std::strerror(errno);
+  if (!fd)
+    return std::string("socket: ") + std::strerror(errno);
   set_socket_option(fd.get(), IPPROTO_TCP, TCP_NODELAY, 1);
   set_socket_option(fd.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledged_ms);
   ++opened_;
@@ -117,18 +133,21 @@
 }
 
 void UpstreamClient::cancel(uint64_t id) {
-  if (auto it = asks_.find(id); it != asks_.end()) close(Held(it->second));
+  if (auto it = asks_.find(id); it != asks_.end())
+    close(Held(it->second));
 }
 
 void UpstreamClient::skip_response(uint64_t id) {
   auto it = asks_.find(id);
-  if (it == asks_.end()) return;
+  if (it == asks_.end())
+    return;
   it->second->skipping = true;
 }
 
 void UpstreamClient::pause(uint64_t id, bool on) {
   auto it = asks_.find(id);
-  if (it == asks_.end()) return;
+  if (it == asks_.end())
+    return;
   it->second->paused = on;
   interest(it->second);
 }
@@ -136,21 +155,26 @@
 void UpstreamClient::forget(const Address& a) {
   std::vector<Held> idle;
   for (auto& [_, c] : connections_) {
-    if (c->to != a) continue;
+    if (c->to != a)
+      continue;
     c->reusable = false;
-    if (c->phase == Connection::Phase::idle) idle.push_back(c);
+    if (c->phase == Connection::Phase::idle)
+      idle.push_back(c);
   }
-  for (auto& c : idle) close(c);
+  for (auto& c : idle)
+    close(c);
 }
 
 size_t UpstreamClient::idle() const {
   size_t n = 0;
-  for (auto& [_, q] : idle_) n += q.size();
+  for (auto& [_, q] : idle_)
+    n += q.size();
   return n;
 }
 
 void UpstreamClient::keep(const Held& c) {
-  if (!c->reusable || c->keep_ms <= 0) return close(c);
+  if (!c->reusable || c->keep_ms <= 0)
+    return close(c);
   c->phase = Connection::Phase::idle;
   c->headed = c->bodiless = c->chunked = c->paused = c->handed = false;
   c->left.reset();
@@ -164,25 +188,32 @@
     c->timer = 0;
     close(Held(connections_.at(c)));
   });
-  if (q.size() > most_idle) close(Held(q.front()));
+  if (q.size() > most_idle)
+    close(Held(q.front()));
 }
 
 void UpstreamClient::lose(const Held& c, std::string reason) {
   auto id = c->id;
   auto how = c->handed ? Delivery::possibly_sent : Delivery::not_sent;
   close(c);
-  if (id && events_.lost) events_.lost(id, how, std::move(reason));
+  if (id && events_.lost)
+    events_.lost(id, how, std::move(reason));
 }
 
 void UpstreamClient::close(const Held& c) {
-  if (std::exchange(c->phase, Connection::Phase::gone) == Connection::Phase::gone) return;
+  if (std::exchange(c->phase, Connection::Phase::gone) == Connection::Phase::gone)
+    return;
   if (auto it = idle_.find(c->to); it != idle_.end()) {
     std::erase(it->second, c);
-    if (it->second.empty()) idle_.erase(it);
+    if (it->second.empty())
+      idle_.erase(it);
   }
-  if (c->id) asks_.erase(std::exchange(c->id, 0));
-  if (c->timer) loop_.cancel(std::exchange(c->timer, 0));
-  if (c->fd) loop_.unwatch(c->fd.get());
+  if (c->id)
+    asks_.erase(std::exchange(c->id, 0));
+  if (c->timer)
+    loop_.cancel(std::exchange(c->timer, 0));
+  if (c->fd)
+    loop_.unwatch(c->fd.get());
   c->fd = Fd();
   std::string().swap(c->in), std::string().swap(c->out);
   connections_.erase(c.get());
--- a/src/net/upstream_client.hpp
+++ b/src/net/upstream_client.hpp
@@ -2,8 +2,8 @@
 // HTTP/1.1 towards replicas, on a loop.
 #include <deque>
 
-#include "net/protocol_codec.hpp"
 #include "net/event_loop.hpp"
+#include "net/protocol_codec.hpp"
 
 namespace mosskeel {
 
--- a/src/net/wire.cpp
+++ b/src/net/wire.cpp
@@ -1,7 +1,6 @@
 #include "net/wire.hpp"
 #include "messages/constants.hpp"
 
-
 namespace mosskeel {
 
 std::string encode(const Envelope& e) {
@@ -12,12 +11,15 @@
 
 std::optional<Envelope> decode(std::string_view s) {
   uint64_t sum;
-  if (s.size() < sizeof sum) return std::nullopt;
+  if (s.size() < sizeof sum)
+    return std::nullopt;
   codec::Reader r{s.substr(s.size() - sizeof sum)};
   s.remove_suffix(sizeof sum);
-  if (!codec::get(r, sum) || sum != digest(s)) return std::nullopt;
+  if (!codec::get(r, sum) || sum != digest(s))
+    return std::nullopt;
   auto e = codec::unpack<Envelope>(s);
-  if (!e || e->protocol != kProtocolRevision) return std::nullopt;
+  if (!e || e->protocol != kProtocolRevision)
+    return std::nullopt;
   return e;
 }
 
--- a/src/programs/admission_policy.hpp
+++ b/src/programs/admission_policy.hpp
@@ -44,7 +44,8 @@
 class ReplicaSelector {
  public:
   /// The replica with a free place that suits best, or nothing; `busy` tells whether any would do later.
-  const Replica* select_replica(const ProgramRequest& e, const Metadata& m, const Daemon& me, Millis now, bool& any) const;
+  const Replica* select_replica(const ProgramRequest& e, const Metadata& m, const Daemon& me, Millis now,
+                                bool& any) const;
   void took(const std::string& replica, const ProgramRequest& e);
   void gave(const std::string& replica, const ProgramRequest& e);
   void back_off(const std::string& replica, Millis now);
--- a/src/programs/gateway_machine.hpp
+++ b/src/programs/gateway_machine.hpp
@@ -2,9 +2,9 @@
 // A gateway: owner of its partitions' programs, proxy to the owners of all others.
 #include <boost/heap/priority_queue.hpp>
 
+#include "history/history_writer.hpp"
 #include "programs/admission_policy.hpp"
 #include "replication/follower.hpp"
-#include "history/history_writer.hpp"
 #include "routing/routing_snapshot.hpp"
 #include "routing/turn_client.hpp"
 
@@ -110,7 +110,7 @@
   const Daemon* me() const { return metadata_log_.view()->find(out_.id().self.incarnation); }
   const Daemon* owner(PartitionId s) const {
     auto& m = *metadata_log_.view();
-    return s.v < m.partitions.size() ? m.find(m.partitions[s.v].owner) : nullptr;
+    return s.value() < m.partitions.size() ? m.find(m.partitions[s.value()].owner) : nullptr;
   }
   Situation situation(Millis now, const ProgramRequest& e, bool proxied) const;
   Millis expected_wait(const std::string& kind, bool urgent) const;
--- a/src/programs/history_closer.cpp
+++ b/src/programs/history_closer.cpp
@@ -14,9 +14,11 @@
 /// A majority of the history's stores must say it, each by its own clock, and nothing may be under way.
 void GatewayMachine::on(const Envelope& e, const HistoryExpired& x, Millis now) {
   auto* d = metadata_log_.view()->find(e.from_inc);
-  if (!d || x.partition != partition_of(x.history.cell, x.history.program)) return;
+  if (!d || x.partition != partition_of(x.history.cell, x.history.program))
+    return;
   auto s = history_writer_.open(x.history, now);
-  if (s != HistoryWriter::State::open) return;
+  if (s != HistoryWriter::State::open)
+    return;
   auto& v = history_writer_.records(x.history);
   if (history_writer_.ended(x.history)) {
     if (history_writer_.committed_length(x.history) >= v.size())
@@ -29,12 +31,17 @@
     auto i = said.find(id);
     return i != said.end() && i->second == v.size();
   };
-  if (v.empty() || history_writer_.committed_length(x.history) < v.size() || !history_writer_.has_quorum(x.history, agrees)) return;
-  if (std::any_of(works_.begin(), works_.end(), [&](auto& w) { return w.second.history == x.history; })) return;
+  if (v.empty() || history_writer_.committed_length(x.history) < v.size() ||
+      !history_writer_.has_quorum(x.history, agrees))
+    return;
+  if (std::any_of(works_.begin(), works_.end(), [&](auto& w) { return w.second.history == x.history; }))
+    return;
   std::map<std::string, const Record*> last;
-  for (auto& r : v) last[r.key] = &r;
+  for (auto& r : v)
+    last[r.key] = &r;
   for (auto& [k, r] : last)
-    if (r->kind == RecordKind::reservation && running_elsewhere(x.history, *r, now)) return;
+    if (r->kind == RecordKind::reservation && running_elsewhere(x.history, *r, now))
+      return;
   Record r{};
   r.kind = RecordKind::ended;
   history_writer_.append(x.history, r, now);
--- a/src/programs/replica_dispatcher.cpp
+++ b/src/programs/replica_dispatcher.cpp
@@ -3,23 +3,25 @@
 
 #include <nlohmann/json.hpp>
 
-#include "programs/model_request_body.hpp"
-#include "programs/gateway_machine.hpp"
 #include "programs/constants.hpp"
+#include "programs/gateway_machine.hpp"
+#include "programs/model_request_body.hpp"
 #include "runtime/constants.hpp"
 
 namespace mosskeel {
 
 void GatewayMachine::enqueue(Ref w) {
   w.stage = Stage::queued;
-  if (w.asked == 0) w.asked = w.born;
+  if (w.asked == 0)
+    w.asked = w.born;
   queue_.push({w.e.urgent, w.seq, w.e.attempt});
 }
 
 /// How long a request that came now would wait: those before it, at the pace at which the queue was seen to move.
 Millis GatewayMachine::expected_wait(const std::string& kind, bool urgent) const {
   auto i = paces_.find(kind);
-  if (i == paces_.end()) return 0;
+  if (i == paces_.end())
+    return 0;
   auto before = std::count_if(works_.begin(), works_.end(), [&](auto& x) {
     auto& w = x.second;
     return w.e.kind == kind && (w.stage == Stage::queued || w.stage == Stage::opening) && (!urgent || w.e.urgent);
@@ -32,8 +34,7 @@
   auto& p = paces_[kind];
   bool busy = p.last && count(Stage::queued) > 1;
   if (busy)
-    p.interval +=
-        (static_cast<double>(std::min(now - p.last, kMaxQueueWait)) - p.interval) * kQueuePaceSmoothing;
+    p.interval += (static_cast<double>(std::min(now - p.last, kMaxQueueWait)) - p.interval) * kQueuePaceSmoothing;
   p.last = now;
 }
 
@@ -44,7 +45,8 @@
     auto k = queue_.top();
     queue_.pop();
     auto i = works_.find(k.attempt);
-    if (i == works_.end() || i->second.stage != Stage::queued) continue;
+    if (i == works_.end() || i->second.stage != Stage::queued)
+      continue;
     auto& w = i->second;
     bool any = false;
     auto* r = has_majority_contact(now) ? nom_.select_replica(w.e, *metadata_log_.view(), *d, now, any) : nullptr;
@@ -56,7 +58,8 @@
       continue;
     }
     if (!w.direct) {
-      if (history_writer_.open(w.history, now) != HistoryWriter::State::open || history_writer_.term(w.history) != w.term) {
+      if (history_writer_.open(w.history, now) != HistoryWriter::State::open ||
+          history_writer_.term(w.history) != w.term) {
         route(w, now);
         continue;
       }
@@ -64,7 +67,8 @@
         gone(w, now);
         continue;
       }
-      if (!examine(w, now)) continue;
+      if (!examine(w, now))
+        continue;
     }
     w.replica = r->name;
     nom_.took(r->name, w.e);
@@ -74,11 +78,13 @@
     else
       reserve(w, now);
   }
-  for (auto& k : back) queue_.push(k);
+  for (auto& k : back)
+    queue_.push(k);
 }
 
 void GatewayMachine::free_replica(Ref w) {
-  if (!w.replica.empty()) nom_.gave(w.replica, w.e);
+  if (!w.replica.empty())
+    nom_.gave(w.replica, w.e);
   w.replica.clear();
 }
 
@@ -95,7 +101,8 @@
     std::vector<ChainLink> chain;
     std::map<std::string, std::string> input;
     for (auto& r : history_writer_.records(w.history)) {
-      if (r.thread != w.e.thread) continue;
+      if (r.thread != w.e.thread)
+        continue;
       if (r.kind == RecordKind::reservation)
         input[r.key] = r.input;
       else if (r.status == 200)
@@ -113,7 +120,8 @@
 
 void GatewayMachine::on(const ReplicaCallChunk& p, Millis now) {
   auto i = works_.find(p.attempt);
-  if (i == works_.end() || i->second.stage != Stage::running) return;
+  if (i == works_.end() || i->second.stage != Stage::running)
+    return;
   auto& w = i->second;
   w.last = now;
   auto fail = [&](const std::string& why) {
@@ -122,8 +130,10 @@
     out_.send("replica:" + w.replica, CancelReplicaCall{p.attempt});
     settle(w, 502, Outcome::unknown, why, w.reservation, now);
   };
-  if (p.index != w.pieces) return fail("the replica's stream skipped or repeated a piece");
-  if (w.tokens + p.tokens > w.reservation) return fail("the replica's answer exceeds the turn's tokens");
+  if (p.index != w.pieces)
+    return fail("the replica's stream skipped or repeated a piece");
+  if (w.tokens + p.tokens > w.reservation)
+    return fail("the replica's answer exceeds the turn's tokens");
   w.tokens += p.tokens;
   w.text += p.text;
   ++w.pieces;
@@ -132,11 +142,14 @@
 
 void GatewayMachine::on(const ReplicaCallResponse& r, Millis now) {
   auto i = works_.find(r.attempt);
-  if (i == works_.end() || i->second.stage != Stage::running) return;
+  if (i == works_.end() || i->second.stage != Stage::running)
+    return;
   auto& w = i->second;
-  if (w.e.kind == "app") w.text = r.body;
+  if (w.e.kind == "app")
+    w.text = r.body;
   bool whole = r.complete && r.status == 200 && r.checksum == digest(w.text);
-  if (w.e.kind == "model") whole = whole && r.chunks == w.pieces && r.tokens == w.tokens;
+  if (w.e.kind == "model")
+    whole = whole && r.chunks == w.pieces && r.tokens == w.tokens;
   if (whole) {
     retries_ = std::min(retries_ + kRetryBudgetPerSuccess, 10.0);
     return settle(w, 200, Outcome::yes, "", w.tokens, now);
@@ -163,7 +176,8 @@
         return dispatch(w, now);
       }
     }
-    if (!r.request_sent) return settle(w, 0, Outcome::no, "no replica could be reached", 0, now);
+    if (!r.request_sent)
+      return settle(w, 0, Outcome::no, "no replica could be reached", 0, now);
   }
   if (r.complete && r.status >= 400 && r.status < 500)
     return settle(w, r.status, Outcome::yes, "the replica refused: " + r.body, 0, now);
@@ -182,7 +196,8 @@
   std::map<std::string, bool> open;
   uint64_t spent = 0;
   for (auto& r : v) {
-    if (!history_writer_.is_committed(w.history, r)) break;
+    if (!history_writer_.is_committed(w.history, r))
+      break;
     open[r.key] = r.kind == RecordKind::reservation;
     if (r.kind == RecordKind::reservation) {
       reservations[r.key] = &r;
@@ -199,7 +214,8 @@
   }
   uint64_t reserved = 0;
   for (auto& [k, o] : open)
-    if (o) reserved += reservations[k]->tokens;
+    if (o)
+      reserved += reservations[k]->tokens;
   j["tokens"] = {{"spent", spent}, {"reserved", reserved}, {"budget", c ? c->budget : 0}};
   w.end = {w.e.attempt, 200, Outcome::yes, "", j.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace), 0,
            0,           0,   false,        0};
--- a/src/programs/request_forwarder.cpp
+++ b/src/programs/request_forwarder.cpp
@@ -7,7 +7,8 @@
 void GatewayMachine::proxy(Ref w, Millis now) {
   w.last = now;
   auto* o = metadata_log_.view()->find(w.target);
-  if (!o) return;
+  if (!o)
+    return;
   w.sent = true;
   ++metrics_["requests_forwarded_out"];
   out_.send(o->self.address, w.e, o->self.incarnation);
@@ -15,13 +16,16 @@
 
 void GatewayMachine::on(const Envelope& e, const ProgramResponseChunk& x, Millis now) {
   auto i = works_.find(x.attempt);
-  if (i == works_.end() || i->second.stage != Stage::proxying) return;
+  if (i == works_.end() || i->second.stage != Stage::proxying)
+    return;
   auto& w = i->second;
   auto* d = metadata_log_.view()->find(w.target);
-  if (!d || d->self.incarnation != e.from_inc) return;
+  if (!d || d->self.incarnation != e.from_inc)
+    return;
   w.seen = true;
   w.last = now;
-  if (x.index != w.pieces) return;
+  if (x.index != w.pieces)
+    return;
   w.text += x.text;
   ++w.pieces;
   out_.send(w.reply, x);
@@ -29,20 +33,24 @@
 
 void GatewayMachine::on(const Envelope& e, const ProgramResponse& x, Millis now) {
   auto i = works_.find(x.attempt);
-  if (i == works_.end() || i->second.stage != Stage::proxying) return;
+  if (i == works_.end() || i->second.stage != Stage::proxying)
+    return;
   auto& w = i->second;
   auto* d = metadata_log_.view()->find(w.target);
-  if (!d || d->self.incarnation != e.from_inc) return;
+  if (!d || d->self.incarnation != e.from_inc)
+    return;
   if (x.wrong_owner) {
     w.sent = false;
     w.seen = false;
     w.last = now;
     auto* o = owner(w.partition);
-    if (o && o->id != w.target) route(w, now);
+    if (o && o->id != w.target)
+      route(w, now);
     return;
   }
   w.end = x;
-  if (w.outcome_unknown && x.executed == Outcome::no && x.status != 429) w.end.executed = Outcome::unknown;
+  if (w.outcome_unknown && x.executed == Outcome::no && x.status != 429)
+    w.end.executed = Outcome::unknown;
   complete(w, now);
 }
 
--- a/src/replication/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -2,11 +2,12 @@
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
 
-
 namespace mosskeel {
 
 AgentMachine::AgentMachine(const Identity& id, Millis now) : out_(id), follower_(out_, metadata_log_, now) {
-  follower_.on_entry = [this](const Entry& e) { out_.send(out_.id().self.agent_address, Decided{e}); };
+  follower_.on_entry = [this](const Entry& e) {
+    out_.send(out_.id().self.agent_address, Decided{e});
+  };
 }
 
 Actions AgentMachine::step(const Envelope& e, Millis now) {
@@ -23,14 +24,17 @@
   follower_.handle(e, now);
   if (metadata_log_.epoch() != before) {
     auto v = tick(now);
-    for (auto& s : v.now) out_.act.now.push_back(std::move(s));
-    for (auto& n : v.notes) out_.act.notes.push_back(std::move(n));
+    for (auto& s : v.now)
+      out_.act.now.push_back(std::move(s));
+    for (auto& n : v.notes)
+      out_.act.notes.push_back(std::move(n));
   }
   return out_.take();
 }
 
 Actions AgentMachine::tick(Millis now) {
-  if (leaving_ && (gateway_replaced_ || now - heard_ > kAgentShutdownDelay)) out_.act.stop = true;
+  if (leaving_ && (gateway_replaced_ || now - heard_ > kAgentShutdownDelay))
+    out_.act.stop = true;
   bool fresh = mine_ && now - heard_ < kHeartbeatInterval * 3;
   follower_.tick(now, fresh ? &*mine_ : nullptr);
   auto& m = *metadata_log_.view();
@@ -40,7 +44,8 @@
     next_leave_ = now + kCommitAttemptTimeout / 4;
     for (auto id : m.members)
       if (auto* c = m.find(id); c->state != DaemonState::down) {
-        out_.send(c->self.address, Commit{"leave-" + hex(d->self.incarnation.v), PrepareDrain{d->id}, metadata_log_.epoch()});
+        out_.send(c->self.address,
+                  Commit{"leave-" + hex(d->self.incarnation.value()), PrepareDrain{d->id}, metadata_log_.epoch()});
         break;
       }
   }
--- a/src/replication/constants.hpp
+++ b/src/replication/constants.hpp
@@ -4,25 +4,26 @@
 
 namespace mosskeel {
 
-/// ms; six fit into the 2 s in which a configuration must be in force
+/// Milliseconds; six fit into the 2 s in which a configuration must be in force.
 constexpr Millis kHeartbeatInterval = 300;
-/// ms; between discovery rounds of a daemon that has no contact yet
+/// Milliseconds; between discovery rounds of a daemon that has no contact yet.
 constexpr Millis kDiscoveryInterval = 200;
-/// ms; without contact with a majority for this long, a gateway stops dispatching
+/// Milliseconds; without contact with a majority for this long, a gateway stops dispatching.
 constexpr Millis kIsolationTimeout = 2000;
-/// ms; without a majority of the core for this long, all daemons are asked; fits twice into kIsolationTimeout
+/// Milliseconds; without a majority of the core for this long, all daemons are asked; fits twice into
+/// kIsolationTimeout.
 constexpr Millis kCoreSilenceTimeout = 900;
-/// entries kept behind the checkpoint for catch-up
+/// Entries kept behind the checkpoint for catch-up.
 constexpr size_t kLogEntriesKept = 512;
-/// bytes of them, encoded; beyond that the whole value is sent
+/// Bytes of them, encoded; beyond that the whole value is sent.
 constexpr size_t kLogBytesKept = 2u << 20;
-/// bytes of entries in a heartbeat's reply; more only for who asks
+/// Bytes of entries in a heartbeat's reply; more only for who asks.
 constexpr size_t kMaxHeartbeatReplyBytes = 64u << 10;
-/// ms; between catch-up requests of a lagging daemon, so that large replies are not doubled
+/// Milliseconds; between catch-up requests of a lagging daemon, so that large replies are not doubled.
 constexpr Millis kCatchUpInterval = 500;
-/// entries in one reply; beyond that a snapshot is sent
+/// Entries in one reply; beyond that a snapshot is sent.
 constexpr size_t kMaxEntriesPerReply = 256;
-/// ms; an agent outlives its gateway, which may be starved of processor time
+/// Milliseconds; an agent outlives its gateway, which may be starved of processor time.
 constexpr Millis kAgentShutdownDelay = 2000;
 
 }  // namespace mosskeel
--- a/src/replication/metadata_log.cpp
+++ b/src/replication/metadata_log.cpp
@@ -5,15 +5,19 @@
 
 std::vector<Entry> MetadataLog::add(const Entry& e) {
   std::vector<Entry> done;
-  if (e.epoch <= epoch()) return done;
-  if (waiting_.size() < kLogEntriesKept || e.epoch == next(epoch())) waiting_[e.epoch] = e;
+  if (e.epoch <= epoch())
+    return done;
+  if (waiting_.size() < kLogEntriesKept || e.epoch == next(epoch()))
+    waiting_[e.epoch] = e;
   while (!waiting_.empty() && waiting_.begin()->first <= next(epoch())) {
     auto x = std::move(waiting_.begin()->second);
     waiting_.erase(waiting_.begin());
-    if (x.epoch != next(epoch())) continue;
+    if (x.epoch != next(epoch()))
+      continue;
     auto r = apply(*view_, x);
-    if (!ok(r)) break;
-    view_ = std::make_shared<Metadata>(std::get<Metadata>(std::move(r)));
+    if (!r.ok())
+      break;
+    view_ = std::make_shared<Metadata>(std::move(r).value());
     recent_.push_back(x);
     weights_.push_back(codec::pack(x).size());
     weight_ += weights_.back();
@@ -27,9 +31,11 @@
 }
 
 bool MetadataLog::install_snapshot(const Metadata& m) {
-  if (m.epoch <= epoch()) return false;
+  if (m.epoch <= epoch())
+    return false;
   bool ours = !view_->cluster || m.cluster == view_->cluster || is_successor_cluster(*view_, m.cluster);
-  if (!ours) return false;
+  if (!ours)
+    return false;
   view_ = std::make_shared<Metadata>(m);
   recent_.clear(), weights_.clear();
   weight_ = 0;
@@ -38,17 +44,22 @@
 }
 
 std::pair<std::optional<Metadata>, Entries> MetadataLog::updates_since(Epoch known) const {
-  if (known >= epoch()) return {};
-  size_t lack = epoch().v - known.v;
-  if (lack > recent_.size() || lack > kMaxEntriesPerReply) return {*view_, {}};
+  if (known >= epoch())
+    return {};
+  size_t lack = epoch().value() - known.value();
+  if (lack > recent_.size() || lack > kMaxEntriesPerReply)
+    return {*view_, {}};
   return {std::nullopt, Entries(recent_.end() - static_cast<ptrdiff_t>(lack), recent_.end())};
 }
 
 std::pair<std::optional<Metadata>, Entries> MetadataLog::small_updates_since(Epoch known) const {
-  size_t lack = known < epoch() ? epoch().v - known.v : 0, bytes = 0;
-  if (lack > recent_.size()) return {};
-  for (size_t i = weights_.size() - lack; i < weights_.size(); ++i) bytes += weights_[i];
-  if (bytes > kMaxHeartbeatReplyBytes) return {};
+  size_t lack = known < epoch() ? epoch().value() - known.value() : 0, bytes = 0;
+  if (lack > recent_.size())
+    return {};
+  for (size_t i = weights_.size() - lack; i < weights_.size(); ++i)
+    bytes += weights_[i];
+  if (bytes > kMaxHeartbeatReplyBytes)
+    return {};
   return updates_since(known);
 }
 
--- a/src/replication/metadata_log.hpp
+++ b/src/replication/metadata_log.hpp
@@ -2,8 +2,8 @@
 // The local log: entries in order, the value they make, and what a laggard needs.
 #include <deque>
 
-#include "runtime/state_machine.hpp"
 #include "replication/constants.hpp"
+#include "runtime/state_machine.hpp"
 
 namespace mosskeel {
 
@@ -36,7 +36,8 @@
 class CatchupRateLimiter {
  public:
   bool may_request(Epoch known, Millis now) {
-    if (now < next_ && asked_ == known) return false;
+    if (now < next_ && asked_ == known)
+      return false;
     next_ = now + kCatchUpInterval;
     asked_ = known;
     return true;
--- a/src/routing/event_reader.cpp
+++ b/src/routing/event_reader.cpp
@@ -3,11 +3,13 @@
 namespace mosskeel {
 
 void EventReader::line(std::string_view s) {
-  if (s.ends_with('\r')) s.remove_suffix(1);
+  if (s.ends_with('\r'))
+    s.remove_suffix(1);
   if (s.empty()) {
     if (any_) {
       ++events_;
-      if (gather_) data_ += event_ + "\n";
+      if (gather_)
+        data_ += event_ + "\n";
       last_id_ = id_;
     }
     event_.clear();
@@ -17,11 +19,15 @@
   auto colon = s.find(':');
   auto name = s.substr(0, colon);
   auto value = colon == std::string_view::npos ? std::string_view{} : s.substr(colon + 1);
-  if (value.starts_with(' ')) value.remove_prefix(1);
-  if (name == "id") id_ = value;
-  if (name != "data") return;
+  if (value.starts_with(' '))
+    value.remove_prefix(1);
+  if (name == "id")
+    id_ = value;
+  if (name != "data")
+    return;
   if (gather_) {
-    if (any_) event_ += '\n';
+    if (any_)
+      event_ += '\n';
     event_ += value;
   }
   any_ = true;
--- a/src/routing/event_reader.hpp
+++ b/src/routing/event_reader.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Reads a text/event-stream as it passes: counts events and gathers their data.
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
