--- a/src/routing/http_frontend.cpp
+++ b/src/routing/http_frontend.cpp
@@ -9,21 +9,24 @@
   replicas_ = std::make_unique<UpstreamClient>(loop, replica_events());
 }
 
-Result<std::unique_ptr<HttpFrontend>> HttpFrontend::open(EventLoop& loop, const ProtocolCodec& dialect, const Address& at,
-                                                   Snapshot snapshot, SendToOwner tell) {
+Result<std::unique_ptr<HttpFrontend>> HttpFrontend::open(EventLoop& loop, const ProtocolCodec& dialect,
+                                                         const Address& at, Snapshot snapshot, SendToOwner tell) {
   std::unique_ptr<HttpFrontend> made(new HttpFrontend(loop, dialect, std::move(snapshot), std::move(tell)));
   auto* front = made.get();
   HttpListener::Callbacks events{[front](uint64_t id, HttpRequest&& request) {
-                                front->step(routing::RequestReceived{id, std::move(request)});
-                              },
-                              [front](uint64_t id) {
-                                front->backpressure_->on_finished(id);
-                                front->step(routing::CallerDisconnected{id});
-                              },
-                              [front](uint64_t id) { front->backpressure_->on_drained(id); }};
+                                   front->step(routing::RequestReceived{id, std::move(request)});
+                                 },
+                                 [front](uint64_t id) {
+                                   front->backpressure_->on_finished(id);
+                                   front->step(routing::CallerDisconnected{id});
+                                 },
+                                 [front](uint64_t id) {
+                                   front->backpressure_->on_drained(id);
+                                 }};
   auto callers = HttpListener::open(loop, at, std::move(events));
-  if (!ok(callers)) return findings(callers);
-  made->callers_ = std::move(std::get<0>(callers));
+  if (!callers.ok())
+    return callers.errors();
+  made->callers_ = std::move(callers).value();
   made->backpressure_ = std::make_unique<Backpressure>(*made->callers_, *made->replicas_);
   return made;
 }
@@ -31,7 +34,7 @@
 UpstreamClient::Callbacks HttpFrontend::replica_events() {
   return {[this](uint64_t upstream, UpstreamClient::ResponseHead&& answer) {
             step(routing::ResponseHeadersReceived{ask_of(upstream), answer.status, std::move(answer.fields),
-                                      std::move(answer.previous_tag)});
+                                                  std::move(answer.previous_tag)});
           },
           [this](uint64_t upstream, std::string_view bytes) {
             step(routing::ResponseDataReceived{ask_of(upstream), std::string(bytes)});
@@ -67,10 +70,14 @@
 
 void HttpFrontend::take_limits(const CallerLimits& limits) {
   HttpListenerLimits taken;
-  if (limits.head_bytes) taken.max_head_bytes = limits.head_bytes;
-  if (limits.body_bytes) taken.max_body_bytes = limits.body_bytes;
-  if (limits.head_ms) taken.head_timeout_ms = limits.head_ms;
-  if (limits.idle_ms) taken.idle_timeout_ms = limits.idle_ms;
+  if (limits.head_bytes)
+    taken.max_head_bytes = limits.head_bytes;
+  if (limits.body_bytes)
+    taken.max_body_bytes = limits.body_bytes;
+  if (limits.head_ms)
+    taken.head_timeout_ms = limits.head_ms;
+  if (limits.idle_ms)
+    taken.idle_timeout_ms = limits.idle_ms;
   callers_->set_limits(taken);
 }
 
@@ -86,29 +93,33 @@
 
 void HttpFrontend::act(routing::Actions actions) {
   for (auto& action : actions)
-    std::visit(overload{[&](routing::SendResponse& x) { callers_->send_response(x.id, x.status, x.fields, x.body); },
-                        [&](routing::SendResponseHeaders& x) { callers_->send_head(x.id, x.status, x.fields, std::nullopt); },
-                        [&](routing::SendResponseData& x) { act(x); },
-                        [&](routing::EndResponse& x) {
-                          backpressure_->on_finished(x.id);
-                          callers_->finish(x.id);
-                        },
-                        [&](routing::ResetResponse& x) {
-                          backpressure_->on_finished(x.id);
-                          callers_->abort(x.id);
-                        },
-                        [&](routing::SendToReplica& x) { act(x); }, [&](routing::CancelAttempt& x) { act(x); },
-                        [&](routing::SkipStaleResponse& x) {
-                          if (auto i = upstream_of_ask_.find(x.ask); i != upstream_of_ask_.end())
-                            replicas_->skip_response(i->second);
-                        },
-                        [&](routing::SendToOwner& x) { tell_owner_(std::move(x.body)); }},
-               action);
+    std::visit(
+        overload{[&](routing::SendResponse& x) { callers_->send_response(x.id, x.status, x.fields, x.body); },
+                 [&](routing::SendResponseHeaders& x) { callers_->send_head(x.id, x.status, x.fields, std::nullopt); },
+                 [&](routing::SendResponseData& x) { act(x); },
+                 [&](routing::EndResponse& x) {
+                   backpressure_->on_finished(x.id);
+                   callers_->finish(x.id);
+                 },
+                 [&](routing::ResetResponse& x) {
+                   backpressure_->on_finished(x.id);
+                   callers_->abort(x.id);
+                 },
+                 [&](routing::SendToReplica& x) { act(x); }, [&](routing::CancelAttempt& x) { act(x); },
+                 [&](routing::SkipStaleResponse& x) {
+                   if (auto i = upstream_of_ask_.find(x.ask); i != upstream_of_ask_.end())
+                     replicas_->skip_response(i->second);
+                 },
+                 [&](routing::SendToOwner& x) {
+                   tell_owner_(std::move(x.body));
+                 }},
+        action);
 }
 
 void HttpFrontend::act(routing::SendResponseData& x) {
   callers_->send_body(x.id, x.bytes);
-  if (auto i = upstream_of_ask_.find(x.ask); i != upstream_of_ask_.end()) backpressure_->on_forwarded(x.id, i->second);
+  if (auto i = upstream_of_ask_.find(x.ask); i != upstream_of_ask_.end())
+    backpressure_->on_forwarded(x.id, i->second);
 }
 
 void HttpFrontend::act(routing::SendToReplica& x) {
@@ -122,7 +133,8 @@
 
 void HttpFrontend::act(routing::CancelAttempt& x) {
   auto i = upstream_of_ask_.find(x.ask);
-  if (i == upstream_of_ask_.end()) return;
+  if (i == upstream_of_ask_.end())
+    return;
   auto upstream = i->second;
   replicas_->cancel(upstream);
   forget_ask(upstream);
--- a/src/routing/http_frontend.hpp
+++ b/src/routing/http_frontend.hpp
@@ -15,9 +15,9 @@
   using SendToOwner = std::function<void(Message)>;
   /// Gives what the control state says now; asked for before each step.
   using Snapshot = std::function<std::shared_ptr<const RoutingSnapshot>()>;
-  /// Findings where the address can't be listened on.
+  /// Errors where the address can't be listened on.
   static Result<std::unique_ptr<HttpFrontend>> open(EventLoop& loop, const ProtocolCodec& dialect, const Address& at,
-                                                 Snapshot snapshot, SendToOwner tell);
+                                                    Snapshot snapshot, SendToOwner tell);
   void step(routing::Event event);
   void tick();
   Address at() const { return callers_->local_address(); }
--- a/src/routing/recent_attempts.hpp
+++ b/src/routing/recent_attempts.hpp
@@ -3,7 +3,7 @@
 #include <deque>
 #include <unordered_set>
 
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 #include "routing/constants.hpp"
 
 namespace mosskeel {
--- a/src/routing/request_router.hpp
+++ b/src/routing/request_router.hpp
@@ -1,11 +1,11 @@
 #pragma once
 // A front's way of callers' HTTP: one machine for all requests on the traffic thread, without socket or clock.
-#include "net/protocol_codec.hpp"
 #include "messages/message.hpp"
+#include "net/protocol_codec.hpp"
 #include "routing/event_reader.hpp"
-#include "routing/route_table.hpp"
-#include "routing/recent_attempts.hpp"
 #include "routing/load_balancer.hpp"
+#include "routing/recent_attempts.hpp"
+#include "routing/route_table.hpp"
 
 namespace mosskeel::routing {
 
@@ -37,8 +37,8 @@
   bool sent;
   std::string reason;
 };
-using Event =
-    std::variant<RequestReceived, CallerDisconnected, ResponseHeadersReceived, ResponseDataReceived, ResponseCompleted, AttemptFailed, ReserveTurnReply, CommitTurnReply>;
+using Event = std::variant<RequestReceived, CallerDisconnected, ResponseHeadersReceived, ResponseDataReceived,
+                           ResponseCompleted, AttemptFailed, ReserveTurnReply, CommitTurnReply>;
 
 /// What the traffic wants done.
 struct SendResponse {
@@ -84,8 +84,8 @@
 struct SendToOwner {
   Message body;
 };
-using Action = std::variant<SendResponse, SendResponseHeaders, SendResponseData, EndResponse, ResetResponse, SendToReplica, CancelAttempt,
-                            SkipStaleResponse, SendToOwner>;
+using Action = std::variant<SendResponse, SendResponseHeaders, SendResponseData, EndResponse, ResetResponse,
+                            SendToReplica, CancelAttempt, SkipStaleResponse, SendToOwner>;
 using Actions = std::vector<Action>;
 
 /// One ask of a replica for a request.
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -12,7 +12,8 @@
 
 const Path* RouteTable::find(const std::string& host, std::string_view target) const {
   auto l = longest_.find(host);
-  if (l == longest_.end()) return nullptr;
+  if (l == longest_.end())
+    return nullptr;
   auto path = target.substr(0, target.find_first_of("?#"));
   std::string key = host + "\n";
   auto head = key.size();
@@ -20,7 +21,8 @@
        end = end ? path.rfind('/', end - 1) : std::string_view::npos) {
     key.resize(head);
     key.append(path.substr(0, end + 1));
-    if (auto i = by_.find(key); i != by_.end()) return i->second;
+    if (auto i = by_.find(key); i != by_.end())
+      return i->second;
   }
   return nullptr;
 }
@@ -31,11 +33,14 @@
 
 const std::string* select_service(const Path& p, uint64_t dice) {
   uint64_t sum = 0;
-  for (auto& s : p.shares) sum += s.weight;
-  if (sum == 0) return nullptr;
+  for (auto& s : p.shares)
+    sum += s.weight;
+  if (sum == 0)
+    return nullptr;
   auto x = dice % sum;
   for (auto& s : p.shares) {
-    if (x < s.weight) return &s.service;
+    if (x < s.weight)
+      return &s.service;
     x -= s.weight;
   }
   return nullptr;
--- a/src/routing/turn_client.cpp
+++ b/src/routing/turn_client.cpp
@@ -9,13 +9,14 @@
   auto& m = *metadata_log_.view();
   auto n = turn_history_name(program);
   auto s = partition_of(n.cell, n.program);
-  return s.v < m.partitions.size() ? m.find(m.partitions[s.v].owner) : nullptr;
+  return s.value() < m.partitions.size() ? m.find(m.partitions[s.value()].owner) : nullptr;
 }
 
 template <class T>
 bool TurnClient::send(Open<T>& x, Millis now) {
   auto* d = owner(x.body.program);
-  if (!d || d->state == DaemonState::down || d->state == DaemonState::left) return false;
+  if (!d || d->state == DaemonState::down || d->state == DaemonState::left)
+    return false;
   x.last = now;
   x.owner = d->id;
   out_.send(d->self.address, x.body, d->self.incarnation);
@@ -41,7 +42,8 @@
       send(ends_[g->attempt] = {std::move(x->second.first), now, 0, {}}, now);
       overtaken_.erase(x);
     }
-    if (i == asks_.end()) return true;
+    if (i == asks_.end())
+      return true;
     if (g->status == 0) {
       i->second.owner = {};
       return true;
@@ -56,8 +58,10 @@
   }
   if (auto* s = std::get_if<CommitTurnReply>(&e.body)) {
     auto i = ends_.find(s->attempt);
-    if (i == ends_.end()) return true;
-    if (!s->committed && i->second.body.status == 0) overtaken_[s->attempt] = {std::move(i->second.body), now};
+    if (i == ends_.end())
+      return true;
+    if (!s->committed && i->second.body.status == 0)
+      overtaken_[s->attempt] = {std::move(i->second.body), now};
     ends_.erase(i);
     out_.send(kRoutingAddress, *s);
     return true;
@@ -71,7 +75,9 @@
     auto* d = owner(x.body.program);
     return d && d->id != x.owner;
   };
-  auto due = [&](auto& x) { return now - x.last >= kStoreRetryInterval || (moved(x) && now - x.last >= kTickInterval); };
+  auto due = [&](auto& x) {
+    return now - x.last >= kStoreRetryInterval || (moved(x) && now - x.last >= kTickInterval);
+  };
   for (auto i = asks_.begin(); i != asks_.end();) {
     auto& x = i->second;
     if (now - x.born > std::min(kTurnReservationTimeout, x.body.timeout_ms)) {
@@ -82,7 +88,8 @@
                 ReserveTurnReply{a.attempt, 503, kDefaultRetryAfter, "the program's owner does not answer", {}});
       continue;
     }
-    if (due(x)) send(x, now);
+    if (due(x))
+      send(x, now);
     ++i;
   }
   for (auto i = ends_.begin(); i != ends_.end();) {
@@ -91,7 +98,8 @@
       i = ends_.erase(i);
       continue;
     }
-    if (due(i->second)) send(i->second, now);
+    if (due(i->second))
+      send(i->second, now);
     ++i;
   }
 }
--- a/src/routing/turn_coordinator.hpp
+++ b/src/routing/turn_coordinator.hpp
@@ -11,7 +11,8 @@
 
 class TurnCoordinator {
  public:
-  TurnCoordinator(Outbox& out, MetadataLog& metadata_log, HistoryWriter& history_writer) : out_(out), metadata_log_(metadata_log), history_writer_(history_writer) {}
+  TurnCoordinator(Outbox& out, MetadataLog& metadata_log, HistoryWriter& history_writer)
+      : out_(out), metadata_log_(metadata_log), history_writer_(history_writer) {}
   /// Handles what concerns turns as their owner; false leaves the message to the caller.
   bool handle(const Envelope& e, Millis now);
   /// Goes on with what waited for these histories.
--- a/src/runtime/constants.hpp
+++ b/src/runtime/constants.hpp
@@ -4,27 +4,27 @@
 
 namespace mosskeel {
 
-/// ms; where each process's own clock begins, so that 0 can stand for "never"
+/// Milliseconds; where each process's own clock begins, so that 0 can stand for "never".
 constexpr Millis kProcessClockStart = 1000000000000;
-/// ms; how long a daemon waits for one commit as a whole, all attempts included (TCM paper's await)
+/// Milliseconds; how long a daemon waits for one commit as a whole, all attempts included (TCM paper's await).
 constexpr Millis kCommitTimeout = 10000;
-/// ms; how long one controller works on one commit request (TCM paper's RPC time-out)
+/// Milliseconds; how long one controller works on one commit request (TCM paper's RPC time-out).
 constexpr Millis kCommitAttemptTimeout = 2000;
-/// ms; how often a state machine looks at its timers
+/// Milliseconds; how often a state machine looks at its timers.
 constexpr Millis kTickInterval = 20;
-/// offset into a machine's ports; seeds name machines only, so all controllers share one port
+/// Offset into a machine's ports; seeds name machines only, so all controllers share one port.
 constexpr uint16_t kControllerPortOffset = 0;
-/// offset; a gateway runs beside its agent, so each has its own port
+/// Offset; a gateway runs beside its agent, so each has its own port.
 constexpr uint16_t kGatewayPortOffset = 1;
-/// offset; see kGatewayPortOffset
+/// Offset; see kGatewayPortOffset.
 constexpr uint16_t kAgentPortOffset = 2;
-/// offset; a store may share a machine with any other daemon
+/// Offset; a store may share a machine with any other daemon.
 constexpr uint16_t kStorePortOffset = 3;
-/// controllers; a core grows by itself up to this size, a larger one slows down every commit
+/// Controllers; a core grows by itself up to this size, a larger one slows down every commit.
 constexpr uint32_t kMaxCoreSize = 9;
-/// bytes; journal growth that calls for a checkpoint
+/// Bytes; journal growth that calls for a checkpoint.
 constexpr size_t kCheckpointJournalBytes = 16u << 20;
-/// ms; when a rejected caller may try again, unless something better is known
+/// Milliseconds; when a rejected caller may try again, unless something better is known.
 constexpr uint32_t kDefaultRetryAfter = 500;
 
 }  // namespace mosskeel
--- a/src/runtime/daemon.hpp
+++ b/src/runtime/daemon.hpp
@@ -1,8 +1,8 @@
 #pragma once
 // What every daemon's main does alike.
-#include "runtime/host.hpp"
-#include "net/http_server.hpp"
 #include "base/log.hpp"
+#include "net/http_server.hpp"
+#include "runtime/host.hpp"
 #include "runtime/settings.hpp"
 
 namespace mosskeel {
@@ -18,6 +18,6 @@
 int run_until_stopped(Host& h, const char* program, const std::function<bool()>& leave);
 
 /// Says why a daemon could not start; its exit code.
-int cannot_start(const char* program, const Findings& f);
+int cannot_start(const char* program, const Errors& f);
 
 }  // namespace mosskeel
--- a/src/runtime/host.cpp
+++ b/src/runtime/host.cpp
@@ -20,8 +20,10 @@
 
 size_t weight(const Batch& b) {
   size_t n = b.checkpoint ? b.checkpoint->size() : 0;
-  for (auto& s : b.journal) n += s.size();
-  for (auto& e : b.sends) n += sizeof e + history_bytes(e.body);
+  for (auto& s : b.journal)
+    n += s.size();
+  for (auto& e : b.sends)
+    n += sizeof e + history_bytes(e.body);
   return n;
 }
 
@@ -33,23 +35,27 @@
       self_(std::move(self)),
       in_(inbox_most) {}
 
-Findings Host::start(const Make& make) {
+Errors Host::start(const Make& make) {
   machine_ = make(disk_ ? disk_->take_recovered() : Recovered{}, process_now());
   std::atomic_store(&view_, machine_->view());
   auto p = Transport::open(self_, [this](Envelope e, size_t bytes) { in_.hear(std::move(e), bytes); });
-  if (!ok(p)) return findings(p);
-  post_ = std::move(std::get<0>(p));
+  if (!p.ok())
+    return p.errors();
+  post_ = std::move(p).value();
   thinker_ = std::thread([this] { think(); });
-  if (disk_) writer_ = std::thread([this] { write(); });
+  if (disk_)
+    writer_ = std::thread([this] { write(); });
   return {};
 }
 
 void Host::stop() {
   stop_ = halt_ = true;
   in_.close();
-  if (thinker_.joinable()) thinker_.join();
+  if (thinker_.joinable())
+    thinker_.join();
   out_.close();
-  if (writer_.joinable()) writer_.join();
+  if (writer_.joinable())
+    writer_.join();
   post_.reset();
 }
 
@@ -64,9 +70,11 @@
 }
 
 void Host::send(Envelope e) {
-  if (e.to == self_) return post(std::move(e));
+  if (e.to == self_)
+    return post(std::move(e));
   auto i = routes_.find(e.to);
-  if (i == routes_.end()) i = routes_.find(e.to.substr(0, e.to.find(':')));
+  if (i == routes_.end())
+    i = routes_.find(e.to.substr(0, e.to.find(':')));
   if (i != routes_.end())
     i->second(e);
   else
@@ -80,14 +88,18 @@
 }
 
 void Host::act(Actions a) {
-  for (auto& n : a.notes) note(n.event, n.text);
-  for (auto& e : a.now) send(std::move(e));
+  for (auto& n : a.notes)
+    note(n.event, n.text);
+  for (auto& e : a.now)
+    send(std::move(e));
   if (!disk_) {
-    for (auto& e : a.synced) send(std::move(e));
+    for (auto& e : a.synced)
+      send(std::move(e));
   } else if (!a.journal.empty() || !a.synced.empty() || a.checkpoint) {
     push({std::move(a.journal), std::move(a.checkpoint), std::move(a.synced)});
   }
-  if (a.stop) stop_ = true;
+  if (a.stop)
+    stop_ = true;
 }
 
 void Host::think() {
@@ -107,17 +119,20 @@
     }
     {
       std::lock_guard l(watch_lock_);
-      if (watch_) watch_(*machine_, process_now());
+      if (watch_)
+        watch_(*machine_, process_now());
     }
     auto v = machine_->view();
-    if (v != view_) std::atomic_store(&view_, v);
+    if (v != view_)
+      std::atomic_store(&view_, v);
   }
 }
 
 /// Made in the machine's thread, so that it stands for all that was pushed before it.
 void Host::ask_checkpoint() {
   in_.call([this](Machine& m, Millis) {
-    if (auto s = m.checkpoint(); !s.empty()) push({{}, std::move(s), {}});
+    if (auto s = m.checkpoint(); !s.empty())
+      push({{}, std::move(s), {}});
   });
 }
 
@@ -126,18 +141,23 @@
     auto v = out_.take(journal_->full() ? kFullDiskRetryInterval : 200);
     bool last = v.empty() && out_.closed();
     size_t bytes = 0;
-    for (auto& b : v) bytes += b.bytes;
+    for (auto& b : v)
+      bytes += b.bytes;
     auto w = journal_->write(std::move(v));
-    for (auto& n : w.notes) note(n.event, n.text);
+    for (auto& n : w.notes)
+      note(n.event, n.text);
     if (w.result.kind == DiskResult::failed) {
       note(Event::disk_failed, "nothing unsynced was answered");
       stop_ = true;
       return;
     }
-    for (auto& e : w.sends) send(std::move(e));
+    for (auto& e : w.sends)
+      send(std::move(e));
     waiting_ -= bytes;
-    if (last) return;
-    if (journal_->wants_checkpoint(process_now())) ask_checkpoint();
+    if (last)
+      return;
+    if (journal_->wants_checkpoint(process_now()))
+      ask_checkpoint();
   }
 }
 
--- a/src/runtime/host.hpp
+++ b/src/runtime/host.hpp
@@ -2,10 +2,10 @@
 // Runs a machine: one thread for its state, one for its disk, the post's for hearing.
 #include <thread>
 
+#include "base/queue.hpp"
+#include "net/transport.hpp"
 #include "runtime/inbox.hpp"
 #include "storage/journal_writer.hpp"
-#include "net/transport.hpp"
-#include "base/queue.hpp"
 
 namespace mosskeel {
 
@@ -21,7 +21,7 @@
   /// Beyond `inbox_most` bytes of messages that wait for the machine, larger ones are dropped as if lost on the way.
   Host(std::shared_ptr<Disk> disk, Address self, size_t inbox_most = SIZE_MAX);
   ~Host() { stop(); }
-  Findings start(const Make& make);
+  Errors start(const Make& make);
   void route(const std::string& prefix, Deliver d) { routes_[prefix] = std::move(d); }
   /// Called in the machine's thread after each batch of its steps; set before `start`'s threads need it.
   void watch(std::function<void(Machine&, Millis)> f) {
--- a/src/runtime/inbox.hpp
+++ b/src/runtime/inbox.hpp
@@ -3,8 +3,8 @@
 #include <atomic>
 #include <functional>
 
-#include "runtime/state_machine.hpp"
 #include "base/queue.hpp"
+#include "runtime/state_machine.hpp"
 
 namespace mosskeel {
 
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -1,6 +1,5 @@
 #include "runtime/settings.hpp"
 
-#include <arpa/inet.h>
 #include <popt.h>
 #include <signal.h>
 #include <time.h>
@@ -10,8 +9,8 @@
 #include <random>
 #include <sstream>
 
-#include "base/log.hpp"
 #include "base/json.hpp"
+#include "base/log.hpp"
 #include "runtime/constants.hpp"
 
 namespace mosskeel {
@@ -28,18 +27,20 @@
 
 const SettingsSource* applying() {
   for (auto* s : registry())
-    if (s->applies()) return s;
+    if (s->applies())
+      return s;
   return nullptr;
 }
 
-void address(Findings& f, const char* place, const std::string& a) {
-  if (!split_address(a)) f.push_back({place, "'" + a + "' is no IP:port"});
+void address(Errors& f, const char* place, const std::string& a) {
+  if (!split_address(a))
+    f.push_back({place, "'" + a + "' is no IP:port"});
 }
 
-int wrong(const Needs& n, const Findings& f) {
+int wrong(const Needs& n, const Errors& f) {
   for (auto& x : f)
     fprintf(stderr, "%s: event=%d %s: %s: %s\n", n.program, static_cast<int>(Event::bad_settings),
-            meaning(Event::bad_settings), x.place.c_str(), x.reason.c_str());
+            meaning(Event::bad_settings), x.location.c_str(), x.message.c_str());
   return 2;
 }
 
@@ -50,24 +51,15 @@
 }
 
 uint16_t port_offset(const std::string& program) {
-  if (program == "gateway") return kGatewayPortOffset;
-  if (program == "agent") return kAgentPortOffset;
-  if (program == "store") return kStorePortOffset;
+  if (program == "gateway")
+    return kGatewayPortOffset;
+  if (program == "agent")
+    return kAgentPortOffset;
+  if (program == "store")
+    return kStorePortOffset;
   return kControllerPortOffset;
 }
 
-std::optional<std::pair<std::string, uint16_t>> split_address(const std::string& a) {
-  auto c = a.rfind(':');
-  if (c == std::string::npos) return std::nullopt;
-  in_addr x;
-  auto ip = a.substr(0, c), port = a.substr(c + 1);
-  if (inet_pton(AF_INET, ip.c_str(), &x) != 1 || port.empty() || port.size() > 5) return std::nullopt;
-  if (port.find_first_not_of("0123456789") != std::string::npos) return std::nullopt;
-  int p = std::stoi(port);
-  if (p < 1 || p > 65535) return std::nullopt;
-  return std::make_pair(ip, static_cast<uint16_t>(p));
-}
-
 uint64_t dice() {
   std::random_device d;
   return (static_cast<uint64_t>(d()) << 32) ^ d();
@@ -113,13 +105,14 @@
       POPT_AUTOHELP POPT_TABLEEND};
   std::unique_ptr<std::remove_pointer_t<poptContext>, PoptClose> c(poptGetContext(n.program, argc, argv, table, 0));
   poptSetOtherOptionHelp(c.get(), (std::string("[OPTIONS]\n") + n.purpose).c_str());
-  Findings f;
+  Errors f;
   for (int rc; (rc = poptGetNextOpt(c.get())) != -1;)
     if (rc < -1) {
       f.push_back({poptBadOption(c.get(), POPT_BADOPTION_NOALIAS), poptStrerror(rc)});
       break;
     }
-  for (const char* x; f.empty() && (x = poptGetArg(c.get()));) f.push_back({x, "is no option"});
+  for (const char* x; f.empty() && (x = poptGetArg(c.get()));)
+    f.push_back({x, "is no option"});
   if (version) {
     printf("%s (mosskeel) %s\n", n.program, MOSSKEEL_VERSION);
     return 0;
@@ -131,12 +124,12 @@
   auto* source = flags ? nullptr : applying();
   if (source && f.empty()) {
     auto r = source->read(n.program);
-    if (ok(r)) {
-      p = value(r);
+    if (r.ok()) {
+      p = r.value();
       p.tcm_await_ms = kCommitTimeout;
       p.tcm_rpc_ms = kCommitAttemptTimeout;
     } else {
-      return wrong(n, findings(r));
+      return wrong(n, r.errors());
     }
   }
   if (file) {
@@ -147,43 +140,61 @@
       f.push_back({file, "cannot be read"});
     } else {
       auto r = json::parse<Settings>(t.str());
-      if (ok(r)) {
-        auto whole = value(r);
-        if (!whole.tcm_await_ms) whole.tcm_await_ms = p.tcm_await_ms;
-        if (!whole.tcm_rpc_ms) whole.tcm_rpc_ms = p.tcm_rpc_ms;
+      if (r.ok()) {
+        auto whole = r.value();
+        if (!whole.tcm_await_ms)
+          whole.tcm_await_ms = p.tcm_await_ms;
+        if (!whole.tcm_rpc_ms)
+          whole.tcm_rpc_ms = p.tcm_rpc_ms;
         p = whole;
       } else
-        for (auto& x : findings(r)) f.push_back({std::string(file) + ": " + x.place, x.reason});
+        for (auto& x : r.errors())
+          f.push_back({std::string(file) + ": " + x.location, x.message});
     }
   }
   auto set = [](std::string& to, char* from) {
-    if (from) to = from;
+    if (from)
+      to = from;
   };
   set(p.listen, listen), set(p.http, http), set(p.agent, agent), set(p.zone, zone), set(p.data, data);
-  if (core) p.core_size = static_cast<uint32_t>(core < 0 ? 0 : core);
-  if (await) p.tcm_await_ms = await;
-  if (rpc) p.tcm_rpc_ms = rpc;
+  if (core)
+    p.core_size = static_cast<uint32_t>(core < 0 ? 0 : core);
+  if (await)
+    p.tcm_await_ms = await;
+  if (rpc)
+    p.tcm_rpc_ms = rpc;
   if (seeds) {
     p.seeds.clear();
     std::stringstream s(seeds);
-    for (std::string x; std::getline(s, x, ',');) p.seeds.push_back(x);
+    for (std::string x; std::getline(s, x, ',');)
+      p.seeds.push_back(x);
   }
-  if (n.listen) address(f, "listen", p.listen);
-  if (n.http && !(source && p.http.empty())) address(f, "http", p.http);
-  if (!p.ready.empty()) address(f, "ready", p.ready);
-  if (!p.list.empty()) address(f, "list", p.list);
-  if (n.agent) address(f, "agent", p.agent);
-  if (n.zone && p.zone.empty()) f.push_back({"zone", "is missing"});
-  if (n.data && p.data.empty()) f.push_back({"data", "is missing"});
-  if (n.seeds && p.seeds.empty()) f.push_back({"seeds", "are missing"});
+  if (n.listen)
+    address(f, "listen", p.listen);
+  if (n.http && !(source && p.http.empty()))
+    address(f, "http", p.http);
+  if (!p.ready.empty())
+    address(f, "ready", p.ready);
+  if (!p.list.empty())
+    address(f, "list", p.list);
+  if (n.agent)
+    address(f, "agent", p.agent);
+  if (n.zone && p.zone.empty())
+    f.push_back({"zone", "is missing"});
+  if (n.data && p.data.empty())
+    f.push_back({"data", "is missing"});
+  if (n.seeds && p.seeds.empty())
+    f.push_back({"seeds", "are missing"});
   for (size_t i = 0; n.seeds && i < p.seeds.size(); ++i)
     address(f, ("seeds[" + std::to_string(i) + "]").c_str(), p.seeds[i]);
   if (n.core_size && (p.core_size < 1 || p.core_size > kMaxCoreSize || (!source && p.core_size % 2 == 0)))
     f.push_back({"core_size", "must be an odd number from 1 to 9"});
-  if (p.tcm_rpc_ms < 100 || p.tcm_rpc_ms > 30000) f.push_back({"tcm_rpc_ms", "must be from 100 to 30000"});
+  if (p.tcm_rpc_ms < 100 || p.tcm_rpc_ms > 30000)
+    f.push_back({"tcm_rpc_ms", "must be from 100 to 30000"});
   if (p.tcm_await_ms < p.tcm_rpc_ms || p.tcm_await_ms > 60000)
     f.push_back({"tcm_await_ms", "must be from tcm_rpc_ms to 60000"});
-  if (!f.empty()) return wrong(n, f);
+  if (!f.empty())
+    return wrong(n, f);
   if (check) {
     printf("%s: settings are good\n", n.program);
     return 0;
--- a/src/runtime/settings.hpp
+++ b/src/runtime/settings.hpp
@@ -2,7 +2,7 @@
 // A daemon's settings: a JSON file, flags over it, all findings at once.
 #include <boost/hana/define_struct.hpp>
 
-#include "metadata/metadata.hpp"
+#include "base/address.hpp"
 
 namespace mosskeel {
 
@@ -67,7 +67,6 @@
 /// itself and then gives an exit code. Settings of a source may leave out HTTP, and their core may have an even size.
 std::variant<Settings, int> read_settings(int argc, const char** argv, const Needs& n);
 
-std::optional<std::pair<std::string, uint16_t>> split_address(const std::string& a);
 uint64_t dice();
 /// Blocks SIGTERM, SIGINT and SIGHUP for all threads started later; SIGHUP changes nothing here, for a daemon follows
 /// the directory and not its settings file once it has started.
--- a/src/runtime/state_machine.hpp
+++ b/src/runtime/state_machine.hpp
@@ -2,19 +2,14 @@
 // A protocol as a state machine: no thread, clock, socket or file of its own.
 #include <random>
 
-#include "base/events.hpp"
-#include "messages/message.hpp"
+#include "base/log.hpp"
 #include "messages/constants.hpp"
+#include "messages/message.hpp"
 #include "runtime/constants.hpp"
+#include "storage/recovered.hpp"
 
 namespace mosskeel {
 
-/// A line for the log.
-struct Note {
-  Event event;
-  std::string text;
-};
-
 /// What a step wants done. `synced` leaves only once the journal so far is on disk.
 struct Actions {
   std::vector<std::string> journal;
@@ -24,13 +19,6 @@
   bool stop = false;
 };
 
-/// What a daemon finds on its disk when it starts.
-struct Recovered {
-  Incarnation incarnation;
-  std::optional<std::string> checkpoint;
-  std::vector<std::string> journal;
-};
-
 /// The settings of a daemon: who it is and where others are.
 struct Identity {
   Candidate self;
@@ -78,7 +66,8 @@
 
  private:
   Envelope wrap(const Address& to, Message m, Incarnation to_inc) {
-    return {kProtocolRevision, cluster, epoch, dice_(), id_.self.address, id_.self.incarnation, to, to_inc, std::move(m)};
+    return {kProtocolRevision,    cluster, epoch,  dice_(),     id_.self.address,
+            id_.self.incarnation, to,      to_inc, std::move(m)};
   }
   Identity id_;
   std::mt19937_64 dice_;
--- a/src/storage/constants.hpp
+++ b/src/storage/constants.hpp
@@ -4,17 +4,17 @@
 
 namespace mosskeel {
 
-/// bytes; a log segment is closed beyond this size
+/// Bytes; a log segment is closed beyond this size.
 constexpr size_t kSegmentBytes = 4u << 20;
-/// bytes; kept allocated so that a checkpoint can be written on a full disk; 3% of 128 MB
+/// Bytes; kept allocated so that a checkpoint can be written on a full disk; 3% of 128 MB.
 constexpr size_t kDiskReserveBytes = 4u << 20;
-/// factor; a disk with less free space than this many reserves gets none
+/// Factor; a disk with less free space than this many reserves gets none.
 constexpr size_t kDiskReserveMinimumFactor = 4;
-/// bytes; journal kept in memory while the disk is full: two checkpoints
+/// Bytes; journal kept in memory while the disk is full: two checkpoints.
 constexpr size_t kMaxPendingJournalBytes = 32u << 20;
-/// ms; between writes tried on a full disk; shorter than any client's retry time-out
+/// Milliseconds; between writes tried on a full disk; shorter than any client's retry time-out.
 constexpr Millis kFullDiskRetryInterval = 100;
-/// ms; between checkpoints tried on a full disk: each encodes the whole state
+/// Milliseconds; between checkpoints tried on a full disk: each encodes the whole state.
 constexpr Millis kFullDiskCheckpointInterval = 5000;
 
 }  // namespace mosskeel
--- a/src/storage/disk.cpp
+++ b/src/storage/disk.cpp
@@ -9,8 +9,8 @@
 #include <cerrno>
 #include <filesystem>
 
-#include "storage/log_frame.hpp"
 #include "storage/constants.hpp"
+#include "storage/log_frame.hpp"
 
 namespace mosskeel {
 namespace fs = std::filesystem;
@@ -53,15 +53,18 @@
   while (!s.empty()) {
     errno = ENOSPC;
     auto n = calls_.write(fd, s.data(), s.size());
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return refused();
+    if (n < 0 && errno == EINTR)
+      continue;
+    if (n <= 0)
+      return refused();
     s.remove_prefix(static_cast<size_t>(n));
   }
   return {};
 }
 
 DiskResult Disk::cut_back(size_t to) {
-  if (calls_.truncate(segment_.get(), static_cast<off_t>(to)) != 0) return {DiskResult::failed};
+  if (calls_.truncate(segment_.get(), static_cast<off_t>(to)) != 0)
+    return {DiskResult::failed};
   kept_ -= size_ - to;
   size_ = to;
   loose_ = true;
@@ -71,8 +74,10 @@
 DiskResult Disk::put(const std::string& bytes) {
   auto before = size_;
   auto r = write_all(segment_.get(), bytes);
-  if (r.kind == DiskResult::failed) return r;
-  if (r.kind == DiskResult::full) return cut_back(before);
+  if (r.kind == DiskResult::failed)
+    return r;
+  if (r.kind == DiskResult::full)
+    return cut_back(before);
   size_ += bytes.size();
   kept_ += bytes.size();
   loose_ = true;
@@ -87,13 +92,15 @@
   auto r = folder_loose_ && sync_folder() != 0 ? refused() : DiskResult{};
   if (r && loose_) {
     ++syncs_;
-    if (calls_.sync(segment_.get()) != 0) r = refused();
+    if (calls_.sync(segment_.get()) != 0)
+      r = refused();
   }
   if (r.kind == DiskResult::full) {
     appended_ = durable_;
     return cut_back(synced_);
   }
-  if (!r) return r;
+  if (!r)
+    return r;
   synced_ = size_;
   durable_ = appended_;
   dirty_ = loose_ = folder_loose_ = false;
@@ -102,9 +109,11 @@
 
 DiskResult Disk::open_segment(uint64_t seq) {
   Fd f(calls_.open(path("log", seq).c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC));
-  if (!f) return refused();
+  if (!f)
+    return refused();
   struct stat st {};
-  if (::fstat(f.get(), &st) != 0) return {DiskResult::failed};
+  if (::fstat(f.get(), &st) != 0)
+    return {DiskResult::failed};
   segment_ = std::move(f);
   seq_ = seq;
   size_ = synced_ = static_cast<size_t>(st.st_size);
@@ -115,28 +124,38 @@
 /// The first mark is on disk before any record: where it cannot be read, a segment has lost what it had.
 DiskResult Disk::begin_segment() {
   if (size_ && (size_ > kSegmentBytes || !marked_)) {
-    if (auto r = settle(); !r) return r;
-    if (auto r = open_segment(seq_ + 1); !r) return r;
+    if (auto r = settle(); !r)
+      return r;
+    if (auto r = open_segment(seq_ + 1); !r)
+      return r;
   }
-  if (size_) return {};
+  if (size_)
+    return {};
   marked_ = true;
-  if (auto r = mark(); !r) return r;
+  if (auto r = mark(); !r)
+    return r;
   return settle();
 }
 
 DiskResult Disk::append(const std::vector<std::string>& records) {
-  if (records.empty()) return {};
-  if (auto r = begin_segment(); !r) return r;
+  if (records.empty())
+    return {};
+  if (auto r = begin_segment(); !r)
+    return r;
   std::string s;
-  for (auto& r : records) s += frame(r);
+  for (auto& r : records)
+    s += frame(r);
   auto r = put(s);
-  if (r) ++appended_, dirty_ = true;
+  if (r)
+    ++appended_, dirty_ = true;
   return r;
 }
 
 DiskResult Disk::sync() {
-  if (!dirty_) return {};
-  if (auto r = settle(); !r) return r;
+  if (!dirty_)
+    return {};
+  if (auto r = settle(); !r)
+    return r;
   auto r = mark();
   return r.kind == DiskResult::failed ? r : DiskResult{};
 }
@@ -145,7 +164,8 @@
   auto tmp = folder_ + "/unfinished";
   {
     Fd f(calls_.open(tmp.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC));
-    if (!f || !write_all(f.get(), bytes) || calls_.sync(f.get()) != 0) return false;
+    if (!f || !write_all(f.get(), bytes) || calls_.sync(f.get()) != 0)
+      return false;
   }
   return calls_.rename(tmp.c_str(), name.c_str()) == 0 && sync_folder() == 0;
 }
@@ -154,10 +174,13 @@
   auto p = folder_ + "/reserve";
   auto want = std::max(kDiskReserveBytes, point_);
   struct stat st {};
-  if (::stat(p.c_str(), &st) == 0 && static_cast<size_t>(st.st_size) >= want) return;
-  if (calls_.room(folder_) < kDiskReserveMinimumFactor * want) return;
+  if (::stat(p.c_str(), &st) == 0 && static_cast<size_t>(st.st_size) >= want)
+    return;
+  if (calls_.room(folder_) < kDiskReserveMinimumFactor * want)
+    return;
   Fd f(calls_.open(p.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC));
-  if (f && calls_.allocate(f.get(), want) != 0) calls_.remove(p.c_str());
+  if (f && calls_.allocate(f.get(), want) != 0)
+    calls_.remove(p.c_str());
 }
 
 /// Into the room of the reserve, which nobody else can take; the file gets its name when all of it is on disk.
@@ -165,15 +188,22 @@
   auto p = folder_ + "/reserve";
   Fd f(calls_.open(p.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC));
   struct stat st {};
-  if (!f) return refused();
-  if (::fstat(f.get(), &st) != 0) return {DiskResult::failed};
+  if (!f)
+    return refused();
+  if (::fstat(f.get(), &st) != 0)
+    return {DiskResult::failed};
   auto header = frame_header(bytes);
   auto r = write_all(f.get(), header);
-  if (r) r = write_all(f.get(), bytes);
-  if (r && calls_.truncate(f.get(), static_cast<off_t>(header.size() + bytes.size())) != 0) r = {DiskResult::failed};
-  if (r && calls_.sync(f.get()) != 0) r = refused();
-  if (r && calls_.rename(p.c_str(), path("checkpoint", seq_).c_str()) != 0) r = refused();
-  if (r) return sync_folder() == 0 ? r : DiskResult{DiskResult::failed};
+  if (r)
+    r = write_all(f.get(), bytes);
+  if (r && calls_.truncate(f.get(), static_cast<off_t>(header.size() + bytes.size())) != 0)
+    r = {DiskResult::failed};
+  if (r && calls_.sync(f.get()) != 0)
+    r = refused();
+  if (r && calls_.rename(p.c_str(), path("checkpoint", seq_).c_str()) != 0)
+    r = refused();
+  if (r)
+    return sync_folder() == 0 ? r : DiskResult{DiskResult::failed};
   if (!st.st_size)
     calls_.remove(p.c_str());
   else if (calls_.truncate(f.get(), st.st_size) != 0)
@@ -182,18 +212,24 @@
 }
 
 DiskResult Disk::checkpoint(const std::string& bytes) {
-  if (auto r = settle(); !r) return r;
+  if (auto r = settle(); !r)
+    return r;
   if (size_) {
-    if (auto r = open_segment(seq_ + 1); !r) return r;
-    if (auto r = settle(); !r) return r;
+    if (auto r = open_segment(seq_ + 1); !r)
+      return r;
+    if (auto r = settle(); !r)
+      return r;
   }
-  if (auto r = write_checkpoint(bytes); !r) return r;
+  if (auto r = write_checkpoint(bytes); !r)
+    return r;
   std::error_code ec;
   for (auto& f : fs::directory_iterator(folder_, ec)) {
     auto n = f.path().filename().string();
     auto dash = n.find('-');
-    if (dash == std::string::npos) continue;
-    if (auto x = unhex(n.substr(dash + 1)); x && *x < seq_) calls_.remove(f.path().c_str());
+    if (dash == std::string::npos)
+      continue;
+    if (auto x = unhex(n.substr(dash + 1)); x && *x < seq_)
+      calls_.remove(f.path().c_str());
   }
   kept_ = point_ = bytes.size();
   reserve();
--- a/src/storage/disk.hpp
+++ b/src/storage/disk.hpp
@@ -3,7 +3,7 @@
 #include <atomic>
 
 #include "base/fd.hpp"
-#include "runtime/state_machine.hpp"
+#include "storage/recovered.hpp"
 
 namespace mosskeel {
 
@@ -33,7 +33,7 @@
 
 class Disk {
  public:
-  /// Opens or founds a data folder. Findings where it is damaged or not ours to write.
+  /// Opens or founds a data folder. Errors where it is damaged or not ours to write.
   static Result<std::shared_ptr<Disk>> open(const std::string& folder, uint64_t dice,
                                             DiskCalls calls = DiskCalls::real());
   const Recovered& recovered() const { return found_; }
@@ -57,10 +57,10 @@
 
  private:
   Disk(std::string folder, DiskCalls calls) : folder_(std::move(folder)), calls_(std::move(calls)) {}
-  Findings load(uint64_t dice);
-  Findings load_segment(uint64_t seq, bool last);
-  Findings cut_tail(uint64_t seq, size_t at, size_t bytes);
-  Findings hold_found();
+  Errors load(uint64_t dice);
+  Errors load_segment(uint64_t seq, bool last);
+  Errors cut_tail(uint64_t seq, size_t at, size_t bytes);
+  Errors hold_found();
   DiskResult open_segment(uint64_t seq);
   DiskResult begin_segment();
   DiskResult settle();
--- a/src/storage/journal_writer.hpp
+++ b/src/storage/journal_writer.hpp
@@ -2,8 +2,10 @@
 // Brings a machine's journal to its disk in order, and holds it back in memory while the disk is full.
 #include <deque>
 
-#include "storage/disk.hpp"
+#include "base/log.hpp"
+#include "messages/message.hpp"
 #include "storage/constants.hpp"
+#include "storage/disk.hpp"
 
 namespace mosskeel {
 
--- a/tests/model/actions.cpp
+++ b/tests/model/actions.cpp
@@ -16,7 +16,8 @@
 
 std::string describe(const Trace& t) {
   std::string s;
-  for (auto& a : t) s += describe(a) + "\n";
+  for (auto& a : t)
+    s += describe(a) + "\n";
   return s;
 }
 
@@ -55,13 +56,15 @@
 std::vector<Action> Cluster::enabled() const {
   std::vector<Action> all;
   auto offer = [&](Action a) {
-    if (possible(a)) all.push_back(a);
+    if (possible(a))
+      all.push_back(a);
   };
   std::set<std::pair<Incarnation, size_t>> links;
   for (size_t i = 0; i < network_.size(); ++i)
     if (links.insert({network_[i].envelope->from_inc, network_[i].to}).second)
       offer({Kind::deliver, network_[i].to, i, 0});
-  if (network_.empty()) offer({Kind::tick_all, 0, 0, options_.quiet_step});
+  if (network_.empty())
+    offer({Kind::tick_all, 0, 0, options_.quiet_step});
   if (!network_.empty()) {
     offer({Kind::lose, network_[0].to, 0, 0});
     offer({Kind::duplicate, network_[0].to, 0, 0});
@@ -73,10 +76,12 @@
     offer({Kind::wipe, n, 0, 0});
     offer({Kind::disk_back, n, 0, 0});
     offer({Kind::cut, n, size_t{1} << n, 0});
-    if (nodes_.size() > 3 && n > 0) offer({Kind::cut, n, (size_t{1} << n) | 1, 0});
+    if (nodes_.size() > 3 && n > 0)
+      offer({Kind::cut, n, (size_t{1} << n) | 1, 0});
     offer({Kind::hold_disk, n, 0, 0});
     offer({Kind::tick, n, 0, options_.lone_step});
-    for (size_t k = 0; k < orders_.size(); ++k) offer({Kind::order, n, k, 0});
+    for (size_t k = 0; k < orders_.size(); ++k)
+      offer({Kind::order, n, k, 0});
   }
   offer({Kind::heal, 0, 0, 0});
   return all;
@@ -105,7 +110,8 @@
     case Kind::tick:
       return tick(a.node, a.ms);
     case Kind::tick_all:
-      for (size_t n = 0; n < nodes_.size(); ++n) tick(n, a.ms), drain();
+      for (size_t n = 0; n < nodes_.size(); ++n)
+        tick(n, a.ms), drain();
       return;
     case Kind::restart:
       --budget.crashes;
--- a/tests/model/bytes.cpp
+++ b/tests/model/bytes.cpp
@@ -17,7 +17,8 @@
 
 Durable durable(const ControllerMachine& m) {
   auto c = codec::unpack<ControllerCheckpoint>(m.checkpoint());
-  if (!c) return {};
+  if (!c)
+    return {};
   return {c->metadata.generation, c->metadata.epoch, c->open, c->promised, c->accepted};
 }
 
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -46,10 +46,12 @@
 }
 
 ControllerMachine& Cluster::machine(Node& n) const {
-  if (n.running.machine) return *n.running.machine;
+  if (n.running.machine)
+    return *n.running.machine;
   n.running.machine = std::make_unique<ControllerMachine>(n.identity, n.found, n.started);
   std::vector<const Input*> inputs;
-  for (auto* i = n.inputs.get(); i; i = i->before.get()) inputs.push_back(i);
+  for (auto* i = n.inputs.get(); i; i = i->before.get())
+    inputs.push_back(i);
   for (auto i = inputs.rbegin(); i != inputs.rend(); ++i) {
     if ((*i)->envelope)
       n.running.machine->step(*(*i)->envelope, (*i)->now);
@@ -61,7 +63,8 @@
 
 std::optional<size_t> Cluster::at(const Address& a) const {
   for (size_t i = 0; i < nodes_.size(); ++i)
-    if (nodes_[i].identity.self.address == a) return i;
+    if (nodes_[i].identity.self.address == a)
+      return i;
   return std::nullopt;
 }
 
@@ -73,8 +76,9 @@
   n.inputs = nullptr;
   n.unsynced.clear();
   n.unordered = 0;
-  n.history = mix(n.identity.self.incarnation.v, digest(n.checkpoint.value_or("")));
-  for (auto& record : n.journal) n.history = mix(n.history, digest(record));
+  n.history = mix(n.identity.self.incarnation.value(), digest(n.checkpoint.value_or("")));
+  for (auto& record : n.journal)
+    n.history = mix(n.history, digest(record));
   n.running.machine.reset();
   n.view = machine(n).view();
   n.durable = model::durable(machine(n));
@@ -115,7 +119,8 @@
 
 std::map<Incarnation, Durable> Cluster::disks() const {
   std::map<Incarnation, Durable> all;
-  for (auto& n : nodes_) all[n.identity.self.incarnation] = n.durable;
+  for (auto& n : nodes_)
+    all[n.identity.self.incarnation] = n.durable;
   return all;
 }
 
@@ -157,37 +162,47 @@
     at_once.insert(at_once.end(), a.synced.begin(), a.synced.end());
     a.synced.clear();
   }
-  if (options_.fault == Fault::votes_forgotten) std::erase_if(a.journal, is_vote);
+  if (options_.fault == Fault::votes_forgotten)
+    std::erase_if(a.journal, is_vote);
   if (!a.journal.empty() || !a.synced.empty() || a.checkpoint)
     n.unsynced.push_back({std::move(a.journal), std::move(a.checkpoint), std::move(a.synced)});
-  for (auto& e : at_once) send(node, std::move(e));
-  if (!nodes_[node].held) sync(node);
+  for (auto& e : at_once)
+    send(node, std::move(e));
+  if (!nodes_[node].held)
+    sync(node);
 }
 
 /// Syncs all that waits and lets go what waited for it.
 void Cluster::sync(size_t node) {
   auto batches = std::exchange(nodes_[node].unsynced, {});
-  if (batches.empty()) return;
+  if (batches.empty())
+    return;
   auto& n = nodes_[node];
   std::vector<Envelope> sends;
   bool changed = false;
   for (auto& b : batches) {
     changed = changed || !b.journal.empty() || b.checkpoint;
-    for (auto& s : b.journal) n.journal.push_back(std::move(s));
-    if (b.checkpoint) n.checkpoint = std::move(b.checkpoint), n.journal.clear();
-    for (auto& e : b.sends) sends.push_back(std::move(e));
+    for (auto& s : b.journal)
+      n.journal.push_back(std::move(s));
+    if (b.checkpoint)
+      n.checkpoint = std::move(b.checkpoint), n.journal.clear();
+    for (auto& e : b.sends)
+      sends.push_back(std::move(e));
   }
   if (changed) {
-    n.durable = model::durable(ControllerMachine(n.identity, {n.identity.self.incarnation, n.checkpoint, n.journal}, n.clock));
+    n.durable =
+        model::durable(ControllerMachine(n.identity, {n.identity.self.incarnation, n.checkpoint, n.journal}, n.clock));
     observer_.disks(disks());
   }
-  for (auto& e : sends) send(node, std::move(e));
+  for (auto& e : sends)
+    send(node, std::move(e));
 }
 
 /// With the planted fault, a member that is cut off grants whatever it is asked.
 bool Cluster::forged(size_t node, const Envelope& e) {
   auto to = at(e.to);
-  if (options_.fault != Fault::votes_of_absent || !to || !severed(node, *to)) return false;
+  if (options_.fault != Fault::votes_of_absent || !to || !severed(node, *to))
+    return false;
   Envelope answer{};
   answer.cluster = e.cluster;
   answer.epoch = e.epoch;
@@ -206,18 +221,25 @@
 }
 
 void Cluster::send(size_t node, Envelope e) {
-  if (forged(node, e)) return;
+  if (forged(node, e))
+    return;
   if (auto* r = std::get_if<CommitReply>(&e.body); r && e.to.starts_with("local:")) {
     for (auto& o : orders_)
-      if (o.id == r->id) observer_.answered(o.change, *r);
+      if (o.id == r->id)
+        observer_.answered(o.change, *r);
     return;
   }
   auto to = at(e.to);
-  if (!to || (!options_.leases && about_leases(e.body))) return;
-  if (options_.watch_restarts) observer_.sent(e);
-  if (to == node) return local_.emplace_back(node, std::make_shared<Envelope>(std::move(e))), void();
-  if (severed(node, *to)) return;
-  if (options_.fault == Fault::clusters_not_compared) e.cluster = nodes_[*to].view->cluster;
+  if (!to || (!options_.leases && about_leases(e.body)))
+    return;
+  if (options_.watch_restarts)
+    observer_.sent(e);
+  if (to == node)
+    return local_.emplace_back(node, std::make_shared<Envelope>(std::move(e))), void();
+  if (severed(node, *to))
+    return;
+  if (options_.fault == Fault::clusters_not_compared)
+    e.cluster = nodes_[*to].view->cluster;
   std::erase_if(network_, [&](auto& f) {
     return f.to == *to && f.envelope->from_inc == e.from_inc && supersedes(f.envelope->body, e.body);
   });
@@ -256,7 +278,8 @@
     auto& link = links[{f.envelope->from_inc, f.to}];
     link = mix(link, f.hash);
   }
-  for (auto& [link, hash] : links) h = mix(h, mix(hash, link.first.v * 16 + link.second));
+  for (auto& [link, hash] : links)
+    h = mix(h, mix(hash, link.first.value() * 16 + link.second));
   for (int x :
        {budget.crashes, budget.wipes, budget.returns, budget.cuts, budget.holds, budget.resends, budget.duplicates})
     h = mix(h, static_cast<uint64_t>(x));
--- a/tests/model/explorer.cpp
+++ b/tests/model/explorer.cpp
@@ -18,15 +18,20 @@
 
   void visit(Cluster& state, int depth, int deviations) {
     ++report_.steps;
-    if (!state.observer().broken().empty()) return stop(state);
-    if (!fresh(state, depth, deviations)) return;
+    if (!state.observer().broken().empty())
+      return stop(state);
+    if (!fresh(state, depth, deviations))
+      return;
     report_.acknowledged = std::max(report_.acknowledged, state.observer().acknowledged());
     report_.rejected = std::max(report_.rejected, state.observer().rejected());
-    if (depth == 0) return;
+    if (depth == 0)
+      return;
     auto actions = state.enabled();
     for (size_t i = 0; i < actions.size() && report_.broken.empty(); ++i) {
-      if (i > 0 && deviations == 0) break;
-      if (over()) return;
+      if (i > 0 && deviations == 0)
+        break;
+      if (over())
+        return;
       trace_.push_back(actions[i]);
       bool last = i + 1 == actions.size() || deviations == 0;
       auto child = last ? std::move(state) : state;
@@ -47,15 +52,19 @@
   bool fresh(const Cluster& state, int depth, int deviations) {
     auto key = state.fingerprint() * 31 + static_cast<uint64_t>(deviations + 1);
     auto [i, first] = seen_.emplace(key, depth);
-    if (first) return true;
-    if (i->second >= depth) return false;
+    if (first)
+      return true;
+    if (i->second >= depth)
+      return false;
     i->second = depth;
     return true;
   }
   bool over() {
     bool full = bounds_.states && seen_.size() >= bounds_.states;
-    if (!full && bounds_.seconds > 0 && report_.steps % 64 == 0) late_ = processor_seconds() - began_ > bounds_.seconds;
-    if (full || late_) report_.complete = false;
+    if (!full && bounds_.seconds > 0 && report_.steps % 64 == 0)
+      late_ = processor_seconds() - began_ > bounds_.seconds;
+    if (full || late_)
+      report_.complete = false;
     return full || late_;
   }
   void stop(const Cluster& state) {
@@ -74,7 +83,8 @@
 
 /// Mostly what happens without trouble, at times anything else.
 size_t choose(std::mt19937_64& dice, size_t count) {
-  if (count == 1 || dice() % 10 < 6) return 0;
+  if (count == 1 || dice() % 10 < 6)
+    return 0;
   return dice() % count;
 }
 
@@ -109,7 +119,8 @@
     ++report.runs;
     report.acknowledged = std::max(report.acknowledged, state.observer().acknowledged());
     report.rejected = std::max(report.rejected, state.observer().rejected());
-    if (state.observer().broken().empty()) continue;
+    if (state.observer().broken().empty())
+      continue;
     report.broken = state.observer().broken();
     report.trace = trace;
   }
@@ -120,8 +131,10 @@
 std::optional<Cluster> replay(const Cluster& start, const Trace& trace) {
   auto state = start;
   for (auto& a : trace) {
-    if (!state.possible(a)) return std::nullopt;
-    if (!state.observer().broken().empty()) return state;
+    if (!state.possible(a))
+      return std::nullopt;
+    if (!state.observer().broken().empty())
+      return state;
     state.apply(a);
   }
   return state;
--- a/tests/model/fault_test.cpp
+++ b/tests/model/fault_test.cpp
@@ -79,8 +79,11 @@
   deliver<Accepted>(c, 0, 1);
   c.apply({Kind::restart, 0, 0, 0});
   c.apply({Kind::cut, 1, 2, 0});
-  while (c.in_flight()) c.apply({Kind::lose, 0, 0, 0});
-  auto over = [](const Cluster& x) { return !x.observer().broken().empty() || x.observer().acknowledged(); };
+  while (c.in_flight())
+    c.apply({Kind::lose, 0, 0, 0});
+  auto over = [](const Cluster& x) {
+    return !x.observer().broken().empty() || x.observer().acknowledged();
+  };
   c.apply({Kind::order, 2, 0, 0});
   settle(c, 200, over);
   c.apply({Kind::order, 2, 0, 0});
@@ -104,7 +107,8 @@
 TEST_CASE("a member that counts before it holds the log is noticed", "[model]") {
   Cluster c({});
   const Addresses seeds{"c1", "c2", "c3"};
-  for (auto& a : seeds) c.add(a, seeds, 4);
+  for (auto& a : seeds)
+    c.add(a, seeds, 4);
   REQUIRE(settle(c, 3000, [](auto& x) { return x.view(0)->cluster && x.in_flight() == 0; }));
   c.add("c4", seeds, 4);
   c.apply({Kind::cut, 3, 8, 0});
@@ -119,8 +123,10 @@
   o.quiet_step = 100;
   Cluster c(o);
   const Addresses one{"c1", "c2"}, other{"c3", "c4"};
-  for (auto& a : one) c.add(a, one, 2);
-  for (auto& a : other) c.add(a, other, 2);
+  for (auto& a : one)
+    c.add(a, one, 2);
+  for (auto& a : other)
+    c.add(a, other, 2);
   settle(c, 2000, [](auto& x) { return !x.observer().broken().empty(); });
   CHECK(c.observer().broken() == "two clusters were founded");
 }
@@ -131,7 +137,7 @@
   REQUIRE(settle(c, 3000, [](auto& x) { return x.view(0)->generation == 2; }));
   REQUIRE(c.observer().broken().empty());
   auto former = old.cluster;
-  old.epoch = Epoch{c.view(0)->epoch.v + 5};
+  old.epoch = Epoch{c.view(0)->epoch.value() + 5};
   SECTION("the envelope names the old generation: refused") {
     c.inject(0, from_outside(former, CatchupReply{old.epoch, old, {}}));
     CHECK(c.view(0)->generation == 2);
@@ -140,7 +146,8 @@
   SECTION("the envelope was forged: noticed") {
     c.inject(0, from_outside(c.view(0)->cluster, CatchupReply{old.epoch, old, {}}));
     CHECK((c.view(0)->generation == 2 || !c.observer().broken().empty()));
-    if (c.view(0)->generation == 1) CHECK(c.observer().broken().find("earlier generation") != std::string::npos);
+    if (c.view(0)->generation == 1)
+      CHECK(c.observer().broken().find("earlier generation") != std::string::npos);
   }
 }
 
@@ -148,7 +155,8 @@
   auto c = after_founding();
   REQUIRE(settle(c, 400, [](auto& x) { return x.view(3)->cluster && x.observer().acknowledged() == 1; }));
   auto* spare = c.view(0)->find(c.incarnation(3));
-  if (!spare) force(c, Register{c.candidate(3)}, "register");
+  if (!spare)
+    force(c, Register{c.candidate(3)}, "register");
   REQUIRE(settle(c, 400, [](auto& x) { return x.in_flight() == 0; }));
   auto fresh = c.view(0)->find(c.incarnation(3))->id, lost = c.view(0)->find(c.incarnation(2))->id;
   c.apply({Kind::cut, 2, 4, 0});
@@ -161,7 +169,8 @@
 TEST_CASE("a proposer that starts again does not count votes of its earlier life", "[model]") {
   auto c = after_founding();
   REQUIRE(settle(c, 400, [](auto& x) { return x.observer().acknowledged() == 1; }));
-  while (c.in_flight()) c.apply({Kind::lose, 0, 0, 0});
+  while (c.in_flight())
+    c.apply({Kind::lose, 0, 0, 0});
   REQUIRE(c.view(0)->epoch == c.view(1)->epoch);
   REQUIRE(c.view(0)->epoch == c.view(2)->epoch);
   Configuration changed{{Cell{"c", 1000, 100, 60000, {{"chat", "model", {}}}}}};
--- a/tests/model/starts.cpp
+++ b/tests/model/starts.cpp
@@ -15,12 +15,14 @@
 
 bool same_epoch(const Cluster& c, size_t nodes) {
   for (size_t i = 0; i < nodes; ++i)
-    if (!c.view(i)->cluster || c.view(i)->epoch != c.view(0)->epoch) return false;
+    if (!c.view(i)->cluster || c.view(i)->epoch != c.view(0)->epoch)
+      return false;
   return true;
 }
 
 void need(bool reached, const char* what) {
-  if (!reached) throw std::runtime_error(std::string("the script of a start didn't reach: ") + what);
+  if (!reached)
+    throw std::runtime_error(std::string("the script of a start didn't reach: ") + what);
 }
 
 /// Puts back the options that only the script had changed.
@@ -41,7 +43,8 @@
 Cluster founded(Options o) {
   Cluster c(o);
   Script s(c, 100, false);
-  for (auto& a : seeds) c.add(a, seeds, 3);
+  for (auto& a : seeds)
+    c.add(a, seeds, 3);
   need(settle(c, patience, [](auto& x) { return same_epoch(x, 3) && x.in_flight() == 0; }), "founding");
   return c;
 }
@@ -49,7 +52,8 @@
 }  // namespace
 
 bool settle(Cluster& c, int actions, const std::function<bool(const Cluster&)>& done) {
-  for (int i = 0; i < actions && !done(c); ++i) c.apply(c.enabled().front());
+  for (int i = 0; i < actions && !done(c); ++i)
+    c.apply(c.enabled().front());
   return done(c);
 }
 
@@ -57,9 +61,12 @@
   o.quiet_step = 100;
   Cluster c(o);
   Script s(c, 100, false);
-  for (auto& a : seeds) c.add(a, seeds, 3);
+  for (auto& a : seeds)
+    c.add(a, seeds, 3);
   c.add("c4", seeds, 3);
-  auto age = [](const Cluster& x) { return x.clock(0) - kProcessClockStart; };
+  auto age = [](const Cluster& x) {
+    return x.clock(0) - kProcessClockStart;
+  };
   need(settle(c, patience, [&](auto& x) { return age(x) >= kFoundingDelay && x.in_flight() == 0; }), "age");
   c.submit(order("first", "a"));
   return c;
@@ -69,7 +76,8 @@
   auto c = founded(o);
   c.submit(order("first", "a"));
   c.submit(order("second", "b"));
-  for (size_t i = 0; i < c.size(); ++i) c.apply({Kind::restart, i, 0, 0});
+  for (size_t i = 0; i < c.size(); ++i)
+    c.apply({Kind::restart, i, 0, 0});
   c.add("c4", seeds, 3);
   c.apply({Kind::order, 0, 0, 0});
   c.apply({Kind::order, 1, 1, 0});
@@ -81,11 +89,13 @@
   auto c = founded(o);
   c.submit(order("first", "a"));
   c.submit(order("second", "b"));
-  for (size_t i = 0; i < c.size(); ++i) c.apply({Kind::restart, i, 0, 0});
+  for (size_t i = 0; i < c.size(); ++i)
+    c.apply({Kind::restart, i, 0, 0});
   c.apply({Kind::order, 0, 0, 0});
   auto voting = [](const Cluster& x) {
     for (size_t i = 0; i < x.in_flight(); ++i)
-      if (std::holds_alternative<Accept>(x.message(i).body) && x.message(i).to == "c2") return true;
+      if (std::holds_alternative<Accept>(x.message(i).body) && x.message(i).to == "c2")
+        return true;
     return false;
   };
   need(settle(c, patience, voting), "a vote under way");
@@ -94,7 +104,8 @@
       c.apply({Kind::deliver, 1, i, 0});
       break;
     }
-  while (c.in_flight()) c.apply({Kind::lose, 0, 0, 0});
+  while (c.in_flight())
+    c.apply({Kind::lose, 0, 0, 0});
   c.apply({Kind::restart, 0, 0, 0});
   c.apply({Kind::order, 2, 1, 0});
   c.budget = {};
@@ -106,14 +117,17 @@
   o.quiet_step = 150;
   Cluster c(o);
   Script s(c, 150, true);
-  for (auto& a : seeds) c.add(a, seeds, 3);
+  for (auto& a : seeds)
+    c.add(a, seeds, 3);
   need(settle(c, patience, [](auto& x) { return same_epoch(x, 3); }), "founding");
   c.add("c4", seeds, 3);
   need(settle(c, patience, [](auto& x) { return same_epoch(x, 4) && x.view(0)->find(x.incarnation(3)); }), "newcomer");
   c.budget.wipes = 1;
   auto lost = c.incarnation(2);
   c.apply({Kind::wipe, 2, 0, 0});
-  auto down = [&](const Cluster& x) { return x.view(0)->find(lost)->state == DaemonState::down; };
+  auto down = [&](const Cluster& x) {
+    return x.view(0)->find(lost)->state == DaemonState::down;
+  };
   need(settle(c, patience, down), "a member down");
   c.submit(order("first", "a"));
   c.submit(order("second", "b"));
--- a/tests/platform_stub/book.hpp
+++ b/tests/platform_stub/book.hpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "net/protocol_codec.hpp"
 #include "net/event_loop.hpp"
+#include "net/protocol_codec.hpp"
 
 namespace mosskeel::standin {
 
--- a/tests/platform_stub/callers.cpp
+++ b/tests/platform_stub/callers.cpp
@@ -7,7 +7,8 @@
 constexpr int most_tries = 4;
 
 Callers::Callers(World& w) : w_(w) {
-  for (size_t i = 0; i < 3; ++i) look(i);
+  for (size_t i = 0; i < 3; ++i)
+    look(i);
 }
 
 void Callers::look(size_t i) {
@@ -22,7 +23,8 @@
 }
 
 void Callers::send(std::shared_ptr<Job> j) {
-  if (!j->deadline) j->deadline = monotonic_ms() + 4000;
+  if (!j->deadline)
+    j->deadline = monotonic_ms() + 4000;
   ++open_;
   attempt(j);
 }
@@ -30,8 +32,10 @@
 void Callers::attempt(const std::shared_ptr<Job>& j) {
   std::vector<int> in;
   for (int i = 0; i < 3; ++i)
-    if (missed_[static_cast<size_t>(i)] < 2) in.push_back(i);
-  if (in.empty()) in = {0, 1, 2};
+    if (missed_[static_cast<size_t>(i)] < 2)
+      in.push_back(i);
+  if (in.empty())
+    in = {0, 1, 2};
   auto to = w_.plan.front(in[w_.roll(in.size())]);
   auto a = w_.name(), left = std::to_string(std::max<Millis>(1, j->deadline - monotonic_ms()));
   ++j->tries;
@@ -46,13 +50,16 @@
     f.push_back({"Mosskeel-Token-Count", std::to_string(j->tokens_in) + "," + std::to_string(j->tokens_out)});
     f.push_back({"Mosskeel-Prompt-Prefix", "a1:60," + hex(digest(j->body)) + ":40"});
   }
-  if (j->resume_after) f.push_back({"Last-Event-Id", std::to_string(j->resume_after)});
+  if (j->resume_after)
+    f.push_back({"Last-Event-Id", std::to_string(j->resume_after)});
   if (!j->program.empty()) {
     f.push_back({"Mosskeel-Program-Id", j->program});
     f.push_back({"Mosskeel-Session-Id", j->session});
     f.push_back({"Mosskeel-Program-Time-Left", "20000"});
-    if (j->budget) f.push_back({"Mosskeel-Token-Budget", std::to_string(j->budget)});
-    if (!j->parent.empty()) f.push_back({"Mosskeel-Previous-Turn", j->parent});
+    if (j->budget)
+      f.push_back({"Mosskeel-Token-Budget", std::to_string(j->budget)});
+    if (!j->parent.empty())
+      f.push_back({"Mosskeel-Previous-Turn", j->parent});
   }
   auto target = s.target;
   w_.book.sent(a, std::move(s));
@@ -62,21 +69,28 @@
 
 void Callers::judge(const std::shared_ptr<Job>& j, const std::string& a, Reply&& r) {
   bool promise = r.whole && (r.status == 429 || r.status == 503 || r.status == 408 || r.status == 421);
-  if (promise || (r.whole && r.status == 402)) w_.book.refused(a, r.status);
+  if (promise || (r.whole && r.status == 402))
+    w_.book.refused(a, r.status);
   bool good = r.whole && r.status >= 200 && r.status < 300, stream = j->kind != Kind::safe && j->kind != Kind::unsafe;
   auto events = stream && r.status == 200 ? events_of(r.body) : std::vector<Event>{};
-  if (j->budget) w_.book.handed(j->program, events.size() * event_tokens);
-  if (good) w_.book.whole(a, r.fields, r.body);
+  if (j->budget)
+    w_.book.handed(j->program, events.size() * event_tokens);
+  if (good)
+    w_.book.whole(a, r.fields, r.body);
   if (w_.calm && !r.whole && w_.book.has_run(a) && monotonic_ms() < j->deadline)
     w_.book.violate(a + " ran, but its answer on " + j->route + " was lost around planned work");
   if (good && stream && (events.empty() || events.back().id != j->tokens_out / event_tokens))
     w_.book.violate(a + " ended before its last event");
-  if (good) return again(j, r.status, a, 0, false);
+  if (good)
+    return again(j, r.status, a, 0, false);
   if (r.whole && r.status == 404 && j->kind == Kind::turn && w_.book.known(j->parent))
     w_.book.violate(a + " got 404, but " + j->parent + " was acknowledged");
-  if (!r.unsent && r.status && !promise && r.status < 500 && r.whole) return again(j, r.status, a, 0, false);
-  if (j->kind == Kind::resumable && !events.empty()) j->resume_after = events.back().id;
-  if (j->resume_after == j->tokens_out / event_tokens) return again(j, 200, a, 0, false);
+  if (!r.unsent && r.status && !promise && r.status < 500 && r.whole)
+    return again(j, r.status, a, 0, false);
+  if (j->kind == Kind::resumable && !events.empty())
+    j->resume_after = events.back().id;
+  if (j->resume_after == j->tokens_out / event_tokens)
+    return again(j, 200, a, 0, false);
   auto wait = std::string(header_value(r.fields, "Retry-After"));
   auto pause = std::max<Millis>(1, wait.empty() ? 50 : static_cast<Millis>(std::stod(wait) * 1000));
   again(j, r.status, a, pause, repeatable(j->kind) || promise || r.unsent);
@@ -99,9 +113,12 @@
     return;
   }
   --open_;
-  if (!good && !j->what.empty()) printf("not served: %s on %s with %u\n", a.c_str(), j->route.c_str(), status);
-  if (!j->what.empty()) w_.book.served(j->what, good);
-  if (j->done) j->done(status, a, good);
+  if (!good && !j->what.empty())
+    printf("not served: %s on %s with %u\n", a.c_str(), j->route.c_str(), status);
+  if (!j->what.empty())
+    w_.book.served(j->what, good);
+  if (j->done)
+    j->done(status, a, good);
 }
 
 void Callers::plain(Kind k, const std::string& route) {
--- a/tests/platform_stub/list.cpp
+++ b/tests/platform_stub/list.cpp
@@ -9,23 +9,29 @@
 
 List::List(World& w, std::function<std::vector<Listed>()> now) : w_(w), now_(std::move(now)) {
   in_ = listen(w.loop, w.plan.list(),
-               {[this](uint64_t id, HttpRequest&& r) { asked(id, r); }, [](uint64_t) {}, [](uint64_t) {}});
+               {[this](uint64_t id, HttpRequest&& r) { asked(id, r); }, [](uint64_t) {},
+                [](uint64_t) {
+                }});
   look();
 }
 
 void List::look() {
   auto now = monotonic_ms();
   past_.push_back({now, now_()});
-  while (past_.size() > 1 && past_[1].first <= now - lag_ms) past_.pop_front();
+  while (past_.size() > 1 && past_[1].first <= now - lag_ms)
+    past_.pop_front();
   w_.loop.run_after(100, [this] { look(); });
 }
 
 void List::asked(uint64_t id, const HttpRequest& r) {
   auto now = monotonic_ms();
-  while (!calls_.empty() && now - calls_.front() >= 1000) calls_.pop_front();
-  if (static_cast<double>(calls_.size()) >= rate) return in_->send_response(id, 429, {{"Retry-After", "0.2"}}, "");
+  while (!calls_.empty() && now - calls_.front() >= 1000)
+    calls_.pop_front();
+  if (static_cast<double>(calls_.size()) >= rate)
+    return in_->send_response(id, 429, {{"Retry-After", "0.2"}}, "");
   calls_.push_back(now);
-  if (r.method != "GET" || !r.target.starts_with("/replicas")) return in_->send_response(id, 404, {}, "");
+  if (r.method != "GET" || !r.target.starts_with("/replicas"))
+    return in_->send_response(id, 404, {}, "");
   auto t = r.target.find("PageToken=p-");
   size_t from = t == r.target.npos ? 0 : std::stoul(r.target.substr(t + 12));
   auto& v = past_.front().second;
@@ -43,9 +49,10 @@
                  {"ColdLeftMs", cold}});
   }
   nlohmann::json next;
-  if (from + page < v.size()) next = "p-" + std::to_string(from + page);
+  if (from + page < v.size())
+    next = "p-" + std::to_string(from + page);
   in_->send_response(id, 200, {{"Content-Type", "application/json"}},
-             nlohmann::json{{"Replicas", j}, {"NextToken", next}}.dump());
+                     nlohmann::json{{"Replicas", j}, {"NextToken", next}}.dump());
 }
 
 }  // namespace mosskeel::standin
--- a/tests/platform_stub/main.cpp
+++ b/tests/platform_stub/main.cpp
@@ -26,12 +26,14 @@
 
   Scene(Plan p, Millis ms) : w(p), length(ms) {
     for (auto [service, n] : {std::pair{"model", 3}, {"app", 3}, {"app2", 2}, {"rogue", 1}})
-      for (int i = 0; i < n; ++i) add(service, zones[i]);
+      for (int i = 0; i < n; ++i)
+        add(service, zones[i]);
     rogue = std::make_unique<Rogue>(w, Listed{"i-" + w.name(), "rogue", zones[0], w.plan.replica(19)});
     list = std::make_unique<List>(w, [this] {
       std::vector<Listed> v{rogue->listed};
       for (auto& r : replicas)
-        if (!r->listed.drained || monotonic_ms() < r->listed.drained + lag_ms + drain_ms) v.push_back(r->listed);
+        if (!r->listed.drained || monotonic_ms() < r->listed.drained + lag_ms + drain_ms)
+          v.push_back(r->listed);
       return v;
     });
   }
@@ -45,7 +47,8 @@
   }
 
   void every(Millis ms, std::function<void()> f) {
-    if (monotonic_ms() > begun + length) return;
+    if (monotonic_ms() > begun + length)
+      return;
     f();
     w.loop.run_after(ms / 2 + static_cast<Millis>(w.roll(static_cast<uint64_t>(ms))), [=, this] { every(ms, f); });
   }
@@ -55,7 +58,8 @@
     fflush(stdout);
     every(170, [this] { callers.plain(Kind::safe, "safe"); });
     every(250, [this] { callers.plain(Kind::unsafe, "unsafe"); });
-    if (!w.calm) every(500, [this] { callers.plain(Kind::safe, "rogue"); });
+    if (!w.calm)
+      every(500, [this] { callers.plain(Kind::safe, "rogue"); });
     every(500, [this] { callers.plain(Kind::stream, "stream"); });
     every(500, [this] { callers.plain(Kind::resumable, "resume"); });
     every(800, [this] { callers.program(true, false); });
@@ -63,19 +67,24 @@
     every(4000, [this] { callers.program(w.roll(2), true); });
     every(2000, [this] { callers.astray(); });
     every(300, [this] {
-      if (changed) return callers.plain(Kind::safe, "new");
+      if (changed)
+        return callers.plain(Kind::safe, "new");
     });
     every(700, [this] {
-      if (!changing) return callers.plain(Kind::safe, "old");
-      if (!changed) return;
+      if (!changing)
+        return callers.plain(Kind::safe, "old");
+      if (!changed)
+        return;
       auto j = std::make_shared<Job>();
       j->route = "old";
       j->done = [this](uint32_t status, const std::string& a, bool) {
-        if (status >= 200 && status < 300) w.book.violate(a + " is served on a route that was removed");
+        if (status >= 200 && status < 300)
+          w.book.violate(a + " is served on a route that was removed");
       };
       callers.send(j);
     });
-    if (!w.calm) changes();
+    if (!w.calm)
+      changes();
     w.loop.run_after(length + 200, [this] { wait(); });
   }
   /// The operator's work of a day, at its tenths.
@@ -91,12 +100,14 @@
     w.loop.run_after(length * 5 / 10, [this] {
       op.evacuate(zones[2], true, [this] {
         for (auto& r : replicas)
-          if (r->listed.zone == zones[2]) r->evacuated = monotonic_ms() + 5000;
+          if (r->listed.zone == zones[2])
+            r->evacuated = monotonic_ms() + 5000;
       });
     });
     w.loop.run_after(length * 6 / 10, [this] { op.retire(); });
     w.loop.run_after(length * 9 / 10, [this] {
-      for (auto& r : replicas) r->evacuated = 0;
+      for (auto& r : replicas)
+        r->evacuated = 0;
       op.evacuate(zones[2], false, [] {});
     });
   }
@@ -105,7 +116,8 @@
       w.loop.run_after(100, [this] { wait(); });
       return;
     }
-    if (callers.open()) w.book.violate("requests stay open");
+    if (callers.open())
+      w.book.violate("requests stay open");
     op.read_back([this] { w.loop.stop(); });
   }
   void start(Millis patience) {
@@ -117,7 +129,8 @@
       w.loop.run_after(100, [this, end] { await(end); });
       return;
     }
-    if (callers.ready() < 3) w.book.violate("not all fronts are ready");
+    if (callers.ready() < 3)
+      w.book.violate("not all fronts are ready");
     w.loop.run_after(2500, [this] { traffic(); });
   }
 };
@@ -136,10 +149,13 @@
   poptContext c = poptGetContext("standin", argc, argv, table, 0);
   if (int rc = poptGetNextOpt(c); rc < -1)
     return fprintf(stderr, "standin: %s: %s\n", poptBadOption(c, 0), poptStrerror(rc)), 2;
-  if (!dir) return fprintf(stderr, "standin: dir: is missing\n"), 2;
-  if (write) return write_settings(dir), 0;
+  if (!dir)
+    return fprintf(stderr, "standin: dir: is missing\n"), 2;
+  if (write)
+    return write_settings(dir), 0;
   unsigned base = 0;
-  if (!(std::ifstream(std::string(dir) + "/base") >> base)) return fprintf(stderr, "standin: no settings there\n"), 2;
+  if (!(std::ifstream(std::string(dir) + "/base") >> base))
+    return fprintf(stderr, "standin: no settings there\n"), 2;
   signal(SIGPIPE, SIG_IGN);
   auto scene = std::make_unique<Scene>(Plan{static_cast<uint16_t>(base)}, seconds * 1000);
   scene->w.calm = calm;
--- a/tests/platform_stub/operator.cpp
+++ b/tests/platform_stub/operator.cpp
@@ -50,7 +50,8 @@
 void Operator::call(const std::string& method, const std::string& path, const std::string& body, int base,
                     Millis patience, Done done) {
   HeaderFields f{{"Host", "control"}, {"Content-Type", "application/json"}};
-  if (base >= 0) f.push_back({"If-Match", std::to_string(base)});
+  if (base >= 0)
+    f.push_back({"If-Match", std::to_string(base)});
   auto end = monotonic_ms() + patience;
   auto to = std::make_shared<Address>(), led = std::make_shared<Address>();
   auto hops = std::make_shared<int>(0);
@@ -72,7 +73,8 @@
 }
 
 void Operator::expect(const std::string& what, uint32_t status, const std::set<uint32_t>& good) {
-  if (!good.count(status)) w_.book.violate(what + " is answered with " + std::to_string(status));
+  if (!good.count(status))
+    w_.book.violate(what + " is answered with " + std::to_string(status));
 }
 
 void Operator::begin(std::function<void()> then) {
@@ -128,7 +130,8 @@
        [this](uint32_t s, const std::string&) { expect("a retirement that leaves too few", s, {409}); });
   call("GET", "/v1/retire/storage-2", "", -1, 15000, [this](uint32_t s, const std::string& b) {
     expect("the state of a machine", s, {200});
-    if (b.find("serving") == b.npos) w_.book.violate("a machine that serves is said to be " + b);
+    if (b.find("serving") == b.npos)
+      w_.book.violate("a machine that serves is said to be " + b);
   });
 }
 
@@ -136,7 +139,8 @@
   call("GET", "/v1/config", "", -1, 15000, [=, this](uint32_t status, const std::string& body) {
     expect("the configuration read back", status, {200});
     auto j = Json::parse(body, nullptr, false);
-    if (j.is_discarded() || j != document_) w_.book.violate("another configuration is read back: " + body);
+    if (j.is_discarded() || j != document_)
+      w_.book.violate("another configuration is read back: " + body);
     then();
   });
 }
--- a/tests/platform_stub/rogue.cpp
+++ b/tests/platform_stub/rogue.cpp
@@ -22,13 +22,15 @@
 
 Rogue::~Rogue() {
   w_.loop.unwatch(listening_.get());
-  for (auto& [fd, s] : sessions_) w_.loop.unwatch(fd);
+  for (auto& [fd, s] : sessions_)
+    w_.loop.unwatch(fd);
 }
 
 void Rogue::accept() {
   for (;;) {
     int fd = ::accept4(listening_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
-    if (fd < 0) return;
+    if (fd < 0)
+      return;
     sessions_[fd].fd = Fd(fd);
     w_.loop.watch(fd, EPOLLIN, [this, fd](uint32_t) { receive(fd); });
   }
@@ -38,7 +40,8 @@
   auto& s = sessions_.at(fd);
   char b[16384];
   auto n = ::recv(fd, b, sizeof b, 0);
-  if (n < 0 && errno == EAGAIN) return;
+  if (n < 0 && errno == EAGAIN)
+    return;
   if (n <= 0) {
     w_.loop.unwatch(fd);
     sessions_.erase(fd);
@@ -46,9 +49,11 @@
   }
   s.in.append(b, static_cast<size_t>(n));
   size_t scanned = 0;
-  if (scan_head(s.in, scanned) != HeadScan::complete) return;
+  if (scan_head(s.in, scanned) != HeadScan::complete)
+    return;
   auto h = parse_request_head(std::string_view(s.in).substr(0, scanned));
-  if (s.in.size() < scanned + h.content_length.value_or(0)) return;
+  if (s.in.size() < scanned + h.content_length.value_or(0))
+    return;
   HttpRequest r{h.method, h.target, "", h.fields, s.in.substr(scanned, h.content_length.value_or(0))};
   s.in.clear();
   answer(fd, r);
@@ -62,7 +67,9 @@
     return "HTTP/1.1 200 OK\r\nMosskeel-Attempt-Id: " + attempt + (stamp.empty() ? "" : "\r\nMosskeel-Server-Seal: ") +
            stamp + "\r\nKeep-Alive: timeout=1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   };
-  auto say = [&](const std::string& s) { (void)!::send(fd, s.data(), s.size(), MSG_NOSIGNAL); };
+  auto say = [&](const std::string& s) {
+    (void)!::send(fd, s.data(), s.size(), MSG_NOSIGNAL);
+  };
   auto close = [&] {
     w_.loop.unwatch(fd);
     sessions_.erase(fd);
@@ -85,7 +92,8 @@
       w_.book.made(a, seal, body);
       say(proper);
       w_.loop.run_after(30, [this, fd, other] {
-        if (sessions_.count(fd)) (void)!::send(fd, other.data(), other.size(), MSG_NOSIGNAL);
+        if (sessions_.count(fd))
+          (void)!::send(fd, other.data(), other.size(), MSG_NOSIGNAL);
       });
       return;
     case 6:
--- a/tests/platform_stub/world.cpp
+++ b/tests/platform_stub/world.cpp
@@ -27,7 +27,8 @@
       auto p = static_cast<uint16_t>(base + i);
       good = free_at("127.0.0.1", p) && free_at("127.0.0.11", p) && free_at("127.0.0.31", p);
     }
-    if (good) return base;
+    if (good)
+      return base;
   }
   return 21000;
 }
@@ -36,7 +37,9 @@
 
 Plan write_settings(const std::string& dir) {
   Plan p{free_base()};
-  auto q = [](const std::string& s) { return "\"" + s + "\""; };
+  auto q = [](const std::string& s) {
+    return "\"" + s + "\"";
+  };
   std::string seeds = q(p.control(0)) + "," + q(p.control(1)) + "," + q(p.control(2));
   for (std::string program : {"controller", "store", "gateway", "agent"})
     for (int i = 0; i < 3; ++i) {
@@ -81,7 +84,8 @@
 
 void World::finish(uint64_t id, bool whole, bool unsent) {
   auto i = talks_.find(id);
-  if (i == talks_.end()) return;
+  if (i == talks_.end())
+    return;
   auto t = std::move(i->second);
   talks_.erase(i);
   loop.cancel(t.timer);
--- a/tests/simulation/callers.cpp
+++ b/tests/simulation/callers.cpp
@@ -20,8 +20,12 @@
     replicas[n].kind = "app";
     replicas[n].zone = std::string(1, static_cast<char>('a' + i % 3));
   }
-  w.local = [this](Node& n, const Envelope& e) { on_local(n, e); };
-  w.replica = [this](Node& n, const Envelope& e) { on_replica(n, e); };
+  w.local = [this](Node& n, const Envelope& e) {
+    on_local(n, e);
+  };
+  w.replica = [this](Node& n, const Envelope& e) {
+    on_replica(n, e);
+  };
   w.died = [this](Node& n) {
     std::vector<std::function<void()>> v;
     for (auto i = open_.begin(); i != open_.end();)
@@ -29,7 +33,8 @@
         v.push_back(i->second.lost), i = open_.erase(i);
       else
         ++i;
-    for (auto& f : v) w_.at(w_.now() + 1, f);
+    for (auto& f : v)
+      w_.at(w_.now() + 1, f);
   };
 }
 
@@ -42,7 +47,8 @@
 
 void Callers::on_local(Node& n, const Envelope& e) {
   auto i = open_.find({n.name, e.to});
-  if (i == open_.end()) return;
+  if (i == open_.end())
+    return;
   auto f = i->second.hear;
   f(e.body);
 }
@@ -50,12 +56,14 @@
 std::string Callers::pick_front() {
   std::vector<std::string> v;
   for (auto& s : w_.names(Kind::gateway))
-    if (only_ready ? w_.alive(s) && w_.ready(s) : w_.node(s).machine != nullptr) v.push_back(s);
+    if (only_ready ? w_.alive(s) && w_.ready(s) : w_.node(s).machine != nullptr)
+      v.push_back(s);
   return v.empty() ? "" : v[w_.roll() % v.size()];
 }
 
 Millis Callers::patience(const std::string& front) {
-  if (w_.node(front).frozen) return 500 + w_.below(4000);
+  if (w_.node(front).frozen)
+    return 500 + w_.below(4000);
   return w_.chance(0.03) ? 1 + w_.below(400) : 45000;
 }
 
@@ -64,23 +72,28 @@
   uint32_t n = 0;
   for (auto& t : turns_[program])
     if (t->thread == thread) {
-      if (!t->done || (!t->success && !t->sure_not_run)) return std::nullopt;
+      if (!t->done || (!t->success && !t->sure_not_run))
+        return std::nullopt;
       n += t->success;
     }
   return n;
 }
 
 void Callers::traffic(Millis gap, Millis end) {
-  if (w_.now() >= end) return;
-  if (w_.chance(0.5)) fetch();
-  if (w_.chance(0.5)) count();
+  if (w_.now() >= end)
+    return;
+  if (w_.chance(0.5))
+    fetch();
+  if (w_.chance(0.5))
+    count();
   bool dive = dives && w_.roll() % dives == 0;
   program("p" + std::to_string(++next_), dive ? 10 : 2 + static_cast<int>(w_.below(4)), 0);
   w_.at(w_.now() + 1 + w_.below(gap * 2), [=, this] { traffic(gap, end); });
 }
 
 void Callers::program(const std::string& name, int turns, int i) {
-  if (i >= turns) return;
+  if (i >= turns)
+    return;
   if (helpers && (i == 1 || turns == 10) && w_.chance(0.3)) {
     auto t = "helper" + std::to_string(i);
     turn(name, t, [](const Turn&) {});
@@ -99,7 +112,8 @@
   t->key = "k" + std::to_string(++next_);
   t->input = "say " + t->key;
   t->ordinal = next_;
-  if (auto n = known_turns(program, thread); n && w_.chance(0.3)) t->after = n, ++stood_after;
+  if (auto n = known_turns(program, thread); n && w_.chance(0.3))
+    t->after = n, ++stood_after;
   turns_[program].push_back(t);
   ask(t, std::move(then), stubborn);
 }
@@ -114,39 +128,50 @@
   };
   ++t->tries;
   auto front = pick_front();
-  if (front.empty()) return again(1000);
+  if (front.empty())
+    return again(1000);
   auto settled = std::make_shared<bool>(false);
   auto begun = w_.now();
   bool urgent = urgent_share && w_.roll() % urgent_share == 0;
-  if (urgent) ++urgent_asked;
+  if (urgent)
+    ++urgent_asked;
   t->pieces = 0;
   t->text.clear();
   auto finish = [=, this](const ProgramResponse* e, bool own = false) {
-    if (*settled) return;
+    if (*settled)
+      return;
     *settled = true;
-    if (!e || e->executed == Outcome::unknown || e->executed == Outcome::yes) t->sure_not_run = false;
+    if (!e || e->executed == Outcome::unknown || e->executed == Outcome::yes)
+      t->sure_not_run = false;
     if (e && e->status == 200) {
       t->success = t->done = true;
       t->output = e->body;
       if (t->pieces && (t->pieces != e->chunks || t->text != e->body))
         w_.fail("stream of " + t->key + " is not the answer: " + t->text + " / " + e->body);
       auto& whole = whole_["news/" + t->program + "/" + t->key];
-      if (whole != e->body) w_.fail("success of " + t->key + " is not the replica's whole sealed answer");
+      if (whole != e->body)
+        w_.fail("success of " + t->key + " is not the replica's whole sealed answer");
       ++successes;
-      if (urgent) ++urgent_done;
+      if (urgent)
+        ++urgent_done;
       last_success_ = w_.now();
       return then(*t);
     }
-    auto later = [&](auto& x) { return x->thread == t->thread && x->ordinal > t->ordinal; };
+    auto later = [&](auto& x) {
+      return x->thread == t->thread && x->ordinal > t->ordinal;
+    };
     if (e && e->reason.starts_with("after:") &&
         std::none_of(turns_[t->program].begin(), turns_[t->program].end(), later))
       w_.fail("a caller that knew all turns of " + t->program + " was told otherwise: " + e->reason);
     if (e && e->status == 404) {
       bool kept = false;
-      for (auto& x : turns_[t->program]) kept |= x->success;
-      if (kept) w_.fail("a kept conversation was reported missing: " + t->program);
+      for (auto& x : turns_[t->program])
+        kept |= x->success;
+      if (kept)
+        w_.fail("a kept conversation was reported missing: " + t->program);
     }
-    if (e && e->executed == Outcome::no && e->status == 503) slowest_refusal = std::max(slowest_refusal, w_.now() - begun);
+    if (e && e->executed == Outcome::no && e->status == 503)
+      slowest_refusal = std::max(slowest_refusal, w_.now() - begun);
     if (e && e->executed == Outcome::no)
       ++refusals;
     else if (own)
@@ -166,7 +191,8 @@
   auto a = session(
       front,
       [=, this](const Message& m) {
-        if (*settled) return;
+        if (*settled)
+          return;
         if (auto* p = std::get_if<ProgramResponseChunk>(&m)) {
           if (p->index != t->pieces)
             w_.fail("stream of " + t->key + " skips or repeats: piece " + std::to_string(p->index) + " for " +
@@ -174,7 +200,8 @@
           ++t->pieces;
           t->text += p->text;
         }
-        if (auto* e = std::get_if<ProgramResponse>(&m)) finish(e);
+        if (auto* e = std::get_if<ProgramResponse>(&m))
+          finish(e);
       },
       [=] { finish(nullptr); });
   ProgramRequest e{};
@@ -207,14 +234,17 @@
 
 void Callers::fetch() {
   auto front = pick_front();
-  if (front.empty()) return;
+  if (front.empty())
+    return;
   auto path = "/tallies/" + std::to_string(++next_);
   auto a = session(
       front,
       [=, this](const Message& m) {
         auto* e = std::get_if<ProgramResponse>(&m);
-        if (!e || e->status != 200) return;
-        if (e->body != "GET " + path) w_.fail("a success that is not the replica's whole answer: " + path);
+        if (!e || e->status != 200)
+          return;
+        if (e->body != "GET " + path)
+          w_.fail("a success that is not the replica's whole answer: " + path);
       },
       [] {});
   ProgramRequest e{};
@@ -232,11 +262,13 @@
 
 void Callers::read_back(const std::string& program, std::function<void(uint32_t, const std::string&)> then) {
   auto front = pick_front();
-  if (front.empty()) return then(0, "");
+  if (front.empty())
+    return then(0, "");
   auto a = session(
       front,
       [=](const Message& m) {
-        if (auto* e = std::get_if<ProgramResponse>(&m)) then(e->status, e->status == 200 ? e->body : e->reason);
+        if (auto* e = std::get_if<ProgramResponse>(&m))
+          then(e->status, e->status == 200 ? e->body : e->reason);
       },
       [=] { then(0, ""); });
   ProgramRequest e{};
--- a/tests/simulation/cores.cpp
+++ b/tests/simulation/cores.cpp
@@ -11,13 +11,19 @@
     w.run(500 + w.below(1000));
     auto r = change(d, 10000);
     auto all = w.names(Kind::controller);
-    for (auto& s : all) w.power_off(s);
-    if (w.chance(0.5)) w.power_off(d.any(Kind::store));
-    if (i == 2) w.wipe(all[w.roll() % all.size()]);
+    for (auto& s : all)
+      w.power_off(s);
+    if (w.chance(0.5))
+      w.power_off(d.any(Kind::store));
+    if (i == 2)
+      w.wipe(all[w.roll() % all.size()]);
     w.run(500 + w.below(1500));
-    for (auto& s : all) w.start(s), w.node(s).disk.slow = w.chance(0.5) ? w.below(200) : 0;
-    for (auto& s : w.names(Kind::store)) w.start(s);
-    if (r) in_force(d, r, 8000);
+    for (auto& s : all)
+      w.start(s), w.node(s).disk.slow = w.chance(0.5) ? w.below(200) : 0;
+    for (auto& s : w.names(Kind::store))
+      w.start(s);
+    if (r)
+      in_force(d, r, 8000);
   }
   w.run(5000);
 }
@@ -28,22 +34,28 @@
   d.c.traffic(150, w.now() + 25000);
   w.run(2000);
   auto r = change(d, 10000);
-  if (!r) w.fail("the change was not acknowledged");
+  if (!r)
+    w.fail("the change was not acknowledged");
   auto v = w.names(Kind::controller);
   auto stay = w.roll() % v.size();
   for (size_t i = 0; i < v.size(); ++i)
-    if (i != stay) w.wipe(v[i]);
+    if (i != stay)
+      w.wipe(v[i]);
   w.run(500 + w.below(1500));
   bool late = w.chance(0.5);
-  if (late) w.power_off(v[stay]);
+  if (late)
+    w.power_off(v[stay]);
   for (auto& s : v)
-    if (!late || s != v[stay]) w.start(s);
+    if (!late || s != v[stay])
+      w.start(s);
   w.run(late ? 4000 : 0);
   w.start(v[stay]);
   w.run(12000);
-  if (latest(w)->generation != 2) w.fail("the core was not founded anew");
+  if (latest(w)->generation != 2)
+    w.fail("the core was not founded anew");
   auto now = change(d, 10000);
-  if (now <= r) w.fail("no change is accepted after the core's re-founding");
+  if (now <= r)
+    w.fail("no change is accepted after the core's re-founding");
   in_force(d, now, 2000);
 }
 
@@ -60,7 +72,8 @@
     got.outcome = CommitOutcome::unknown;
     auto old = w.local;
     w.local = [&](Node&, const Envelope& e) {
-      if (e.to == "local:op") got = std::get<CommitReply>(e.body);
+      if (e.to == "local:op")
+        got = std::get<CommitReply>(e.body);
     };
     Envelope e{};
     e.from = "local:op";
@@ -71,16 +84,22 @@
   };
   std::vector<DaemonId> lost;
   for (auto& s : v)
-    if (s != stay) lost.push_back(latest(w)->find_at(s)->id);
-  if (ask(lost).outcome != CommitOutcome::rejected) w.fail("a rebuild was taken while a majority lives");
+    if (s != stay)
+      lost.push_back(latest(w)->find_at(s)->id);
+  if (ask(lost).outcome != CommitOutcome::rejected)
+    w.fail("a rebuild was taken while a majority lives");
   for (auto& s : v)
-    if (s != stay) w.power_off(s);
+    if (s != stay)
+      w.power_off(s);
   w.run(6000);
-  if (ask({lost[0]}).outcome != CommitOutcome::rejected) w.fail("a rebuild was taken though a silent member was not named");
-  if (auto a = ask(lost); a.outcome != CommitOutcome::committed) w.fail("the rebuild was refused: " + a.reason);
+  if (ask({lost[0]}).outcome != CommitOutcome::rejected)
+    w.fail("a rebuild was taken though a silent member was not named");
+  if (auto a = ask(lost); a.outcome != CommitOutcome::committed)
+    w.fail("the rebuild was refused: " + a.reason);
   w.run(5000);
   auto now = change(d, 10000);
-  if (now <= r) w.fail("no change is accepted after the rebuild");
+  if (now <= r)
+    w.fail("no change is accepted after the rebuild");
   for (auto& s : v)
     if (s != stay) {
       w.start(s);
@@ -88,10 +107,12 @@
     }
   w.run(5000);
   auto later = change(d, 10000);
-  if (later <= now) w.fail("an old member that came back stands in the way");
+  if (later <= now)
+    w.fail("an old member that came back stands in the way");
   in_force(d, later, 2000);
   for (auto& s : v)
-    if (s != stay) w.wipe(s);
+    if (s != stay)
+      w.wipe(s);
 }
 
 /// Right after an acknowledgement all disks but one are lost, those of controllers and stores alike; the one that stays
@@ -102,7 +123,8 @@
   d.c.traffic(150, w.now() + 4000);
   w.run(2000);
   auto disks = w.names(Kind::controller);
-  for (auto& s : w.names(Kind::store)) disks.push_back(s);
+  for (auto& s : w.names(Kind::store))
+    disks.push_back(s);
   auto stay = disks[w.roll() % disks.size()];
   auto other = d.any(Kind::store);
   if (w.chance(0.4))
@@ -110,23 +132,27 @@
   else if (other != stay && w.chance(0.5))
     w.isolate(other);
   auto r = change(d, 10000);
-  if (!r) w.fail("the change was not acknowledged");
+  if (!r)
+    w.fail("the change was not acknowledged");
   for (auto& s : disks)
     if (s == stay)
       w.power_off(s);
     else
       w.wipe(s);
   for (auto k : {Kind::agent, Kind::gateway})
-    for (auto& s : w.names(k)) w.power_off(s);
+    for (auto& s : w.names(k))
+      w.power_off(s);
   w.heal();
   w.run(200 + w.below(1000));
   for (auto k : {Kind::store, Kind::controller, Kind::agent, Kind::gateway})
-    for (auto& s : w.names(k)) w.start(s), w.node(s).disk.slow = 0;
+    for (auto& s : w.names(k))
+      w.start(s), w.node(s).disk.slow = 0;
   auto back = [&] {
     auto v = latest(w);
-    return v && v->revision.v >= r;
+    return v && v->revision.value() >= r;
   };
-  if (!w.until(25000, back)) w.fail("the acknowledged revision " + std::to_string(r) + " did not survive on " + stay);
+  if (!w.until(25000, back))
+    w.fail("the acknowledged revision " + std::to_string(r) + " did not survive on " + stay);
   auto now = change(d, 20000);
   if (now <= r)
     w.fail("no change is accepted after the loss, " + stay + " stayed");
@@ -148,7 +174,8 @@
       w.run(1200);
     }
   w.run(5000);
-  if (!change(d, 10000)) w.fail("no change is accepted with swapped seeds");
+  if (!change(d, 10000))
+    w.fail("no change is accepted with swapped seeds");
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/cuts.cpp
+++ b/tests/simulation/cuts.cpp
@@ -10,15 +10,18 @@
     for (auto& s : w.names(k))
       if (!one.count(s))
         for (auto& o : one) {
-          if (there) w.cut(o, s);
-          if (back) w.cut(s, o);
+          if (there)
+            w.cut(o, s);
+          if (back)
+            w.cut(s, o);
         }
 }
 
 /// A front's two processes go together.
 void take(World& w, std::set<std::string>& v, const std::string& s) {
   v.insert(s);
-  if (!w.node(s).beside.empty()) v.insert(w.node(s).beside);
+  if (!w.node(s).beside.empty())
+    v.insert(w.node(s).beside);
 }
 
 }  // namespace
@@ -33,14 +36,18 @@
     std::set<std::string> one;
     auto how = w.roll() % 5;
     if (how < 4)
-      for (auto& s : w.names(Kind::controller)) one.insert(s);
+      for (auto& s : w.names(Kind::controller))
+        one.insert(s);
     if (how == 1 || how == 4)
       for (auto k : {Kind::controller, Kind::store, Kind::gateway})
         for (auto& s : w.names(k))
-          if (w.chance(0.4)) take(w, one, s);
+          if (w.chance(0.4))
+            take(w, one, s);
     part(w, one, how != 3, how != 2);
     auto n = "model" + std::to_string(i + 1);
-    auto rep = [&](ReplicaHealth f) { return SetReplica{{n, "model", d.c.replicas[n].zone, "http://" + n, f, {}, 0}}; };
+    auto rep = [&](ReplicaHealth f) {
+      return SetReplica{{n, "model", d.c.replicas[n].zone, "http://" + n, f, {}, 0}};
+    };
     auto z = std::string(1, static_cast<char>('a' + i % 3));
     auto before = d.c.successes;
     w.run(w.below(300));
--- a/tests/simulation/day.cpp
+++ b/tests/simulation/day.cpp
@@ -9,9 +9,11 @@
     for (auto& s : w.names(k)) {
       w.wake(s);
       w.node(s).disk.slow = 0;
-      if (!w.node(s).machine) w.start(s);
+      if (!w.node(s).machine)
+        w.start(s);
     }
-  for (auto& [n, r] : c.replicas) r.up = true, r.fault.clear(), r.every = 0;
+  for (auto& [n, r] : c.replicas)
+    r.up = true, r.fault.clear(), r.every = 0;
   bool served = false;
   auto once = std::make_shared<std::function<void()>>();
   *once = [this, once, &served] {
@@ -23,9 +25,11 @@
     });
   };
   (*once)();
-  if (!w.until(12000, [&] { return served; })) w.fail("not serving 12 s after the closing fault");
+  if (!w.until(12000, [&] { return served; }))
+    w.fail("not serving 12 s after the closing fault");
   w.run(1000);
-  *once = [] {};
+  *once = [] {
+  };
   c.judge();
 }
 
@@ -40,14 +44,16 @@
 View latest(World& w) {
   View v;
   for (auto& s : w.names(Kind::controller))
-    if (w.node(s).machine && (!v || w.node(s).machine->view()->epoch > v->epoch)) v = w.node(s).machine->view();
+    if (w.node(s).machine && (!v || w.node(s).machine->view()->epoch > v->epoch))
+      v = w.node(s).machine->view();
   return v;
 }
 
 /// One acknowledged change of the configuration; its revision, or 0.
 uint64_t change(Day& d, Millis patience) {
   auto v = latest(d.w);
-  if (!v || v->configuration.cells.empty()) return 0;
+  if (!v || v->configuration.cells.empty())
+    return 0;
   auto m = v->configuration;
   m.cells[0].retention_ms += 1;
   auto got = std::make_shared<uint64_t>(0);
@@ -55,7 +61,8 @@
   d.c.commit(
       ApplyConfiguration{v->revision, m},
       [=](const CommitReply& r) {
-        if (r.outcome == CommitOutcome::committed) *got = v->revision.v + 1;
+        if (r.outcome == CommitOutcome::committed)
+          *got = v->revision.value() + 1;
         *over = true;
       },
       "", patience);
@@ -67,17 +74,20 @@
   auto& w = d.w;
   auto good = [&] {
     for (auto& s : w.names(Kind::gateway))
-      if (w.node(s).machine && w.node(s).machine->view()->revision.v < revision) return false;
+      if (w.node(s).machine && w.node(s).machine->view()->revision.value() < revision)
+        return false;
     return true;
   };
-  if (!w.until(within, good)) w.fail("revision " + std::to_string(revision) + " was acknowledged and is not in force");
+  if (!w.until(within, good))
+    w.fail("revision " + std::to_string(revision) + " was acknowledged and is not in force");
 }
 
 ProgramResponse ask(Day& d, ProgramRequest e, const std::string& front) {
   auto got = std::make_shared<std::optional<ProgramResponse>>();
   e.attempt = "t" + std::to_string(d.w.roll());
   d.c.send(front, std::move(e), [got](const Message& m) {
-    if (auto* x = std::get_if<ProgramResponse>(&m)) *got = *x;
+    if (auto* x = std::get_if<ProgramResponse>(&m))
+      *got = *x;
   });
   d.w.until(30000, [got] { return got->has_value(); });
   return got->value_or(ProgramResponse{});
--- a/tests/simulation/losses.cpp
+++ b/tests/simulation/losses.cpp
@@ -12,9 +12,11 @@
 /// All fronts end and start again, so that no owner's memory fills the gaps of the stores.
 void forget_owners(Day& d) {
   auto& w = d.w;
-  for (auto& f : w.names(Kind::gateway)) w.kill(f);
+  for (auto& f : w.names(Kind::gateway))
+    w.kill(f);
   w.at(w.now() + 100, [&w] {
-    for (auto& f : w.names(Kind::gateway)) w.start(f);
+    for (auto& f : w.names(Kind::gateway))
+      w.start(f);
   });
 }
 
@@ -27,19 +29,23 @@
 std::vector<std::string> holders(Day& d, const std::string& program) {
   auto v = latest(d.w);
   std::vector<std::string> names;
-  for (auto id : v->partitions[partition_of("news", program).v].stores)
-    if (auto* x = v->find(id); x && runs(d.w, *x)) names.push_back(x->self.address);
+  for (auto id : v->partitions[partition_of("news", program).value()].stores)
+    if (auto* x = v->find(id); x && runs(d.w, *x))
+      names.push_back(x->self.address);
   return names;
 }
 
 /// Every partition lies on its full number of stores, all of them up, and no sequence is under way.
 bool whole(World& w) {
   auto v = latest(w);
-  if (!v || !v->sequences.empty()) return false;
+  if (!v || !v->sequences.empty())
+    return false;
   for (auto& s : v->partitions) {
-    if (s.stores.size() < w.copies) return false;
+    if (s.stores.size() < w.copies)
+      return false;
     for (auto id : s.stores)
-      if (auto* x = v->find(id); !x || x->state != DaemonState::up || !runs(w, *x)) return false;
+      if (auto* x = v->find(id); !x || x->state != DaemonState::up || !runs(w, *x))
+        return false;
   }
   return true;
 }
@@ -53,10 +59,12 @@
     d.c.turn(program, "main", [=](const Turn& t) {
       *over = true;
       *served = t.success;
-      if (t.success) loss(program);
+      if (t.success)
+        loss(program);
     });
     w.until(8000, [over] { return *over; });
-    if (*served) return program;
+    if (*served)
+      return program;
   }
   w.fail("no turn was served");
   return "";
@@ -74,13 +82,16 @@
     std::vector<std::string> lost;
     lose_after_ack(d, [&](const std::string& program) {
       auto v = holders(d, program);
-      while (v.size() > 2) v.erase(v.begin() + static_cast<ptrdiff_t>(w.roll() % v.size()));
-      for (auto& s : v) w.wipe(s);
+      while (v.size() > 2)
+        v.erase(v.begin() + static_cast<ptrdiff_t>(w.roll() % v.size()));
+      for (auto& s : v)
+        w.wipe(s);
       lost = v;
       forget_owners(d);
     });
     w.run(300 + w.below(700));
-    for (auto& s : lost) w.start(s);
+    for (auto& s : lost)
+      w.start(s);
     auto started = w.now();
     if (!w.until(catch_up, [&] { return whole(w); }))
       w.fail("a partition lacks copies after the successors' time to catch up");
@@ -98,14 +109,17 @@
   for (int round = 0; round < 2; ++round) {
     lose_after_ack(d, [&](const std::string& program) {
       auto v = holders(d, program);
-      while (v.size() > 2) v.erase(v.begin() + static_cast<ptrdiff_t>(w.roll() % v.size()));
-      for (auto& s : v) w.wipe(s);
+      while (v.size() > 2)
+        v.erase(v.begin() + static_cast<ptrdiff_t>(w.roll() % v.size()));
+      for (auto& s : v)
+        w.wipe(s);
       forget_owners(d);
     });
     auto lost = w.now();
     if (round == 0 && !w.until(catch_up, [&] { return whole(w); }))
       w.fail("the others did not take the places of two lost stores");
-    if (round == 0) d.exposed.push_back(w.now() - lost);
+    if (round == 0)
+      d.exposed.push_back(w.now() - lost);
   }
   w.run(2000);
   must_serve(d, 5000, "the loss of four stores of seven, two and two");
@@ -121,12 +135,14 @@
   auto leaver = d.any(Kind::store);
   auto id = latest(w)->find_at(leaver)->id;
   d.c.commit(PrepareDrain{id}, [](const CommitReply&) {});
-  if (!w.until(5000, [&] { return latest(w)->sequences.count(id) > 0; })) return w.fail("the drain did not begin");
+  if (!w.until(5000, [&] { return latest(w)->sequences.count(id) > 0; }))
+    return w.fail("the drain did not begin");
   w.run(w.below(400));
   std::string other;
   switch (w.roll() % 3) {
     case 0:
-      while (other.empty() || other == leaver) other = d.any(Kind::store);
+      while (other.empty() || other == leaver)
+        other = d.any(Kind::store);
       w.wipe(other);
       w.at(w.now() + 500, [&w, other] { w.start(other); });
       break;
@@ -146,18 +162,22 @@
     auto v = latest(w);
     return v && v->find(id)->state == DaemonState::left && !v->holds_partitions(id);
   };
-  if (!w.until(20000, gone)) w.fail("the ordered drain did not come to its end");
+  if (!w.until(20000, gone))
+    w.fail("the ordered drain did not come to its end");
   w.wipe(leaver);
   forget_owners(d);
-  if (!w.until(12000, [&] { return whole(w); })) w.fail("a partition lacks copies long after the drain");
+  if (!w.until(12000, [&] { return whole(w); }))
+    w.fail("a partition lacks copies long after the drain");
   auto next = leaver;
-  while (next == leaver) next = d.any(Kind::store);
+  while (next == leaver)
+    next = d.any(Kind::store);
   w.wipe(next);
   forget_owners(d);
   w.run(500);
   w.start(next);
   auto started = w.now();
-  if (!w.until(12000, [&] { return whole(w); })) w.fail("the copies of a lost store were not restored");
+  if (!w.until(12000, [&] { return whole(w); }))
+    w.fail("the copies of a lost store were not restored");
   d.exposed.push_back(w.now() - started);
 }
 
@@ -174,7 +194,8 @@
     w.freeze(store);
     auto until = w.now() + 3200 + w.below(1500);
     auto look = [&] {
-      for (auto& [id, sequence] : latest(w)->sequences) begun.insert(sequence.started_epoch);
+      for (auto& [id, sequence] : latest(w)->sequences)
+        begun.insert(sequence.started_epoch);
       return false;
     };
     w.until(until - w.now(), look);
--- a/tests/simulation/operator_request.cpp
+++ b/tests/simulation/operator_request.cpp
@@ -15,8 +15,10 @@
 
 OperatorRequest::~OperatorRequest() {
   abandoned_ = true;
-  while (thread_.joinable() && !over_) resume();
-  if (thread_.joinable()) thread_.join();
+  while (thread_.joinable() && !over_)
+    resume();
+  if (thread_.joinable())
+    thread_.join();
 }
 
 void OperatorRequest::start() {
@@ -26,15 +28,18 @@
 
 /// Hands the turn to the request and waits until it blocks or ends.
 void OperatorRequest::resume() {
-  if (over_) return;
+  if (over_)
+    return;
   std::unique_lock l(lock_);
   mine_ = true;
   turn_.notify_all();
   turn_.wait(l, [this] { return !mine_; });
-  if (!over_) return;
+  if (!over_)
+    return;
   l.unlock();
   thread_.join();
-  if (!abandoned_) then_(lives() ? answer_ : std::nullopt, was_frozen_ ? 0 : w_.now() - began_);
+  if (!abandoned_)
+    then_(lives() ? answer_ : std::nullopt, was_frozen_ ? 0 : w_.now() - began_);
 }
 
 void OperatorRequest::serve() {
@@ -44,7 +49,8 @@
   }
   thaw();
   ControlSession session(*this, now());
-  if (!stopped()) answer_ = find_control_protocol("platform")->answer(ask_, session);
+  if (!stopped())
+    answer_ = find_control_protocol("platform")->answer(ask_, session);
   thaw();
   std::lock_guard l(lock_);
   over_ = true;
@@ -55,7 +61,8 @@
 void OperatorRequest::wait_until(Millis world_time) {
   auto token = ++wake_;
   w_.at(std::max(world_time, w_.now() + 1), [this, token] {
-    if (token == wake_) resume();
+    if (token == wake_)
+      resume();
   });
   std::unique_lock l(lock_);
   mine_ = false;
@@ -85,21 +92,25 @@
 }
 
 void OperatorRequest::pause(Millis ms) {
-  if (!stopped()) wait_until(w_.now() + ms);
+  if (!stopped())
+    wait_until(w_.now() + ms);
   thaw();
 }
 
 void OperatorRequest::inspect(const std::function<void(ControllerMachine&, Millis)>& look) {
   thaw();
-  if (!stopped()) look(static_cast<ControllerMachine&>(*w_.node(controller_).machine), now());
+  if (!stopped())
+    look(static_cast<ControllerMachine&>(*w_.node(controller_).machine), now());
 }
 
 void OperatorRequest::hear(const CommitReply& r) {
-  if (over_ || stopped()) return;
+  if (over_ || stopped())
+    return;
   reply_ = r;
   // Not from inside the machine's own step.
   w_.at(w_.now(), [this, token = wake_] {
-    if (token == wake_) resume();
+    if (token == wake_)
+      resume();
   });
 }
 
@@ -117,13 +128,15 @@
     e.body = Commit{id, t, v->epoch, until - now()};
     reply_.reset();
     w_.at(w_.now(), [this, e] {
-      if (lives()) w_.post(controller_, e);
+      if (lives())
+        w_.post(controller_, e);
     });
     wait_until(w_.now() + std::min<Millis>(kCommitAttemptTimeout + kHeartbeatInterval, until - now()));
     thaw();
     if (reply_ && reply_->id == id) {
       last = *reply_;
-      if (last.outcome != CommitOutcome::unknown) break;
+      if (last.outcome != CommitOutcome::unknown)
+        break;
     }
   }
   return last;
--- a/tests/simulation/operators.cpp
+++ b/tests/simulation/operators.cpp
@@ -1,17 +1,19 @@
 // Simulated operators and platform.
-#include "simulation/callers.hpp"
 #include "metadata/constants.hpp"
+#include "simulation/callers.hpp"
 
 namespace mosskeel::sim {
 
 void Callers::commit(Transformation t, std::function<void(const CommitReply&)> then, std::string id, Millis patience) {
-  if (id.empty()) id = "sim-" + std::to_string(w_.roll());
+  if (id.empty())
+    id = "sim-" + std::to_string(w_.roll());
   auto until = w_.now() + patience;
   asked(t);
   auto over = std::make_shared<bool>(false);
   auto attempt = std::make_shared<std::function<void()>>();
   *attempt = [=, this] {
-    if (*over) return;
+    if (*over)
+      return;
     if (w_.now() >= until) {
       *over = true;
       CommitReply r{};
@@ -21,7 +23,8 @@
     }
     std::vector<std::string> v;
     for (auto& s : w_.names(Kind::controller))
-      if (w_.alive(s) && w_.node(s).machine->view()->cluster) v.push_back(s);
+      if (w_.alive(s) && w_.node(s).machine->view()->cluster)
+        v.push_back(s);
     auto mine = std::make_shared<bool>(false);
     if (!v.empty()) {
       auto m = v[w_.roll() % v.size()];
@@ -29,18 +32,20 @@
           m,
           [=, this](const Message& x) {
             auto* r = std::get_if<CommitReply>(&x);
-            if (!r || *over || *mine) return;
+            if (!r || *over || *mine)
+              return;
             *mine = true;
-            if (r->outcome == CommitOutcome::unknown) return w_.at(w_.now() + 50, *attempt);
+            if (r->outcome == CommitOutcome::unknown)
+              return w_.at(w_.now() + 50, *attempt);
             *over = true;
             if (r->outcome == CommitOutcome::committed) {
               ++commits_yes;
               acknowledged(t);
               if (auto* man = std::get_if<ApplyConfiguration>(&t)) {
-                Revision now{man->base.v + 1};
+                Revision now{man->base.value() + 1};
                 auto [i, fresh] = acked_.emplace(now, id);
                 if (!fresh && i->second != id)
-                  w_.fail("two changes on revision " + std::to_string(man->base.v) + " were both acknowledged");
+                  w_.fail("two changes on revision " + std::to_string(man->base.value()) + " were both acknowledged");
               }
             }
             then(*r);
@@ -54,7 +59,8 @@
       w_.post(m, e);
     }
     w_.at(w_.now() + 2300, [=] {
-      if (!*mine) *mine = true, (*attempt)();
+      if (!*mine)
+        *mine = true, (*attempt)();
     });
   };
   (*attempt)();
@@ -67,13 +73,15 @@
     replicas[s->replica.name].leaving_since = w_.now();
   if (auto* z = std::get_if<EvacuateZone>(&t))
     for (auto& [n, r] : replicas)
-      if (r.zone == z->zone) r.evacuated_since = w_.now();
+      if (r.zone == z->zone)
+        r.evacuated_since = w_.now();
   auto* m = std::get_if<ApplyConfiguration>(&t);
-  if (!m) return;
-  w_.at(w_.now() + 2100, [this, rev = Revision{m->base.v + 1}] {
+  if (!m)
+    return;
+  w_.at(w_.now() + 2100, [this, rev = Revision{m->base.value() + 1}] {
     for (auto& s : w_.names(Kind::gateway))
       if (w_.alive(s) && w_.ready(s) && w_.node(s).machine->view()->revision < rev)
-        w_.fail(s + " serves without revision " + std::to_string(rev.v) + " 2 s after its acknowledgement");
+        w_.fail(s + " serves without revision " + std::to_string(rev.value()) + " 2 s after its acknowledgement");
   });
 }
 
@@ -83,7 +91,8 @@
     replicas[s->replica.name].leaving_since = 0;
   if (auto* z = std::get_if<RestoreZone>(&t))
     for (auto& [n, r] : replicas)
-      if (r.zone == z->zone) r.evacuated_since = 0;
+      if (r.zone == z->zone)
+        r.evacuated_since = 0;
 }
 
 bool Callers::introduce() {
@@ -94,15 +103,18 @@
         [&left](const CommitReply& c) { left -= c.outcome == CommitOutcome::committed; }, "", 60000);
   Cell c{"news", budget_, limit_, 3600000, {{"chat", "model", {}}, {"app", "app", {}}}};
   commit(
-      ApplyConfiguration{Revision{0}, {{c}}}, [&left](const CommitReply& r) { left -= r.outcome == CommitOutcome::committed; }, "",
-      60000);
+      ApplyConfiguration{Revision{0}, {{c}}},
+      [&left](const CommitReply& r) { left -= r.outcome == CommitOutcome::committed; }, "", 60000);
   return w_.until(60000, [&] {
-    if (left) return false;
+    if (left)
+      return false;
     for (auto& s : w_.names(Kind::gateway))
-      if (!w_.ready(s)) return false;
+      if (!w_.ready(s))
+        return false;
     auto v = w_.node("gateway1").machine->view();
     for (auto& s : v->partitions)
-      if (s.stores.size() < std::min<size_t>(kDefaultHistoryReplicas, w_.names(Kind::store).size()) || !s.owner.v) return false;
+      if (s.stores.size() < std::min<size_t>(kDefaultHistoryReplicas, w_.names(Kind::store).size()) || !s.owner.value())
+        return false;
     return v->sequences.empty();
   });
 }
--- a/tests/simulation/orders.cpp
+++ b/tests/simulation/orders.cpp
@@ -1,8 +1,8 @@
 // Operators race through the platform's interface while controllers are cut off, frozen, killed and emptied.
 #include <memory>
 
-#include "simulation/operator_request.hpp"
 #include "control/constants.hpp"
+#include "simulation/operator_request.hpp"
 
 namespace mosskeel::sim {
 namespace {
@@ -28,8 +28,10 @@
   explicit Operators(Day& d) : d_(d), w_(d.w), before_(d.w.local) {
     w_.local = [this](Node& n, const Envelope& e) {
       auto i = sessions_.find(e.to);
-      if (i == sessions_.end()) return before_(n, e);
-      if (auto* r = std::get_if<CommitReply>(&e.body)) i->second->hear(*r);
+      if (i == sessions_.end())
+        return before_(n, e);
+      if (auto* r = std::get_if<CommitReply>(&e.body))
+        i->second->hear(*r);
     };
   }
   ~Operators() {
@@ -64,13 +66,13 @@
   o->base = base;
   o->valid = valid;
   o->number = ++numbers_;
-  auto own = std::to_string(base.v + 1 + w_.roll() % 3);
+  auto own = std::to_string(base.value() + 1 + w_.roll() % 3);
   auto service = R"({"Name":"s)" + std::to_string(o->number) + R"("})";
   auto routes = valid ? std::string("[]")
                       : R"([{"Name":"r","Host":"h","PathPrefix":"/","RouteKind":"safe","TimeoutMs":0,"Service":"x"}])";
   o->ask.method = patch ? "PATCH" : "PUT";
   o->ask.path = "/v1/config";
-  o->ask.headers["if-match"] = std::to_string(base.v);
+  o->ask.headers["if-match"] = std::to_string(base.value());
   o->ask.body =
       patch ? R"({"Revision":)" + own + R"(,"Upsert":{"Services":[)" + service + R"(],"Routes":)" + routes + "}}"
             : R"({"Revision":)" + own + R"(,"Routes":)" + routes + R"(,"Services":[)" + service + "]}";
@@ -87,48 +89,62 @@
 
 /// One try; the next follows a failure, or a second of silence, at any controller.
 void Operators::send(std::shared_ptr<Order> o) {
-  if (o->over) return;
-  if (++o->tries > 12) return void(o->over = true);
+  if (o->over)
+    return;
+  if (++o->tries > 12)
+    return void(o->over = true);
   auto to = any();
   auto delay = w_.chance(late) ? w_.below(1500) : w_.below(5);
   bool heard = !w_.chance(answer_lost);
   w_.at(w_.now() + delay, [=, this] { arrive(o, to, heard); });
-  if (w_.chance(repeated)) w_.at(w_.now() + w_.below(4000), [=, this] { arrive(o, any(), false); });
+  if (w_.chance(repeated))
+    w_.at(w_.now() + w_.below(4000), [=, this] { arrive(o, any(), false); });
   auto tried = o->tries;
   w_.at(w_.now() + caller_silence, [=, this] {
-    if (!o->over && o->tries == tried) send(o);
+    if (!o->over && o->tries == tried)
+      send(o);
   });
 }
 
 void Operators::arrive(std::shared_ptr<Order> o, const std::string& controller, bool heard) {
-  if (!w_.node(controller).machine) return;
+  if (!w_.node(controller).machine)
+    return;
   auto tried = o->tries;
   request(controller, o->ask, [=, this](std::optional<ApiResponse> a, Millis took) {
     answered(o, a, took);
-    if (!heard || !a || o->over) return;
-    if (a->status < 500 && a->status != 307) return void(o->over = true);
+    if (!heard || !a || o->over)
+      return;
+    if (a->status < 500 && a->status != 307)
+      return void(o->over = true);
     w_.at(w_.now() + 50 + w_.below(200), [=, this] {
-      if (!o->over && o->tries == tried) send(o);
+      if (!o->over && o->tries == tried)
+        send(o);
     });
   });
 }
 
 /// Whatever a controller says is its word, whether it reaches the operator or not.
 void Operators::answered(const std::shared_ptr<Order>& o, const std::optional<ApiResponse>& a, Millis took) {
-  if (!a) return;
-  auto what = "order " + std::to_string(o->number) + " on " + std::to_string(o->base.v);
+  if (!a)
+    return;
+  auto what = "order " + std::to_string(o->number) + " on " + std::to_string(o->base.value());
   slowest = std::max<uint64_t>(slowest, static_cast<uint64_t>(took));
   if (a->status == 200) {
     ++acknowledged;
-    if (!o->valid) w_.fail(what + " is invalid and was acknowledged");
-    if (o->refused && !o->early) w_.fail(what + " was acknowledged after it was refused");
+    if (!o->valid)
+      w_.fail(what + " is invalid and was acknowledged");
+    if (o->refused && !o->early)
+      w_.fail(what + " was acknowledged after it was refused");
     o->acknowledged = true;
     auto [i, first] = winners_.emplace(o->base, o);
-    if (!first && i->second != o) w_.fail(what + " was acknowledged beside order " + std::to_string(i->second->number));
+    if (!first && i->second != o)
+      w_.fail(what + " was acknowledged beside order " + std::to_string(i->second->number));
   } else if (a->status == 400 || a->status == 412) {
     ++refused;
-    if (o->acknowledged) w_.fail(what + " was refused after it was acknowledged: " + a->body);
-    if (o->valid && a->status == 400) w_.fail(what + " is valid and was called invalid: " + a->body);
+    if (o->acknowledged)
+      w_.fail(what + " was refused after it was acknowledged: " + a->body);
+    if (o->valid && a->status == 400)
+      w_.fail(what + " is valid and was called invalid: " + a->body);
     o->refused = true;
   } else if (a->status == 503 || a->status == 307) {
     ++unclear;
@@ -140,14 +156,18 @@
 /// What is read back is not older than what had been read or acknowledged before the reading.
 void Operators::read() {
   auto least = read_;
-  for (auto& [base, o] : winners_) least = std::max(least, Revision{base.v + 1});
+  for (auto& [base, o] : winners_)
+    least = std::max(least, Revision{base.value() + 1});
   auto c = any();
-  if (!w_.node(c).machine) return;
+  if (!w_.node(c).machine)
+    return;
   request(c, {"GET", "/v1/config", "", {}, {}}, [=, this](std::optional<ApiResponse> a, Millis) {
-    if (!a || a->status != 200) return;
+    if (!a || a->status != 200)
+      return;
     auto at = a->body.find("\"Revision\":");
     Revision r{std::stoull(a->body.substr(at + 11))};
-    if (r < least) w_.fail("read back " + std::to_string(r.v) + " after " + std::to_string(least.v));
+    if (r < least)
+      w_.fail("read back " + std::to_string(r.value()) + " after " + std::to_string(least.value()));
     read_ = std::max(read_, r);
   });
 }
@@ -155,18 +175,22 @@
 /// In the end the log holds each acknowledged order, and none that was refused.
 void Operators::judge() {
   auto v = latest(w_);
-  if (!v) return w_.fail("no controller came back");
+  if (!v)
+    return w_.fail("no controller came back");
   std::set<Revision> bases;
-  for (auto& t : v->orders)
-    if (!bases.insert(t.base).second) w_.fail("two orders were taken on " + std::to_string(t.base.v));
+  for (auto& t : v->applied_configurations)
+    if (!bases.insert(t.base).second)
+      w_.fail("two orders were taken on " + std::to_string(t.base.value()));
   for (auto& o : orders_) {
-    auto id = "config-" + hex(digest(o->ask.method + " " + std::to_string(o->base.v) + "\n" + o->ask.body));
+    auto id = "config-" + hex(digest(o->ask.method + " " + std::to_string(o->base.value()) + "\n" + o->ask.body));
     bool taken = v->epoch_of_commit(id).has_value();
-    if (o->acknowledged && !taken) w_.fail("order " + std::to_string(o->number) + " was acknowledged and is lost");
+    if (o->acknowledged && !taken)
+      w_.fail("order " + std::to_string(o->number) + " was acknowledged and is lost");
     if (o->refused && taken && !o->early)
       w_.fail("order " + std::to_string(o->number) + " was refused and is in force");
   }
-  if (winners_.size() < 5) w_.fail("hardly an order was acknowledged: " + std::to_string(winners_.size()));
+  if (winners_.size() < 5)
+    w_.fail("hardly an order was acknowledged: " + std::to_string(winners_.size()));
   if (slowest > static_cast<uint64_t>(kOperatorRequestTimeout) + 100)
     w_.fail("an answer took " + std::to_string(slowest) + " ms");
 }
@@ -175,17 +199,21 @@
 void trouble(Day& d) {
   auto& w = d.w;
   auto n = d.any(Kind::controller);
-  auto heal = [&w](Millis ms) { w.at(w.now() + ms, [&w] { w.heal(); }); };
+  auto heal = [&w](Millis ms) {
+    w.at(w.now() + ms, [&w] { w.heal(); });
+  };
   auto others = w.names(Kind::controller);
   switch (w.roll() % 7) {
     case 0:
       w.isolate(n);
       return heal(100 + w.below(6000));
     case 1:
-      for (auto& s : others) w.cut(n, s);
+      for (auto& s : others)
+        w.cut(n, s);
       return heal(100 + w.below(6000));
     case 2:
-      for (auto& s : others) w.cut(s, n);
+      for (auto& s : others)
+        w.cut(s, n);
       return heal(100 + w.below(6000));
     case 3:
       w.freeze(n);
@@ -210,7 +238,8 @@
   for (auto& s : w.names(Kind::controller)) {
     w.wake(s);
     w.node(s).disk.slow = 0;
-    if (!w.node(s).machine) w.start(s);
+    if (!w.node(s).machine)
+      w.start(s);
   }
 }
 
@@ -238,11 +267,12 @@
       w.at(w.now() + w.below(700),
            [&ops, base, patch = w.chance(0.5), valid = !w.chance(0.05)] { ops.send(ops.change(base, patch, valid)); });
     if (w.chance(0.2)) {
-      auto o = ops.change(Revision{base.v + 1 + w.roll() % 3}, false);
+      auto o = ops.change(Revision{base.value() + 1 + w.roll() % 3}, false);
       o->early = true;
       ops.send(o);
     }
-    if (w.now() >= next_trouble) trouble(d), next_trouble = w.now() + 500 + w.below(5000);
+    if (w.now() >= next_trouble)
+      trouble(d), next_trouble = w.now() + 500 + w.below(5000);
     w.run(300 + w.below(1500));
     ops.read();
   }
--- a/tests/simulation/replicas.cpp
+++ b/tests/simulation/replicas.cpp
@@ -1,9 +1,9 @@
 // Simulated replicas, and the checks that only they can make.
 #include <nlohmann/json.hpp>
 
-#include "simulation/callers.hpp"
 #include "metadata/constants.hpp"
 #include "programs/constants.hpp"
+#include "simulation/callers.hpp"
 
 namespace mosskeel::sim {
 using Json = nlohmann::json;
@@ -11,13 +11,17 @@
 void Callers::check_chain(const std::string& program, const std::string& thread, const std::string& body) {
   auto j = Json::parse(body);
   std::vector<std::string> got;
-  for (auto& c : j["chain"]) got.push_back(c["input"].get<std::string>() + "=" + c["output"].get<std::string>());
+  for (auto& c : j["chain"])
+    got.push_back(c["input"].get<std::string>() + "=" + c["output"].get<std::string>());
   size_t at = 0;
   for (auto& t : turns_[program]) {
-    if (t->thread != thread || !t->success) continue;
+    if (t->thread != thread || !t->success)
+      continue;
     auto want = t->input + "=" + t->output;
-    while (at < got.size() && got[at] != want) ++at;
-    if (at == got.size()) return w_.fail("chain of " + program + "/" + thread + " misses " + t->key + " or its order");
+    while (at < got.size() && got[at] != want)
+      ++at;
+    if (at == got.size())
+      return w_.fail("chain of " + program + "/" + thread + " misses " + t->key + " or its order");
     ++at;
   }
 }
@@ -42,14 +46,16 @@
   auto say = [this, front, life](Millis d, Message m) {
     w_.at(w_.now() + d, [this, front, life, m] {
       auto& x = w_.node(front);
-      if (x.life != life || !x.machine) return;
+      if (x.life != life || !x.machine)
+        return;
       Envelope e{};
       e.from = "replica:";
       e.body = m;
       w_.post(front, e);
     });
   };
-  if (!r.up) return say(1, ReplicaCallResponse{a->attempt, false, 0, false, 0, 0, 0, "", "refused"});
+  if (!r.up)
+    return say(1, ReplicaCallResponse{a->attempt, false, 0, false, 0, 0, 0, "", "refused"});
   if (r.leaving_since && w_.now() > r.leaving_since + 3000)
     w_.fail("a leaving replica was reached " + std::to_string(w_.now() - r.leaving_since) + " ms after its mark");
   if (r.evacuated_since && w_.now() > r.evacuated_since + 5000)
@@ -58,21 +64,24 @@
     auto body = a->method + " " + a->url.substr(a->url.find('/', 7));
     if (a->method == "POST") {
       auto path = body.substr(5);
-      if (++runs_["count" + path] > 1) w_.fail("counted twice: " + path);
+      if (++runs_["count" + path] > 1)
+        w_.fail("counted twice: " + path);
       if (auto c = counts_.find(path);
           c != counts_.end() && c->second->done && c->second->sure_not_run && !c->second->success)
         w_.fail("counted after it was refused as not run: " + path);
     }
     bool broken = r.every && w_.chance(0.3);
     if (broken && w_.chance(0.5))
-      return say(5 + w_.below(20), ReplicaCallResponse{a->attempt, true, 0, false, 0, 0, 0, "", "reset after the work"});
-    return say(5 + w_.below(20),
-               ReplicaCallResponse{a->attempt, true, 200, !broken, 0, 0, digest(body), broken ? body.substr(0, 3) : body, ""});
+      return say(5 + w_.below(20),
+                 ReplicaCallResponse{a->attempt, true, 0, false, 0, 0, 0, "", "reset after the work"});
+    return say(5 + w_.below(20), ReplicaCallResponse{a->attempt, true, 200, !broken, 0, 0, digest(body),
+                                                     broken ? body.substr(0, 3) : body, ""});
   }
   auto j = Json::parse(a->body);
   auto program = j["program"].get<std::string>();
   auto key = "news/" + program + "/" + j["key"].get<std::string>();
-  if (++runs_[key] > 1) w_.fail("ran twice: " + key);
+  if (++runs_[key] > 1)
+    w_.fail("ran twice: " + key);
   for (auto& t : turns_[program])
     if ("news/" + program + "/" + t->key == key && t->done && t->sure_not_run)
       w_.fail("ran after it was refused as not run: " + key);
@@ -103,7 +112,8 @@
     auto& x = w_.node(front);
     bool there = x.life == life && x.machine;
     auto say = [&](Message m) {
-      if (!there) return;
+      if (!there)
+        return;
       Envelope e{};
       e.from = "replica:";
       e.body = std::move(m);
@@ -113,14 +123,19 @@
       --r.now;
       say(std::move(e));
     };
-    if (!there || r.stopped.count(a.attempt)) return void(--r.now);
-    if (!r.up) return over({a.attempt, true, 0, false, 0, 0, 0, "", "reset"});
-    if (fault == "stall") return void(--r.now);
+    if (!there || r.stopped.count(a.attempt))
+      return void(--r.now);
+    if (!r.up)
+      return over({a.attempt, true, 0, false, 0, 0, 0, "", "reset"});
+    if (fault == "stall")
+      return void(--r.now);
     if ((fault == "cut" && k == n / 2) || (fault == "lost" && k == n))
       return over({a.attempt, true, 200, false, 0, 0, 0, "", "reset"});
     if (k == n) {
-      if (fault == "unsealed") return over({a.attempt, true, 200, false, n, n, digest(text), "", "no seal"});
-      if (fault == "false seal") return over({a.attempt, true, 200, true, n, n, digest(text) + 1, "", ""});
+      if (fault == "unsealed")
+        return over({a.attempt, true, 200, false, n, n, digest(text), "", "no seal"});
+      if (fault == "false seal")
+        return over({a.attempt, true, 200, true, n, n, digest(text) + 1, "", ""});
       whole_["news/" + program + "/" + j["key"].get<std::string>()] = text;
       return over({a.attempt, true, 200, true, n, n, digest(text), "", ""});
     }
@@ -155,9 +170,11 @@
       auto heard = std::make_shared<bool>(false);
       std::vector<std::shared_ptr<Turn>> due;
       for (auto& t : turns_.at(p))
-        if (t->success) due.push_back(t);
+        if (t->success)
+          due.push_back(t);
       read_back(p, [=, this, &left](uint32_t status, const std::string& body) {
-        if (*heard) return;
+        if (*heard)
+          return;
         *heard = true;
         if (status == 404) {
           w_.fail("a kept program was reported missing: " + p);
@@ -168,9 +185,11 @@
           auto j = Json::parse(body);
           std::map<std::string, std::string> kept;
           for (auto& t : j["turns"])
-            if (t["status"] == 200) kept[t["key"]] = t["output"];
+            if (t["status"] == 200)
+              kept[t["key"]] = t["output"];
           for (auto& t : due)
-            if (kept[t->key] != t->output) w_.fail("kept turn " + t->key + " of " + p + " is gone or changed");
+            if (kept[t->key] != t->output)
+              w_.fail("kept turn " + t->key + " of " + p + " is gone or changed");
         } else if (++*tries > 40) {
           w_.fail("program " + p + " cannot be read back: " + body);
           --left;
@@ -183,7 +202,8 @@
   }
   w_.until(30000, [&] { return left <= 0; });
   judge_counts();
-  if (left > 0) w_.fail(std::to_string(left) + " programs could not be read back in time");
+  if (left > 0)
+    w_.fail(std::to_string(left) + " programs could not be read back in time");
   for (auto& [p, v] : turns_)
     for (auto& t : v)
       if (t->done && t->sure_not_run && !t->success && runs_["news/" + p + "/" + t->key])
--- a/tests/simulation/retention.cpp
+++ b/tests/simulation/retention.cpp
@@ -1,6 +1,6 @@
 // Retention runs out, is shortened and lengthened, and cells go and come back, while turns are kept.
-#include "simulation/day.hpp"
 #include "metadata/constants.hpp"
+#include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 namespace {
@@ -21,7 +21,8 @@
   ProgramResponse go(ProgramRequest e) {
     for (int i = 0; i < 20; ++i) {
       auto r = ask(d, e, d.any(Kind::gateway));
-      if (r.status && r.status != 503) return r;
+      if (r.status && r.status != 503)
+        return r;
       d.w.run(300);
     }
     return {};
@@ -49,11 +50,13 @@
   void cells(const std::vector<Cell>& v) {
     auto m = latest(d.w)->configuration;
     m.cells.resize(1);
-    for (auto& c : v) m.cells.push_back(c);
+    for (auto& c : v)
+      m.cells.push_back(c);
     auto over = std::make_shared<bool>(false);
     d.c.commit(ApplyConfiguration{latest(d.w)->revision, m},
                [over](const CommitReply& r) { *over = r.outcome == CommitOutcome::committed; });
-    if (!d.w.until(10000, [over] { return *over; })) d.w.fail("the configuration was not acknowledged");
+    if (!d.w.until(10000, [over] { return *over; }))
+      d.w.fail("the configuration was not acknowledged");
     d.w.run(300);
   }
   void expect(const Kept& k, uint32_t status, const char* when) {
@@ -75,7 +78,8 @@
   d.c.traffic(150, w.now() + 20000);
   a.cells({brief("plain", keep), brief("cut", 4 * keep), brief("gone", keep)});
   for (int i = 0; i < 4; ++i)
-    for (auto* c : {"plain", "cut", "gone"}) a.add(c, std::string(c) == "cut" ? 4 * keep : keep);
+    for (auto* c : {"plain", "cut", "gone"})
+      a.add(c, std::string(c) == "cut" ? 4 * keep : keep);
   a.cells({brief("plain", 3 * keep), brief("cut", 1000)});
   a.add("plain", 3 * keep);
   auto s = d.any(Kind::store);
@@ -84,39 +88,48 @@
   w.start(s);
   a.cells({brief("plain", keep), brief("cut", 1000), brief("gone", keep)});
   for (auto& k : a.kept)
-    if (k.cell == "cut" && a.turn(k.cell, k.program, k.key + "-short").status != 200) w.fail("a second turn failed");
+    if (k.cell == "cut" && a.turn(k.cell, k.program, k.key + "-short").status != 200)
+      w.fail("a second turn failed");
   w.node(d.any(Kind::store)).rate = 30;
-  auto at = [&](Millis after) { w.run(std::max<Millis>(0, a.kept.front().acked + after - w.now())); };
+  auto at = [&](Millis after) {
+    w.run(std::max<Millis>(0, a.kept.front().acked + after - w.now()));
+  };
   at(keep - 500);
   for (auto& k : a.kept)
-    if (w.now() < k.acked + k.promise) a.expect(k, 200, "inside its retention");
+    if (w.now() < k.acked + k.promise)
+      a.expect(k, 200, "inside its retention");
   s = d.any(Kind::store);
   w.kill(s);
   w.run(200);
   w.start(s);
-  for (auto& f : w.names(Kind::gateway)) w.kill(f), w.run(100), w.start(f);
+  for (auto& f : w.names(Kind::gateway))
+    w.kill(f), w.run(100), w.start(f);
   at(4 * keep - 1500);
   for (auto& k : a.kept)
     if (k.promise == 4 * keep && w.now() < k.acked + k.promise)
       a.expect(k, 200, "after its cell's retention was shortened");
   at(keep + 100000);
   for (auto& k : a.kept) {
-    if (k.promise > keep) continue;
+    if (k.promise > keep)
+      continue;
     a.expect(k, 410, "after its end");
     auto before = d.c.runs(k.program, k.key);
     for (auto key : {k.key, k.key + "-new"}) {
       auto r = a.turn(k.cell, k.program, key);
-      if (r.status != 410) w.fail("an ended program took a turn: " + std::to_string(r.status) + " " + r.reason);
+      if (r.status != 410)
+        w.fail("an ended program took a turn: " + std::to_string(r.status) + " " + r.reason);
     }
     if (d.c.runs(k.program, k.key) != before || d.c.runs(k.program, k.key + "-new"))
       w.fail("a turn of an ended program ran");
   }
   at(4 * keep + 110000);
-  for (auto& k : a.kept) a.expect(k, 410, "at the end");
+  for (auto& k : a.kept)
+    a.expect(k, 410, "at the end");
   for (auto& n : w.names(Kind::store))
     for (auto& [id, x] : static_cast<StoreMachine&>(*w.node(n).machine).partitions())
       for (auto& [l, y] : x.histories)
-        if (l.cell != "news") w.fail(n + " still keeps " + l.cell + "/" + l.program);
+        if (l.cell != "news")
+          w.fail(n + " still keeps " + l.cell + "/" + l.program);
 }
 
 /// A store is away while histories are written; once repair says that nothing is lacking, all stores hold the same.
@@ -137,13 +150,17 @@
   else
     w.start(away);
   w.run(1000);
-  auto machine = [&](const std::string& s) -> StoreMachine& { return static_cast<StoreMachine&>(*w.node(s).machine); };
+  auto machine = [&](const std::string& s) -> StoreMachine& {
+    return static_cast<StoreMachine&>(*w.node(s).machine);
+  };
   auto whole = [&] {
     auto v = latest(w);
-    if (!v || !v->sequences.empty()) return false;
+    if (!v || !v->sequences.empty())
+      return false;
     for (auto& s : stores) {
       auto* me = w.node(s).machine ? machine(s).view()->find(w.node(s).id.self.incarnation) : nullptr;
-      if (!me || me->state != DaemonState::up || machine(s).repair().incomplete_comparisons()) return false;
+      if (!me || me->state != DaemonState::up || machine(s).repair().incomplete_comparisons())
+        return false;
     }
     return true;
   };
@@ -154,14 +171,16 @@
       for (auto& s : stores) {
         std::map<HistoryName, Records> v;
         if (auto x = machine(s).partitions().find(PartitionId{i}); x != machine(s).partitions().end())
-          for (auto& [n, l] : x->second.histories) v[n] = l.records;
+          for (auto& [n, l] : x->second.histories)
+            v[n] = l.records;
         if (s == stores.front())
           first = v, histories += v.size();
         else if (v != first)
           return w.fail(s + " holds other histories of slot " + std::to_string(i) + " than " + stores.front());
       }
     }
-    if (histories < 50) w.fail("hardly any histories to compare: " + std::to_string(histories));
+    if (histories < 50)
+      w.fail("hardly any histories to compare: " + std::to_string(histories));
   };
   if (!w.until(30000, whole))
     w.fail("repair did not come to its end");
@@ -169,9 +188,11 @@
     same();
   if (!frozen && machine(away).repair().fetched() < 10)
     w.fail("the store that was away fetched hardly anything: " + std::to_string(machine(away).repair().fetched()));
-  for (auto& f : w.names(Kind::gateway)) w.kill(f), w.run(100), w.start(f);
+  for (auto& f : w.names(Kind::gateway))
+    w.kill(f), w.run(100), w.start(f);
   auto lost = stores[w.roll() % stores.size()];
-  while (lost == away) lost = stores[w.roll() % stores.size()];
+  while (lost == away)
+    lost = stores[w.roll() % stores.size()];
   w.wipe(lost);
   w.run(500);
   w.start(lost);
@@ -180,7 +201,8 @@
     w.fail("the copies of the lost disk were not restored");
   else
     same();
-  for (auto& f : w.names(Kind::gateway)) w.until(8000, [&] { return w.ready(f); });
+  for (auto& f : w.names(Kind::gateway))
+    w.until(8000, [&] { return w.ready(f); });
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/scenarios.cpp
+++ b/tests/simulation/scenarios.cpp
@@ -45,7 +45,8 @@
         w.at(w.now() + w.below(5000), [&w] { w.heal(); });
         break;
       case 5:
-        if (disks) w.node(n).disk.slow = w.below(300);
+        if (disks)
+          w.node(n).disk.slow = w.below(300);
         break;
     }
   }
@@ -56,7 +57,8 @@
 void faults(Day& d) {
   const char* const f[] = {"cut", "lost", "unsealed", "stall", "skip", "false seal"};
   int i = 0;
-  for (auto& [n, r] : d.c.replicas) r.fault = f[i++ % 6], r.every = 3;
+  for (auto& [n, r] : d.c.replicas)
+    r.fault = f[i++ % 6], r.every = 3;
   d.c.traffic(80, d.w.now() + 15000);
   for (int k = 0; k < 6; ++k) {
     d.w.run(2500);
@@ -73,11 +75,13 @@
   auto end = w.now() + 15000;
   auto change = std::make_shared<std::function<void()>>();
   *change = [&d, &w, end, change] {
-    if (w.now() >= end) return;
+    if (w.now() >= end)
+      return;
     auto v = w.node("controller1").machine ? w.node("controller1").machine->view() : nullptr;
     if (v) {
       auto m = v->configuration;
-      if (!m.cells.empty()) m.cells[0].retention_ms += 1;
+      if (!m.cells.empty())
+        m.cells[0].retention_ms += 1;
       d.c.commit(ApplyConfiguration{v->revision, m}, [](const CommitReply&) {});
     }
     w.at(w.now() + 20 + w.below(150), *change);
@@ -92,7 +96,8 @@
     w.at(w.now() + 1500, [&w, m] { w.start(m); });
   }
   w.run(3000);
-  *change = [] {};
+  *change = [] {
+  };
 }
 
 /// Replicas and zones are drained under load, with fronts cut off.
@@ -106,7 +111,8 @@
     w.isolate(w.node(f).beside);
     auto n = std::string(i % 2 ? "app" : "model") + std::to_string(i + 1);
     auto& r = d.c.replicas[n];
-    d.c.commit(SetReplica{{n, r.kind, r.zone, "http://" + n, ReplicaHealth::draining, {}, 0}}, [](const CommitReply&) {});
+    d.c.commit(SetReplica{{n, r.kind, r.zone, "http://" + n, ReplicaHealth::draining, {}, 0}},
+               [](const CommitReply&) {});
     w.run(4500);
     w.heal();
     d.c.commit(SetReplica{{n, r.kind, r.zone, "http://" + n, ReplicaHealth::ready, {}, 0}}, [](const CommitReply&) {});
@@ -148,11 +154,14 @@
   w.run(15000);
   std::string full;
   for (auto& s : w.names(Kind::controller))
-    if (w.node(s).machine) full = s;
+    if (w.node(s).machine)
+      full = s;
   auto v = w.node(full).machine->view();
   bool in = false;
-  for (auto id : v->members) in |= v->find(id)->self.address == "controller9";
-  if (!in) w.fail("the empty machine was not brought into the core");
+  for (auto id : v->members)
+    in |= v->find(id)->self.address == "controller9";
+  if (!in)
+    w.fail("the empty machine was not brought into the core");
   w.start(m);
   w.run(5000);
 }
@@ -164,13 +173,15 @@
   for (auto& s : w.names(Kind::gateway)) {
     w.run(1500);
     static_cast<GatewayMachine&>(*w.node(s).machine).begin_shutdown();
-    if (!w.until(15000, [&] { return !w.node(s).machine; })) w.fail(s + " did not leave in order");
+    if (!w.until(15000, [&] { return !w.node(s).machine; }))
+      w.fail(s + " did not leave in order");
     w.run(300);
     w.start(s);
     w.until(10000, [&] { return w.ready(s); });
   }
   w.run(5000);
-  if (auto n = d.c.unknowns + d.c.count_unknown) w.fail(std::to_string(n) + " answers were lost in planned restarts");
+  if (auto n = d.c.unknowns + d.c.count_unknown)
+    w.fail(std::to_string(n) + " answers were lost in planned restarts");
 }
 
 using Play = std::function<void(Day&)>;
@@ -193,9 +204,24 @@
        [](Day& d) {
          havoc(d, {Kind::gateway, Kind::agent}, false);
        }},
-      {"store-havoc", {3, 3, 3, 4, 3}, 30, [](Day& d) { havoc(d, {Kind::store}, true); }},
-      {"controllers", {5, 3, 3, 4, 3}, 400, [](Day& d) { havoc(d, {Kind::controller}, true); }},
-      {"havoc", {3, 3, 3, 4, 3}, 30, [](Day& d) { havoc(d, all, true); }},
+      {"store-havoc",
+       {3, 3, 3, 4, 3},
+       30,
+       [](Day& d) {
+         havoc(d, {Kind::store}, true);
+       }},
+      {"controllers",
+       {5, 3, 3, 4, 3},
+       400,
+       [](Day& d) {
+         havoc(d, {Kind::controller}, true);
+       }},
+      {"havoc",
+       {3, 3, 3, 4, 3},
+       30,
+       [](Day& d) {
+         havoc(d, all, true);
+       }},
       {"faults", {3, 3, 3, 6, 3}, 40, faults},
       {"storm", {3, 3, 3, 4, 3}, 400, storm},
       {"drains", {3, 3, 3, 6, 3}, 400, drains},
@@ -220,8 +246,18 @@
       {"idle", {3, 3, 3, 4, 3}, 400, idle_histories},
       {"survivor", {3, 3, 3, 4, 3}, 400, survivor},
       {"survivor5", {5, 3, 3, 4, 3}, 400, survivor},
-      {"kjortala", {5, 3, 6, 18, 3, 8}, 400, [](Day& d) { deployment(d, true); }},
-      {"catania", {3, 3, 6, 9, 3, 3}, 400, [](Day& d) { deployment(d, false); }},
+      {"kjortala",
+       {5, 3, 6, 18, 3, 8},
+       400,
+       [](Day& d) {
+         deployment(d, true);
+       }},
+      {"catania",
+       {3, 3, 6, 9, 3, 3},
+       400,
+       [](Day& d) {
+         deployment(d, false);
+       }},
       {"helpers", {3, 3, 3, 4, 3}, 12, many_helpers},
       {"orders", {3, 3, 3, 4, 3}, 400, orders},
       {"orders5", {5, 3, 3, 4, 3}, 400, orders},
@@ -238,14 +274,16 @@
 
 std::vector<std::string> scenarios() {
   std::vector<std::string> v;
-  for (auto& r : rows()) v.push_back(r.name);
+  for (auto& r : rows())
+    v.push_back(r.name);
   return v;
 }
 
 Verdict play(const std::string& scenario, uint64_t seed, bool notes) {
   Verdict v;
   for (auto& r : rows()) {
-    if (r.name != scenario) continue;
+    if (r.name != scenario)
+      continue;
     Day d(seed, r.size, r.budget);
     d.w.keep_notes = notes;
     if (!d.c.introduce())
--- a/tests/simulation/sizes.cpp
+++ b/tests/simulation/sizes.cpp
@@ -1,8 +1,8 @@
 // Days at the deployments' sizes: the brief's troubles under its load, then a closing fault that stays.
 #include <algorithm>
 
-#include "simulation/day.hpp"
 #include "metadata/constants.hpp"
+#include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 namespace {
@@ -11,13 +11,15 @@
   std::vector<std::string> v;
   for (auto k : {Kind::controller, Kind::store, Kind::agent, Kind::gateway})
     for (auto& s : w.names(k))
-      if (w.node(s).id.self.zone == z) v.push_back(s);
+      if (w.node(s).id.self.zone == z)
+        v.push_back(s);
   return v;
 }
 
 void front_down(Day& d, bool freeze) {
   auto f = d.any(Kind::gateway);
-  for (auto& s : {f, d.w.node(f).beside}) freeze ? d.w.freeze(s) : d.w.kill(s);
+  for (auto& s : {f, d.w.node(f).beside})
+    freeze ? d.w.freeze(s) : d.w.kill(s);
 }
 
 void replica(Day& d, const std::string& n, ReplicaHealth f) {
@@ -61,9 +63,11 @@
     }
     case 4: {  // a zone loses power and comes back
       auto v = of_zone(w, std::string(1, static_cast<char>('a' + w.below(3))));
-      for (auto& s : v) w.power_off(s);
+      for (auto& s : v)
+        w.power_off(s);
       w.run(8000);
-      for (auto& s : v) w.start(s);
+      for (auto& s : v)
+        w.start(s);
       w.run(8000);
       break;
     }
@@ -82,14 +86,16 @@
       break;
     case 7:  // the seeds are swapped for other core machines
       w.seeds = {w.names(Kind::controller).back(), "controller77", "controller78"};
-      for (auto& s : w.names(Kind::agent)) w.kill(s), w.run(300), w.start(s), w.run(900);
+      for (auto& s : w.names(Kind::agent))
+        w.kill(s), w.run(300), w.start(s), w.run(900);
       break;
     case 8:  // two operators race in a storm
       for (int i = 0; i < 20; ++i) {
         auto v = latest(w);
         auto m = v->configuration;
         m.cells[0].retention_ms += 1 + i;
-        for (int k = 0; k < 2; ++k) d.c.commit(ApplyConfiguration{v->revision, m}, [](const CommitReply&) {});
+        for (int k = 0; k < 2; ++k)
+          d.c.commit(ApplyConfiguration{v->revision, m}, [](const CommitReply&) {});
         w.run(150);
       }
       break;
@@ -109,11 +115,13 @@
       return w.wipe(d.any(Kind::controller)), "a core machine lost";
     case 4: {
       auto v = w.names(Kind::controller);
-      for (size_t i = 0; i < majority_of(v.size()); ++i) w.freeze(v[i]);
+      for (size_t i = 0; i < majority_of(v.size()); ++i)
+        w.freeze(v[i]);
       return "a core majority frozen";
     }
     case 5:
-      for (auto& s : of_zone(w, std::string(1, static_cast<char>('a' + w.below(3))))) w.power_off(s);
+      for (auto& s : of_zone(w, std::string(1, static_cast<char>('a' + w.below(3)))))
+        w.power_off(s);
       return "a zone lost";
     default: {
       auto v = of_zone(w, std::string(1, static_cast<char>('a' + w.below(3))));
@@ -121,7 +129,8 @@
       for (auto k : {Kind::controller, Kind::store, Kind::agent, Kind::gateway})
         for (auto& s : w.names(k))
           if (!in.count(s))
-            for (auto& o : v) w.cut(o, s), w.cut(s, o);
+            for (auto& o : v)
+              w.cut(o, s), w.cut(s, o);
       return "a zone cut off";
     }
   }
@@ -133,23 +142,30 @@
   std::vector<std::string> ask;
   std::set<PartitionId> have;
   for (int i = 0; have.size() < kPartitionCount; ++i)
-    if (auto n = "after" + std::to_string(i); have.insert(partition_of("news", n)).second) ask.push_back(n);
+    if (auto n = "after" + std::to_string(i); have.insert(partition_of("news", n)).second)
+      ask.push_back(n);
   auto old = d.c.programs();
-  for (size_t i = 0; i < old.size() && i < 120; ++i) ask.push_back(old[w.roll() % old.size()]);
+  for (size_t i = 0; i < old.size() && i < 120; ++i)
+    ask.push_back(old[w.roll() % old.size()]);
   auto left = std::make_shared<std::map<std::string, int>>();
   for (auto& p : ask) {
     ++(*left)[p];
     w.at(w.now() + w.below(1500), [&d, p, left] {
       d.c.turn(p, "closing", [p, left](const Turn& t) {
-        if (t.success || t.status == 429) --(*left)[p];
+        if (t.success || t.status == 429)
+          --(*left)[p];
       });
     });
   }
-  auto open = [left] { return std::count_if(left->begin(), left->end(), [](auto& x) { return x.second > 0; }); };
-  if (w.until(6000, [&] { return open() == 0; })) return;
+  auto open = [left] {
+    return std::count_if(left->begin(), left->end(), [](auto& x) { return x.second > 0; });
+  };
+  if (w.until(6000, [&] { return open() == 0; }))
+    return;
   std::string who;
   for (auto& [p, n] : *left)
-    if (n > 0 && who.size() < 60) who += " " + p;
+    if (n > 0 && who.size() < 60)
+      who += " " + p;
   w.fail(std::to_string(open()) + " of " + std::to_string(ask.size()) + " programs not served 12 s after " + what +
          ":" + who);
 }
@@ -157,7 +173,8 @@
 }  // namespace
 
 /// A store is replaced by an empty one at another address, which joins before the lost one is marked down; later
-/// another one loses its disk. No partition may be left with the lost store in its set, so that the second loss is borne.
+/// another one loses its disk. No partition may be left with the lost store in its set, so that the second loss is
+/// borne.
 void successor(Day& d) {
   auto& w = d.w;
   d.c.traffic(50, w.now() + 40000);
@@ -172,13 +189,15 @@
              return std::count(s.stores.begin(), s.stores.end(), lost) > 0;
            });
   };
-  if (!w.until(12000, rid)) w.fail("slots still count on a store that is gone");
+  if (!w.until(12000, rid))
+    w.fail("slots still count on a store that is gone");
   w.run(1000);
   w.wipe("store2");
   w.run(1000);
   w.start("store2");
   w.run(9000);
-  if (!latest(w)->sequences.empty()) w.fail("the wiped store's join does not end");
+  if (!latest(w)->sequences.empty())
+    w.fail("the wiped store's join does not end");
 }
 
 /// Every kind of planned work under load, one after the other: no answer may be unknown.
@@ -188,18 +207,22 @@
   auto yes = [&](Transformation t, const char* what) {
     auto got = std::make_shared<bool>(false);
     d.c.commit(std::move(t), [got](const CommitReply& r) { *got = r.outcome == CommitOutcome::committed; });
-    if (!w.until(10000, [got] { return *got; })) w.fail(std::string(what) + " was not acknowledged");
+    if (!w.until(10000, [got] { return *got; }))
+      w.fail(std::string(what) + " was not acknowledged");
     w.run(500);
   };
   auto calm = [&](const char* what) {
     auto good = [&] {
       auto v = latest(w);
-      if (!v || !v->sequences.empty()) return false;
+      if (!v || !v->sequences.empty())
+        return false;
       for (auto& [id, x] : v->directory)
-        if (x.state == DaemonState::down || x.state == DaemonState::registered) return false;
+        if (x.state == DaemonState::down || x.state == DaemonState::registered)
+          return false;
       return true;
     };
-    if (!w.until(15000, good)) w.fail(std::string("the fleet is not calm after ") + what);
+    if (!w.until(15000, good))
+      w.fail(std::string("the fleet is not calm after ") + what);
   };
   for (auto k : {Kind::controller, Kind::store, Kind::agent})
     for (auto& s : w.names(k)) {
@@ -213,7 +236,8 @@
   w.run(3000);
   calm("a store was added");
   yes(PrepareDrain{latest(w)->find_at("store1")->id}, "the retirement");
-  if (!w.until(15000, [&] { return latest(w)->sequences.empty(); })) w.fail("the retirement did not end");
+  if (!w.until(15000, [&] { return latest(w)->sequences.empty(); }))
+    w.fail("the retirement did not end");
   w.run(1000);
   w.stop("store1");
   yes(EvacuateZone{"b"}, "the evacuation");
@@ -222,11 +246,13 @@
   w.run(2000);
   auto from = latest(w)->find_at("gateway1")->id, to = latest(w)->find_at("gateway3")->id;
   yes(MoveAllPartitions{from, to}, "the move of routes");
-  if (!change(d, 10000)) w.fail("a configuration was not acknowledged");
+  if (!change(d, 10000))
+    w.fail("a configuration was not acknowledged");
   w.run(3000);
   if (auto n = d.c.unknowns + d.c.count_unknown) {
     w.fail(std::to_string(n) + " answers were lost in planned work");
-    for (auto& [r, k] : d.c.reasons) w.fail(std::to_string(k) + " times: " + r);
+    for (auto& [r, k] : d.c.reasons)
+      w.fail(std::to_string(k) + " times: " + r);
   }
 }
 
--- a/tests/simulation/troubles.cpp
+++ b/tests/simulation/troubles.cpp
@@ -1,7 +1,7 @@
 // Scenarios of whole zones, stores and crowds.
-#include "simulation/day.hpp"
 #include "metadata/constants.hpp"
 #include "programs/constants.hpp"
+#include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 /// The core falls into parts, whole and one-way.
@@ -16,9 +16,11 @@
     for (size_t a = 0; a < k; ++a)
       for (size_t b = k; b < v.size(); ++b) {
         w.cut(v[a], v[b]);
-        if (!one_way) w.cut(v[b], v[a]);
+        if (!one_way)
+          w.cut(v[b], v[a]);
       }
-    if (auto r = change(d, 4000)) in_force(d, r, 2000);
+    if (auto r = change(d, 4000))
+      in_force(d, r, 2000);
     must_serve(d, 2500, "a split of the core");
     w.heal();
   }
@@ -34,17 +36,21 @@
   std::vector<std::string> gone;
   for (auto k : {Kind::controller, Kind::store, Kind::agent, Kind::gateway})
     for (auto& s : w.names(k))
-      if (w.node(s).id.self.zone == z) w.power_off(s), gone.push_back(s);
+      if (w.node(s).id.self.zone == z)
+        w.power_off(s), gone.push_back(s);
   for (auto& [n, r] : d.c.replicas)
-    if (r.zone == z) r.up = false;
+    if (r.zone == z)
+      r.up = false;
   w.run(7000);
   must_serve(d, 5000, "the loss of a zone");
   if (auto r = change(d, 8000))
     in_force(d, r, 2000);
   else
     w.fail("no change was accepted with one zone lost");
-  for (auto& s : gone) w.start(s);
-  for (auto& [n, r] : d.c.replicas) r.up = true;
+  for (auto& s : gone)
+    w.start(s);
+  for (auto& [n, r] : d.c.replicas)
+    r.up = true;
   w.run(10000);
 }
 
@@ -53,12 +59,15 @@
   auto& w = d.w;
   d.c.traffic(100, w.now() + 25000);
   w.run(2000);
-  for (auto& s : w.names(Kind::controller)) w.power_off(s);
+  for (auto& s : w.names(Kind::controller))
+    w.power_off(s);
   w.run(4000);
   must_serve(d, 10000, "the loss of the whole core");
-  for (auto& s : w.names(Kind::controller)) w.start(s);
+  for (auto& s : w.names(Kind::controller))
+    w.start(s);
   w.run(5000);
-  if (!change(d, 10000)) w.fail("the core did not come back");
+  if (!change(d, 10000))
+    w.fail("the core did not come back");
 }
 
 /// Replicas come back cold, one after the other, under load.
@@ -69,16 +78,22 @@
   for (int i = 1; i <= 3; ++i) {
     auto n = "model" + std::to_string(i);
     auto& r = d.c.replicas[n];
-    d.c.commit(SetReplica{{n, "model", r.zone, "http://" + n, ReplicaHealth::warming_up, {}, 0}}, [&](const CommitReply& c) {
-      if (c.outcome == CommitOutcome::committed) r.cold_since = w.now(), r.from.clear();
-    });
+    d.c.commit(SetReplica{{n, "model", r.zone, "http://" + n, ReplicaHealth::warming_up, {}, 0}},
+               [&](const CommitReply& c) {
+                 if (c.outcome == CommitOutcome::committed)
+                   r.cold_since = w.now(), r.from.clear();
+               });
     w.run(kSlowStartDuration - 500);
     auto v = latest(w);
-    if (v && v->replicas.at(n).health != ReplicaHealth::warming_up) w.fail(n + " was called ready before its ramp was over");
+    if (v && v->replicas.at(n).health != ReplicaHealth::warming_up)
+      w.fail(n + " was called ready before its ramp was over");
     r.cold_since = 0;
   }
-  auto ready = [&] { return latest(w)->replicas.at("model1").health == ReplicaHealth::ready; };
-  if (!w.until(10000, ready)) w.fail("a cold replica never became ready");
+  auto ready = [&] {
+    return latest(w)->replicas.at("model1").health == ReplicaHealth::ready;
+  };
+  if (!w.until(10000, ready))
+    w.fail("a cold replica never became ready");
 }
 
 /// A crowd far beyond what the replicas can do, with urgent jobs among it.
@@ -94,8 +109,10 @@
   auto before = d.c.successes;
   w.run(10000);
   auto done = d.c.successes - before;
-  if (done < 200) w.fail("goodput fell under the crowd: " + std::to_string(done));
-  if (d.c.refusals < 50) w.fail("nothing was refused, so this was no crowd");
+  if (done < 200)
+    w.fail("goodput fell under the crowd: " + std::to_string(done));
+  if (d.c.refusals < 50)
+    w.fail("nothing was refused, so this was no crowd");
   w.run(45000);
   if (d.c.slowest_refusal > kMaxQueueWait + 1000)
     w.fail("a refusal was held back " + std::to_string(d.c.slowest_refusal) + " ms");
@@ -110,14 +127,17 @@
   auto& w = d.w;
   d.c.traffic(80, w.now() + 25000);
   for (int i = 0; i < 8; ++i) {
-    for (auto& s : w.names(Kind::store)) w.node(s).disk.slow = 100 + w.below(300);
+    for (auto& s : w.names(Kind::store))
+      w.node(s).disk.slow = 100 + w.below(300);
     w.run(1500 + w.below(1500));
     if (i % 2) {
       auto f = d.any(Kind::gateway);
-      for (auto& s : w.names(Kind::store)) w.power_off(s);
+      for (auto& s : w.names(Kind::store))
+        w.power_off(s);
       w.kill(f);
       w.run(200);
-      for (auto& s : w.names(Kind::store)) w.start(s);
+      for (auto& s : w.names(Kind::store))
+        w.start(s);
       w.start(f);
     } else {
       auto f = d.any(Kind::gateway);
@@ -136,20 +156,24 @@
   d.c.traffic(100, w.now() + 20000);
   for (auto& s : w.names(Kind::store)) {
     w.run(1500);
-    for (auto& f : w.names(Kind::gateway)) w.kill(f), w.run(100), w.start(f);
+    for (auto& f : w.names(Kind::gateway))
+      w.kill(f), w.run(100), w.start(f);
     w.wipe(s);
     w.run(500);
     w.start(s);
     auto whole = [&] {
       auto v = latest(w);
       auto* me = v->find(w.node(s).id.self.incarnation);
-      if (!me || me->state != DaemonState::up || !v->sequences.empty()) return false;
+      if (!me || me->state != DaemonState::up || !v->sequences.empty())
+        return false;
       for (auto& x : v->partitions)
         for (auto r : x.stores)
-          if (v->find(r)->state != DaemonState::up) return false;
+          if (v->find(r)->state != DaemonState::up)
+            return false;
       return true;
     };
-    if (!w.until(25000, whole)) w.fail("the copies of " + s + " were not restored");
+    if (!w.until(25000, whole))
+      w.fail("the copies of " + s + " were not restored");
   }
 }
 
@@ -159,7 +183,8 @@
   d.c.traffic(200, w.now() + 12000);
   for (int i = 0; i < 30; ++i) {
     auto p = "dive" + std::to_string(i);
-    for (int h = 0; h < 8; ++h) d.c.turn(p, "h" + std::to_string(h), [](const Turn&) {});
+    for (int h = 0; h < 8; ++h)
+      d.c.turn(p, "h" + std::to_string(h), [](const Turn&) {});
     w.run(300);
   }
   w.run(5000);
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -8,10 +8,15 @@
 World::World(uint64_t seed, Size z) : dice_(seed) {
   core_size = static_cast<uint32_t>(z.controllers);
   copies = replication_factor_for(static_cast<uint32_t>(z.tolerated), 1);
-  auto zone = [&](int i) { return std::string(1, static_cast<char>('a' + i % z.zones)); };
-  for (int i = 0; i < z.controllers && i < 3; ++i) seeds.push_back("controller" + std::to_string(i + 1));
-  for (int i = 0; i < z.controllers; ++i) add("controller" + std::to_string(i + 1), Kind::controller, zone(i));
-  for (int i = 0; i < z.stores; ++i) add("store" + std::to_string(i + 1), Kind::store, zone(i));
+  auto zone = [&](int i) {
+    return std::string(1, static_cast<char>('a' + i % z.zones));
+  };
+  for (int i = 0; i < z.controllers && i < 3; ++i)
+    seeds.push_back("controller" + std::to_string(i + 1));
+  for (int i = 0; i < z.controllers; ++i)
+    add("controller" + std::to_string(i + 1), Kind::controller, zone(i));
+  for (int i = 0; i < z.stores; ++i)
+    add("store" + std::to_string(i + 1), Kind::store, zone(i));
   for (int i = 0; i < z.fronts; ++i) {
     auto k = std::to_string(i + 1);
     add("agent" + k, Kind::agent, zone(i), "gateway" + k);
@@ -39,7 +44,8 @@
 std::vector<std::string> World::names(Kind k) const {
   std::vector<std::string> v;
   for (auto& [s, n] : nodes_)
-    if (n->kind == k) v.push_back(s);
+    if (n->kind == k)
+      v.push_back(s);
   return v;
 }
 
@@ -48,17 +54,21 @@
 }
 
 void World::fail(const std::string& what) {
-  if (failures.size() < 20) failures.push_back(std::to_string(now_ - kProcessClockStart) + " ms: " + what);
+  if (failures.size() < 20)
+    failures.push_back(std::to_string(now_ - kProcessClockStart) + " ms: " + what);
 }
 
 void World::start(const std::string& name) {
   auto& n = node(name);
-  if (n.machine) return;
+  if (n.machine)
+    return;
   bool diskless = n.kind == Kind::agent || n.kind == Kind::gateway;
-  if (diskless && n.life) n.id.self.incarnation = Incarnation{dice_()};
+  if (diskless && n.life)
+    n.id.self.incarnation = Incarnation{dice_()};
   n.id.dice = dice_();
   n.id.seeds = seeds;
-  if (configure) configure(n.id);
+  if (configure)
+    configure(n.id);
   n.life = ++seq_;
   n.seen = {};
   n.revision = {};
@@ -92,50 +102,60 @@
   n.backlog.clear();
   n.life = 0;
   n.frozen = false;
-  if (died) died(n);
+  if (died)
+    died(n);
   n.life = ++seq_;
 }
 
 void World::kill(const std::string& name) {
   auto& n = node(name);
-  if (!n.machine) return;
+  if (!n.machine)
+    return;
   auto keep = n.disk.waiting.empty() ? 0 : dice_() % (n.disk.waiting.size() + 1);
   for (size_t i = 0; i < keep; ++i) {
     auto& b = n.disk.waiting[i];
-    for (auto& s : b.journal) n.disk.synced.push_back(s);
-    if (b.checkpoint) n.disk.checkpoint = b.checkpoint, n.disk.synced.clear();
+    for (auto& s : b.journal)
+      n.disk.synced.push_back(s);
+    if (b.checkpoint)
+      n.disk.checkpoint = b.checkpoint, n.disk.synced.clear();
   }
   die(n);
 }
 
 void World::stop(const std::string& name) {
   auto& n = node(name);
-  if (!n.machine) return;
+  if (!n.machine)
+    return;
   n.disk.in_flight = n.disk.waiting.size();
   flush(n);
   die(n);
 }
 
 void World::power_off(const std::string& name) {
-  if (node(name).machine) die(node(name));
+  if (node(name).machine)
+    die(node(name));
 }
 
 void World::wipe(const std::string& name) {
   auto& n = node(name);
-  if (n.machine) die(n);
+  if (n.machine)
+    die(n);
   n.disk = {};
   n.id.self.incarnation = Incarnation{dice_()};
 }
 
 void World::wake(const std::string& name) {
   auto& n = node(name);
-  if (!n.frozen) return;
+  if (!n.frozen)
+    return;
   n.frozen = false;
   auto v = std::exchange(n.backlog, {});
   auto life = n.life;
   for (auto& e : v)
-    if (n.life == life && n.machine) step(n, e);
-  if (n.machine) flush(n);
+    if (n.life == life && n.machine)
+      step(n, e);
+  if (n.machine)
+    flush(n);
 }
 
 void World::cut(const std::string& a, const std::string& b) {
@@ -145,12 +165,12 @@
 void World::isolate(const std::string& name) {
   auto& n = node(name);
   for (auto& [s, x] : nodes_)
-    if (s != name && s != n.beside) cut(s, name), cut(name, s);
+    if (s != name && s != n.beside)
+      cut(s, name), cut(name, s);
 }
 
 Millis World::clock(const Node& n) const {
-  return kProcessClockStart + n.skew +
-         static_cast<Millis>(static_cast<double>(now_ - kProcessClockStart) * n.rate);
+  return kProcessClockStart + n.skew + static_cast<Millis>(static_cast<double>(now_ - kProcessClockStart) * n.rate);
 }
 
 bool World::ready(const std::string& front) {
@@ -169,7 +189,8 @@
 bool World::until(Millis ms, const std::function<bool()>& ok) {
   auto end = now_ + ms;
   while (!items_.empty() && items_.top().when <= end) {
-    if (ok()) return true;
+    if (ok())
+      return true;
     auto f = items_.top().f;
     now_ = std::max(now_, items_.top().when);
     items_.pop();
@@ -181,8 +202,10 @@
 
 void World::tick(const std::string& name, uint64_t life) {
   auto& n = node(name);
-  if (n.life != life || !n.machine) return;
-  if (!n.frozen) act(n, n.machine->tick(clock(n)));
+  if (n.life != life || !n.machine)
+    return;
+  if (!n.frozen)
+    act(n, n.machine->tick(clock(n)));
   if (!n.frozen && n.machine && n.kind == Kind::controller &&
       static_cast<ControllerMachine&>(*n.machine).is_supervisor(clock(n)))
     for (auto& [s, x] : nodes_)
@@ -194,7 +217,8 @@
 
 void World::post(const std::string& name, Envelope e) {
   auto& n = node(name);
-  if (!n.machine) return;
+  if (!n.machine)
+    return;
   if (n.frozen)
     n.backlog.push_back(std::move(e));
   else
@@ -214,20 +238,25 @@
       notes.push_back(std::to_string(now_ - kProcessClockStart) + " " + n.name + " " +
                       std::to_string(static_cast<int>(x.event)) + " " + x.text);
   look(n);
-  for (auto& e : a.now) send(n, e);
+  for (auto& e : a.now)
+    send(n, e);
   bool diskless = n.kind == Kind::agent || n.kind == Kind::gateway;
   if (diskless) {
-    for (auto& e : a.synced) send(n, e);
+    for (auto& e : a.synced)
+      send(n, e);
   } else if (!a.journal.empty() || !a.synced.empty() || a.checkpoint) {
     bool idle = n.disk.waiting.empty() && a.journal.empty() && !a.checkpoint;
     if (idle) {
-      for (auto& e : a.synced) send(n, e);
+      for (auto& e : a.synced)
+        send(n, e);
     } else {
       n.disk.waiting.push_back({std::move(a.journal), std::move(a.checkpoint), std::move(a.synced)});
-      if (!n.disk.in_flight) begin_sync(n);
+      if (!n.disk.in_flight)
+        begin_sync(n);
     }
   }
-  if (a.stop && n.machine) n.stopped = true, die(n);
+  if (a.stop && n.machine)
+    n.stopped = true, die(n);
 }
 
 /// One sync at a time; it covers all that waits when it begins.
@@ -235,31 +264,41 @@
   n.disk.in_flight = n.disk.waiting.size();
   at(now_ + 1 + below(3) + n.disk.slow, [this, name = n.name, life = n.life] {
     auto& n = node(name);
-    if (n.life == life && n.machine) flush(n);
+    if (n.life == life && n.machine)
+      flush(n);
   });
 }
 
 void World::flush(Node& n) {
-  if (n.frozen || !n.disk.in_flight) return;
+  if (n.frozen || !n.disk.in_flight)
+    return;
   ++syncs;
   std::vector<Envelope> sends;
   for (; n.disk.in_flight; --n.disk.in_flight) {
     auto b = std::move(n.disk.waiting.front());
     n.disk.waiting.pop_front();
-    for (auto& s : b.journal) n.disk.synced.push_back(std::move(s));
-    if (b.checkpoint) n.disk.checkpoint = std::move(b.checkpoint), n.disk.synced.clear();
-    for (auto& e : b.sends) sends.push_back(std::move(e));
+    for (auto& s : b.journal)
+      n.disk.synced.push_back(std::move(s));
+    if (b.checkpoint)
+      n.disk.checkpoint = std::move(b.checkpoint), n.disk.synced.clear();
+    for (auto& e : b.sends)
+      sends.push_back(std::move(e));
   }
-  if (!n.disk.waiting.empty()) begin_sync(n);
-  for (auto& e : sends) send(n, e);
+  if (!n.disk.waiting.empty())
+    begin_sync(n);
+  for (auto& e : sends)
+    send(n, e);
 }
 
 void World::send(Node& n, const Envelope& e) {
-  if (e.to.starts_with("local:")) return local ? local(n, e) : void();
-  if (e.to.starts_with("replica:")) return replica ? replica(n, e) : void();
+  if (e.to.starts_with("local:"))
+    return local ? local(n, e) : void();
+  if (e.to.starts_with("replica:"))
+    return replica ? replica(n, e) : void();
   ++messages;
   if (e.to != n.id.self.address) {
-    if (net.cuts.count({n.name, e.to}) || chance(net.loss)) return;
+    if (net.cuts.count({n.name, e.to}) || chance(net.loss))
+      return;
   }
   int copies = e.to != n.id.self.address && chance(net.twice) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
@@ -270,8 +309,10 @@
 
 void World::deliver(const Address& to, const Envelope& e) {
   auto i = by_addr_.find(to);
-  if (i == by_addr_.end()) return;
-  if (arriving && alive(i->second)) arriving(e);
+  if (i == by_addr_.end())
+    return;
+  if (arriving && alive(i->second))
+    arriving(e);
   post(i->second, e);
 }
 
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -3,10 +3,10 @@
 #include <queue>
 
 #include "consensus/controller_machine.hpp"
-#include "programs/gateway_machine.hpp"
-#include "replication/agent_machine.hpp"
 #include "history/store_machine.hpp"
 #include "metadata/constants.hpp"
+#include "programs/gateway_machine.hpp"
+#include "replication/agent_machine.hpp"
 #include "runtime/constants.hpp"
 
 namespace mosskeel::sim {
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -3,10 +3,10 @@
 
 #include <algorithm>
 
-#include "simulation/day.hpp"
 #include "consensus/constants.hpp"
 #include "messages/constants.hpp"
 #include "runtime/constants.hpp"
+#include "simulation/day.hpp"
 
 using namespace mosskeel;
 using sim::Kind;
@@ -26,33 +26,40 @@
       id.max_core_size = kMaxCoreSize;
       id.later_start = later_start;
     };
-    for (auto& s : w.names(Kind::controller)) w.wipe(s), w.start(s);
+    for (auto& s : w.names(Kind::controller))
+      w.wipe(s), w.start(s);
   }
   void later_starts() {
     auto first = w.configure;
-    w.configure = [first](Identity& id) { first(id), id.later_start = true; };
+    w.configure = [first](Identity& id) {
+      first(id), id.later_start = true;
+    };
   }
   void part(const std::vector<std::string>& one, const std::vector<std::string>& other) {
     for (auto& a : one)
-      for (auto& b : other) w.cut(a, b), w.cut(b, a);
+      for (auto& b : other)
+        w.cut(a, b), w.cut(b, a);
   }
   std::set<uint64_t> clusters() {
     std::set<uint64_t> v;
     for (auto& s : w.names(Kind::controller))
-      if (w.node(s).machine && w.node(s).machine->view()->cluster) v.insert(w.node(s).machine->view()->cluster);
+      if (w.node(s).machine && w.node(s).machine->view()->cluster)
+        v.insert(w.node(s).machine->view()->cluster);
     return v;
   }
   std::set<std::string> members() {
     std::set<std::string> v;
     auto m = sim::latest(w);
-    for (auto id : m->members) v.insert(m->find(id)->self.address);
+    for (auto id : m->members)
+      v.insert(m->find(id)->self.address);
     return v;
   }
   bool until_members(Millis within, const std::set<std::string>& want) {
     return w.until(within, [&] { return members() == want; });
   }
   void no_failures() {
-    for (auto& f : w.failures) FAIL_CHECK(f);
+    for (auto& f : w.failures)
+      FAIL_CHECK(f);
   }
 };
 
@@ -108,7 +115,8 @@
     Core c(seed, 3);
     c.w.run(300 + c.w.below(600));
     c.later_starts();
-    for (auto& s : c.w.names(Kind::controller)) c.w.kill(s), c.w.start(s);
+    for (auto& s : c.w.names(Kind::controller))
+      c.w.kill(s), c.w.start(s);
     c.w.run(10000);
     CHECK(c.clusters().size() == 1);
     c.no_failures();
@@ -137,17 +145,21 @@
 TEST_CASE("the core grows to all controllers that run, one at a time, each with the log on its disk") {
   Core c(5, 5);
   std::set<std::string> all;
-  for (auto& s : c.w.names(Kind::controller)) all.insert(s);
+  for (auto& s : c.w.names(Kind::controller))
+    all.insert(s);
   size_t before = 0;
   auto steps_of_one = [&] {
     auto m = sim::latest(c.w);
-    if (m && m->cluster && before && m->members.size() > before + 1) FAIL_CHECK("two members came at once");
-    if (m && m->cluster) before = m->members.size();
+    if (m && m->cluster && before && m->members.size() > before + 1)
+      FAIL_CHECK("two members came at once");
+    if (m && m->cluster)
+      before = m->members.size();
     return m && m->members.size() == 5;
   };
   CHECK(c.w.until(15000, steps_of_one));
   CHECK(c.members() == all);
-  for (int i = 6; i <= 11; ++i) c.w.add("controller" + std::to_string(i), Kind::controller, "a");
+  for (int i = 6; i <= 11; ++i)
+    c.w.add("controller" + std::to_string(i), Kind::controller, "a");
   c.w.run(30000);
   CHECK(c.members().size() == kMaxCoreSize);
   c.no_failures();
@@ -251,7 +263,7 @@
       c.w.wake(s);
       c.w.run(300);
     }
-    CHECK(sim::latest(c.w)->epoch.v <= epoch.v + 4);
+    CHECK(sim::latest(c.w)->epoch.value() <= epoch.value() + 4);
     c.w.run(8000);
     CHECK(c.members().size() == 4);
     CHECK(c.clusters().size() == 1);
@@ -383,7 +395,8 @@
     auto supervisor = [&] {
       for (auto& s : c.w.names(Kind::controller)) {
         auto& n = c.w.node(s);
-        if (n.machine && static_cast<ControllerMachine&>(*n.machine).is_supervisor(c.w.clock(n))) return s;
+        if (n.machine && static_cast<ControllerMachine&>(*n.machine).is_supervisor(c.w.clock(n)))
+          return s;
       }
       return std::string();
     };
--- a/tests/unit/consensus/proposer_test.cpp
+++ b/tests/unit/consensus/proposer_test.cpp
@@ -14,11 +14,13 @@
   std::map<Address, std::vector<CommitReply>> replies;
   explicit Core(uint64_t seed) : w(seed, {3, 3, 1, 1, 3, 1}) {
     w.local = [this](sim::Node&, const Envelope& e) {
-      if (auto* r = std::get_if<CommitReply>(&e.body)) replies[e.to].push_back(*r);
+      if (auto* r = std::get_if<CommitReply>(&e.body))
+        replies[e.to].push_back(*r);
     };
     bool up = w.until(30000, [this] {
       for (auto& c : w.names(sim::Kind::controller))
-        if (!w.node(c).machine->view()->cluster) return false;
+        if (!w.node(c).machine->view()->cluster)
+          return false;
       return w.node("controller1").machine->view()->directory.size() >= 7;
     });
     REQUIRE(up);
@@ -36,7 +38,8 @@
   View view(const std::string& c) { return w.node(c).machine->view(); }
   size_t count(const Address& session, CommitOutcome o) {
     size_t n = 0;
-    for (auto& r : replies[session]) n += r.outcome == o;
+    for (auto& r : replies[session])
+      n += r.outcome == o;
     return n;
   }
 };
@@ -83,7 +86,7 @@
     for (Millis cut = 0; cut <= 16; ++cut) {
       Core c(seed);
       auto base = c.view("controller1")->revision;
-      auto a = order(base, base.v + 2), b = order(base, base.v + 3);
+      auto a = order(base, base.value() + 2), b = order(base, base.value() + 3);
       c.ask("controller1", "local:a1", "a", a, 900);
       c.w.run(cut);
       c.w.isolate("controller1");
@@ -99,14 +102,17 @@
       auto yes = [&](const char* one, const char* two) {
         return c.count(one, CommitOutcome::committed) + c.count(two, CommitOutcome::committed);
       };
-      auto no = [&](const char* one, const char* two) { return c.count(one, CommitOutcome::rejected) + c.count(two, CommitOutcome::rejected); };
+      auto no = [&](const char* one, const char* two) {
+        return c.count(one, CommitOutcome::rejected) + c.count(two, CommitOutcome::rejected);
+      };
       bool first = yes("local:a1", "local:a2") > 0;
       CHECK(first != (yes("local:b1", "local:b2") > 0));
       CHECK(first != (no("local:a1", "local:a2") > 0));
       CHECK(first == (no("local:b1", "local:b2") > 0));
       for (auto& [session, rs] : c.replies)
         for (auto& r : rs)
-          if (r.outcome == CommitOutcome::rejected) CHECK(r.rejection == Rejection::revision_conflict);
+          if (r.outcome == CommitOutcome::rejected)
+            CHECK(r.rejection == Rejection::revision_conflict);
     }
 }
 
--- a/tests/unit/consensus/stale_log_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -1,8 +1,8 @@
 // A controller that starts again with an old log decides and answers nothing before it holds the newest epoch.
 #include <catch2/catch.hpp>
 
-#include "consensus/controller_machine.hpp"
 #include "base/codec.hpp"
+#include "consensus/controller_machine.hpp"
 #include "messages/constants.hpp"
 #include "runtime/constants.hpp"
 
@@ -27,8 +27,8 @@
 
   static void commit(Metadata& m, const Entry& e) {
     auto r = apply(m, e);
-    REQUIRE(ok(r));
-    m = value(r);
+    REQUIRE(r.ok());
+    m = r.value();
   }
   Restarted() {
     commit(old, {Epoch{1}, "", FoundCluster{7, 3, {controller(1), controller(2), controller(3)}}});
@@ -55,10 +55,11 @@
       auto a = machine->tick(now);
       for (auto& e : a.now)
         if (auto* r = std::get_if<LeaseRequest>(&e.body)) {
-          auto by = e.to_inc.v;
+          auto by = e.to_inc.value();
           from(by, by == 1 ? machine->view()->epoch : epoch, LeaseGrant{r->request_id, true, {}});
         }
-      if (machine->is_supervisor(now)) return true;
+      if (machine->is_supervisor(now))
+        return true;
     }
     return false;
   }
@@ -67,7 +68,8 @@
 template <class T>
 const T* sent(const std::vector<Envelope>& v) {
   for (auto& e : v)
-    if (auto* x = std::get_if<T>(&e.body)) return x;
+    if (auto* x = std::get_if<T>(&e.body))
+      return x;
   return nullptr;
 }
 
--- a/tests/unit/control/command_language_test.cpp
+++ b/tests/unit/control/command_language_test.cpp
@@ -26,23 +26,24 @@
   };
   for (auto& r : rows) {
     auto c = command_language::parse(r.sentence);
-    REQUIRE_FALSE(ok(c));
-    CHECK(render(findings(c)) == r.finding);
+    REQUIRE_FALSE(c.ok());
+    CHECK(to_string(c.errors()) == r.finding);
   }
 }
 
 TEST_CASE("Commands translate into the transformations they name") {
   auto c = command_language::parse("retire  store 7");
-  REQUIRE(ok(c));
-  auto t = command_language::to_transformation(value(c), Metadata{});
-  REQUIRE(ok(t));
-  CHECK(value(t) == Transformation{PrepareDrain{DaemonId{7}}});
+  REQUIRE(c.ok());
+  auto t = command_language::to_transformation(c.value(), Metadata{});
+  REQUIRE(t.ok());
+  CHECK(t.value() == Transformation{PrepareDrain{DaemonId{7}}});
   Metadata m{};
   m.revision = Revision{4};
-  auto d = command_language::to_transformation(value(command_language::parse("create cell news budget 400 turn 40 retention 60000")), m);
-  REQUIRE(ok(d));
-  auto& a = std::get<ApplyConfiguration>(value(d));
+  auto d = command_language::to_transformation(
+      command_language::parse("create cell news budget 400 turn 40 retention 60000").value(), m);
+  REQUIRE(d.ok());
+  auto& a = std::get<ApplyConfiguration>(d.value());
   CHECK(a.base == Revision{4});
   CHECK(a.configuration.cells.at(0).budget == 400);
-  CHECK(ok(command_language::to_transformation(value(command_language::parse("drop cell news")), m)) == false);
+  CHECK(command_language::to_transformation(command_language::parse("drop cell news").value(), m).ok() == false);
 }
--- a/tests/unit/control/control_session_test.cpp
+++ b/tests/unit/control/control_session_test.cpp
@@ -1,8 +1,8 @@
 // Verdicts on orders come out of the commit's own reply, and one deadline covers a whole request.
 #include <catch2/catch.hpp>
 
-#include "control/control_session.hpp"
 #include "control/constants.hpp"
+#include "control/control_session.hpp"
 
 using namespace mosskeel;
 using Code = CommandResult::Code;
@@ -29,7 +29,8 @@
     asked.push_back(t);
     clock += std::min(delay, patience);
     auto next = replies.empty() ? reply(CommitOutcome::unknown) : replies.front();
-    if (!replies.empty()) replies.erase(replies.begin());
+    if (!replies.empty())
+      replies.erase(replies.begin());
     return delay > patience ? reply(CommitOutcome::unknown) : next;
   }
   void inspect(const std::function<void(ControllerMachine&, Millis)>& look) override { look(machine, clock); }
@@ -50,7 +51,8 @@
                                               {Rejection::none, Code::outcome_unknown}};
   for (auto [why, kind] : table) {
     Controller c;
-    c.replies = {reply(CommitOutcome::rejected, why), reply(CommitOutcome::rejected, why), reply(CommitOutcome::rejected, why)};
+    c.replies = {reply(CommitOutcome::rejected, why), reply(CommitOutcome::rejected, why),
+                 reply(CommitOutcome::rejected, why)};
     ControlSession s(c, c.clock);
     // The machine's own revision is 0, the base of this very order: a later look would call it invalid.
     CHECK(s.apply_configuration("id", Revision{0}, Revision{1}, {}).code == kind);
@@ -85,13 +87,15 @@
     for (auto* method : {"PUT", "PATCH", "GET"}) {
       Controller c;
       c.delay = delay;
-      for (int i = 0; i < 4; ++i) c.replies.push_back(reply(CommitOutcome::rejected, Rejection::revision_conflict));
+      for (int i = 0; i < 4; ++i)
+        c.replies.push_back(reply(CommitOutcome::rejected, Rejection::revision_conflict));
       ControlSession s(c, c.clock);
       auto a = platform->answer({method, "/v1/config", text, {{"if-match", "5"}}, {}}, s);
       REQUIRE(a);
       INFO(method << " with commits of " << delay << " ms");
       CHECK(c.clock - 1000 <= kOperatorRequestTimeout);
-      if (delay > kOperatorRequestTimeout) CHECK(a->status == 503);
+      if (delay > kOperatorRequestTimeout)
+        CHECK(a->status == 503);
     }
   }
 }
--- a/tests/unit/history/replica_sets_test.cpp
+++ b/tests/unit/history/replica_sets_test.cpp
@@ -3,11 +3,11 @@
 
 #include <algorithm>
 
-#include "consensus/sequence_barrier.hpp"
-#include "unit/routing/turn_owner_fixture.hpp"
 #include "consensus/constants.hpp"
+#include "consensus/sequence_barrier.hpp"
 #include "history/constants.hpp"
 #include "metadata/constants.hpp"
+#include "unit/routing/turn_owner_fixture.hpp"
 
 using namespace mosskeel;
 
@@ -25,18 +25,20 @@
     must(FoundCluster{7, 3, {candidate(1, Role::controller, "a")}, 0, copies});
     must(Register{candidate(2, Role::front, "a")});
     run(PrepareJoin{id("front2")}, "front2");
-    for (uint64_t n = 11; n < 11 + stores; ++n) add(n);
+    for (uint64_t n = 11; n < 11 + stores; ++n)
+      add(n);
   }
   void must(const Transformation& change) {
     auto result = apply(metadata, {next(metadata.epoch), "", change});
-    INFO(describe(change) << (ok(result) ? "" : ": " + render(findings(result))));
-    REQUIRE(ok(result));
-    metadata = value(result);
+    INFO(describe(change) << (result.ok() ? "" : ": " + to_string(result.errors())));
+    REQUIRE(result.ok());
+    metadata = result.value();
   }
-  bool refused(const Transformation& change) { return !ok(apply(metadata, {next(metadata.epoch), "", change})); }
+  bool refused(const Transformation& change) { return !apply(metadata, {next(metadata.epoch), "", change}).ok(); }
   void run(const Transformation& prepare, const std::string& address) {
     must(prepare);
-    for (auto step : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}) must(AdvanceSequence{id(address), step});
+    for (auto step : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish})
+      must(AdvanceSequence{id(address), step});
   }
   void add(uint64_t n) {
     must(Register{candidate(n, Role::store, std::string(1, static_cast<char>('a' + n % 3)))});
@@ -50,7 +52,8 @@
 /// The most copies of one partition that a zone holds.
 long most_in_one_zone(const Metadata& metadata, const Partition& partition) {
   std::map<std::string, long> zones;
-  for (auto id : partition.stores) ++zones[metadata.find(id)->self.zone];
+  for (auto id : partition.stores)
+    ++zones[metadata.find(id)->self.zone];
   return std::max_element(zones.begin(), zones.end(), [](auto& a, auto& b) { return a.second < b.second; })->second;
 }
 
@@ -85,9 +88,11 @@
   for (auto& partition : fleet.metadata.partitions) {
     CHECK(partition.stores.size() == 5);
     CHECK(most_in_one_zone(fleet.metadata, partition) <= 2);
-    for (auto id : partition.stores) ++kept[id];
+    for (auto id : partition.stores)
+      ++kept[id];
   }
-  for (auto& [id, copies] : kept) CHECK(copies >= static_cast<int>(kPartitionCount) * 5 / 8 / 2);
+  for (auto& [id, copies] : kept)
+    CHECK(copies >= static_cast<int>(kPartitionCount) * 5 / 8 / 2);
 }
 
 TEST_CASE("the places of two lost stores go to others beside each other") {
@@ -100,7 +105,8 @@
   fleet.must(PrepareRepair{second});
   CHECK(fleet.metadata.sequences.size() == 2);
   for (auto address : {"store11", "store12"})
-    for (auto step : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}) fleet.must(AdvanceSequence{fleet.id(address), step});
+    for (auto step : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish})
+      fleet.must(AdvanceSequence{fleet.id(address), step});
   for (auto& partition : fleet.metadata.partitions) {
     CHECK(partition.stores.size() == 5);
     CHECK(most_in_one_zone(fleet.metadata, partition) <= 3);
@@ -146,7 +152,9 @@
   fleet.must(PrepareDrain{leaver});
   fleet.must(AdvanceSequence{leaver, SequenceStep::start});
   auto begun = fleet.metadata.epoch;
-  auto sequence = [&] { return fleet.metadata.sequences.at(leaver); };
+  auto sequence = [&] {
+    return fleet.metadata.sequences.at(leaver);
+  };
   auto fresh = sequence_barrier::newcomers(fleet.metadata, sequence());
   REQUIRE(fresh.size() > 1);
   CHECK(fresh.count(leaver) == 0);
@@ -157,14 +165,19 @@
     beat.streamed = streamed;
     detector.record(beat, now);
   };
-  auto proven = [&] { return sequence_barrier::is_streamed(fleet.metadata, sequence(), detector, now); };
-  for (auto id : fresh) say(id, Epoch{begun.v - 1});
+  auto proven = [&] {
+    return sequence_barrier::is_streamed(fleet.metadata, sequence(), detector, now);
+  };
+  for (auto id : fresh)
+    say(id, Epoch{begun.value() - 1});
   CHECK_FALSE(proven());
-  for (auto id : fresh) say(id, begun);
+  for (auto id : fresh)
+    say(id, begun);
   CHECK(proven());
   now += kHeartbeatTimeout + 1;
   CHECK_FALSE(proven());
-  for (auto id : fresh) say(id, begun);
+  for (auto id : fresh)
+    say(id, begun);
   fleet.must(AdvanceSequence{leaver, SequenceStep::mid});
   CHECK(proven());
   fleet.must(MarkDown{*fresh.begin()});
@@ -177,19 +190,21 @@
   auto history = turn_history_name("p");
   auto metadata = *owner.metadata_log.view();
   metadata.directory[DaemonId{14}] = {DaemonId{14}, test::candidate(14, Role::store, "z14"), DaemonState::up, Epoch{2}};
-  for (auto& partition : metadata.partitions) partition.pending_stores = {DaemonId{11}, DaemonId{12}, DaemonId{14}};
+  for (auto& partition : metadata.partitions)
+    partition.pending_stores = {DaemonId{11}, DaemonId{12}, DaemonId{14}};
   metadata.epoch = Epoch{6};
   owner.metadata_log.install_snapshot(metadata);
   REQUIRE(owner.history_writer.open(history, owner.now) == HistoryWriter::State::opening);
   auto answer = [&](uint64_t who, Epoch epoch, Records records) {
-    auto envelope =
-        test::Owner::from(who, ReadHistoryReply{history, owner.history_writer.term(history), true, Epoch{4}, false, std::move(records)});
+    auto envelope = test::Owner::from(
+        who, ReadHistoryReply{history, owner.history_writer.term(history), true, Epoch{4}, false, std::move(records)});
     envelope.epoch = epoch;
     owner.history_writer.handle(envelope, owner.now);
   };
   answer(11, Epoch{6}, {});
   answer(14, Epoch{6}, {});
-  for (auto& partition : metadata.partitions) partition.stores = std::exchange(partition.pending_stores, {}), partition.stores_epoch = Epoch{7};
+  for (auto& partition : metadata.partitions)
+    partition.stores = std::exchange(partition.pending_stores, {}), partition.stores_epoch = Epoch{7};
   metadata.epoch = Epoch{7};
   owner.metadata_log.install_snapshot(metadata);
   owner.history_writer.tick(owner.now += kStoreRetryInterval + 1);
--- a/tests/unit/history/store_machine_test.cpp
+++ b/tests/unit/history/store_machine_test.cpp
@@ -7,12 +7,12 @@
 #include <chrono>
 #include <fstream>
 
-#include "history/store_machine.hpp"
-#include "runtime/inbox.hpp"
 #include "history/constants.hpp"
+#include "history/store_machine.hpp"
 #include "messages/constants.hpp"
 #include "metadata/constants.hpp"
 #include "runtime/constants.hpp"
+#include "runtime/inbox.hpp"
 
 using namespace mosskeel;
 
@@ -28,7 +28,7 @@
 }
 
 Daemon daemon(uint64_t id, Incarnation incarnation, Role role) {
-  auto name = std::to_string(incarnation.v);
+  auto name = std::to_string(incarnation.value());
   return {DaemonId{id}, {incarnation, role, "zone" + name, "daemon" + name, "", "", ""}, DaemonState::up, Epoch{1}};
 }
 
@@ -37,10 +37,12 @@
   Metadata m;
   m.epoch = now_epoch;
   m.cluster = cluster;
-  for (uint64_t i = 1; i <= 4; ++i) m.directory[DaemonId{i}] = daemon(i, store_inc(i), Role::store);
+  for (uint64_t i = 1; i <= 4; ++i)
+    m.directory[DaemonId{i}] = daemon(i, store_inc(i), Role::store);
   m.directory[DaemonId{9}] = daemon(9, owner, Role::front);
   std::vector<DaemonId> old{DaemonId{2}, DaemonId{3}, DaemonId{4}}, fresh{DaemonId{1}, DaemonId{3}, DaemonId{4}};
-  for (uint32_t i = 0; i < kPartitionCount; ++i) m.partitions.push_back({DaemonId{9}, Epoch{2}, old, fresh, Epoch{40}});
+  for (uint32_t i = 0; i < kPartitionCount; ++i)
+    m.partitions.push_back({DaemonId{9}, Epoch{2}, old, fresh, Epoch{40}});
   return m;
 }
 
@@ -79,7 +81,8 @@
   Recovered r{store_inc(store), {}, {codec::pack(StoreRecord{m})}};
   for (size_t i = 0; i < histories; ++i) {
     Records v;
-    for (size_t k = 0; k < turns; ++k) v.push_back(settled("turn" + std::to_string(k), bytes));
+    for (size_t k = 0; k < turns; ++k)
+      v.push_back(settled("turn" + std::to_string(k), bytes));
     r.journal.push_back(codec::pack(StoreRecord{adoption(history(i), Epoch{2}, std::move(v))}));
   }
   return r;
@@ -87,7 +90,8 @@
 
 size_t journaled(const Actions& a) {
   size_t n = 0;
-  for (auto& s : a.journal) n += s.size();
+  for (auto& s : a.journal)
+    n += s.size();
   return n;
 }
 
@@ -104,8 +108,10 @@
     journal += journaled(a);
     for (auto* list : {&a.now, &a.synced})
       for (auto& e : *list)
-        if (std::holds_alternative<StreamPartition>(e.body)) v.push_back(e), ++by_source[e.to];
-    for (auto& [source, n] : by_source) largest_ask[source] = std::max(largest_ask[source], n);
+        if (std::holds_alternative<StreamPartition>(e.body))
+          v.push_back(e), ++by_source[e.to];
+    for (auto& [source, n] : by_source)
+      largest_ask[source] = std::max(largest_ask[source], n);
     return v;
   }
 
@@ -115,7 +121,8 @@
       most_under_way = std::max(most_under_way, store->streams().under_way(now));
       std::vector<Envelope> next;
       for (auto& ask : queue) {
-        if (silent.count(ask.to)) continue;
+        if (silent.count(ask.to))
+          continue;
         for (auto& reply : sources.at(ask.to)->step(ask, now).now) {
           ++pages;
           auto more = asks(store->step(reply, now));
@@ -140,7 +147,8 @@
 size_t status_kilobytes(const std::string& key) {
   std::ifstream f("/proc/self/status");
   for (std::string line; std::getline(f, line);)
-    if (line.starts_with(key + ":")) return std::stoul(line.substr(key.size() + 1));
+    if (line.starts_with(key + ":"))
+      return std::stoul(line.substr(key.size() + 1));
   return 0;
 }
 
@@ -202,7 +210,8 @@
   CHECK(c.store->streams().complete() == Epoch{40});
   CHECK(c.store->history_count() == 400);
   CHECK(c.most_under_way <= 3);
-  for (auto& [source, n] : c.largest_ask) CHECK(n == 1);
+  for (auto& [source, n] : c.largest_ask)
+    CHECK(n == 1);
 }
 
 TEST_CASE("what two stores both sent is journaled once") {
@@ -223,7 +232,8 @@
 
 TEST_CASE("partitions are copied though one of their stores is silent") {
   auto c = copying(100, 2, 4000);
-  for (Millis t = kTickInterval; t < 4 * kTransferPageTimeout; t += kTickInterval) c.run(start + t, {"daemon3"});
+  for (Millis t = kTickInterval; t < 4 * kTransferPageTimeout; t += kTickInterval)
+    c.run(start + t, {"daemon3"});
   CHECK(c.store->streams().complete() == Epoch{40});
   CHECK(c.store->history_count() == 100);
 }
@@ -233,7 +243,8 @@
   auto r = journal_of(2, m, 1, 10, 10000);
   StoreMachine store(identity(2), r, start);
   Records v;
-  for (size_t k = 0; k < 10; ++k) v.push_back(settled("turn" + std::to_string(k), 10000));
+  for (size_t k = 0; k < 10; ++k)
+    v.push_back(settled("turn" + std::to_string(k), 10000));
   auto a = store.step(from(owner, "front", adoption(history(0), Epoch{3}, v)), start + 1);
   REQUIRE(a.synced.size() == 1);
   CHECK(std::get<AppendHistoryReply>(a.synced[0].body).granted);
@@ -282,8 +293,9 @@
 TEST_CASE("a store drops the histories of partitions whose places went elsewhere, for good and not at once") {
   auto r = journal_of(2, joining(), 100, 1, 1000);
   auto m = joining();
-  m.epoch = Epoch{now_epoch.v + 1};
-  for (auto& s : m.partitions) s.stores = std::exchange(s.pending_stores, {}), s.term = Epoch{3};
+  m.epoch = Epoch{now_epoch.value() + 1};
+  for (auto& s : m.partitions)
+    s.stores = std::exchange(s.pending_stores, {}), s.term = Epoch{3};
   StoreMachine store(identity(2), r, start);
   auto learned = store.step(from(owner, "front", CatchupReply{m.epoch, m, {}}), start + 1);
   CHECK(store.tick(start + kTickInterval).journal.empty());
@@ -299,7 +311,8 @@
 
 TEST_CASE("a store keeps the histories of partitions that are on their way elsewhere") {
   StoreMachine store(identity(2), journal_of(2, joining(), 100, 1, 1000), start);
-  for (Millis t = 0; t < 3 * kMovedPartitionKeepTime; t += kMovedPartitionScanInterval) store.tick(start + t);
+  for (Millis t = 0; t < 3 * kMovedPartitionKeepTime; t += kMovedPartitionScanInterval)
+    store.tick(start + t);
   CHECK(store.history_count() == 100);
 }
 
@@ -359,7 +372,8 @@
   auto items = inbox.take(0);
   REQUIRE(items.size() == 2);
   CHECK(inbox.bytes() == 6000 + Inbox::small_message);
-  for (auto& x : items) inbox.done(x);
+  for (auto& x : items)
+    inbox.done(x);
   CHECK(inbox.bytes() == 0);
   CHECK(inbox.hear(e, 6000));
 }
--- a/tests/unit/history/tombstones_test.cpp
+++ b/tests/unit/history/tombstones_test.cpp
@@ -1,17 +1,19 @@
 // What a store keeps of ended lines, and how a replica's places are shared.
 #include <catch2/catch.hpp>
 
-#include "programs/admission_policy.hpp"
 #include "history/tombstones.hpp"
 #include "metadata/constants.hpp"
+#include "programs/admission_policy.hpp"
 
 using namespace mosskeel;
 
 TEST_CASE("Tombstones are found until the older generation is dropped") {
   Tombstones g;
-  for (uint64_t i = 1; i <= 20; ++i) g.add(i * 7 % 101, 8);
+  for (uint64_t i = 1; i <= 20; ++i)
+    g.add(i * 7 % 101, 8);
   CHECK(g.size() <= 16);
-  for (uint64_t i = 17; i <= 20; ++i) CHECK(g.has(i * 7 % 101));
+  for (uint64_t i = 17; i <= 20; ++i)
+    CHECK(g.has(i * 7 % 101));
   CHECK_FALSE(g.has(7));
   auto all = g.above(0, 100);
   CHECK(all.size() == g.size());
@@ -31,9 +33,11 @@
     Millis after;
     uint32_t sum;
   };
-  for (auto& r : {Row{ReplicaHealth::ready, 32, 0, 32}, Row{ReplicaHealth::ready, 6, 0, 6}, Row{ReplicaHealth::ready, 3, 0, 6},
-                  Row{ReplicaHealth::draining, 32, 0, 0}, Row{ReplicaHealth::warming_up, 32, 0, 1},
-                  Row{ReplicaHealth::warming_up, 32, kSlowStartDuration / 2, 16}, Row{ReplicaHealth::warming_up, 32, kSlowStartDuration * 2, 32}}) {
+  for (auto& r :
+       {Row{ReplicaHealth::ready, 32, 0, 32}, Row{ReplicaHealth::ready, 6, 0, 6}, Row{ReplicaHealth::ready, 3, 0, 6},
+        Row{ReplicaHealth::draining, 32, 0, 0}, Row{ReplicaHealth::warming_up, 32, 0, 1},
+        Row{ReplicaHealth::warming_up, 32, kSlowStartDuration / 2, 16},
+        Row{ReplicaHealth::warming_up, 32, kSlowStartDuration * 2, 32}}) {
     uint32_t sum = 0;
     for (auto& [id, d] : m.directory) {
       ReplicaSelector n;
