--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 
 #include "base/codec.hpp"
-#include "metadata/rejection.hpp"
 #include "metadata/constants.hpp"
+#include "metadata/rejection.hpp"
 
 using namespace mosskeel;
 
@@ -20,31 +20,35 @@
   Metadata m{};
   Result<Metadata> go(const Transformation& t, const std::string& id = "") {
     auto r = apply(m, {next(m.epoch), id, t});
-    if (ok(r)) m = value(r);
+    if (r.ok())
+      m = r.value();
     return r;
   }
   void must(const Transformation& t) {
     auto r = go(t);
-    INFO(describe(t) << (ok(r) ? "" : ": " + render(findings(r))));
-    REQUIRE(ok(r));
+    INFO(describe(t) << (r.ok() ? "" : ": " + to_string(r.errors())));
+    REQUIRE(r.ok());
   }
   std::string refused(const Transformation& t) {
     auto before = m;
     auto r = go(t);
-    REQUIRE_FALSE(ok(r));
+    REQUIRE_FALSE(r.ok());
     CHECK(m == before);
-    return render(findings(r));
+    return to_string(r.errors());
   }
   DaemonId id(const std::string& address) { return m.find_at(address)->id; }
   void join(const std::string& address) {
     must(PrepareJoin{id(address)});
-    for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}) must(AdvanceSequence{id(address), s});
+    for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish})
+      must(AdvanceSequence{id(address), s});
   }
   Fleet() {
-    must(FoundCluster{7, 3, {who(1, Role::controller, "a"), who(2, Role::controller, "b"), who(3, Role::controller, "c")}});
+    must(FoundCluster{
+        7, 3, {who(1, Role::controller, "a"), who(2, Role::controller, "b"), who(3, Role::controller, "c")}});
     for (uint64_t n = 11; n <= 13; ++n)
       must(Register{who(n, Role::store, std::string(1, static_cast<char>('a' + n - 11)))});
-    for (uint64_t n = 11; n <= 13; ++n) join("store" + std::to_string(n));
+    for (uint64_t n = 11; n <= 13; ++n)
+      join("store" + std::to_string(n));
     for (uint64_t n = 21; n <= 22; ++n)
       must(Register{who(n, Role::front, n == 21 ? "a" : "b")}), join("front" + std::to_string(n));
   }
@@ -80,15 +84,19 @@
   auto e = f.m.epoch;
   f.must(EvacuateZone{"a"});
   CHECK(f.m.epoch == next(e));
-  for (uint64_t at : {e.v, e.v + 1, e.v + 3, uint64_t{0}})
-    CHECK_FALSE(ok(apply(f.m, {Epoch{at}, "", RestoreZone{"a"}})));
+  for (uint64_t at : {e.value(), e.value() + 1, e.value() + 3, uint64_t{0}})
+    CHECK_FALSE(apply(f.m, {Epoch{at}, "", RestoreZone{"a"}}).ok());
 }
 
 TEST_CASE("who counts changes by two steps, and between them both sets must agree") {
   Fleet f;
   CHECK(f.m.quorum_members.size() == 3);
-  auto core = [](const Daemon& d) { return d.self.role == Role::controller; };
-  auto most = [](const Daemon& d) { return d.self.role != Role::front; };
+  auto core = [](const Daemon& d) {
+    return d.self.role == Role::controller;
+  };
+  auto most = [](const Daemon& d) {
+    return d.self.role != Role::front;
+  };
   CHECK(f.m.has_quorum(core));
   f.must(BeginQuorumChange{});
   CHECK(f.m.incoming_quorum_members.size() == 8);
@@ -124,12 +132,14 @@
   f.must(PrepareJoin{n});
   CHECK(f.m.locks.size() == f.m.sequences.at(n).moves.size());
   CHECK(f.m.locks.size() >= kPartitionCount / 3 - 1);
-  CHECK(f.refused(AdvanceSequence{n, SequenceStep::mid}) == "daemon " + std::to_string(n.v) + ": its next step is start, not mid");
+  CHECK(f.refused(AdvanceSequence{n, SequenceStep::mid}) ==
+        "daemon " + std::to_string(n.value()) + ": its next step is start, not mid");
   CHECK(f.refused(PrepareJoin{n}).find("has a sequence in progress") != std::string::npos);
   f.must(AdvanceSequence{n, SequenceStep::start});
   f.refused(AdvanceSequence{n, SequenceStep::start});
   f.must(AdvanceSequence{n, SequenceStep::mid});
-  for (auto& s : f.m.partitions) CHECK(s.owner != n);
+  for (auto& s : f.m.partitions)
+    CHECK(s.owner != n);
   f.must(AdvanceSequence{n, SequenceStep::finish});
   CHECK(f.m.locks.empty());
   CHECK(f.m.sequences.empty());
@@ -142,7 +152,7 @@
   f.must(Register{who(23, Role::front, "c")});
   auto n = f.id("front23"), other = f.id("front21");
   f.must(PrepareJoin{n});
-  CHECK(f.refused(PrepareDrain{other}).find("is locked by the sequence of daemon " + std::to_string(n.v)) !=
+  CHECK(f.refused(PrepareDrain{other}).find("is locked by the sequence of daemon " + std::to_string(n.value())) !=
         std::string::npos);
   CHECK(f.refused(MoveAllPartitions{other, f.id("front22")}).find("is locked by") != std::string::npos);
   f.must(CancelSequence{n, "test"});
@@ -156,7 +166,8 @@
   auto before = f.m.partitions;
   f.must(PrepareJoin{n});
   f.must(AdvanceSequence{n, SequenceStep::start});
-  auto moving = std::count_if(f.m.partitions.begin(), f.m.partitions.end(), [](auto& s) { return !s.pending_stores.empty(); });
+  auto moving =
+      std::count_if(f.m.partitions.begin(), f.m.partitions.end(), [](auto& s) { return !s.pending_stores.empty(); });
   CHECK(moving == static_cast<long>(f.m.sequences.at(n).moves.size()));
   f.must(CancelSequence{n, "test"});
   for (size_t i = 0; i < before.size(); ++i) {
@@ -226,7 +237,9 @@
   Fleet f;
   auto n = f.id("front21");
   f.must(MarkDown{n});
-  for (auto& s : f.m.partitions) { CHECK(s.owner == f.id("front22")); }
+  for (auto& s : f.m.partitions) {
+    CHECK(s.owner == f.id("front22"));
+  }
   f.must(MarkUp{n});
   CHECK(f.m.find(n)->state == DaemonState::registered);
   f.join("front21");
@@ -237,7 +250,8 @@
   Fleet f;
   auto n = f.id("front21");
   f.must(PrepareDrain{n});
-  for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}) f.must(AdvanceSequence{n, s});
+  for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish})
+    f.must(AdvanceSequence{n, s});
   CHECK(f.m.find(n)->state == DaemonState::draining);
   f.must(MarkDown{n});
   CHECK(f.m.find(n)->state == DaemonState::left);
@@ -247,23 +261,26 @@
   Fleet f;
   for (auto& s : f.m.partitions) {
     std::set<std::string> z;
-    for (auto r : s.stores) z.insert(f.m.find(r)->self.zone);
+    for (auto r : s.stores)
+      z.insert(f.m.find(r)->self.zone);
     CHECK(z.size() == 3);
   }
   f.must(Register{who(14, Role::store, "a")});
   f.join("store14");
   f.must(PrepareDrain{f.id("store11")});
-  for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}) f.must(AdvanceSequence{f.id("store11"), s});
+  for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish})
+    f.must(AdvanceSequence{f.id("store11"), s});
   for (auto& s : f.m.partitions) {
     std::set<std::string> z;
-    for (auto r : s.stores) z.insert(f.m.find(r)->self.zone);
+    for (auto r : s.stores)
+      z.insert(f.m.find(r)->self.zone);
     CHECK(z.size() == 3);
   }
 }
 
 TEST_CASE("the log remembers commit ids, so that a retry finds its first outcome") {
   Fleet f;
-  REQUIRE(ok(f.go(EvacuateZone{"a"}, "once")));
+  REQUIRE(f.go(EvacuateZone{"a"}, "once").ok());
   auto e = f.m.epoch;
   f.must(RestoreZone{"a"});
   CHECK(f.m.epoch_of_commit("once") == e);
@@ -274,7 +291,8 @@
 
 std::vector<uint64_t> ids(const std::vector<DaemonId>& v) {
   std::vector<uint64_t> ids;
-  for (auto id : v) ids.push_back(id.v);
+  for (auto id : v)
+    ids.push_back(id.value());
   std::sort(ids.begin(), ids.end());
   return ids;
 }
@@ -285,7 +303,8 @@
   auto mask_of = [&](const std::vector<uint64_t>& v, size_t chosen) {
     uint64_t mask = 0;
     for (size_t i = 0; i < v.size(); ++i)
-      if (chosen >> i & 1) mask |= uint64_t{1} << v[i] % 64;
+      if (chosen >> i & 1)
+        mask |= uint64_t{1} << v[i] % 64;
     return mask;
   };
   auto majorities = [&](const std::vector<uint64_t>& v) {
@@ -297,7 +316,8 @@
   };
   for (auto p : majorities(one))
     for (auto q : majorities(other))
-      if ((p & q) == 0) return false;
+      if ((p & q) == 0)
+        return false;
   return true;
 }
 
@@ -332,7 +352,9 @@
 
 TEST_CASE("no admission or removal that the log takes parts the majorities of the two cores") {
   uint64_t dice = 7;
-  auto roll = [&](size_t n) { return (dice = digest("roll", dice)) % n; };
+  auto roll = [&](size_t n) {
+    return (dice = digest("roll", dice)) % n;
+  };
   Fleet f;
   f.m.max_core_size = 7;
   uint64_t next_controller = 4;
@@ -342,7 +364,8 @@
     auto one = f.m.members[roll(f.m.members.size())];
     auto spare = before.front();
     for (auto& [id, d] : f.m.directory)
-      if (d.self.role == Role::controller && !f.m.is_core_member(d.self.incarnation)) spare = id;
+      if (d.self.role == Role::controller && !f.m.is_core_member(d.self.incarnation))
+        spare = id;
     switch (roll(6)) {
       case 0:
         f.go(Register{who(next_controller++, Role::controller, "b")});
@@ -360,7 +383,8 @@
         f.go(AddCoreMember{spare});
     }
     changes += before != f.m.members;
-    if (before != f.m.members) CHECK(majorities_meet(before, f.m.members));
+    if (before != f.m.members)
+      CHECK(majorities_meet(before, f.m.members));
   }
   CHECK(changes > 30);
 }
@@ -385,7 +409,7 @@
 
 TEST_CASE("a taken configuration is known again after the memory of all commits has rolled over") {
   Fleet f;
-  REQUIRE(ok(f.go(ApplyConfiguration{f.m.revision, {}, {}}, "first")));
+  REQUIRE(f.go(ApplyConfiguration{f.m.revision, {}, {}}, "first").ok());
   auto at = f.m.epoch;
   for (size_t i = 0; i <= kRememberedCommits; ++i)
     f.go(MarkDown{f.id("store11")}, "m" + std::to_string(i)), f.go(MarkUp{f.id("store11")}, "u" + std::to_string(i));
@@ -396,11 +420,14 @@
 
 TEST_CASE("an order on a revision older than all that is remembered cannot be told from a taken one") {
   Fleet f;
-  auto order = [](uint64_t base) { return ApplyConfiguration{Revision{base}, {}, {}}; };
-  for (uint64_t r = 0; r < kRememberedConfigurationChanges; ++r) REQUIRE(ok(f.go(order(r), "o" + std::to_string(r))));
+  auto order = [](uint64_t base) {
+    return ApplyConfiguration{Revision{base}, {}, {}};
+  };
+  for (uint64_t r = 0; r < kRememberedConfigurationChanges; ++r)
+    REQUIRE(f.go(order(r), "o" + std::to_string(r)).ok());
   CHECK(f.m.epoch_of_commit("o0"));
   CHECK(rejection_reason(f.m, order(0)) == Rejection::revision_conflict);
-  REQUIRE(ok(f.go(order(kRememberedConfigurationChanges), "last")));
+  REQUIRE(f.go(order(kRememberedConfigurationChanges), "last").ok());
   CHECK(f.m.applied_configurations.size() == kRememberedConfigurationChanges);
   CHECK(rejection_reason(f.m, order(0)) == Rejection::forgotten);
   CHECK(rejection_reason(f.m, order(1)) == Rejection::revision_conflict);
@@ -409,7 +436,7 @@
 
 TEST_CASE("a rejection says which of its reasons it has") {
   Fleet f;
-  REQUIRE(ok(f.go(ApplyConfiguration{f.m.revision, {}, Revision{7}}, "first")));
+  REQUIRE(f.go(ApplyConfiguration{f.m.revision, {}, Revision{7}}, "first").ok());
   CHECK(rejection_reason(f.m, ApplyConfiguration{Revision{7}, {}, Revision{7}}) == Rejection::invalid);
   CHECK(rejection_reason(f.m, ApplyConfiguration{Revision{5}, {}, Revision{8}}) == Rejection::revision_conflict);
   CHECK(rejection_reason(f.m, ApplyConfiguration{Revision{9}, {}, Revision{10}}) == Rejection::revision_conflict);
--- a/tests/unit/net/event_loop_test.cpp
+++ b/tests/unit/net/event_loop_test.cpp
@@ -1,6 +1,6 @@
 #include <sys/epoll.h>
 
-#include "peer.hpp"
+#include "socket_peer.hpp"
 
 using namespace mosskeel;
 
@@ -12,7 +12,8 @@
   auto no = l.run_after(1, [&] { s += "x"; });
   l.run_after(2, [&] { s += "b"; });
   l.cancel(no);
-  for (int i = 0; i < 1000; ++i) l.cancel(l.run_after(1, [&] { s += "y"; }));
+  for (int i = 0; i < 1000; ++i)
+    l.cancel(l.run_after(1, [&] { s += "y"; }));
   l.run();
   CHECK(s == "abc");
 }
@@ -23,7 +24,8 @@
   std::vector<std::jthread> ts;
   for (int t = 0; t < 4; ++t)
     ts.emplace_back([&] {
-      for (int i = 0; i < 1000; ++i) l.post([&] { ++n; });
+      for (int i = 0; i < 1000; ++i)
+        l.post([&] { ++n; });
     });
   CHECK(until(l, [&] { return n == 4000; }));
 }
@@ -34,7 +36,9 @@
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, a) == 0);
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, b) == 0);
   Fd fds[] = {Fd(a[0]), Fd(a[1]), Fd(b[0]), Fd(b[1])};
-  auto both = [&](uint32_t) { ++calls, l.unwatch(a[0]), l.unwatch(b[0]); };
+  auto both = [&](uint32_t) {
+    ++calls, l.unwatch(a[0]), l.unwatch(b[0]);
+  };
   l.watch(a[0], EPOLLIN, both);
   l.watch(b[0], EPOLLIN, both);
   REQUIRE(::send(a[1], "x", 1, 0) == 1);
--- a/tests/unit/net/faulty_replica.hpp
+++ b/tests/unit/net/faulty_replica.hpp
@@ -3,7 +3,7 @@
 #include <random>
 
 #include "net/http_head.hpp"
-#include "peer.hpp"
+#include "socket_peer.hpp"
 
 namespace mosskeel {
 
@@ -44,8 +44,10 @@
     loop_.watch(listening_.get(), EPOLLIN, [this](uint32_t) { accept(); });
   }
   ~FaultyReplica() {
-    for (auto timer : timers_) loop_.cancel(timer);
-    while (!sessions_.empty()) close(sessions_.begin()->first);
+    for (auto timer : timers_)
+      loop_.cancel(timer);
+    while (!sessions_.empty())
+      close(sessions_.begin()->first);
     loop_.unwatch(listening_.get());
   }
   Address at() const { return bound_address(listening_.get()); }
@@ -59,7 +61,8 @@
   void accept() {
     for (;;) {
       Fd fd(::accept4(listening_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-      if (!fd) return;
+      if (!fd)
+        return;
       auto id = ++last_;
       auto raw = fd.get();
       sessions_[id].fd = std::move(fd);
@@ -68,7 +71,8 @@
   }
   void close(uint64_t id) {
     auto i = sessions_.find(id);
-    if (i == sessions_.end()) return;
+    if (i == sessions_.end())
+      return;
     loop_.unwatch(i->second.fd.get());
     sessions_.erase(i);
   }
@@ -79,19 +83,24 @@
   }
   void say(uint64_t id, const std::string& s) {
     auto i = sessions_.find(id);
-    if (i != sessions_.end()) (void)!::send(i->second.fd.get(), s.data(), s.size(), MSG_NOSIGNAL);
+    if (i != sessions_.end())
+      (void)!::send(i->second.fd.get(), s.data(), s.size(), MSG_NOSIGNAL);
   }
   void receive(uint64_t id) {
     static char buffer[65536];
     auto& s = sessions_.at(id);
     auto n = ::recv(s.fd.get(), buffer, sizeof buffer, 0);
-    if (n < 0 && errno == EAGAIN) return;
-    if (n <= 0) return close(id);
+    if (n < 0 && errno == EAGAIN)
+      return;
+    if (n <= 0)
+      return close(id);
     s.in.append(buffer, static_cast<size_t>(n));
     size_t scanned = 0;
-    if (scan_head(s.in, scanned) != HeadScan::complete) return;
+    if (scan_head(s.in, scanned) != HeadScan::complete)
+      return;
     auto head = parse_request_head(std::string_view(s.in).substr(0, scanned));
-    if (s.in.size() < scanned + head.content_length.value_or(0)) return;
+    if (s.in.size() < scanned + head.content_length.value_or(0))
+      return;
     s.in.erase(0, scanned + head.content_length.value_or(0));
     auto attempt = std::string(header_value(head.fields, "Mosskeel-Attempt-Id"));
     auto delay = static_cast<Millis>(roll(20));
@@ -105,12 +114,16 @@
     say(id, head(status, name + "Mosskeel-Not-Run: 1\r\n", 0));
   }
   void answer(uint64_t id, const std::string& attempt) {
-    if (!sessions_.count(id)) return;
+    if (!sessions_.count(id))
+      return;
     auto fault =
         roll(100) < fault_percent_ ? static_cast<Fault>(roll(static_cast<uint64_t>(Fault::count))) : Fault::none;
-    if (fault == Fault::not_run) return refuse(id, "503 Busy", attempt);
-    if (fault == Fault::not_run_without_id) return refuse(id, "503 Busy", "");
-    if (fault == Fault::misdirected) return refuse(id, "421 Elsewhere", attempt);
+    if (fault == Fault::not_run)
+      return refuse(id, "503 Busy", attempt);
+    if (fault == Fault::not_run_without_id)
+      return refuse(id, "503 Busy", "");
+    if (fault == Fault::misdirected)
+      return refuse(id, "421 Elsewhere", attempt);
     ++ledger_.runs[attempt];
     auto seal = "s" + std::to_string(++ledger_.seals);
     std::string body = attempt + " " + seal + " ";
@@ -144,10 +157,12 @@
     made = body;
     say(id, whole);
     auto again = fault == Fault::late_refusal ? head("503 Busy", name + "Mosskeel-Not-Run: 1\r\n", 0) : whole;
-    if (fault == Fault::surplus) say(id, again);
+    if (fault == Fault::surplus)
+      say(id, again);
     if (fault == Fault::late_surplus || fault == Fault::late_refusal)
       timers_.push_back(loop_.run_after(static_cast<Millis>(roll(10)), [this, id, again] { say(id, again); }));
-    if (fault == Fault::half_close) ::shutdown(sessions_.at(id).fd.get(), SHUT_WR);
+    if (fault == Fault::half_close)
+      ::shutdown(sessions_.at(id).fd.get(), SHUT_WR);
   }
 
   EventLoop& loop_;
--- a/tests/unit/net/http_front_faults_test.cpp
+++ b/tests/unit/net/http_front_faults_test.cpp
@@ -2,8 +2,8 @@
 #include <sys/epoll.h>
 
 #include "faulty_replica.hpp"
-#include "unit/routing/request_router_fixture.hpp"
 #include "routing/http_frontend.hpp"
+#include "unit/routing/request_router_fixture.hpp"
 
 using namespace mosskeel;
 
@@ -49,13 +49,14 @@
       replicas.push_back(std::make_unique<FaultyReplica>(loop, ledger, random(), fault_percent));
       r.url = "http://" + replicas.back()->at();
     }
-    for (auto& p : m.configuration.paths) p.timeout_ms = 250;
+    for (auto& p : m.configuration.paths)
+      p.timeout_ms = 250;
     snapshot = std::make_shared<RoutingSnapshot>(
         RoutingSnapshot{std::make_shared<Metadata>(m), DaemonId{1}, INT64_MAX, true, false});
     auto opened = HttpFrontend::open(
         loop, *find_protocol_codec("platform"), "127.0.0.1:0", [this] { return snapshot; }, [](Message) {});
-    REQUIRE(ok(opened));
-    front = std::move(std::get<0>(opened));
+    REQUIRE(opened.ok());
+    front = std::move(opened).value();
     tick();
   }
   void tick() {
@@ -63,30 +64,35 @@
     front->tick();
   }
   void start() {
-    for (int i = 0; i < callers_at_once; ++i) next();
+    for (int i = 0; i < callers_at_once; ++i)
+      next();
   }
   void next() {
-    if (left <= 0) return;
+    if (left <= 0)
+      return;
     --left;
     static const char* kinds[] = {"safe", "unsafe", "unsafe", "stream", "resume"};
     std::string kind = kinds[random() % std::size(kinds)];
     auto attempt = "a" + std::to_string(tries.size());
     bool twin = caller_faults && random() % 20 == 0;
     auto id = send(kind, attempt);
-    if (twin) send(kind, attempt);
-    if (!caller_faults || random() % 15) return;
+    if (twin)
+      send(kind, attempt);
+    if (!caller_faults || random() % 15)
+      return;
     loop.run_after(static_cast<Millis>(random() % 15), [this, id] {
-      if (tries.at(id).over) return;
+      if (tries.at(id).over)
+        return;
       callers.cancel(id);
       end(id, false, false);
     });
   }
   uint64_t send(const std::string& kind, const std::string& attempt) {
     UpstreamClient::Request a{front->at(),
-                          "POST",
-                          "/" + kind + "/1",
-                          {{"Host", "h.example"}, {"Mosskeel-Attempt-Id", attempt}},
-                          "body of " + attempt};
+                              "POST",
+                              "/" + kind + "/1",
+                              {{"Host", "h.example"}, {"Mosskeel-Attempt-Id", attempt}},
+                              "body of " + attempt};
     ++open;
     auto id = callers.send_request(std::move(a));
     tries[id] = {attempt, kind};
@@ -94,7 +100,8 @@
   }
   void end(uint64_t id, bool whole, bool unsent) {
     auto& t = tries.at(id);
-    if (std::exchange(t.over, true)) return;
+    if (std::exchange(t.over, true))
+      return;
     t.whole = whole, t.unsent = unsent;
     --open;
     loop.run_after(static_cast<Millis>(random() % 3), [this] { next(); });
@@ -107,10 +114,14 @@
   void check() {
     for (auto& [id, t] : tries) {
       INFO(t.attempt << " on " << t.kind << " got " << t.status << (t.whole ? ", whole" : ", not whole"));
-      if (!repeatable(t.kind)) CHECK(ledger.runs[t.attempt] <= 1);
-      if (!t.whole) continue;
-      if (promises(t.status) && !repeatable(t.kind)) CHECK(ledger.runs[t.attempt] == 0);
-      if (t.status != 200) continue;
+      if (!repeatable(t.kind))
+        CHECK(ledger.runs[t.attempt] <= 1);
+      if (!t.whole)
+        continue;
+      if (promises(t.status) && !repeatable(t.kind))
+        CHECK(ledger.runs[t.attempt] == 0);
+      if (t.status != 200)
+        continue;
       CHECK(t.named == t.attempt);
       CHECK((!t.seal.empty() && ledger.bodies[t.attempt].count(t.seal)));
       CHECK(t.body == ledger.bodies[t.attempt][t.seal]);
@@ -130,7 +141,8 @@
   Scene s(static_cast<uint64_t>(seed), 250, 40, true);
   s.start();
   auto until_done = monotonic_ms() + 30000;
-  while (!s.done() && monotonic_ms() < until_done) turns(s.loop, 20);
+  while (!s.done() && monotonic_ms() < until_done)
+    turns(s.loop, 20);
   REQUIRE(s.done());
   turns(s.loop, 30);
   s.check();
@@ -147,8 +159,10 @@
   auto begun = monotonic_ms();
   REQUIRE(until(s.loop, [&] {
     auto t = monotonic_ms() - begun;
-    if (t > 30 && !std::exchange(closing, true)) s.front->close_after_responses();
-    if (t > 60 && !std::exchange(draining, true)) s.front->drain();
+    if (t > 30 && !std::exchange(closing, true))
+      s.front->close_after_responses();
+    if (t > 60 && !std::exchange(draining, true))
+      s.front->drain();
     return draining && s.done() && !s.front->has_active_callers();
   }));
   s.check();
--- a/tests/unit/net/http_listener_test.cpp
+++ b/tests/unit/net/http_listener_test.cpp
@@ -52,7 +52,8 @@
   TestServer d;
   Peer p(d.in->local_address());
   std::string all;
-  for (int i = 0; i < 2000; ++i) all += "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
+  for (int i = 0; i < 2000; ++i)
+    all += "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
   p.say(all);
   REQUIRE(until(d.loop, [&] { return p.look(), count(p.got, "hello") == 2000; }));
 }
@@ -145,7 +146,8 @@
   REQUIRE(until(d.loop, [&] { return d.asked.size() == 1; }));
   auto id = d.asked[0].first;
   d.in->send_head(id, 200, {}, 32 << 20);
-  for (int i = 0; i < 32; ++i) d.in->send_body(id, std::string(1 << 20, 'x'));
+  for (int i = 0; i < 32; ++i)
+    d.in->send_body(id, std::string(1 << 20, 'x'));
   turns(d.loop);
   CHECK(d.in->unsent_bytes(id) > HttpListener::high_watermark);
   CHECK(d.drained.empty());
@@ -173,7 +175,9 @@
   d.in->send_response(d.asked[1].first, 200, {}, "bye");
   REQUIRE(until(d.loop, [&] { return busy.look(); }));
   CHECK(busy.got.ends_with("Connection: close\r\n\r\nbye"));
-  d.answer = [&](uint64_t id) { d.in->send_response(id, 503, {}, "late"); };
+  d.answer = [&](uint64_t id) {
+    d.in->send_response(id, 503, {}, "late");
+  };
   half.say("Host: h\r\n\r\n");
   REQUIRE(until(d.loop, [&] { return half.look(); }));
   CHECK(half.got.ends_with("Connection: close\r\n\r\nlate"));
@@ -206,9 +210,11 @@
   REQUIRE(until(d.loop, [&] { return d.asked.size() == 3; }));
   idle.close(), silent.close();
   REQUIRE(until(d.loop, [&] { return d.in->connections() == 2; }));
-  for (auto i : {1, 2}) d.in->send_response(d.asked[static_cast<size_t>(i)].first, 200, {}, "bye");
+  for (auto i : {1, 2})
+    d.in->send_response(d.asked[static_cast<size_t>(i)].first, 200, {}, "bye");
   REQUIRE(until(d.loop, [&] { return busy.look() && half.look(); }));
-  for (auto* p : {&busy, &half}) CHECK(p->got.ends_with("Connection: close\r\n\r\nbye"));
+  for (auto* p : {&busy, &half})
+    CHECK(p->got.ends_with("Connection: close\r\n\r\nbye"));
   busy.close(), half.close();
   REQUIRE(until(d.loop, [&] { return d.in->connections() == 0; }));
 }
--- a/tests/unit/net/replica_client_test.cpp
+++ b/tests/unit/net/replica_client_test.cpp
@@ -7,8 +7,8 @@
 #include <atomic>
 #include <catch2/catch.hpp>
 
-#include "storage/disk.hpp"
 #include "net/replica_client.hpp"
+#include "storage/disk.hpp"
 
 using namespace mosskeel;
 
@@ -75,14 +75,17 @@
 
 struct Asker {
   Queue<Message> heard;
-  ReplicaClient up{[this](Message m) { heard.push(std::move(m)); }};
+  ReplicaClient up{[this](Message m) {
+    heard.push(std::move(m));
+  }};
   ReplicaCallResponse ask(const std::string& url, bool repeatable, const std::string& kind = "app") {
     up.send(
         {"a" + std::to_string(++n), kind, url, repeatable ? "GET" : "POST", repeatable ? "" : "{}", 5000, repeatable});
     while (true) {
       auto m = heard.pop(20000);
       REQUIRE(m);
-      if (auto* e = std::get_if<ReplicaCallResponse>(&*m)) return *e;
+      if (auto* e = std::get_if<ReplicaCallResponse>(&*m))
+        return *e;
     }
   }
   int n = 0;
--- a/tests/unit/net/request_framing_test.cpp
+++ b/tests/unit/net/request_framing_test.cpp
@@ -10,7 +10,9 @@
   auto post = [](const std::string& f, const std::string& body = "") {
     return "POST / HTTP/1.1\r\nHost: h\r\n" + f + "\r\n" + body;
   };
-  auto line = [](const std::string& l) { return l + "\r\nHost: h\r\n\r\n"; };
+  auto line = [](const std::string& l) {
+    return l + "\r\nHost: h\r\n\r\n";
+  };
   auto row = GENERATE_COPY(values<Row>({
       {post("Content-Length: 3\r\nContent-Length: 4\r\n", "abcd"), 400},
       {post("Content-Length: 3\r\nContent-Length: 3\r\n", "abc"), 400},
--- a/tests/unit/net/socket_peer.hpp
+++ b/tests/unit/net/socket_peer.hpp
@@ -47,9 +47,12 @@
     static char b[65536];
     while (!closed) {
       auto n = ::recv(fd.get(), b, sizeof b, MSG_DONTWAIT);
-      if (n > 0) got.append(b, static_cast<size_t>(n));
-      if (n < 0 && errno == EAGAIN) break;
-      if (n <= 0) closed = true, reset = n < 0;
+      if (n > 0)
+        got.append(b, static_cast<size_t>(n));
+      if (n < 0 && errno == EAGAIN)
+        break;
+      if (n <= 0)
+        closed = true, reset = n < 0;
     }
     return closed;
   }
@@ -64,7 +67,8 @@
 
 inline size_t count(const std::string& s, std::string_view what) {
   size_t n = 0;
-  for (size_t at = 0; (at = s.find(what, at)) != std::string::npos; at += what.size()) ++n;
+  for (size_t at = 0; (at = s.find(what, at)) != std::string::npos; at += what.size())
+    ++n;
   return n;
 }
 
--- a/tests/unit/net/test_server.hpp
+++ b/tests/unit/net/test_server.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // An http_listener whose requests are noted and answered.
 #include "net/http_listener.hpp"
-#include "peer.hpp"
+#include "socket_peer.hpp"
 
 namespace mosskeel {
 
@@ -9,23 +9,27 @@
   EventLoop loop;
   std::vector<std::pair<uint64_t, HttpRequest>> asked;
   std::vector<uint64_t> left, drained;
-  std::function<void(uint64_t)> answer = [this](uint64_t id) { in->send_response(id, 200, {{"X-A", "b"}}, "hello"); };
+  std::function<void(uint64_t)> answer = [this](uint64_t id) {
+    in->send_response(id, 200, {{"X-A", "b"}}, "hello");
+  };
   std::function<void(uint64_t)> on_drained;
   std::unique_ptr<HttpListener> in;
   explicit TestServer(int send_buffer = 0) {
     auto r = HttpListener::open(loop, "127.0.0.1:0",
                                 {[this](uint64_t id, HttpRequest&& q) {
                                    asked.emplace_back(id, std::move(q));
-                                   if (answer) answer(id);
+                                   if (answer)
+                                     answer(id);
                                  },
                                  [this](uint64_t id) { left.push_back(id); },
                                  [this](uint64_t id) {
                                    drained.push_back(id);
-                                   if (on_drained) on_drained(id);
+                                   if (on_drained)
+                                     on_drained(id);
                                  }},
                                 send_buffer);
-    REQUIRE(ok(r));
-    in = std::move(std::get<0>(r));
+    REQUIRE(r.ok());
+    in = std::move(r).value();
   }
   std::string talk(const std::string& s) {
     Peer p(in->local_address());
--- a/tests/unit/net/upstream_client_test.cpp
+++ b/tests/unit/net/upstream_client_test.cpp
@@ -1,5 +1,5 @@
 #include "net/upstream_client.hpp"
-#include "peer.hpp"
+#include "socket_peer.hpp"
 
 using namespace mosskeel;
 
@@ -17,8 +17,10 @@
   Address at() const { return bound_address(fd.get()); }
   size_t requests() {
     size_t n = 0;
-    for (Fd c; (c = Fd(::accept(fd.get(), nullptr, nullptr)));) peers.emplace_back(std::move(c));
-    for (auto& p : peers) p.look(), n += count(p.got, " HTTP/1.1\r\n");
+    for (Fd c; (c = Fd(::accept(fd.get(), nullptr, nullptr)));)
+      peers.emplace_back(std::move(c));
+    for (auto& p : peers)
+      p.look(), n += count(p.got, " HTTP/1.1\r\n");
     return n;
   }
 };
@@ -38,14 +40,16 @@
       loop,
       {[this](uint64_t id, UpstreamClient::ResponseHead&& a) {
          told[id].heads.push_back(std::move(a));
-         if (skip_heads > 0 && skip_heads--) out.skip_response(id);
+         if (skip_heads > 0 && skip_heads--)
+           out.skip_response(id);
        },
        [this](uint64_t id, std::string_view s) { told[id].body += s; }, [this](uint64_t id) { ++told[id].ended; },
        [this](uint64_t id, UpstreamClient::Delivery how, std::string why) {
          ++told[id].lost, told[id].how = how, told[id].reason = std::move(why);
        }}};
   uint64_t ask(const std::string& method = "POST", bool fresh = false) {
-    return out.send_request({replica.at(), method, "/run", {{"Host", "r"}, {"X", "1"}}, method == "POST" ? "ask" : "", fresh});
+    return out.send_request(
+        {replica.at(), method, "/run", {{"Host", "r"}, {"X", "1"}}, method == "POST" ? "ask" : "", fresh});
   }
   /// Asks, waits for the request, answers on the connection it came by.
   uint64_t exchange(const std::string& answer, const std::string& method = "POST") {
@@ -58,7 +62,8 @@
   }
   Peer& last() {
     for (auto& p : replica.peers)
-      if (!p.got.empty() && p.got.find("\r\n\r\n") != std::string::npos && !p.closed) return busy = &p, p;
+      if (!p.got.empty() && p.got.find("\r\n\r\n") != std::string::npos && !p.closed)
+        return busy = &p, p;
     FAIL("nobody asked");
     return *busy;
   }
@@ -166,8 +171,10 @@
   d.replica.fd = Fd();
   auto way = GENERATE(0, 1, 2);
   UpstreamClient::Request a{at, "POST", "/", {{"Host", "r"}}, "b"};
-  if (way == 1) a.to = "no-address";
-  if (way == 2) a.fields.emplace_back("X", "a\r\nContent-Length: 9");
+  if (way == 1)
+    a.to = "no-address";
+  if (way == 2)
+    a.fields.emplace_back("X", "a\r\nContent-Length: 9");
   auto id = d.out.send_request(a);
   CHECK_FALSE(d.told[id].over());
   auto& t = d.over(id);
@@ -187,7 +194,8 @@
 TEST_CASE("what is lost after that is sent, ends once, and is never asked twice") {
   ClientFixture d;
   bool warm = GENERATE(true, false);
-  if (warm) d.over(d.exchange(good));
+  if (warm)
+    d.over(d.exchange(good));
   auto before = d.replica.requests();
   auto answer = GENERATE(
       as<std::string>{}, "", "HTTP/1.1 2", "HTTP/1.1 100 Continue\r\n\r\n",
@@ -235,7 +243,8 @@
   ClientFixture d;
   auto id = d.out.send_request({d.replica.at(), "POST", "/", {{"Host", "r"}}, std::string(64 << 20, 'x')});
   REQUIRE(until(d.loop, [&] {
-    for (Fd c; (c = Fd(::accept(d.replica.fd.get(), nullptr, nullptr)));) d.replica.peers.emplace_back(std::move(c));
+    for (Fd c; (c = Fd(::accept(d.replica.fd.get(), nullptr, nullptr)));)
+      d.replica.peers.emplace_back(std::move(c));
     return !d.replica.peers.empty();
   }));
   d.replica.peers[0].say("HTTP/1.1 413 Big\r\nContent-Length: 0\r\n\r\n");
--- a/tests/unit/net/wire_test.cpp
+++ b/tests/unit/net/wire_test.cpp
@@ -2,10 +2,10 @@
 #include <fstream>
 #include <sstream>
 
-#include "base/log.hpp"
-#include "net/wire.hpp"
 #include "base/json.hpp"
+#include "base/log.hpp"
 #include "messages/constants.hpp"
+#include "net/wire.hpp"
 
 using namespace mosskeel;
 
@@ -15,9 +15,12 @@
   e.protocol = kProtocolRevision;
   e.cluster = 9;
   e.from = "127.0.0.1:1";
-  e.body = AppendHistory{
-      {"news", "p"}, PartitionId{3}, Epoch{4},
-      false,         2,         {Record{RecordKind::reservation, "k", "main", 1, 2, 3, 0, DaemonId{4}, 5, "in", ""}}};
+  e.body = AppendHistory{{"news", "p"},
+                         PartitionId{3},
+                         Epoch{4},
+                         false,
+                         2,
+                         {Record{RecordKind::reservation, "k", "main", 1, 2, 3, 0, DaemonId{4}, 5, "in", ""}}};
   return e;
 }
 }  // namespace
@@ -32,7 +35,8 @@
 
 TEST_CASE("cut, flipped, foreign and unknown messages are refused") {
   auto s = encode(sample());
-  for (size_t n = 0; n < s.size(); ++n) CHECK_FALSE(decode(s.substr(0, n)));
+  for (size_t n = 0; n < s.size(); ++n)
+    CHECK_FALSE(decode(s.substr(0, n)));
   for (size_t n = 0; n < s.size(); n += 3) {
     auto t = s;
     t[n] = static_cast<char>(t[n] ^ 0x41);
@@ -55,8 +59,8 @@
 TEST_CASE("a configuration's JSON is read whole or with all findings and their places") {
   auto good = json::parse<Configuration>(
       R"({"cells":[{"name":"n","budget":4,"turn_limit":2,"retention_ms":1000,"routes":[{"name":"c","kind":"model"}]}]})");
-  REQUIRE(ok(good));
-  CHECK(json::parse<Configuration>(json::write(value(good)).dump()) == good);
+  REQUIRE(good.ok());
+  CHECK(json::parse<Configuration>(json::write(good.value()).dump()) == good);
   struct Row {
     const char *text, *findings;
   };
@@ -71,8 +75,8 @@
   };
   for (auto& r : rows) {
     auto m = json::parse<Configuration>(r.text);
-    REQUIRE_FALSE(ok(m));
-    CHECK(render(findings(m)) == r.findings);
+    REQUIRE_FALSE(m.ok());
+    CHECK(to_string(m.errors()) == r.findings);
   }
 }
 
--- a/tests/unit/platform/admin_api_test.cpp
+++ b/tests/unit/platform/admin_api_test.cpp
@@ -1,9 +1,9 @@
 // The operator's asks and the statuses that the product's verdicts become; the platform's list of replicas.
 #include <catch2/catch.hpp>
 
-#include "metadata/replica_list_reconciler.hpp"
 #include "control/cluster_control.hpp"
 #include "metadata/constants.hpp"
+#include "metadata/replica_list_reconciler.hpp"
 #include "runtime/constants.hpp"
 
 using namespace mosskeel;
@@ -37,11 +37,12 @@
   CommandResult retire(const std::string& n) override { return order("retire " + n); }
   RetirementState retirement_state(const std::string&) override { return state; }
   ApiResponse go(const std::string& method, const std::string& path, const std::string& body = "",
-                const std::string& match = "") {
+                 const std::string& match = "") {
     auto* d = find_control_protocol("platform");
     REQUIRE(d);
     ApiRequest a{method, path, body, {}, {}};
-    if (!match.empty()) a.headers["if-match"] = match;
+    if (!match.empty())
+      a.headers["if-match"] = match;
     auto x = d->answer(a, *this);
     REQUIRE(x);
     return *x;
@@ -58,7 +59,8 @@
   ReplicaListReconciler listing;
   std::optional<UpdateReplicas> read(const std::vector<Replica>& v, Millis now) {
     auto c = listing.reconcile(m.replicas, v, now);
-    if (c) m = value(apply(m, {next(m.epoch), "", *c}));
+    if (c)
+      m = apply(m, {next(m.epoch), "", *c}).value();
     return c;
   }
 };
@@ -181,8 +183,9 @@
 }
 
 TEST_CASE("Command results map to HTTP statuses") {
-  const std::pair<Code, uint32_t> table[] = {{Code::done, 200},    {Code::revision_mismatch, 412}, {Code::invalid, 400},
-                                             {Code::rejected, 409}, {Code::not_found, 404},    {Code::outcome_unknown, 503}};
+  const std::pair<Code, uint32_t> table[] = {{Code::done, 200},      {Code::revision_mismatch, 412},
+                                             {Code::invalid, 400},   {Code::rejected, 409},
+                                             {Code::not_found, 404}, {Code::outcome_unknown, 503}};
   for (auto [kind, status] : table) {
     Core c;
     c.verdict.code = kind;
@@ -263,15 +266,16 @@
      "Id":"i-2"},
     {"Service":"wuno96b","Address":"10.128.0.7:8080","Zone":"ct-nord","SlotCount":6,"State":"draining","ColdLeftMs":5,
      "Id":"i-3"}],"NextToken":"p-50"})");
-  REQUIRE(ok(p));
-  CHECK(value(p).next_page_token == "p-50");
-  REQUIRE(value(p).replicas.size() == 3);
-  auto& v = value(p).replicas;
-  CHECK(v[0] == Replica{"i-1", "listed", "ct-nord", "http://10.128.0.9:8080", ReplicaHealth::ready, {}, 32, "huvo11a", 0});
+  REQUIRE(p.ok());
+  CHECK(p.value().next_page_token == "p-50");
+  REQUIRE(p.value().replicas.size() == 3);
+  auto& v = p.value().replicas;
+  CHECK(v[0] ==
+        Replica{"i-1", "listed", "ct-nord", "http://10.128.0.9:8080", ReplicaHealth::ready, {}, 32, "huvo11a", 0});
   CHECK(v[1].health == ReplicaHealth::warming_up);
   CHECK(v[1].warm_up_ms == 900);
   CHECK(v[2].health == ReplicaHealth::draining);
-  CHECK(value(d->parse_replica_list_page(R"({"Replicas":[],"NextToken":null})")).next_page_token.empty());
+  CHECK(d->parse_replica_list_page(R"({"Replicas":[],"NextToken":null})").value().next_page_token.empty());
   CHECK(d->replica_list_path("") == "/replicas");
   CHECK(d->replica_list_path("p 50&") == "/replicas?PageToken=p%2050%26");
   for (auto* bad :
@@ -279,7 +283,7 @@
         R"({"Replicas":[{"Id":"i-1","Service":"s","Zone":"z",)"
         R"("Address":"a:1","State":"odd"}]})"}) {
     INFO(bad);
-    CHECK_FALSE(ok(d->parse_replica_list_page(bad)));
+    CHECK_FALSE(d->parse_replica_list_page(bad).ok());
   }
 }
 
--- a/tests/unit/platform/configuration_test.cpp
+++ b/tests/unit/platform/configuration_test.cpp
@@ -6,8 +6,8 @@
 #include "platform/configuration.hpp"
 
 using namespace mosskeel;
-using platform::patch_configuration;
 using platform::parse_configuration;
+using platform::patch_configuration;
 using Json = nlohmann::json;
 
 namespace {
@@ -29,18 +29,18 @@
 }
 
 std::string refused(const Result<platform::ConfigurationDocument>& r) {
-  REQUIRE_FALSE(ok(r));
-  return render(findings(r));
+  REQUIRE_FALSE(r.ok());
+  return to_string(r.errors());
 }
 
 }  // namespace
 
 TEST_CASE("A configuration document parses into routes and services and is kept verbatim") {
   auto r = parse_configuration(whole);
-  INFO((ok(r) ? "" : render(findings(r))));
-  REQUIRE(ok(r));
-  auto& m = value(r).configuration;
-  CHECK(value(r).revision == Revision{7});
+  INFO((r.ok() ? "" : to_string(r.errors())));
+  REQUIRE(r.ok());
+  auto& m = r.value().configuration;
+  CHECK(r.value().revision == Revision{7});
   CHECK(m.document == whole);
   CHECK(m.cells.empty());
   REQUIRE(m.paths.size() == 2);
@@ -112,14 +112,14 @@
 }
 
 TEST_CASE("A configuration revision not above the current one is rejected") {
-  auto r = value(parse_configuration(whole));
+  auto r = parse_configuration(whole).value();
   Metadata m{};
   m.revision = Revision{7};
   for (uint64_t own : {uint64_t{6}, uint64_t{7}})
-    CHECK_FALSE(ok(apply(m, {Epoch{1}, "", ApplyConfiguration{Revision{7}, r.configuration, Revision{own}}})));
+    CHECK_FALSE(apply(m, {Epoch{1}, "", ApplyConfiguration{Revision{7}, r.configuration, Revision{own}}}).ok());
   auto up = apply(m, {Epoch{1}, "", ApplyConfiguration{Revision{7}, r.configuration, Revision{12}}});
-  REQUIRE(ok(up));
-  CHECK(value(up).revision == Revision{12});
+  REQUIRE(up.ok());
+  CHECK(up.value().revision == Revision{12});
 }
 
 TEST_CASE("A configuration patch keeps all items that it does not name") {
@@ -127,10 +127,10 @@
     "Routes":[{"Name":"r-b","Host":"ficu95.example","PathPrefix":"/lohu930/","RouteKind":"safe","TimeoutMs":50,
                "Service":"wuno96b","New":true},
               {"Name":"r-c","Host":"h","PathPrefix":"/","RouteKind":"unsafe","TimeoutMs":7,"Service":"huvo11a"}]}})");
-  INFO((ok(r) ? "" : render(findings(r))));
-  REQUIRE(ok(r));
-  auto j = Json::parse(value(r).configuration.document);
-  CHECK(value(r).revision == Revision{9});
+  INFO((r.ok() ? "" : to_string(r.errors())));
+  REQUIRE(r.ok());
+  auto j = Json::parse(r.value().configuration.document);
+  CHECK(r.value().revision == Revision{9});
   CHECK(j["Revision"] == 9);
   CHECK(j["Extra"] == 1);
   CHECK(j["Services"] == doc()["Services"]);
@@ -138,15 +138,15 @@
   REQUIRE(j["Routes"].size() == 2);
   CHECK(j["Routes"][0]["New"] == true);
   CHECK(j["Routes"][1]["Name"] == "r-c");
-  CHECK(value(r).configuration.paths[0].timeout_ms == 50);
+  CHECK(r.value().configuration.paths[0].timeout_ms == 50);
   auto kept = patch_configuration(whole, R"({"Revision":8,"Upsert":{"Services":[{"Name":"third"}]}})");
-  REQUIRE(ok(kept));
-  CHECK(Json::parse(value(kept).configuration.document)["Routes"] == doc()["Routes"]);
-  CHECK(value(kept).configuration.services.size() == 3);
+  REQUIRE(kept.ok());
+  CHECK(Json::parse(kept.value().configuration.document)["Routes"] == doc()["Routes"]);
+  CHECK(kept.value().configuration.services.size() == 3);
 }
 
 TEST_CASE("A configuration patch creates a missing document, and an invalid patch is rejected") {
-  CHECK(ok(patch_configuration("", R"({"Revision":1,"Upsert":{"Services":[{"Name":"s"}]}})")));
+  CHECK(patch_configuration("", R"({"Revision":1,"Upsert":{"Services":[{"Name":"s"}]}})").ok());
   const std::pair<const char*, const char*> table[] = {
       {R"({"Revision":9,"Ups)", "body"},
       {R"({"Upsert":{}})", "Revision: is missing"},
--- a/tests/unit/platform/protocol_codec_test.cpp
+++ b/tests/unit/platform/protocol_codec_test.cpp
@@ -32,8 +32,8 @@
                  {"Mosskeel-Program-Time-Left", "5200.75"}},
                 "body"};
   auto x = words().parse_request(r);
-  REQUIRE(ok(x));
-  auto& w = value(x);
+  REQUIRE(x.ok());
+  auto& w = x.value();
   CHECK(w.attempt_id == "9c41d07be2a35f68");
   CHECK(w.program_id == "3fa81c");
   CHECK(w.session_id == "77d20b");
@@ -51,11 +51,11 @@
 
 TEST_CASE("Missing request headers leave values unset, and a negative time left is zero") {
   auto x = words().parse_request({"GET", "/", "h", {}, ""});
-  REQUIRE(ok(x));
-  CHECK(value(x).time_left == -1);
-  CHECK(value(x).program_time_left == -1);
-  CHECK_FALSE(value(x).token_budget);
-  CHECK(value(words().parse_request({"GET", "/", "h", {{"Mosskeel-Time-Left", "-3"}}, ""})).time_left == 0);
+  REQUIRE(x.ok());
+  CHECK(x.value().time_left == -1);
+  CHECK(x.value().program_time_left == -1);
+  CHECK_FALSE(x.value().token_budget);
+  CHECK(words().parse_request({"GET", "/", "h", {{"Mosskeel-Time-Left", "-3"}}, ""}).value().time_left == 0);
 }
 
 TEST_CASE("Unreadable numbers in request headers are findings with the header's name") {
@@ -67,16 +67,16 @@
   for (auto& [name, text] : table) {
     INFO(name << ": " << text);
     auto x = words().parse_request({"GET", "/", "h", {{name, text}}, ""});
-    REQUIRE_FALSE(ok(x));
-    REQUIRE(findings(x).size() == 1);
-    CHECK(findings(x)[0].place.starts_with(name));
+    REQUIRE_FALSE(x.ok());
+    REQUIRE(x.errors().size() == 1);
+    CHECK(x.errors()[0].location.starts_with(name));
   }
 }
 
 TEST_CASE("Response headers tell the attempt, whether it ran, and the replica's load") {
   auto w = words().parse_response(200, {{"Mosskeel-Attempt-Id", "a1"},
-                                 {"Mosskeel-Server-Seal", "3e1b.07.5a2.600.0.c9f2a4d1"},
-                                 {"Mosskeel-Replica-Load", "3,0,8"}});
+                                        {"Mosskeel-Server-Seal", "3e1b.07.5a2.600.0.c9f2a4d1"},
+                                        {"Mosskeel-Replica-Load", "3,0,8"}});
   CHECK(w.attempt_id == "a1");
   CHECK(w.sealed);
   CHECK_FALSE(w.not_run);
@@ -93,9 +93,9 @@
   HeaderFields f{{"mosskeel-target-replica", "forged"}, {"Mosskeel-Time-Left", "9000"}, {"Accept", "*/*"}};
   words().set_upstream_headers(f, "i-7f3a91c2", 1200, 3);
   CHECK(f == HeaderFields{{"Accept", "*/*"},
-                    {"Mosskeel-Target-Replica", "i-7f3a91c2"},
-                    {"Mosskeel-Time-Left", "1200"},
-                    {"Mosskeel-Urgency", "3"}});
+                          {"Mosskeel-Target-Replica", "i-7f3a91c2"},
+                          {"Mosskeel-Time-Left", "1200"},
+                          {"Mosskeel-Urgency", "3"}});
   HeaderFields g{{"Mosskeel-Urgency", "7"}};
   words().set_upstream_headers(g, "i-1", -1, std::nullopt);
   CHECK(g == HeaderFields{{"Mosskeel-Urgency", "7"}, {"Mosskeel-Target-Replica", "i-1"}});
--- a/tests/unit/platform/settings_test.cpp
+++ b/tests/unit/platform/settings_test.cpp
@@ -5,8 +5,8 @@
 #include <fstream>
 #include <sstream>
 
-#include "platform/settings.hpp"
 #include "metadata/constants.hpp"
+#include "platform/settings.hpp"
 #include "runtime/constants.hpp"
 
 using namespace mosskeel;
@@ -45,8 +45,9 @@
 
 std::string places(const Result<Settings>& r) {
   std::string s;
-  REQUIRE_FALSE(ok(r));
-  for (auto& f : findings(r)) s += (s.empty() ? "" : ",") + f.place;
+  REQUIRE_FALSE(r.ok());
+  for (auto& f : r.errors())
+    s += (s.empty() ? "" : ",") + f.location;
   return s;
 }
 
@@ -56,9 +57,9 @@
   using platform::parse_settings;
   auto of = [](const char* program) {
     auto r = parse_settings(text, program);
-    INFO((ok(r) ? "" : render(findings(r))));
-    REQUIRE(ok(r));
-    return value(r);
+    INFO((r.ok() ? "" : to_string(r.errors())));
+    REQUIRE(r.ok());
+    return r.value();
   };
   auto m = of("controller"), s = of("gateway"), l = of("agent"), r = of("store");
   CHECK(m.listen == "10.1.0.32:7380");
@@ -85,8 +86,8 @@
     CHECK(p.tolerated_zones == 1);
   }
   CHECK(r.data == "/data/my-storage");
-  CHECK(value(parse_settings(with("FirstStart = true", "FirstStart = false"), "controller")).later_start);
-  CHECK(value(parse_settings(with(",\"10.2.0.38:8144\",\"10.3.0.36:8144\"", ""), "controller")).core_size == 1);
+  CHECK(parse_settings(with("FirstStart = true", "FirstStart = false"), "controller").value().later_start);
+  CHECK(parse_settings(with(",\"10.2.0.38:8144\",\"10.3.0.36:8144\"", ""), "controller").value().core_size == 1);
 }
 
 TEST_CASE("Each invalid setting is a finding with its place") {
@@ -99,7 +100,8 @@
   CHECK(places(parse_settings(with("[7380,7395]", "[7380,7382]"), "store")) == "InternalPorts");
   CHECK(places(parse_settings(with("10.2.0.38:8144", "somewhere"), "controller")) == "SeedNodes[1] (line 7)");
   CHECK(places(parse_settings(with("Machines = 2", "Machines = -1"), "controller")) == "ToleratedLosses.Machines");
-  CHECK(places(parse_settings(with("ControlPlane = \"10.1.0.33:8144\"", ""), "controller")) == "ListenAddrs.ControlPlane");
+  CHECK(places(parse_settings(with("ControlPlane = \"10.1.0.33:8144\"", ""), "controller")) ==
+        "ListenAddrs.ControlPlane");
   CHECK(places(parse_settings("", "gateway")) ==
         "FirstStart,InternalPorts,Ip,ListenAddrs.FrontHttp,ListenAddrs.Readiness,NodeName,SeedNodes,Zone");
 }
@@ -146,7 +148,8 @@
                                "\"/replicas", "MaxHeaderBytes",  "IdleTimeoutMs", "Last-Event-Id",  "DeadlineS"};
   for (const char* folder : {"/src", "/include", "/tools"})
     for (auto& e : std::filesystem::recursive_directory_iterator(std::string(SOURCE_DIR) + folder)) {
-      if (!e.is_regular_file()) continue;
+      if (!e.is_regular_file())
+        continue;
       std::ifstream f(e.path());
       std::stringstream s;
       s << f.rdbuf();
--- a/tests/unit/programs/gateway_shutdown_test.cpp
+++ b/tests/unit/programs/gateway_shutdown_test.cpp
@@ -1,9 +1,9 @@
 // When a gateway that was told to leave may stop.
 #include <catch2/catch.hpp>
 
-#include "replication/agent_machine.hpp"
-#include "programs/gateway_machine.hpp"
 #include "programs/constants.hpp"
+#include "programs/gateway_machine.hpp"
+#include "replication/agent_machine.hpp"
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
 
@@ -12,14 +12,19 @@
 namespace {
 
 Identity gateway_identity() {
-  return {{Incarnation{1}, Role::front, "z1", "10.0.0.1:1", "10.0.0.1:2", "", "machine-1"}, {}, 0, 99, kCommitAttemptTimeout};
+  return {{Incarnation{1}, Role::front, "z1", "10.0.0.1:1", "10.0.0.1:2", "", "machine-1"},
+          {},
+          0,
+          99,
+          kCommitAttemptTimeout};
 }
 
 /// Whether the machine stops by itself within this time.
 template <class M>
 bool stops(M& machine, Millis& now, Millis within) {
   for (auto end = now + within; now < end; now += kTickInterval)
-    if (machine.tick(now).stop) return true;
+    if (machine.tick(now).stop)
+      return true;
   return false;
 }
 
--- a/tests/unit/programs/majority_contact_test.cpp
+++ b/tests/unit/programs/majority_contact_test.cpp
@@ -1,8 +1,8 @@
 // How long a gateway dispatches while the log moves on ahead of it.
 #include <catch2/catch.hpp>
 
-#include "programs/gateway_machine.hpp"
 #include "messages/constants.hpp"
+#include "programs/gateway_machine.hpp"
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
 
@@ -24,8 +24,8 @@
 
   void commit(const Transformation& t) {
     auto r = apply(metadata, {next(metadata.epoch), "", t});
-    REQUIRE(ok(r));
-    metadata = value(r);
+    REQUIRE(r.ok());
+    metadata = r.value();
   }
   Touch() {
     commit(FoundCluster{7, 1, {candidate(1, Role::controller, "controller")}});
@@ -33,14 +33,17 @@
     answer(start, metadata.epoch, metadata);
   }
   Envelope envelope(Epoch epoch, Message body) const {
-    return {kProtocolRevision, metadata.cluster, epoch, 1, "agent", Incarnation{}, "gateway", self.incarnation, std::move(body)};
+    return {kProtocolRevision, metadata.cluster, epoch,          1, "agent", Incarnation{},
+            "gateway",         self.incarnation, std::move(body)};
   }
   Actions answer(Millis sent, Epoch epoch, std::optional<Metadata> checkpoint = std::nullopt, Millis now = 0) {
     HeartbeatReply r{epoch, std::move(checkpoint), {}, 0, true, sent};
     return gateway.step(envelope(epoch, std::move(r)), std::max(now, sent));
   }
   /// A message that is stamped with an epoch which the gateway does not have.
-  Actions hear_of(Epoch epoch, Millis now) { return gateway.step(envelope(epoch, ProgramRequestAcknowledgement{"nobody's"}), now); }
+  Actions hear_of(Epoch epoch, Millis now) {
+    return gateway.step(envelope(epoch, ProgramRequestAcknowledgement{"nobody's"}), now);
+  }
   Entry next_entry() const { return {next(metadata.epoch), "", Register{candidate(31, Role::store, "store")}}; }
 };
 
@@ -63,8 +66,9 @@
 
 TEST_CASE("GatewayMachine does not extend that time when it hears of ever later epochs") {
   Touch t;
-  auto epoch = t.metadata.epoch.v;
-  for (Millis k = 0; k < 20; ++k) t.hear_of(Epoch{epoch + 1 + static_cast<uint64_t>(k)}, start + 10 + k * 50);
+  auto epoch = t.metadata.epoch.value();
+  for (Millis k = 0; k < 20; ++k)
+    t.hear_of(Epoch{epoch + 1 + static_cast<uint64_t>(k)}, start + 10 + k * 50);
   CHECK_FALSE(t.gateway.has_majority_contact(start + 10 + kIsolationTimeout / 2));
 }
 
@@ -82,7 +86,8 @@
 TEST_CASE("GatewayMachine asks once for a missing epoch, and again when nothing comes") {
   Touch t;
   size_t asked = 0;
-  for (Millis k = 0; k < 100; ++k) asked += catchups(t.hear_of(next(t.metadata.epoch), start + 10 + k));
+  for (Millis k = 0; k < 100; ++k)
+    asked += catchups(t.hear_of(next(t.metadata.epoch), start + 10 + k));
   CHECK(asked == 1);
   CHECK(catchups(t.hear_of(next(t.metadata.epoch), start + 10 + kCatchUpInterval)) == 1);
 }
--- a/tests/unit/programs/program_requests_test.cpp
+++ b/tests/unit/programs/program_requests_test.cpp
@@ -1,8 +1,8 @@
 // The gateway's word on keys, retention and order, in a simulated fleet without troubles.
 #include <catch2/catch.hpp>
 
-#include "simulation/callers.hpp"
 #include "history/constants.hpp"
+#include "simulation/callers.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::sim;
@@ -19,12 +19,15 @@
     std::optional<ProgramResponse> got;
     auto old = w.local;
     w.local = [&](Node& n, const Envelope& x) {
-      if (x.to != "local:test") return old(n, x);
-      if (auto* end = std::get_if<ProgramResponse>(&x.body)) got = *end;
+      if (x.to != "local:test")
+        return old(n, x);
+      if (auto* end = std::get_if<ProgramResponse>(&x.body))
+        got = *end;
     };
     e.attempt = "t" + std::to_string(w.roll());
     e.cell = "news";
-    if (e.kind.empty()) e.kind = "model", e.route = "chat";
+    if (e.kind.empty())
+      e.kind = "model", e.route = "chat";
     Envelope env{};
     env.from = "local:test";
     env.body = e;
@@ -35,7 +38,7 @@
     return *got;
   }
   ProgramResponse turn(const std::string& program, const std::string& key, const std::string& body,
-                  std::optional<uint32_t> after = std::nullopt) {
+                       std::optional<uint32_t> after = std::nullopt) {
     ProgramRequest e{};
     e.program = program;
     e.thread = "main";
@@ -81,7 +84,8 @@
   auto m = f.w.node("controller1").machine->view()->configuration;
   m.cells[0].retention_ms = 5000;
   bool done = false;
-  f.c.commit(ApplyConfiguration{Revision{1}, m}, [&](const CommitReply& r) { done = r.outcome == CommitOutcome::committed; });
+  f.c.commit(ApplyConfiguration{Revision{1}, m},
+             [&](const CommitReply& r) { done = r.outcome == CommitOutcome::committed; });
   REQUIRE(f.w.until(5000, [&] { return done; }));
   f.w.run(1000);
   CHECK(f.turn("p", "k1", "a").status == 200);
@@ -101,7 +105,8 @@
   CHECK(f.turn("p", "k1", "a").status == 200);
   f.w.power_off("store1");
   f.w.power_off("store2");
-  for (auto& s : f.w.names(Kind::gateway)) f.w.kill(s), f.w.start(s);
+  for (auto& s : f.w.names(Kind::gateway))
+    f.w.kill(s), f.w.start(s);
   f.w.run(6000);
   auto e = f.history("p");
   CHECK(e.status == 503);
--- a/tests/unit/replication/catchup_test.cpp
+++ b/tests/unit/replication/catchup_test.cpp
@@ -2,8 +2,8 @@
 #include <catch2/catch.hpp>
 
 #include "base/codec.hpp"
-#include "simulation/world.hpp"
 #include "messages/constants.hpp"
+#include "simulation/world.hpp"
 
 using namespace mosskeel;
 using sim::Kind;
@@ -28,7 +28,8 @@
  public:
   explicit Fleet(size_t paths) : world_(1, {3, 3, 2}) {
     world_.local = [this](sim::Node&, const Envelope& e) {
-      if (auto* r = std::get_if<CommitReply>(&e.body); r && r->id == commit_) outcome_ = r->outcome;
+      if (auto* r = std::get_if<CommitReply>(&e.body); r && r->id == commit_)
+        outcome_ = r->outcome;
     };
     configuration_.cells = {{"cell", 1000, 1000, 60000, {}}};
     configuration_.services = {{"service", "/health", 4, 0, 1.0, 0, 0, 0}};
@@ -56,7 +57,8 @@
     View best = std::make_shared<Metadata>();
     for (auto k : {Kind::controller, Kind::store, Kind::agent})
       for (auto& s : world_.names(k))
-        if (auto* m = world_.node(s).machine.get(); m && m->view()->epoch > best->epoch) best = m->view();
+        if (auto* m = world_.node(s).machine.get(); m && m->view()->epoch > best->epoch)
+          best = m->view();
     return best;
   }
 
@@ -69,7 +71,8 @@
     auto controllers = world_.names(Kind::controller);
     for (size_t i = 0; i < controllers.size() * 4 && outcome_ != CommitOutcome::committed; ++i) {
       auto& s = controllers[i % controllers.size()];
-      if (!world_.alive(s) || away_ == s) continue;
+      if (!world_.alive(s) || away_ == s)
+        continue;
       Envelope e{kProtocolRevision, 0, {}, world_.roll(), "local:operator", {}, s, {}, {}};
       e.body = Commit{commit_, ApplyConfiguration{base, configuration_, {}}, {}};
       outcome_.reset();
@@ -83,7 +86,8 @@
     for (int i = 0; i < n; ++i) {
       auto next = world_.now() + change_pace;
       change();
-      if (world_.now() < next) world_.run(next - world_.now());
+      if (world_.now() < next)
+        world_.run(next - world_.now());
     }
   }
 
@@ -93,21 +97,26 @@
     changes(lacking);
     Catchup c;
     world_.arriving = [&](const Envelope& e) {
-      if (e.to == name && c.time < 0) c.bytes += payload(e.body);
+      if (e.to == name && c.time < 0)
+        c.bytes += payload(e.body);
     };
     auto since = world_.now();
     auto goal = newest()->epoch;
     come_back(name, how);
     for (int i = 0; i < reference_changes || (c.time < 0 && i < 60); ++i) {
-      auto has = [&] { return world_.node(name).machine->view()->epoch >= goal; };
-      if (c.time < 0 && world_.until(change_pace, has)) c.time = world_.now() - since;
+      auto has = [&] {
+        return world_.node(name).machine->view()->epoch >= goal;
+      };
+      if (c.time < 0 && world_.until(change_pace, has))
+        c.time = world_.now() - since;
       change();
     }
     world_.arriving = nullptr;
     c.entry = codec::pack(Entry{goal, commit_, ApplyConfiguration{{}, configuration_, {}}}).size();
     c.snapshot = codec::pack(*newest()).size();
     CHECK(world_.until(catchup_bound, [&] { return world_.node(name).machine->view()->epoch == newest()->epoch; }));
-    for (auto& f : world_.failures) FAIL_CHECK(f);
+    for (auto& f : world_.failures)
+      FAIL_CHECK(f);
     return c;
   }
 
@@ -117,25 +126,37 @@
     auto both = [](auto& x) {
       return codec::pack(x.entries).size() + (x.checkpoint ? codec::pack(*x.checkpoint).size() : 0);
     };
-    if (auto* x = std::get_if<CatchupReply>(&m)) return both(*x);
-    if (auto* x = std::get_if<HeartbeatReply>(&m)) return both(*x);
-    if (auto* x = std::get_if<CommitReply>(&m)) return both(*x);
-    if (auto* x = std::get_if<Decided>(&m)) return codec::pack(*x).size();
+    if (auto* x = std::get_if<CatchupReply>(&m))
+      return both(*x);
+    if (auto* x = std::get_if<HeartbeatReply>(&m))
+      return both(*x);
+    if (auto* x = std::get_if<CommitReply>(&m))
+      return both(*x);
+    if (auto* x = std::get_if<Decided>(&m))
+      return codec::pack(*x).size();
     return 0;
   }
   void leave(const std::string& name, Absence how) {
     away_ = name;
-    if (how == Absence::killed) world_.kill(name);
-    if (how == Absence::frozen) world_.freeze(name);
-    if (how == Absence::wiped) world_.wipe(name);
-    if (how == Absence::cut_off) world_.isolate(name);
+    if (how == Absence::killed)
+      world_.kill(name);
+    if (how == Absence::frozen)
+      world_.freeze(name);
+    if (how == Absence::wiped)
+      world_.wipe(name);
+    if (how == Absence::cut_off)
+      world_.isolate(name);
   }
   void come_back(const std::string& name, Absence how) {
     away_.clear();
-    if (how == Absence::not_there_yet) world_.add(name, kind_of(name), "a", "");
-    if (how == Absence::killed || how == Absence::wiped) world_.start(name);
-    if (how == Absence::frozen) world_.wake(name);
-    if (how == Absence::cut_off) world_.heal();
+    if (how == Absence::not_there_yet)
+      world_.add(name, kind_of(name), "a", "");
+    if (how == Absence::killed || how == Absence::wiped)
+      world_.start(name);
+    if (how == Absence::frozen)
+      world_.wake(name);
+    if (how == Absence::cut_off)
+      world_.heal();
   }
   static Kind kind_of(const std::string& name) {
     return name.starts_with("controller") ? Kind::controller : Kind::store;
@@ -179,5 +200,6 @@
 }
 
 TEST_CASE("members come back after changes of a large configuration") {
-  for (auto* name : {"controller2", "store2", "agent2"}) check(2000, name, Absence::cut_off, 20);
+  for (auto* name : {"controller2", "store2", "agent2"})
+    check(2000, name, Absence::cut_off, 20);
 }
--- a/tests/unit/routing/load_balancer_test.cpp
+++ b/tests/unit/routing/load_balancer_test.cpp
@@ -1,6 +1,6 @@
 // The parts of the traffic: events, paths, the choice of a replica.
-#include "unit/routing/request_router_fixture.hpp"
 #include "routing/constants.hpp"
+#include "unit/routing/request_router_fixture.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
@@ -20,7 +20,8 @@
     CHECK(r.last_id() == "3");
   }
   EventReader by_byte(true);
-  for (char c : text) by_byte.read(std::string_view(&c, 1));
+  for (char c : text)
+    by_byte.read(std::string_view(&c, 1));
   CHECK(by_byte.data() == "one\ntwo\nlines\n\n");
   EventReader counts;
   counts.read(text);
@@ -55,7 +56,8 @@
   auto p = path("a", "safe", "app");
   p.shares = {{"app", 90}, {"none", 0}, {"model", 10}};
   std::map<std::string, int> n;
-  for (uint64_t i = 0; i < 1000; ++i) ++n[*select_service(p, i)];
+  for (uint64_t i = 0; i < 1000; ++i)
+    ++n[*select_service(p, i)];
   CHECK(n == std::map<std::string, int>{{"app", 900}, {"model", 100}});
 }
 
@@ -69,7 +71,8 @@
   std::string take(uint64_t key = 0, const std::string& service = "app") {
     bool any = false;
     auto* r = p.pick({service, key, nullptr}, now, any);
-    if (!r) return any ? "later" : "none";
+    if (!r)
+      return any ? "later" : "none";
     p.took(r->name, now);
     return r->name;
   }
@@ -79,11 +82,13 @@
 
 TEST_CASE("LoadBalancer prefers its own zone and uses another one when it is loaded") {
   Choice c;
-  for (auto n : {"app2", "app3"}) c.m.replicas[n].zone = "z2";
+  for (auto n : {"app2", "app3"})
+    c.m.replicas[n].zone = "z2";
   c.update();
   CHECK(c.take() == "app1");
   std::set<std::string> seen;
-  for (int i = 0; i < 20; ++i) seen.insert(c.take());
+  for (int i = 0; i < 20; ++i)
+    seen.insert(c.take());
   CHECK(seen.size() == 3);
 }
 
@@ -91,7 +96,8 @@
   Choice c;
   c.update();
   std::map<std::string, int> n;
-  for (int i = 0; i < 100; ++i) ++n[c.take(7)];
+  for (int i = 0; i < 100; ++i)
+    ++n[c.take(7)];
   auto share = static_cast<int>(std::ceil(8 * kCapacityShareFactor / 2));
   CHECK(n["app1"] == share);
   CHECK(n["later"] == 100 - 3 * share);
@@ -112,7 +118,8 @@
 TEST_CASE("LoadBalancer skips replicas that are backed off, leaving or evacuated") {
   Choice c;
   c.update();
-  for (auto n : {"app1", "app2", "app3"}) c.p.back_off(n, c.now + 50);
+  for (auto n : {"app1", "app2", "app3"})
+    c.p.back_off(n, c.now + 50);
   CHECK(c.take() == "later");
   c.now += 50;
   CHECK(c.take().starts_with("app"));
@@ -120,7 +127,8 @@
   c.m.replicas["app2"].zone = "z9";
   c.m.evacuated = {"z9"};
   c.update();
-  for (int i = 0; i < 4; ++i) CHECK(c.take() == "app3");
+  for (int i = 0; i < 4; ++i)
+    CHECK(c.take() == "app3");
   c.m.replicas.erase("app3");
   c.update();
   CHECK(c.take() == "none");
@@ -136,10 +144,12 @@
     c.update(me);
     std::vector<Millis> at;
     for (; c.now < 6000; ++c.now)
-      while (c.take() == "app1") at.push_back(c.now);
+      while (c.take() == "app1")
+        at.push_back(c.now);
     used += !at.empty();
     for (auto b = at.begin(), e = b; e != at.end(); ++e) {
-      while (*e - *b >= 1000) ++b;
+      while (*e - *b >= 1000)
+        ++b;
       CHECK(e - b < 19);
     }
     CHECK((at.empty() || at.size() > 5 * 19 / 2));
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -81,7 +81,8 @@
   std::vector<T> all() const {
     std::vector<T> v;
     for (auto& a : got)
-      if (auto* x = std::get_if<T>(&a)) v.push_back(*x);
+      if (auto* x = std::get_if<T>(&a))
+        v.push_back(*x);
     return v;
   }
   template <class T>
@@ -115,12 +116,14 @@
   /// Asks, and for a turn grants; leaves the ask of the replica.
   SendToReplica offered(const std::string& name, HeaderFields more = {}) {
     auto a = ask(name, std::move(more));
-    if (name == "turn" || name == "brief") grant(a);
+    if (name == "turn" || name == "brief")
+      grant(a);
     return one<SendToReplica>();
   }
   void head(const SendToReplica& q, uint32_t status, HeaderFields more = {}, bool sealed = true) {
     HeaderFields f{{"Mosskeel-Attempt-Id", std::string(header_value(q.fields, "Mosskeel-Attempt-Id"))}};
-    if (sealed) f.push_back({"Mosskeel-Server-Seal", "s.1"});
+    if (sealed)
+      f.push_back({"Mosskeel-Server-Seal", "s.1"});
     f.insert(f.end(), more.begin(), more.end());
     happen(ResponseHeadersReceived{q.ask, status, f});
   }
--- a/tests/unit/routing/request_router_test.cpp
+++ b/tests/unit/routing/request_router_test.cpp
@@ -1,6 +1,6 @@
 // Every point at which a try can fail: what is known then, and what is answered.
-#include "unit/routing/request_router_fixture.hpp"
 #include "routing/constants.hpp"
+#include "unit/routing/request_router_fixture.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
@@ -32,7 +32,10 @@
      [](Front& f, auto& q) {
        f.head(q, 429, {{"Mosskeel-Not-Run", "1"}}, false);
      }},
-    {"not the one meant", true, [](Front& f, auto& q) { f.head(q, 421, {}, false); }},
+    {"not the one meant", true,
+     [](Front& f, auto& q) {
+       f.head(q, 421, {}, false);
+     }},
     {"unsent", true,
      [](Front& f, auto& q) {
        f.happen(AttemptFailed{q.ask, false, "refused"});
@@ -53,7 +56,10 @@
      [](Front& f, auto& q) {
        f.happen(ResponseHeadersReceived{q.ask, 200, {{"Mosskeel-Server-Seal", "s"}}});
      }},
-    {"no seal", false, [](Front& f, auto& q) { f.head(q, 200, {}, false); }},
+    {"no seal", false,
+     [](Front& f, auto& q) {
+       f.head(q, 200, {}, false);
+     }},
     {"lost after the head", false,
      [](Front& f, auto& q) {
        f.head(q, 500, {});
@@ -79,13 +85,15 @@
         CHECK(std::string(header_value(r.fields, "Mosskeel-Target-Replica")) + ":1" == r.to);
         CHECK(r.body == q.body);
         x.play(f, r);
-        if (std::string(x.what) == "unsent") x.play(f, f.one<SendToReplica>());
+        if (std::string(x.what) == "unsent")
+          x.play(f, f.one<SendToReplica>());
       }
       auto w = f.one<SendResponse>();
       CHECK(w.status == (x.not_run ? 503 : 502));
       CHECK(f.retry_after().empty() != x.not_run);
       CHECK(f.none<SendToReplica>());
-      if (is_turn(kind)) CHECK(f.told().status == (x.not_run ? 0 : 502));
+      if (is_turn(kind))
+        CHECK(f.told().status == (x.not_run ? 0 : 502));
       CHECK(f.t.active_requests() == 0);
     }
 }
@@ -185,7 +193,8 @@
       f.head(q, status);
       CHECK(f.one<SendResponse>().status == 502);
       CHECK(f.one<routing::CancelAttempt>().ask == q.ask);
-      if (is_turn(kind)) CHECK(f.told().status == 502);
+      if (is_turn(kind))
+        CHECK(f.told().status == 502);
     }
 }
 
@@ -241,7 +250,8 @@
       f.one<ResetResponse>();
       CHECK(f.none<EndResponse>());
       CHECK(f.none<SendToReplica>());
-      if (!is_turn(kind)) continue;
+      if (!is_turn(kind))
+        continue;
       CHECK(f.told().status == 502);
       CHECK(f.told().tokens == 4u * static_cast<unsigned>(seen));
     }
--- a/tests/unit/routing/turn_client_test.cpp
+++ b/tests/unit/routing/turn_client_test.cpp
@@ -1,10 +1,10 @@
 // A front's link to the owners of its turns.
 #include <catch2/catch.hpp>
 
-#include "unit/routing/turn_owner_fixture.hpp"
-#include "routing/turn_client.hpp"
 #include "history/constants.hpp"
 #include "routing/constants.hpp"
+#include "routing/turn_client.hpp"
+#include "unit/routing/turn_owner_fixture.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
@@ -30,7 +30,8 @@
   std::vector<T> sent() {
     std::vector<T> v;
     for (auto& e : out.act.now)
-      if (auto* x = std::get_if<T>(&e.body)) v.push_back(*x);
+      if (auto* x = std::get_if<T>(&e.body))
+        v.push_back(*x);
     std::erase_if(out.act.now, [](auto& e) { return std::holds_alternative<T>(e.body); });
     return v;
   }
--- a/tests/unit/routing/turn_owner_fixture.hpp
+++ b/tests/unit/routing/turn_owner_fixture.hpp
@@ -5,7 +5,13 @@
 namespace mosskeel::test {
 
 inline Candidate candidate(uint64_t incarnation, Role r, const std::string& zone) {
-  return {Incarnation{incarnation}, r, zone, "10.0.0." + std::to_string(incarnation) + ":1", "", "", "machine-" + std::to_string(incarnation)};
+  return {Incarnation{incarnation},
+          r,
+          zone,
+          "10.0.0." + std::to_string(incarnation) + ":1",
+          "",
+          "",
+          "machine-" + std::to_string(incarnation)};
 }
 
 /// Front 1 owns all partitions, 2 and 3 carry callers; stores 11, 12, 13 keep them.
@@ -49,13 +55,15 @@
   std::vector<std::pair<Address, T>> sent() {
     std::vector<std::pair<Address, T>> v;
     for (auto& e : out.act.now)
-      if (auto* x = std::get_if<T>(&e.body)) v.push_back({e.to, *x});
+      if (auto* x = std::get_if<T>(&e.body))
+        v.push_back({e.to, *x});
     std::erase_if(out.act.now, [](auto& e) { return std::holds_alternative<T>(e.body); });
     return v;
   }
   void hear(uint64_t who, Message m) {
     auto e = from(who, std::move(m));
-    if (!history_writer.handle(e, now)) reg.handle(e, now);
+    if (!history_writer.handle(e, now))
+      reg.handle(e, now);
     reg.advance(history_writer.take_changed(), now);
   }
   /// Lets two stores answer whatever is under way, until nothing is; what they were told to keep comes back.
@@ -64,14 +72,18 @@
     for (int i = 0; i < 20; ++i) {
       auto r = sent<ReadHistory>();
       auto w = sent<AppendHistory>();
-      if (r.empty() && w.empty()) break;
+      if (r.empty() && w.empty())
+        break;
       for (uint64_t who : {11, 12}) {
         auto at = "10.0.0." + std::to_string(who) + ":1";
         for (auto& [to, x] : r)
-          if (to == at) hear(who, ReadHistoryReply{x.history, x.term, true, {}, false, {}});
+          if (to == at)
+            hear(who, ReadHistoryReply{x.history, x.term, true, {}, false, {}});
         for (auto& [to, x] : w) {
-          if (to != at) continue;
-          if (who == 11) all.insert(all.end(), x.records.begin(), x.records.end());
+          if (to != at)
+            continue;
+          if (who == 11)
+            all.insert(all.end(), x.records.begin(), x.records.end());
           hear(who, AppendHistoryReply{x.history, x.term, true, false, x.from + x.records.size()});
         }
       }
--- a/tests/unit/routing/turn_request_test.cpp
+++ b/tests/unit/routing/turn_request_test.cpp
@@ -1,6 +1,6 @@
 // A turn's stages: who is told what when it ends there.
-#include "unit/routing/request_router_fixture.hpp"
 #include "routing/constants.hpp"
+#include "unit/routing/request_router_fixture.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::test;
@@ -12,17 +12,22 @@
 
 /// Brings a kept turn to a stage; four events of four tokens each have passed from `passing` on.
 SendToReplica bring(Front& f, Stage to) {
-  if (to == Stage::waiting) f.m.replicas.clear();
+  if (to == Stage::waiting)
+    f.m.replicas.clear();
   f.publish();
   auto a = f.ask("turn");
-  if (to == Stage::asking) return {};
+  if (to == Stage::asking)
+    return {};
   f.grant(a, 200, "before;");
-  if (to == Stage::waiting) return {};
+  if (to == Stage::waiting)
+    return {};
   auto q = f.one<SendToReplica>();
-  if (to == Stage::offered) return q;
+  if (to == Stage::offered)
+    return q;
   f.stream_head(q);
   f.events(q, 0, 4);
-  if (to == Stage::settling) f.happen(ResponseCompleted{q.ask});
+  if (to == Stage::settling)
+    f.happen(ResponseCompleted{q.ask});
   return q;
 }
 
@@ -189,7 +194,8 @@
 TEST_CASE("An attempt that is known not to have run may be sent again") {
   Front f;
   f.ask("unsafe", {}, "same");
-  for (int i = 0; i < 2; ++i) f.head(f.one<SendToReplica>(), 503, {{"Mosskeel-Not-Run", "1"}}, false);
+  for (int i = 0; i < 2; ++i)
+    f.head(f.one<SendToReplica>(), 503, {{"Mosskeel-Not-Run", "1"}}, false);
   CHECK(f.one<SendResponse>().status == 503);
   f.pass(2000);
   f.ask("unsafe", {}, "same");
@@ -226,12 +232,14 @@
 TEST_CASE("Waiting requests are served by rank, then age, and rejected when their wait is over") {
   Front f;
   f.m.configuration.paths[0].rank = 2;
-  for (auto n : {"app2", "app3"}) f.m.replicas.erase(n);
+  for (auto n : {"app2", "app3"})
+    f.m.replicas.erase(n);
   f.m.replicas["app1"].capacity = 1;
   f.m.revision = Revision{2};
   f.publish();
   auto first = f.offered("unsafe");
-  while (f.got.size()) f.ask("unsafe");
+  while (f.got.size())
+    f.ask("unsafe");
   auto oldest = f.last;
   f.now += 10;
   f.ask("safe");
--- a/tests/unit/simulation/sim_test.cpp
+++ b/tests/unit/simulation/sim_test.cpp
@@ -60,11 +60,15 @@
     for (auto s : r.seeds) {
       auto v = sim::play(r.scenario, s);
       INFO(r.scenario << " seed " << s);
-      for (auto& f : v.failures) FAIL_CHECK(f);
-      auto is = [&](const char* name) { return std::string(r.scenario).find(name) == 0; };
+      for (auto& f : v.failures)
+        FAIL_CHECK(f);
+      auto is = [&](const char* name) {
+        return std::string(r.scenario).find(name) == 0;
+      };
       bool histories = !is("survivor") && !is("orders");
       CHECK(v.successes > (histories ? 100 : 10));
-      if (histories) CHECK(v.resumed > 20);
+      if (histories)
+        CHECK(v.resumed > 20);
     }
 }
 
@@ -77,6 +81,8 @@
 
 TEST_CASE("every scenario is in the fixed table") {
   std::set<std::string> have;
-  for (auto& r : rows) have.insert(r.scenario);
-  for (auto& s : sim::scenarios()) CHECK(have.count(s) == 1);
+  for (auto& r : rows)
+    have.insert(r.scenario);
+  for (auto& s : sim::scenarios())
+    CHECK(have.count(s) == 1);
 }
--- a/tests/unit/storage/crash_disk.hpp
+++ b/tests/unit/storage/crash_disk.hpp
@@ -69,13 +69,16 @@
     return;
   }
   kept = std::min(kept, d.bytes.size());
-  if (c.size() < d.offset + kept) c.resize(d.offset + kept);
+  if (c.size() < d.offset + kept)
+    c.resize(d.offset + kept);
   c.replace(d.offset, kept, d.bytes.substr(0, kept));
 }
 
 inline void CrashDisk::count() {
-  if (changes_left_ == 0) throw ProcessKilled{};
-  if (changes_left_ > 0) --changes_left_;
+  if (changes_left_ == 0)
+    throw ProcessKilled{};
+  if (changes_left_ > 0)
+    --changes_left_;
   ++changes_;
 }
 
@@ -90,15 +93,18 @@
 inline int CrashDisk::open(const char* path, int flags) {
   auto n = name_of(path);
   bool fresh = !names_.count(n);
-  if (fresh || flags & O_TRUNC) count();
+  if (fresh || flags & O_TRUNC)
+    count();
   int fd = ::open(path, flags, 0644);
-  if (fd < 0) return fd;
+  if (fd < 0)
+    return fd;
   if (fresh) {
     files_.push_back({});
     name(n, files_.size() - 1);
   }
   open_[fd] = names_[n];
-  if (flags & O_TRUNC) files_[open_[fd]].later.push_back({0, {}, true});
+  if (flags & O_TRUNC)
+    files_[open_[fd]].later.push_back({0, {}, true});
   return fd;
 }
 
@@ -121,7 +127,8 @@
 inline int CrashDisk::sync(int fd) {
   count();
   auto& f = files_[open_.at(fd)];
-  for (auto& d : f.later) change(f.synced, d, d.bytes.size());
+  for (auto& d : f.later)
+    change(f.synced, d, d.bytes.size());
   f.later.clear();
   return 0;
 }
@@ -129,12 +136,24 @@
 inline DiskCalls CrashDisk::calls() {
   constexpr size_t small_reserve = 200;  // bytes; a whole reserve would only make the test slow
   auto c = DiskCalls::real();
-  c.open = [this](const char* p, int flags) { return open(p, flags); };
-  c.write = [this](int fd, const void* p, size_t n) { return write(fd, p, n); };
-  c.sync = [this](int fd) { return sync(fd); };
-  c.truncate = [this](int fd, off_t n) { return resize(fd, static_cast<size_t>(n)); };
-  c.allocate = [this](int fd, size_t) { return resize(fd, small_reserve); };
-  c.room = [](const std::string&) { return uint64_t{1} << 40; };
+  c.open = [this](const char* p, int flags) {
+    return open(p, flags);
+  };
+  c.write = [this](int fd, const void* p, size_t n) {
+    return write(fd, p, n);
+  };
+  c.sync = [this](int fd) {
+    return sync(fd);
+  };
+  c.truncate = [this](int fd, off_t n) {
+    return resize(fd, static_cast<size_t>(n));
+  };
+  c.allocate = [this](int fd, size_t) {
+    return resize(fd, small_reserve);
+  };
+  c.room = [](const std::string&) {
+    return uint64_t{1} << 40;
+  };
   c.rename = [this](const char* from, const char* to) {
     count();
     auto file = names_.at(name_of(from));
@@ -162,19 +181,22 @@
   for (auto& f : files_) {
     auto c = f.synced;
     for (auto& d : f.later)
-      if (auto n = write_kept(d.resize ? 1 : d.bytes.size())) change(c, d, n);
+      if (auto n = write_kept(d.resize ? 1 : d.bytes.size()))
+        change(c, d, n);
     contents.push_back(std::move(c));
   }
   auto names = synced_names_;
   for (size_t i = 0; i < name_changes_.size(); ++i) {
-    if (!(kept >> i & 1)) continue;
+    if (!(kept >> i & 1))
+      continue;
     if (name_changes_[i].file)
       names[name_changes_[i].name] = *name_changes_[i].file;
     else
       names.erase(name_changes_[i].name);
   }
   Files files;
-  for (auto& [n, file] : names) files[n] = contents[file];
+  for (auto& [n, file] : names)
+    files[n] = contents[file];
   return files;
 }
 
--- a/tests/unit/storage/disk_crash_test.cpp
+++ b/tests/unit/storage/disk_crash_test.cpp
@@ -34,11 +34,13 @@
 /// Opens the folder and writes until all records are there, with a checkpoint now and then, each synced.
 /// A kill must leave as the exception that it is, so no call stands inside an assertion.
 void work(const Folder& f, const DiskCalls& calls, Progress& p) {
-  auto must = [](DiskResult r) { REQUIRE(r); };
+  auto must = [](DiskResult r) {
+    REQUIRE(r);
+  };
   auto opened = Disk::open(f.path, 42, calls);
-  INFO((ok(opened) ? "" : render(findings(opened))));
-  REQUIRE(ok(opened));
-  auto d = value(opened);
+  INFO((opened.ok() ? "" : to_string(opened.errors())));
+  REQUIRE(opened.ok());
+  auto d = opened.value();
   int have = found(*d);
   REQUIRE(have >= p.acknowledged);
   REQUIRE(have <= p.appended);
@@ -46,10 +48,12 @@
   for (int n = have; n < record_count; ++n) {
     p.appended = std::max(p.appended, n + 1);
     must(d->append({record(n)}));
-    if (n % 3 == 1) continue;
+    if (n % 3 == 1)
+      continue;
     must(d->sync());
     p.acknowledged = n + 1;
-    if ((n + 1) % checkpoint_each == 0) must(d->checkpoint(std::to_string(n + 1)));
+    if ((n + 1) % checkpoint_each == 0)
+      must(d->checkpoint(std::to_string(n + 1)));
   }
   // Twice without a record between, as when a full disk asks for one after the other.
   must(d->checkpoint(std::to_string(record_count)));
@@ -59,15 +63,22 @@
 
 void start_after(const CrashDisk::Files& files, Progress p) {
   Folder f;
-  for (auto& [n, content] : files) std::ofstream(f.path + "/" + n, std::ios::binary) << content;
+  for (auto& [n, content] : files)
+    std::ofstream(f.path + "/" + n, std::ios::binary) << content;
   work(f, DiskCalls::real(), p);
 }
 
 /// Every subset of the unsynced names (or many), each with no, all and some of the unsynced writes.
 size_t lose_power(const CrashDisk& disk, Progress p, std::mt19937_64& dice) {
-  auto none = [](size_t) { return size_t{0}; };
-  auto all = [](size_t n) { return n; };
-  auto some = [&](size_t n) { return dice() % 3 == 0 ? 0 : dice() % 2 ? n : dice() % (n + 1); };
+  auto none = [](size_t) {
+    return size_t{0};
+  };
+  auto all = [](size_t n) {
+    return n;
+  };
+  auto some = [&](size_t n) {
+    return dice() % 3 == 0 ? 0 : dice() % 2 ? n : dice() % (n + 1);
+  };
   auto names = disk.unsynced_names();
   bool few = names <= subset_bits;
   uint64_t subsets = few ? uint64_t{1} << names : random_subsets;
@@ -122,7 +133,7 @@
     INFO("killed after change " << at << " of " << last);
     disk.never_kill();
     {
-      auto d = value(Disk::open(disk.folder().path, 42, disk.calls()));
+      auto d = Disk::open(disk.folder().path, 42, disk.calls()).value();
       int have = found(*d);
       REQUIRE(have >= p.acknowledged);
       REQUIRE(have <= p.appended);
@@ -141,11 +152,11 @@
     Progress p;
     run_until(disk, p);
     disk.never_kill();
-    auto used = value(Disk::open(disk.folder().path, 77, disk.calls()))->recovered().incarnation;
+    auto used = Disk::open(disk.folder().path, 77, disk.calls()).value()->recovered().incarnation;
     for (uint64_t kept = 0; kept < uint64_t{1} << std::min(disk.unsynced_names(), subset_bits); ++kept) {
       auto files = disk.after_power_loss(kept, [](size_t) { return size_t{0}; });
       REQUIRE(files.count("identity") == 1);
-      CHECK(files["identity"] == hex(used.v));
+      CHECK(files["identity"] == hex(used.value()));
     }
   }
 }
@@ -154,7 +165,9 @@
   CrashDisk disk;
   Progress p;
   auto calls = disk.calls();
-  calls.sync_folder = [](const char*) { return 0; };
+  calls.sync_folder = [](const char*) {
+    return 0;
+  };
   work(disk.folder(), calls, p);
   auto files = disk.after_power_loss(0, [](size_t n) { return n; });
   CHECK(files.empty());
--- a/tests/unit/storage/disk_full_test.cpp
+++ b/tests/unit/storage/disk_full_test.cpp
@@ -1,6 +1,6 @@
-#include "unit/storage/disk_fixture.hpp"
-#include "storage/journal_writer.hpp"
 #include "storage/constants.hpp"
+#include "storage/journal_writer.hpp"
+#include "unit/storage/disk_fixture.hpp"
 
 using namespace mosskeel;
 
@@ -18,13 +18,15 @@
 
 std::vector<uint64_t> sent(const JournalWriter::Written& w) {
   std::vector<uint64_t> v;
-  for (auto& e : w.sends) v.push_back(e.id);
+  for (auto& e : w.sends)
+    v.push_back(e.id);
   return v;
 }
 
 std::vector<Event> said(const JournalWriter::Written& w) {
   std::vector<Event> v;
-  for (auto& n : w.notes) v.push_back(n.event);
+  for (auto& n : w.notes)
+    v.push_back(n.event);
   return v;
 }
 
@@ -128,7 +130,8 @@
   auto d = f.open(s.calls());
   JournalWriter w(*d);
   CHECK_FALSE(w.wants_checkpoint(1));
-  for (int i = 0; i < 8; ++i) REQUIRE(w.write({batch({std::string(100000, 'x')})}).result == done);
+  for (int i = 0; i < 8; ++i)
+    REQUIRE(w.write({batch({std::string(100000, 'x')})}).result == done);
   s.size = s.used();
   REQUIRE(w.write({batch({"held"}, 1)}).result == full);
   CHECK(w.wants_checkpoint(1));
--- a/tests/unit/storage/disk_test.cpp
+++ b/tests/unit/storage/disk_test.cpp
@@ -1,8 +1,8 @@
 #include "consensus/acceptor.hpp"
-#include "unit/storage/disk_fixture.hpp"
-#include "storage/log_frame.hpp"
 #include "history/store_machine.hpp"
 #include "storage/constants.hpp"
+#include "storage/log_frame.hpp"
+#include "unit/storage/disk_fixture.hpp"
 
 using namespace mosskeel;
 namespace fs = std::filesystem;
@@ -37,8 +37,8 @@
   fill(f, 3);
   f.damage(f.only("log-"), 14);
   auto d = Disk::open(f.path, 1);
-  REQUIRE_FALSE(ok(d));
-  CHECK(render(findings(d)).find("is damaged at byte 0") != std::string::npos);
+  REQUIRE_FALSE(d.ok());
+  CHECK(to_string(d.errors()).find("is damaged at byte 0") != std::string::npos);
 }
 
 TEST_CASE("a checkpoint stands for all before it, and a damaged one is refused") {
@@ -56,24 +56,26 @@
     CHECK(d->recovered().journal == std::vector<std::string>{"later"});
   }
   fs::resize_file(f.only("checkpoint-"), 5);
-  CHECK_FALSE(ok(Disk::open(f.path, 1)));
+  CHECK_FALSE(Disk::open(f.path, 1).ok());
 }
 
 TEST_CASE("two daemons cannot hold one folder, and a lost segment is noticed") {
   Folder f;
   auto d = f.open();
-  CHECK_FALSE(ok(Disk::open(f.path, 1)));
+  CHECK_FALSE(Disk::open(f.path, 1).ok());
   std::string big(kSegmentBytes, 'x');
-  for (int i = 0; i < 4; ++i) REQUIRE(d->append({big}));
+  for (int i = 0; i < 4; ++i)
+    REQUIRE(d->append({big}));
   REQUIRE(d->sync());
   d.reset();
   std::vector<std::string> logs;
   for (auto& x : fs::directory_iterator(f.path))
-    if (x.path().filename().string().starts_with("log-")) logs.push_back(x.path());
+    if (x.path().filename().string().starts_with("log-"))
+      logs.push_back(x.path());
   REQUIRE(logs.size() >= 3);
   std::sort(logs.begin(), logs.end());
   fs::remove(logs[1]);
-  CHECK_FALSE(ok(Disk::open(f.path, 1)));
+  CHECK_FALSE(Disk::open(f.path, 1).ok());
 }
 
 TEST_CASE("a hole in what was not synced is cut with all behind it, and the log goes on") {
@@ -83,7 +85,8 @@
   auto synced = fs::file_size(p);
   {
     auto d = f.open();
-    for (auto s : {"lost", "there", "there too"}) REQUIRE(d->append({s}));
+    for (auto s : {"lost", "there", "there too"})
+      REQUIRE(d->append({s}));
   }
   f.damage(p, synced + 13);
   CHECK(f.open()->recovered().journal == std::vector<std::string>{"record 0", "record 1"});
@@ -104,8 +107,8 @@
     std::ifstream(p, std::ios::binary).read(s.data(), static_cast<std::streamsize>(s.size()));
     f.damage(p, s.find("record " + std::to_string(n)));
     auto d = Disk::open(f.path, 1);
-    REQUIRE_FALSE(ok(d));
-    CHECK(render(findings(d)).find("is damaged at byte") != std::string::npos);
+    REQUIRE_FALSE(d.ok());
+    CHECK(to_string(d.errors()).find("is damaged at byte") != std::string::npos);
   }
 }
 
@@ -121,7 +124,7 @@
   CHECK(f.open()->recovered().journal == std::vector<std::string>{"old 0", "old 1", "old 2", "record 3"});
   fs::remove(f.only("log-"));
   f.damage(p, 14);
-  CHECK_FALSE(ok(Disk::open(f.path, 1)));
+  CHECK_FALSE(Disk::open(f.path, 1).ok());
 }
 
 TEST_CASE("daemons that do not know marks pass over them") {
--- a/tests/unit/tools/capacity_test.cpp
+++ b/tests/unit/tools/capacity_test.cpp
@@ -2,9 +2,9 @@
 #include <fstream>
 #include <sstream>
 
+#include "replication/constants.hpp"
 #include "scale/experiments.hpp"
 #include "scale/field.hpp"
-#include "replication/constants.hpp"
 
 using namespace mosskeel;
 
@@ -50,7 +50,8 @@
   f.run(3000);
   CHECK(f.sum(scale::Part::agent).in["heartbeat"].count == 0);
   CHECK(f.sum(scale::Part::store).in["heartbeat"].count == 0);
-  for (auto i : f.all(scale::Part::controller)) f.stop(i);
+  for (auto i : f.all(scale::Part::controller))
+    f.stop(i);
   for (int k = 0; k < 40; ++k) {
     f.run(100);
     CHECK(f.fronts_in_touch());
@@ -61,7 +62,7 @@
 
 TEST_CASE("what a laggard lacks comes as entries while they are small, else as the whole value") {
   auto few = ledger(100, 4);
-  auto [none, entries] = few.updates_since(Epoch{few.epoch().v - 100});
+  auto [none, entries] = few.updates_since(Epoch{few.epoch().value() - 100});
   CHECK_FALSE(none);
   CHECK(entries.size() == 100);
   const int cells = 8000, changes = 5;
@@ -69,11 +70,11 @@
   auto bytes = codec::pack(many.recent_entries().back()).size();
   REQUIRE(bytes * changes > kLogBytesKept);
   CHECK(bytes * many.recent_entries().size() <= kLogBytesKept);
-  auto [whole, rest] = many.updates_since(Epoch{many.epoch().v - changes});
+  auto [whole, rest] = many.updates_since(Epoch{many.epoch().value() - changes});
   REQUIRE(whole);
   CHECK(whole->epoch == many.epoch());
   CHECK(rest.empty());
-  auto [again, last] = many.updates_since(Epoch{many.epoch().v - 1});
+  auto [again, last] = many.updates_since(Epoch{many.epoch().value() - 1});
   CHECK_FALSE(again);
   CHECK(last.size() == 1);
 }
--- a/tests/unit/tools/har_test.cpp
+++ b/tests/unit/tools/har_test.cpp
@@ -9,8 +9,8 @@
   auto r = read_har(R"({"log":{"entries":[
     {"request":{"method":"GET","url":"https://x.example/tallies/1?a=2#f","headers":[{"name":"Host","value":"x"},{"name":"X-Class","value":"bulk"}]},"response":{"status":200}},
     {"request":{"method":"POST","url":"http://x.example","postData":{"text":"body"}}}]}})");
-  REQUIRE(ok(r));
-  auto& v = value(r);
+  REQUIRE(r.ok());
+  auto& v = r.value();
   REQUIRE(v.size() == 2);
   CHECK(v[0].path == "/tallies/1?a=2");
   CHECK(v[0].headers == std::map<std::string, std::string>{{"X-Class", "bulk"}});
@@ -32,7 +32,7 @@
   };
   for (auto& r : rows) {
     auto x = read_har(r.text);
-    REQUIRE_FALSE(ok(x));
-    CHECK(render(findings(x)) == r.findings);
+    REQUIRE_FALSE(x.ok());
+    CHECK(to_string(x.errors()) == r.findings);
   }
 }
--- a/tools/loadgen/checks.cpp
+++ b/tools/loadgen/checks.cpp
@@ -7,8 +7,8 @@
 #include <random>
 #include <sstream>
 
-#include "net/http_fetch.hpp"
 #include "load.hpp"
+#include "net/http_fetch.hpp"
 
 namespace mosskeel::loadgen {
 using Json = nlohmann::json;
@@ -28,7 +28,8 @@
 }
 
 double Series::at(double share) const {
-  if (ms.empty()) return 0;
+  if (ms.empty())
+    return 0;
   auto v = ms;
   std::sort(v.begin(), v.end());
   return v[std::min(v.size() - 1, static_cast<size_t>(share * static_cast<double>(v.size())))];
@@ -37,7 +38,8 @@
 void Book::violation(const std::string& what) {
   std::lock_guard l(m_);
   ++violation_count_;
-  if (violations_.size() < 50) violations_.push_back(what);
+  if (violations_.size() < 50)
+    violations_.push_back(what);
 }
 void Book::count(const std::string& what, uint64_t n) {
   std::lock_guard l(m_);
@@ -60,13 +62,15 @@
 std::string Book::text() const {
   std::lock_guard l(m_);
   std::ostringstream o;
-  for (auto& [n, c] : counts_) o << n << ": " << c << "\n";
+  for (auto& [n, c] : counts_)
+    o << n << ": " << c << "\n";
   o.precision(1);
   o << std::fixed;
   for (auto& [n, s] : series_)
     o << n << ": " << s.ms.size() << " done, p50 " << s.at(0.5) << " ms, p99 " << s.at(0.99) << " ms, max " << s.at(1)
       << " ms\n";
-  for (auto& v : violations_) o << "VIOLATION " << v << "\n";
+  for (auto& v : violations_)
+    o << "VIOLATION " << v << "\n";
   o << violation_count_ << " violations\n";
   return o.str();
 }
@@ -99,10 +103,12 @@
     a.url = "http://" + m + "/v1/fronts";
     a.timeout_ms = 1000;
     auto j = Json::parse(http_fetch(a).body, nullptr, false);
-    if (!j.is_object() || !j.contains("fronts")) continue;
+    if (!j.is_object() || !j.contains("fronts"))
+      continue;
     std::vector<Address> v;
     for (auto& f : j["fronts"])
-      if (f["ready"] == true) v.push_back(f["http"]);
+      if (f["ready"] == true)
+        v.push_back(f["http"]);
     std::lock_guard l(m_);
     ready_ = std::move(v);
     return;
@@ -115,19 +121,23 @@
 }
 
 void Load::check_history(const std::string& program, const std::vector<TurnSeen>& seen) {
-  if (std::none_of(seen.begin(), seen.end(), [](auto& t) { return t.success; })) return;
+  if (std::none_of(seen.begin(), seen.end(), [](auto& t) { return t.success; }))
+    return;
   std::string why;
   for (int i = 0; i < 60; ++i, nap(250)) {
     FetchRequest a;
     a.url = "http://" + fronts_.any() + "/v1/cells/" + plan_.cell + "/programs/" + program;
     auto r = http_fetch(a);
-    if (r.status == 404) return book_.violation("a kept program was reported missing: " + program);
+    if (r.status == 404)
+      return book_.violation("a kept program was reported missing: " + program);
     auto j = Json::parse(r.body, nullptr, false);
     why = r.error.empty() ? r.body : r.error;
-    if (r.status != 200 || !j.is_object()) continue;
+    if (r.status != 200 || !j.is_object())
+      continue;
     std::map<std::string, std::string> kept;
     for (auto& t : j["turns"])
-      if (t["status"] == 200) kept[t["key"]] = t["output"];
+      if (t["status"] == 200)
+        kept[t["key"]] = t["output"];
     for (auto& t : seen)
       if (t.success && kept[t.key] != t.output)
         book_.violation("kept turn " + t.key + " of " + program + " is gone or changed");
@@ -140,17 +150,22 @@
 }
 
 void Load::check_runs() {
-  if (plan_.runs.empty()) return;
+  if (plan_.runs.empty())
+    return;
   std::map<std::string, int> n;
   for (auto& f : std::filesystem::directory_iterator(plan_.runs)) {
-    if (!f.path().filename().string().starts_with("runs-")) continue;
+    if (!f.path().filename().string().starts_with("runs-"))
+      continue;
     std::ifstream s(f.path());
-    for (std::string l; std::getline(s, l);) ++n[l.substr(0, l.find('\t'))];
+    for (std::string l; std::getline(s, l);)
+      ++n[l.substr(0, l.find('\t'))];
   }
   for (auto& [k, c] : n)
-    if (c > 1) book_.violation("ran " + std::to_string(c) + " times: " + k);
+    if (c > 1)
+      book_.violation("ran " + std::to_string(c) + " times: " + k);
   for (auto& [k, x] : not_run_)
-    if (n.count(k)) book_.violation("refused as not run, yet ran: " + k);
+    if (n.count(k))
+      book_.violation("refused as not run, yet ran: " + k);
   for (auto& [p, seen] : programs_)
     for (auto& t : seen)
       if (t.success && !n.count(plan_.cell + "/" + p + "/" + t.key))
--- a/tools/loadgen/har.cpp
+++ b/tools/loadgen/har.cpp
@@ -5,8 +5,8 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "net/http_fetch.hpp"
 #include "load.hpp"
+#include "net/http_fetch.hpp"
 
 namespace mosskeel::loadgen {
 using Json = nlohmann::json;
@@ -14,18 +14,21 @@
 namespace {
 
 bool hop(std::string n) {
-  for (auto& c : n) c = static_cast<char>(tolower(c));
+  for (auto& c : n)
+    c = static_cast<char>(tolower(c));
   return n.empty() || n[0] == ':' || n == "host" || n == "connection" || n == "content-length" ||
          n == "transfer-encoding" || n == "accept-encoding";
 }
 
-void read_entry(const Json& e, const std::string& at, std::vector<HarRequest>& v, Findings& f) {
+void read_entry(const Json& e, const std::string& at, std::vector<HarRequest>& v, Errors& f) {
   HarRequest x;
   auto before = f.size();
   auto r = e.is_object() && e.contains("request") ? e["request"] : Json();
-  if (!r.is_object()) return f.push_back({at + ".request", "is missing or no object"});
+  if (!r.is_object())
+    return f.push_back({at + ".request", "is missing or no object"});
   auto text = [&](const char* k) -> std::string {
-    if (r.contains(k) && r[k].is_string()) return r[k];
+    if (r.contains(k) && r[k].is_string())
+      return r[k];
     f.push_back({at + ".request." + k, "is missing or no string"});
     return "";
   };
@@ -53,7 +56,8 @@
   if (e.contains("response") && e["response"].is_object() && e["response"].contains("status") &&
       e["response"]["status"].is_number_integer())
     x.expected = e["response"]["status"];
-  if (f.size() == before) v.push_back(std::move(x));
+  if (f.size() == before)
+    v.push_back(std::move(x));
 }
 
 }  // namespace
@@ -63,16 +67,17 @@
   try {
     j = Json::parse(text);
   } catch (const Json::parse_error& e) {
-    return Findings{{"byte " + std::to_string(e.byte), "the file is no whole JSON"}};
+    return Errors{{"byte " + std::to_string(e.byte), "the file is no whole JSON"}};
   }
   if (!j.is_object() || !j.contains("log") || !j["log"].is_object() || !j["log"].contains("entries") ||
       !j["log"]["entries"].is_array())
-    return Findings{{"log.entries", "is missing or no list"}};
+    return Errors{{"log.entries", "is missing or no list"}};
   std::vector<HarRequest> v;
-  Findings f;
+  Errors f;
   for (size_t i = 0; i < j["log"]["entries"].size(); ++i)
     read_entry(j["log"]["entries"][i], "log.entries[" + std::to_string(i) + "]", v, f);
-  if (!f.empty()) return f;
+  if (!f.empty())
+    return f;
   return v;
 }
 
@@ -80,16 +85,17 @@
   std::ifstream s(file);
   std::stringstream t;
   t << s.rdbuf();
-  if (!s) return fprintf(stderr, "loadgen: %s: cannot be read\n", file.c_str()), 2;
+  if (!s)
+    return fprintf(stderr, "loadgen: %s: cannot be read\n", file.c_str()), 2;
   auto r = read_har(t.str());
-  if (!ok(r)) {
-    for (auto& f : findings(r))
-      fprintf(stderr, "loadgen: %s: %s: %s\n", file.c_str(), f.place.c_str(), f.reason.c_str());
+  if (!r.ok()) {
+    for (auto& f : r.errors())
+      fprintf(stderr, "loadgen: %s: %s: %s\n", file.c_str(), f.location.c_str(), f.message.c_str());
     return 2;
   }
   Book book;
   size_t other = 0;
-  for (auto& x : value(r)) {
+  for (auto& x : r.value()) {
     if (!all && x.method != "GET" && x.method != "HEAD") {
       book.count("left out, not repeatable");
       continue;
--- a/tools/loadgen/har.hpp
+++ b/tools/loadgen/har.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Replays an HTTP archive against a front worker: repeatable requests only, unless told otherwise.
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel::loadgen {
 
--- a/tools/loadgen/harm.cpp
+++ b/tools/loadgen/harm.cpp
@@ -1,8 +1,8 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "net/http_fetch.hpp"
 #include "load.hpp"
+#include "net/http_fetch.hpp"
 
 namespace mosskeel::loadgen {
 
@@ -17,7 +17,8 @@
   a.method = "POST";
   a.url = "http://" + plan_.control + "/" + what + "/" + name;
   auto good = http_fetch(a).status == 200;
-  if (good) book_.count("harm " + what + " " + name.substr(0, name.find_first_of("0123456789")));
+  if (good)
+    book_.count("harm " + what + " " + name.substr(0, name.find_first_of("0123456789")));
   return good;
 }
 
@@ -26,22 +27,26 @@
   FetchRequest a;
   a.url = "http://" + plan_.control + "/fleet";
   auto j = nlohmann::json::parse(http_fetch(a).body, nullptr, false);
-  if (!j.is_array()) return v;
+  if (!j.is_array())
+    return v;
   for (auto& p : j)
     for (auto& k : plan_.harm)
-      if (p["program"] == k || p["name"].get<std::string>().starts_with(k)) v.push_back(p["name"]);
+      if (p["program"] == k || p["name"].get<std::string>().starts_with(k))
+        v.push_back(p["name"]);
   return v;
 }
 
 void Harm::work() {
   std::mt19937_64 d(plan_.seed);
   auto wait = [&](Millis ms) {
-    for (; ms > 0 && !stop_; ms -= 50) nap(50);
+    for (; ms > 0 && !stop_; ms -= 50)
+      nap(50);
   };
   wait(2000);
   while (!stop_) {
     auto v = victims();
-    if (v.empty()) return;
+    if (v.empty())
+      return;
     auto n = v[d() % v.size()];
     switch (d() % 3) {
       case 0:
@@ -56,7 +61,8 @@
         break;
       case 2:
         act("stop", n);
-        for (int i = 0; i < 200 && !act("start", n); ++i) nap(50);
+        for (int i = 0; i < 200 && !act("start", n); ++i)
+          nap(50);
         break;
     }
     wait(2000 + static_cast<Millis>(d() % 2000));
--- a/tools/loadgen/load.hpp
+++ b/tools/loadgen/load.hpp
@@ -4,7 +4,7 @@
 #include <mutex>
 #include <thread>
 
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel::loadgen {
 
--- a/tools/loadgen/main.cpp
+++ b/tools/loadgen/main.cpp
@@ -35,30 +35,40 @@
   poptContext c = poptGetContext("loadgen", argc, argv, table, 0);
   if (int rc = poptGetNextOpt(c); rc < -1)
     return fprintf(stderr, "loadgen: %s: %s\n", poptBadOption(c, 0), poptStrerror(rc)), 2;
-  if (version) return printf("loadgen (mosskeel) %s\n", MOSSKEEL_VERSION), 0;
-  if (har && !to) return fprintf(stderr, "loadgen: to: is missing\n"), 2;
+  if (version)
+    return printf("loadgen (mosskeel) %s\n", MOSSKEEL_VERSION), 0;
+  if (har && !to)
+    return fprintf(stderr, "loadgen: to: is missing\n"), 2;
   if (har) {
     signal(SIGPIPE, SIG_IGN);
     curl_global_init(CURL_GLOBAL_DEFAULT);
     return loadgen::replay_har(har, to, all);
   }
-  if (!controllers) return fprintf(stderr, "loadgen: controllers: are missing\n"), 2;
+  if (!controllers)
+    return fprintf(stderr, "loadgen: controllers: are missing\n"), 2;
   if (p.rate <= 0 || p.rate > 1000 || p.seconds < 1)
     return fprintf(stderr, "loadgen: rate, seconds: are out of range\n"), 2;
   std::stringstream l(controllers);
-  for (std::string x; std::getline(l, x, ',');) p.controllers.push_back(x);
+  for (std::string x; std::getline(l, x, ',');)
+    p.controllers.push_back(x);
   if (harm) {
     std::stringstream h(harm);
-    for (std::string x; std::getline(h, x, ',');) p.harm.push_back(x);
-    if (!control) return fprintf(stderr, "loadgen: control: is missing\n"), 2;
+    for (std::string x; std::getline(h, x, ',');)
+      p.harm.push_back(x);
+    if (!control)
+      return fprintf(stderr, "loadgen: control: is missing\n"), 2;
     p.control = control;
   }
-  if (mix) p.mix = mix;
+  if (mix)
+    p.mix = mix;
   if (p.mix != "election" && p.mix != "builds")
     return fprintf(stderr, "loadgen: mix: is neither election nor builds\n"), 2;
-  if (runs) p.runs = runs;
-  if (report) p.report = report;
-  if (cell) p.cell = cell;
+  if (runs)
+    p.runs = runs;
+  if (report)
+    p.report = report;
+  if (cell)
+    p.cell = cell;
   signal(SIGPIPE, SIG_IGN);
   curl_global_init(CURL_GLOBAL_DEFAULT);
   return loadgen::Load(p).run();
--- a/tools/local-cluster/fleet.cpp
+++ b/tools/local-cluster/fleet.cpp
@@ -12,9 +12,9 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
+#include "net/http_fetch.hpp"
 #include "runtime/host.hpp"
 #include "runtime/settings.hpp"
-#include "net/http_fetch.hpp"
 
 extern char** environ;
 
@@ -34,7 +34,8 @@
       a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
       good = ::bind(s.get(), reinterpret_cast<sockaddr*>(&a), sizeof a) == 0;
     }
-    if (good) return base;
+    if (good)
+      return base;
   }
   return 21000;
 }
@@ -45,9 +46,12 @@
   for (int i = 0; i < plan_.controllers; ++i) {
     auto a = port(), b = port();
     core.push_back({a, b});
-    if (i < 3) seeds += (i ? "," : "") + a;
+    if (i < 3)
+      seeds += (i ? "," : "") + a;
   }
-  auto n = [](int i) { return std::to_string(i + 1); };
+  auto n = [](int i) {
+    return std::to_string(i + 1);
+  };
   for (int i = 0; i < plan_.controllers; ++i) {
     auto& x = add("controller" + n(i), "controller", i);
     x.listen = core[i].first, x.http = core[i].second;
@@ -93,14 +97,16 @@
 Fleet::~Fleet() {
   std::lock_guard l(m_);
   for (auto& p : procs_)
-    if (p.pid) ::kill(p.pid, SIGKILL), ::waitpid(p.pid, nullptr, 0);
+    if (p.pid)
+      ::kill(p.pid, SIGKILL), ::waitpid(p.pid, nullptr, 0);
 }
 
-Findings Fleet::spawn(Proc& p) {
+Errors Fleet::spawn(Proc& p) {
   std::vector<std::string> a{plan_.bin + "/" + p.program};
   a.insert(a.end(), p.args.begin(), p.args.end());
   std::vector<char*> v;
-  for (auto& s : a) v.push_back(s.data());
+  for (auto& s : a)
+    v.push_back(s.data());
   v.push_back(nullptr);
   posix_spawn_file_actions_t f;
   posix_spawn_file_actions_init(&f);
@@ -111,41 +117,52 @@
   int rc = posix_spawn(&p.pid, a[0].c_str(), &f, nullptr, v.data(), environ);
   posix_spawn_file_actions_destroy(&f);
   p.frozen = false;
-  if (rc) return p.pid = 0, Findings{{a[0], strerror(rc)}};
+  if (rc)
+    return p.pid = 0, Errors{{a[0], strerror(rc)}};
   return {};
 }
 
-Findings Fleet::start_all() {
+Errors Fleet::start_all() {
   std::error_code ec;
   fs::create_directories(plan_.dir, ec);
   std::lock_guard l(m_);
   for (auto& p : procs_)
-    if (auto f = spawn(p); !f.empty()) return f;
+    if (auto f = spawn(p); !f.empty())
+      return f;
   return {};
 }
 
 void Fleet::reap() {
   for (auto& p : procs_)
-    if (p.pid && ::waitpid(p.pid, nullptr, WNOHANG) == p.pid) p.pid = 0;
+    if (p.pid && ::waitpid(p.pid, nullptr, WNOHANG) == p.pid)
+      p.pid = 0;
 }
 
-Findings Fleet::act(const std::string& what, const std::string& name) {
+Errors Fleet::act(const std::string& what, const std::string& name) {
   std::lock_guard l(m_);
   reap();
   for (auto& p : procs_) {
-    if (p.name != name) continue;
-    if (what == "start") return p.pid ? Findings{{name, "runs already"}} : spawn(p);
+    if (p.name != name)
+      continue;
+    if (what == "start")
+      return p.pid ? Errors{{name, "runs already"}} : spawn(p);
     if (what == "wipe") {
-      if (p.pid) return {{name, "runs; kill it first"}};
+      if (p.pid)
+        return {{name, "runs; kill it first"}};
       std::error_code ec;
       fs::remove_all(p.data, ec);
       return {};
     }
-    if (!p.pid) return {{name, "does not run"}};
-    if (what == "kill") return ::kill(p.pid, SIGKILL), ::waitpid(p.pid, nullptr, 0), p.pid = 0, Findings{};
-    if (what == "stop") return ::kill(p.pid, SIGTERM), Findings{};
-    if (what == "freeze") return ::kill(p.pid, SIGSTOP), p.frozen = true, Findings{};
-    if (what == "wake") return ::kill(p.pid, SIGCONT), p.frozen = false, Findings{};
+    if (!p.pid)
+      return {{name, "does not run"}};
+    if (what == "kill")
+      return ::kill(p.pid, SIGKILL), ::waitpid(p.pid, nullptr, 0), p.pid = 0, Errors{};
+    if (what == "stop")
+      return ::kill(p.pid, SIGTERM), Errors{};
+    if (what == "freeze")
+      return ::kill(p.pid, SIGSTOP), p.frozen = true, Errors{};
+    if (what == "wake")
+      return ::kill(p.pid, SIGCONT), p.frozen = false, Errors{};
     return {{what, "is none of kill, freeze, wake, stop, start, wipe"}};
   }
   return {{name, "is no process of this fleet"}};
@@ -160,13 +177,14 @@
 std::vector<Address> Fleet::controllers() {
   std::vector<Address> v;
   for (auto& p : list())
-    if (p.program == "controller") v.push_back(p.http);
+    if (p.program == "controller")
+      v.push_back(p.http);
   return v;
 }
 
-Findings Fleet::introduce() {
+Errors Fleet::introduce() {
   auto all = controllers();
-  auto put = [&](const std::string& path, const Json& j) -> Findings {
+  auto put = [&](const std::string& path, const Json& j) -> Errors {
     auto until = process_now() + 60000;
     std::string why;
     while (process_now() < until)
@@ -177,15 +195,18 @@
         a.body = j.dump();
         a.headers["Idempotency-Key"] = "local-cluster-" + hex(digest(path + j.dump()));
         auto r = http_fetch(a);
-        if (r.status == 200 || (r.status == 409 && r.body.find("is so already") != std::string::npos)) return {};
-        if (r.status == 409 && r.body.find("built on") != std::string::npos) return {};
+        if (r.status == 200 || (r.status == 409 && r.body.find("is so already") != std::string::npos))
+          return {};
+        if (r.status == 409 && r.body.find("built on") != std::string::npos)
+          return {};
         why = r.error.empty() ? r.body : r.error;
         std::this_thread::sleep_for(std::chrono::milliseconds(100));
       }
     return {{path, "was not accepted: " + why}};
   };
   for (auto& p : list()) {
-    if (p.program != "replica-sim") continue;
+    if (p.program != "replica-sim")
+      continue;
     auto kind = p.name.starts_with("app") ? "app" : "model";
     if (auto f = put("/v1/replicas/" + p.name,
                      {{"kind", kind}, {"zone", p.zone}, {"url", "http://" + p.http}, {"health", "ready"}});
--- a/tools/local-cluster/fleet.hpp
+++ b/tools/local-cluster/fleet.hpp
@@ -4,7 +4,7 @@
 
 #include <mutex>
 
-#include "mosskeel.hpp"
+#include "mosskeel/common.hpp"
 
 namespace mosskeel::local_cluster {
 
@@ -30,16 +30,16 @@
  public:
   explicit Fleet(Plan p);
   ~Fleet();
-  Findings start_all();
+  Errors start_all();
   /// kill, freeze, wake, stop, start, wipe; the finding says why not.
-  Findings act(const std::string& what, const std::string& name);
+  Errors act(const std::string& what, const std::string& name);
   std::vector<Proc> list();
   std::vector<Address> controllers();
   /// Tells the platform side of the core about the replicas, and applies the first configuration.
-  Findings introduce();
+  Errors introduce();
 
  private:
-  Findings spawn(Proc& p);
+  Errors spawn(Proc& p);
   void reap();
   Proc& add(const std::string& name, const std::string& program, int zone);
   Address port() { return "127.0.0.1:" + std::to_string(next_++); }
--- a/tools/local-cluster/main.cpp
+++ b/tools/local-cluster/main.cpp
@@ -7,12 +7,12 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
+#include "base/log.hpp"
 #include "fleet.hpp"
-#include "runtime/host.hpp"
+#include "net/http_fetch.hpp"
 #include "net/http_server.hpp"
-#include "base/log.hpp"
+#include "runtime/host.hpp"
 #include "runtime/settings.hpp"
-#include "net/http_fetch.hpp"
 
 using namespace mosskeel;
 using Json = nlohmann::json;
@@ -86,28 +86,37 @@
   poptContext c = poptGetContext("local-cluster", argc, argv, table, 0);
   if (int rc = poptGetNextOpt(c); rc < -1)
     return fprintf(stderr, "local-cluster: %s: %s\n", poptBadOption(c, 0), poptStrerror(rc)), 2;
-  if (version) return printf("local-cluster (mosskeel) %s\n", MOSSKEEL_VERSION), 0;
-  if (!dir) return fprintf(stderr, "local-cluster: dir: is missing\n"), 2;
+  if (version)
+    return printf("local-cluster (mosskeel) %s\n", MOSSKEEL_VERSION), 0;
+  if (!dir)
+    return fprintf(stderr, "local-cluster: dir: is missing\n"), 2;
   p.dir = dir;
-  if (pace) p.pace = pace;
+  if (pace)
+    p.pace = pace;
   if (p.base == 0)
     p.base = local_cluster::free_base(2 * p.controllers + 2 * p.stores + 3 * p.fronts + p.models + p.apps);
   p.bin = std::filesystem::read_symlink("/proc/self/exe").parent_path();
-  if (!quiet) std::filesystem::remove_all(p.dir);
+  if (!quiet)
+    std::filesystem::remove_all(p.dir);
   start_log("local-cluster");
   hold_signals();
   curl_global_init(CURL_GLOBAL_DEFAULT);
   auto begun = process_now();
   local_cluster::Fleet f(p);
-  if (auto x = f.start_all(); !x.empty()) return fprintf(stderr, "local-cluster: %s\n", render(x).c_str()), 2;
-  if (auto x = f.introduce(); !x.empty()) return fprintf(stderr, "local-cluster: %s\n", render(x).c_str()), 1;
+  if (auto x = f.start_all(); !x.empty())
+    return fprintf(stderr, "local-cluster: %s\n", to_string(x).c_str()), 2;
+  if (auto x = f.introduce(); !x.empty())
+    return fprintf(stderr, "local-cluster: %s\n", to_string(x).c_str()), 1;
   while (ready(f) < p.fronts && process_now() - begun < 60000)
-    if (signalled(100)) return 1;
+    if (signalled(100))
+      return 1;
   auto web =
       HttpServer::open("127.0.0.1:" + std::to_string(p.base - 1), [&](const ApiRequest& a) { return answer(f, a); });
-  if (!ok(web)) return fprintf(stderr, "local-cluster: %s\n", render(findings(web)).c_str()), 2;
+  if (!web.ok())
+    return fprintf(stderr, "local-cluster: %s\n", to_string(web.errors()).c_str()), 2;
   std::string m;
-  for (auto& a : f.controllers()) m += (m.empty() ? "" : ",") + a;
+  for (auto& a : f.controllers())
+    m += (m.empty() ? "" : ",") + a;
   printf("local-cluster: %d of %d fronts ready after %lld ms; controllers %s; control 127.0.0.1:%d\n", ready(f),
          p.fronts, static_cast<long long>(process_now() - begun), m.c_str(), p.base - 1);
   fflush(stdout);
--- a/tools/model/main.cpp
+++ b/tools/model/main.cpp
@@ -17,7 +17,8 @@
          static_cast<unsigned long long>(r.states), static_cast<unsigned long long>(r.steps),
          static_cast<unsigned long long>(r.runs), r.acknowledged, r.rejected, r.complete ? "complete" : "not complete");
   fflush(stdout);
-  if (r.broken.empty()) return true;
+  if (r.broken.empty())
+    return true;
   auto trace = shorten(from, r.trace);
   printf("BROKEN %s\n%zu actions, shortened from %zu:\n%s", r.broken.c_str(), trace.size(), r.trace.size(),
          describe(trace).c_str());
@@ -46,11 +47,14 @@
     return fprintf(stderr, "model: %s: %s\n", poptBadOption(c, 0), poptStrerror(rc)), 2;
   bool good = true;
   for (auto& s : starts()) {
-    if (only && s.name != std::string(only)) continue;
+    if (only && s.name != std::string(only))
+      continue;
     auto from = s.make({});
     auto seconds = minutes * 60;
-    if (depth) good &= print(s.name, "all orders", from, explore(from, {depth, -1, 0, seconds}));
-    if (reach) good &= print(s.name, "deviations", from, explore(from, {reach, deviations, 0, seconds}));
+    if (depth)
+      good &= print(s.name, "all orders", from, explore(from, {depth, -1, 0, seconds}));
+    if (reach)
+      good &= print(s.name, "deviations", from, explore(from, {reach, deviations, 0, seconds}));
     if (seeds)
       good &= print(s.name, "walks", from,
                     walk(from, static_cast<uint64_t>(first), static_cast<uint64_t>(seeds), steps, seconds));
--- a/tools/replica-sim/main.cpp
+++ b/tools/replica-sim/main.cpp
@@ -7,8 +7,8 @@
 #include <mutex>
 #include <nlohmann/json.hpp>
 
-#include "net/http_server.hpp"
 #include "base/log.hpp"
+#include "net/http_server.hpp"
 #include "runtime/settings.hpp"
 
 using namespace mosskeel;
@@ -23,7 +23,8 @@
   uint64_t left = 0, every = 1, seen = 0;
   std::string next() {
     std::lock_guard l(m);
-    if (!left || ++seen % every) return "";
+    if (!left || ++seen % every)
+      return "";
     --left;
     return fault;
   }
@@ -61,17 +62,22 @@
 
 ApiResponse model(Stand& s, const ApiRequest& a) {
   auto j = Json::parse(a.body, nullptr, false);
-  if (!j.is_object() || !j.contains("key")) return ApiResponse::error(400, "invalid", "body: is no turn");
+  if (!j.is_object() || !j.contains("key"))
+    return ApiResponse::error(400, "invalid", "body: is no turn");
   auto fault = s.script.next();
   std::string chain;
-  for (auto& c : j["chain"]) chain += c["input"].get<std::string>() + '\0' + c["output"].get<std::string>() + '\0';
+  for (auto& c : j["chain"])
+    chain += c["input"].get<std::string>() + '\0' + c["output"].get<std::string>() + '\0';
   s.ran(j["cell"].get<std::string>() + "/" + j["program"].get<std::string>() + "/" + j["key"].get<std::string>(),
         "turn");
-  if (fault == "error") return ApiResponse::error(500, "broken", "scripted");
-  if (fault == "stall") nap(30000);
+  if (fault == "error")
+    return ApiResponse::error(500, "broken", "scripted");
+  if (fault == "stall")
+    nap(30000);
   auto limit = j["max_tokens"].get<uint64_t>();
   auto n = std::min<uint64_t>(static_cast<uint64_t>(s.pieces), limit);
-  if (fault == "overlong") n = limit + 4;
+  if (fault == "overlong")
+    n = limit + 4;
   auto at = std::make_shared<uint64_t>(0);
   auto text = std::make_shared<std::string>();
   auto busy = std::make_shared<Busy>(s);
@@ -80,15 +86,20 @@
   r.headers["Content-Type"] = "application/x-ndjson";
   r.next_chunk = [=, &s](std::string& o) -> ApiResponse::StreamState {
     auto k = (*at)++;
-    if (k > n) return ApiResponse::StreamState::finished;
-    if (fault == "lost" && k == n) return ApiResponse::StreamState::aborted;
-    if (fault == "cut" && k == n / 2) return ApiResponse::StreamState::aborted;
+    if (k > n)
+      return ApiResponse::StreamState::finished;
+    if (fault == "lost" && k == n)
+      return ApiResponse::StreamState::aborted;
+    if (fault == "cut" && k == n / 2)
+      return ApiResponse::StreamState::aborted;
     if (k == n) {
-      if (fault == "unsealed") return ApiResponse::StreamState::finished;
+      if (fault == "unsealed")
+        return ApiResponse::StreamState::finished;
       o = Json{{"seal", hex(digest(*text))}, {"pieces", n}, {"tokens", n}}.dump() + "\n";
       return ApiResponse::StreamState::more;
     }
-    if (s.pace) nap(s.pace);
+    if (s.pace)
+      nap(s.pace);
     auto t = k == 0 ? head : "word" + std::to_string(k) + " ";
     *text += t;
     auto m = fault == "skip" && k == n / 2 ? k + 1 : fault == "repeat" && k == n / 2 ? k - 1 : k;
@@ -107,18 +118,23 @@
     s.ran("app:" + (a.body.empty() && k != a.headers.end() ? k->second : a.body), "app");
   }
   nap(s.pace);
-  if (fault == "stall") nap(30000);
+  if (fault == "stall")
+    nap(30000);
   ApiResponse r;
-  if (fault == "error") return ApiResponse::error(500, "broken", "scripted");
+  if (fault == "error")
+    return ApiResponse::error(500, "broken", "scripted");
   size_t size = a.path.starts_with("/archive") ? 200000 : a.path.starts_with("/tiles") ? 8000 : 200;
   r.body = a.method + " " + a.path + " ";
-  for (auto seed = digest(r.body); r.body.size() < size; seed = digest("", seed)) r.body += hex(seed);
-  if (fault != "unsealed") r.headers["X-Seal"] = hex(digest(r.body));
+  for (auto seed = digest(r.body); r.body.size() < size; seed = digest("", seed))
+    r.body += hex(seed);
+  if (fault != "unsealed")
+    r.headers["X-Seal"] = hex(digest(r.body));
   if (fault == "cut" || fault == "lost") {
     auto once = std::make_shared<bool>(false);
     auto part = r.body.substr(0, fault == "lost" ? 0 : r.body.size() / 2);
     r.next_chunk = [=](std::string& o) {
-      if (*once) return ApiResponse::StreamState::aborted;
+      if (*once)
+        return ApiResponse::StreamState::aborted;
       *once = true;
       o = part;
       return o.empty() ? ApiResponse::StreamState::aborted : ApiResponse::StreamState::more;
@@ -134,7 +150,8 @@
     return r;
   }
   auto j = Json::parse(a.body, nullptr, false);
-  if (!j.is_object()) return ApiResponse::error(400, "invalid", "body: is no JSON object");
+  if (!j.is_object())
+    return ApiResponse::error(400, "invalid", "body: is no JSON object");
   std::lock_guard l(s.script.m);
   s.script.fault = j.value("fault", "");
   s.script.left = j.value("left", uint64_t{0});
@@ -159,8 +176,10 @@
   poptContext c = poptGetContext("replica-sim", argc, argv, table, 0);
   if (int rc = poptGetNextOpt(c); rc < -1)
     return fprintf(stderr, "replica-sim: %s: %s\n", poptBadOption(c, 0), poptStrerror(rc)), 2;
-  if (version) return printf("replica-sim (mosskeel) %s\n", MOSSKEEL_VERSION), 0;
-  if (!at || !kind) return fprintf(stderr, "replica-sim: http, kind: are missing\n"), 2;
+  if (version)
+    return printf("replica-sim (mosskeel) %s\n", MOSSKEEL_VERSION), 0;
+  if (!at || !kind)
+    return fprintf(stderr, "replica-sim: http, kind: are missing\n"), 2;
   start_log("replica-sim");
   hold_signals();
   Stand s;
@@ -168,12 +187,15 @@
   s.kind = kind;
   s.pieces = pieces;
   s.pace = pace;
-  if (runs) s.runs.open(runs, std::ios::app);
+  if (runs)
+    s.runs.open(runs, std::ios::app);
   auto web = HttpServer::open(at, [&](const ApiRequest& a) {
-    if (a.path.starts_with("/control/")) return control(s, a);
+    if (a.path.starts_with("/control/"))
+      return control(s, a);
     return s.kind == "model" ? model(s, a) : app(s, a);
   });
-  if (!ok(web)) return fprintf(stderr, "replica-sim: %s\n", render(findings(web)).c_str()), 2;
+  if (!web.ok())
+    return fprintf(stderr, "replica-sim: %s\n", to_string(web.errors()).c_str()), 2;
   while (!signalled(1000)) {}
   return 0;
 }
--- a/tools/scale/churn.cpp
+++ b/tools/scale/churn.cpp
@@ -1,12 +1,12 @@
 // What happens to a fleet: newcomers, restarts, a zone lost and back, a region cut off for a while.
 #include <algorithm>
 
-#include "consensus/controller_machine.hpp"
-#include "scale/experiments.hpp"
-#include "scale/field.hpp"
 #include "consensus/constants.hpp"
+#include "consensus/controller_machine.hpp"
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
+#include "scale/experiments.hpp"
+#include "scale/field.hpp"
 
 namespace mosskeel::scale {
 namespace {
@@ -16,7 +16,8 @@
 struct Fronts {
   Fronts(Field& f) : f(f) {
     for (size_t i = 0; i < f.stations().size(); ++i)
-      if (f.stations()[i].seat.part == Part::agent) v.push_back(i);
+      if (f.stations()[i].seat.part == Part::agent)
+        v.push_back(i);
   }
   void stop(size_t agent) { f.stop(agent), f.stop(agent + 1); }
   void start(size_t agent) { f.start(agent, true), f.start(agent + 1, true); }
@@ -31,25 +32,30 @@
 /// Everybody who runs is up, nothing is under way, and all fronts serve.
 bool calm(Field& f) {
   auto v = core(f);
-  if (!v->sequences.empty() || !v->incoming_quorum_members.empty() || eligible_quorum_members(*v) != v->quorum_members) return false;
+  if (!v->sequences.empty() || !v->incoming_quorum_members.empty() || eligible_quorum_members(*v) != v->quorum_members)
+    return false;
   for (auto& [id, d] : v->directory)
-    if (d.state == DaemonState::registered || d.state == DaemonState::draining) return false;
+    if (d.state == DaemonState::registered || d.state == DaemonState::draining)
+      return false;
   for (auto& s : f.stations())
-    if (s.machine && s.seen != v->epoch) return false;
+    if (s.machine && s.seen != v->epoch)
+      return false;
   return f.fronts_in_touch();
 }
 
 void account(Row& r, Field& f, Epoch before, Millis begun) {
   auto v = core(f);
-  r.counts["epochs"] = static_cast<double>(v->epoch.v - before.v);
+  r.counts["epochs"] = static_cast<double>(v->epoch.value() - before.value());
   r.counts["seconds"] = static_cast<double>(f.now() - begun) / 1000;
   auto seconds = r.counts["seconds"];
   for (auto p : {Part::controller, Part::store, Part::agent}) {
     auto s = f.sum(p);
     auto n = static_cast<double>(f.all(p).size());
     Tally out, in;
-    for (auto& [k, x] : s.out) out += x;
-    for (auto& [k, x] : s.in) in += x;
+    for (auto& [k, x] : s.out)
+      out += x;
+    for (auto& [k, x] : s.in)
+      in += x;
     r.counts[std::string(name(p)) + ".out.byte"] = static_cast<double>(out.bytes) / n / seconds;
     r.counts[std::string(name(p)) + ".in.byte"] = static_cast<double>(in.bytes) / n / seconds;
     r.counts[std::string(name(p)) + ".msg"] = static_cast<double>(out.count + in.count) / n / seconds;
@@ -58,14 +64,16 @@
   r.counts["value.byte"] = static_cast<double>(codec::pack(*v).size());
   r.counts["directory"] = static_cast<double>(v->directory.size());
   r.counts["failures"] = static_cast<double>(f.failures.size());
-  for (auto& x : f.failures) fprintf(stderr, "%s: %s\n", r.what.c_str(), x.c_str());
+  for (auto& x : f.failures)
+    fprintf(stderr, "%s: %s\n", r.what.c_str(), x.c_str());
 }
 
 bool commit(Field& f, size_t controller, Transformation t, const std::string& id) {
   auto v = f.stations()[controller].machine->view();
   bool yes = false;
   f.local = [&](Station&, const Envelope& x) {
-    if (auto* c = std::get_if<CommitReply>(&x.body); c && c->id == id) yes = yes || c->outcome == CommitOutcome::committed;
+    if (auto* c = std::get_if<CommitReply>(&x.body); c && c->id == id)
+      yes = yes || c->outcome == CommitOutcome::committed;
   };
   Envelope e{};
   e.from = "local:" + id;
@@ -91,7 +99,7 @@
   auto before = core(f)->epoch;
   auto begun = f.now();
   v.start(v.v.front());
-  f.until(deadline, [&] { return f.stations()[v.v.front()].seen.v > 0; });
+  f.until(deadline, [&] { return f.stations()[v.v.front()].seen.value() > 0; });
   r.counts["value_after.ms"] = static_cast<double>(f.now() - begun);
   f.until(deadline, [&] { return calm(f); });
   Tally in;
@@ -145,10 +153,12 @@
   f.forget();
   std::vector<size_t> gone;
   for (size_t i = 0; i < f.stations().size(); ++i)
-    if (f.stations()[i].seat.zone == 1) gone.push_back(i);
+    if (f.stations()[i].seat.zone == 1)
+      gone.push_back(i);
   auto begun = f.now();
   auto before = core(f)->epoch;
-  for (auto i : gone) f.stop(i);
+  for (auto i : gone)
+    f.stop(i);
   auto down = [&] {
     auto m = core(f);
     size_t n = 0, all = 0;
@@ -164,8 +174,9 @@
   f.until(deadline, [&] { return calm(f); });
   auto back = f.now();
   r.counts["daemons"] = static_cast<double>(gone.size());
-  r.counts["epochs.down"] = static_cast<double>(core(f)->epoch.v - before.v);
-  for (auto i : gone) f.start(i, true);
+  r.counts["epochs.down"] = static_cast<double>(core(f)->epoch.value() - before.value());
+  for (auto i : gone)
+    f.start(i, true);
   r.counts["back"] = f.until(deadline, [&] { return calm(f); });
   r.counts["back.ms"] = static_cast<double>(f.now() - back);
   account(r, f, before, begun);
@@ -179,18 +190,22 @@
   f.forget();
   auto begun = f.now();
   auto before = core(f)->epoch;
-  f.cut = [](const Station& a, const Station& b) { return a.seat.region != b.seat.region; };
+  f.cut = [](const Station& a, const Station& b) {
+    return a.seat.region != b.seat.region;
+  };
   f.run(kIsolatedHeartbeatTimeout * 2);
   size_t serving = 0, cut_off = 0;
   for (auto& s : f.stations()) {
-    if (s.seat.part != Part::gateway) continue;
+    if (s.seat.part != Part::gateway)
+      continue;
     bool good = static_cast<GatewayMachine&>(*s.machine).ready(f.now());
     serving += good, cut_off += !good;
   }
   r.counts["serving"] = static_cast<double>(serving), r.counts["not_serving"] = static_cast<double>(cut_off);
   size_t majority = 0;
   for (auto i : f.all(Part::controller))
-    if (static_cast<ControllerMachine&>(*f.stations()[i].machine).is_supervisor(f.now())) majority = i;
+    if (static_cast<ControllerMachine&>(*f.stations()[i].machine).is_supervisor(f.now()))
+      majority = i;
   int yes = 0;
   for (int i = 0; i < changes; ++i) {
     auto v = f.stations()[majority].machine->view();
@@ -200,7 +215,7 @@
   }
   r.counts["acknowledged"] = yes;
   r.counts["changes"] = changes;
-  r.counts["cut.epochs"] = static_cast<double>(f.stations()[majority].machine->view()->epoch.v - before.v);
+  r.counts["cut.epochs"] = static_cast<double>(f.stations()[majority].machine->view()->epoch.value() - before.value());
   auto healed = f.now();
   f.cut = nullptr;
   r.counts["back"] = f.until(deadline, [&] { return calm(f); });
--- a/tools/scale/control.cpp
+++ b/tools/scale/control.cpp
@@ -4,8 +4,8 @@
 
 #include <algorithm>
 
-#include "consensus/controller_machine.hpp"
 #include "base/json.hpp"
+#include "consensus/controller_machine.hpp"
 #include "scale/experiments.hpp"
 #include "scale/field.hpp"
 
@@ -48,8 +48,10 @@
 
 Tally wire(const Tallies& t) {
   Tally x;
-  for (auto& [k, y] : t.out) x += y;
-  for (auto& [k, y] : t.in) x += y;
+  for (auto& [k, y] : t.out)
+    x += y;
+  for (auto& [k, y] : t.in)
+    x += y;
   return x;
 }
 
@@ -75,12 +77,14 @@
   f.run(window);
   std::map<Part, std::pair<Tally, int64_t>> idle;
   const auto parts = {Part::controller, Part::store, Part::agent, Part::gateway};
-  for (auto x : parts) idle[x] = {wire(f.sum(x)), f.sum(x).nanos};
+  for (auto x : parts)
+    idle[x] = {wire(f.sum(x)), f.sum(x).nanos};
   f.forget();
   auto& m = f.of(Part::controller, 0);
   auto v = m.machine->view();
   auto next_one = v->configuration;
-  if (!next_one.cells.empty()) next_one.cells[0].budget += 1;
+  if (!next_one.cells.empty())
+    next_one.cells[0].budget += 1;
   Envelope e{};
   e.from = "local:operator";
   e.cluster = v->cluster;
@@ -89,10 +93,12 @@
   std::vector<Millis> in_force;
   Millis begun = f.now(), acked = 0;
   f.took = [&](Station&, Epoch at) {
-    if (at == next(v->epoch)) in_force.push_back(f.now() - begun);
+    if (at == next(v->epoch))
+      in_force.push_back(f.now() - begun);
   };
   f.local = [&](Station&, const Envelope& x) {
-    if (auto* c = std::get_if<CommitReply>(&x.body); c && c->outcome == CommitOutcome::committed) acked = f.now() - begun;
+    if (auto* c = std::get_if<CommitReply>(&x.body); c && c->outcome == CommitOutcome::committed)
+      acked = f.now() - begun;
   };
   f.post(0, std::move(e));
   f.run(window);
@@ -110,7 +116,8 @@
     auto n = static_cast<double>(f.all(x).size());
     std::string who = name(x);
     for (auto& [k, t] : s.out)
-      if (k != "heartbeat" && k != "heartbeat-reply" && !k.starts_with("stream-partition") && !k.starts_with("partition-checksum") && !k.starts_with("list-histories") && !k.starts_with("lease"))
+      if (k != "heartbeat" && k != "heartbeat-reply" && !k.starts_with("stream-partition") &&
+          !k.starts_with("partition-checksum") && !k.starts_with("list-histories") && !k.starts_with("lease"))
         r.counts[who + ".out." + k + ".msg"] = static_cast<double>(t.count) / n,
                                      r.counts[who + ".out." + k + ".byte"] = static_cast<double>(t.bytes) / n;
     auto w = wire(s);
@@ -127,7 +134,8 @@
 Row whole_value(const Plan& p, uint64_t seed, double size) {
   Row r{"value", size, seed, {}, {}};
   auto m = rest(p, seats(p, seed));
-  for (auto& [k, n] : tables(m)) r.counts["bytes." + k] = static_cast<double>(n);
+  for (auto& [k, n] : tables(m))
+    r.counts["bytes." + k] = static_cast<double>(n);
   auto entry = Entry{next(m.epoch), "op-1", ApplyConfiguration{m.revision, m.configuration, {}}};
   r.counts["bytes.entry"] = static_cast<double>(codec::pack(entry).size());
   r.counts["bytes.json"] = static_cast<double>(json::write(m.configuration).dump().size());
@@ -137,39 +145,47 @@
   copies.reserve(times);
   auto before = mallinfo2().uordblks;
   r.times["copy.ms"] = millis_of([&] {
-                         for (int i = 0; i < times; ++i) copies.push_back(m);
+                         for (int i = 0; i < times; ++i)
+                           copies.push_back(m);
                        }) /
                        times;
   r.counts["bytes.memory"] = static_cast<double>(mallinfo2().uordblks - before) / times;
   r.times["apply.configuration.ms"] = millis_of([&] {
-                                        for (int i = 0; i < times; ++i) apply(m, entry);
+                                        for (int i = 0; i < times; ++i)
+                                          apply(m, entry);
                                       }) /
                                       times;
   r.times["apply.small.ms"] = millis_of([&] {
-                                for (int i = 0; i < times; ++i) apply(m, {next(m.epoch), "", BeginQuorumChange{}});
+                                for (int i = 0; i < times; ++i)
+                                  apply(m, {next(m.epoch), "", BeginQuorumChange{}});
                               }) /
                               times;
   r.times["encode.ms"] = millis_of([&] {
-                           for (int i = 0; i < times; ++i) bytes = codec::pack(m);
+                           for (int i = 0; i < times; ++i)
+                             bytes = codec::pack(m);
                          }) /
                          times;
   r.times["decode.ms"] = millis_of([&] {
-                           for (int i = 0; i < times; ++i) codec::unpack<Metadata>(bytes);
+                           for (int i = 0; i < times; ++i)
+                             codec::unpack<Metadata>(bytes);
                          }) /
                          times;
   r.times["digest.ms"] = millis_of([&] {
-                           for (int i = 0; i < times; ++i) digest(bytes);
+                           for (int i = 0; i < times; ++i)
+                             digest(bytes);
                          }) /
                          times;
   auto spare = Daemon{DaemonId{m.next_id}, front(p, 1, seed).second.id.self, DaemonState::registered, m.epoch};
   r.times["plan_join.ms"] = millis_of([&] { placement::plan_join(m, spare); });
   r.times["find_daemon.ms"] = millis_of([&] {
-                                for (int i = 0; i < times; ++i) m.find(m.directory.rbegin()->second.self.incarnation);
+                                for (int i = 0; i < times; ++i)
+                                  m.find(m.directory.rbegin()->second.self.incarnation);
                               }) /
                               times;
   if (auto* c = m.configuration.cells.empty() ? nullptr : &m.configuration.cells.back())
     r.times["find_cell.ms"] = millis_of([&] {
-                                for (int i = 0; i < times; ++i) m.configuration.cell(c->name);
+                                for (int i = 0; i < times; ++i)
+                                  m.configuration.cell(c->name);
                               }) /
                               times;
   return r;
--- a/tools/scale/crew.hpp
+++ b/tools/scale/crew.hpp
@@ -2,9 +2,9 @@
 // The driver's side of a fleet run: processes of hollow daemons, and a voice of its own towards the controllers.
 #include <sys/types.h>
 
-#include "replication/metadata_log.hpp"
-#include "net/transport.hpp"
 #include "base/queue.hpp"
+#include "net/transport.hpp"
+#include "replication/metadata_log.hpp"
 #include "scale/fleet.hpp"
 
 namespace mosskeel::scale {
@@ -34,7 +34,7 @@
 class Voice {
  public:
   explicit Voice(const FleetAsk& a);
-  Findings open();
+  Errors open();
   /// The value as the controllers have it now.
   View view();
   struct Verdict {
--- a/tools/scale/data.cpp
+++ b/tools/scale/data.cpp
@@ -1,9 +1,9 @@
 // The data plane's slopes: conversations through fronts and stores, and what stores keep.
 #include <algorithm>
 
+#include "history/constants.hpp"
 #include "scale/experiments.hpp"
 #include "scale/field.hpp"
-#include "history/constants.hpp"
 
 namespace mosskeel::scale {
 namespace {
@@ -14,7 +14,8 @@
 
 std::string text(size_t n, uint64_t seed) {
   std::string s;
-  while (s.size() < n) s += hex(digest("text", seed + s.size()));
+  while (s.size() < n)
+    s += hex(digest("text", seed + s.size()));
   return s.substr(0, n);
 }
 
@@ -24,22 +25,26 @@
   Talk(Field& f, int programs) : f_(f), fronts_(f.all(Part::gateway)), done_(static_cast<size_t>(programs)) {
     f.local = [this](Station&, const Envelope& e) {
       auto* x = std::get_if<ProgramResponse>(&e.body);
-      if (!x) return;
+      if (!x)
+        return;
       auto p = static_cast<size_t>(std::stoul(x->attempt));
       if (x->status == 200)
         ++done_[p];
       else
         f_.failures.push_back(std::to_string(x->status) + " " + x->reason);
-      if (done_[p] < upto_ && x->status == 200) ask(p);
+      if (done_[p] < upto_ && x->status == 200)
+        ask(p);
     };
     f.replica = [this](Station& s, const Envelope& e) {
-      if (auto* a = std::get_if<ReplicaCall>(&e.body)) serve(static_cast<size_t>(&s - f_.stations().data()), *a);
+      if (auto* a = std::get_if<ReplicaCall>(&e.body))
+        serve(static_cast<size_t>(&s - f_.stations().data()), *a);
     };
   }
   bool run(size_t upto) {
     upto_ = upto;
     for (size_t p = 0; p < done_.size(); ++p)
-      if (done_[p] < upto) ask(p);
+      if (done_[p] < upto)
+        ask(p);
     return f_.until(patience, [&] {
       return !f_.failures.empty() || std::all_of(done_.begin(), done_.end(), [&](auto n) { return n >= upto_; });
     });
@@ -78,7 +83,8 @@
       all += s;
       say(i, ReplicaCallChunk{a.attempt, static_cast<uint32_t>(i), s, turn_tokens / pieces});
     }
-    say(pieces, ReplicaCallResponse{a.attempt, true, 200, true, pieces, turn_tokens / pieces * pieces, digest(all), "", ""});
+    say(pieces,
+        ReplicaCallResponse{a.attempt, true, 200, true, pieces, turn_tokens / pieces * pieces, digest(all), "", ""});
   }
   Field& f_;
   std::vector<size_t> fronts_;
@@ -100,7 +106,8 @@
   f.until(patience, [&] { return f.fronts_in_touch(); });
   Talk t(f, programs);
   auto before = static_cast<size_t>(turns) - std::min<size_t>(static_cast<size_t>(turns), last_turns);
-  if (before) t.run(before);
+  if (before)
+    t.run(before);
   f.run(kStoreRetryInterval);
   f.forget();
   t.asked_bytes = 0;
@@ -112,7 +119,9 @@
     std::string who = name(p);
     Tally all;
     for (auto& [k, x] : s.out) {
-      if (k.starts_with("heartbeat") || k.starts_with("stream-partition") || k.starts_with("partition-checksum") || k.starts_with("list-histories")) continue;
+      if (k.starts_with("heartbeat") || k.starts_with("stream-partition") || k.starts_with("partition-checksum") ||
+          k.starts_with("list-histories"))
+        continue;
       all += x;
       r.counts[who + "." + k + ".msg"] = static_cast<double>(x.count) / asked;
       r.counts[who + "." + k + ".byte"] = static_cast<double>(x.bytes) / asked;
@@ -127,7 +136,8 @@
   r.counts["replica.ask.byte"] = static_cast<double>(t.asked_bytes) / asked;
   r.counts["turn.ms"] = static_cast<double>(f.now() - begun) / (static_cast<double>(turns) - before);
   r.counts["failures"] = static_cast<double>(f.failures.size());
-  for (auto& x : f.failures) fprintf(stderr, "conversation: %s\n", x.c_str());
+  for (auto& x : f.failures)
+    fprintf(stderr, "conversation: %s\n", x.c_str());
   return r;
 }
 
@@ -154,12 +164,14 @@
   auto n = static_cast<double>(f.all(Part::store).size()), seconds = kRepairMinimumAge / 1000.0;
   r.times["store.core_percent"] = static_cast<double>(s.nanos) / 1e7 / n / seconds;
   Tally wire;
-  for (auto& [k, x] : s.out) wire += x;
+  for (auto& [k, x] : s.out)
+    wire += x;
   r.counts["store.out.byte"] = static_cast<double>(wire.bytes) / n / seconds;
   auto& one = f.stations()[f.all(Part::store).front()];
   auto bytes = static_cast<StoreMachine&>(*one.machine).checkpoint().size();
   auto begun = clock();
-  for (int i = 0; i < 3; ++i) static_cast<StoreMachine&>(*one.machine).checkpoint();
+  for (int i = 0; i < 3; ++i)
+    static_cast<StoreMachine&>(*one.machine).checkpoint();
   r.times["checkpoint.ms"] = static_cast<double>(clock() - begun) * 1e3 / CLOCKS_PER_SEC / 3;
   r.counts["checkpoint.byte"] = static_cast<double>(bytes);
   r.counts["histories"] = static_cast<double>(static_cast<StoreMachine&>(*one.machine).history_count());
--- a/tools/scale/field.cpp
+++ b/tools/scale/field.cpp
@@ -5,9 +5,9 @@
 #include <algorithm>
 
 #include "consensus/controller_machine.hpp"
-#include "replication/agent_machine.hpp"
-#include "net/wire.hpp"
 #include "history/constants.hpp"
+#include "net/wire.hpp"
+#include "replication/agent_machine.hpp"
 #include "runtime/constants.hpp"
 
 namespace mosskeel::scale {
@@ -43,31 +43,38 @@
   for (size_t i = 0; i < v.size(); ++i) {
     auto& s = stations_[i];
     s.seat = v[i];
-    if (s.seat.part == Part::controller) s.checkpoint = mb;
-    if (s.seat.part == Part::store) s.checkpoint = rb;
+    if (s.seat.part == Part::controller)
+      s.checkpoint = mb;
+    if (s.seat.part == Part::store)
+      s.checkpoint = rb;
     by_addr_[s.seat.id.self.address] = i;
   }
   truth_[m.epoch] = digest(codec::pack(m));
-  for (size_t i = 0; i < v.size(); ++i) start(i);
+  for (size_t i = 0; i < v.size(); ++i)
+    start(i);
 }
 
 Station& Field::of(Part p, size_t n) {
   for (auto& s : stations_)
-    if (s.seat.part == p && n-- == 0) return s;
+    if (s.seat.part == p && n-- == 0)
+      return s;
   return stations_.front();
 }
 
 std::vector<size_t> Field::all(Part p) const {
   std::vector<size_t> v;
   for (size_t i = 0; i < stations_.size(); ++i)
-    if (stations_[i].seat.part == p) v.push_back(i);
+    if (stations_[i].seat.part == p)
+      v.push_back(i);
   return v;
 }
 
 void Field::start(size_t i, bool fresh) {
   auto& s = stations_[i];
-  if (s.machine) return;
-  if (fresh && diskless(s.seat.part)) s.seat.id.self.incarnation = Incarnation{dice_()};
+  if (s.machine)
+    return;
+  if (fresh && diskless(s.seat.part))
+    s.seat.id.self.incarnation = Incarnation{dice_()};
   s.seat.id.dice = dice_();
   s.life = ++lives_;
   s.seen = {};
@@ -104,7 +111,8 @@
 bool Field::until(Millis ms, const std::function<bool()>& ok) {
   auto end = now_ + ms;
   while (!items_.empty() && items_.begin()->first <= end) {
-    if (ok()) return true;
+    if (ok())
+      return true;
     now_ = std::max(now_, items_.begin()->first);
     auto& v = items_.begin()->second;
     for (size_t i = 0; i < v.size(); ++i) {
@@ -119,7 +127,8 @@
 
 void Field::deliver(const Event& e) {
   auto& s = stations_[static_cast<size_t>(e.to)];
-  if (!s.machine) return;
+  if (!s.machine)
+    return;
   act(s, timed(s, [&] { return s.machine->step(*e.e, now_); }));
 }
 
@@ -129,39 +138,50 @@
 
 void Field::tick(size_t i, uint64_t life) {
   auto& s = stations_[i];
-  if (s.life != life || !s.machine) return;
+  if (s.life != life || !s.machine)
+    return;
   act(s, timed(s, [&] { return s.machine->tick(now_); }));
   at(now_ + kTickInterval, [this, i, life] { tick(i, life); });
 }
 
 void Field::act(Station& s, Actions a) {
   if (auto v = s.machine->view(); v->epoch != s.seen) {
-    if (v->epoch < s.seen) failures.push_back(s.seat.id.self.address + " went back in epochs");
+    if (v->epoch < s.seen)
+      failures.push_back(s.seat.id.self.address + " went back in epochs");
     s.seen = v->epoch;
     if (s.seat.part == Part::gateway) {
-      if (took) took(s, s.seen);
+      if (took)
+        took(s, s.seen);
     } else if (s.seat.part == Part::controller || (s.seat.part == Part::store && s.seat.zone == 0)) {
       auto d = digest(codec::pack(*v));
       if (auto [k, fresh] = truth_.emplace(v->epoch, d); !fresh && k->second != d)
-        failures.push_back(s.seat.id.self.address + " holds another value at epoch " + std::to_string(v->epoch.v));
+        failures.push_back(s.seat.id.self.address + " holds another value at epoch " +
+                           std::to_string(v->epoch.value()));
     }
   }
-  for (auto& e : a.now) send(s, std::move(e));
+  for (auto& e : a.now)
+    send(s, std::move(e));
   if (diskless(s.seat.part) || (a.journal.empty() && !a.checkpoint && s.waiting.empty())) {
-    for (auto& e : a.synced) send(s, std::move(e));
+    for (auto& e : a.synced)
+      send(s, std::move(e));
   } else if (!a.journal.empty() || !a.synced.empty() || a.checkpoint) {
-    for (auto& j : a.journal) s.t.journal += j.size();
-    if (a.checkpoint) ++s.t.checkpoints, s.t.checkpoint_bytes += a.checkpoint->size();
+    for (auto& j : a.journal)
+      s.t.journal += j.size();
+    if (a.checkpoint)
+      ++s.t.checkpoints, s.t.checkpoint_bytes += a.checkpoint->size();
     s.waiting.push_back({std::move(a.journal), std::move(a.checkpoint), std::move(a.synced)});
-    if (!s.in_flight) begin_sync(s);
+    if (!s.in_flight)
+      begin_sync(s);
   }
-  if (a.stop) stop(index(s));
+  if (a.stop)
+    stop(index(s));
 }
 
 void Field::begin_sync(Station& s) {
   s.in_flight = s.waiting.size();
   at(now_ + sync_time, [this, i = index(s), life = s.life] {
-    if (auto& x = stations_[i]; x.life == life && x.machine) flush(x);
+    if (auto& x = stations_[i]; x.life == life && x.machine)
+      flush(x);
   });
 }
 
@@ -171,55 +191,76 @@
   for (; s.in_flight; --s.in_flight) {
     auto b = std::move(s.waiting.front());
     s.waiting.pop_front();
-    for (auto& j : b.journal) s.synced.push_back(std::move(j));
-    if (b.checkpoint) s.checkpoint = std::move(b.checkpoint), s.synced.clear();
-    for (auto& e : b.sends) sends.push_back(std::move(e));
+    for (auto& j : b.journal)
+      s.synced.push_back(std::move(j));
+    if (b.checkpoint)
+      s.checkpoint = std::move(b.checkpoint), s.synced.clear();
+    for (auto& e : b.sends)
+      sends.push_back(std::move(e));
   }
-  if (!s.waiting.empty()) begin_sync(s);
-  for (auto& e : sends) send(s, std::move(e));
+  if (!s.waiting.empty())
+    begin_sync(s);
+  for (auto& e : sends)
+    send(s, std::move(e));
 }
 
 /// The encoded size; of messages that go to many, it is worked out once and the addresses' lengths are put in.
 size_t Field::size_of(const Envelope& e) {
   auto ends = e.from.size() + e.to.size();
   uint64_t key = 0;
-  if (auto* d = std::get_if<Decided>(&e.body)) key = d->entry.epoch.v * 4 + 1;
-  if (auto* h = std::get_if<HeartbeatReply>(&e.body); h && h->checkpoint) key = h->checkpoint->epoch.v * 4 + 2;
-  if (auto* c = std::get_if<CatchupReply>(&e.body); c && c->checkpoint) key = c->checkpoint->epoch.v * 4 + 3;
-  if (!key) return encode(e).size();
+  if (auto* d = std::get_if<Decided>(&e.body))
+    key = d->entry.epoch.value() * 4 + 1;
+  if (auto* h = std::get_if<HeartbeatReply>(&e.body); h && h->checkpoint)
+    key = h->checkpoint->epoch.value() * 4 + 2;
+  if (auto* c = std::get_if<CatchupReply>(&e.body); c && c->checkpoint)
+    key = c->checkpoint->epoch.value() * 4 + 3;
+  if (!key)
+    return encode(e).size();
   auto [i, fresh] = sizes_.emplace(key, 0);
-  if (fresh) i->second = encode(e).size() - ends;
+  if (fresh)
+    i->second = encode(e).size() - ends;
   return i->second + ends;
 }
 
 void Field::send(Station& s, Envelope e) {
-  if (e.to.starts_with("local:")) return local ? local(s, e) : void();
-  if (e.to.starts_with("replica:")) return replica ? replica(s, e) : void();
+  if (e.to.starts_with("local:"))
+    return local ? local(s, e) : void();
+  if (e.to.starts_with("replica:"))
+    return replica ? replica(s, e) : void();
   auto k = kind_name(e.body);
   Tally t{1, size_of(e)};
   bool loop = e.to == s.seat.id.self.address || e.to == s.seat.beside;
   (loop ? s.t.loop : s.t.out)[k] += t;
   auto i = by_addr_.find(e.to);
-  if (i == by_addr_.end()) return;
+  if (i == by_addr_.end())
+    return;
   auto& to = stations_[i->second];
-  if (!to.machine || (!loop && cut && cut(s, to))) return;
-  if (!loop) to.t.in[k] += t;
+  if (!to.machine || (!loop && cut && cut(s, to)))
+    return;
+  if (!loop)
+    to.t.in[k] += t;
   Millis d = loop ? 0 : s.seat.zone == to.seat.zone ? near_delay : zone_delay;
-  if (s.seat.region != to.seat.region) d = region_delay;
+  if (s.seat.region != to.seat.region)
+    d = region_delay;
   items_[now_ + d].push_back({static_cast<int>(i->second), 0, std::make_shared<const Envelope>(std::move(e)), nullptr});
 }
 
 void Field::forget() {
-  for (auto& s : stations_) s.t = {};
+  for (auto& s : stations_)
+    s.t = {};
 }
 
 Tallies Field::sum(Part p) const {
   Tallies r;
   for (auto& s : stations_) {
-    if (s.seat.part != p) continue;
-    for (auto& [k, t] : s.t.out) r.out[k] += t;
-    for (auto& [k, t] : s.t.in) r.in[k] += t;
-    for (auto& [k, t] : s.t.loop) r.loop[k] += t;
+    if (s.seat.part != p)
+      continue;
+    for (auto& [k, t] : s.t.out)
+      r.out[k] += t;
+    for (auto& [k, t] : s.t.in)
+      r.in[k] += t;
+    for (auto& [k, t] : s.t.loop)
+      r.loop[k] += t;
     r.nanos += s.t.nanos, r.journal += s.t.journal, r.syncs += s.t.syncs;
     r.checkpoints += s.t.checkpoints, r.checkpoint_bytes += s.t.checkpoint_bytes;
   }
@@ -230,8 +271,10 @@
   uint64_t most = 0;
   for (auto& s : stations_) {
     uint64_t n = 0;
-    for (auto& [k, t] : out ? s.t.out : s.t.in) n += t.bytes;
-    if (s.seat.part == p) most = std::max(most, n);
+    for (auto& [k, t] : out ? s.t.out : s.t.in)
+      n += t.bytes;
+    if (s.seat.part == p)
+      most = std::max(most, n);
   }
   return most;
 }
--- a/tools/scale/field.hpp
+++ b/tools/scale/field.hpp
@@ -2,10 +2,10 @@
 // A world of the daemons' own machines on virtual time that counts every message and the processor time of each step.
 #include <unordered_map>
 
-#include "programs/gateway_machine.hpp"
 #include "history/store_machine.hpp"
-#include "scale/plan.hpp"
+#include "programs/gateway_machine.hpp"
 #include "runtime/constants.hpp"
+#include "scale/plan.hpp"
 
 namespace mosskeel::scale {
 
--- a/tools/scale/fleet.cpp
+++ b/tools/scale/fleet.cpp
@@ -5,10 +5,10 @@
 #include <sstream>
 #include <thread>
 
-#include "base/log.hpp"
 #include "base/json.hpp"
-#include "scale/run.hpp"
+#include "base/log.hpp"
 #include "replication/constants.hpp"
+#include "scale/run.hpp"
 
 namespace mosskeel::scale {
 namespace {
@@ -24,7 +24,8 @@
 
 std::string numbers(int from, int to) {
   std::string s;
-  for (int i = from; i < to; ++i) s += " " + std::to_string(i);
+  for (int i = from; i < to; ++i)
+    s += " " + std::to_string(i);
   return s;
 }
 
@@ -38,11 +39,14 @@
 }
 
 int Run::play() {
-  if (auto f = cluster_.start_all(); !f.empty()) return fail(render(f)), 2;
-  if (auto f = voice_.open(); !f.empty()) return fail(render(f)), 2;
+  if (auto f = cluster_.start_all(); !f.empty())
+    return fail(to_string(f)), 2;
+  if (auto f = voice_.open(); !f.empty())
+    return fail(to_string(f)), 2;
   auto hollow = a_;
   hollow.plan.daemons -= real_stores + real_fronts;
-  for (int i = 0; i < hollow.plan.daemons; i += a_.many) crews_.push_back(std::make_unique<Crew>(hollow, i));
+  for (int i = 0; i < hollow.plan.daemons; i += a_.many)
+    crews_.push_back(std::make_unique<Crew>(hollow, i));
   founding();
   first_configuration();
   at_rest("rest");
@@ -72,10 +76,13 @@
 
 bool Run::calm(size_t daemons) {
   auto v = voice_.view();
-  if (!v->cluster || !v->sequences.empty() || !v->incoming_quorum_members.empty() || eligible_quorum_members(*v) != v->quorum_members) return false;
+  if (!v->cluster || !v->sequences.empty() || !v->incoming_quorum_members.empty() ||
+      eligible_quorum_members(*v) != v->quorum_members)
+    return false;
   size_t up = 0;
   for (auto& [id, d] : v->directory) {
-    if (d.state == DaemonState::registered || d.state == DaemonState::draining) return false;
+    if (d.state == DaemonState::registered || d.state == DaemonState::draining)
+      return false;
     up += d.state == DaemonState::up;
   }
   return up == daemons;
@@ -103,22 +110,25 @@
     put("founding", "to_" + std::to_string(n) + ".ms", static_cast<double>(until_calm("founding", n)));
   }
   put("founding", "ms", static_cast<double>(machine_now() - begun));
-  put("founding", "epochs", static_cast<double>(voice_.view()->epoch.v));
+  put("founding", "epochs", static_cast<double>(voice_.view()->epoch.value()));
 }
 
 void Run::first_configuration() {
   auto r = voice_.commit(UpdateReplicas{replicas(a_.plan), {}});
-  if (!r.yes) fail("the list of replicas: " + r.reason);
+  if (!r.yes)
+    fail("the list of replicas: " + r.reason);
   put("configuration", "replicas.ack.ms", static_cast<double>(r.acked - r.begun));
   auto v = voice_.view();
   auto m = configuration(a_.plan);
   r = voice_.commit(ApplyConfiguration{v->revision, m, {}});
-  if (!r.yes) fail("the first configuration: " + r.reason);
+  if (!r.yes)
+    fail("the first configuration: " + r.reason);
   put("configuration", "configuration.ack.ms", static_cast<double>(r.acked - r.begun));
   wait(kIsolationTimeout);
   v = voice_.view();
   for (auto& [k, n] : tables(*v))
-    if (n > 1000) put("configuration", "bytes." + k, static_cast<double>(n));
+    if (n > 1000)
+      put("configuration", "bytes." + k, static_cast<double>(n));
   put("configuration", "bytes.json", static_cast<double>(json::write(m).dump().size()));
 }
 
@@ -134,7 +144,8 @@
     return n;
   };
   std::map<std::string, Use> before;
-  for (auto& p : cluster_.list()) before[p.name] = use_of(p.pid);
+  for (auto& p : cluster_.list())
+    before[p.name] = use_of(p.pid);
   auto n = sent();
   auto begun = machine_now();
   wait(rest_window);
@@ -161,12 +172,14 @@
     v.clear();
     bool whole = true;
     for (auto& c : crews_) {
-      std::istringstream s(c->ask("known " + std::to_string(e.v)));
-      for (Millis x; s >> x;) whole = whole && x >= 0, v.push_back(static_cast<double>(x - begun));
+      std::istringstream s(c->ask("known " + std::to_string(e.value())));
+      for (Millis x; s >> x;)
+        whole = whole && x >= 0, v.push_back(static_cast<double>(x - begun));
     }
-    if (whole) break;
+    if (whole)
+      break;
     if (machine_now() > until) {
-      fail("epoch " + std::to_string(e.v) + " is not in force everywhere");
+      fail("epoch " + std::to_string(e.value()) + " is not in force everywhere");
       break;
     }
     wait(look);
@@ -180,7 +193,8 @@
   auto m = v->configuration;
   m.cells[0].budget += 1;
   auto r = voice_.commit(ApplyConfiguration{v->revision, m, {}});
-  if (r.yes) promised_ = std::max(promised_, voice_.view()->revision);
+  if (r.yes)
+    promised_ = std::max(promised_, voice_.view()->revision);
   return r;
 }
 
@@ -199,17 +213,23 @@
   }
   distribution("change", every);
   std::sort(acks.begin(), acks.end());
-  if (!acks.empty()) put("change", "ack.ms.p50", acks[acks.size() / 2]), put("change", "ack.ms.max", acks.back());
+  if (!acks.empty())
+    put("change", "ack.ms.p50", acks[acks.size() / 2]), put("change", "ack.ms.max", acks.back());
 }
 
 void Run::distribution(const std::string& step, std::vector<double> v) {
-  if (v.empty()) return;
+  if (v.empty())
+    return;
   std::sort(v.begin(), v.end());
-  auto at = [&](double q) { return v[static_cast<size_t>(q * static_cast<double>(v.size() - 1))]; };
+  auto at = [&](double q) {
+    return v[static_cast<size_t>(q * static_cast<double>(v.size() - 1))];
+  };
   put(step, "in_force.samples", static_cast<double>(v.size()));
-  for (auto q : {0.5, 0.95, 0.99, 1.0}) put(step, "in_force.ms.p" + std::to_string(static_cast<int>(q * 100)), at(q));
+  for (auto q : {0.5, 0.95, 0.99, 1.0})
+    put(step, "in_force.ms.p" + std::to_string(static_cast<int>(q * 100)), at(q));
   Curve c{step, {}};
-  for (int i = 0; i <= 100; ++i) c.points.push_back({at(i / 100.0), static_cast<double>(i)});
+  for (int i = 0; i <= 100; ++i)
+    c.points.push_back({at(i / 100.0), static_cast<double>(i)});
   curves_.push_back(c);
   write_svg(a_.out + "/in_force.svg", "A change in force at the hollow daemons", "ms after it was asked for",
             "per cent of the daemons", curves_);
--- a/tools/scale/hollow.cpp
+++ b/tools/scale/hollow.cpp
@@ -7,14 +7,14 @@
 #include <sstream>
 #include <thread>
 
-#include "replication/agent_machine.hpp"
-#include "runtime/host.hpp"
-#include "net/transport.hpp"
 #include "base/queue.hpp"
-#include "scale/fleet.hpp"
+#include "net/transport.hpp"
 #include "programs/constants.hpp"
+#include "replication/agent_machine.hpp"
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
+#include "runtime/host.hpp"
+#include "scale/fleet.hpp"
 
 namespace mosskeel::scale {
 namespace {
@@ -36,7 +36,8 @@
  public:
   Hollows(const FleetAsk& a, int first) {
     auto p = a.plan;
-    for (int i = 0; i < 3; ++i) seeds_.push_back(local_port(a, 2 * i));
+    for (int i = 0; i < 3; ++i)
+      seeds_.push_back(local_port(a, 2 * i));
     for (int i = first; i < std::min(first + a.many, p.daemons); ++i) {
       auto h = std::make_unique<Hollow>();
       h->at = local_port(a, hollow_ports + i);
@@ -45,11 +46,12 @@
       v_.push_back(std::move(h));
     }
   }
-  Findings open() {
+  Errors open() {
     for (size_t i = 0; i < v_.size(); ++i) {
       auto p = Transport::open(v_[i]->at, [this, i](Envelope e, size_t) { in_.push({i, std::move(e)}); });
-      if (!ok(p)) return findings(p);
-      v_[i]->post = std::move(std::get<0>(p));
+      if (!p.ok())
+        return p.errors();
+      v_[i]->post = std::move(p).value();
     }
     return {};
   }
@@ -59,7 +61,8 @@
       auto now = process_now();
       if (now >= next) {
         next = now + kTickInterval;
-        for (size_t i = 0; i < v_.size(); ++i) tick(i, now);
+        for (size_t i = 0; i < v_.size(); ++i)
+          tick(i, now);
       }
       for (auto& x : in_.take(std::max<Millis>(1, next - process_now()))) {
         if (x.second.from.empty())
@@ -80,7 +83,8 @@
   bool cut(const Address& a) const { return cut_.count(a) > 0; }
   void start(size_t i) {
     auto& h = *v_[i];
-    if (h.machine) return;
+    if (h.machine)
+      return;
     Identity id{{Incarnation{dice_()}, Role::front, h.zone, h.at, h.shadow, ""}, seeds_, 0, dice_()};
     h.self = {Incarnation{dice_()}, Role::front, h.zone, h.shadow, h.at, h.shadow, "hollow-" + std::to_string(i)};
     h.machine = std::make_unique<AgentMachine>(id, process_now());
@@ -89,7 +93,8 @@
   }
   void tick(size_t i, Millis now) {
     auto& h = *v_[i];
-    if (!h.machine) return;
+    if (!h.machine)
+      return;
     if (now >= h.next_beat) {
       h.next_beat = now + kAgentHeartbeatInterval;
       auto v = h.machine->view();
@@ -107,12 +112,16 @@
   void act(size_t i, Actions a) {
     auto& h = *v_[i];
     auto v = h.machine->view();
-    if (v->epoch < h.seen) ++broken_;
-    if (v->epoch != h.seen) h.known[h.seen = v->epoch] = machine_now();
-    if (h.known.size() > kLogEntriesKept) h.known.erase(h.known.begin());
+    if (v->epoch < h.seen)
+      ++broken_;
+    if (v->epoch != h.seen)
+      h.known[h.seen = v->epoch] = machine_now();
+    if (h.known.size() > kLogEntriesKept)
+      h.known.erase(h.known.begin());
     for (auto* x : {&a.now, &a.synced})
       for (auto& e : *x)
-        if (e.to != h.shadow && !cut(e.to)) h.post->send(e);
+        if (e.to != h.shadow && !cut(e.to))
+          h.post->send(e);
   }
   void command(const std::string& line) {
     std::istringstream s(line);
@@ -121,26 +130,31 @@
     std::ostringstream o;
     if (w == "start" || w == "stop") {
       for (size_t i; s >> i;)
-        if (i < v_.size()) w == "start" ? start(i) : v_[i]->machine.reset();
+        if (i < v_.size())
+          w == "start" ? start(i) : v_[i]->machine.reset();
       o << "ok";
     } else if (w == "cut") {
       cut_.clear();
-      for (Address x; s >> x;) cut_.insert(x);
+      for (Address x; s >> x;)
+        cut_.insert(x);
       o << "ok";
     } else if (w == "known") {
       uint64_t e = 0;
       s >> e;
       for (auto& h : v_) {
-        if (!h->machine) continue;
+        if (!h->machine)
+          continue;
         auto k = h->known.lower_bound(Epoch{e});
         o << (k == h->known.end() ? -1 : k->second) << " ";
       }
     } else if (w == "values") {
       for (auto& h : v_)
-        if (h->machine) o << h->seen.v << ":" << fingerprint(*h->machine->view()) << " ";
+        if (h->machine)
+          o << h->seen.value() << ":" << fingerprint(*h->machine->view()) << " ";
     } else if (w == "state") {
       uint64_t sent = 0, dropped = 0;
-      for (auto& h : v_) sent += h->post->sent(), dropped += h->post->dropped();
+      for (auto& h : v_)
+        sent += h->post->sent(), dropped += h->post->dropped();
       o << sent << " " << dropped << " " << broken_;
     }
     printf("%s\n", o.str().c_str());
@@ -169,9 +183,11 @@
 
 int be_hollow(const FleetAsk& a, int first) {
   Hollows h(a, first);
-  if (auto f = h.open(); !f.empty()) return fprintf(stderr, "hollow: %s\n", render(f).c_str()), 2;
+  if (auto f = h.open(); !f.empty())
+    return fprintf(stderr, "hollow: %s\n", to_string(f).c_str()), 2;
   std::thread t([&] { h.run(); });
-  for (std::string line; std::getline(std::cin, line) && line != "quit";) h.say(line);
+  for (std::string line; std::getline(std::cin, line) && line != "quit";)
+    h.say(line);
   h.stop();
   t.join();
   return 0;
--- a/tools/scale/main.cpp
+++ b/tools/scale/main.cpp
@@ -40,13 +40,16 @@
   a.out = f.out = out ? out : "";
   a.only = only ? only : "";
   f.bin = std::filesystem::read_symlink("/proc/self/exe").parent_path();
-  if (w == "hollow") return scale::be_hollow(f, hollow);
+  if (w == "hollow")
+    return scale::be_hollow(f, hollow);
   if (w == "rows") {
     for (int n : {10, 40, 100, 340})
-      if (n <= a.largest) printf("%s\n", scale::page_row(n, 1).c_str()), fflush(stdout);
+      if (n <= a.largest)
+        printf("%s\n", scale::page_row(n, 1).c_str()), fflush(stdout);
     return 0;
   }
-  if (a.out.empty() || (w != "slopes" && w != "fleet")) return poptPrintUsage(c, stderr, 0), 2;
+  if (a.out.empty() || (w != "slopes" && w != "fleet"))
+    return poptPrintUsage(c, stderr, 0), 2;
   std::filesystem::create_directories(a.out);
   return w == "slopes" ? scale::slopes(a) : scale::fleet(f);
 }
--- a/tools/scale/plan.cpp
+++ b/tools/scale/plan.cpp
@@ -9,7 +9,9 @@
 
 /// Addresses have the length that they have in a cluster.
 Address address(size_t zone, size_t n, int port) {
-  auto part = [](size_t x) { return std::to_string(100 + x) + "."; };
+  auto part = [](size_t x) {
+    return std::to_string(100 + x) + ".";
+  };
   auto last = part(n % 100);
   last.back() = ':';
   return "10." + part(zone) + part(n / 100) + last + std::to_string(port);
@@ -27,8 +29,10 @@
   auto role = part == Part::controller ? Role::controller : part == Part::store ? Role::store : Role::front;
   auto port = 7000 + 10 * static_cast<int>(part);
   auto listen_address = address(s.zone, n, port);
-  if (part == Part::agent) s.beside = address(s.zone, n, 7000 + 10 * static_cast<int>(Part::gateway));
-  if (part == Part::gateway) s.beside = address(s.zone, n, 7000 + 10 * static_cast<int>(Part::agent));
+  if (part == Part::agent)
+    s.beside = address(s.zone, n, 7000 + 10 * static_cast<int>(Part::gateway));
+  if (part == Part::gateway)
+    s.beside = address(s.zone, n, 7000 + 10 * static_cast<int>(Part::agent));
   s.id.self = {Incarnation{incarnation},
                role,
                zone_name(s.zone),
@@ -50,15 +54,22 @@
 
 std::vector<Seat> seats(const Plan& p, uint64_t seed) {
   std::vector<Seat> v;
-  auto incarnation = [&] { return digest("seat", seed * 1000003 + v.size()); };
-  for (int i = 0; i < p.controllers; ++i) v.push_back(seat(p, Part::controller, static_cast<size_t>(i), incarnation()));
+  auto incarnation = [&] {
+    return digest("seat", seed * 1000003 + v.size());
+  };
+  for (int i = 0; i < p.controllers; ++i)
+    v.push_back(seat(p, Part::controller, static_cast<size_t>(i), incarnation()));
   Addresses seeds;
   for (auto& s : v)
-    if (seeds.size() < 3) seeds.push_back(s.id.self.listen_address);
-  for (int i = 0; i < p.stores(); ++i) v.push_back(seat(p, Part::store, static_cast<size_t>(i), incarnation()));
+    if (seeds.size() < 3)
+      seeds.push_back(s.id.self.address);
+  for (int i = 0; i < p.stores(); ++i)
+    v.push_back(seat(p, Part::store, static_cast<size_t>(i), incarnation()));
   for (int i = 0; i < p.fronts(); ++i)
-    for (auto part : {Part::agent, Part::gateway}) v.push_back(seat(p, part, static_cast<size_t>(i), incarnation()));
-  for (auto& s : v) s.id.seeds = seeds;
+    for (auto part : {Part::agent, Part::gateway})
+      v.push_back(seat(p, part, static_cast<size_t>(i), incarnation()));
+  for (auto& s : v)
+    s.id.seeds = seeds;
   return v;
 }
 
@@ -68,7 +79,9 @@
 
 Configuration configuration(const Plan& p) {
   Configuration m;
-  auto n = [](const char* s, int i) { return s + std::to_string(10000 + i); };
+  auto n = [](const char* s, int i) {
+    return s + std::to_string(10000 + i);
+  };
   for (int i = 0; i < p.cells; ++i)
     m.cells.push_back({n("tenant-", i), 360000, 8192, 3600000, {{"chat", "model", {}}}});
   for (int i = 0; i < p.services; ++i)
@@ -106,26 +119,33 @@
   Metadata m{};
   auto step = [&](Transformation t) {
     auto r = apply(m, {next(m.epoch), "", std::move(t)});
-    if (!ok(r)) throw std::runtime_error(render(findings(r)));
-    m = value(r);
+    if (!r.ok())
+      throw std::runtime_error(to_string(r.errors()));
+    m = r.value();
   };
   FoundCluster f{digest("cluster"), static_cast<uint32_t>(p.controllers), {}, 0, 0};
   for (auto& s : all)
-    if (s.part == Part::controller) f.members.push_back(s.id.self);
+    if (s.part == Part::controller)
+      f.members.push_back(s.id.self);
   step(f);
-  if (p.slots) m.partitions.resize(static_cast<size_t>(p.slots));
+  if (p.slots)
+    m.partitions.resize(static_cast<size_t>(p.slots));
   for (auto& s : all)
-    if (s.part == Part::store || s.part == Part::gateway) step(Register{s.id.self});
+    if (s.part == Part::store || s.part == Part::gateway)
+      step(Register{s.id.self});
   for (auto& [id, d] : Directory(m.directory))
     if (d.self.role != Role::controller) {
       step(PrepareJoin{id});
-      for (auto x : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}) step(AdvanceSequence{id, x});
+      for (auto x : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish})
+        step(AdvanceSequence{id, x});
     }
   step(BeginQuorumChange{});
   step(FinishQuorumChange{m.epoch});
   step(ApplyConfiguration{m.revision, configuration(p), {}});
-  if (p.replicas) step(UpdateReplicas{replicas(p), {}});
-  for (int i = 0; i < p.remembered; ++i) m.applied_commits.push_back({"op-" + hex(digest("id", i)), m.epoch});
+  if (p.replicas)
+    step(UpdateReplicas{replicas(p), {}});
+  for (int i = 0; i < p.remembered; ++i)
+    m.applied_commits.push_back({"op-" + hex(digest("id", i)), m.epoch});
   for (int i = 0; i < p.left; ++i) {
     Seat s = seat(p, Part::gateway, static_cast<size_t>(i % p.daemons), digest("left", i));
     DaemonId id{m.next_id++};
--- a/tools/scale/report.cpp
+++ b/tools/scale/report.cpp
@@ -20,12 +20,14 @@
 
 Fit fit(const std::vector<std::pair<double, double>>& v) {
   double n = static_cast<double>(v.size()), sx = 0, sy = 0, sxx = 0, sxy = 0;
-  for (auto& [x, y] : v) sx += x, sy += y, sxx += x * x, sxy += x * y;
+  for (auto& [x, y] : v)
+    sx += x, sy += y, sxx += x * x, sxy += x * y;
   auto d = n * sxx - sx * sx;
   Fit f;
   f.slope = d > 0 ? (n * sxy - sx * sy) / d : 0;
   f.base = n > 0 ? (sy - f.slope * sx) / n : 0;
-  for (auto& [x, y] : v) f.off = std::max(f.off, std::abs(y - f.base - f.slope * x));
+  for (auto& [x, y] : v)
+    f.off = std::max(f.off, std::abs(y - f.base - f.slope * x));
   return f;
 }
 
@@ -33,9 +35,11 @@
                                               const std::string& figure) {
   std::vector<std::pair<double, double>> v;
   for (auto& r : rows) {
-    if (r.what != what) continue;
+    if (r.what != what)
+      continue;
     for (auto* m : {&r.counts, &r.times})
-      if (auto i = m->find(figure); i != m->end()) v.push_back({r.size, i->second});
+      if (auto i = m->find(figure); i != m->end())
+        v.push_back({r.size, i->second});
   }
   std::sort(v.begin(), v.end());
   return v;
@@ -44,12 +48,14 @@
 void write_csv(const std::string& file, const std::vector<Row>& rows, bool times) {
   std::map<std::tuple<std::string, double, std::string>, std::vector<double>> v;
   for (auto& r : rows)
-    for (auto& [k, x] : times ? r.times : r.counts) v[{r.what, r.size, k}].push_back(x);
+    for (auto& [k, x] : times ? r.times : r.counts)
+      v[{r.what, r.size, k}].push_back(x);
   std::ofstream o(file);
   o << "experiment,size,figure,seeds,least,most\n";
   for (auto& [k, x] : v) {
     auto [least, most] = std::minmax_element(x.begin(), x.end());
-    if (*least == 0 && *most == 0) continue;
+    if (*least == 0 && *most == 0)
+      continue;
     o << std::get<0>(k) << "," << std::get<1>(k) << "," << std::get<2>(k) << "," << x.size() << "," << *least << ","
       << *most << "\n";
   }
@@ -59,11 +65,18 @@
                const std::vector<Curve>& curves) {
   double mx = 0, my = 0;
   for (auto& c : curves)
-    for (auto& [a, b] : c.points) mx = std::max(mx, a), my = std::max(my, b);
-  if (mx <= 0) mx = 1;
-  if (my <= 0) my = 1;
-  auto px = [&](double a) { return left + a / mx * (width - left - right); };
-  auto py = [&](double b) { return height - bottom - b / my * (height - top - bottom); };
+    for (auto& [a, b] : c.points)
+      mx = std::max(mx, a), my = std::max(my, b);
+  if (mx <= 0)
+    mx = 1;
+  if (my <= 0)
+    my = 1;
+  auto px = [&](double a) {
+    return left + a / mx * (width - left - right);
+  };
+  auto py = [&](double b) {
+    return height - bottom - b / my * (height - top - bottom);
+  };
   std::ofstream o(file);
   o.precision(5);
   o << "<svg xmlns='http://www.w3.org/2000/svg' width='" << width << "' height='" << height
@@ -82,7 +95,8 @@
   for (size_t i = 0; i < curves.size(); ++i) {
     auto* c = colours[i % std::size(colours)];
     o << "<polyline fill='none' stroke='" << c << "' stroke-width='2' points='";
-    for (auto& [a, b] : curves[i].points) o << px(a) << "," << py(b) << " ";
+    for (auto& [a, b] : curves[i].points)
+      o << px(a) << "," << py(b) << " ";
     o << "'/>\n";
     for (auto& [a, b] : curves[i].points)
       o << "<circle cx='" << px(a) << "' cy='" << py(b) << "' r='3' fill='" << c << "'/>\n";
--- a/tools/scale/slopes.cpp
+++ b/tools/scale/slopes.cpp
@@ -25,7 +25,8 @@
 std::vector<Experiment> experiments(int largest) {
   std::vector<double> fleet;
   for (auto n : {10.0, 40.0, 100.0, 200.0, 340.0})
-    if (n <= largest) fleet.push_back(n);
+    if (n <= largest)
+      fleet.push_back(n);
   auto of = [](auto set) {
     return [set](double x) {
       auto p = base();
@@ -40,18 +41,64 @@
   auto slots = of([](Plan& p, int n) { p.slots = n; });
   auto left = of([](Plan& p, int n) { p.left = n; });
   std::vector<Experiment> v{
-      {"rest.daemons", fleet, [=](double x, uint64_t s) { return at_rest(daemons(x), s, x); }},
-      {"rest.replicas", {20, 200, 600}, [=](double x, uint64_t s) { return at_rest(replicas(x), s, x); }},
-      {"rest.cells", {100, 1000, 18000}, [=](double x, uint64_t s) { return at_rest(cells(x), s, x); }},
-      {"change.daemons", fleet, [=](double x, uint64_t s) { return change(daemons(x), s, x); }},
-      {"change.cells", {100, 1000, 18000}, [=](double x, uint64_t s) { return change(cells(x), s, x); }},
-      {"change.paths", {10, 200, 2000}, [=](double x, uint64_t s) { return change(paths(x), s, x); }},
-      {"value.daemons", {10, 40, 100, 340}, [=](double x, uint64_t s) { return whole_value(daemons(x), s, x); }},
-      {"value.replicas", {20, 200, 600}, [=](double x, uint64_t s) { return whole_value(replicas(x), s, x); }},
-      {"value.cells", {100, 1000, 18000}, [=](double x, uint64_t s) { return whole_value(cells(x), s, x); }},
-      {"value.paths", {10, 200, 2000}, [=](double x, uint64_t s) { return whole_value(paths(x), s, x); }},
-      {"value.slots", {64, 256, 1024}, [=](double x, uint64_t s) { return whole_value(slots(x), s, x); }},
-      {"value.left", {0, 1000, 10000}, [=](double x, uint64_t s) { return whole_value(left(x), s, x); }},
+      {"rest.daemons", fleet,
+       [=](double x, uint64_t s) {
+         return at_rest(daemons(x), s, x);
+       }},
+      {"rest.replicas",
+       {20, 200, 600},
+       [=](double x, uint64_t s) {
+         return at_rest(replicas(x), s, x);
+       }},
+      {"rest.cells",
+       {100, 1000, 18000},
+       [=](double x, uint64_t s) {
+         return at_rest(cells(x), s, x);
+       }},
+      {"change.daemons", fleet,
+       [=](double x, uint64_t s) {
+         return change(daemons(x), s, x);
+       }},
+      {"change.cells",
+       {100, 1000, 18000},
+       [=](double x, uint64_t s) {
+         return change(cells(x), s, x);
+       }},
+      {"change.paths",
+       {10, 200, 2000},
+       [=](double x, uint64_t s) {
+         return change(paths(x), s, x);
+       }},
+      {"value.daemons",
+       {10, 40, 100, 340},
+       [=](double x, uint64_t s) {
+         return whole_value(daemons(x), s, x);
+       }},
+      {"value.replicas",
+       {20, 200, 600},
+       [=](double x, uint64_t s) {
+         return whole_value(replicas(x), s, x);
+       }},
+      {"value.cells",
+       {100, 1000, 18000},
+       [=](double x, uint64_t s) {
+         return whole_value(cells(x), s, x);
+       }},
+      {"value.paths",
+       {10, 200, 2000},
+       [=](double x, uint64_t s) {
+         return whole_value(paths(x), s, x);
+       }},
+      {"value.slots",
+       {64, 256, 1024},
+       [=](double x, uint64_t s) {
+         return whole_value(slots(x), s, x);
+       }},
+      {"value.left",
+       {0, 1000, 10000},
+       [=](double x, uint64_t s) {
+         return whole_value(left(x), s, x);
+       }},
       {"value.target",
        {1},
        [](double x, uint64_t s) {
@@ -75,15 +122,37 @@
        }},
       {"turns.turns",
        {1, 10, 50, 250},
-       [](double x, uint64_t s) { return conversation(4, static_cast<int>(x), s, x); }},
+       [](double x, uint64_t s) {
+         return conversation(4, static_cast<int>(x), s, x);
+       }},
       {"turns.programs",
        {4, 40, 400},
-       [](double x, uint64_t s) { return conversation(static_cast<int>(x), 10, s, x); }},
-      {"histories.histories", {100, 1000, 4000}, [](double x, uint64_t s) { return stored_histories(static_cast<int>(x), 4, s, x); }},
-      {"histories.turns", {1, 10, 50}, [](double x, uint64_t s) { return stored_histories(200, static_cast<int>(x), s, x); }},
-      {"newcomer.daemons", fleet, [=](double x, uint64_t s) { return newcomer(daemons(x), s, x); }},
-      {"newcomer.cells", {100, 1000, 18000}, [=](double x, uint64_t s) { return newcomer(cells(x), s, x); }},
-      {"restarts.daemons", fleet, [=](double x, uint64_t s) { return restarts(daemons(x), 5, s, x); }},
+       [](double x, uint64_t s) {
+         return conversation(static_cast<int>(x), 10, s, x);
+       }},
+      {"histories.histories",
+       {100, 1000, 4000},
+       [](double x, uint64_t s) {
+         return stored_histories(static_cast<int>(x), 4, s, x);
+       }},
+      {"histories.turns",
+       {1, 10, 50},
+       [](double x, uint64_t s) {
+         return stored_histories(200, static_cast<int>(x), s, x);
+       }},
+      {"newcomer.daemons", fleet,
+       [=](double x, uint64_t s) {
+         return newcomer(daemons(x), s, x);
+       }},
+      {"newcomer.cells",
+       {100, 1000, 18000},
+       [=](double x, uint64_t s) {
+         return newcomer(cells(x), s, x);
+       }},
+      {"restarts.daemons", fleet,
+       [=](double x, uint64_t s) {
+         return restarts(daemons(x), 5, s, x);
+       }},
       {"row_of_130_restarts",
        {static_cast<double>(std::min(largest, 340))},
        [=](double x, uint64_t s) {
@@ -91,8 +160,14 @@
          p.replicas = 600;
          return restarts(p, 130, s, x);
        }},
-      {"zone.daemons", fleet, [=](double x, uint64_t s) { return zone_lost(daemons(x), s, x); }},
-      {"region.daemons", fleet, [=](double x, uint64_t s) { return region_cut(daemons(x), 5, s, x); }},
+      {"zone.daemons", fleet,
+       [=](double x, uint64_t s) {
+         return zone_lost(daemons(x), s, x);
+       }},
+      {"region.daemons", fleet,
+       [=](double x, uint64_t s) {
+         return region_cut(daemons(x), 5, s, x);
+       }},
   };
   return v;
 }
@@ -121,7 +196,8 @@
   std::vector<Row> rows;
   int bad = 0;
   for (auto& e : experiments(a.largest)) {
-    if (!e.name.starts_with(a.only)) continue;
+    if (!e.name.starts_with(a.only))
+      continue;
     for (auto x : e.sizes)
       for (int s = 1; s <= a.seeds; ++s) {
         auto begun = time(nullptr);
--- a/tools/scale/troubles.cpp
+++ b/tools/scale/troubles.cpp
@@ -2,10 +2,10 @@
 #include <algorithm>
 #include <sstream>
 
-#include "scale/run.hpp"
 #include "consensus/constants.hpp"
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
+#include "scale/run.hpp"
 
 namespace mosskeel::scale {
 
@@ -18,14 +18,15 @@
   auto begun = machine_now();
   c.ask("start 0");
   while (true) {
-    std::istringstream s(c.ask("known " + std::to_string(e.v)));
+    std::istringstream s(c.ask("known " + std::to_string(e.value())));
     Millis x = -1;
     s >> x;
     if (x >= 0) {
       put("newcomer", "whole_value.ms", static_cast<double>(x - begun));
       break;
     }
-    if (machine_now() - begun > calm_patience) return fail("the newcomer never had the value");
+    if (machine_now() - begun > calm_patience)
+      return fail("the newcomer never had the value");
     wait(kTickInterval / 4);
   }
   until_calm("newcomer", all());
@@ -43,19 +44,23 @@
   while (true) {
     auto v = voice_.view();
     size_t up = 0;
-    for (auto& [id, d] : v->directory) up += d.state == DaemonState::up;
-    if (up + gone <= all()) break;
-    if (machine_now() - begun > calm_patience) return fail("the zone was never marked down");
+    for (auto& [id, d] : v->directory)
+      up += d.state == DaemonState::up;
+    if (up + gone <= all())
+      break;
+    if (machine_now() - begun > calm_patience)
+      return fail("the zone was never marked down");
     wait(look);
   }
   put("zone", "daemons", static_cast<double>(gone));
   put("zone", "down.ms", static_cast<double>(machine_now() - begun));
-  put("zone", "down.epochs", static_cast<double>(voice_.view()->epoch.v - e.v));
+  put("zone", "down.epochs", static_cast<double>(voice_.view()->epoch.value() - e.value()));
   until_calm("zone down", all() - gone);
   e = voice_.view()->epoch;
-  for (size_t i = 0; i < crews; ++i) crews_[i]->ask("start" + numbers(0, crews_[i]->size()));
+  for (size_t i = 0; i < crews; ++i)
+    crews_[i]->ask("start" + numbers(0, crews_[i]->size()));
   put("zone", "back.ms", static_cast<double>(until_calm("zone back", all())));
-  put("zone", "back.epochs", static_cast<double>(voice_.view()->epoch.v - e.v));
+  put("zone", "back.epochs", static_cast<double>(voice_.view()->epoch.value() - e.value()));
 }
 
 void Run::restarts() {
@@ -70,13 +75,14 @@
     wait(kHeartbeatInterval);
     v.push_back(static_cast<double>(until_calm("restart", all()) + kHeartbeatInterval));
   }
-  if (v.empty()) return;
+  if (v.empty())
+    return;
   std::sort(v.begin(), v.end());
   put("restarts", "count", static_cast<double>(v.size()));
   put("restarts", "one.ms.p50", v[v.size() / 2]);
   put("restarts", "one.ms.max", v.back());
   auto now = voice_.view();
-  put("restarts", "epochs.one", static_cast<double>(now->epoch.v - e.v) / static_cast<double>(v.size()));
+  put("restarts", "epochs.one", static_cast<double>(now->epoch.value() - e.value()) / static_cast<double>(v.size()));
   put("restarts", "value_bytes.one",
       (static_cast<double>(codec::pack(*now).size()) - static_cast<double>(bytes)) / static_cast<double>(v.size()));
 }
@@ -84,7 +90,8 @@
 void Run::region() {
   auto& c = *crews_.back();
   std::string cut = "cut";
-  for (auto& p : cluster_.list()) cut += " " + p.listen;
+  for (auto& p : cluster_.list())
+    cut += " " + p.listen;
   for (int i = 0; i < a_.plan.daemons - real_stores - real_fronts - c.size(); ++i)
     cut += " " + local_port(a_, hollow_ports + i);
   cluster_.act("freeze", "controller2");
@@ -92,7 +99,8 @@
   c.ask(cut);
   wait(cut_window / 2);
   int yes = 0;
-  for (int i = 0; i < 2; ++i) yes += one_change().yes;
+  for (int i = 0; i < 2; ++i)
+    yes += one_change().yes;
   put("region", "changes_acknowledged_while_cut", yes);
   wait(cut_window / 2);
   cluster_.act("wake", "controller2");
@@ -111,22 +119,27 @@
 void Run::values() {
   wait(kIsolationTimeout);
   auto v = voice_.view();
-  auto want = std::to_string(v->epoch.v) + ":" + fingerprint(*v);
+  auto want = std::to_string(v->epoch.value()) + ":" + fingerprint(*v);
   size_t same = 0, n = 0;
   for (auto& c : crews_) {
     std::istringstream s(c->ask("values"));
-    for (std::string x; s >> x; ++n) same += x == want;
+    for (std::string x; s >> x; ++n)
+      same += x == want;
     std::istringstream t(c->ask("state"));
     double sent = 0, dropped = 0, broken = 0;
     t >> sent >> dropped >> broken;
-    if (broken > 0) fail("an epoch went backwards");
+    if (broken > 0)
+      fail("an epoch went backwards");
   }
   put("values", "hollow", static_cast<double>(n));
   put("values", "equal", static_cast<double>(same));
-  if (same != n) fail("not all hold the same value at epoch " + std::to_string(v->epoch.v));
-  if (v->revision < promised_) fail("an acknowledged revision is lost");
+  if (same != n)
+    fail("not all hold the same value at epoch " + std::to_string(v->epoch.value()));
+  if (v->revision < promised_)
+    fail("an acknowledged revision is lost");
   for (auto& p : cluster_.list())
-    if (!p.pid) fail(p.name + " has died");
+    if (!p.pid)
+      fail(p.name + " has died");
 }
 
 }  // namespace mosskeel::scale
