--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -176,7 +176,7 @@
     auto& w = queue_.front();
     bool taken = metadata_log_.view()->epoch_of_commit(w.id).has_value();
     auto r =
-        taken ? Result<Metadata>{} : apply(*metadata_log_.view(), Entry{next(metadata_log_.epoch()), w.id, w.change});
+        taken ? Result<Metadata>{Metadata{}} : apply(*metadata_log_.view(), Entry{next(metadata_log_.epoch()), w.id, w.change});
     if (!taken && r.ok())
       return;
     auto first = std::move(w);
--- a/src/consensus/supervisor_sequences.cpp
+++ b/src/consensus/supervisor_sequences.cpp
@@ -101,7 +101,7 @@
     auto locked = [&](auto& move) {
       return metadata.locks.count(move.partition) > 0;
     };
-    if (std::none_of(value(moves).begin(), value(moves).end(), locked))
+    if (std::none_of(moves.value().begin(), moves.value().end(), locked))
       return PrepareDrain{id};
   }
   return std::nullopt;
