--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -4,20 +4,28 @@
 
 namespace mosskeel {
 
-std::optional<std::pair<std::string, uint16_t>> split_address(const std::string& a) {
-  auto c = a.rfind(':');
-  if (c == std::string::npos)
+namespace {
+
+constexpr size_t kMaxPortDigits = 5;
+constexpr int kMaxPort = 65535;
+
+}  // namespace
+
+std::optional<std::pair<std::string, uint16_t>> split_address(const std::string& address) {
+  auto colon = address.rfind(':');
+  if (colon == std::string::npos)
     return std::nullopt;
-  in_addr x;
-  auto ip = a.substr(0, c), port = a.substr(c + 1);
-  if (inet_pton(AF_INET, ip.c_str(), &x) != 1 || port.empty() || port.size() > 5)
+  auto ip = address.substr(0, colon);
+  auto port = address.substr(colon + 1);
+  in_addr parsed;
+  if (inet_pton(AF_INET, ip.c_str(), &parsed) != 1)
     return std::nullopt;
-  if (port.find_first_not_of("0123456789") != std::string::npos)
+  if (port.empty() || port.size() > kMaxPortDigits || port.find_first_not_of("0123456789") != std::string::npos)
     return std::nullopt;
-  int p = std::stoi(port);
-  if (p < 1 || p > 65535)
+  int number = std::stoi(port);
+  if (number < 1 || number > kMaxPort)
     return std::nullopt;
-  return std::make_pair(ip, static_cast<uint16_t>(p));
+  return std::make_pair(ip, static_cast<uint16_t>(number));
 }
 
 }  // namespace mosskeel
--- a/src/base/codec.hpp
+++ b/src/base/codec.hpp
@@ -1,5 +1,9 @@
 #pragma once
-// Bodies of messages and log records, generated from structs by Boost.Hana.
+// Binary encoding of messages and log records, generated from structs by Boost.Hana.
+//
+// Numbers are little-endian as the machine has them, strings and containers have a 32-bit count before them, a variant
+// has the 16-bit index of its alternative before it, a struct is its fields in the order of its definition. There are
+// no names and no padding: the order of fields and of alternatives is the format.
 #include <boost/hana.hpp>
 #include <cstring>
 #include <string_view>
@@ -10,212 +14,233 @@
 namespace mosskeel::codec {
 namespace hana = boost::hana;
 
+/// The bytes of an encoding that are still to be read.
 struct Reader {
   std::string_view s;
-  bool take(void* p, size_t n) {
-    if (s.size() < n)
+
+  /// Copies the next `size` bytes to `target`; false, and nothing is read, where there are fewer.
+  bool take(void* target, size_t size) {
+    if (s.size() < size)
       return false;
-    std::memcpy(p, s.data(), n);
-    s.remove_prefix(n);
+    std::memcpy(target, s.data(), size);
+    s.remove_prefix(size);
     return true;
   }
 };
 
 template <class T>
 struct is_strong : std::false_type {};
-template <class G, class T>
-struct is_strong<Strong<G, T>> : std::true_type {};
+template <class Tag, class T>
+struct is_strong<Strong<Tag, T>> : std::true_type {};
 
+// `put` appends the encoding of a value; `get` reads one and returns false where the bytes are not one.
 template <class T>
-void put(std::string& o, const T& x);
+void put(std::string& out, const T& value);
 template <class T>
-bool get(Reader& r, T& x);
-void put(std::string& o, const std::string& x);
-bool get(Reader& r, std::string& x);
-template <class A, class B>
-void put(std::string& o, const std::pair<A, B>& x);
-template <class A, class B>
-bool get(Reader& r, std::pair<A, B>& x);
+bool get(Reader& reader, T& value);
+void put(std::string& out, const std::string& value);
+bool get(Reader& reader, std::string& value);
+template <class First, class Second>
+void put(std::string& out, const std::pair<First, Second>& value);
+template <class First, class Second>
+bool get(Reader& reader, std::pair<First, Second>& value);
 template <class T>
-void put(std::string& o, const std::vector<T>& x);
+void put(std::string& out, const std::vector<T>& values);
 template <class T>
-bool get(Reader& r, std::vector<T>& x);
+bool get(Reader& reader, std::vector<T>& values);
 template <class T>
-void put(std::string& o, const std::set<T>& x);
+void put(std::string& out, const std::set<T>& values);
 template <class T>
-bool get(Reader& r, std::set<T>& x);
-template <class K, class V>
-void put(std::string& o, const std::map<K, V>& x);
-template <class K, class V>
-bool get(Reader& r, std::map<K, V>& x);
+bool get(Reader& reader, std::set<T>& values);
+template <class Key, class T>
+void put(std::string& out, const std::map<Key, T>& values);
+template <class Key, class T>
+bool get(Reader& reader, std::map<Key, T>& values);
 template <class T>
-void put(std::string& o, const std::optional<T>& x);
+void put(std::string& out, const std::optional<T>& value);
 template <class T>
-bool get(Reader& r, std::optional<T>& x);
+bool get(Reader& reader, std::optional<T>& value);
 template <class... T>
-void put(std::string& o, const std::variant<T...>& x);
+void put(std::string& out, const std::variant<T...>& value);
 template <class... T>
-bool get(Reader& r, std::variant<T...>& x);
+bool get(Reader& reader, std::variant<T...>& value);
 
-inline void put(std::string& o, const std::string& x) {
-  put(o, static_cast<uint32_t>(x.size()));
-  o += x;
+inline void put(std::string& out, const std::string& value) {
+  put(out, static_cast<uint32_t>(value.size()));
+  out += value;
 }
-inline bool get(Reader& r, std::string& x) {
-  uint32_t n;
-  if (!get(r, n) || r.s.size() < n)
+
+inline bool get(Reader& reader, std::string& value) {
+  uint32_t size;
+  if (!get(reader, size) || reader.s.size() < size)
     return false;
-  x.assign(r.s.data(), n);
-  r.s.remove_prefix(n);
+  value.assign(reader.s.data(), size);
+  reader.s.remove_prefix(size);
   return true;
 }
 
-template <class A, class B>
-void put(std::string& o, const std::pair<A, B>& x) {
-  put(o, x.first);
-  put(o, x.second);
+template <class First, class Second>
+void put(std::string& out, const std::pair<First, Second>& value) {
+  put(out, value.first);
+  put(out, value.second);
 }
-template <class A, class B>
-bool get(Reader& r, std::pair<A, B>& x) {
-  return get(r, x.first) && get(r, x.second);
+
+template <class First, class Second>
+bool get(Reader& reader, std::pair<First, Second>& value) {
+  return get(reader, value.first) && get(reader, value.second);
 }
 
-template <class C>
-void put_all(std::string& o, const C& c) {
-  put(o, static_cast<uint32_t>(c.size()));
-  for (auto& e : c)
-    put(o, e);
+template <class Container>
+void put_all(std::string& out, const Container& values) {
+  put(out, static_cast<uint32_t>(values.size()));
+  for (const auto& value : values)
+    put(out, value);
 }
+
 template <class T>
-void put(std::string& o, const std::vector<T>& x) {
-  put_all(o, x);
+void put(std::string& out, const std::vector<T>& values) {
+  put_all(out, values);
 }
+
 template <class T>
-void put(std::string& o, const std::set<T>& x) {
-  put_all(o, x);
+void put(std::string& out, const std::set<T>& values) {
+  put_all(out, values);
 }
-template <class K, class V>
-void put(std::string& o, const std::map<K, V>& x) {
-  put_all(o, x);
+
+template <class Key, class T>
+void put(std::string& out, const std::map<Key, T>& values) {
+  put_all(out, values);
 }
+
 template <class T>
-void put(std::string& o, const std::optional<T>& x) {
-  put(o, static_cast<uint8_t>(x.has_value()));
-  if (x)
-    put(o, *x);
+void put(std::string& out, const std::optional<T>& value) {
+  put(out, static_cast<uint8_t>(value.has_value()));
+  if (value)
+    put(out, *value);
 }
+
 template <class... T>
-void put(std::string& o, const std::variant<T...>& x) {
-  put(o, static_cast<uint16_t>(x.index()));
-  std::visit([&](auto& v) { put(o, v); }, x);
+void put(std::string& out, const std::variant<T...>& value) {
+  put(out, static_cast<uint16_t>(value.index()));
+  std::visit([&](const auto& alternative) { put(out, alternative); }, value);
 }
 
 template <class T>
-bool get(Reader& r, std::vector<T>& x) {
-  uint32_t n;
-  if (!get(r, n) || n > r.s.size())
+bool get(Reader& reader, std::vector<T>& values) {
+  uint32_t count;
+  // Each element takes a byte or more, so a count beyond the bytes left is damage and must not allocate.
+  if (!get(reader, count) || count > reader.s.size())
     return false;
-  x.clear();
-  for (uint32_t i = 0; i < n; ++i) {
-    x.emplace_back();
-    if (!get(r, x.back()))
+  values.clear();
+  for (uint32_t i = 0; i < count; ++i) {
+    values.emplace_back();
+    if (!get(reader, values.back()))
       return false;
   }
   return true;
 }
+
 template <class T>
-bool get(Reader& r, std::set<T>& x) {
-  std::vector<T> v;
-  if (!get(r, v))
+bool get(Reader& reader, std::set<T>& values) {
+  std::vector<T> elements;
+  if (!get(reader, elements))
     return false;
-  x = std::set<T>(v.begin(), v.end());
+  values = std::set<T>(elements.begin(), elements.end());
   return true;
 }
-template <class K, class V>
-bool get(Reader& r, std::map<K, V>& x) {
-  std::vector<std::pair<K, V>> v;
-  if (!get(r, v))
+
+template <class Key, class T>
+bool get(Reader& reader, std::map<Key, T>& values) {
+  std::vector<std::pair<Key, T>> elements;
+  if (!get(reader, elements))
     return false;
-  x = std::map<K, V>(v.begin(), v.end());
+  values = std::map<Key, T>(elements.begin(), elements.end());
   return true;
 }
+
 template <class T>
-bool get(Reader& r, std::optional<T>& x) {
-  uint8_t b;
-  if (!get(r, b) || b > 1)
+bool get(Reader& reader, std::optional<T>& value) {
+  uint8_t present;
+  if (!get(reader, present) || present > 1)
     return false;
-  if (!b) {
-    x.reset();
+  if (!present) {
+    value.reset();
     return true;
   }
-  x.emplace();
-  return get(r, *x);
-}
-template <size_t I = 0, class... T>
-bool get_at(Reader& r, std::variant<T...>& x, size_t i) {
-  if constexpr (I < sizeof...(T)) {
-    if (i == I)
-      return get(r, x.template emplace<I>());
-    return get_at<I + 1>(r, x, i);
+  value.emplace();
+  return get(reader, *value);
+}
+
+template <size_t Index = 0, class... T>
+bool get_alternative(Reader& reader, std::variant<T...>& value, size_t index) {
+  if constexpr (Index < sizeof...(T)) {
+    if (index == Index)
+      return get(reader, value.template emplace<Index>());
+    return get_alternative<Index + 1>(reader, value, index);
   } else {
     return false;
   }
 }
+
 template <class... T>
-bool get(Reader& r, std::variant<T...>& x) {
-  uint16_t i;
-  return get(r, i) && get_at(r, x, i);
+bool get(Reader& reader, std::variant<T...>& value) {
+  uint16_t index;
+  return get(reader, index) && get_alternative(reader, value, index);
 }
 
 template <class T>
-void put(std::string& o, const T& x) {
+void put(std::string& out, const T& value) {
   if constexpr (std::is_arithmetic_v<T> || std::is_enum_v<T>) {
-    o.append(reinterpret_cast<const char*>(&x), sizeof x);
+    out.append(reinterpret_cast<const char*>(&value), sizeof value);
   } else if constexpr (is_strong<T>::value) {
-    put(o, x.value());
+    put(out, value.value());
   } else if constexpr (!std::is_empty_v<T>) {
-    hana::for_each(hana::accessors<T>(), [&](auto a) { put(o, hana::second(a)(x)); });
+    hana::for_each(hana::accessors<T>(), [&](auto field) { put(out, hana::second(field)(value)); });
   }
 }
+
 template <class T>
-bool get(Reader& r, T& x) {
+bool get(Reader& reader, T& value) {
   if constexpr (std::is_same_v<T, bool>) {
-    uint8_t b;
-    if (!get(r, b) || b > 1)
+    uint8_t byte;
+    if (!get(reader, byte) || byte > 1)
       return false;
-    x = b;
+    value = byte;
     return true;
   } else if constexpr (std::is_arithmetic_v<T> || std::is_enum_v<T>) {
-    return r.take(&x, sizeof x);
+    return reader.take(&value, sizeof value);
   } else if constexpr (is_strong<T>::value) {
-    std::remove_cvref_t<decltype(x.value())> value{};
-    if (!get(r, value))
+    std::remove_cvref_t<decltype(value.value())> number{};
+    if (!get(reader, number))
       return false;
-    x = T(value);
+    value = T(std::move(number));
     return true;
   } else if constexpr (std::is_empty_v<T>) {
     return true;
   } else {
-    bool good = true;
-    hana::for_each(hana::accessors<T>(), [&](auto a) { good = good && get(r, hana::second(a)(x)); });
-    return good;
+    bool complete = true;
+    hana::for_each(hana::accessors<T>(),
+                   [&](auto field) { complete = complete && get(reader, hana::second(field)(value)); });
+    return complete;
   }
 }
 
+/// The encoding of a value.
 template <class T>
-std::string pack(const T& x) {
-  std::string o;
-  put(o, x);
-  return o;
+std::string pack(const T& value) {
+  std::string out;
+  put(out, value);
+  return out;
 }
-/// Nothing unless the bytes are exactly one T.
+
+/// The value that `bytes` encode; nothing unless they are exactly one T.
 template <class T>
-std::optional<T> unpack(std::string_view s) {
-  Reader r{s};
-  T x{};
-  if (!get(r, x) || !r.s.empty())
+std::optional<T> unpack(std::string_view bytes) {
+  Reader reader{bytes};
+  T value{};
+  if (!get(reader, value) || !reader.s.empty())
     return std::nullopt;
-  return x;
+  return value;
 }
 
 }  // namespace mosskeel::codec
--- a/src/base/fd.hpp
+++ b/src/base/fd.hpp
@@ -10,12 +10,12 @@
 class Fd {
  public:
   explicit Fd(int fd = -1) : fd_(fd) {}
-  Fd(Fd&& o) noexcept : fd_(std::exchange(o.fd_, -1)) {}
-  Fd& operator=(Fd&& o) noexcept {
-    if (this != &o) {
+  Fd(Fd&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
+  Fd& operator=(Fd&& other) noexcept {
+    if (this != &other) {
       if (fd_ >= 0)
         ::close(fd_);
-      fd_ = std::exchange(o.fd_, -1);
+      fd_ = std::exchange(other.fd_, -1);
     }
     return *this;
   }
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// JSON to structs and back by Boost.Hana; every finding is collected with its place.
+// JSON to structs and back by Boost.Hana: a field's name in the struct is its name in JSON. All errors are collected,
+// each with the path of its field ("cells[0].routes[1].kind").
 #include <boost/hana.hpp>
 #include <nlohmann/json.hpp>
 
@@ -9,105 +10,134 @@
 using Json = nlohmann::json;
 namespace hana = boost::hana;
 
+// Reads `json`, found at the path `path`, into `value`; what is wrong is appended to `errors`. A struct names the
+// fields that may be left out in `optional_fields()`.
 template <class T>
-void read(const Json& j, const std::string& at, T& x, Errors& f);
+void read(const Json& json, const std::string& path, T& value, Errors& errors);
 template <class T>
-void read(const Json& j, const std::string& at, std::vector<T>& v, Errors& f);
+void read(const Json& json, const std::string& path, std::vector<T>& values, Errors& errors);
+
+inline std::string field_path(const std::string& parent, const std::string& name) {
+  return parent.empty() ? name : parent + "." + name;
+}
+
+template <class T>
+void read_integer(const Json& json, const std::string& path, T& value, Errors& errors) {
+  if (!json.is_number_integer() || (std::is_unsigned_v<T> && !json.is_number_unsigned())) {
+    errors.push_back({path, "must be a whole number"});
+    return;
+  }
+  bool fits = static_cast<Json::number_unsigned_t>(json.get<T>()) == json.get<Json::number_unsigned_t>();
+  if (!fits) {
+    errors.push_back({path, "is out of range"});
+    return;
+  }
+  value = json.get<T>();
+}
+
+template <class T>
+void read_struct(const Json& json, const std::string& path, T& value, Errors& errors) {
+  if (!json.is_object()) {
+    errors.push_back({path.empty() ? "body" : path, "must be an object"});
+    return;
+  }
+  std::set<std::string> known;
+  hana::for_each(hana::accessors<T>(), [&](auto field) {
+    std::string name = hana::to<char const*>(hana::first(field));
+    known.insert(name);
+    auto member_path = field_path(path, name);
+    auto member = json.find(name);
+    if (member != json.end())
+      read(*member, member_path, hana::second(field)(value), errors);
+    else if (!T::optional_fields().count(name))
+      errors.push_back({member_path, "is missing"});
+  });
+  for (const auto& [name, member] : json.items()) {
+    if (!known.count(name))
+      errors.push_back({field_path(path, name), "is not known"});
+  }
+}
 
 template <class T>
-void read(const Json& j, const std::string& at, std::vector<T>& v, Errors& f) {
-  if (!j.is_array())
-    return f.push_back({at, "must be a list"});
-  v.clear();
-  for (size_t i = 0; i < j.size(); ++i) {
-    v.emplace_back();
-    read(j[i], at + "[" + std::to_string(i) + "]", v.back(), f);
+void read(const Json& json, const std::string& path, std::vector<T>& values, Errors& errors) {
+  if (!json.is_array()) {
+    errors.push_back({path, "must be a list"});
+    return;
+  }
+  values.clear();
+  for (size_t i = 0; i < json.size(); ++i) {
+    values.emplace_back();
+    read(json[i], path + "[" + std::to_string(i) + "]", values.back(), errors);
   }
 }
 
 template <class T>
-void read(const Json& j, const std::string& at, T& x, Errors& f) {
+void read(const Json& json, const std::string& path, T& value, Errors& errors) {
   if constexpr (std::is_same_v<T, std::string>) {
-    if (j.is_string())
-      x = j.get<std::string>();
+    if (json.is_string())
+      value = json.get<std::string>();
     else
-      f.push_back({at, "must be a string"});
+      errors.push_back({path, "must be a string"});
   } else if constexpr (std::is_same_v<T, bool>) {
-    if (j.is_boolean())
-      x = j.get<bool>();
+    if (json.is_boolean())
+      value = json.get<bool>();
     else
-      f.push_back({at, "must be true or false"});
+      errors.push_back({path, "must be true or false"});
   } else if constexpr (std::is_integral_v<T>) {
-    if (!j.is_number_integer() || (std::is_unsigned_v<T> && !j.is_number_unsigned()))
-      f.push_back({at, "must be a whole number"});
-    else if (static_cast<Json::number_unsigned_t>(j.get<T>()) != j.get<Json::number_unsigned_t>())
-      f.push_back({at, "is out of range"});
-    else
-      x = j.get<T>();
+    read_integer(json, path, value, errors);
   } else if constexpr (std::is_floating_point_v<T>) {
-    if (j.is_number())
-      x = j.get<T>();
+    if (json.is_number())
+      value = json.get<T>();
     else
-      f.push_back({at, "must be a number"});
+      errors.push_back({path, "must be a number"});
   } else if constexpr (codec::is_strong<T>::value) {
-    std::remove_cvref_t<decltype(x.value())> value{};
-    read(j, at, value, f);
-    x = T(value);
+    auto number = value.value();
+    read(json, path, number, errors);
+    value = T(number);
   } else {
-    if (!j.is_object())
-      return f.push_back({at.empty() ? "body" : at, "must be an object"});
-    std::set<std::string> known;
-    hana::for_each(hana::accessors<T>(), [&](auto a) {
-      std::string n = hana::to<char const*>(hana::first(a));
-      known.insert(n);
-      auto p = at.empty() ? n : at + "." + n;
-      auto i = j.find(n);
-      if (i != j.end())
-        read(*i, p, hana::second(a)(x), f);
-      else if (!T::optional_fields().count(n))
-        f.push_back({p, "is missing"});
-    });
-    for (auto& [n, v] : j.items())
-      if (!known.count(n))
-        f.push_back({at.empty() ? n : at + "." + n, "is not known"});
+    read_struct(json, path, value, errors);
   }
 }
 
 template <class T>
-Json write(const std::vector<T>& v);
+Json write(const std::vector<T>& values);
+
+/// The JSON form of a value.
 template <class T>
-Json write(const T& x) {
+Json write(const T& value) {
   if constexpr (std::is_arithmetic_v<T> || std::is_same_v<T, std::string>) {
-    return x;
+    return value;
   } else if constexpr (codec::is_strong<T>::value) {
-    return x.value();
+    return value.value();
   } else {
-    Json j = Json::object();
-    hana::for_each(hana::accessors<T>(),
-                   [&](auto a) { j[hana::to<char const*>(hana::first(a))] = write(hana::second(a)(x)); });
-    return j;
+    Json object = Json::object();
+    hana::for_each(hana::accessors<T>(), [&](auto field) {
+      object[hana::to<char const*>(hana::first(field))] = write(hana::second(field)(value));
+    });
+    return object;
   }
 }
+
 template <class T>
-Json write(const std::vector<T>& v) {
-  Json j = Json::array();
-  for (auto& x : v)
-    j.push_back(write(x));
-  return j;
+Json write(const std::vector<T>& values) {
+  Json array = Json::array();
+  for (const auto& value : values)
+    array.push_back(write(value));
+  return array;
 }
 
-/// A whole T out of text, or all findings.
+/// A complete T out of JSON text, or all errors.
 template <class T>
 Result<T> parse(const std::string& text) {
-  Json j = Json::parse(text, nullptr, false);
-  if (j.is_discarded())
+  Json json = Json::parse(text, nullptr, false);
+  if (json.is_discarded())
     return Errors{{"body", "is no JSON"}};
-  T x{};
-  Errors f;
-  read(j, "", x, f);
-  if (!f.empty())
-    return f;
-  return x;
+  T value{};
+  Errors errors;
+  read(json, "", value, errors);
+  if (!errors.empty())
+    return errors;
+  return value;
 }
 
 }  // namespace mosskeel::json
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -4,13 +4,22 @@
 
 namespace mosskeel {
 
+namespace {
+
+bool needs_operator(Event event) {
+  return event == Event::corrupt || event == Event::disk_failed || event == Event::disk_full ||
+         event == Event::bad_settings;
+}
+
+}  // namespace
+
 void start_log(const char* program) {
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(program);
 }
 
-const char* meaning(Event e) {
-  switch (e) {
+const char* meaning(Event event) {
+  switch (event) {
 #define X(name, number, text) \
   case Event::name:           \
     return text;
@@ -20,13 +29,12 @@
   return "";
 }
 
-void note(Event e, const std::string& text) {
-  auto n = static_cast<int>(e);
-  bool tombstone = e == Event::corrupt || e == Event::disk_failed || e == Event::disk_full || e == Event::bad_settings;
-  if (tombstone)
-    LOG(ERROR) << "event=" << n << " " << meaning(e) << ": " << text;
+void note(Event event, const std::string& text) {
+  auto number = static_cast<int>(event);
+  if (needs_operator(event))
+    LOG(ERROR) << "event=" << number << " " << meaning(event) << ": " << text;
   else
-    LOG(INFO) << "event=" << n << " " << meaning(e) << ": " << text;
+    LOG(INFO) << "event=" << number << " " << meaning(event) << ": " << text;
 }
 
 }  // namespace mosskeel
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Numbered events through glog.
+// Numbered log events through glog.
 #include "base/events.hpp"
 #include "mosskeel/common.hpp"
 
@@ -11,8 +11,14 @@
   std::string text;
 };
 
+/// Sends the log to standard error; called once, before any thread logs.
 void start_log(const char* program);
-void note(Event e, const std::string& text);
-const char* meaning(Event e);
+
+/// Writes one line, "event=NUMBER meaning: text"; thread-safe. Events that call for an operator are errors, all others
+/// information.
+void note(Event event, const std::string& text);
+
+/// What an event means, as in docs/events.md.
+const char* meaning(Event event);
 
 }  // namespace mosskeel
--- a/src/base/queue.hpp
+++ b/src/base/queue.hpp
@@ -1,5 +1,6 @@
 #pragma once
 // A queue between threads.
+#include <chrono>
 #include <condition_variable>
 #include <deque>
 #include <mutex>
@@ -8,43 +9,55 @@
 
 namespace mosskeel {
 
+/// Unbounded first-in-first-out queue. All methods may be called from any thread.
 template <class T>
 class Queue {
  public:
-  void push(T x) {
-    std::lock_guard l(m_);
-    q_.push_back(std::move(x));
-    c_.notify_one();
+  void push(T item) {
+    std::lock_guard lock(mutex_);
+    items_.push_back(std::move(item));
+    changed_.notify_one();
   }
-  /// Everything that is there; waits up to `wait` for the first.
-  std::deque<T> take(Millis wait) {
-    std::unique_lock l(m_);
-    c_.wait_for(l, std::chrono::milliseconds(wait), [&] { return !q_.empty() || closed_; });
-    return std::exchange(q_, {});
+
+  /// Everything that is there; waits up to `timeout` (ms) for the first item. Empty after a time-out or once closed.
+  std::deque<T> take(Millis timeout) {
+    std::unique_lock lock(mutex_);
+    wait_for_item(lock, timeout);
+    return std::exchange(items_, {});
   }
-  std::optional<T> pop(Millis wait) {
-    std::unique_lock l(m_);
-    c_.wait_for(l, std::chrono::milliseconds(wait), [&] { return !q_.empty() || closed_; });
-    if (q_.empty())
+
+  /// The first item; waits up to `timeout` (ms) for it. Nothing after a time-out or once closed and empty.
+  std::optional<T> pop(Millis timeout) {
+    std::unique_lock lock(mutex_);
+    wait_for_item(lock, timeout);
+    if (items_.empty())
       return std::nullopt;
-    T x = std::move(q_.front());
-    q_.pop_front();
-    return x;
+    T item = std::move(items_.front());
+    items_.pop_front();
+    return item;
   }
+
+  /// Wakes all who wait; what is in the queue can still be taken.
   void close() {
-    std::lock_guard l(m_);
+    std::lock_guard lock(mutex_);
     closed_ = true;
-    c_.notify_all();
+    changed_.notify_all();
   }
+
   bool closed() const {
-    std::lock_guard l(m_);
+    std::lock_guard lock(mutex_);
     return closed_;
   }
 
  private:
-  mutable std::mutex m_;
-  std::condition_variable c_;
-  std::deque<T> q_;
+  void wait_for_item(std::unique_lock<std::mutex>& lock, Millis timeout) {
+    changed_.wait_for(lock, std::chrono::milliseconds(timeout), [this] { return !items_.empty() || closed_; });
+  }
+
+  mutable std::mutex mutex_;
+  std::condition_variable changed_;
+  /// Guarded by `mutex_`, as is `closed_`.
+  std::deque<T> items_;
   bool closed_ = false;
 };
 
