--- a/src/daemons/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -30,7 +30,7 @@
     if (now < next_look)
       return;
     next_look = now + kStoreLoadInterval;
-    bool held_back = host.journal()->held() > kMaxBytesWaitingForDisk;
+    bool held_back = host.journal()->pending_bytes() > kMaxBytesWaitingForDisk;
     static_cast<StoreMachine&>(m).set_load(
         {held_back || process_memory().over(kStoreMemoryShare), host.waiting() > kMaxBytesWaitingForDisk});
   });
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -4,63 +4,75 @@
 
 namespace mosskeel {
 
+namespace {
+
+constexpr int kExitStoppedByItself = 1;
+constexpr int kExitBadSettings = 2;
+constexpr int kExitDamagedData = 4;
+/// Milliseconds; how often a daemon's main thread looks whether the host has stopped.
+constexpr Millis kSignalPollInterval = 100;
+
+}  // namespace
+
 std::variant<std::shared_ptr<Disk>, int> open_disk(const std::string& folder) {
-  auto d = Disk::open(folder, dice());
-  if (!d.ok()) {
-    for (auto& f : d.errors())
-      note(Event::corrupt, f.location + ": " + f.message);
-    return 4;
+  auto opened = Disk::open(folder, dice());
+  if (!opened.ok()) {
+    for (const auto& error : opened.errors())
+      note(Event::corrupt, error.location + ": " + error.message);
+    return kExitDamagedData;
   }
-  if (d.value()->cut())
-    note(Event::torn_tail, std::to_string(d.value()->cut()) + " bytes in " + folder);
-  return d.value();
+  auto disk = opened.value();
+  if (disk->truncated_bytes())
+    note(Event::torn_tail, std::to_string(disk->truncated_bytes()) + " bytes in " + folder);
+  return disk;
 }
 
-std::string metrics_of(const Host& h, const char* program, const std::map<std::string, double>& more) {
-  std::ostringstream o;
-  auto line = [&](const std::string& n, double v) {
-    o << "mosskeel_" << n << "{program=\"" << program << "\"} " << v << "\n";
+std::string metrics_of(const Host& host, const char* program, const std::map<std::string, double>& more) {
+  std::ostringstream out;
+  // As many digits as a double keeps, so that counters stay whole numbers.
+  out.precision(15);
+  auto add = [&](const std::string& name, double value) {
+    out << "mosskeel_" << name << "{program=\"" << program << "\"} " << value << "\n";
   };
-  o.precision(15);
-  auto v = h.view();
-  line("epoch", static_cast<double>(v->epoch.value()));
-  line("revision", static_cast<double>(v->revision.value()));
-  line("messages_sent", static_cast<double>(h.sent()));
-  line("messages_unsent", static_cast<double>(h.dropped()));
-  line("messages_foreign", static_cast<double>(h.foreign()));
-  line("syncs", static_cast<double>(h.syncs()));
-  if (auto* j = h.journal()) {
-    line("disk_full", j->full());
-    line("disk_held_bytes", static_cast<double>(j->held()));
-    line("checkpoints_unwritten", static_cast<double>(j->unwritten_checkpoints()));
+  auto view = host.view();
+  add("epoch", static_cast<double>(view->epoch.value()));
+  add("revision", static_cast<double>(view->revision.value()));
+  add("messages_sent", static_cast<double>(host.sent()));
+  add("messages_unsent", static_cast<double>(host.dropped()));
+  add("messages_foreign", static_cast<double>(host.foreign()));
+  add("syncs", static_cast<double>(host.syncs()));
+  if (const auto* journal = host.journal()) {
+    add("disk_full", journal->full());
+    add("disk_held_bytes", static_cast<double>(journal->pending_bytes()));
+    add("checkpoints_unwritten", static_cast<double>(journal->unwritten_checkpoints()));
   }
-  for (auto& [n, x] : more)
-    line(n, x);
-  return o.str();
+  for (const auto& [name, value] : more)
+    add(name, value);
+  return out.str();
 }
 
-int run_until_stopped(Host& h, const char* program, const std::function<bool()>& leave) {
+int run_until_stopped(Host& host, const char* program, const std::function<bool()>& leave) {
   note(Event::started, std::string(program) + " " MOSSKEEL_VERSION);
-  bool asked = false;
-  while (!h.stopped()) {
-    if (!signalled(100))
+  bool was_signalled = false;
+  while (!host.stopped()) {
+    if (!signalled(kSignalPollInterval))
       continue;
     note(Event::stopping, program);
-    if (leave() || asked)
+    if (leave() || was_signalled)
       break;
-    asked = true;
+    was_signalled = true;
   }
-  bool own = h.stopped() && !asked;
-  h.stop();
+  bool stopped_by_itself = host.stopped() && !was_signalled;
+  host.stop();
   note(Event::stopped, program);
-  return own ? 1 : 0;
+  return stopped_by_itself ? kExitStoppedByItself : 0;
 }
 
-int cannot_start(const char* program, const Errors& f) {
-  for (auto& x : f)
+int cannot_start(const char* program, const Errors& errors) {
+  for (const auto& error : errors)
     fprintf(stderr, "%s: event=%d %s: %s: %s\n", program, static_cast<int>(Event::bad_settings),
-            meaning(Event::bad_settings), x.location.c_str(), x.message.c_str());
-  return 2;
+            meaning(Event::bad_settings), error.location.c_str(), error.message.c_str());
+  return kExitBadSettings;
 }
 
 }  // namespace mosskeel
--- a/src/runtime/host.cpp
+++ b/src/runtime/host.cpp
@@ -10,154 +10,182 @@
 
 namespace mosskeel {
 
-Millis process_now() {
-  using namespace std::chrono;
-  static const auto base = steady_clock::now();
-  return kProcessClockStart + duration_cast<milliseconds>(steady_clock::now() - base).count();
-}
-
 namespace {
 
-size_t weight(const Batch& b) {
-  size_t n = b.checkpoint ? b.checkpoint->size() : 0;
-  for (auto& s : b.journal)
-    n += s.size();
-  for (auto& e : b.sends)
-    n += sizeof e + history_bytes(e.body);
-  return n;
+/// Milliseconds; how long the disk's thread waits for work before it looks whether it is to end.
+constexpr Millis kDiskQueueWait = 200;
+/// How often a caller of `ask` looks whether the host is ending.
+constexpr std::chrono::milliseconds kAskPollInterval{50};
+
+size_t bytes_in_memory(const Batch& batch) {
+  size_t bytes = batch.checkpoint ? batch.checkpoint->size() : 0;
+  for (const auto& record : batch.journal)
+    bytes += record.size();
+  for (const auto& message : batch.sends)
+    bytes += sizeof message + history_bytes(message.body);
+  return bytes;
 }
 
 }  // namespace
 
-Host::Host(std::shared_ptr<Disk> disk, Address self, size_t inbox_most)
+Millis process_now() {
+  using std::chrono::duration_cast;
+  using std::chrono::steady_clock;
+  static const auto start = steady_clock::now();
+  return kProcessClockStart + duration_cast<std::chrono::milliseconds>(steady_clock::now() - start).count();
+}
+
+Host::Host(std::shared_ptr<Disk> disk, Address self, size_t max_inbox_bytes)
     : disk_(std::move(disk)),
       journal_(disk_ ? std::make_unique<JournalWriter>(*disk_) : nullptr),
       self_(std::move(self)),
-      in_(inbox_most) {}
+      inbox_(max_inbox_bytes) {}
 
 Errors Host::start(const Make& make) {
   machine_ = make(disk_ ? disk_->take_recovered() : Recovered{}, process_now());
   std::atomic_store(&view_, machine_->view());
-  auto p = Transport::open(self_, [this](Envelope e, size_t bytes) { in_.hear(std::move(e), bytes); });
-  if (!p.ok())
-    return p.errors();
-  post_ = std::move(p).value();
-  thinker_ = std::thread([this] { think(); });
+  auto transport =
+      Transport::open(self_, [this](Envelope message, size_t bytes) { inbox_.hear(std::move(message), bytes); });
+  if (!transport.ok())
+    return transport.errors();
+  transport_ = std::move(transport).value();
+  machine_thread_ = std::thread([this] { run_machine(); });
   if (disk_)
-    writer_ = std::thread([this] { write(); });
+    disk_thread_ = std::thread([this] { run_disk(); });
   return {};
 }
 
 void Host::stop() {
-  stop_ = halt_ = true;
-  in_.close();
-  if (thinker_.joinable())
-    thinker_.join();
-  out_.close();
-  if (writer_.joinable())
-    writer_.join();
-  post_.reset();
+  stopped_ = true;
+  halting_ = true;
+  inbox_.close();
+  if (machine_thread_.joinable())
+    machine_thread_.join();
+  disk_queue_.close();
+  if (disk_thread_.joinable())
+    disk_thread_.join();
+  transport_.reset();
+}
+
+void Host::watch(Watch watch) {
+  std::lock_guard lock(watch_mutex_);
+  watch_ = std::move(watch);
 }
 
-void Host::ask(const std::function<void(Machine&, Millis)>& f) {
+void Host::ask(const std::function<void(Machine&, Millis)>& function) {
   auto done = std::make_shared<std::promise<void>>();
-  auto wait = done->get_future();
-  in_.call([f, done](Machine& m, Millis now) {
-    f(m, now);
+  auto finished = done->get_future();
+  inbox_.call([function, done](Machine& machine, Millis now) {
+    function(machine, now);
     done->set_value();
   });
-  while (!halt_ && wait.wait_for(std::chrono::milliseconds(50)) != std::future_status::ready) {}
+  while (!halting_ && finished.wait_for(kAskPollInterval) != std::future_status::ready) {}
 }
 
-void Host::send(Envelope e) {
-  if (e.to == self_)
-    return post(std::move(e));
-  auto i = routes_.find(e.to);
-  if (i == routes_.end())
-    i = routes_.find(e.to.substr(0, e.to.find(':')));
-  if (i != routes_.end())
-    i->second(e);
+void Host::send(Envelope message) {
+  if (message.to == self_) {
+    post(std::move(message));
+    return;
+  }
+  auto route = local_routes_.find(message.to);
+  if (route == local_routes_.end())
+    route = local_routes_.find(message.to.substr(0, message.to.find(':')));
+  if (route != local_routes_.end())
+    route->second(message);
   else
-    post_->send(e);
+    transport_->send(message);
 }
 
-void Host::push(Batch b) {
-  b.bytes = weight(b);
-  waiting_ += b.bytes;
-  out_.push(std::move(b));
+void Host::enqueue(Batch batch) {
+  batch.bytes = bytes_in_memory(batch);
+  bytes_waiting_for_disk_ += batch.bytes;
+  disk_queue_.push(std::move(batch));
 }
 
-void Host::act(Actions a) {
-  for (auto& n : a.notes)
-    note(n.event, n.text);
-  for (auto& e : a.now)
-    send(std::move(e));
+void Host::perform(Actions actions) {
+  for (const auto& entry : actions.notes)
+    note(entry.event, entry.text);
+  for (auto& message : actions.now)
+    send(std::move(message));
   if (!disk_) {
-    for (auto& e : a.synced)
-      send(std::move(e));
-  } else if (!a.journal.empty() || !a.synced.empty() || a.checkpoint) {
-    push({std::move(a.journal), std::move(a.checkpoint), std::move(a.synced)});
+    for (auto& message : actions.synced)
+      send(std::move(message));
+  } else if (!actions.journal.empty() || !actions.synced.empty() || actions.checkpoint) {
+    enqueue({std::move(actions.journal), std::move(actions.checkpoint), std::move(actions.synced)});
+  }
+  if (actions.stop)
+    stopped_ = true;
+}
+
+void Host::handle_inbox(Millis timeout) {
+  for (auto& item : inbox_.take(timeout)) {
+    if (auto* message = std::get_if<Envelope>(&item.content))
+      perform(machine_->step(*message, process_now()));
+    else
+      std::get<Inbox::Call>(item.content)(*machine_, process_now());
+    inbox_.done(item);
   }
-  if (a.stop)
-    stop_ = true;
 }
 
-void Host::think() {
-  Millis next = 0;
-  while (!halt_) {
+void Host::publish_view() {
+  auto view = machine_->view();
+  if (view != view_)
+    std::atomic_store(&view_, view);
+}
+
+void Host::run_machine() {
+  Millis next_tick = 0;
+  while (!halting_) {
     auto now = process_now();
-    if (now >= next) {
-      act(machine_->tick(now));
-      next = now + kTickInterval;
-    }
-    for (auto& x : in_.take(std::max<Millis>(1, next - process_now()))) {
-      if (auto* e = std::get_if<Envelope>(&x.what))
-        act(machine_->step(*e, process_now()));
-      else
-        std::get<Inbox::Call>(x.what)(*machine_, process_now());
-      in_.done(x);
+    if (now >= next_tick) {
+      perform(machine_->tick(now));
+      next_tick = now + kTickInterval;
     }
+    handle_inbox(std::max<Millis>(1, next_tick - process_now()));
     {
-      std::lock_guard l(watch_lock_);
+      std::lock_guard lock(watch_mutex_);
       if (watch_)
         watch_(*machine_, process_now());
     }
-    auto v = machine_->view();
-    if (v != view_)
-      std::atomic_store(&view_, v);
+    publish_view();
   }
 }
 
-/// Made in the machine's thread, so that it stands for all that was pushed before it.
-void Host::ask_checkpoint() {
-  in_.call([this](Machine& m, Millis) {
-    if (auto s = m.checkpoint(); !s.empty())
-      push({{}, std::move(s), {}});
+/// Made in the state machine's thread, so that it stands for all that was enqueued before it.
+void Host::request_checkpoint() {
+  inbox_.call([this](Machine& machine, Millis) {
+    if (auto checkpoint = machine.checkpoint(); !checkpoint.empty())
+      enqueue({{}, std::move(checkpoint), {}});
   });
 }
 
-void Host::write() {
+/// False where the disk has failed.
+bool Host::write_batches(std::deque<Batch> batches) {
+  size_t bytes = 0;
+  for (const auto& batch : batches)
+    bytes += batch.bytes;
+  auto written = journal_->write(std::move(batches));
+  for (const auto& entry : written.notes)
+    note(entry.event, entry.text);
+  if (written.result.kind == DiskResult::failed) {
+    note(Event::disk_failed, "nothing unsynced was answered");
+    stopped_ = true;
+    return false;
+  }
+  for (auto& message : written.sends)
+    send(std::move(message));
+  bytes_waiting_for_disk_ -= bytes;
+  return true;
+}
+
+void Host::run_disk() {
   while (true) {
-    auto v = out_.take(journal_->full() ? kFullDiskRetryInterval : 200);
-    bool last = v.empty() && out_.closed();
-    size_t bytes = 0;
-    for (auto& b : v)
-      bytes += b.bytes;
-    auto w = journal_->write(std::move(v));
-    for (auto& n : w.notes)
-      note(n.event, n.text);
-    if (w.result.kind == DiskResult::failed) {
-      note(Event::disk_failed, "nothing unsynced was answered");
-      stop_ = true;
-      return;
-    }
-    for (auto& e : w.sends)
-      send(std::move(e));
-    waiting_ -= bytes;
-    if (last)
+    auto batches = disk_queue_.take(journal_->full() ? kFullDiskRetryInterval : kDiskQueueWait);
+    bool is_last = batches.empty() && disk_queue_.closed();
+    if (!write_batches(std::move(batches)) || is_last)
       return;
     if (journal_->wants_checkpoint(process_now()))
-      ask_checkpoint();
+      request_checkpoint();
   }
 }
 
--- a/src/runtime/inbox.hpp
+++ b/src/runtime/inbox.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What waits for a machine's thread, with a bound on the bytes of messages.
+// What waits for a state machine's thread, with a bound on the bytes of messages.
 #include <atomic>
 #include <functional>
 
@@ -8,39 +8,46 @@
 
 namespace mosskeel {
 
+/// Messages and calls in the order in which they came. Any thread may add; the state machine's thread takes.
 class Inbox {
  public:
   using Call = std::function<void(Machine&, Millis)>;
   struct Item {
-    std::variant<Envelope, Call> what;
-    /// The size of a message as it came.
+    std::variant<Envelope, Call> content;
+    /// The size of a message as it came; 0 for what comes from inside the process.
     size_t bytes = 0;
   };
-  /// Messages up to this many bytes are always taken: heartbeats, asks and acknowledgements.
-  static constexpr size_t small_message = 1024;
+  /// Bytes; messages up to this size are always taken: heartbeats, requests and acknowledgements.
+  static constexpr size_t kSmallMessageBytes = 1024;
+
+  explicit Inbox(size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  explicit Inbox(size_t most) : most_(most) {}
   /// A message from another process; false where too much waits: it counts as lost on the way.
-  bool hear(Envelope e, size_t bytes) {
-    if (bytes > small_message && bytes_ + bytes > most_) {
+  bool hear(Envelope message, size_t bytes) {
+    if (bytes > kSmallMessageBytes && bytes_ + bytes > max_bytes_) {
       ++refused_;
       return false;
     }
     bytes_ += bytes;
-    items_.push({std::move(e), bytes});
+    items_.push({std::move(message), bytes});
     return true;
   }
-  void post(Envelope e) { items_.push({std::move(e), 0}); }
-  void call(Call f) { items_.push({std::move(f), 0}); }
-  /// Everything that waits; each item counts until it is said to be `done`.
-  std::deque<Item> take(Millis wait) { return items_.take(wait); }
-  void done(const Item& x) { bytes_ -= x.bytes; }
+
+  /// A message from inside the process; not bounded.
+  void post(Envelope message) { items_.push({std::move(message), 0}); }
+  void call(Call function) { items_.push({std::move(function), 0}); }
+
+  /// Everything that waits; each item counts against the bound until it is said to be `done`.
+  std::deque<Item> take(Millis timeout) { return items_.take(timeout); }
+  void done(const Item& item) { bytes_ -= item.bytes; }
   void close() { items_.close(); }
+
   size_t bytes() const { return bytes_; }
+  /// Messages that were not taken since too much waited.
   uint64_t refused() const { return refused_; }
 
  private:
-  size_t most_;
+  const size_t max_bytes_;
   Queue<Item> items_;
   std::atomic<size_t> bytes_{0};
   std::atomic<uint64_t> refused_{0};
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -1,8 +1,6 @@
 #include "runtime/settings.hpp"
 
 #include <popt.h>
-#include <signal.h>
-#include <time.h>
 
 #include <cstdio>
 #include <fstream>
@@ -16,38 +14,189 @@
 namespace mosskeel {
 namespace {
 
-struct PoptClose {
-  void operator()(poptContext c) const { poptFreeContext(c); }
+constexpr int kExitBadSettings = 2;
+/// Bounds of the time-outs in the settings, in ms.
+constexpr Millis kMinCommitAttemptTimeout = 100;
+constexpr Millis kMaxCommitAttemptTimeout = 30000;
+constexpr Millis kMaxCommitTimeout = 60000;
+
+struct PoptContextDeleter {
+  void operator()(poptContext context) const { poptFreeContext(context); }
 };
 
-std::vector<const SettingsSource*>& registry() {
-  static std::vector<const SettingsSource*> v;
-  return v;
+std::vector<const SettingsSource*>& registered_sources() {
+  static std::vector<const SettingsSource*> sources;
+  return sources;
 }
 
-const SettingsSource* applying() {
-  for (auto* s : registry())
-    if (s->applies())
-      return s;
+const SettingsSource* applying_source() {
+  for (const auto* source : registered_sources()) {
+    if (source->applies())
+      return source;
+  }
   return nullptr;
 }
 
-void address(Errors& f, const char* place, const std::string& a) {
-  if (!split_address(a))
-    f.push_back({place, "'" + a + "' is no IP:port"});
+int report(const Needs& needs, const Errors& errors) {
+  for (const auto& error : errors)
+    fprintf(stderr, "%s: event=%d %s: %s: %s\n", needs.program, static_cast<int>(Event::bad_settings),
+            meaning(Event::bad_settings), error.location.c_str(), error.message.c_str());
+  return kExitBadSettings;
+}
+
+/// The command line as it was given; null and 0 where a flag was left out.
+struct Flags {
+  char* file = nullptr;
+  char* listen = nullptr;
+  char* http = nullptr;
+  char* agent = nullptr;
+  char* zone = nullptr;
+  char* seeds = nullptr;
+  char* data = nullptr;
+  int core_size = 0;
+  long commit_timeout = 0;
+  long commit_attempt_timeout = 0;
+  int check = 0;
+  int version = 0;
+
+  /// Whether any of them gives settings.
+  bool any() const {
+    return file || listen || http || agent || zone || seeds || data || core_size || commit_timeout ||
+           commit_attempt_timeout;
+  }
+};
+
+Errors parse_flags(int argc, const char** argv, const Needs& needs, Flags& flags) {
+  poptOption table[] = {
+      {"settings", 's', POPT_ARG_STRING, &flags.file, 0, "JSON file with any of the settings below", "FILE"},
+      {"listen", 'l', POPT_ARG_STRING, &flags.listen, 0, "address for other daemons", "IP:PORT"},
+      {"http", 'w', POPT_ARG_STRING, &flags.http, 0, "address for HTTP", "IP:PORT"},
+      {"agent", 'a', POPT_ARG_STRING, &flags.agent, 0, "a gateway's agent, or an agent's gateway", "IP:PORT"},
+      {"zone", 'z', POPT_ARG_STRING, &flags.zone, 0, "the zone of this machine", "NAME"},
+      {"seeds", 'e', POPT_ARG_STRING, &flags.seeds, 0, "three addresses of controllers", "A,B,C"},
+      {"data", 'd', POPT_ARG_STRING, &flags.data, 0, "the data folder", "DIR"},
+      {"core-size", 'c', POPT_ARG_INT, &flags.core_size, 0, "how many controllers make the core", "N"},
+      {"tcm-await-ms", 0, POPT_ARG_LONG, &flags.commit_timeout, 0, "time-out of a change as a whole (10000)", "MS"},
+      {"tcm-rpc-ms", 0, POPT_ARG_LONG, &flags.commit_attempt_timeout, 0, "time-out of one controller for it (2000)",
+       "MS"},
+      {"check", 0, POPT_ARG_NONE, &flags.check, 0, "check the settings, then exit", nullptr},
+      {"version", 'V', POPT_ARG_NONE, &flags.version, 0, "print the version, then exit", nullptr},
+      POPT_AUTOHELP POPT_TABLEEND};
+  std::unique_ptr<std::remove_pointer_t<poptContext>, PoptContextDeleter> context(
+      poptGetContext(needs.program, argc, argv, table, 0));
+  poptSetOtherOptionHelp(context.get(), (std::string("[OPTIONS]\n") + needs.purpose).c_str());
+  int code = poptGetNextOpt(context.get());
+  while (code >= 0)
+    code = poptGetNextOpt(context.get());
+  constexpr int kNoMoreOptions = -1;
+  if (code != kNoMoreOptions)
+    return {{poptBadOption(context.get(), POPT_BADOPTION_NOALIAS), poptStrerror(code)}};
+  Errors errors;
+  if (const char* surplus = poptGetArg(context.get()))
+    errors.push_back({surplus, "is no option"});
+  return errors;
+}
+
+Errors read_file(const char* path, Settings& settings) {
+  std::ifstream file(path);
+  std::stringstream text;
+  text << file.rdbuf();
+  if (!file)
+    return {{path, "cannot be read"}};
+  auto parsed = json::parse<Settings>(text.str());
+  if (!parsed.ok()) {
+    Errors errors;
+    for (const auto& error : parsed.errors())
+      errors.push_back({std::string(path) + ": " + error.location, error.message});
+    return errors;
+  }
+  auto from_file = parsed.value();
+  if (from_file.tcm_await_ms == 0)
+    from_file.tcm_await_ms = settings.tcm_await_ms;
+  if (from_file.tcm_rpc_ms == 0)
+    from_file.tcm_rpc_ms = settings.tcm_rpc_ms;
+  settings = from_file;
+  return {};
+}
+
+void set_if_given(std::string& setting, const char* flag) {
+  if (flag)
+    setting = flag;
+}
+
+std::vector<std::string> split_at_commas(const char* text) {
+  std::vector<std::string> parts;
+  std::stringstream stream(text);
+  for (std::string part; std::getline(stream, part, ',');)
+    parts.push_back(part);
+  return parts;
+}
+
+void apply_flags(const Flags& flags, Settings& settings) {
+  set_if_given(settings.listen, flags.listen);
+  set_if_given(settings.http, flags.http);
+  set_if_given(settings.agent, flags.agent);
+  set_if_given(settings.zone, flags.zone);
+  set_if_given(settings.data, flags.data);
+  if (flags.core_size)
+    settings.core_size = static_cast<uint32_t>(flags.core_size < 0 ? 0 : flags.core_size);
+  if (flags.commit_timeout)
+    settings.tcm_await_ms = flags.commit_timeout;
+  if (flags.commit_attempt_timeout)
+    settings.tcm_rpc_ms = flags.commit_attempt_timeout;
+  if (flags.seeds)
+    settings.seeds = split_at_commas(flags.seeds);
+}
+
+void check_address(const std::string& location, const std::string& address, Errors& errors) {
+  if (!split_address(address))
+    errors.push_back({location, "'" + address + "' is no IP:port"});
+}
+
+void check_addresses(const Settings& settings, const Needs& needs, bool from_source, Errors& errors) {
+  bool may_lack_http = from_source && settings.http.empty();
+  if (needs.listen)
+    check_address("listen", settings.listen, errors);
+  if (needs.http && !may_lack_http)
+    check_address("http", settings.http, errors);
+  if (!settings.ready.empty())
+    check_address("ready", settings.ready, errors);
+  if (!settings.list.empty())
+    check_address("list", settings.list, errors);
+  if (needs.agent)
+    check_address("agent", settings.agent, errors);
 }
 
-int wrong(const Needs& n, const Errors& f) {
-  for (auto& x : f)
-    fprintf(stderr, "%s: event=%d %s: %s: %s\n", n.program, static_cast<int>(Event::bad_settings),
-            meaning(Event::bad_settings), x.location.c_str(), x.message.c_str());
-  return 2;
+Errors check(const Settings& settings, const Needs& needs, bool from_source) {
+  Errors errors;
+  check_addresses(settings, needs, from_source, errors);
+  if (needs.zone && settings.zone.empty())
+    errors.push_back({"zone", "is missing"});
+  if (needs.data && settings.data.empty())
+    errors.push_back({"data", "is missing"});
+  if (needs.seeds && settings.seeds.empty())
+    errors.push_back({"seeds", "are missing"});
+  for (size_t i = 0; needs.seeds && i < settings.seeds.size(); ++i)
+    check_address("seeds[" + std::to_string(i) + "]", settings.seeds[i], errors);
+  bool is_out_of_range = settings.core_size < 1 || settings.core_size > kMaxCoreSize;
+  bool is_even = !from_source && settings.core_size % 2 == 0;
+  if (needs.core_size && (is_out_of_range || is_even))
+    errors.push_back({"core_size", "must be an odd number from 1 to 9"});
+  if (settings.tcm_rpc_ms < kMinCommitAttemptTimeout || settings.tcm_rpc_ms > kMaxCommitAttemptTimeout)
+    errors.push_back({"tcm_rpc_ms", "must be from 100 to 30000"});
+  if (settings.tcm_await_ms < settings.tcm_rpc_ms || settings.tcm_await_ms > kMaxCommitTimeout)
+    errors.push_back({"tcm_await_ms", "must be from tcm_rpc_ms to 60000"});
+  return errors;
+}
+
+void append(Errors& errors, Errors more) {
+  errors.insert(errors.end(), more.begin(), more.end());
 }
 
 }  // namespace
 
-SettingsEnrolled::SettingsEnrolled(const SettingsSource* s) {
-  registry().push_back(s);
+SettingsEnrolled::SettingsEnrolled(const SettingsSource* source) {
+  registered_sources().push_back(source);
 }
 
 uint16_t port_offset(const std::string& program) {
@@ -61,145 +210,39 @@
 }
 
 uint64_t dice() {
-  std::random_device d;
-  return (static_cast<uint64_t>(d()) << 32) ^ d();
-}
-
-void hold_signals() {
-  sigset_t s;
-  sigemptyset(&s);
-  sigaddset(&s, SIGTERM);
-  sigaddset(&s, SIGINT);
-  sigaddset(&s, SIGHUP);
-  pthread_sigmask(SIG_BLOCK, &s, nullptr);
-  signal(SIGPIPE, SIG_IGN);
-}
-
-bool signalled(Millis wait) {
-  sigset_t s;
-  sigemptyset(&s);
-  sigaddset(&s, SIGTERM);
-  sigaddset(&s, SIGINT);
-  timespec t{wait / 1000, (wait % 1000) * 1000000};
-  return sigtimedwait(&s, nullptr, &t) > 0;
-}
-
-std::variant<Settings, int> read_settings(int argc, const char** argv, const Needs& n) {
-  char *file = nullptr, *listen = nullptr, *http = nullptr, *agent = nullptr, *zone = nullptr, *seeds = nullptr,
-       *data = nullptr;
-  int core = 0, version = 0, check = 0;
-  long await = 0, rpc = 0;
-  poptOption table[] = {
-      {"settings", 's', POPT_ARG_STRING, &file, 0, "JSON file with any of the settings below", "FILE"},
-      {"listen", 'l', POPT_ARG_STRING, &listen, 0, "address for other daemons", "IP:PORT"},
-      {"http", 'w', POPT_ARG_STRING, &http, 0, "address for HTTP", "IP:PORT"},
-      {"agent", 'a', POPT_ARG_STRING, &agent, 0, "a gateway's agent, or an agent's gateway", "IP:PORT"},
-      {"zone", 'z', POPT_ARG_STRING, &zone, 0, "the zone of this machine", "NAME"},
-      {"seeds", 'e', POPT_ARG_STRING, &seeds, 0, "three addresses of controllers", "A,B,C"},
-      {"data", 'd', POPT_ARG_STRING, &data, 0, "the data folder", "DIR"},
-      {"core-size", 'c', POPT_ARG_INT, &core, 0, "how many controllers make the core", "N"},
-      {"tcm-await-ms", 0, POPT_ARG_LONG, &await, 0, "patience for a change as a whole (10000)", "MS"},
-      {"tcm-rpc-ms", 0, POPT_ARG_LONG, &rpc, 0, "patience of one controller for it (2000)", "MS"},
-      {"check", 0, POPT_ARG_NONE, &check, 0, "check the settings, then exit", nullptr},
-      {"version", 'V', POPT_ARG_NONE, &version, 0, "print the version, then exit", nullptr},
-      POPT_AUTOHELP POPT_TABLEEND};
-  std::unique_ptr<std::remove_pointer_t<poptContext>, PoptClose> c(poptGetContext(n.program, argc, argv, table, 0));
-  poptSetOtherOptionHelp(c.get(), (std::string("[OPTIONS]\n") + n.purpose).c_str());
-  Errors f;
-  for (int rc; (rc = poptGetNextOpt(c.get())) != -1;)
-    if (rc < -1) {
-      f.push_back({poptBadOption(c.get(), POPT_BADOPTION_NOALIAS), poptStrerror(rc)});
-      break;
-    }
-  for (const char* x; f.empty() && (x = poptGetArg(c.get()));)
-    f.push_back({x, "is no option"});
-  if (version) {
-    printf("%s (mosskeel) %s\n", n.program, MOSSKEEL_VERSION);
+  std::random_device device;
+  uint64_t high = device();
+  return (high << 32) ^ device();
+}
+
+std::variant<Settings, int> read_settings(int argc, const char** argv, const Needs& needs) {
+  Flags flags;
+  auto errors = parse_flags(argc, argv, needs, flags);
+  if (flags.version) {
+    printf("%s (mosskeel) %s\n", needs.program, MOSSKEEL_VERSION);
     return 0;
   }
-  Settings p{};
-  p.tcm_await_ms = kCommitTimeout;
-  p.tcm_rpc_ms = kCommitAttemptTimeout;
-  bool flags = file || listen || http || agent || zone || seeds || data || core || await || rpc;
-  auto* source = flags ? nullptr : applying();
-  if (source && f.empty()) {
-    auto r = source->read(n.program);
-    if (r.ok()) {
-      p = r.value();
-      p.tcm_await_ms = kCommitTimeout;
-      p.tcm_rpc_ms = kCommitAttemptTimeout;
-    } else {
-      return wrong(n, r.errors());
-    }
-  }
-  if (file) {
-    std::ifstream s(file);
-    std::stringstream t;
-    t << s.rdbuf();
-    if (!s) {
-      f.push_back({file, "cannot be read"});
-    } else {
-      auto r = json::parse<Settings>(t.str());
-      if (r.ok()) {
-        auto whole = r.value();
-        if (!whole.tcm_await_ms)
-          whole.tcm_await_ms = p.tcm_await_ms;
-        if (!whole.tcm_rpc_ms)
-          whole.tcm_rpc_ms = p.tcm_rpc_ms;
-        p = whole;
-      } else
-        for (auto& x : r.errors())
-          f.push_back({std::string(file) + ": " + x.location, x.message});
-    }
-  }
-  auto set = [](std::string& to, char* from) {
-    if (from)
-      to = from;
-  };
-  set(p.listen, listen), set(p.http, http), set(p.agent, agent), set(p.zone, zone), set(p.data, data);
-  if (core)
-    p.core_size = static_cast<uint32_t>(core < 0 ? 0 : core);
-  if (await)
-    p.tcm_await_ms = await;
-  if (rpc)
-    p.tcm_rpc_ms = rpc;
-  if (seeds) {
-    p.seeds.clear();
-    std::stringstream s(seeds);
-    for (std::string x; std::getline(s, x, ',');)
-      p.seeds.push_back(x);
+  Settings settings{};
+  const auto* source = flags.any() ? nullptr : applying_source();
+  if (source && errors.empty()) {
+    auto read = source->read(needs.program);
+    if (!read.ok())
+      return report(needs, read.errors());
+    settings = read.value();
   }
-  if (n.listen)
-    address(f, "listen", p.listen);
-  if (n.http && !(source && p.http.empty()))
-    address(f, "http", p.http);
-  if (!p.ready.empty())
-    address(f, "ready", p.ready);
-  if (!p.list.empty())
-    address(f, "list", p.list);
-  if (n.agent)
-    address(f, "agent", p.agent);
-  if (n.zone && p.zone.empty())
-    f.push_back({"zone", "is missing"});
-  if (n.data && p.data.empty())
-    f.push_back({"data", "is missing"});
-  if (n.seeds && p.seeds.empty())
-    f.push_back({"seeds", "are missing"});
-  for (size_t i = 0; n.seeds && i < p.seeds.size(); ++i)
-    address(f, ("seeds[" + std::to_string(i) + "]").c_str(), p.seeds[i]);
-  if (n.core_size && (p.core_size < 1 || p.core_size > kMaxCoreSize || (!source && p.core_size % 2 == 0)))
-    f.push_back({"core_size", "must be an odd number from 1 to 9"});
-  if (p.tcm_rpc_ms < 100 || p.tcm_rpc_ms > 30000)
-    f.push_back({"tcm_rpc_ms", "must be from 100 to 30000"});
-  if (p.tcm_await_ms < p.tcm_rpc_ms || p.tcm_await_ms > 60000)
-    f.push_back({"tcm_await_ms", "must be from tcm_rpc_ms to 60000"});
-  if (!f.empty())
-    return wrong(n, f);
-  if (check) {
-    printf("%s: settings are good\n", n.program);
+  settings.tcm_await_ms = kCommitTimeout;
+  settings.tcm_rpc_ms = kCommitAttemptTimeout;
+  if (flags.file)
+    append(errors, read_file(flags.file, settings));
+  apply_flags(flags, settings);
+  append(errors, check(settings, needs, source != nullptr));
+  if (!errors.empty())
+    return report(needs, errors);
+  if (flags.check) {
+    printf("%s: settings are good\n", needs.program);
     return 0;
   }
-  return p;
+  return settings;
 }
 
 }  // namespace mosskeel
--- a/src/runtime/settings.hpp
+++ b/src/runtime/settings.hpp
@@ -1,15 +1,18 @@
 #pragma once
-// A daemon's settings: a JSON file, flags over it, all findings at once.
+// A daemon's settings: a JSON file, command-line flags over it, all errors at once.
 #include <boost/hana/define_struct.hpp>
 
 #include "base/address.hpp"
 
 namespace mosskeel {
 
-/// `ready` is where a gateway tells if it is ready, empty for its own HTTP; `dialect` names the plug-in that
+/// Field names are the names in the JSON file. Addresses are "IP:port", times in ms.
+///
+/// `listen` is for other daemons; `agent` is a gateway's agent, or an agent's gateway; `seeds` are controllers;
+/// `ready` is where a gateway tells if it is ready, empty for its own HTTP; `dialect` names the protocol codec that
 /// speaks for a platform, empty for the product's own interface; `list` is where the replicas are listed;
-/// `later_start` forbids founding; `core_most` and `copies` as in `FoundCluster`;
-/// `tolerated_machines` and `tolerated_zones` are what may be lost at once.
+/// `later_start` forbids founding; `core_most` and `copies` are the largest core and the number of stores that keep a
+/// history, 0 for the default; `tolerated_machines` and `tolerated_zones` are what may be lost at once.
 struct Settings {
   BOOST_HANA_DEFINE_STRUCT(Settings, (std::string, listen), (std::string, http), (std::string, agent),
                            (std::string, zone), (std::vector<std::string>, seeds), (std::string, data),
@@ -17,6 +20,7 @@
                            (std::string, machine), (std::string, ready), (std::string, dialect), (std::string, list),
                            (bool, later_start), (uint32_t, core_most), (uint32_t, copies),
                            (uint32_t, tolerated_machines), (uint32_t, tolerated_zones));
+  /// Every field may be left out of the file.
   static std::set<std::string> optional_fields() {
     return {"listen",
             "http",
@@ -57,21 +61,17 @@
 
 /// A static object of this type puts a source into the registry.
 struct SettingsEnrolled {
-  explicit SettingsEnrolled(const SettingsSource* s);
+  explicit SettingsEnrolled(const SettingsSource* source);
 };
 
 /// Which of a machine's ports for daemons a program listens on, counted from the first of them.
 uint16_t port_offset(const std::string& program);
 
-/// Reads flags and file, or a source that applies where no flag gives settings; prints help, version or findings
+/// Reads flags and file, or a source that applies where no flag gives settings; prints help, version or errors
 /// itself and then gives an exit code. Settings of a source may leave out HTTP, and their core may have an even size.
-std::variant<Settings, int> read_settings(int argc, const char** argv, const Needs& n);
+std::variant<Settings, int> read_settings(int argc, const char** argv, const Needs& needs);
 
+/// A random seed from the operating system.
 uint64_t dice();
-/// Blocks SIGTERM, SIGINT and SIGHUP for all threads started later; SIGHUP changes nothing here, for a daemon follows
-/// the directory and not its settings file once it has started.
-void hold_signals();
-/// Waits for one of them; true once it came.
-bool signalled(Millis wait);
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/runtime/signals.cpp
@@ -0,0 +1,29 @@
+#include "runtime/signals.hpp"
+
+#include <signal.h>
+#include <time.h>
+
+namespace mosskeel {
+
+void hold_signals() {
+  sigset_t blocked;
+  sigemptyset(&blocked);
+  sigaddset(&blocked, SIGTERM);
+  sigaddset(&blocked, SIGINT);
+  sigaddset(&blocked, SIGHUP);
+  pthread_sigmask(SIG_BLOCK, &blocked, nullptr);
+  signal(SIGPIPE, SIG_IGN);
+}
+
+bool signalled(Millis timeout) {
+  constexpr Millis kMillisPerSecond = 1000;
+  constexpr long kNanosPerMilli = 1000000;
+  sigset_t awaited;
+  sigemptyset(&awaited);
+  sigaddset(&awaited, SIGTERM);
+  sigaddset(&awaited, SIGINT);
+  timespec wait{timeout / kMillisPerSecond, (timeout % kMillisPerSecond) * kNanosPerMilli};
+  return sigtimedwait(&awaited, nullptr, &wait) > 0;
+}
+
+}  // namespace mosskeel
--- /dev/null
+++ b/src/runtime/signals.hpp
@@ -0,0 +1,14 @@
+#pragma once
+// A daemon's signals.
+#include "mosskeel/time.hpp"
+
+namespace mosskeel {
+
+/// Blocks SIGTERM, SIGINT and SIGHUP for all threads started later, and ignores SIGPIPE. SIGHUP changes nothing here:
+/// a daemon follows the directory and not its settings file once it has started.
+void hold_signals();
+
+/// Waits up to `timeout` (ms) for SIGTERM or SIGINT; true once one came.
+bool signalled(Millis timeout);
+
+}  // namespace mosskeel
--- a/src/runtime/state_machine.hpp
+++ b/src/runtime/state_machine.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// A protocol as a state machine: no thread, clock, socket or file of its own.
+// A daemon's protocol as a state machine: no thread, clock, socket or file of its own. Hosts drive it on real ones,
+// the simulator and the model checker on virtual ones.
 #include <random>
 
 #include "base/log.hpp"
@@ -10,20 +11,26 @@
 
 namespace mosskeel {
 
-/// What a step wants done. `synced` leaves only once the journal so far is on disk.
+/// What a step wants done.
 struct Actions {
+  /// Records for the journal, in order.
   std::vector<std::string> journal;
+  /// The whole state encoded, to stand for the journal so far.
   std::optional<std::string> checkpoint;
+  /// Messages that may leave at once, and those that leave only when the journal so far is durable.
   std::vector<Envelope> now, synced;
   std::vector<Note> notes;
+  /// The daemon is to end.
   bool stop = false;
 };
 
 /// The settings of a daemon: who it is and where others are.
 struct Identity {
   Candidate self;
+  /// Addresses of controllers to find the cluster by.
   Addresses seeds;
   uint32_t core_size = 3;
+  /// Seed of the state machine's random numbers.
   uint64_t dice = 1;
   Millis commit_attempt_timeout = kCommitAttemptTimeout;
   /// Forbids founding: an empty disk at a later start joins or waits.
@@ -32,43 +39,67 @@
   uint32_t max_core_size = 0, replication_factor = 0;
 };
 
-/// One interface for all daemons, driven alike by the hosts and the simulator.
+/// The interface of all daemons. One thread at a time; `now` never decreases from call to call.
 class Machine {
  public:
   virtual ~Machine() = default;
-  virtual Actions step(const Envelope& e, Millis now) = 0;
+  /// Handles one message.
+  virtual Actions step(const Envelope& message, Millis now) = 0;
+  /// Looks at timers; called each kTickInterval.
   virtual Actions tick(Millis now) = 0;
-  /// The metadata as this daemon knows it.
+  /// The metadata as this daemon knows it; never null.
   virtual View view() const = 0;
-  /// All that the journal so far says, or nothing where no journal is kept.
+  /// The encoded state that the journal so far adds up to; empty where no journal is kept.
   virtual std::string checkpoint() const { return {}; }
 };
 
-/// Collects the actions of the step under way, for the parts a machine is made of.
+/// Collects the actions of the step under way for the parts that a state machine is made of, and gives messages their
+/// envelope. Owned by the state machine, referenced by its parts.
 class Outbox {
  public:
   explicit Outbox(const Identity& id) : id_(id), dice_(id.dice) {}
+
   const Identity& id() const { return id_; }
+  /// The next random number; deterministic by `Identity::dice`.
   uint64_t roll() { return dice_(); }
-  Millis jitter(Millis upto) { return static_cast<Millis>(dice_() % static_cast<uint64_t>(upto)); }
-  void send(const Address& to, Message m, Incarnation to_inc = {}) {
-    act.now.push_back(wrap(to, std::move(m), to_inc));
+  /// A random delay (ms) below `limit`.
+  Millis jitter(Millis limit) { return static_cast<Millis>(dice_() % static_cast<uint64_t>(limit)); }
+
+  /// Sends at once. `to_incarnation` 0 means whoever has the address.
+  void send(const Address& to, Message message, Incarnation to_incarnation = {}) {
+    act.now.push_back(wrap(to, std::move(message), to_incarnation));
   }
-  void send_synced(const Address& to, Message m, Incarnation to_inc = {}) {
-    act.synced.push_back(wrap(to, std::move(m), to_inc));
+  /// Sends once all that was written to the journal so far is durable.
+  void send_synced(const Address& to, Message message, Incarnation to_incarnation = {}) {
+    act.synced.push_back(wrap(to, std::move(message), to_incarnation));
   }
+  /// Appends a record to the journal.
   void write(std::string record) { act.journal.push_back(std::move(record)); }
-  void note(Event e, std::string text) { act.notes.push_back({e, std::move(text)}); }
+  void note(Event event, std::string text) { act.notes.push_back({event, std::move(text)}); }
+
+  /// The actions of this step; the next one starts empty.
   Actions take() { return std::exchange(act, {}); }
+
   Actions act;
+  /// Stamped on each message: the cluster's id (0 before it is known) and the epoch that the sender knows.
   uint64_t cluster = 0;
   Epoch epoch{};
 
  private:
-  Envelope wrap(const Address& to, Message m, Incarnation to_inc) {
-    return {kProtocolRevision,    cluster, epoch,  dice_(),     id_.self.address,
-            id_.self.incarnation, to,      to_inc, std::move(m)};
+  Envelope wrap(const Address& to, Message message, Incarnation to_incarnation) {
+    Envelope envelope;
+    envelope.protocol = kProtocolRevision;
+    envelope.cluster = cluster;
+    envelope.epoch = epoch;
+    envelope.id = dice_();
+    envelope.from = id_.self.address;
+    envelope.from_inc = id_.self.incarnation;
+    envelope.to = to;
+    envelope.to_inc = to_incarnation;
+    envelope.body = std::move(message);
+    return envelope;
   }
+
   Identity id_;
   std::mt19937_64 dice_;
 };
--- a/src/storage/disk.cpp
+++ b/src/storage/disk.cpp
@@ -17,222 +17,280 @@
 
 namespace {
 
-DiskResult refused() {
-  return {errno == ENOSPC || errno == EDQUOT ? DiskResult::full : DiskResult::failed};
+constexpr int kFileMode = 0644;
+
+/// The result of a system call that has just failed.
+DiskResult result_of_errno() {
+  bool no_space = errno == ENOSPC || errno == EDQUOT;
+  return {no_space ? DiskResult::full : DiskResult::failed};
+}
+
+uint64_t free_bytes(const std::string& folder) {
+  struct statvfs info {};
+  if (::statvfs(folder.c_str(), &info) != 0)
+    return 0;
+  return info.f_bavail * info.f_frsize;
+}
+
+int sync_directory(const char* folder) {
+  Fd directory(::open(folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  return directory ? ::fsync(directory.get()) : -1;
 }
 
 }  // namespace
 
 DiskCalls DiskCalls::real() {
-  return {[](const char* p, int flags) { return ::open(p, flags, 0644); },
-          [](int fd, const void* p, size_t n) { return ::write(fd, p, n); },
-          [](int fd) { return ::fdatasync(fd); },
-          [](int fd, off_t n) { return ::ftruncate(fd, n); },
-          [](int fd, size_t n) { return ::posix_fallocate(fd, 0, static_cast<off_t>(n)); },
-          [](const std::string& folder) {
-            struct statvfs s {};
-            return ::statvfs(folder.c_str(), &s) == 0 ? s.f_bavail * s.f_frsize : uint64_t{0};
-          },
-          [](const char* from, const char* to) { return ::rename(from, to); },
-          [](const char* p) { return ::unlink(p); },
-          [](const char* folder) {
-            Fd d(::open(folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-            return d ? ::fsync(d.get()) : -1;
-          }};
-}
-
-std::string Disk::path(const char* kind, uint64_t seq) const {
-  return folder_ + "/" + kind + "-" + hex(seq);
+  DiskCalls calls;
+  calls.open = [](const char* path, int flags) {
+    return ::open(path, flags, kFileMode);
+  };
+  calls.write = [](int fd, const void* bytes, size_t size) {
+    return ::write(fd, bytes, size);
+  };
+  calls.sync = [](int fd) {
+    return ::fdatasync(fd);
+  };
+  calls.truncate = [](int fd, off_t size) {
+    return ::ftruncate(fd, size);
+  };
+  calls.allocate = [](int fd, size_t size) {
+    return ::posix_fallocate(fd, 0, static_cast<off_t>(size));
+  };
+  calls.room = free_bytes;
+  calls.rename = [](const char* from, const char* to) {
+    return ::rename(from, to);
+  };
+  calls.remove = [](const char* path) {
+    return ::unlink(path);
+  };
+  calls.sync_folder = sync_directory;
+  return calls;
+}
+
+Recovered Disk::take_recovered() {
+  return {recovered_.incarnation, std::exchange(recovered_.checkpoint, {}), std::exchange(recovered_.journal, {})};
+}
+
+std::string Disk::path(const char* kind, uint64_t sequence) const {
+  return folder_ + "/" + kind + "-" + hex(sequence);
 }
 
 int Disk::sync_folder() {
   return calls_.sync_folder(folder_.c_str());
 }
 
-DiskResult Disk::write_all(int fd, std::string_view s) {
-  while (!s.empty()) {
+DiskResult Disk::write_all(int fd, std::string_view bytes) {
+  while (!bytes.empty()) {
+    // A write of 0 bytes sets no errno; it is taken for a full disk.
     errno = ENOSPC;
-    auto n = calls_.write(fd, s.data(), s.size());
-    if (n < 0 && errno == EINTR)
+    auto written = calls_.write(fd, bytes.data(), bytes.size());
+    if (written < 0 && errno == EINTR)
       continue;
-    if (n <= 0)
-      return refused();
-    s.remove_prefix(static_cast<size_t>(n));
+    if (written <= 0)
+      return result_of_errno();
+    bytes.remove_prefix(static_cast<size_t>(written));
   }
   return {};
 }
 
-DiskResult Disk::cut_back(size_t to) {
-  if (calls_.truncate(segment_.get(), static_cast<off_t>(to)) != 0)
+/// Takes back what is beyond `size`; `full` where that worked, for the caller to pass on.
+DiskResult Disk::truncate_segment(size_t size) {
+  if (calls_.truncate(segment_.get(), static_cast<off_t>(size)) != 0)
     return {DiskResult::failed};
-  kept_ -= size_ - to;
-  size_ = to;
-  loose_ = true;
+  reclaimable_bytes_ -= segment_size_ - size;
+  segment_size_ = size;
+  bytes_unsynced_ = true;
   return {DiskResult::full};
 }
 
-DiskResult Disk::put(const std::string& bytes) {
-  auto before = size_;
-  auto r = write_all(segment_.get(), bytes);
-  if (r.kind == DiskResult::failed)
-    return r;
-  if (r.kind == DiskResult::full)
-    return cut_back(before);
-  size_ += bytes.size();
-  kept_ += bytes.size();
-  loose_ = true;
-  return r;
+DiskResult Disk::append_bytes(const std::string& bytes) {
+  auto size_before = segment_size_;
+  auto result = write_all(segment_.get(), bytes);
+  if (result.kind == DiskResult::failed)
+    return result;
+  if (result.kind == DiskResult::full)
+    return truncate_segment(size_before);
+  segment_size_ += bytes.size();
+  reclaimable_bytes_ += bytes.size();
+  bytes_unsynced_ = true;
+  return result;
 }
 
-DiskResult Disk::mark() {
-  return put(frame(codec::pack(SyncMark{SyncMark::word, found_.incarnation, seq_, synced_})));
+DiskResult Disk::append_sync_mark() {
+  SyncMark mark{SyncMark::word, recovered_.incarnation, segment_sequence_, synced_size_};
+  return append_bytes(frame(codec::pack(mark)));
 }
 
-DiskResult Disk::settle() {
-  auto r = folder_loose_ && sync_folder() != 0 ? refused() : DiskResult{};
-  if (r && loose_) {
-    ++syncs_;
+DiskResult Disk::sync_segment() {
+  DiskResult result;
+  if (folder_unsynced_ && sync_folder() != 0)
+    result = result_of_errno();
+  if (result && bytes_unsynced_) {
+    ++sync_count_;
     if (calls_.sync(segment_.get()) != 0)
-      r = refused();
+      result = result_of_errno();
   }
-  if (r.kind == DiskResult::full) {
-    appended_ = durable_;
-    return cut_back(synced_);
+  if (result.kind == DiskResult::full) {
+    appends_ = durable_appends_;
+    return truncate_segment(synced_size_);
   }
-  if (!r)
-    return r;
-  synced_ = size_;
-  durable_ = appended_;
-  dirty_ = loose_ = folder_loose_ = false;
-  return r;
-}
-
-DiskResult Disk::open_segment(uint64_t seq) {
-  Fd f(calls_.open(path("log", seq).c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC));
-  if (!f)
-    return refused();
-  struct stat st {};
-  if (::fstat(f.get(), &st) != 0)
+  if (!result)
+    return result;
+  synced_size_ = segment_size_;
+  durable_appends_ = appends_;
+  records_unsynced_ = false;
+  bytes_unsynced_ = false;
+  folder_unsynced_ = false;
+  return result;
+}
+
+DiskResult Disk::open_segment(uint64_t sequence) {
+  Fd file(calls_.open(path("log", sequence).c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC));
+  if (!file)
+    return result_of_errno();
+  struct stat info {};
+  if (::fstat(file.get(), &info) != 0)
     return {DiskResult::failed};
-  segment_ = std::move(f);
-  seq_ = seq;
-  size_ = synced_ = static_cast<size_t>(st.st_size);
-  folder_loose_ = true;
+  segment_ = std::move(file);
+  segment_sequence_ = sequence;
+  segment_size_ = static_cast<size_t>(info.st_size);
+  synced_size_ = segment_size_;
+  folder_unsynced_ = true;
   return {};
 }
 
-/// The first mark is on disk before any record: where it cannot be read, a segment has lost what it had.
-DiskResult Disk::begin_segment() {
-  if (size_ && (size_ > kSegmentBytes || !marked_)) {
-    if (auto r = settle(); !r)
-      return r;
-    if (auto r = open_segment(seq_ + 1); !r)
-      return r;
+/// Closes a large segment and starts the next one. The first mark is on disk before any record: where it cannot be
+/// read later, the segment has lost what it had.
+DiskResult Disk::prepare_segment() {
+  bool segment_is_closed = segment_size_ > kSegmentBytes || !begins_with_mark_;
+  if (segment_size_ && segment_is_closed) {
+    if (auto result = sync_segment(); !result)
+      return result;
+    if (auto result = open_segment(segment_sequence_ + 1); !result)
+      return result;
   }
-  if (size_)
+  if (segment_size_)
     return {};
-  marked_ = true;
-  if (auto r = mark(); !r)
-    return r;
-  return settle();
+  begins_with_mark_ = true;
+  if (auto result = append_sync_mark(); !result)
+    return result;
+  return sync_segment();
 }
 
 DiskResult Disk::append(const std::vector<std::string>& records) {
   if (records.empty())
     return {};
-  if (auto r = begin_segment(); !r)
-    return r;
-  std::string s;
-  for (auto& r : records)
-    s += frame(r);
-  auto r = put(s);
-  if (r)
-    ++appended_, dirty_ = true;
-  return r;
+  if (auto result = prepare_segment(); !result)
+    return result;
+  std::string frames;
+  for (const auto& record : records)
+    frames += frame(record);
+  auto result = append_bytes(frames);
+  if (result) {
+    ++appends_;
+    records_unsynced_ = true;
+  }
+  return result;
 }
 
 DiskResult Disk::sync() {
-  if (!dirty_)
+  if (!records_unsynced_)
     return {};
-  if (auto r = settle(); !r)
-    return r;
-  auto r = mark();
-  return r.kind == DiskResult::failed ? r : DiskResult{};
+  if (auto result = sync_segment(); !result)
+    return result;
+  // The mark is a help to recovery; a disk that is full for it has still synced the records.
+  auto result = append_sync_mark();
+  return result.kind == DiskResult::failed ? result : DiskResult{};
 }
 
-bool Disk::write_whole(const std::string& name, const std::string& bytes) {
-  auto tmp = folder_ + "/unfinished";
+/// Writes a small file as a whole: it has the old content or the new one after any crash.
+bool Disk::replace_file(const std::string& path, const std::string& bytes) {
+  auto temporary = folder_ + "/unfinished";
   {
-    Fd f(calls_.open(tmp.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC));
-    if (!f || !write_all(f.get(), bytes) || calls_.sync(f.get()) != 0)
+    Fd file(calls_.open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC));
+    if (!file || !write_all(file.get(), bytes) || calls_.sync(file.get()) != 0)
       return false;
   }
-  return calls_.rename(tmp.c_str(), name.c_str()) == 0 && sync_folder() == 0;
+  return calls_.rename(temporary.c_str(), path.c_str()) == 0 && sync_folder() == 0;
 }
 
-void Disk::reserve() {
-  auto p = folder_ + "/reserve";
-  auto want = std::max(kDiskReserveBytes, point_);
-  struct stat st {};
-  if (::stat(p.c_str(), &st) == 0 && static_cast<size_t>(st.st_size) >= want)
-    return;
-  if (calls_.room(folder_) < kDiskReserveMinimumFactor * want)
+void Disk::allocate_reserve() {
+  auto reserve = folder_ + "/reserve";
+  auto wanted = std::max(kDiskReserveBytes, checkpoint_size_);
+  struct stat info {};
+  bool is_allocated = ::stat(reserve.c_str(), &info) == 0 && static_cast<size_t>(info.st_size) >= wanted;
+  if (is_allocated || calls_.room(folder_) < kDiskReserveMinimumFactor * wanted)
     return;
-  Fd f(calls_.open(p.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC));
-  if (f && calls_.allocate(f.get(), want) != 0)
-    calls_.remove(p.c_str());
+  Fd file(calls_.open(reserve.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC));
+  if (file && calls_.allocate(file.get(), wanted) != 0)
+    calls_.remove(reserve.c_str());
 }
 
-/// Into the room of the reserve, which nobody else can take; the file gets its name when all of it is on disk.
+/// Writes the framed checkpoint into the file of the reserve and gives it its final name.
+DiskResult Disk::fill_checkpoint(int fd, const std::string& bytes) {
+  auto header = frame_header(bytes);
+  if (auto result = write_all(fd, header); !result)
+    return result;
+  if (auto result = write_all(fd, bytes); !result)
+    return result;
+  if (calls_.truncate(fd, static_cast<off_t>(header.size() + bytes.size())) != 0)
+    return {DiskResult::failed};
+  if (calls_.sync(fd) != 0)
+    return result_of_errno();
+  auto reserve = folder_ + "/reserve";
+  if (calls_.rename(reserve.c_str(), path("checkpoint", segment_sequence_).c_str()) != 0)
+    return result_of_errno();
+  return {};
+}
+
+/// Into the space of the reserve, which nobody else can take; the file gets its name once all of it is on disk.
 DiskResult Disk::write_checkpoint(const std::string& bytes) {
-  auto p = folder_ + "/reserve";
-  Fd f(calls_.open(p.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC));
-  struct stat st {};
-  if (!f)
-    return refused();
-  if (::fstat(f.get(), &st) != 0)
+  auto reserve = folder_ + "/reserve";
+  Fd file(calls_.open(reserve.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC));
+  if (!file)
+    return result_of_errno();
+  struct stat info {};
+  if (::fstat(file.get(), &info) != 0)
     return {DiskResult::failed};
-  auto header = frame_header(bytes);
-  auto r = write_all(f.get(), header);
-  if (r)
-    r = write_all(f.get(), bytes);
-  if (r && calls_.truncate(f.get(), static_cast<off_t>(header.size() + bytes.size())) != 0)
-    r = {DiskResult::failed};
-  if (r && calls_.sync(f.get()) != 0)
-    r = refused();
-  if (r && calls_.rename(p.c_str(), path("checkpoint", seq_).c_str()) != 0)
-    r = refused();
-  if (r)
-    return sync_folder() == 0 ? r : DiskResult{DiskResult::failed};
-  if (!st.st_size)
-    calls_.remove(p.c_str());
-  else if (calls_.truncate(f.get(), st.st_size) != 0)
+  auto result = fill_checkpoint(file.get(), bytes);
+  if (result)
+    return sync_folder() == 0 ? result : DiskResult{DiskResult::failed};
+  // Gives the reserve back the size that it had.
+  if (info.st_size == 0)
+    calls_.remove(reserve.c_str());
+  else if (calls_.truncate(file.get(), info.st_size) != 0)
     return {DiskResult::failed};
-  return r;
+  return result;
 }
 
-DiskResult Disk::checkpoint(const std::string& bytes) {
-  if (auto r = settle(); !r)
-    return r;
-  if (size_) {
-    if (auto r = open_segment(seq_ + 1); !r)
-      return r;
-    if (auto r = settle(); !r)
-      return r;
-  }
-  if (auto r = write_checkpoint(bytes); !r)
-    return r;
-  std::error_code ec;
-  for (auto& f : fs::directory_iterator(folder_, ec)) {
-    auto n = f.path().filename().string();
-    auto dash = n.find('-');
+void Disk::remove_files_before_segment() {
+  std::error_code ignored;
+  for (const auto& file : fs::directory_iterator(folder_, ignored)) {
+    auto name = file.path().filename().string();
+    auto dash = name.find('-');
     if (dash == std::string::npos)
       continue;
-    if (auto x = unhex(n.substr(dash + 1)); x && *x < seq_)
-      calls_.remove(f.path().c_str());
+    auto sequence = unhex(name.substr(dash + 1));
+    if (sequence && *sequence < segment_sequence_)
+      calls_.remove(file.path().c_str());
+  }
+}
+
+DiskResult Disk::checkpoint(const std::string& bytes) {
+  if (auto result = sync_segment(); !result)
+    return result;
+  if (segment_size_) {
+    if (auto result = open_segment(segment_sequence_ + 1); !result)
+      return result;
+    if (auto result = sync_segment(); !result)
+      return result;
   }
-  kept_ = point_ = bytes.size();
-  reserve();
+  if (auto result = write_checkpoint(bytes); !result)
+    return result;
+  remove_files_before_segment();
+  checkpoint_size_ = bytes.size();
+  reclaimable_bytes_ = bytes.size();
+  allocate_reserve();
   return {};
 }
 
--- a/src/storage/journal_writer.cpp
+++ b/src/storage/journal_writer.cpp
@@ -1,82 +1,94 @@
 #include "storage/journal_writer.hpp"
-#include "storage/constants.hpp"
 
 namespace mosskeel {
 
 namespace {
 
-size_t bytes_of(const std::vector<std::string>& v) {
-  size_t n = 0;
-  for (auto& s : v)
-    n += s.size();
-  return n;
+size_t bytes_of(const std::vector<std::string>& records) {
+  size_t bytes = 0;
+  for (const auto& record : records)
+    bytes += record.size();
+  return bytes;
 }
 
 }  // namespace
 
+/// Appends and syncs all pending records; those that are durable then are pending no more.
 DiskResult JournalWriter::flush() {
-  DiskResult r;
-  auto before = disk_.durable();
-  for (size_t i = 0; r && i < held_.size(); ++i)
-    r = disk_.append(held_[i]);
-  if (r.kind != DiskResult::failed)
-    if (auto s = disk_.sync(); !s)
-      r = s;
-  for (auto n = disk_.durable() - before; n; --n) {
-    held_bytes_ -= bytes_of(held_.front());
-    held_.pop_front();
+  DiskResult result;
+  auto durable_before = disk_.durable_appends();
+  for (size_t i = 0; result && i < pending_.size(); ++i)
+    result = disk_.append(pending_[i]);
+  if (result.kind != DiskResult::failed) {
+    if (auto synced = disk_.sync(); !synced)
+      result = synced;
   }
-  return r;
+  for (auto count = disk_.durable_appends() - durable_before; count > 0; --count) {
+    pending_bytes_ -= bytes_of(pending_.front());
+    pending_.pop_front();
+  }
+  return result;
 }
 
-DiskResult JournalWriter::checkpoint(const std::string& bytes, Written& w) {
-  bool worth = !held_bytes_ || bytes.size() < disk_.kept() + held_bytes_;
-  auto r = worth ? disk_.checkpoint(bytes) : DiskResult{DiskResult::full};
-  if (r) {
-    held_.clear();
-    held_bytes_ = 0;
-    w.notes.push_back({Event::checkpointed, std::to_string(bytes.size()) + " bytes"});
+DiskResult JournalWriter::write_checkpoint(const std::string& bytes, Written& written) {
+  // On a full disk a checkpoint helps only if it is smaller than what it stands for.
+  bool frees_space = pending_bytes_ == 0 || bytes.size() < disk_.reclaimable_bytes() + pending_bytes_;
+  auto result = frees_space ? disk_.checkpoint(bytes) : DiskResult{DiskResult::full};
+  if (result) {
+    pending_.clear();
+    pending_bytes_ = 0;
+    written.notes.push_back({Event::checkpointed, std::to_string(bytes.size()) + " bytes"});
   } else {
-    ++unwritten_;
+    ++unwritten_checkpoints_;
+  }
+  checkpoint_is_due_ = !result;
+  return result;
+}
+
+DiskResult JournalWriter::write_batch(Batch batch, Written& written) {
+  if (!batch.journal.empty()) {
+    pending_bytes_ += bytes_of(batch.journal);
+    pending_.push_back(std::move(batch.journal));
   }
-  wants_ = !r;
-  return r;
+  for (auto& message : batch.sends)
+    written.sends.push_back(std::move(message));
+  if (!batch.checkpoint)
+    return written.result;
+  auto result = flush();
+  if (result.kind != DiskResult::failed)
+    result = write_checkpoint(*batch.checkpoint, written);
+  return result;
+}
+
+void JournalWriter::note_full(bool was_full, Written& written) const {
+  if (full_ && !was_full)
+    written.notes.push_back({Event::disk_full, std::to_string(pending_bytes_) + " bytes are held back"});
+  if (!full_ && was_full && written.result)
+    written.notes.push_back({Event::disk_room, "after all that was held back"});
 }
 
-JournalWriter::Written JournalWriter::write(std::deque<Batch> v) {
-  Written w;
-  bool was = full_;
-  for (auto& b : v) {
-    if (!b.journal.empty()) {
-      held_bytes_ += bytes_of(b.journal);
-      held_.push_back(std::move(b.journal));
-    }
-    for (auto& e : b.sends)
-      w.sends.push_back(std::move(e));
-    if (!b.checkpoint)
-      continue;
-    w.result = flush();
-    if (w.result.kind != DiskResult::failed)
-      w.result = checkpoint(*b.checkpoint, w);
-    if (w.result.kind == DiskResult::failed)
+JournalWriter::Written JournalWriter::write(std::deque<Batch> batches) {
+  Written written;
+  bool was_full = full_;
+  for (auto& batch : batches) {
+    written.result = write_batch(std::move(batch), written);
+    if (written.result.kind == DiskResult::failed)
       break;
   }
-  if (w.result.kind != DiskResult::failed)
-    w.result = flush();
-  full_ = w.result.kind == DiskResult::full;
-  if (!w.result)
-    w.sends.clear();
-  if (full_ && !was)
-    w.notes.push_back({Event::disk_full, std::to_string(held_bytes_) + " bytes are held back"});
-  if (!full_ && was && w.result)
-    w.notes.push_back({Event::disk_room, "after all that was held back"});
-  if (full_ && held_bytes_ > most_)
-    w.result = {DiskResult::failed};
-  return w;
+  if (written.result.kind != DiskResult::failed)
+    written.result = flush();
+  full_ = written.result.kind == DiskResult::full;
+  if (!written.result)
+    written.sends.clear();
+  note_full(was_full, written);
+  if (full_ && pending_bytes_ > max_pending_bytes_)
+    written.result = {DiskResult::failed};
+  return written;
 }
 
 bool JournalWriter::wants_checkpoint(Millis now) {
-  if ((!full_ && !wants_) || now < next_checkpoint_)
+  bool is_worth_a_try = full_ || checkpoint_is_due_;
+  if (!is_worth_a_try || now < next_checkpoint_)
     return false;
   next_checkpoint_ = now + kFullDiskCheckpointInterval;
   return true;
--- a/src/storage/log_frame.hpp
+++ b/src/storage/log_frame.hpp
@@ -1,54 +1,60 @@
 #pragma once
-// How records lie in a segment, and the marks between them that say how far it was synced.
+// How records lie in a log segment: a header with size and checksum before each, and marks between them that say how
+// far the segment was synced.
 #include "base/codec.hpp"
 
 namespace mosskeel {
 
+/// Size (32 bits) and checksum (64 bits).
+constexpr size_t kFrameHeaderBytes = 12;
+
 /// What stands before a record: its size and digest.
-inline std::string frame_header(const std::string& r) {
-  std::string o;
-  codec::put(o, static_cast<uint32_t>(r.size()));
-  codec::put(o, digest(r, r.size()));
-  return o;
+inline std::string frame_header(const std::string& record) {
+  std::string header;
+  codec::put(header, static_cast<uint32_t>(record.size()));
+  codec::put(header, digest(record, record.size()));
+  return header;
 }
 
-inline std::string frame(const std::string& r) {
-  return frame_header(r) + r;
+/// A record as it lies in a segment.
+inline std::string frame(const std::string& record) {
+  return frame_header(record) + record;
 }
 
-/// The record at the reader's place, or nothing, leaving the reader where it was. No record is empty: zeros where a
-/// write was lost have the digest of one.
-inline std::optional<std::string> unframe(codec::Reader& r) {
-  auto at = r;
-  uint32_t n;
-  uint64_t sum;
-  if (!codec::get(at, n) || !codec::get(at, sum) || n == 0 || at.s.size() < n)
+/// The record at the reader's position; nothing where it is damaged, and the reader stays where it was. No record is
+/// empty: zeros where a write was lost have the digest of an empty one.
+inline std::optional<std::string> unframe(codec::Reader& reader) {
+  auto rest = reader;
+  uint32_t size;
+  uint64_t checksum;
+  if (!codec::get(rest, size) || !codec::get(rest, checksum) || size == 0 || rest.s.size() < size)
     return std::nullopt;
-  std::string x(at.s.substr(0, n));
-  if (digest(x, n) != sum)
+  std::string record(rest.s.substr(0, size));
+  if (digest(record, size) != checksum)
     return std::nullopt;
-  at.s.remove_prefix(n);
-  r = at;
-  return x;
+  rest.s.remove_prefix(size);
+  reader = rest;
+  return record;
 }
 
-/// Says that the first `synced` bytes of this segment of this daemon were on disk before it was written. A record by
-/// its form, which begins with an index that no kind of record has: daemons that do not know it pass over it.
+/// Says that the first `synced` bytes of segment `sequence` of this daemon were durable before the mark was written.
+/// A record by its form, which begins with an index that no kind of record has: daemons that do not know it skip it.
 struct SyncMark {
-  BOOST_HANA_DEFINE_STRUCT(SyncMark, (uint64_t, magic), (Incarnation, incarnation), (uint64_t, seq),
+  BOOST_HANA_DEFINE_STRUCT(SyncMark, (uint64_t, magic), (Incarnation, incarnation), (uint64_t, sequence),
                            (uint64_t, synced));
   static constexpr uint64_t word = 0x6b72616d2d79ffff;
-  static constexpr size_t bytes = 32, framed = bytes + 12;
+  /// Size of its encoding, without and with the frame.
+  static constexpr size_t bytes = 32, framed = bytes + kFrameHeaderBytes;
 };
 
-/// The mark in a record, if it is one of this daemon's segment `seq`.
-inline std::optional<SyncMark> mark_of(const std::string& record, Incarnation incarnation, uint64_t seq) {
+/// The mark in a record, if it is one of this daemon's segment `sequence`.
+inline std::optional<SyncMark> mark_of(const std::string& record, Incarnation incarnation, uint64_t sequence) {
   if (record.size() != SyncMark::bytes)
     return std::nullopt;
-  auto m = codec::unpack<SyncMark>(record);
-  if (!m || m->magic != SyncMark::word || m->incarnation != incarnation || m->seq != seq)
-    return std::nullopt;
-  return m;
+  auto mark = codec::unpack<SyncMark>(record);
+  bool matches =
+      mark && mark->magic == SyncMark::word && mark->incarnation == incarnation && mark->sequence == sequence;
+  return matches ? mark : std::nullopt;
 }
 
 }  // namespace mosskeel
--- a/tests/unit/history/store_machine_test.cpp
+++ b/tests/unit/history/store_machine_test.cpp
@@ -367,11 +367,11 @@
   auto e = from(owner, "front", Discover{});
   CHECK(inbox.hear(e, 6000));
   CHECK_FALSE(inbox.hear(e, 6000));
-  CHECK(inbox.hear(e, Inbox::small_message));
+  CHECK(inbox.hear(e, Inbox::kSmallMessageBytes));
   CHECK(inbox.refused() == 1);
   auto items = inbox.take(0);
   REQUIRE(items.size() == 2);
-  CHECK(inbox.bytes() == 6000 + Inbox::small_message);
+  CHECK(inbox.bytes() == 6000 + Inbox::kSmallMessageBytes);
   for (auto& x : items)
     inbox.done(x);
   CHECK(inbox.bytes() == 0);
--- a/tests/unit/platform/settings_test.cpp
+++ b/tests/unit/platform/settings_test.cpp
@@ -6,6 +6,7 @@
 #include <sstream>
 
 #include "metadata/constants.hpp"
+#include "metadata/metadata.hpp"
 #include "platform/settings.hpp"
 #include "runtime/constants.hpp"
 
--- a/tests/unit/storage/disk_full_test.cpp
+++ b/tests/unit/storage/disk_full_test.cpp
@@ -56,7 +56,7 @@
   }
   s.size = s.used();
   auto d = f.open(s.calls());
-  CHECK(d->cut() == 0);
+  CHECK(d->truncated_bytes() == 0);
   CHECK(d->recovered().journal == Journal{"one", "two"});
   CHECK(d->append({"three"}) == full);
 }
@@ -96,14 +96,14 @@
   CHECK(said(r).empty());
   CHECK(sent(w.write({batch({"three", "four"}, 5)})).empty());
   CHECK(w.full());
-  CHECK(w.held() == 12);
+  CHECK(w.pending_bytes() == 12);
   s.size += 1000;
   r = w.write({batch({"five"}, 6)});
   CHECK(r.result == done);
   CHECK(sent(r) == Ids{6});
   CHECK(said(r) == Events{Event::disk_room});
   CHECK_FALSE(w.full());
-  CHECK(w.held() == 0);
+  CHECK(w.pending_bytes() == 0);
   d.reset();
   CHECK(f.open()->recovered().journal == Journal{"one", "two", "three", "four", "five"});
 }
@@ -116,7 +116,7 @@
   REQUIRE(w.write({batch({"one"})}).result == done);
   s.size = s.used() + 200;
   CHECK(w.write({batch({"two"}), batch({std::string(2500, 'x')})}).result == full);
-  CHECK(w.held() == 2500);
+  CHECK(w.pending_bytes() == 2500);
   auto r = w.write({batch({std::string(600, 'x')}, 1)});
   CHECK(r.result == failed);
   CHECK(sent(r).empty());
--- a/tests/unit/storage/disk_test.cpp
+++ b/tests/unit/storage/disk_test.cpp
@@ -93,7 +93,7 @@
   CHECK(fs::file_size(p) == synced);
   fill(f, 1, 2);
   auto d = f.open();
-  CHECK(d->cut() == 0);
+  CHECK(d->truncated_bytes() == 0);
   CHECK(d->recovered().journal == std::vector<std::string>{"record 0", "record 1", "record 2"});
 }
 
