--- a/src/base/codec.hpp
+++ b/src/base/codec.hpp
@@ -71,7 +71,7 @@
 }
 
 inline bool get(Reader& reader, std::string& value) {
-  uint32_t size;
+  uint32_t size = 0;
   if (!get(reader, size) || reader.s.size() < size)
     return false;
   value.assign(reader.s.data(), size);
@@ -127,7 +127,7 @@
 
 template <class T>
 bool get(Reader& reader, std::vector<T>& values) {
-  uint32_t count;
+  uint32_t count = 0;
   // Each element takes a byte or more, so a count beyond the bytes left is damage and must not allocate.
   if (!get(reader, count) || count > reader.s.size())
     return false;
@@ -160,7 +160,7 @@
 
 template <class T>
 bool get(Reader& reader, std::optional<T>& value) {
-  uint8_t present;
+  uint8_t present = 0;
   if (!get(reader, present) || present > 1)
     return false;
   if (!present) {
@@ -184,7 +184,7 @@
 
 template <class... T>
 bool get(Reader& reader, std::variant<T...>& value) {
-  uint16_t index;
+  uint16_t index = 0;
   return get(reader, index) && get_alternative(reader, value, index);
 }
 
@@ -202,7 +202,7 @@
 template <class T>
 bool get(Reader& reader, T& value) {
   if constexpr (std::is_same_v<T, bool>) {
-    uint8_t byte;
+    uint8_t byte = 0;
     if (!get(reader, byte) || byte > 1)
       return false;
     value = byte;
--- a/src/storage/disk_recovery.cpp
+++ b/src/storage/disk_recovery.cpp
@@ -55,7 +55,7 @@
     auto size_probe = rest;
     uint32_t record_size = 0;
     codec::get(size_probe, record_size);
-    if (!segment_has_marks || record_size == SyncMark::bytes) {
+    if (!segment_has_marks || record_size == SyncMark::kBytes) {
       auto probe = rest;
       if (auto record = unframe(probe)) {
         auto mark = mark_of(*record, incarnation, sequence);
--- a/src/storage/log_frame.hpp
+++ b/src/storage/log_frame.hpp
@@ -25,8 +25,8 @@
 /// empty: zeros where a write was lost have the digest of an empty one.
 inline std::optional<std::string> unframe(codec::Reader& reader) {
   auto rest = reader;
-  uint32_t size;
-  uint64_t checksum;
+  uint32_t size = 0;
+  uint64_t checksum = 0;
   if (!codec::get(rest, size) || !codec::get(rest, checksum) || size == 0 || rest.s.size() < size)
     return std::nullopt;
   std::string record(rest.s.substr(0, size));
@@ -42,18 +42,18 @@
 struct SyncMark {
   BOOST_HANA_DEFINE_STRUCT(SyncMark, (uint64_t, magic), (Incarnation, incarnation), (uint64_t, sequence),
                            (uint64_t, synced));
-  static constexpr uint64_t word = 0x6b72616d2d79ffff;
+  static constexpr uint64_t kMagic = 0x6b72616d2d79ffff;
   /// Size of its encoding, without and with the frame.
-  static constexpr size_t bytes = 32, framed = bytes + kFrameHeaderBytes;
+  static constexpr size_t kBytes = 32, kFramedBytes = kBytes + kFrameHeaderBytes;
 };
 
 /// The mark in a record, if it is one of this daemon's segment `sequence`.
 inline std::optional<SyncMark> mark_of(const std::string& record, Incarnation incarnation, uint64_t sequence) {
-  if (record.size() != SyncMark::bytes)
+  if (record.size() != SyncMark::kBytes)
     return std::nullopt;
   auto mark = codec::unpack<SyncMark>(record);
   bool matches =
-      mark && mark->magic == SyncMark::word && mark->incarnation == incarnation && mark->sequence == sequence;
+      mark && mark->magic == SyncMark::kMagic && mark->incarnation == incarnation && mark->sequence == sequence;
   return matches ? mark : std::nullopt;
 }
 
