--- /dev/null
+++ b/tests/golden_data_test.cpp
@@ -0,0 +1,291 @@
+// The formats on the wire and on disk, pinned by bytes that earlier sources wrote (tests/data/README.md).
+#include <algorithm>
+#include <iomanip>
+
+#include "golden_examples.hpp"
+#include "golden_fields.hpp"
+#include "golden_files.hpp"
+#include "kernel/wire.hpp"
+
+using namespace mosskeel;
+using golden::Example;
+using golden::Field;
+using golden::Fields;
+using golden::FieldType;
+
+namespace {
+
+constexpr auto message_directory = "messages";
+constexpr auto entry_directory = "entries";
+constexpr auto controller_record_directory = "controller-records";
+constexpr auto store_record_directory = "store-records";
+
+template <class Value>
+std::string encoded(const Value& value) {
+  return codec::pack(value);
+}
+std::string encoded(const Envelope& envelope) {
+  return encode(envelope);
+}
+
+template <class Value>
+std::optional<Value> decoded(const std::string& bytes) {
+  if constexpr (std::is_same_v<Value, Envelope>)
+    return decode(bytes);
+  else
+    return codec::unpack<Value>(bytes);
+}
+
+size_t kind_of(const Envelope& envelope) {
+  return envelope.body.index();
+}
+size_t kind_of(const Entry& entry) {
+  return entry.change.index();
+}
+size_t kind_of(const ControllerRecord& record) {
+  return record.index();
+}
+size_t kind_of(const StoreRecord& record) {
+  return record.index();
+}
+
+template <class Value>
+std::string file_name(const Example<Value>& example) {
+  std::ostringstream name;
+  name << std::setw(2) << std::setfill('0') << example.kind << "-" << example.name << ".hex";
+  return name.str();
+}
+
+/// Compares each field with the expected one of the same name.
+void check_fields(const Fields& actual, const Fields& expected) {
+  CHECK(actual.size() == expected.size());
+  for (size_t i = 0; i < std::min(actual.size(), expected.size()); ++i) {
+    INFO("field " << expected[i].path);
+    CHECK(actual[i].path == expected[i].path);
+    CHECK(actual[i].value == expected[i].value);
+  }
+}
+
+/// The golden bytes mean the expected value, and the expected value is encoded as these bytes.
+template <class Value>
+void check_golden(const std::string& file, const Value& expected) {
+  INFO("golden file " << file);
+  auto bytes = golden::read_golden_bytes(file);
+  auto actual = decoded<Value>(bytes);
+  CHECK(actual.has_value());
+  if (actual) check_fields(golden::fields_of(*actual), golden::fields_of(expected));
+  CHECK(golden::to_hex_lines(encoded(expected)) == golden::to_hex_lines(bytes));
+}
+
+/// Each kind of a variant has an example, each example a file, and each file an example.
+template <class Value>
+void check_complete(const std::string& directory, const std::vector<Example<Value>>& examples, size_t kinds) {
+  std::set<std::string> expected_files, actual_files;
+  std::set<size_t> kinds_with_example;
+  for (const auto& example : examples) {
+    expected_files.insert(file_name(example));
+    kinds_with_example.insert(example.kind);
+  }
+  for (const auto& file : std::filesystem::directory_iterator(golden::data_directory() / directory))
+    actual_files.insert(file.path().filename().string());
+  CHECK(actual_files == expected_files);
+  CHECK(expected_files.size() == examples.size());
+  for (size_t kind = 0; kind < kinds; ++kind) {
+    INFO("kind " << kind << " in " << directory << " needs an example");
+    CHECK(kinds_with_example.count(kind) == 1);
+  }
+}
+
+template <class Value>
+void check_examples(const std::string& directory, const std::vector<Example<Value>>& examples, size_t kinds) {
+  check_complete(directory, examples, kinds);
+  for (const auto& example : examples) {
+    INFO("example " << example.name);
+    CHECK(kind_of(example.value) == example.kind);
+    check_golden(directory + "/" + file_name(example), example.value);
+  }
+}
+
+template <class Value>
+void write_examples_once(const std::string& directory, const std::vector<Example<Value>>& examples) {
+  for (const auto& example : examples)
+    golden::write_golden_bytes_once(directory + "/" + file_name(example), encoded(example.value));
+}
+
+/// No two numbers and no two texts of one example are equal, so that each field can be told from each other one.
+void check_distinct_values(const Fields& fields) {
+  std::map<std::pair<FieldType, std::string>, std::string> path_of_value;
+  for (const auto& field : fields) {
+    if (field.type != FieldType::number && field.type != FieldType::text) continue;
+    INFO(field.path << " is " << field.value);
+    CHECK(field.value != "0");
+    CHECK(field.value != "");
+    auto [found, is_new] = path_of_value.emplace(std::make_pair(field.type, field.value), field.path);
+    INFO("and so is " << found->second);
+    CHECK(is_new);
+  }
+}
+
+std::string without_indices(const std::string& path) {
+  std::string plain;
+  bool inside_brackets = false;
+  for (char character : path) {
+    if (character == '[') inside_brackets = true;
+    if (!inside_brackets) plain += character;
+    if (character == ']') inside_brackets = false;
+  }
+  return plain;
+}
+
+/// Flags of one struct, over all examples of its kind, are not always equal to each other.
+void check_distinct_flags(const std::vector<Fields>& examples) {
+  std::map<std::string, std::string> values_of_flag;
+  for (const auto& fields : examples)
+    for (const auto& field : fields)
+      if (field.type == FieldType::flag) values_of_flag[without_indices(field.path)] += field.value + " ";
+  for (const auto& [path, values] : values_of_flag)
+    for (const auto& [other_path, other_values] : values_of_flag) {
+      auto parent = path.substr(0, path.rfind('.') + 1);
+      auto other_parent = other_path.substr(0, other_path.rfind('.') + 1);
+      if (path == other_path || parent != other_parent) continue;
+      INFO(path << " and " << other_path);
+      CHECK(values != other_values);
+    }
+}
+
+template <class Value>
+void check_distinct(const std::vector<Example<Value>>& examples) {
+  std::map<size_t, std::vector<Fields>> by_kind;
+  for (const auto& example : examples) {
+    INFO("example " << example.name);
+    by_kind[example.kind].push_back(golden::fields_of(example.value));
+    check_distinct_values(by_kind[example.kind].back());
+  }
+  for (const auto& [kind, fields] : by_kind) {
+    INFO("kind " << kind);
+    check_distinct_flags(fields);
+  }
+}
+
+template <class Enumeration>
+struct EnumerationExample {
+  std::string file;
+  std::vector<Enumeration> enumerators;
+};
+
+const EnumerationExample<Role> roles{"enumerations/role.hex", {Role::controller, Role::front, Role::store}};
+const EnumerationExample<DaemonState> daemon_states{
+    "enumerations/daemon-state.hex",
+    {DaemonState::registered, DaemonState::up, DaemonState::draining, DaemonState::down, DaemonState::left}};
+const EnumerationExample<Health> healths{"enumerations/replica-health.hex",
+                                         {Health::cold, Health::ready, Health::leaving}};
+const EnumerationExample<SequenceKind> sequence_kinds{"enumerations/sequence-kind.hex",
+                                                      {SequenceKind::join, SequenceKind::drain, SequenceKind::repair}};
+const EnumerationExample<Step> steps{"enumerations/sequence-step.hex", {Step::start, Step::mid, Step::finish}};
+const EnumerationExample<Outcome> outcomes{"enumerations/outcome.hex", {Outcome::yes, Outcome::no, Outcome::unknown}};
+const EnumerationExample<RecordKind> record_kinds{"enumerations/record-kind.hex",
+                                                  {RecordKind::reservation, RecordKind::settled, RecordKind::ended}};
+const EnumerationExample<Rejection> rejections{
+    "enumerations/rejection.hex",
+    {Rejection::none, Rejection::other_revision, Rejection::forgotten, Rejection::invalid, Rejection::already_so,
+     Rejection::unknown_target, Rejection::refused, Rejection::busy}};
+
+template <class Action>
+void for_each_enumeration(Action action) {
+  action(roles);
+  action(daemon_states);
+  action(healths);
+  action(sequence_kinds);
+  action(steps);
+  action(outcomes);
+  action(record_kinds);
+  action(rejections);
+}
+
+constexpr auto metadata_file = "values/metadata.hex";
+constexpr auto controller_checkpoint_file = "values/controller-checkpoint.hex";
+constexpr auto store_checkpoint_file = "values/store-checkpoint.hex";
+constexpr auto sync_mark_file = "values/sync-mark.hex";
+constexpr auto log_frame_file = "values/log-frame.hex";
+constexpr auto derived_values_file = "values/derived-values.hex";
+
+const std::string framed_record = "a record in a log segment";
+
+/// Numbers that are computed from names and kept on disk or compared between daemons of different builds.
+std::vector<uint64_t> derived_values() {
+  return {slot_of("cell-name", "program-name").v,
+          slot_of("other-cell", "other-program").v,
+          tombstone_of({.cell = "cell-name", .program = "program-name"}),
+          successor(301, 302),
+          digest("digested text"),
+          digest("digested text", 303)};
+}
+
+}  // namespace
+
+TEST_CASE("every field of a golden example has a value of its own") {
+  check_distinct(golden::message_examples());
+  check_distinct(golden::entry_examples());
+  check_distinct(golden::controller_record_examples());
+  check_distinct(golden::store_record_examples());
+  check_distinct_values(golden::fields_of(golden::metadata_example()));
+  check_distinct_values(golden::fields_of(golden::controller_checkpoint_example()));
+  check_distinct_values(golden::fields_of(golden::store_checkpoint_example()));
+  check_distinct_values(golden::fields_of(golden::sync_mark_example()));
+}
+
+TEST_CASE("golden messages of every kind are read field by field and written as the same bytes") {
+  check_examples(message_directory, golden::message_examples(), std::variant_size_v<Message>);
+}
+
+TEST_CASE("golden log entries of every kind are read field by field and written as the same bytes") {
+  check_examples(entry_directory, golden::entry_examples(), std::variant_size_v<Transformation>);
+}
+
+TEST_CASE("golden journal records of every kind are read field by field and written as the same bytes") {
+  check_examples(controller_record_directory, golden::controller_record_examples(),
+                 std::variant_size_v<ControllerRecord>);
+  check_examples(store_record_directory, golden::store_record_examples(), std::variant_size_v<StoreRecord>);
+}
+
+TEST_CASE("golden metadata and checkpoints are read field by field and written as the same bytes") {
+  check_golden(metadata_file, golden::metadata_example());
+  check_golden(controller_checkpoint_file, golden::controller_checkpoint_example());
+  check_golden(store_checkpoint_file, golden::store_checkpoint_example());
+}
+
+TEST_CASE("a golden log frame and sync mark are read and written as the same bytes") {
+  auto mark = golden::sync_mark_example();
+  check_golden(sync_mark_file, mark);
+  CHECK(SyncMark::word == mark.magic);
+  CHECK(mark_of(golden::read_golden_bytes(sync_mark_file), mark.inc, mark.seq).has_value());
+  auto bytes = golden::read_golden_bytes(log_frame_file);
+  CHECK(golden::to_hex_lines(frame(framed_record)) == golden::to_hex_lines(bytes));
+  codec::Reader reader{bytes};
+  CHECK(unframe(reader) == framed_record);
+  CHECK(reader.s.empty());
+}
+
+TEST_CASE("enumerators keep their golden numbers") {
+  for_each_enumeration([](const auto& example) { check_golden(example.file, example.enumerators); });
+}
+
+TEST_CASE("slots, tombstones, cluster ids and digests are computed as in the golden data") {
+  check_golden(derived_values_file, derived_values());
+}
+
+// Run by name after an example of a new kind was added. Files that exist are never written again.
+TEST_CASE("write the golden files that do not exist yet", "[.write-golden-data]") {
+  write_examples_once(message_directory, golden::message_examples());
+  write_examples_once(entry_directory, golden::entry_examples());
+  write_examples_once(controller_record_directory, golden::controller_record_examples());
+  write_examples_once(store_record_directory, golden::store_record_examples());
+  golden::write_golden_bytes_once(metadata_file, encoded(golden::metadata_example()));
+  golden::write_golden_bytes_once(controller_checkpoint_file, encoded(golden::controller_checkpoint_example()));
+  golden::write_golden_bytes_once(store_checkpoint_file, encoded(golden::store_checkpoint_example()));
+  golden::write_golden_bytes_once(sync_mark_file, encoded(golden::sync_mark_example()));
+  golden::write_golden_bytes_once(log_frame_file, frame(framed_record));
+  golden::write_golden_bytes_once(derived_values_file, encoded(derived_values()));
+  for_each_enumeration(
+      [](const auto& example) { golden::write_golden_bytes_once(example.file, encoded(example.enumerators)); });
+}
--- /dev/null
+++ b/tests/golden_examples.hpp
@@ -0,0 +1,32 @@
+#pragma once
+// One example value of every kind of message and of every kind of record, each field with a value of its own.
+#include "consensus/acceptor.hpp"
+#include "history/store_machine.hpp"
+#include "kernel/log_frame.hpp"
+#include "kernel/messages.hpp"
+
+namespace mosskeel::golden {
+
+/// An example of the alternative `kind` of a variant, in the file "<kind>-<name>.hex".
+template <class Value>
+struct Example {
+  size_t kind;
+  std::string name;
+  Value value;
+};
+
+/// Whole messages as they travel; `kind` is the index in `Message`.
+std::vector<Example<Envelope>> message_examples();
+/// Entries of the metadata log; `kind` is the index in `Transformation`.
+std::vector<Example<Entry>> entry_examples();
+/// Records of a controller's journal.
+std::vector<Example<ControllerRecord>> controller_record_examples();
+/// Records of a store's journal.
+std::vector<Example<StoreRecord>> store_record_examples();
+
+Metadata metadata_example();
+ControllerCheckpoint controller_checkpoint_example();
+StoreCheckpoint store_checkpoint_example();
+SyncMark sync_mark_example();
+
+}  // namespace mosskeel::golden
