--- a/tests/golden_data_test.cpp
+++ b/tests/golden_data_test.cpp
@@ -56,16 +56,6 @@
   return name.str();
 }
 
-/// Compares each field with the expected one of the same name.
-void check_fields(const Fields& actual, const Fields& expected) {
-  CHECK(actual.size() == expected.size());
-  for (size_t i = 0; i < std::min(actual.size(), expected.size()); ++i) {
-    INFO("field " << expected[i].path);
-    CHECK(actual[i].path == expected[i].path);
-    CHECK(actual[i].value == expected[i].value);
-  }
-}
-
 /// The golden bytes mean the expected value, and the expected value is encoded as these bytes.
 template <class Value>
 void check_golden(const std::string& file, const Value& expected) {
@@ -73,7 +63,7 @@
   auto bytes = golden::read_golden_bytes(file);
   auto actual = decoded<Value>(bytes);
   CHECK(actual.has_value());
-  if (actual) check_fields(golden::fields_of(*actual), golden::fields_of(expected));
+  if (actual) golden::check_fields(golden::fields_of(*actual), golden::fields_of(expected));
   CHECK(golden::to_hex_lines(encoded(expected)) == golden::to_hex_lines(bytes));
 }
 
--- a/tests/golden_fields.hpp
+++ b/tests/golden_fields.hpp
@@ -1,5 +1,7 @@
 #pragma once
 // Every field of a value by its name, so that tests compare and report fields rather than bytes.
+#include <algorithm>
+#include <catch2/catch.hpp>
 #include <string>
 #include <vector>
 
@@ -106,4 +108,14 @@
   return fields;
 }
 
+/// Compares each field with the expected one of the same name.
+inline void check_fields(const Fields& actual, const Fields& expected) {
+  CHECK(actual.size() == expected.size());
+  for (size_t i = 0; i < std::min(actual.size(), expected.size()); ++i) {
+    INFO("field " << expected[i].path);
+    CHECK(actual[i].path == expected[i].path);
+    CHECK(actual[i].value == expected[i].value);
+  }
+}
+
 }  // namespace mosskeel::golden
--- /dev/null
+++ b/tests/golden_folders.cpp
@@ -0,0 +1,501 @@
+#include "golden_folders.hpp"
+
+#include <algorithm>
+
+#include "disk_fixture.hpp"
+#include "history/history_limits.hpp"
+#include "kernel/journal_writer.hpp"
+
+namespace mosskeel::golden {
+namespace {
+
+constexpr Millis start_time = limits::process_start;
+constexpr int history_count = 200;
+
+Candidate controller(uint64_t number, const std::string& zone) {
+  auto address = "controller" + std::to_string(number);
+  return {.inc = Incarnation{100 + number},
+          .role = Role::controller,
+          .zone = zone,
+          .addr = address,
+          .agent = "",
+          .http = "http-" + address,
+          .machine = "machine-" + address};
+}
+
+Candidate front(uint64_t number, const std::string& zone) {
+  auto address = "gateway" + std::to_string(number);
+  return {.inc = Incarnation{200 + number},
+          .role = Role::front,
+          .zone = zone,
+          .addr = address,
+          .agent = "agent" + std::to_string(number),
+          .http = "http-" + address,
+          .machine = "machine-" + address};
+}
+
+Candidate store(uint64_t number, const std::string& zone) {
+  auto address = "store" + std::to_string(number);
+  return {.inc = Incarnation{300 + number},
+          .role = Role::store,
+          .zone = zone,
+          .addr = address,
+          .agent = "",
+          .http = "http-" + address,
+          .machine = "machine-" + address};
+}
+
+Candidate replacement_controller() {
+  auto fresh = controller(2, "b");
+  fresh.inc = Incarnation{105};
+  return fresh;
+}
+
+/// The metadata log of both folders, entry by entry.
+class LogScript {
+ public:
+  const Metadata& metadata() const { return metadata_; }
+
+  Entry append(Transformation change) {
+    auto epoch = next(metadata_.epoch);
+    Entry entry{.epoch = epoch, .commit = "commit-" + std::to_string(epoch.v), .change = std::move(change)};
+    auto applied = apply(metadata_, entry);
+    INFO("epoch " << epoch.v << ", " << describe(entry.change));
+    INFO((ok(applied) ? "" : render(findings(applied))));
+    REQUIRE(ok(applied));
+    metadata_ = value(applied);
+    return entry;
+  }
+
+  Entries append_all(const std::vector<Transformation>& changes) {
+    Entries entries;
+    for (const auto& change : changes) entries.push_back(append(change));
+    return entries;
+  }
+
+ private:
+  Metadata metadata_{};
+};
+
+void append_join(std::vector<Transformation>& changes, DaemonId node) {
+  changes.push_back(PrepareJoin{.node = node});
+  for (auto step : {Step::start, Step::mid, Step::finish}) changes.push_back(Advance{.node = node, .step = step});
+}
+
+/// Members 1 to 3, fronts 4 and 5, stores 6 to 10.
+std::vector<Transformation> founding() {
+  std::vector<Transformation> changes{Found{.cluster = 7,
+                                            .core_size = 3,
+                                            .members = {controller(1, "a"), controller(2, "b"), controller(3, "c")},
+                                            .core_most = 5,
+                                            .copies = 3},
+                                      Register{.self = front(1, "a")},
+                                      Register{.self = front(2, "b")},
+                                      Register{.self = store(1, "a")},
+                                      Register{.self = store(2, "b")},
+                                      Register{.self = store(3, "c")},
+                                      Register{.self = store(4, "a")},
+                                      Register{.self = store(5, "b")}};
+  for (uint64_t node : {6, 7, 8, 9, 10, 4, 5}) append_join(changes, DaemonId{node});
+  return changes;
+}
+
+Configuration first_configuration() {
+  return {.cells = {{.name = "news",
+                     .budget = 4000,
+                     .turn_limit = 500,
+                     .retention_ms = 60000,
+                     .routes = {{.name = "chat", .kind = "model", .replicas = {"model1"}}}}},
+          .paths = {{.name = "turns",
+                     .host = "host.example",
+                     .prefix = "/turns/",
+                     .kind = "streaming",
+                     .timeout_ms = 9000,
+                     .target_ms = 700,
+                     .rank = 1,
+                     .attempts = 2,
+                     .kept = true,
+                     .retention_ms = 50000,
+                     .sticky = false,
+                     .resumable = true,
+                     .gap_ms = 300,
+                     .shares = {{.service = "model-service", .weight = 3}}}},
+          .services = {{.name = "model-service",
+                        .health_path = "/health",
+                        .sessions = 4,
+                        .cold_ms = 8000,
+                        .cold_per_s = 1.5,
+                        .slots = 16,
+                        .cache_tokens = 65536,
+                        .event_tokens = 2}},
+          .callers = {.head_bytes = 8192, .body_bytes = 65536, .head_ms = 5000, .idle_ms = 30000},
+          .document = "the first document"};
+}
+
+Configuration second_configuration() {
+  auto configuration = first_configuration();
+  configuration.cells[0].budget = 5000;
+  configuration.document = "the second document";
+  return configuration;
+}
+
+Replica replica(const std::string& name, const std::string& service) {
+  return {.name = name,
+          .kind = "model",
+          .zone = "a",
+          .url = "http://" + name + ":80",
+          .health = Health::ready,
+          .since = {},
+          .places = 12,
+          .service = service,
+          .cold_ms = 0};
+}
+
+/// The first configuration, replicas, a recount, an evacuation that is taken back.
+std::vector<Transformation> operating(Epoch recount) {
+  return {ApplyConfiguration{.base = Revision{0}, .configuration = first_configuration(), .revision = {}},
+          SetReplica{.replica = replica("model1", "")},
+          ListReplicas{.set = {replica("model2", "model-service"), replica("model3", "model-service")}, .gone = {}},
+          Recount{},
+          Recounted{.since = recount},
+          EvacuateZone{.zone = "c"},
+          RestoreZone{.zone = "c"},
+          ListReplicas{.set = {}, .gone = {"model3"}}};
+}
+
+/// Store 10 is drained up to the step at which places begin to move.
+std::vector<Transformation> drain_begun() {
+  return {PrepareDrain{.node = DaemonId{10}}, Advance{.node = DaemonId{10}, .step = Step::start}};
+}
+std::vector<Transformation> drain_finished() {
+  return {Advance{.node = DaemonId{10}, .step = Step::mid}, Advance{.node = DaemonId{10}, .step = Step::finish}};
+}
+
+/// Store 9 is lost and its places begin to move to others.
+std::vector<Transformation> repair_begun() {
+  return {MarkDown{.node = DaemonId{9}}, PrepareRepair{.node = DaemonId{9}},
+          Advance{.node = DaemonId{9}, .step = Step::start}};
+}
+
+/// Store 9 is forgotten; store 11 joins and takes places from the golden store, which is in its zone.
+std::vector<Transformation> repair_finished_and_join() {
+  std::vector<Transformation> changes{Advance{.node = DaemonId{9}, .step = Step::mid},
+                                      Advance{.node = DaemonId{9}, .step = Step::finish},
+                                      ForgetStore{.node = DaemonId{9}}, Register{.self = store(6, "a")}};
+  append_join(changes, DaemonId{11});
+  return changes;
+}
+
+/// Controller 12 is admitted, 3 leaves the core, then 2 and 12 are lost and the core is founded anew with 13.
+std::vector<Transformation> refounding() {
+  return {MarkDown{.node = DaemonId{2}},
+          MarkUp{.node = DaemonId{2}},
+          DropReplica{.name = "model1"},
+          Register{.self = controller(4, "a")},
+          AdmitCore{.fresh = DaemonId{12}},
+          MarkDown{.node = DaemonId{3}},
+          DropCore{.old = DaemonId{3}},
+          MoveRoutes{.from = DaemonId{4}, .to = DaemonId{5}},
+          Refound{.generation = 1, .lost = {DaemonId{2}, DaemonId{12}}, .fresh = {replacement_controller()}}};
+}
+
+/// A second configuration, a core member replaced, a join cancelled, a join under way, zone b evacuated.
+std::vector<Transformation> after_refounding() {
+  return {ApplyConfiguration{.base = Revision{1}, .configuration = second_configuration(), .revision = Revision{9}},
+          Register{.self = controller(6, "c")},
+          MarkDown{.node = DaemonId{13}},
+          ReplaceCore{.old = DaemonId{13}, .fresh = DaemonId{14}},
+          Register{.self = front(3, "c")},
+          PrepareJoin{.node = DaemonId{15}},
+          CancelSequence{.node = DaemonId{15}, .reason = "cancelled by the operator"},
+          Register{.self = store(7, "a")},
+          PrepareJoin{.node = DaemonId{16}},
+          Advance{.node = DaemonId{16}, .step = Step::start},
+          EvacuateZone{.zone = "b"}};
+}
+
+/// A daemon with a data folder: its machine's journal goes to disk as the host of a daemon brings it there.
+template <class DaemonMachine>
+class DaemonWithFolder {
+ public:
+  DaemonWithFolder(std::string folder, Identity identity) : folder_(std::move(folder)), identity_(std::move(identity)) {
+    start();
+  }
+
+  DaemonMachine& machine() { return *machine_; }
+
+  void restart() {
+    machine_.reset();
+    journal_.reset();
+    disk_.reset();
+    start();
+  }
+
+  Actions receive(const Candidate& sender, Message body) {
+    Envelope envelope{.protocol = limits::protocol,
+                      .cluster = 0,
+                      .epoch = machine_->view()->epoch,
+                      .id = 1,
+                      .from = sender.addr,
+                      .from_inc = sender.inc,
+                      .to = identity_.self.addr,
+                      .to_inc = identity_.self.inc,
+                      .body = std::move(body)};
+    return write_journal(machine_->step(envelope, now_));
+  }
+
+  void receive_decided(const Entries& entries) {
+    for (const auto& entry : entries) receive(controller(2, "b"), Decided{.entry = entry});
+  }
+
+  Actions let_time_pass(Millis duration) {
+    now_ += duration;
+    return write_journal(machine_->tick(now_));
+  }
+
+  void checkpoint() { REQUIRE(disk_->checkpoint(machine_->checkpoint())); }
+
+  /// The checkpoint does not get its name, so that the journal goes on in a further segment.
+  void fail_checkpoint() {
+    disk_is_full_ = true;
+    CHECK(disk_->checkpoint(machine_->checkpoint()).kind == DiskResult::full);
+    disk_is_full_ = false;
+  }
+
+ private:
+  void start() {
+    auto calls = DiskCalls::real();
+    calls.room = [](const std::string&) { return uint64_t{0}; };
+    calls.rename = [this, rename = calls.rename](const char* from, const char* to) {
+      errno = ENOSPC;
+      return disk_is_full_ ? -1 : rename(from, to);
+    };
+    auto opened = Disk::open(folder_, identity_.self.inc.v, calls);
+    REQUIRE(ok(opened));
+    disk_ = value(opened);
+    journal_ = std::make_unique<JournalWriter>(*disk_);
+    machine_ = std::make_unique<DaemonMachine>(identity_, disk_->take_recovered(), now_);
+  }
+
+  Actions write_journal(Actions actions) {
+    std::deque<Batch> batches;
+    batches.push_back({.journal = actions.journal, .checkpoint = actions.checkpoint, .sends = {}});
+    REQUIRE(journal_->write(std::move(batches)).result);
+    return actions;
+  }
+
+  std::string folder_;
+  Identity identity_;
+  bool disk_is_full_ = false;
+  Millis now_ = start_time;
+  std::shared_ptr<Disk> disk_;
+  std::unique_ptr<JournalWriter> journal_;
+  std::unique_ptr<DaemonMachine> machine_;
+};
+
+/// Copies identity, checkpoint and log; the lock is no data.
+void keep_folder(const Folder& written, const std::filesystem::path& target) {
+  std::filesystem::create_directories(target);
+  for (const auto& file : std::filesystem::directory_iterator(written.path))
+    if (file.path().filename() != "lock") std::filesystem::copy(file.path(), target / file.path().filename());
+}
+
+Record history_record(const std::string& program, RecordKind kind, uint32_t turn) {
+  auto suffix = program + "-" + std::to_string(turn);
+  return {.kind = kind,
+          .key = "key-" + suffix,
+          .thread = "thread-" + suffix,
+          .body_digest = 4000 + turn,
+          .tokens = 20 + turn,
+          .turn = turn,
+          .status = 200,
+          .runner = DaemonId{4},
+          .keep_ms = 60000,
+          .input = "input-" + suffix,
+          .output = kind == RecordKind::settled ? "output-" + suffix : "",
+          .parent = "parent-" + suffix};
+}
+
+using Store = DaemonWithFolder<StoreMachine>;
+
+const Daemon& owner_of(Store& daemon, SlotId slot) {
+  auto& metadata = *daemon.machine().view();
+  return *metadata.find(metadata.slots[slot.v].owner);
+}
+
+bool holds_slot(Store& daemon, SlotId slot) {
+  auto& metadata = *daemon.machine().view();
+  auto& stores = metadata.slots[slot.v].stores;
+  return std::count(stores.begin(), stores.end(), metadata.find(store_incarnation)->id) > 0;
+}
+
+/// The owner brings the whole history in its present term.
+void adopt_history(Store& daemon, const LineName& name, const Records& records) {
+  auto slot = slot_of(name.cell, name.program);
+  auto term = daemon.machine().view()->slots[slot.v].term;
+  LineWrite write{.line = name, .slot = slot, .term = term, .adopt = true, .from = 0, .records = records};
+  daemon.receive(owner_of(daemon, slot).self, write);
+}
+
+void append_record(Store& daemon, const LineName& name, uint64_t length, const Record& record) {
+  auto slot = slot_of(name.cell, name.program);
+  auto term = daemon.machine().view()->slots[slot.v].term;
+  LineWrite write{.line = name, .slot = slot, .term = term, .adopt = false, .from = length, .records = {record}};
+  daemon.receive(owner_of(daemon, slot).self, write);
+}
+
+void bury_history(Store& daemon, const LineName& name) {
+  auto slot = slot_of(name.cell, name.program);
+  auto term = daemon.machine().view()->slots[slot.v].term;
+  daemon.receive(owner_of(daemon, slot).self, LineBury{.line = name, .slot = slot, .term = term});
+}
+
+/// Two records each, in every slot that the store holds; each tenth history ends.
+void write_histories(Store& daemon) {
+  for (int number = 0; number < history_count; ++number) {
+    LineName name{.cell = "news", .program = "program" + std::to_string(number)};
+    if (!holds_slot(daemon, slot_of(name.cell, name.program))) continue;
+    adopt_history(daemon, name, {history_record(name.program, RecordKind::reservation, 1)});
+    append_record(daemon, name, 1, history_record(name.program, RecordKind::settled, 1));
+    if (number % 10 == 0) bury_history(daemon, name);
+  }
+}
+
+/// The histories that are still here are adopted unchanged by whoever owns them now.
+void adopt_again(Store& daemon) {
+  std::vector<std::pair<LineName, Records>> present;
+  for (const auto& [slot, kept] : daemon.machine().slots())
+    for (const auto& [name, history] : kept.lines) present.emplace_back(name, history.records);
+  for (const auto& [name, records] : present) adopt_history(daemon, name, records);
+}
+
+LineName first_history(Store& daemon) {
+  for (const auto& [slot, kept] : daemon.machine().slots())
+    if (holds_slot(daemon, slot) && !kept.lines.empty()) return kept.lines.begin()->first;
+  FAIL("the store holds no history");
+  return {};
+}
+
+/// Each slot that is on its way here is read from its stores: a history, a tombstone and a fence.
+void answer_streams(Store& daemon, Actions actions) {
+  while (true) {
+    std::vector<Envelope> asked;
+    for (const auto& envelope : actions.now)
+      if (std::holds_alternative<SlotStream>(envelope.body)) asked.push_back(envelope);
+    if (asked.empty()) return;
+    actions = {};
+    for (const auto& envelope : asked) {
+      auto& stream = std::get<SlotStream>(envelope.body);
+      auto slot_number = std::to_string(stream.slot.v);
+      StreamedLine history{.line = {.cell = "streamed", .program = "program" + slot_number},
+                           .line_term = Epoch{30},
+                           .records = {history_record("streamed" + slot_number, RecordKind::settled, 2)}};
+      SlotStreamReply reply{.slot = stream.slot,
+                            .sequence = stream.sequence,
+                            .after = stream.after,
+                            .tombstone = stream.tombstone,
+                            .fence = Epoch{31},
+                            .lines = {history},
+                            .tombstones = {5000 + stream.slot.v},
+                            .more = false};
+      auto* source = daemon.machine().view()->at(envelope.to);
+      auto more = daemon.receive(source->self, reply);
+      actions.now.insert(actions.now.end(), more.now.begin(), more.now.end());
+    }
+  }
+}
+
+}  // namespace
+
+Identity controller_identity() {
+  Identity identity;
+  identity.self = controller(1, "a");
+  identity.seeds = {"controller1", "controller2", "controller3"};
+  return identity;
+}
+
+Identity store_identity() {
+  Identity identity;
+  identity.self = store(1, "a");
+  identity.seeds = {"controller1", "controller2", "controller3"};
+  return identity;
+}
+
+void write_controller_folder(const std::filesystem::path& folder) {
+  Folder written;
+  {
+    LogScript log;
+    DaemonWithFolder<ControllerMachine> daemon(written.path, controller_identity());
+    auto proposer = controller(2, "b");
+    daemon.receive_decided(log.append_all(founding()));
+    daemon.checkpoint();
+    daemon.receive_decided(log.append_all(operating(Epoch{log.metadata().epoch.v + 4})));
+    daemon.fail_checkpoint();
+    daemon.receive_decided(log.append_all(repair_begun()));
+    daemon.restart();
+    log.append_all(repair_finished_and_join());
+    daemon.receive(proposer, CatchupReply{.epoch = log.metadata().epoch, .checkpoint = log.metadata(), .entries = {}});
+    daemon.fail_checkpoint();
+    daemon.receive_decided(log.append_all(drain_begun()));
+    daemon.restart();
+    daemon.receive_decided(log.append_all(drain_finished()));
+    daemon.receive_decided(log.append_all(refounding()));
+    daemon.fail_checkpoint();
+    daemon.receive_decided(log.append_all(after_refounding()));
+    daemon.restart();
+    auto open = next(log.metadata().epoch);
+    Entry accepted{.epoch = open, .commit = "open-commit", .change = RestoreZone{.zone = "b"}};
+    daemon.receive(proposer, Prepare{.epoch = open, .ballot = {.round = 5, .proposer = 105}});
+    daemon.receive(proposer, Accept{.ballot = {.round = 5, .proposer = 105}, .entry = accepted});
+    daemon.receive(proposer, Prepare{.epoch = open, .ballot = {.round = 6, .proposer = 106}});
+  }
+  keep_folder(written, folder);
+}
+
+void write_unfounded_controller_folder(const std::filesystem::path& folder) {
+  Folder written;
+  {
+    DaemonWithFolder<ControllerMachine> daemon(written.path, controller_identity());
+    auto proposer = controller(2, "b");
+    Entry founding_entry{.epoch = Epoch{1}, .commit = "", .change = founding().front()};
+    daemon.receive(proposer, Prepare{.epoch = Epoch{1}, .ballot = {.round = 3, .proposer = 102}});
+    daemon.receive(proposer, Accept{.ballot = {.round = 3, .proposer = 102}, .entry = founding_entry});
+  }
+  keep_folder(written, folder);
+}
+
+void write_store_folder(const std::filesystem::path& folder) {
+  Folder written;
+  {
+    LogScript log;
+    Store daemon(written.path, store_identity());
+    daemon.receive_decided(log.append_all(founding()));
+    write_histories(daemon);
+    daemon.let_time_pass(limits::tick);
+    daemon.checkpoint();
+    daemon.receive_decided(log.append_all(operating(Epoch{log.metadata().epoch.v + 4})));
+    daemon.receive_decided(log.append_all(repair_begun()));
+    answer_streams(daemon, daemon.let_time_pass(limits::stream_patience));
+    daemon.fail_checkpoint();
+    log.append_all(repair_finished_and_join());
+    daemon.receive(controller(2, "b"),
+                   CatchupReply{.epoch = log.metadata().epoch, .checkpoint = log.metadata(), .entries = {}});
+    daemon.let_time_pass(limits::moved_pace);
+    daemon.let_time_pass(limits::moved_keep);
+    daemon.restart();
+    daemon.receive_decided(log.append_all(drain_begun()));
+    daemon.fail_checkpoint();
+    daemon.receive_decided(log.append_all(drain_finished()));
+    daemon.receive_decided(log.append_all(refounding()));
+    adopt_again(daemon);
+    write_histories(daemon);
+    daemon.receive_decided(log.append_all(after_refounding()));
+    auto read_name = first_history(daemon);
+    auto read_slot = slot_of(read_name.cell, read_name.program);
+    LineRead read{.line = read_name, .slot = read_slot, .term = log.metadata().epoch};
+    daemon.receive(owner_of(daemon, read_slot).self, read);
+  }
+  keep_folder(written, folder);
+}
+
+}  // namespace mosskeel::golden
--- /dev/null
+++ b/tests/golden_folders_test.cpp
@@ -0,0 +1,276 @@
+// Data folders that earlier sources wrote are opened as daemons do at their start (tests/data/README.md).
+#include "disk_fixture.hpp"
+#include "golden_fields.hpp"
+#include "golden_files.hpp"
+#include "golden_folders.hpp"
+
+using namespace mosskeel;
+
+namespace {
+
+constexpr Millis start_time = limits::process_start;
+constexpr auto recovered_controller_file = "recovered/controller-checkpoint.hex";
+constexpr auto recovered_store_file = "recovered/store-checkpoint.hex";
+
+/// A copy, since a start may write to its folder.
+struct GoldenFolder {
+  Folder copy;
+  explicit GoldenFolder(const std::string& name) { std::filesystem::copy(golden::data_directory() / name, copy.path); }
+  size_t segments() const {
+    size_t count = 0;
+    for (const auto& file : std::filesystem::directory_iterator(copy.path))
+      count += file.path().filename().string().starts_with("log-");
+    return count;
+  }
+};
+
+/// A daemon started on a copy of its golden folder, as its `main` does.
+template <class DaemonMachine>
+struct Started {
+  GoldenFolder folder;
+  size_t segments = folder.segments();
+  std::shared_ptr<Disk> disk = folder.copy.open();
+  Recovered recovered = disk->recovered();
+  DaemonMachine machine;
+  Started(const std::string& folder_name, const Identity& identity)
+      : folder(folder_name), machine(identity, recovered, start_time) {}
+};
+
+struct StartedController : Started<ControllerMachine> {
+  StartedController() : Started(golden::controller_folder, golden::controller_identity()) {}
+};
+struct StartedStore : Started<StoreMachine> {
+  StartedStore() : Started(golden::store_folder, golden::store_identity()) {}
+};
+
+/// How many records of each kind a journal holds.
+template <class JournalRecord>
+std::vector<size_t> count_kinds(const std::vector<std::string>& journal) {
+  std::vector<size_t> counts(std::variant_size_v<JournalRecord>);
+  for (const auto& bytes : journal) {
+    auto record = codec::unpack<JournalRecord>(bytes);
+    REQUIRE(record);
+    ++counts[record->index()];
+  }
+  return counts;
+}
+
+template <class Checkpoint>
+void check_recovered(const std::string& file, const std::string& actual) {
+  auto expected = golden::read_golden_bytes(file);
+  auto actual_value = codec::unpack<Checkpoint>(actual);
+  auto expected_value = codec::unpack<Checkpoint>(expected);
+  REQUIRE(actual_value);
+  REQUIRE(expected_value);
+  golden::check_fields(golden::fields_of(*actual_value), golden::fields_of(*expected_value));
+  CHECK(actual == expected);
+}
+
+std::map<DaemonId, DaemonState> states_of(const Metadata& metadata) {
+  std::map<DaemonId, DaemonState> states;
+  for (const auto& [id, daemon] : metadata.directory) states[id] = daemon.state;
+  return states;
+}
+
+/// What both folders say of the cluster at their last epoch.
+void check_metadata(const Metadata& metadata) {
+  CHECK(metadata.epoch == Epoch{79});
+  CHECK(metadata.cluster == 2965977919983927404u);
+  CHECK(metadata.former == std::vector<uint64_t>{7});
+  CHECK(metadata.generation == 2);
+  CHECK(metadata.core_size == 4);
+  CHECK(metadata.core_most == 5);
+  CHECK(metadata.copies == 3);
+  CHECK(metadata.members == std::vector<DaemonId>{DaemonId{1}, DaemonId{14}});
+  CHECK(metadata.next_id == 17);
+  CHECK(metadata.evacuated == std::set<std::string>{"b"});
+  CHECK(metadata.recounted == Epoch{40});
+  CHECK(metadata.quorum.size() == 10);
+  CHECK(metadata.incoming.empty());
+  CHECK(metadata.slots.size() == 64);
+  CHECK(metadata.locks.size() == 38);
+  CHECK(metadata.outcome("commit-69") == Epoch{69});
+}
+
+void check_configuration(const Metadata& metadata) {
+  CHECK(metadata.revision == Revision{9});
+  REQUIRE(metadata.configuration.cells.size() == 1);
+  CHECK(metadata.configuration.cells[0].name == "news");
+  CHECK(metadata.configuration.cells[0].budget == 5000);
+  CHECK(metadata.configuration.cells[0].turn_limit == 500);
+  REQUIRE(metadata.configuration.paths.size() == 1);
+  CHECK(metadata.configuration.paths[0].host == "host.example");
+  CHECK(metadata.configuration.paths[0].prefix == "/turns/");
+  CHECK(metadata.configuration.document == "the second document");
+  REQUIRE(metadata.orders.size() == 2);
+  CHECK(metadata.orders[0].base == Revision{0});
+  CHECK(metadata.orders[0].epoch == Epoch{37});
+  CHECK(metadata.orders[1].base == Revision{1});
+  CHECK(metadata.orders[1].epoch == Epoch{69});
+  REQUIRE(metadata.replicas.size() == 1);
+  CHECK(metadata.replicas.at("model2").service == "model-service");
+  CHECK(metadata.replicas.at("model2").since == Epoch{39});
+}
+
+void check_directory(const Metadata& metadata) {
+  std::map<DaemonId, DaemonState> expected{
+      {DaemonId{1}, DaemonState::up},         {DaemonId{2}, DaemonState::left}, {DaemonId{3}, DaemonState::left},
+      {DaemonId{4}, DaemonState::up},         {DaemonId{5}, DaemonState::up},   {DaemonId{6}, DaemonState::up},
+      {DaemonId{7}, DaemonState::up},         {DaemonId{8}, DaemonState::up},   {DaemonId{9}, DaemonState::left},
+      {DaemonId{10}, DaemonState::left},      {DaemonId{11}, DaemonState::up},  {DaemonId{12}, DaemonState::left},
+      {DaemonId{13}, DaemonState::left},      {DaemonId{14}, DaemonState::up},  {DaemonId{15}, DaemonState::registered},
+      {DaemonId{16}, DaemonState::registered}};
+  CHECK(states_of(metadata) == expected);
+  REQUIRE(metadata.sequences.size() == 1);
+  auto& join = metadata.sequences.at(DaemonId{16});
+  CHECK(join.kind == SequenceKind::join);
+  CHECK(join.due == Step::mid);
+  CHECK(join.started == Epoch{77});
+  CHECK(join.last == Epoch{78});
+}
+
+}  // namespace
+
+TEST_CASE("a golden controller folder is found whole: identity, checkpoint, segments and records of each kind") {
+  StartedController controller;
+  CHECK(controller.segments == 4);
+  CHECK(controller.disk->cut() == 0);
+  CHECK(controller.recovered.inc == golden::controller_incarnation);
+  CHECK(controller.recovered.checkpoint.has_value());
+  CHECK(count_kinds<ControllerRecord>(controller.recovered.journal) == std::vector<size_t>{2, 1, 35, 1, 0});
+}
+
+TEST_CASE("a controller started on its golden folder knows the cluster it left") {
+  StartedController controller;
+  auto& metadata = *controller.machine.view();
+  check_metadata(metadata);
+  check_configuration(metadata);
+  check_directory(metadata);
+}
+
+TEST_CASE("a controller started on its golden folder keeps its promise and what it accepted") {
+  StartedController controller;
+  auto state = codec::unpack<ControllerCheckpoint>(controller.machine.checkpoint());
+  REQUIRE(state);
+  CHECK(state->open == Epoch{80});
+  CHECK(state->promised == Ballot{.round = 6, .proposer = 106});
+  REQUIRE(state->accepted);
+  CHECK(state->accepted->first == Ballot{.round = 5, .proposer = 105});
+  CHECK(state->accepted->second.epoch == Epoch{80});
+  CHECK(state->accepted->second.commit == "open-commit");
+  CHECK(state->accepted->second.change == Transformation{RestoreZone{.zone = "b"}});
+  check_recovered<ControllerCheckpoint>(recovered_controller_file, controller.machine.checkpoint());
+}
+
+TEST_CASE("a controller goes on in its golden folder") {
+  StartedController controller;
+  Entry entry{.epoch = Epoch{80}, .commit = "next-commit", .change = RestoreZone{.zone = "b"}};
+  Envelope decided{.protocol = 2, .cluster = 0, .epoch = Epoch{80}, .from = "controller6", .body = Decided{entry}};
+  auto actions = controller.machine.step(decided, start_time);
+  REQUIRE(controller.disk->append(actions.journal));
+  REQUIRE(controller.disk->sync());
+  controller.disk.reset();
+  auto reopened = controller.folder.copy.open();
+  ControllerMachine restarted(golden::controller_identity(), reopened->recovered(), start_time);
+  CHECK(restarted.view()->epoch == Epoch{80});
+  CHECK(restarted.view()->evacuated.empty());
+}
+
+TEST_CASE("a controller that was not founded yet has its vote and what it accepted in its golden folder") {
+  Started<ControllerMachine> controller(golden::unfounded_controller_folder, golden::controller_identity());
+  CHECK(count_kinds<ControllerRecord>(controller.recovered.journal) == std::vector<size_t>{1, 1, 0, 0, 1});
+  Envelope prepare{.protocol = 2,
+                   .from = "controller3",
+                   .body = Prepare{.epoch = Epoch{1}, .ballot = {.round = 4, .proposer = 103}}};
+  auto actions = controller.machine.step(prepare, start_time);
+  REQUIRE(actions.synced.size() == 1);
+  auto& promise = std::get<Promise>(actions.synced[0].body);
+  CHECK(promise.granted);
+  REQUIRE(promise.accepted);
+  CHECK(promise.accepted->first == Ballot{.round = 3, .proposer = 102});
+  auto& found = std::get<Found>(promise.accepted->second.change);
+  CHECK(found.cluster == 7);
+  CHECK(found.core_size == 3);
+  CHECK(found.core_most == 5);
+  REQUIRE(found.members.size() == 3);
+  CHECK(found.members[2].addr == "controller3");
+}
+
+TEST_CASE("a golden store folder is found whole: identity, checkpoint, segments and records of each kind") {
+  StartedStore store;
+  CHECK(store.segments == 3);
+  CHECK(store.disk->cut() == 0);
+  CHECK(store.recovered.inc == golden::store_incarnation);
+  CHECK(store.recovered.checkpoint.has_value());
+  CHECK(count_kinds<StoreRecord>(store.recovered.journal) == std::vector<size_t>{1, 67, 48, 1, 35, 1, 45, 38});
+}
+
+TEST_CASE("a store started on its golden folder knows the cluster it left") {
+  StartedStore store;
+  auto& metadata = *store.machine.view();
+  check_metadata(metadata);
+  check_configuration(metadata);
+  check_directory(metadata);
+}
+
+TEST_CASE("a store started on its golden folder has its histories, record by record") {
+  StartedStore store;
+  CHECK(store.machine.kept_lines() == 88);
+  auto& histories = store.machine.slots().at(SlotId{48}).lines;
+  auto& history = histories.at({.cell = "news", .program = "program17"});
+  CHECK(history.term == Epoch{67});
+  Record reservation{.kind = RecordKind::reservation,
+                     .key = "key-program17-1",
+                     .thread = "thread-program17-1",
+                     .body_digest = 4001,
+                     .tokens = 21,
+                     .turn = 1,
+                     .status = 200,
+                     .runner = DaemonId{4},
+                     .keep_ms = 60000,
+                     .input = "input-program17-1",
+                     .output = "",
+                     .parent = "parent-program17-1"};
+  auto settled = reservation;
+  settled.kind = RecordKind::settled;
+  settled.output = "output-program17-1";
+  CHECK(history.records == Records{reservation, settled});
+}
+
+TEST_CASE("a store started on its golden folder has fences, tombstones, streamed and dropped slots") {
+  StartedStore store;
+  auto& slots = store.machine.slots();
+  CHECK(store.machine.kept_tombstones() == 55);
+  CHECK(slots.at(SlotId{38}).fence == Epoch{79});
+  CHECK(slots.at(SlotId{48}).fence == Epoch{67});
+  CHECK(slots.at(SlotId{48}).tombstones.has(tombstone_of({.cell = "news", .program = "program120"})));
+  auto& streamed = slots.at(SlotId{40});
+  CHECK(streamed.fence == Epoch{31});
+  CHECK(streamed.tombstones.has(5040));
+  auto& history = streamed.lines.at({.cell = "streamed", .program = "program40"});
+  CHECK(history.term == Epoch{30});
+  REQUIRE(history.records.size() == 1);
+  CHECK(history.records[0].output == "output-streamed40-2");
+  auto& dropped = slots.at(SlotId{0});
+  CHECK(dropped.lines.empty());
+  CHECK(dropped.fence == Epoch{31});
+  CHECK(dropped.tombstones.has(5000));
+}
+
+TEST_CASE("a store started on its golden folder has the whole state that earlier sources recovered from it") {
+  StartedStore store;
+  check_recovered<StoreCheckpoint>(recovered_store_file, store.machine.checkpoint());
+}
+
+// Run by name, once. A folder that exists is never written again.
+TEST_CASE("write the golden folders that do not exist yet", "[.write-golden-folders]") {
+  auto write_once = [](const std::string& name, auto write) {
+    auto folder = golden::data_directory() / name;
+    if (!std::filesystem::exists(folder)) write(folder);
+  };
+  write_once(golden::controller_folder, golden::write_controller_folder);
+  write_once(golden::unfounded_controller_folder, golden::write_unfounded_controller_folder);
+  write_once(golden::store_folder, golden::write_store_folder);
+  golden::write_golden_bytes_once(recovered_controller_file, StartedController().machine.checkpoint());
+  golden::write_golden_bytes_once(recovered_store_file, StartedStore().machine.checkpoint());
+}
