--- a/src/messages/consensus_messages.hpp
+++ b/src/messages/consensus_messages.hpp
@@ -6,6 +6,8 @@
 
 namespace mosskeel {
 
+/// Number of a proposal: ordered by round, then by proposer, a random number of one controller process. No two
+/// processes ever use the same ballot.
 struct Ballot {
   BOOST_HANA_DEFINE_STRUCT(Ballot, (uint64_t, round), (uint64_t, proposer));
   auto operator<=>(const Ballot&) const = default;
@@ -14,16 +16,19 @@
 using Addresses = std::vector<Address>;
 using Entries = std::vector<Entry>;
 
+/// A daemon without contact asks a seed, or a controller that it has heard of, for the cluster.
 struct Discover {
   BOOST_HANA_DEFINE_STRUCT(Discover, (Candidate, self));
 };
 
-/// Who is here: a founded daemon names the core, an unfounded controller its fellow candidates.
+/// Who is here: a founded daemon names the cluster, its epoch and the addresses of the core; a controller before the
+/// founding has `cluster` 0 and names the candidates that it knows.
 struct DiscoverReply {
   BOOST_HANA_DEFINE_STRUCT(DiscoverReply, (Candidate, self), (uint64_t, cluster), (Epoch, epoch), (Addresses, core),
                            (Candidates, candidates));
 };
 
+/// Paxos phase 1: asks an acceptor to promise `ballot` for the instance of `epoch`.
 struct Prepare {
   BOOST_HANA_DEFINE_STRUCT(Prepare, (Epoch, epoch), (Ballot, ballot));
 };
@@ -33,23 +38,31 @@
   BOOST_HANA_DEFINE_STRUCT(AcceptedProposal, (Ballot, ballot), (Entry, entry));
 };
 
+/// The reply to Prepare. Where `granted`, the acceptor accepts nothing below `ballot` any more, and `accepted` is the
+/// proposal with the highest ballot that it has accepted at this epoch; else `promised` is the ballot that forbids
+/// it. Sent once the promise is durable.
 struct Promise {
   BOOST_HANA_DEFINE_STRUCT(Promise, (Epoch, epoch), (Ballot, ballot), (bool, granted), (Ballot, promised),
                            (std::optional<AcceptedProposal>, accepted));
 };
 
+/// Paxos phase 2: asks an acceptor to accept `entry` under `ballot`; the instance is the entry's epoch.
 struct Accept {
   BOOST_HANA_DEFINE_STRUCT(Accept, (Ballot, ballot), (Entry, entry));
 };
 
+/// The reply to Accept; where not `granted`, `promised` is the higher ballot that forbids it. Sent once it is
+/// durable.
 struct Accepted {
   BOOST_HANA_DEFINE_STRUCT(Accepted, (Epoch, epoch), (Ballot, ballot), (bool, granted), (Ballot, promised));
 };
 
+/// Asks a core member for the newest epoch that it knows.
 struct QuorumRead {
   BOOST_HANA_DEFINE_STRUCT(QuorumRead, (uint64_t, id));
 };
 
+/// `open` says that the member has accepted a proposal for the epoch after `epoch`, whose fate it does not know.
 struct QuorumReadReply {
   BOOST_HANA_DEFINE_STRUCT(QuorumReadReply, (uint64_t, id), (Epoch, epoch), (bool, open));
 };
@@ -58,14 +71,16 @@
 /// known.
 enum class CommitOutcome : uint8_t { committed, rejected, unknown };
 
-/// `patience` (ms, 0 for a controller's own) ends before its asker turns to another controller: it is not proposed
-/// later.
+/// Asks a controller to commit `change`. `id` makes the request idempotent. `known_epoch` is what the sender has, so
+/// that the reply brings what it lacks. `timeout_ms` (0 for the controller's own) ends before the sender turns to
+/// another controller: the change is not proposed later than that.
 struct Commit {
   BOOST_HANA_DEFINE_STRUCT(Commit, (std::string, id), (Transformation, change), (Epoch, known_epoch),
                            (int64_t, timeout_ms));
 };
 
-/// `rejection` says why it is a no, at `epoch`, which a majority has confirmed as the newest since the commit came.
+/// What became of a commit, with the log that the sender lacks. For `rejected`, `rejection` and `reason` say why, at
+/// `epoch`, which a majority has confirmed as the newest since the commit came.
 struct CommitReply {
   BOOST_HANA_DEFINE_STRUCT(CommitReply, (std::string, id), (CommitOutcome, outcome), (std::string, reason),
                            (Epoch, epoch), (std::optional<Metadata>, checkpoint), (Entries, entries),
@@ -75,15 +90,17 @@
 /// Time since each daemon's last heartbeat (ms), as one controller has received them.
 using HeartbeatAges = std::map<DaemonId, int64_t>;
 
+/// Asks a core member to grant or renew the supervisor lease; `request_id` matches the grant to its request.
 struct LeaseRequest {
   BOOST_HANA_DEFINE_STRUCT(LeaseRequest, (uint64_t, request_id));
 };
 
+/// The reply; `heartbeat_ages` are what the member observes, for the holder to judge failures by a majority.
 struct LeaseGrant {
   BOOST_HANA_DEFINE_STRUCT(LeaseGrant, (uint64_t, request_id), (bool, granted), (HeartbeatAges, heartbeat_ages));
 };
 
-/// The operator's word that these core members are lost for good.
+/// An operator states that these core members are lost for good; their survivors may re-found the core.
 struct RefoundRequest {
   BOOST_HANA_DEFINE_STRUCT(RefoundRequest, (std::string, id), (std::vector<DaemonId>, lost));
 };
--- a/src/messages/message.hpp
+++ b/src/messages/message.hpp
@@ -10,6 +10,7 @@
 
 namespace mosskeel {
 
+/// The first alternative, no message, keeps 0 from being a kind.
 using Message =
     std::variant<std::monostate, Discover, DiscoverReply, Prepare, Promise, Accept, Accepted, Decided, Catchup,
                  CatchupReply, QuorumRead, QuorumReadReply, Commit, CommitReply, Heartbeat, HeartbeatReply,
@@ -21,7 +22,8 @@
                  ListHistories, ListHistoriesReply, FetchHistories, FetchHistoriesReply, ReserveTurn, ReserveTurnReply,
                  CommitTurn, CommitTurnReply, FindChain, FindChainReply>;
 
-/// A framed message: kind and body are the variant, the rest is what every daemon checks first.
+/// A message as it travels: `protocol` is kProtocolRevision, `cluster` 0 before the sender knows one, `epoch` what the
+/// sender knows, `id` random, `from_inc` and `to_inc` the incarnations of both ends (0: whoever has the address).
 struct Envelope {
   BOOST_HANA_DEFINE_STRUCT(Envelope, (uint16_t, protocol), (uint64_t, cluster), (Epoch, epoch), (uint64_t, id),
                            (Address, from), (Incarnation, from_inc), (Address, to), (Incarnation, to_inc),
--- a/src/messages/turn_messages.hpp
+++ b/src/messages/turn_messages.hpp
@@ -1,35 +1,42 @@
 #pragma once
-// What fronts, owners and stores say to each other of callers' turns.
-#include <boost/hana/define_struct.hpp>
-
-#include "mosskeel/common.hpp"
+// What the gateways that serve callers' turns, the owners of their programs and the stores say to each other.
+#include "base/codec.hpp"
 
 namespace mosskeel {
 
-/// A front that has a caller's turn asks the program's owner for it: budget, chain, and a durable reservation.
+/// A gateway that has a caller's turn asks the program's owner for it: the budget is checked, the chain found and a
+/// durable reservation of `max_tokens` made. `parent` is the turn to continue, `budget` the program's token budget;
+/// times in ms.
 struct ReserveTurn {
   BOOST_HANA_DEFINE_STRUCT(ReserveTurn, (std::string, attempt), (std::string, program), (std::string, parent),
                            (std::string, input), (uint64_t, budget), (uint64_t, max_tokens), (bool, keep_history),
                            (int64_t, retention_ms), (int64_t, timeout_ms));
 };
-/// 200 means go, with the text of the chain before the input; anything else is final: the turn has not run.
+
+/// 200 grants the turn, with the text of the chain before the input; anything else is final: the turn has not run.
 struct ReserveTurnReply {
   BOOST_HANA_DEFINE_STRUCT(ReserveTurnReply, (std::string, attempt), (uint32_t, status), (uint32_t, retry_after_ms),
                            (std::string, reason), (std::string, chain));
 };
-/// What became of a granted turn: 200 whole, 0 not run, 502 unknown or broken off. `tokens` were handed to the caller.
+
+/// What became of a granted turn: status 200 complete, 0 not run, 502 unknown or broken off. `tokens` were handed to
+/// the caller.
 struct CommitTurn {
   BOOST_HANA_DEFINE_STRUCT(CommitTurn, (std::string, attempt), (std::string, program), (uint32_t, status),
                            (uint64_t, tokens), (bool, keep_output), (std::string, output));
 };
-/// The outcome lies on a majority, or `committed` is false and it can't be there any more.
+
+/// The outcome is on a quorum; or `committed` is false, and it cannot be there any more.
 struct CommitTurnReply {
   BOOST_HANA_DEFINE_STRUCT(CommitTurnReply, (std::string, attempt), (bool, committed));
 };
+
 /// Asks a store for the text of the chain that ends with this turn, whichever program it belongs to.
 struct FindChain {
   BOOST_HANA_DEFINE_STRUCT(FindChain, (std::string, turn));
 };
+
+/// `text` is the chain, from its first turn to the one asked for.
 struct FindChainReply {
   BOOST_HANA_DEFINE_STRUCT(FindChainReply, (std::string, turn), (bool, found), (std::string, text));
 };
