--- a/src/control/admin_api.hpp
+++ b/src/control/admin_api.hpp
@@ -3,6 +3,7 @@
 #include "consensus/controller_machine.hpp"
 #include "control/command_language.hpp"
 #include "control/control_session.hpp"
+#include "net/local_mailboxes.hpp"
 #include "runtime/host.hpp"
 
 namespace mosskeel {
--- a/src/control/cluster_control.hpp
+++ b/src/control/cluster_control.hpp
@@ -1,6 +1,7 @@
 #pragma once
 // What a platform may order of the core, in the product's words, and how its way of asking plugs in.
 #include "control/constants.hpp"
+#include "metadata/metadata.hpp"
 #include "net/http_server.hpp"
 
 namespace mosskeel {
--- a/src/gateway/program_api.hpp
+++ b/src/gateway/program_api.hpp
@@ -1,6 +1,7 @@
 #pragma once
 // The callers' HTTP; the one place to change its shape.
 #include "net/http_server.hpp"
+#include "net/local_mailboxes.hpp"
 #include "programs/gateway_machine.hpp"
 #include "runtime/host.hpp"
 
--- a/src/net/chunked_decoder.cpp
+++ b/src/net/chunked_decoder.cpp
@@ -1,63 +1,90 @@
-#include "net/http_head.hpp"
+#include "net/chunked_decoder.hpp"
 
 #include <algorithm>
 
+#include "net/http_head.hpp"
+
 namespace mosskeel {
 namespace {
-constexpr size_t longest_chunk_line = 1024, most_trailer_bytes = 8192;
+
+constexpr size_t kMaxChunkLineBytes = 1024;
+constexpr size_t kMaxTrailerBytes = 8192;
+/// Hexadecimal digits that always fit into 64 bits.
+constexpr size_t kMaxChunkSizeDigits = 15;
+
+bool allowed_in_line(char character) {
+  auto byte = static_cast<unsigned char>(character);
+  return character == '\r' || character == '\t' || (byte >= 0x20 && byte != 0x7f);
 }
 
-size_t Chunks::feed(std::string_view s, std::string& out) {
-  size_t at = 0;
-  while (at < s.size() && !done() && !malformed()) {
+}  // namespace
+
+size_t ChunkedDecoder::decode(std::string_view encoded, std::string& body) {
+  size_t consumed = 0;
+  while (consumed < encoded.size() && !done() && !malformed()) {
     if (state_ == State::data) {
-      auto n = std::min<uint64_t>(left_, s.size() - at);
-      out.append(s.substr(at, n));
-      at += n, left_ -= n;
-      if (left_ == 0)
+      auto size = std::min<uint64_t>(chunk_remaining_, encoded.size() - consumed);
+      body.append(encoded.substr(consumed, size));
+      consumed += size;
+      chunk_remaining_ -= size;
+      if (chunk_remaining_ == 0) {
         state_ = State::data_end;
-    } else if (line(s[at++])) {
-      if (state_ == State::size)
-        size_line();
-      else if (state_ == State::trailer)
-        trailer_line();
-      else
-        state_ = line_.empty() ? State::size : State::malformed;
-      line_.clear();
+      }
+    } else if (append_to_line(encoded[consumed++])) {
+      on_line();
     }
   }
-  return at;
+  return consumed;
 }
 
-bool Chunks::line(char c) {
-  bool after_cr = !line_.empty() && line_.back() == '\r';
-  if (after_cr && c == '\n')
-    return line_.pop_back(), true;
-  auto u = static_cast<unsigned char>(c);
-  bool text = c == '\r' || c == '\t' || (u >= 0x20 && u != 0x7f);
-  if (after_cr || !text || line_.size() >= longest_chunk_line || (state_ == State::data_end && c != '\r'))
+bool ChunkedDecoder::append_to_line(char character) {
+  bool after_carriage_return = !line_.empty() && line_.back() == '\r';
+  if (after_carriage_return && character == '\n') {
+    line_.pop_back();
+    return true;
+  }
+  bool data_beyond_chunk = state_ == State::data_end && character != '\r';
+  bool too_long = line_.size() >= kMaxChunkLineBytes;
+  if (after_carriage_return || !allowed_in_line(character) || too_long || data_beyond_chunk) {
     state_ = State::malformed;
-  line_ += c;
+  }
+  line_ += character;
   return false;
 }
 
-void Chunks::size_line() {
+void ChunkedDecoder::on_line() {
+  if (state_ == State::size_line) {
+    on_size_line();
+  } else if (state_ == State::trailer) {
+    on_trailer_line();
+  } else {
+    state_ = line_.empty() ? State::size_line : State::malformed;
+  }
+  line_.clear();
+}
+
+void ChunkedDecoder::on_size_line() {
   auto digits = std::min(line_.find(';'), line_.size());
-  state_ = State::malformed;
-  if (digits == 0 || digits > 15 || line_.find_first_not_of("0123456789abcdefABCDEF") < digits)
+  bool hexadecimal = line_.find_first_not_of("0123456789abcdefABCDEF") >= digits;
+  if (digits == 0 || digits > kMaxChunkSizeDigits || !hexadecimal) {
+    state_ = State::malformed;
     return;
-  left_ = std::stoull(line_.substr(0, digits), nullptr, 16);
-  state_ = left_ ? State::data : State::trailer;
+  }
+  chunk_remaining_ = std::stoull(line_.substr(0, digits), nullptr, 16);
+  state_ = chunk_remaining_ ? State::data : State::trailer;
 }
 
-void Chunks::trailer_line() {
+void ChunkedDecoder::on_trailer_line() {
+  if (line_.empty()) {
+    state_ = State::done;
+    return;
+  }
   trailer_bytes_ += line_.size();
   auto colon = line_.find(':');
-  if (line_.empty())
-    state_ = State::done;
-  else if (trailer_bytes_ > most_trailer_bytes || colon == std::string::npos ||
-           !writable({line_.substr(0, colon), line_.substr(colon + 1)}))
+  bool valid = colon != std::string::npos && is_valid_field({line_.substr(0, colon), line_.substr(colon + 1)});
+  if (trailer_bytes_ > kMaxTrailerBytes || !valid) {
     state_ = State::malformed;
+  }
 }
 
 }  // namespace mosskeel
--- a/src/net/endpoint.cpp
+++ b/src/net/endpoint.cpp
@@ -6,39 +6,55 @@
 
 namespace mosskeel {
 
-std::optional<Endpoint> parse_endpoint(const Address& a) {
-  auto colon = a.rfind(':');
-  if (colon == std::string::npos || colon == 0 || colon + 1 == a.size())
+std::optional<Endpoint> parse_endpoint(const Address& address) {
+  auto colon = address.rfind(':');
+  if (colon == std::string::npos || colon == 0 || colon + 1 == address.size()) {
     return std::nullopt;
-  auto host = a.substr(0, colon);
-  if (host.size() > 2 && host.front() == '[' && host.back() == ']')
+  }
+  auto host = address.substr(0, colon);
+  auto port = address.substr(colon + 1);
+  if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
     host = host.substr(1, host.size() - 2);
-  addrinfo want{}, *found = nullptr;
-  want.ai_flags = AI_NUMERICHOST | AI_NUMERICSERV;
-  want.ai_socktype = SOCK_STREAM;
-  if (::getaddrinfo(host.c_str(), a.c_str() + colon + 1, &want, &found) != 0)
+  }
+  addrinfo hints{};
+  hints.ai_flags = AI_NUMERICHOST | AI_NUMERICSERV;
+  hints.ai_socktype = SOCK_STREAM;
+  addrinfo* found = nullptr;
+  if (::getaddrinfo(host.c_str(), port.c_str(), &hints, &found) != 0) {
     return std::nullopt;
-  Endpoint e;
-  e.length = found->ai_addrlen;
-  std::memcpy(&e.storage, found->ai_addr, found->ai_addrlen);
+  }
+  Endpoint endpoint;
+  endpoint.length = found->ai_addrlen;
+  std::memcpy(&endpoint.storage, found->ai_addr, found->ai_addrlen);
   ::freeaddrinfo(found);
-  return e;
+  return endpoint;
 }
 
-Address bound_address(int fd) {
-  Endpoint e;
-  e.length = sizeof e.storage;
-  char host[NI_MAXHOST], port[NI_MAXSERV];
-  auto* at = reinterpret_cast<sockaddr*>(&e.storage);
-  if (::getsockname(fd, at, &e.length) != 0 ||
-      ::getnameinfo(at, e.length, host, sizeof host, port, sizeof port, NI_NUMERICHOST | NI_NUMERICSERV) != 0)
+Address bound_address(int socket) {
+  Endpoint endpoint;
+  endpoint.length = sizeof endpoint.storage;
+  auto* address = reinterpret_cast<sockaddr*>(&endpoint.storage);
+  if (::getsockname(socket, address, &endpoint.length) != 0) {
     return {};
-  std::string name = host;
-  return (name.find(':') == std::string::npos ? name : "[" + name + "]") + ":" + port;
+  }
+  char host[NI_MAXHOST];
+  char port[NI_MAXSERV];
+  constexpr int flags = NI_NUMERICHOST | NI_NUMERICSERV;
+  if (::getnameinfo(address, endpoint.length, host, sizeof host, port, sizeof port, flags) != 0) {
+    return {};
+  }
+  std::string host_text = host;
+  bool is_ipv6 = host_text.find(':') != std::string::npos;
+  return (is_ipv6 ? "[" + host_text + "]" : host_text) + ":" + port;
+}
+
+bool set_socket_option(int socket, int level, int option, int value) {
+  return ::setsockopt(socket, level, option, &value, sizeof value) == 0;
 }
 
-bool set_socket_option(int fd, int level, int option, int on) {
-  return ::setsockopt(fd, level, option, &on, sizeof on) == 0;
+void reset_on_close(int socket) {
+  linger discard_unsent{1, 0};
+  ::setsockopt(socket, SOL_SOCKET, SO_LINGER, &discard_unsent, sizeof discard_unsent);
 }
 
 }  // namespace mosskeel
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -10,141 +10,191 @@
 #include <system_error>
 
 namespace mosskeel {
+namespace {
+
+constexpr size_t kMaxEventsPerWait = 256;
+/// Keeps the wait within the int that epoll_wait takes; the loop then waits again.
+constexpr Millis kMaxWaitMs = 3600000;
+/// Cancelled timers are cleaned out once they outnumber the others by this.
+constexpr size_t kCancelledTimersKept = 64;
+
+uint64_t epoll_key(int fd, uint32_t generation) {
+  return uint64_t{generation} << 32 | static_cast<uint32_t>(fd);
+}
+
+int fd_of(uint64_t key) {
+  return static_cast<int>(key & 0xffffffff);
+}
+
+uint32_t generation_of(uint64_t key) {
+  return static_cast<uint32_t>(key >> 32);
+}
+
+}  // namespace
 
 Millis monotonic_ms() {
-  timespec t{};
-  ::clock_gettime(CLOCK_MONOTONIC, &t);
-  return Millis{t.tv_sec} * 1000 + t.tv_nsec / 1000000;
+  timespec time{};
+  ::clock_gettime(CLOCK_MONOTONIC, &time);
+  return Millis{time.tv_sec} * 1000 + time.tv_nsec / 1000000;
 }
 
-EventLoop::EventLoop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
-  if (!epoll_ || !wake_)
+EventLoop::EventLoop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_event_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
+  if (!epoll_ || !wake_event_) {
     throw std::system_error(errno, std::generic_category(), "epoll");
-  watch(wake_.get(), EPOLLIN, [this](uint32_t) {
-    uint64_t n;
-    [[maybe_unused]] auto r = ::read(wake_.get(), &n, sizeof n);
+  }
+  watch(wake_event_.get(), EPOLLIN, [this](uint32_t) {
+    uint64_t count;
+    [[maybe_unused]] auto read_bytes = ::read(wake_event_.get(), &count, sizeof count);
   });
 }
 
-void EventLoop::control(int op, int fd, uint32_t events, uint32_t generation) {
-  epoll_event e{};
-  e.events = events;
-  e.data.u64 = uint64_t{generation} << 32 | static_cast<uint32_t>(fd);
-  if (::epoll_ctl(epoll_.get(), op, fd, &e) < 0)
+void EventLoop::control_epoll(int operation, int fd, uint32_t events, uint32_t generation) {
+  epoll_event event{};
+  event.events = events;
+  event.data.u64 = epoll_key(fd, generation);
+  if (::epoll_ctl(epoll_.get(), operation, fd, &event) < 0) {
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
+  }
 }
 
-void EventLoop::watch(int fd, uint32_t events, ReadyCallback f) {
-  auto ready = std::make_shared<ReadyCallback>(std::move(f));
-  auto it = watched_.find(fd);
-  if (it == watched_.end()) {
-    control(EPOLL_CTL_ADD, fd, events, ++generation_);
-    watched_.emplace(fd, Watched{generation_, std::move(ready)});
-  } else {
-    control(EPOLL_CTL_MOD, fd, events, it->second.generation);
-    it->second.ready = std::move(ready);
+void EventLoop::watch(int fd, uint32_t events, ReadyCallback on_ready) {
+  auto callback = std::make_shared<ReadyCallback>(std::move(on_ready));
+  auto found = watched_.find(fd);
+  if (found != watched_.end()) {
+    control_epoll(EPOLL_CTL_MOD, fd, events, found->second.generation);
+    found->second.on_ready = std::move(callback);
+    return;
   }
+  auto generation = ++last_generation_;
+  control_epoll(EPOLL_CTL_ADD, fd, events, generation);
+  watched_.emplace(fd, WatchedDescriptor{generation, std::move(callback)});
 }
 
-void EventLoop::watch(int fd, uint32_t events) {
-  if (auto it = watched_.find(fd); it != watched_.end())
-    control(EPOLL_CTL_MOD, fd, events, it->second.generation);
+void EventLoop::set_events(int fd, uint32_t events) {
+  auto found = watched_.find(fd);
+  if (found != watched_.end()) {
+    control_epoll(EPOLL_CTL_MOD, fd, events, found->second.generation);
+  }
 }
 
 void EventLoop::unwatch(int fd) {
-  if (watched_.erase(fd))
+  if (watched_.erase(fd)) {
     ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
+  }
 }
 
-void EventLoop::post(std::function<void()> f) {
-  bool wake = false;
+void EventLoop::post(std::function<void()> function) {
+  bool must_wake = false;
   {
-    std::lock_guard g(lock_);
-    posted_.push_back(std::move(f));
-    if (thread_.load() != std::this_thread::get_id())
-      wake = !std::exchange(woken_, true);
+    std::lock_guard lock(mutex_);
+    posted_.push_back(std::move(function));
+    bool from_other_thread = thread_.load() != std::this_thread::get_id();
+    if (from_other_thread) {
+      must_wake = !std::exchange(wake_pending_, true);
+    }
+  }
+  if (must_wake) {
+    wake();
   }
+}
+
+void EventLoop::wake() {
   uint64_t one = 1;
-  if (wake) [[maybe_unused]]
-    auto r = ::write(wake_.get(), &one, sizeof one);
+  [[maybe_unused]] auto written_bytes = ::write(wake_event_.get(), &one, sizeof one);
 }
 
-uint64_t EventLoop::run_after(Millis ms, std::function<void()> f) {
-  heap_.push_back({monotonic_ms() + std::max<Millis>(ms, 0), ++last_timer_});
-  std::push_heap(heap_.begin(), heap_.end());
-  timers_.emplace(last_timer_, std::move(f));
-  return last_timer_;
+uint64_t EventLoop::run_after(Millis delay, std::function<void()> function) {
+  auto timer = ++last_timer_;
+  timer_heap_.push_back({monotonic_ms() + std::max<Millis>(delay, 0), timer});
+  std::push_heap(timer_heap_.begin(), timer_heap_.end());
+  timers_.emplace(timer, std::move(function));
+  return timer;
 }
 
 void EventLoop::cancel(uint64_t timer) {
-  if (!timers_.erase(timer) || heap_.size() < 2 * timers_.size() + 64)
+  if (!timers_.erase(timer) || timer_heap_.size() < 2 * timers_.size() + kCancelledTimersKept) {
     return;
-  std::erase_if(heap_, [&](const Due& d) { return !timers_.contains(d.timer); });
-  std::make_heap(heap_.begin(), heap_.end());
+  }
+  std::erase_if(timer_heap_, [&](const ScheduledTimer& scheduled) { return !timers_.contains(scheduled.timer); });
+  std::make_heap(timer_heap_.begin(), timer_heap_.end());
 }
 
-int EventLoop::patience() {
+uint64_t EventLoop::pop_timer() {
+  auto timer = timer_heap_.front().timer;
+  std::pop_heap(timer_heap_.begin(), timer_heap_.end());
+  timer_heap_.pop_back();
+  return timer;
+}
+
+int EventLoop::wait_timeout() {
   {
-    std::lock_guard g(lock_);
-    if (!posted_.empty())
+    std::lock_guard lock(mutex_);
+    if (!posted_.empty()) {
       return 0;
+    }
   }
-  while (!heap_.empty() && !timers_.contains(heap_.front().timer)) {
-    std::pop_heap(heap_.begin(), heap_.end());
-    heap_.pop_back();
+  while (!timer_heap_.empty() && !timers_.contains(timer_heap_.front().timer)) {
+    pop_timer();
   }
-  if (heap_.empty())
+  if (timer_heap_.empty()) {
     return -1;
-  return static_cast<int>(std::clamp<Millis>(heap_.front().at - monotonic_ms(), 0, 3600000));
+  }
+  return static_cast<int>(std::clamp<Millis>(timer_heap_.front().due_at - monotonic_ms(), 0, kMaxWaitMs));
+}
+
+void EventLoop::run_ready(int timeout) {
+  std::array<epoll_event, kMaxEventsPerWait> events;
+  auto count = ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), timeout);
+  for (int i = 0; i < count; ++i) {
+    const auto& event = events[static_cast<size_t>(i)];
+    auto found = watched_.find(fd_of(event.data.u64));
+    if (found == watched_.end() || found->second.generation != generation_of(event.data.u64)) {
+      continue;
+    }
+    auto on_ready = found->second.on_ready;
+    (*on_ready)(event.events);
+  }
 }
 
 void EventLoop::run_posted() {
-  std::vector<std::function<void()>> now;
+  std::vector<std::function<void()>> functions;
   {
-    std::lock_guard g(lock_);
-    now.swap(posted_);
-    woken_ = false;
+    std::lock_guard lock(mutex_);
+    functions.swap(posted_);
+    wake_pending_ = false;
+  }
+  for (auto& function : functions) {
+    function();
   }
-  for (auto& f : now)
-    f();
 }
 
-void EventLoop::run_due() {
+void EventLoop::run_due_timers() {
   auto now = monotonic_ms();
   std::vector<uint64_t> due;
-  while (!heap_.empty() && heap_.front().at <= now) {
-    due.push_back(heap_.front().timer);
-    std::pop_heap(heap_.begin(), heap_.end());
-    heap_.pop_back();
+  while (!timer_heap_.empty() && timer_heap_.front().due_at <= now) {
+    due.push_back(pop_timer());
   }
   for (auto timer : due) {
-    auto node = timers_.extract(timer);
-    if (node)
+    // One that ran before may have cancelled it.
+    if (auto node = timers_.extract(timer)) {
       node.mapped()();
+    }
   }
 }
 
 void EventLoop::run() {
   thread_ = std::this_thread::get_id();
-  std::array<epoll_event, 256> events;
-  while (!stopping_) {
-    auto n = ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), patience());
-    for (int i = 0; i < n; ++i) {
-      auto it = watched_.find(static_cast<int>(events[i].data.u64 & 0xffffffff));
-      if (it == watched_.end() || it->second.generation != events[i].data.u64 >> 32)
-        continue;
-      auto ready = it->second.ready;
-      (*ready)(events[i].events);
-    }
+  while (!stop_requested_) {
+    run_ready(wait_timeout());
     run_posted();
-    run_due();
+    run_due_timers();
   }
-  stopping_ = false;
+  stop_requested_ = false;
   thread_ = std::thread::id{};
 }
 
 void EventLoop::stop() {
-  stopping_ = true;
+  stop_requested_ = true;
   post([] {});
 }
 
--- a/src/net/http_fetch.cpp
+++ b/src/net/http_fetch.cpp
@@ -1,67 +1,91 @@
 #include "net/http_fetch.hpp"
 
-#include <curl/curl.h>
+#include "net/curl_handles.hpp"
 
 namespace mosskeel {
 namespace {
 
-size_t body(char* p, size_t s, size_t n, void* c) {
-  auto& x = *static_cast<std::pair<const FetchRequest*, FetchResponse*>*>(c);
-  x.second->body.append(p, s * n);
-  if (x.first->on_body)
-    x.first->on_body(std::string(p, s * n));
-  return s * n;
+constexpr long kFetchConnectTimeoutMs = 1000;
+
+/// What libcurl's callbacks get.
+struct FetchContext {
+  const FetchRequest& request;
+  FetchResponse response;
+};
+
+size_t on_fetched_body(char* bytes, size_t size, size_t count, void* context) {
+  auto& fetch = *static_cast<FetchContext*>(context);
+  std::string piece(bytes, size * count);
+  fetch.response.body += piece;
+  if (fetch.request.on_body) {
+    fetch.request.on_body(piece);
+  }
+  return size * count;
+}
+
+size_t on_fetched_header(char* bytes, size_t size, size_t count, void* context) {
+  std::string line(bytes, size * count);
+  auto colon = line.find(':');
+  if (colon == std::string::npos) {
+    return line.size();
+  }
+  auto name = line.substr(0, colon);
+  for (auto& character : name) {
+    character = static_cast<char>(tolower(character));
+  }
+  auto first = line.find_first_not_of(' ', colon + 1);
+  auto last = line.find_last_not_of("\r\n ");
+  bool has_value = first != std::string::npos && last >= first;
+  if (has_value) {
+    static_cast<FetchContext*>(context)->response.headers[name] = line.substr(first, last - first + 1);
+  }
+  return line.size();
 }
 
-size_t header(char* p, size_t s, size_t n, void* c) {
-  std::string h(p, s * n);
-  auto k = h.find(':');
-  if (k == std::string::npos)
-    return s * n;
-  auto name = h.substr(0, k);
-  for (auto& x : name)
-    x = static_cast<char>(tolower(x));
-  auto b = h.find_first_not_of(' ', k + 1), e = h.find_last_not_of("\r\n ");
-  if (b != std::string::npos && e >= b)
-    static_cast<FetchResponse*>(c)->headers[name] = h.substr(b, e - b + 1);
-  return s * n;
+CurlHeaderList header_list(const FetchRequest& request) {
+  CurlHeaderList list;
+  append_header(list, "Expect:");
+  for (const auto& [name, value] : request.headers) {
+    append_header(list, (name + ": " + value).c_str());
+  }
+  return list;
 }
 
 }  // namespace
 
-FetchResponse http_fetch(const FetchRequest& a) {
-  FetchResponse r;
-  std::unique_ptr<CURL, void (*)(CURL*)> c(curl_easy_init(), curl_easy_cleanup);
-  auto* e = c.get();
-  auto both = std::make_pair(&a, &r);
-  curl_easy_setopt(e, CURLOPT_URL, a.url.c_str());
-  curl_easy_setopt(e, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt(e, CURLOPT_PROXY, "");
-  curl_easy_setopt(e, CURLOPT_CUSTOMREQUEST, a.method.c_str());
-  curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, 1000L);
-  curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, a.timeout_ms);
-  if (a.method != "GET") {
-    curl_easy_setopt(e, CURLOPT_POSTFIELDSIZE, static_cast<long>(a.body.size()));
-    curl_easy_setopt(e, CURLOPT_POSTFIELDS, a.body.c_str());
+FetchResponse http_fetch(const FetchRequest& request) {
+  FetchContext context{request, {}};
+  auto headers = header_list(request);
+  CurlEasyHandle handle(curl_easy_init());
+  auto* easy = handle.get();
+  curl_easy_setopt(easy, CURLOPT_URL, request.url.c_str());
+  curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
+  curl_easy_setopt(easy, CURLOPT_PROXY, "");
+  curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request.method.c_str());
+  curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, kFetchConnectTimeoutMs);
+  curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, request.timeout_ms);
+  if (request.method != "GET") {
+    curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, static_cast<long>(request.body.size()));
+    curl_easy_setopt(easy, CURLOPT_POSTFIELDS, request.body.c_str());
+  }
+  curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers.get());
+  curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_fetched_body);
+  curl_easy_setopt(easy, CURLOPT_WRITEDATA, &context);
+  curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, on_fetched_header);
+  curl_easy_setopt(easy, CURLOPT_HEADERDATA, &context);
+
+  auto result = curl_easy_perform(easy);
+
+  auto& response = context.response;
+  curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &response.status);
+  long sent_bytes = 0;
+  curl_easy_getinfo(easy, CURLINFO_REQUEST_SIZE, &sent_bytes);
+  response.request_sent = sent_bytes > 0;
+  response.complete = result == CURLE_OK;
+  if (!response.complete) {
+    response.error = curl_easy_strerror(result);
   }
-  curl_slist* l = curl_slist_append(nullptr, "Expect:");
-  for (auto& [k, v] : a.headers)
-    l = curl_slist_append(l, (k + ": " + v).c_str());
-  std::unique_ptr<curl_slist, void (*)(curl_slist*)> list(l, curl_slist_free_all);
-  curl_easy_setopt(e, CURLOPT_HTTPHEADER, l);
-  curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, body);
-  curl_easy_setopt(e, CURLOPT_WRITEDATA, &both);
-  curl_easy_setopt(e, CURLOPT_HEADERFUNCTION, header);
-  curl_easy_setopt(e, CURLOPT_HEADERDATA, &r);
-  auto rc = curl_easy_perform(e);
-  curl_easy_getinfo(e, CURLINFO_RESPONSE_CODE, &r.status);
-  long sent = 0;
-  curl_easy_getinfo(e, CURLINFO_REQUEST_SIZE, &sent);
-  r.request_sent = sent > 0;
-  r.complete = rc == CURLE_OK;
-  if (rc != CURLE_OK)
-    r.error = curl_easy_strerror(rc);
-  return r;
+  return std::move(response);
 }
 
 }  // namespace mosskeel
--- a/src/net/http_fetch.hpp
+++ b/src/net/http_fetch.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// One HTTP ask from a tool, by libcurl, on a fresh session.
+// Single HTTP requests of the tools, by libcurl.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
@@ -8,15 +8,24 @@
   std::string method = "GET", url, body;
   std::map<std::string, std::string> headers;
   long timeout_ms = 15000;
-  /// Called with the bytes as they come; empty keeps them in the answer.
-  std::function<void(const std::string&)> on_body;
+  /// Called with the body's bytes as they come; the response has them too.
+  std::function<void(const std::string& bytes)> on_body;
 };
+
 struct FetchResponse {
+  /// 0 where no head was received.
   long status = 0;
-  std::string body, error;
+  std::string body;
+  /// What went wrong; empty where the response is complete.
+  std::string error;
+  /// Names in lower case.
   std::map<std::string, std::string> headers;
-  bool complete = false, request_sent = false;
+  bool complete = false;
+  /// Whether any byte of the request may have reached the server.
+  bool request_sent = false;
 };
-FetchResponse http_fetch(const FetchRequest& a);
+
+/// Sends the request on a connection of its own and waits for the response.
+FetchResponse http_fetch(const FetchRequest& request);
 
 }  // namespace mosskeel
--- a/src/net/http_head.cpp
+++ b/src/net/http_head.cpp
@@ -7,245 +7,341 @@
 namespace mosskeel {
 namespace {
 
-char lower(char c) {
-  return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
+constexpr std::string_view kLineEnd = "\r\n";
+/// Digits that always fit into 64 bits.
+constexpr size_t kMaxContentLengthDigits = 18;
+
+char to_lower(char character) {
+  return character >= 'A' && character <= 'Z' ? static_cast<char>(character - 'A' + 'a') : character;
+}
+
+bool is_digit(char character) {
+  return character >= '0' && character <= '9';
+}
+
+bool is_letter(char character) {
+  return to_lower(character) >= 'a' && to_lower(character) <= 'z';
 }
 
-bool token_char(char c) {
-  return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'z') ||
-         (c != 0 && std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos);
+bool is_token_character(char character) {
+  constexpr std::string_view punctuation = "!#$%&'*+-.^_`|~";
+  return is_digit(character) || is_letter(character) || punctuation.find(character) != std::string_view::npos;
 }
 
-bool is_token(std::string_view s) {
-  return !s.empty() && std::all_of(s.begin(), s.end(), token_char);
+bool is_token(std::string_view text) {
+  return !text.empty() && std::all_of(text.begin(), text.end(), is_token_character);
 }
 
-bool is_text(std::string_view s) {
-  return std::all_of(s.begin(), s.end(), [](char c) {
-    auto u = static_cast<unsigned char>(c);
-    return u == '\t' || (u >= 0x20 && u != 0x7f);
+bool is_field_value(std::string_view text) {
+  return std::all_of(text.begin(), text.end(), [](char character) {
+    auto byte = static_cast<unsigned char>(character);
+    return byte == '\t' || (byte >= 0x20 && byte != 0x7f);
   });
 }
 
-std::string_view trim(std::string_view s) {
-  auto from = s.find_first_not_of(" \t");
-  if (from == std::string_view::npos)
-    return {};
-  return s.substr(from, s.find_last_not_of(" \t") - from + 1);
+bool is_target(std::string_view text) {
+  return text.starts_with('/') && std::all_of(text.begin(), text.end(), [](char character) {
+           return character > 0x20 && character < 0x7f && character != '#';
+         });
 }
 
-bool is_field_line(std::string_view s) {
-  auto colon = s.find(':');
-  return colon != std::string_view::npos && is_token(s.substr(0, colon)) && is_text(s.substr(colon + 1));
+bool is_field_line(std::string_view line) {
+  auto colon = line.find(':');
+  return colon != std::string_view::npos && is_token(line.substr(0, colon)) && is_field_value(line.substr(colon + 1));
 }
 
-/// Calls f with each line of a head, without its end and without the last, empty one.
-template <class F>
-bool all_lines(std::string_view head, F f) {
-  for (bool first = true; head.size() > 2; first = false) {
-    auto end = head.find("\r\n");
-    if (!f(head.substr(0, end), first))
-      return false;
-    head.remove_prefix(end + 2);
+bool is_request_line(std::string_view line) {
+  auto first_space = line.find(' ');
+  auto last_space = line.rfind(' ');
+  if (first_space == std::string_view::npos || first_space == last_space) {
+    return false;
   }
-  return true;
+  auto method = line.substr(0, first_space);
+  auto target = line.substr(first_space + 1, last_space - first_space - 1);
+  auto version = line.substr(last_space + 1);
+  return is_token(method) && is_target(target) && (version == "HTTP/1.1" || version == "HTTP/1.0");
 }
 
-bool is_request_line(std::string_view s) {
-  auto a = s.find(' '), b = s.rfind(' ');
-  if (a == std::string_view::npos || a + 1 >= b)
+bool is_status_line(std::string_view line) {
+  constexpr size_t status_at = 9;
+  constexpr size_t status_end = status_at + 3;
+  if (!line.starts_with("HTTP/1.1 ") && !line.starts_with("HTTP/1.0 ")) {
     return false;
-  auto target = s.substr(a + 1, b - a - 1), version = s.substr(b + 1);
-  return is_token(s.substr(0, a)) && target.front() == '/' && (version == "HTTP/1.1" || version == "HTTP/1.0") &&
-         std::all_of(target.begin(), target.end(), [](char c) { return c > 0x20 && c < 0x7f && c != '#'; });
+  }
+  if (line.size() < status_end || !is_field_value(line)) {
+    return false;
+  }
+  bool known_class = line[status_at] >= '1' && line[status_at] <= '5';
+  return known_class && (line.size() == status_end || line[status_end] == ' ');
 }
 
-bool is_status_line(std::string_view s) {
-  return (s.starts_with("HTTP/1.1 ") || s.starts_with("HTTP/1.0 ")) && is_text(s) && s.size() >= 12 && s[9] >= '1' &&
-         s[9] <= '5' && (s.size() == 12 || s[12] == ' ');
+/// http_parser is more lenient than we are, so each line is checked by itself first.
+bool has_valid_lines(std::string_view head, http_parser_type type) {
+  auto is_start_line = type == HTTP_REQUEST ? is_request_line : is_status_line;
+  auto is_valid_line = is_start_line;
+  while (head.size() > kLineEnd.size()) {
+    auto end = head.find(kLineEnd);
+    if (!is_valid_line(head.substr(0, end))) {
+      return false;
+    }
+    head.remove_prefix(end + kLineEnd.size());
+    is_valid_line = is_field_line;
+  }
+  return true;
 }
 
-struct Reading {
+/// What http_parser's callbacks write to.
+struct HeadBuilder {
   HttpHead head;
-  bool value = true, whole = false;
+  /// The parser gives names and values in pieces; a name behind a value begins a new field.
+  bool in_value = true;
+  bool complete = false;
 };
 
-Reading& reading(http_parser* p) {
-  return *static_cast<Reading*>(p->data);
-}
-
-const http_parser_settings& callbacks() {
-  static const auto made = [] {
-    http_parser_settings s;
-    http_parser_settings_init(&s);
-    s.on_url = [](http_parser* p, const char* at, size_t n) {
-      return reading(p).head.target.append(at, n), 0;
-    };
-    s.on_header_field = [](http_parser* p, const char* at, size_t n) {
-      auto& r = reading(p);
-      if (std::exchange(r.value, false))
-        r.head.fields.emplace_back();
-      r.head.fields.back().first.append(at, n);
-      return 0;
-    };
-    s.on_header_value = [](http_parser* p, const char* at, size_t n) {
-      auto& r = reading(p);
-      r.value = true;
-      r.head.fields.back().second.append(at, n);
-      return 0;
-    };
-    s.on_headers_complete = [](http_parser* p) {
-      auto& h = reading(p).head;
-      reading(p).whole = true;
-      h.http_1_0 = p->http_minor == 0;
-      if (p->type == HTTP_REQUEST)
-        h.method = http_method_str(static_cast<http_method>(p->method));
-      else
-        h.status = p->status_code;
-      return 0;
-    };
-    return s;
-  }();
-  return made;
-}
-
-HttpHead fail(HttpHead h, uint32_t fault, std::string reason) {
-  h.fault = fault, h.reason = std::move(reason);
-  return h;
-}
-
-HttpHead read_framing(HttpHead h) {
-  size_t lengths = 0, codings = 0;
-  std::string_view length, coding;
-  for (auto& [name, value] : h.fields) {
-    value = std::string(trim(value));
-    if (same_word(name, "Content-Length"))
-      ++lengths, length = value;
-    if (same_word(name, "Transfer-Encoding"))
-      ++codings, coding = value;
-  }
-  if (lengths + codings > 1)
-    return fail(std::move(h), 400, "framed twice");
-  if (codings && h.http_1_0)
-    return fail(std::move(h), 400, "transfer coding in HTTP/1.0");
-  if (codings && !same_word(coding, "chunked"))
-    return fail(std::move(h), 501, "transfer coding not known");
-  if (lengths) {
-    if (length.empty() || length.size() > 18 || length.find_first_not_of("0123456789") != std::string_view::npos)
-      return fail(std::move(h), 400, "length malformed");
-    h.content_length = std::stoull(std::string(length));
-  }
-  h.chunked = codings > 0;
-  h.close = h.http_1_0 || names_token(h.fields, "Connection", "close");
-  return h;
-}
-
-HttpHead read_head(std::string_view head, http_parser_type type) {
-  bool good = all_lines(head, [&](std::string_view line, bool first) {
-    if (!first)
-      return is_field_line(line);
-    return type == HTTP_REQUEST ? is_request_line(line) : is_status_line(line);
-  });
-  if (!good)
-    return fail({}, 400, "head malformed");
-  Reading r;
-  http_parser p;
-  http_parser_init(&p, type);
-  p.data = &r;
-  p.allow_chunked_length = 1;
-  http_parser_execute(&p, &callbacks(), head.data(), head.size());
-  if (!r.whole)
-    return fail({}, 400, http_errno_name(HTTP_PARSER_ERRNO(&p)));
-  return read_framing(std::move(r.head));
+HeadBuilder& builder_of(http_parser* parser) {
+  return *static_cast<HeadBuilder*>(parser->data);
+}
+
+int on_url(http_parser* parser, const char* bytes, size_t size) {
+  builder_of(parser).head.target.append(bytes, size);
+  return 0;
+}
+
+int on_field_name(http_parser* parser, const char* bytes, size_t size) {
+  auto& builder = builder_of(parser);
+  if (std::exchange(builder.in_value, false)) {
+    builder.head.fields.emplace_back();
+  }
+  builder.head.fields.back().name.append(bytes, size);
+  return 0;
+}
+
+int on_field_value(http_parser* parser, const char* bytes, size_t size) {
+  auto& builder = builder_of(parser);
+  builder.in_value = true;
+  builder.head.fields.back().value.append(bytes, size);
+  return 0;
+}
+
+int on_head_complete(http_parser* parser) {
+  auto& builder = builder_of(parser);
+  builder.complete = true;
+  builder.head.http_1_0 = parser->http_minor == 0;
+  if (parser->type == HTTP_REQUEST) {
+    builder.head.method = http_method_str(static_cast<http_method>(parser->method));
+  } else {
+    builder.head.status = parser->status_code;
+  }
+  return 0;
+}
+
+http_parser_settings make_parser_callbacks() {
+  http_parser_settings callbacks;
+  http_parser_settings_init(&callbacks);
+  callbacks.on_url = on_url;
+  callbacks.on_header_field = on_field_name;
+  callbacks.on_header_value = on_field_value;
+  callbacks.on_headers_complete = on_head_complete;
+  return callbacks;
+}
+
+HttpHead rejected(HttpHead head, uint32_t status, std::string reason) {
+  head.rejection_status = status;
+  head.rejection_reason = std::move(reason);
+  return head;
+}
+
+std::optional<uint64_t> parse_content_length(std::string_view value) {
+  bool digits_only = value.find_first_not_of("0123456789") == std::string_view::npos;
+  if (value.empty() || value.size() > kMaxContentLengthDigits || !digits_only) {
+    return std::nullopt;
+  }
+  return std::stoull(std::string(value));
+}
+
+/// Decides how the body is framed; more than one statement about it is an attempt at smuggling.
+HttpHead parse_framing(HttpHead head) {
+  size_t length_fields = 0;
+  size_t coding_fields = 0;
+  std::string_view length;
+  std::string_view coding;
+  for (auto& [name, value] : head.fields) {
+    value = std::string(trim_whitespace(value));
+    if (equals_ignoring_case(name, "Content-Length")) {
+      ++length_fields;
+      length = value;
+    }
+    if (equals_ignoring_case(name, "Transfer-Encoding")) {
+      ++coding_fields;
+      coding = value;
+    }
+  }
+  if (length_fields + coding_fields > 1) {
+    return rejected(std::move(head), 400, "framed twice");
+  }
+  if (coding_fields && head.http_1_0) {
+    return rejected(std::move(head), 400, "transfer coding in HTTP/1.0");
+  }
+  if (coding_fields && !equals_ignoring_case(coding, "chunked")) {
+    return rejected(std::move(head), 501, "transfer coding not known");
+  }
+  if (length_fields) {
+    head.content_length = parse_content_length(length);
+    if (!head.content_length) {
+      return rejected(std::move(head), 400, "length malformed");
+    }
+  }
+  head.chunked = coding_fields > 0;
+  head.closes_connection = head.http_1_0 || has_token(head.fields, "Connection", "close");
+  return head;
+}
+
+HttpHead parse_head(std::string_view text, http_parser_type type) {
+  static const auto callbacks = make_parser_callbacks();
+  if (!has_valid_lines(text, type)) {
+    return rejected({}, 400, "head malformed");
+  }
+  HeadBuilder builder;
+  http_parser parser;
+  http_parser_init(&parser, type);
+  parser.data = &builder;
+  // Length and coding together are rejected by parse_framing, which says so.
+  parser.allow_chunked_length = 1;
+  http_parser_execute(&parser, &callbacks, text.data(), text.size());
+  if (!builder.complete) {
+    return rejected({}, 400, http_errno_name(HTTP_PARSER_ERRNO(&parser)));
+  }
+  return parse_framing(std::move(builder.head));
+}
+
+bool is_hop_by_hop(std::string_view name) {
+  constexpr std::string_view names[] = {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "TE",
+                                        "Trailer",    "Upgrade"};
+  constexpr std::string_view proxy_prefix = "Proxy-";
+  return equals_ignoring_case(name.substr(0, proxy_prefix.size()), proxy_prefix) ||
+         std::any_of(std::begin(names), std::end(names),
+                     [&](std::string_view hop_by_hop) { return equals_ignoring_case(hop_by_hop, name); });
 }
 
 }  // namespace
 
-bool same_word(std::string_view a, std::string_view b) {
-  return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) { return lower(x) == lower(y); });
+bool equals_ignoring_case(std::string_view left, std::string_view right) {
+  return std::equal(
+      left.begin(), left.end(), right.begin(), right.end(),
+      [](char left_character, char right_character) { return to_lower(left_character) == to_lower(right_character); });
+}
+
+std::string_view trim_whitespace(std::string_view text) {
+  constexpr const char* whitespace = " \t";
+  auto begin = text.find_first_not_of(whitespace);
+  if (begin == std::string_view::npos) {
+    return {};
+  }
+  auto last = text.find_last_not_of(whitespace);
+  return text.substr(begin, last - begin + 1);
+}
+
+std::string_view next_list_element(std::string_view& list) {
+  auto comma = std::min(list.find(','), list.size());
+  auto element = list.substr(0, comma);
+  list.remove_prefix(std::min(comma + 1, list.size()));
+  return trim_whitespace(element);
 }
 
-HeadScan scan_head(std::string_view in, size_t& scanned) {
-  for (; scanned < in.size(); ++scanned) {
-    if (in[scanned] == '\n') {
-      if (scanned == 0 || in[scanned - 1] != '\r')
+HeadScan scan_head(std::string_view received, size_t& scanned) {
+  for (; scanned < received.size(); ++scanned) {
+    bool after_carriage_return = scanned > 0 && received[scanned - 1] == '\r';
+    if (received[scanned] != '\n') {
+      if (after_carriage_return) {
         return HeadScan::malformed;
-      if (scanned >= 3 && in[scanned - 2] == '\n')
-        return ++scanned, HeadScan::complete;
-    } else if (scanned > 0 && in[scanned - 1] == '\r') {
+      }
+      continue;
+    }
+    if (!after_carriage_return) {
       return HeadScan::malformed;
     }
+    bool empty_line = scanned >= 3 && received[scanned - 2] == '\n';
+    if (empty_line) {
+      ++scanned;
+      return HeadScan::complete;
+    }
   }
   return HeadScan::incomplete;
 }
 
-HttpHead parse_request_head(std::string_view head) {
-  auto h = read_head(head, HTTP_REQUEST);
-  if (h.fault)
-    return h;
-  auto hosts = std::count_if(h.fields.begin(), h.fields.end(), [](auto& f) { return same_word(f.first, "Host"); });
-  if (hosts > 1 || (hosts == 0 && !h.http_1_0))
-    return fail(std::move(h), 400, "not one Host");
-  if (!host_of(header_value(h.fields, "Host")))
-    return fail(std::move(h), 400, "Host malformed");
-  if (h.method == "CONNECT")
-    return fail(std::move(h), 400, "no tunnels");
-  return h;
+HttpHead parse_request_head(std::string_view text) {
+  auto head = parse_head(text, HTTP_REQUEST);
+  if (head.rejection_status) {
+    return head;
+  }
+  auto hosts = std::count_if(head.fields.begin(), head.fields.end(),
+                             [](const HeaderField& field) { return equals_ignoring_case(field.name, "Host"); });
+  if (hosts > 1 || (hosts == 0 && !head.http_1_0)) {
+    return rejected(std::move(head), 400, "not one Host");
+  }
+  if (!parse_host(header_value(head.fields, "Host"))) {
+    return rejected(std::move(head), 400, "Host malformed");
+  }
+  if (head.method == "CONNECT") {
+    return rejected(std::move(head), 400, "no tunnels");
+  }
+  return head;
 }
 
-HttpHead parse_response_head(std::string_view head) {
-  return read_head(head, HTTP_RESPONSE);
+HttpHead parse_response_head(std::string_view text) {
+  return parse_head(text, HTTP_RESPONSE);
 }
 
-std::optional<std::string> host_of(std::string_view value) {
+std::optional<std::string> parse_host(std::string_view value) {
   auto port = value.rfind(':');
-  if (auto bracket = value.rfind(']');
-      bracket != std::string_view::npos && port != std::string_view::npos && port < bracket)
-    port = std::string_view::npos;
-  if (port != std::string_view::npos) {
-    if (value.substr(port + 1).find_first_not_of("0123456789") != std::string_view::npos)
+  auto bracket = value.rfind(']');
+  bool colon_of_ipv6_literal = bracket != std::string_view::npos && port != std::string_view::npos && port < bracket;
+  if (port != std::string_view::npos && !colon_of_ipv6_literal) {
+    if (!std::all_of(value.begin() + static_cast<ptrdiff_t>(port) + 1, value.end(), is_digit)) {
       return std::nullopt;
+    }
     value = value.substr(0, port);
   }
+  constexpr std::string_view forbidden = "/@,?#\\\"<>";
   std::string host;
-  for (char c : value) {
-    if (c <= 0x20 || c >= 0x7f || std::string_view("/@,?#\\\"<>").find(c) != std::string_view::npos)
+  for (char character : value) {
+    bool printable = character > 0x20 && character < 0x7f;
+    if (!printable || forbidden.find(character) != std::string_view::npos) {
       return std::nullopt;
-    host += lower(c);
+    }
+    host += to_lower(character);
   }
   return host;
 }
 
-bool names_token(const HeaderFields& f, std::string_view name, std::string_view token) {
-  for (auto& [n, value] : f) {
-    if (!same_word(n, name))
+bool has_token(const HeaderFields& fields, std::string_view name, std::string_view token) {
+  for (const auto& field : fields) {
+    if (!equals_ignoring_case(field.name, name)) {
       continue;
-    std::string_view rest = value;
-    while (!rest.empty()) {
-      auto comma = std::min(rest.find(','), rest.size());
-      if (same_word(trim(rest.substr(0, comma)), token))
+    }
+    std::string_view list = field.value;
+    while (!list.empty()) {
+      if (equals_ignoring_case(next_list_element(list), token)) {
         return true;
-      rest.remove_prefix(std::min(comma + 1, rest.size()));
+      }
     }
   }
   return false;
 }
 
-HeaderFields end_to_end(const HeaderFields& f) {
-  static constexpr std::string_view hop[] = {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "TE",
-                                             "Trailer",    "Upgrade"};
-  HeaderFields kept, naming;
-  std::copy_if(f.begin(), f.end(), std::back_inserter(naming),
-               [](auto& x) { return same_word(x.first, "Connection"); });
-  for (auto& x : f)
-    if (std::none_of(std::begin(hop), std::end(hop), [&](auto h) { return same_word(h, x.first); }) &&
-        !same_word(std::string_view(x.first).substr(0, 6), "Proxy-") && !names_token(naming, "Connection", x.first))
-      kept.push_back(x);
+HeaderFields end_to_end_fields(const HeaderFields& fields) {
+  HeaderFields kept;
+  for (const auto& field : fields) {
+    bool belongs_to_connection = is_hop_by_hop(field.name) || has_token(fields, "Connection", field.name);
+    if (!belongs_to_connection) {
+      kept.push_back(field);
+    }
+  }
   return kept;
 }
 
-bool writable(const std::pair<std::string, std::string>& x) {
-  return is_token(x.first) && is_text(x.second);
+bool is_valid_field(const HeaderField& field) {
+  return is_token(field.name) && is_field_value(field.value);
 }
 
 }  // namespace mosskeel
--- a/src/net/http_listener.cpp
+++ b/src/net/http_listener.cpp
@@ -1,3 +1,5 @@
+#include "net/http_listener.hpp"
+
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <sys/epoll.h>
@@ -7,229 +9,206 @@
 #include <cstring>
 
 #include "net/endpoint.hpp"
-#include "net/http_server_connection.hpp"
 
 namespace mosskeel {
 namespace {
-constexpr size_t one_read = 64 << 10;
-constexpr Millis parting_ms = 1000, short_of_descriptors_ms = 100;
+
+constexpr size_t kReadBufferBytes = 64 << 10;
+constexpr int kListenBacklog = 1024;
+constexpr Millis kAcceptRetryDelayMs = 100;
+
+/// Binds and listens; an empty descriptor, with errno, on failure.
+Fd listen_at(const Endpoint& endpoint) {
+  Fd socket(::socket(endpoint.storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  if (!socket || !set_socket_option(socket.get(), SOL_SOCKET, SO_REUSEADDR, 1)) {
+    return Fd();
+  }
+  const auto* address = reinterpret_cast<const sockaddr*>(&endpoint.storage);
+  if (::bind(socket.get(), address, endpoint.length) != 0 || ::listen(socket.get(), kListenBacklog) != 0) {
+    return Fd();
+  }
+  return socket;
+}
+
 }  // namespace
 
-Result<std::unique_ptr<HttpListener>> HttpListener::open(EventLoop& loop, const Address& at, Callbacks events,
+Result<std::unique_ptr<HttpListener>> HttpListener::open(EventLoop& loop, const Address& address, Callbacks callbacks,
                                                          int send_buffer) {
-  auto e = parse_endpoint(at);
-  if (!e)
-    return Errors{{at, "not an address to listen at"}};
-  Fd fd(::socket(e->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!fd || !set_socket_option(fd.get(), SOL_SOCKET, SO_REUSEADDR, 1) ||
-      ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&e->storage), e->length) != 0 || ::listen(fd.get(), 1024) != 0)
-    return Errors{{at, std::string("cannot listen: ") + std::strerror(errno)}};
-  if (send_buffer)
-    set_socket_option(fd.get(), SOL_SOCKET, SO_SNDBUF, send_buffer);
-  return std::unique_ptr<HttpListener>(new HttpListener(loop, std::move(events), std::move(fd)));
-}
-
-HttpListener::HttpListener(EventLoop& loop, Callbacks events, Fd listening)
+  auto endpoint = parse_endpoint(address);
+  if (!endpoint) {
+    return Errors{{address, "not an address to listen at"}};
+  }
+  auto socket = listen_at(*endpoint);
+  if (!socket) {
+    return Errors{{address, std::string("cannot listen: ") + std::strerror(errno)}};
+  }
+  if (send_buffer) {
+    // Accepted sockets inherit it.
+    set_socket_option(socket.get(), SOL_SOCKET, SO_SNDBUF, send_buffer);
+  }
+  return std::unique_ptr<HttpListener>(new HttpListener(loop, std::move(callbacks), std::move(socket)));
+}
+
+HttpListener::HttpListener(EventLoop& loop, Callbacks callbacks, Fd listening_socket)
     : loop_(loop),
-      events_(std::move(events)),
-      listening_(std::move(listening)),
-      buffer_(one_read),
+      callbacks_(std::move(callbacks)),
+      listening_socket_(std::move(listening_socket)),
+      read_buffer_(kReadBufferBytes),
       self_(std::make_shared<HttpListener*>(this)) {
-  loop_.watch(listening_.get(), EPOLLIN, [this](uint32_t) { accept(); });
+  resume_accepting();
 }
 
 HttpListener::~HttpListener() {
-  if (listening_)
-    loop_.unwatch(listening_.get());
-  while (!sessions_.empty())
-    close(Held(sessions_.begin()->second));
+  if (listening_socket_) {
+    loop_.unwatch(listening_socket_.get());
+  }
+  while (!connections_.empty()) {
+    auto connection = connections_.begin()->second;
+    connection->close();
+  }
 }
 
 Address HttpListener::local_address() const {
-  return bound_address(listening_.get());
+  return bound_address(listening_socket_.get());
 }
 
-void HttpListener::accept() {
+void HttpListener::resume_accepting() {
+  loop_.watch(listening_socket_.get(), EPOLLIN, [this](uint32_t) { accept_connections(); });
+}
+
+void HttpListener::pause_accepting() {
+  loop_.set_events(listening_socket_.get(), 0);
+  loop_.run_after(kAcceptRetryDelayMs, [this, alive = std::weak_ptr(self_)] {
+    if (alive.lock() && listening_socket_) {
+      loop_.set_events(listening_socket_.get(), EPOLLIN);
+    }
+  });
+}
+
+void HttpListener::accept_connections() {
   while (true) {
-    Fd fd(::accept4(listening_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (!fd && (errno == EINTR || errno == ECONNABORTED))
+    Fd socket(::accept4(listening_socket_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (socket) {
+      add_connection(std::move(socket));
       continue;
-    if (!fd && errno != EAGAIN) {
-      loop_.watch(listening_.get(), 0);
-      loop_.run_after(short_of_descriptors_ms, [this, alive = std::weak_ptr(self_)] {
-        if (alive.lock() && listening_)
-          loop_.watch(listening_.get(), EPOLLIN);
-      });
     }
-    if (!fd)
-      return;
-    if (sessions_.size() >= limits_.max_connections)
+    if (errno == EINTR || errno == ECONNABORTED) {
       continue;
-    set_socket_option(fd.get(), IPPROTO_TCP, TCP_NODELAY, 1);
-    auto s = std::make_shared<Session>();
-    s->fd = std::move(fd);
-    s->armed = EPOLLIN;
-    sessions_.emplace(s.get(), s);
-    loop_.watch(s->fd.get(), s->armed, [this, s = s.get()](uint32_t events) {
-      if (auto it = sessions_.find(s); it != sessions_.end())
-        ready(Held(it->second), events);
-    });
-    due(s, limits_.idle_timeout_ms);
-  }
-}
-
-void HttpListener::ready(const Held& s, uint32_t events) {
-  using P = Session::Phase;
-  if (events & (EPOLLERR | EPOLLHUP))
-    return lose(s);
-  if (s->phase == P::running && (events & EPOLLRDHUP))
-    return lose(s);
-  if (s->phase == P::parting_unread && (events & EPOLLRDHUP))
-    return close(s);
-  if (events & EPOLLOUT)
-    flush(s);
-  if ((events & EPOLLIN) && (s->phase == P::head || s->phase == P::body || s->phase == P::parting))
-    receive(s);
-}
-
-void HttpListener::receive(const Held& s) {
-  auto n = ::recv(s->fd.get(), buffer_.data(), buffer_.size(), 0);
-  if (n < 0 && (errno == EAGAIN || errno == EINTR))
-    return;
-  if (n <= 0)
-    return close(s);
-  if (s->phase == Session::Phase::parting)
+    }
+    if (errno != EAGAIN) {
+      pause_accepting();
+    }
     return;
-  s->in.append(buffer_.data(), static_cast<size_t>(n));
-  pump(s);
+  }
 }
 
-void HttpListener::interest(const Held& s) {
-  using P = Session::Phase;
-  if (s->phase == P::gone || s->marked)
-    return;
-  uint32_t want = 0;
-  if (s->unsent())
-    want |= EPOLLOUT;
-  if (s->phase == P::running || s->phase == P::parting_unread)
-    want |= EPOLLRDHUP;
-  if (s->phase == P::head || s->phase == P::body || s->phase == P::parting)
-    want |= EPOLLIN;
-  if (want != s->armed)
-    loop_.watch(s->fd.get(), s->armed = want);
-}
-
-void HttpListener::next(const Held& s) {
-  if (!s->keep)
-    return part(s);
-  if (draining_ && s->in.empty())
-    return part_unread(s);
-  s->phase = Session::Phase::head;
-  s->headed = s->bodiless = s->in_chunks = s->above = false;
-  s->answer_left.reset();
-  due(s, limits_.idle_timeout_ms);
-  pump(s);
-}
-
-void HttpListener::part(const Held& s) {
-  s->phase = Session::Phase::parting;
-  std::string().swap(s->in);
-  ::shutdown(s->fd.get(), SHUT_WR);
-  due(s, parting_ms);
-  interest(s);
-}
-
-void HttpListener::part_unread(const Held& s) {
-  s->phase = Session::Phase::parting_unread;
-  ::shutdown(s->fd.get(), SHUT_WR);
-  due(s, parting_ms);
-  interest(s);
-}
-
-void HttpListener::lose(const Held& s) {
-  auto id = s->phase == Session::Phase::running ? s->id : 0;
-  close(s);
-  if (id && events_.left)
-    events_.left(id);
-}
-
-void HttpListener::close(const Held& s) {
-  if (std::exchange(s->phase, Session::Phase::gone) == Session::Phase::gone)
+void HttpListener::add_connection(Fd socket) {
+  if (connections_.size() >= limits_.max_connections) {
     return;
-  if (s->id)
-    exchanges_.erase(s->id);
-  if (s->timer)
-    loop_.cancel(s->timer);
-  loop_.unwatch(s->fd.get());
-  s->fd = Fd();
-  std::string().swap(s->in), std::string().swap(s->out), s->sent = 0;
-  sessions_.erase(s.get());
+  }
+  set_socket_option(socket.get(), IPPROTO_TCP, TCP_NODELAY, 1);
+  auto connection =
+      std::make_shared<HttpServerConnection>(loop_, static_cast<HttpConnectionOwner&>(*this), std::move(socket));
+  connections_.emplace(connection.get(), connection);
+  connection->start();
 }
 
-void HttpListener::reset(const Held& s) {
-  linger at_once{1, 0};
-  ::setsockopt(s->fd.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-  close(s);
+std::shared_ptr<HttpServerConnection> HttpListener::find(uint64_t exchange) const {
+  auto found = exchanges_.find(exchange);
+  return found == exchanges_.end() ? nullptr : found->second;
 }
 
-void HttpListener::due(const Held& s, Millis ms) {
-  s->deadline = ms ? monotonic_ms() + ms : 0;
-  if (!ms || (s->timer && s->timer_at <= s->deadline))
-    return;
-  if (s->timer)
-    loop_.cancel(s->timer);
-  arm(s, ms);
+void HttpListener::send_head(uint64_t exchange, uint32_t status, const HeaderFields& fields,
+                             std::optional<uint64_t> content_length) {
+  if (auto connection = find(exchange)) {
+    connection->send_head(status, fields, content_length);
+  }
 }
 
-void HttpListener::arm(const Held& s, Millis ms) {
-  s->timer_at = monotonic_ms() + ms;
-  s->timer = loop_.run_after(ms, [this, s = s.get()] {
-    if (auto it = sessions_.find(s); it != sessions_.end())
-      expire(Held(it->second));
-  });
+void HttpListener::send_body(uint64_t exchange, std::string_view bytes) {
+  if (auto connection = find(exchange)) {
+    connection->send_body(bytes);
+  }
 }
 
-void HttpListener::expire(const Held& s) {
-  using P = Session::Phase;
-  s->timer = 0;
-  if (!s->deadline)
-    return;
-  if (auto left = s->deadline - monotonic_ms(); left > 0)
-    return arm(s, left);
-  if (s->phase == P::head && s->in.empty())
-    return part_unread(s);
-  if (s->phase == P::head || s->phase == P::body)
-    return refuse(s, 408);
-  if (s->phase == P::over || s->phase == P::parting || s->phase == P::parting_unread)
-    close(s);
+void HttpListener::finish(uint64_t exchange) {
+  if (auto connection = find(exchange)) {
+    connection->finish_response();
+  }
+}
+
+void HttpListener::send_response(uint64_t exchange, uint32_t status, const HeaderFields& fields,
+                                 std::string_view body) {
+  send_head(exchange, status, fields, body.size());
+  send_body(exchange, body);
+  finish(exchange);
+}
+
+void HttpListener::abort(uint64_t exchange) {
+  if (auto connection = find(exchange)) {
+    connection->reset();
+  }
 }
 
-void HttpListener::close_after_responses() {
-  closing_ = true;
+size_t HttpListener::unsent_bytes(uint64_t exchange) const {
+  auto connection = find(exchange);
+  return connection ? connection->unsent_bytes() : 0;
 }
 
 void HttpListener::drain() {
-  if (std::exchange(draining_, true))
+  if (std::exchange(draining_, true)) {
     return;
-  closing_ = true;
-  loop_.unwatch(listening_.get());
-  listening_ = Fd();
-  std::vector<Held> idle;
-  for (auto& [_, s] : sessions_)
-    if (s->phase == Session::Phase::head && s->in.empty())
-      idle.push_back(s);
-  for (auto& s : idle)
-    part_unread(s);
+  }
+  close_after_responses_ = true;
+  loop_.unwatch(listening_socket_.get());
+  listening_socket_ = Fd();
+  for (const auto& [_, connection] : connections_) {
+    connection->close_if_idle();
+  }
 }
 
-HttpListener::Held HttpListener::held(uint64_t id) const {
-  auto it = exchanges_.find(id);
-  return it == exchanges_.end() ? nullptr : it->second;
+uint64_t HttpListener::open_exchange(std::shared_ptr<HttpServerConnection> connection) {
+  auto exchange = ++last_exchange_;
+  exchanges_.emplace(exchange, std::move(connection));
+  return exchange;
 }
 
-size_t HttpListener::unsent_bytes(uint64_t id) const {
-  auto s = held(id);
-  return s ? s->unsent() : 0;
+void HttpListener::on_request(uint64_t exchange, HttpRequest&& request) {
+  callbacks_.on_request(exchange, std::move(request));
+}
+
+void HttpListener::on_disconnected(uint64_t exchange) {
+  if (callbacks_.on_disconnected) {
+    callbacks_.on_disconnected(exchange);
+  }
+}
+
+void HttpListener::on_drained(uint64_t exchange) {
+  if (callbacks_.on_drained) {
+    callbacks_.on_drained(exchange);
+  }
+}
+
+void HttpListener::schedule_flush(std::shared_ptr<HttpServerConnection> connection) {
+  scheduled_flushes_.push_back(std::move(connection));
+  if (std::exchange(flush_posted_, true)) {
+    return;
+  }
+  loop_.post([alive = std::weak_ptr(self_)] {
+    if (auto self = alive.lock()) {
+      (*self)->flush_scheduled();
+    }
+  });
+}
+
+void HttpListener::flush_scheduled() {
+  // A flush may read the next pipelined request, whose response is to be flushed in turn.
+  while (!scheduled_flushes_.empty()) {
+    for (auto& connection : std::exchange(scheduled_flushes_, {})) {
+      connection->flush_now();
+    }
+  }
+  flush_posted_ = false;
 }
 
 }  // namespace mosskeel
--- a/src/net/http_listener.hpp
+++ b/src/net/http_listener.hpp
@@ -1,92 +1,104 @@
 #pragma once
-// HTTP/1.1 towards callers, on a loop.
+// An HTTP/1.1 server on an event loop, towards callers.
 #include "net/event_loop.hpp"
-#include "net/protocol_codec.hpp"
+#include "net/http_server_connection.hpp"
 
 namespace mosskeel {
 
-struct HttpListenerLimits {
-  size_t max_head_bytes = 16384, max_body_bytes = 4 << 20;
-  Millis head_timeout_ms = 3000, idle_timeout_ms = 15000;
-  size_t max_connections = 2000;
-};
-
-/// Listens, reads whole requests, one exchange at a time a session, and writes their answers. Malformed requests are
-/// answered here and their session closed. All of it, events too, on the loop's thread; must not be destroyed in an
-/// event. After finish(), send_response(), abort() or `left` an exchange's id is dead: it has no more events, and calls
+/// Listens at one address, reads complete requests and writes their responses, one exchange at a time on a connection.
+/// Malformed, too large and too slow requests are rejected here and their connection is closed.
+///
+/// Everything, callbacks too, happens on the loop's thread. It must not be destroyed in a callback. After `finish`,
+/// `send_response`, `abort` or `on_disconnected` the id of an exchange is dead: it has no more callbacks, and calls
 /// with it do nothing.
-class HttpListener {
+class HttpListener : private HttpConnectionOwner {
  public:
   struct Callbacks {
-    /// A whole request has been read; `id` names the exchange.
-    std::function<void(uint64_t id, HttpRequest&&)> asked;
-    /// The caller closed or reset before its answer was over.
-    std::function<void(uint64_t id)> left;
-    /// The exchange's unsent bytes fell below the low watermark after having been above the high one.
-    std::function<void(uint64_t id)> drained;
+    /// A complete request has been read; `exchange` names it and its response.
+    std::function<void(uint64_t exchange, HttpRequest&& request)> on_request;
+    /// The caller closed or reset its connection before its response was complete.
+    std::function<void(uint64_t exchange)> on_disconnected;
+    /// The unsent bytes of a response fell below the low watermark after having been above the high one.
+    std::function<void(uint64_t exchange)> on_drained;
   };
-  /// Bytes; 1,000 slow callers at the high one and a read more hold 64 MB, a quarter of a small machine's memory.
-  static constexpr size_t low_watermark = 16 << 10, high_watermark = 48 << 10;
-  /// `send_buffer` is in bytes and for each session; 0 leaves it to the system.
-  static Result<std::unique_ptr<HttpListener>> open(EventLoop& loop, const Address& at, Callbacks events,
+  static constexpr size_t kLowWatermark = HttpServerConnection::kLowWatermark;
+  static constexpr size_t kHighWatermark = HttpServerConnection::kHighWatermark;
+
+  /// @param address numeric; port 0 lets the system choose one.
+  /// @param send_buffer size of the kernel's send buffer of each connection in bytes; 0 leaves it to the system.
+  /// @return errors where the address can't be listened on.
+  static Result<std::unique_ptr<HttpListener>> open(EventLoop& loop, const Address& address, Callbacks callbacks,
                                                     int send_buffer = 0);
   ~HttpListener();
-  void set_limits(const HttpListenerLimits& l) { limits_ = l; }
-  /// The address listened at, with the port the system chose where none was named.
+  /// For everything that begins from now on.
+  void set_limits(const HttpListenerLimits& limits) { limits_ = limits; }
+  /// The address listened on, with the port that the system chose where none was named.
   Address local_address() const;
-  /// The answer's head; without a length its body is chunked. Fields of one connection are dropped.
-  void send_head(uint64_t id, uint32_t status, const HeaderFields& f, std::optional<uint64_t> length);
-  void send_body(uint64_t id, std::string_view s);
-  /// The answer is over; one that is shorter than its length is cut.
-  void finish(uint64_t id);
-  void send_response(uint64_t id, uint32_t status, const HeaderFields& f, std::string_view body);
-  /// Resets the connection, so that the answer can't look complete.
-  void abort(uint64_t id);
-  size_t unsent_bytes(uint64_t id) const;
-  /// Every answer from now on is the last of its session and says so. Listening goes on, and idle sessions stay open
-  /// for one more request, for their callers may be sending one.
-  void close_after_responses();
-  /// Ends listening for good; idle sessions are closed without reading from them again, so that a request which
-  /// crosses the close is known to its caller as unread. All other sessions end with their answer.
+
+  /// Sends the response's head. Hop-by-hop fields are dropped.
+  /// @param content_length without one the body is chunked.
+  void send_head(uint64_t exchange, uint32_t status, const HeaderFields& fields,
+                 std::optional<uint64_t> content_length);
+  /// Sends bytes of the response's body; ones beyond its Content-Length reset the connection.
+  void send_body(uint64_t exchange, std::string_view bytes);
+  /// The response is complete; one that is shorter than its Content-Length resets the connection.
+  void finish(uint64_t exchange);
+  /// Head, body and end at once.
+  void send_response(uint64_t exchange, uint32_t status, const HeaderFields& fields, std::string_view body);
+  /// Resets the connection, so that its caller can't take the response for complete.
+  void abort(uint64_t exchange);
+  /// Bytes of the response that the kernel has not taken yet.
+  size_t unsent_bytes(uint64_t exchange) const;
+
+  /// Every response from now on is the last of its connection and says so. Listening goes on, and idle connections stay
+  /// open for one more request, for their callers may be sending one.
+  void close_after_responses() { close_after_responses_ = true; }
+  /// Ends listening for good. Idle connections are closed without being read again, so that the caller of a request
+  /// which crosses the close knows that it was not read. All others end with their response.
   void drain();
-  size_t connections() const { return sessions_.size(); }
+  size_t connections() const { return connections_.size(); }
 
  private:
-  struct Session;
-  using Held = std::shared_ptr<Session>;
-  HttpListener(EventLoop& loop, Callbacks events, Fd listening);
-  void accept();
-  void ready(const Held& s, uint32_t events);
-  void receive(const Held& s);
-  void pump(const Held& s);
-  bool read_head(const Held& s);
-  bool read_body(const Held& s);
-  void ask(const Held& s);
-  void refuse(const Held& s, uint32_t status);
-  void mark(const Held& s);
-  void flush_marked();
-  void flush(const Held& s);
-  void next(const Held& s);
-  void part(const Held& s);
-  void part_unread(const Held& s);
-  void lose(const Held& s);
-  void close(const Held& s);
-  void reset(const Held& s);
-  void interest(const Held& s);
-  void due(const Held& s, Millis ms);
-  void arm(const Held& s, Millis ms);
-  void expire(const Held& s);
-  Held held(uint64_t id) const;
+  HttpListener(EventLoop& loop, Callbacks callbacks, Fd listening_socket);
+  /// Watches the listening socket.
+  void resume_accepting();
+  /// After the process ran out of descriptors: the backlog stays readable, and the loop would spin on it.
+  void pause_accepting();
+  void accept_connections();
+  void add_connection(Fd socket);
+  /// Nothing where the exchange is over.
+  std::shared_ptr<HttpServerConnection> find(uint64_t exchange) const;
+  void flush_scheduled();
+
+  // HttpConnectionOwner
+  const HttpListenerLimits& limits() const override { return limits_; }
+  bool closes_after_responses() const override { return close_after_responses_; }
+  bool draining() const override { return draining_; }
+  std::vector<char>& read_buffer() override { return read_buffer_; }
+  uint64_t open_exchange(std::shared_ptr<HttpServerConnection> connection) override;
+  void close_exchange(uint64_t exchange) override { exchanges_.erase(exchange); }
+  void on_request(uint64_t exchange, HttpRequest&& request) override;
+  void on_disconnected(uint64_t exchange) override;
+  void on_drained(uint64_t exchange) override;
+  void schedule_flush(std::shared_ptr<HttpServerConnection> connection) override;
+  void on_closed(HttpServerConnection& connection) override { connections_.erase(&connection); }
+
   EventLoop& loop_;
-  Callbacks events_;
-  Fd listening_;
+  Callbacks callbacks_;
+  Fd listening_socket_;
   HttpListenerLimits limits_;
-  bool closing_ = false, draining_ = false, flush_posted_ = false;
-  uint64_t last_id_ = 0;
-  std::unordered_map<uint64_t, Held> exchanges_;
-  std::unordered_map<Session*, Held> sessions_;
-  std::vector<Held> marked_;
-  std::vector<char> buffer_;
+  bool close_after_responses_ = false;
+  bool draining_ = false;
+  uint64_t last_exchange_ = 0;
+  /// Requests whose response is not complete, with their connections.
+  std::unordered_map<uint64_t, std::shared_ptr<HttpServerConnection>> exchanges_;
+  std::unordered_map<HttpServerConnection*, std::shared_ptr<HttpServerConnection>> connections_;
+  /// Connections with something to send: they are flushed together, at the end of the loop's iteration.
+  std::vector<std::shared_ptr<HttpServerConnection>> scheduled_flushes_;
+  bool flush_posted_ = false;
+  /// Shared by all connections, for only one reads at a time.
+  std::vector<char> read_buffer_;
+  /// Lets functions that the loop still holds find out that this object is gone.
   std::shared_ptr<HttpListener*> self_;
 };
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -4,6 +4,7 @@
 #include <microhttpd.h>
 #include <netinet/in.h>
 
+#include <cstring>
 #include <nlohmann/json.hpp>
 
 #include "base/address.hpp"
@@ -12,165 +13,178 @@
 namespace mosskeel {
 namespace {
 
-struct Talk {
-  ApiRequest ask;
-  bool too_long = false;
+constexpr size_t kStreamBlockBytes = 32 << 10;
+/// The handlers are shallow; 2,000 connections shall not hold 16 GB of address space.
+constexpr size_t kConnectionStackBytes = 256 << 10;
+
+/// A request while libmicrohttpd hands it over piece by piece.
+struct PendingRequest {
+  ApiRequest request;
+  bool body_too_long = false;
+};
+
+/// A streamed response on its way.
+struct ResponseStream {
+  ApiResponse response;
+  /// Bytes that the response gave and libmicrohttpd has not taken.
+  std::string unread;
 };
 
-MHD_Result collect(void* to, MHD_ValueKind, const char* k, const char* v) {
-  std::string n(k);
-  for (auto& c : n)
-    c = static_cast<char>(tolower(c));
-  (*static_cast<std::map<std::string, std::string>*>(to))[n] = v ? v : "";
+MHD_Result collect_value(void* values, MHD_ValueKind, const char* name, const char* value) {
+  std::string key = name;
+  for (auto& character : key) {
+    character = static_cast<char>(tolower(character));
+  }
+  (*static_cast<std::map<std::string, std::string>*>(values))[key] = value ? value : "";
   return MHD_YES;
 }
 
-ssize_t pull(void* cls, uint64_t, char* buf, size_t max) {
-  auto& s = *static_cast<std::pair<ApiResponse, std::string>*>(cls);
-  while (s.second.empty()) {
-    switch (s.first.next_chunk(s.second)) {
-      case ApiResponse::StreamState::more:
-        break;
-      case ApiResponse::StreamState::finished:
-        if (s.second.empty())
-          return MHD_CONTENT_READER_END_OF_STREAM;
-        break;
-      case ApiResponse::StreamState::aborted:
-        if (s.second.empty())
-          return MHD_CONTENT_READER_END_WITH_ERROR;
-        break;
+ssize_t read_stream(void* context, uint64_t, char* buffer, size_t size) {
+  auto& stream = *static_cast<ResponseStream*>(context);
+  while (stream.unread.empty()) {
+    auto state = stream.response.next_chunk(stream.unread);
+    if (!stream.unread.empty()) {
+      break;
+    }
+    if (state == ApiResponse::StreamState::finished) {
+      return MHD_CONTENT_READER_END_OF_STREAM;
+    }
+    if (state == ApiResponse::StreamState::aborted) {
+      return MHD_CONTENT_READER_END_WITH_ERROR;
     }
   }
-  auto n = std::min(max, s.second.size());
-  memcpy(buf, s.second.data(), n);
-  s.second.erase(0, n);
-  return static_cast<ssize_t>(n);
+  auto count = std::min(size, stream.unread.size());
+  std::memcpy(buffer, stream.unread.data(), count);
+  stream.unread.erase(0, count);
+  return static_cast<ssize_t>(count);
+}
+
+void delete_stream(void* context) {
+  delete static_cast<ResponseStream*>(context);
 }
 
-MHD_Result queue(MHD_Connection* c, ApiResponse a) {
-  MHD_Response* r;
-  auto status = a.status;
-  auto headers = a.headers;
-  if (a.next_chunk) {
-    auto* s = new std::pair<ApiResponse, std::string>(std::move(a), "");
-    r = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, 32 << 10, pull, s,
-                                          [](void* p) { delete static_cast<std::pair<ApiResponse, std::string>*>(p); });
+MHD_Response* create_response(ApiResponse response) {
+  if (response.next_chunk) {
+    auto* stream = new ResponseStream{std::move(response), ""};
+    return MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, kStreamBlockBytes, read_stream, stream, delete_stream);
+  }
+  return MHD_create_response_from_buffer(response.body.size(), response.body.data(), MHD_RESPMEM_MUST_COPY);
+}
+
+MHD_Result queue_response(MHD_Connection* connection, ApiResponse response) {
+  auto status = response.status;
+  auto headers = response.headers;
+  headers.emplace("Content-Type", "application/json");
+  auto* created = create_response(std::move(response));
+  for (const auto& [name, value] : headers) {
+    MHD_add_response_header(created, name.c_str(), value.c_str());
+  }
+  auto result = MHD_queue_response(connection, status, created);
+  MHD_destroy_response(created);
+  return result;
+}
+
+ApiResponse body_too_long() {
+  return ApiResponse::error(413, "too_long", "body: exceeds " + std::to_string(kMaxHttpBodyBytes) + " bytes");
+}
+
+void append_body(PendingRequest& pending, const char* bytes, size_t size) {
+  if (pending.request.body.size() + size > kMaxHttpBodyBytes) {
+    pending.body_too_long = true;
   } else {
-    r = MHD_create_response_from_buffer(a.body.size(), a.body.data(), MHD_RESPMEM_MUST_COPY);
+    pending.request.body.append(bytes, size);
   }
-  if (!headers.count("Content-Type"))
-    headers["Content-Type"] = "application/json";
-  for (auto& [k, v] : headers)
-    MHD_add_response_header(r, k.c_str(), v.c_str());
-  auto rc = MHD_queue_response(c, status, r);
-  MHD_destroy_response(r);
-  return rc;
 }
 
-MHD_Result on_ask(void* cls, MHD_Connection* c, const char* url, const char* method, const char*, const char* data,
-                  size_t* size, void** ctx) {
-  if (!*ctx) {
-    auto* t = new Talk;
-    t->ask.method = method;
-    t->ask.path = url;
-    *ctx = t;
+/// Called by libmicrohttpd once for the head, for each piece of the body, and once at the end.
+MHD_Result on_request(void* server, MHD_Connection* connection, const char* path, const char* method, const char*,
+                      const char* body, size_t* body_size, void** context) {
+  if (!*context) {
+    auto* pending = new PendingRequest;
+    pending->request.method = method;
+    pending->request.path = path;
+    *context = pending;
     return MHD_YES;
   }
-  auto& t = *static_cast<Talk*>(*ctx);
-  if (*size) {
-    if (t.ask.body.size() + *size > kMaxHttpBodyBytes)
-      t.too_long = true;
-    else
-      t.ask.body.append(data, *size);
-    *size = 0;
+  auto& pending = *static_cast<PendingRequest*>(*context);
+  if (*body_size) {
+    append_body(pending, body, *body_size);
+    *body_size = 0;
     return MHD_YES;
   }
-  if (t.too_long)
-    return queue(c,
-                 ApiResponse::error(413, "too_long", "body: exceeds " + std::to_string(kMaxHttpBodyBytes) + " bytes"));
-  MHD_get_connection_values(c, MHD_HEADER_KIND, collect, &t.ask.headers);
-  MHD_get_connection_values(c, MHD_GET_ARGUMENT_KIND, collect, &t.ask.query);
-  return queue(c, static_cast<HttpServer*>(cls)->handler()(t.ask));
+  if (pending.body_too_long) {
+    return queue_response(connection, body_too_long());
+  }
+  MHD_get_connection_values(connection, MHD_HEADER_KIND, collect_value, &pending.request.headers);
+  MHD_get_connection_values(connection, MHD_GET_ARGUMENT_KIND, collect_value, &pending.request.query);
+  return queue_response(connection, static_cast<HttpServer*>(server)->handler()(pending.request));
 }
 
-void on_done(void*, MHD_Connection*, void** ctx, MHD_RequestTerminationCode) {
-  delete static_cast<Talk*>(*ctx);
-  *ctx = nullptr;
+void on_request_completed(void*, MHD_Connection*, void** context, MHD_RequestTerminationCode) {
+  delete static_cast<PendingRequest*>(*context);
+  *context = nullptr;
+}
+
+std::optional<sockaddr_in> parse_ipv4_address(const Address& address) {
+  auto parts = split_address(address);
+  if (!parts) {
+    return std::nullopt;
+  }
+  sockaddr_in parsed{};
+  parsed.sin_family = AF_INET;
+  parsed.sin_port = htons(parts->second);
+  if (inet_pton(AF_INET, parts->first.c_str(), &parsed.sin_addr) != 1) {
+    return std::nullopt;
+  }
+  return parsed;
 }
 
 }  // namespace
 
-ApiResponse ApiResponse::error(uint32_t status, const std::string& code, const Errors& f) {
-  nlohmann::json j{{"error", code}, {"findings", nlohmann::json::array()}};
-  for (auto& x : f)
-    j["findings"].push_back({{"place", x.location}, {"reason", x.message}});
-  ApiResponse a;
-  a.status = status;
-  a.body = j.dump() + "\n";
-  return a;
+ApiResponse ApiResponse::error(uint32_t status, const std::string& code, const Errors& errors) {
+  nlohmann::json body{{"error", code}, {"findings", nlohmann::json::array()}};
+  for (const auto& error : errors) {
+    body["findings"].push_back({{"place", error.location}, {"reason", error.message}});
+  }
+  ApiResponse response;
+  response.status = status;
+  response.body = body.dump() + "\n";
+  return response;
 }
 
 ApiResponse ApiResponse::error(uint32_t status, const std::string& code, const std::string& reason, uint32_t retry_ms) {
-  nlohmann::json j{{"error", code}, {"reason", reason}};
-  ApiResponse a;
-  a.status = status;
+  nlohmann::json body{{"error", code}, {"reason", reason}};
+  ApiResponse response;
+  response.status = status;
   if (retry_ms) {
-    j["retry_after_ms"] = retry_ms;
-    a.headers["Retry-After"] = std::to_string((retry_ms + 999) / 1000);
+    body["retry_after_ms"] = retry_ms;
+    response.headers["Retry-After"] = std::to_string((retry_ms + 999) / 1000);
   }
-  a.body = j.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
-  return a;
+  response.body = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
+  return response;
 }
 
-Result<std::unique_ptr<HttpServer>> HttpServer::open(const Address& at, Handler h) {
-  std::unique_ptr<HttpServer> s(new HttpServer(std::move(h)));
-  auto p = split_address(at);
-  if (!p)
-    return Errors{{at, "is no IP:port"}};
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(p->second);
-  if (inet_pton(AF_INET, p->first.c_str(), &a.sin_addr) != 1)
-    return Errors{{at, "is no IP:port"}};
-  s->mhd_ = MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, p->second, nullptr,
-                             nullptr, on_ask, s.get(), MHD_OPTION_SOCK_ADDR, reinterpret_cast<sockaddr*>(&a),
-                             MHD_OPTION_NOTIFY_COMPLETED, on_done, nullptr, MHD_OPTION_CONNECTION_LIMIT,
-                             kMaxHttpConnections, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_THREAD_STACK_SIZE,
-                             size_t{256 << 10}, MHD_OPTION_END);
-  if (!s->mhd_)
-    return Errors{{at, "cannot be listened on"}};
-  return s;
+Result<std::unique_ptr<HttpServer>> HttpServer::open(const Address& address, Handler handler) {
+  auto parsed = parse_ipv4_address(address);
+  if (!parsed) {
+    return Errors{{address, "is no IP:port"}};
+  }
+  std::unique_ptr<HttpServer> server(new HttpServer(std::move(handler)));
+  server->daemon_ = MHD_start_daemon(
+      MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, ntohs(parsed->sin_port), nullptr, nullptr,
+      on_request, server.get(), MHD_OPTION_SOCK_ADDR, reinterpret_cast<sockaddr*>(&*parsed),
+      MHD_OPTION_NOTIFY_COMPLETED, on_request_completed, nullptr, MHD_OPTION_CONNECTION_LIMIT, kMaxHttpConnections,
+      MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_THREAD_STACK_SIZE, kConnectionStackBytes, MHD_OPTION_END);
+  if (!server->daemon_) {
+    return Errors{{address, "cannot be listened on"}};
+  }
+  return server;
 }
 
 HttpServer::~HttpServer() {
-  if (mhd_)
-    MHD_stop_daemon(mhd_);
-}
-
-std::pair<Address, std::shared_ptr<LocalMailboxes::Mailbox>> LocalMailboxes::open() {
-  std::lock_guard l(m_);
-  auto a = "local:" + std::to_string(++next_);
-  auto w = std::make_shared<Mailbox>();
-  words_[a] = w;
-  return {a, w};
-}
-void LocalMailboxes::close(const Address& a) {
-  std::lock_guard l(m_);
-  words_.erase(a);
-}
-void LocalMailboxes::deliver(const Envelope& e) {
-  std::shared_ptr<Mailbox> w;
-  {
-    std::lock_guard l(m_);
-    if (auto i = words_.find(e.to); i != words_.end())
-      w = i->second;
+  if (daemon_) {
+    MHD_stop_daemon(daemon_);
   }
-  if (w)
-    w->push(e.body);
-}
-size_t LocalMailboxes::size() const {
-  std::lock_guard l(m_);
-  return words_.size();
 }
 
 }  // namespace mosskeel
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,7 +1,8 @@
 #pragma once
-// HTTP/1.1 towards callers, platform and operators, by libmicrohttpd.
-#include "base/queue.hpp"
-#include "messages/message.hpp"
+// An HTTP/1.1 server for JSON APIs, a thread per connection, by libmicrohttpd.
+#include <map>
+
+#include "mosskeel/common.hpp"
 
 struct MHD_Daemon;
 
@@ -9,46 +10,42 @@
 
 struct ApiRequest {
   std::string method, path, body;
+  /// Names in lower case.
   std::map<std::string, std::string> headers, query;
 };
 
-/// A whole answer, or, with `next_chunk`, a stream: each call gives the next bytes.
+/// A complete response, or, with `next_chunk`, a stream.
 struct ApiResponse {
+  /// `aborted`: the connection is closed so that its caller can't take the response for complete.
+  enum class StreamState { more, finished, aborted };
   uint32_t status = 200;
   std::string body;
+  /// JSON is the content type where none is given.
   std::map<std::string, std::string> headers;
-  enum class StreamState { more, finished, aborted };
-  std::function<StreamState(std::string&)> next_chunk;
+  /// Appends the next bytes of the stream; may block until there are some. Called on the connection's thread.
+  std::function<StreamState(std::string& bytes)> next_chunk;
+
+  /// @param code names the kind of error to programs, `reason` tells people.
+  /// @param retry_ms when the caller may come back; 0 says nothing.
   static ApiResponse error(uint32_t status, const std::string& code, const std::string& reason, uint32_t retry_ms = 0);
-  static ApiResponse error(uint32_t status, const std::string& code, const Errors& f);
+  static ApiResponse error(uint32_t status, const std::string& code, const Errors& errors);
 };
 
+/// Serves requests from `open` until it is destroyed.
 class HttpServer {
  public:
+  /// Called on the thread of the request's connection; it may block.
   using Handler = std::function<ApiResponse(const ApiRequest&)>;
-  static Result<std::unique_ptr<HttpServer>> open(const Address& at, Handler h);
+  /// @param address an IPv4 address with a port.
+  /// @return errors where the address can't be listened on.
+  static Result<std::unique_ptr<HttpServer>> open(const Address& address, Handler handler);
   ~HttpServer();
   const Handler& handler() const { return handler_; }
 
  private:
-  explicit HttpServer(Handler h) : handler_(std::move(h)) {}
+  explicit HttpServer(Handler handler) : handler_(std::move(handler)) {}
   Handler handler_;
-  MHD_Daemon* mhd_ = nullptr;
-};
-
-/// Words waiting for one HTTP session, by token.
-class LocalMailboxes {
- public:
-  using Mailbox = Queue<Message>;
-  std::pair<Address, std::shared_ptr<Mailbox>> open();
-  void close(const Address& a);
-  void deliver(const Envelope& e);
-  size_t size() const;
-
- private:
-  mutable std::mutex m_;
-  uint64_t next_ = 0;
-  std::map<Address, std::shared_ptr<Mailbox>> words_;
+  MHD_Daemon* daemon_ = nullptr;
 };
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/net/http_server_connection.cpp
@@ -0,0 +1,313 @@
+#include "net/http_server_connection.hpp"
+
+#include <sys/epoll.h>
+#include <sys/socket.h>
+
+#include <cerrno>
+
+#include "net/endpoint.hpp"
+
+namespace mosskeel {
+namespace {
+
+/// A caller that was told of the close has this long to close its own direction.
+constexpr Millis kLingerTimeoutMs = 1000;
+
+}  // namespace
+
+HttpServerConnection::HttpServerConnection(EventLoop& loop, HttpConnectionOwner& owner, Fd socket)
+    : loop_(loop), owner_(owner), socket_(std::move(socket)), deadline_(loop, [this] {
+        auto alive = shared_from_this();
+        on_deadline();
+      }) {}
+
+void HttpServerConnection::start() {
+  watched_events_ = EPOLLIN;
+  loop_.watch(socket_.get(), watched_events_, [weak = weak_from_this()](uint32_t events) {
+    if (auto self = weak.lock()) {
+      self->on_ready(events);
+    }
+  });
+  deadline_.set(owner_.limits().idle_timeout_ms);
+}
+
+void HttpServerConnection::on_ready(uint32_t events) {
+  bool caller_is_gone = events & (EPOLLERR | EPOLLHUP);
+  bool caller_has_finished = events & EPOLLRDHUP;
+  if (caller_is_gone || (phase_ == Phase::responding && caller_has_finished)) {
+    disconnect();
+    return;
+  }
+  if (phase_ == Phase::lingering_unread && caller_has_finished) {
+    close();
+    return;
+  }
+  if (events & EPOLLOUT) {
+    flush();
+  }
+  if ((events & EPOLLIN) && (phase_ == Phase::reading || phase_ == Phase::lingering)) {
+    receive();
+  }
+}
+
+void HttpServerConnection::receive() {
+  auto& buffer = owner_.read_buffer();
+  auto received = ::recv(socket_.get(), buffer.data(), buffer.size(), 0);
+  if (received < 0 && (errno == EAGAIN || errno == EINTR)) {
+    return;
+  }
+  if (received <= 0) {
+    close();
+    return;
+  }
+  if (phase_ == Phase::lingering) {
+    return;
+  }
+  reader_.append({buffer.data(), static_cast<size_t>(received)});
+  read_request();
+}
+
+void HttpServerConnection::read_request() {
+  using Progress = HttpRequestReader::Progress;
+  auto progress = reader_.read(owner_.limits());
+  if (progress == Progress::incomplete) {
+    on_incomplete_request();
+  } else if (progress == Progress::complete) {
+    begin_exchange();
+  } else {
+    reject_request(reader_.rejection_status());
+  }
+  update_watched_events();
+}
+
+void HttpServerConnection::on_incomplete_request() {
+  if (reader_.in_body()) {
+    head_deadline_set_ = false;
+    deadline_.set(owner_.limits().idle_timeout_ms);
+    if (reader_.take_expects_continue()) {
+      send_buffer_.tail() += "HTTP/1.1 100 Continue\r\n\r\n";
+      schedule_flush();
+    }
+  } else if (reader_.has_unread_bytes() && !std::exchange(head_deadline_set_, true)) {
+    deadline_.set(owner_.limits().head_timeout_ms);
+  }
+}
+
+void HttpServerConnection::begin_exchange() {
+  phase_ = Phase::responding;
+  head_deadline_set_ = false;
+  deadline_.clear();
+  keep_alive_ = !reader_.closes_connection();
+  writer_.begin(reader_.http_1_0(), reader_.is_head_method());
+  exchange_ = owner_.open_exchange(shared_from_this());
+  owner_.on_request(exchange_, reader_.take_request());
+}
+
+void HttpServerConnection::reject_request(uint32_t status) {
+  constexpr std::string_view body = "refused\n";
+  phase_ = Phase::responding;
+  keep_alive_ = false;
+  reader_.discard();
+  writer_.begin(false, reader_.is_head_method());
+  exchange_ = owner_.open_exchange(shared_from_this());
+  send_head(status, {{"Content-Type", "text/plain"}}, body.size());
+  send_body(body);
+  finish_response();
+}
+
+void HttpServerConnection::send_head(uint32_t status, const HeaderFields& fields,
+                                     std::optional<uint64_t> content_length) {
+  if (writer_.head_written()) {
+    return;
+  }
+  keep_alive_ = keep_alive_ && !owner_.closes_after_responses();
+  writer_.write_head(status, fields, content_length, keep_alive_, send_buffer_.tail());
+  schedule_flush();
+}
+
+void HttpServerConnection::send_body(std::string_view bytes) {
+  if (!writer_.head_written()) {
+    return;
+  }
+  if (!writer_.write_body(bytes, send_buffer_.tail())) {
+    reset();
+    return;
+  }
+  if (unsent_bytes() > kHighWatermark) {
+    above_high_watermark_ = true;
+  }
+  schedule_flush();
+}
+
+void HttpServerConnection::finish_response() {
+  if (!writer_.write_end(send_buffer_.tail())) {
+    reset();
+    return;
+  }
+  owner_.close_exchange(std::exchange(exchange_, 0));
+  phase_ = Phase::finishing;
+  deadline_.set(owner_.limits().idle_timeout_ms);
+  schedule_flush();
+}
+
+void HttpServerConnection::schedule_flush() {
+  if (!std::exchange(flush_scheduled_, true)) {
+    owner_.schedule_flush(shared_from_this());
+  }
+}
+
+void HttpServerConnection::flush_now() {
+  flush_scheduled_ = false;
+  flush();
+}
+
+void HttpServerConnection::flush() {
+  if (phase_ == Phase::closed) {
+    return;
+  }
+  if (!send_unsent()) {
+    disconnect();
+    return;
+  }
+  send_buffer_.compact();
+  if (phase_ == Phase::finishing && unsent_bytes() == 0) {
+    on_response_sent();
+    return;
+  }
+  update_watched_events();
+  bool drained = phase_ == Phase::responding && above_high_watermark_ && unsent_bytes() < kLowWatermark;
+  if (drained) {
+    above_high_watermark_ = false;
+    owner_.on_drained(exchange_);
+  }
+}
+
+bool HttpServerConnection::send_unsent() {
+  while (unsent_bytes() > 0) {
+    auto unsent = send_buffer_.unsent();
+    auto sent = ::send(socket_.get(), unsent.data(), unsent.size(), MSG_NOSIGNAL);
+    if (sent < 0 && errno == EINTR) {
+      continue;
+    }
+    if (sent < 0 && errno == EAGAIN) {
+      return true;
+    }
+    if (sent <= 0) {
+      return false;
+    }
+    send_buffer_.consume(static_cast<size_t>(sent));
+    if (phase_ == Phase::finishing) {
+      deadline_.set(owner_.limits().idle_timeout_ms);
+    }
+  }
+  return true;
+}
+
+void HttpServerConnection::on_response_sent() {
+  if (!keep_alive_) {
+    linger();
+    return;
+  }
+  if (owner_.draining() && !reader_.has_unread_bytes()) {
+    linger_unread();
+    return;
+  }
+  phase_ = Phase::reading;
+  above_high_watermark_ = false;
+  deadline_.set(owner_.limits().idle_timeout_ms);
+  // A pipelined request may be there already.
+  read_request();
+}
+
+void HttpServerConnection::linger() {
+  reader_.discard();
+  shut_down(Phase::lingering);
+}
+
+void HttpServerConnection::linger_unread() {
+  shut_down(Phase::lingering_unread);
+}
+
+void HttpServerConnection::shut_down(Phase phase) {
+  phase_ = phase;
+  ::shutdown(socket_.get(), SHUT_WR);
+  deadline_.set(kLingerTimeoutMs);
+  update_watched_events();
+}
+
+void HttpServerConnection::close_if_idle() {
+  if (phase_ == Phase::reading && !reader_.in_body() && !reader_.has_unread_bytes()) {
+    linger_unread();
+  }
+}
+
+void HttpServerConnection::on_deadline() {
+  switch (phase_) {
+    case Phase::reading:
+      if (!reader_.in_body() && !reader_.has_unread_bytes()) {
+        linger_unread();
+      } else {
+        reject_request(408);
+      }
+      return;
+    case Phase::finishing:
+    case Phase::lingering:
+    case Phase::lingering_unread:
+      close();
+      return;
+    case Phase::responding:
+    case Phase::closed:
+      return;
+  }
+}
+
+void HttpServerConnection::disconnect() {
+  auto exchange = phase_ == Phase::responding ? exchange_ : 0;
+  close();
+  if (exchange) {
+    owner_.on_disconnected(exchange);
+  }
+}
+
+void HttpServerConnection::close() {
+  if (std::exchange(phase_, Phase::closed) == Phase::closed) {
+    return;
+  }
+  if (exchange_) {
+    owner_.close_exchange(exchange_);
+  }
+  deadline_.cancel();
+  loop_.unwatch(socket_.get());
+  socket_ = Fd();
+  reader_.discard();
+  send_buffer_.release();
+  owner_.on_closed(*this);
+}
+
+void HttpServerConnection::reset() {
+  reset_on_close(socket_.get());
+  close();
+}
+
+void HttpServerConnection::update_watched_events() {
+  // A scheduled flush comes before the next wait of the loop, and updates them then.
+  if (phase_ == Phase::closed || flush_scheduled_) {
+    return;
+  }
+  uint32_t events = 0;
+  if (unsent_bytes() > 0) {
+    events |= EPOLLOUT;
+  }
+  if (phase_ == Phase::responding || phase_ == Phase::lingering_unread) {
+    events |= EPOLLRDHUP;
+  }
+  if (phase_ == Phase::reading || phase_ == Phase::lingering) {
+    events |= EPOLLIN;
+  }
+  if (events != watched_events_) {
+    watched_events_ = events;
+    loop_.set_events(socket_.get(), events);
+  }
+}
+
+}  // namespace mosskeel
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -1,34 +1,128 @@
 #pragma once
-// What an http_listener keeps of one connection.
-#include "net/http_head.hpp"
-#include "net/http_listener.hpp"
+// One caller's connection to an HttpListener.
+#include "base/fd.hpp"
+#include "net/deadline_timer.hpp"
+#include "net/http_request_reader.hpp"
+#include "net/http_response_writer.hpp"
+#include "net/send_buffer.hpp"
 
 namespace mosskeel {
 
-struct HttpListener::Session {
-  /// `parting` has shut its own direction and reads what still comes in order to drop it; `parting_unread` does not
-  /// read: nothing it was sent may count as taken.
-  enum class Phase { head, body, running, over, parting, parting_unread, gone };
-  Fd fd;
-  Phase phase = Phase::head;
-  uint32_t armed = 0;
-  uint64_t id = 0;
-  // What came: bytes not yet taken, and the request they make up.
-  std::string in;
-  size_t scanned = 0;
-  bool head_due = false, http_1_0 = false, keep = true, chunked = false;
-  uint64_t body_left = 0;
-  Chunks chunks;
-  HttpRequest request;
-  // What goes out.
-  std::string out;
-  size_t sent = 0;
-  bool headed = false, bodiless = false, in_chunks = false, above = false, marked = false;
-  std::optional<uint64_t> answer_left;
-  // The one deadline; the timer may be due before it and is then set anew.
-  Millis deadline = 0, timer_at = 0;
-  uint64_t timer = 0;
-  size_t unsent() const { return out.size() - sent; }
+class HttpServerConnection;
+
+/// Times are in milliseconds; 0 stands for no limit of time.
+struct HttpListenerLimits : HttpRequestLimits {
+  /// From the first byte of a head to its last.
+  Millis head_timeout_ms = 3000;
+  /// Between two requests, and between two pieces of a body or of a response that its caller takes.
+  Millis idle_timeout_ms = 15000;
+  size_t max_connections = 2000;
+};
+
+/// What a connection needs of its listener. All of it is called on the loop's thread.
+class HttpConnectionOwner {
+ public:
+  virtual const HttpListenerLimits& limits() const = 0;
+  /// Whether a response whose head is sent now must be the last of its connection.
+  virtual bool closes_after_responses() const = 0;
+  /// Whether connections are to close instead of waiting for another request.
+  virtual bool draining() const = 0;
+  /// Where a connection may receive bytes to; the content is its own only until it returns.
+  virtual std::vector<char>& read_buffer() = 0;
+  /// @return the id of a new exchange, which must be closed again.
+  virtual uint64_t open_exchange(std::shared_ptr<HttpServerConnection> connection) = 0;
+  virtual void close_exchange(uint64_t exchange) = 0;
+  /// A complete request has been read. The response may be sent from within.
+  virtual void on_request(uint64_t exchange, HttpRequest&& request) = 0;
+  /// The caller is gone before its response was complete; the exchange is closed already.
+  virtual void on_disconnected(uint64_t exchange) = 0;
+  /// The unsent bytes fell below the low watermark after having been above the high one.
+  virtual void on_drained(uint64_t exchange) = 0;
+  /// Asks for a call of `flush_now` at the end of the loop's iteration.
+  virtual void schedule_flush(std::shared_ptr<HttpServerConnection> connection) = 0;
+  virtual void on_closed(HttpServerConnection& connection) = 0;
+
+ protected:
+  ~HttpConnectionOwner() = default;
+};
+
+/// Reads requests and writes their responses, one after the other. Its owner holds it by a shared pointer until
+/// `on_closed`; a connection that is closed does nothing more.
+class HttpServerConnection : public std::enable_shared_from_this<HttpServerConnection> {
+ public:
+  /// Bytes; 1,000 slow callers at the high one and a read more hold 64 MB, a quarter of a small machine's memory.
+  static constexpr size_t kLowWatermark = 16 << 10;
+  static constexpr size_t kHighWatermark = 48 << 10;
+
+  HttpServerConnection(EventLoop& loop, HttpConnectionOwner& owner, Fd socket);
+  /// Begins to read; to be called once.
+  void start();
+
+  // The response of the exchange that is open; as in HttpListener.
+  void send_head(uint32_t status, const HeaderFields& fields, std::optional<uint64_t> content_length);
+  void send_body(std::string_view bytes);
+  void finish_response();
+  size_t unsent_bytes() const { return send_buffer_.unsent().size(); }
+
+  /// The flush that was scheduled.
+  void flush_now();
+  /// Closes gracefully where no byte of a further request has arrived.
+  void close_if_idle();
+  void close();
+  /// Closes with a reset.
+  void reset();
+
+ private:
+  enum class Phase {
+    /// Waits for a request or reads one.
+    reading,
+    /// The owner has the request, the exchange is open.
+    responding,
+    /// The response is complete, but not all of it sent.
+    finishing,
+    /// Has shut down its own direction, and reads what still comes in order to drop it: a close with unread bytes would
+    /// send a reset, which may cost the caller the response.
+    lingering,
+    /// Has shut down its own direction and does not read: nothing that the caller sends may count as taken.
+    lingering_unread,
+    closed
+  };
+  void on_ready(uint32_t events);
+  void on_deadline();
+  void receive();
+  void read_request();
+  void on_incomplete_request();
+  void begin_exchange();
+  void reject_request(uint32_t status);
+  void flush();
+  /// Hands bytes to the socket; false where the connection is gone.
+  bool send_unsent();
+  void on_response_sent();
+  void linger();
+  void linger_unread();
+  void shut_down(Phase phase);
+  /// Closes, and tells the owner if an exchange was open.
+  void disconnect();
+  void schedule_flush();
+  void update_watched_events();
+
+  EventLoop& loop_;
+  HttpConnectionOwner& owner_;
+  Fd socket_;
+  Phase phase_ = Phase::reading;
+  uint32_t watched_events_ = 0;
+  DeadlineTimer deadline_;
+  /// The exchange that is open, 0 where none is.
+  uint64_t exchange_ = 0;
+  HttpRequestReader reader_;
+  /// Whether the deadline is that of the head which is being read.
+  bool head_deadline_set_ = false;
+  HttpResponseWriter writer_;
+  SendBuffer send_buffer_;
+  /// Whether the connection stays open after the response.
+  bool keep_alive_ = true;
+  bool above_high_watermark_ = false;
+  bool flush_scheduled_ = false;
 };
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/net/local_mailboxes.cpp
@@ -0,0 +1,36 @@
+#include "net/local_mailboxes.hpp"
+
+namespace mosskeel {
+
+LocalMailboxes::Opened LocalMailboxes::open() {
+  std::lock_guard lock(mutex_);
+  auto address = "local:" + std::to_string(++last_number_);
+  auto mailbox = std::make_shared<Mailbox>();
+  mailboxes_[address] = mailbox;
+  return {address, mailbox};
+}
+
+void LocalMailboxes::close(const Address& address) {
+  std::lock_guard lock(mutex_);
+  mailboxes_.erase(address);
+}
+
+void LocalMailboxes::deliver(const Envelope& envelope) {
+  std::shared_ptr<Mailbox> mailbox;
+  {
+    std::lock_guard lock(mutex_);
+    auto found = mailboxes_.find(envelope.to);
+    if (found == mailboxes_.end()) {
+      return;
+    }
+    mailbox = found->second;
+  }
+  mailbox->push(envelope.body);
+}
+
+size_t LocalMailboxes::size() const {
+  std::lock_guard lock(mutex_);
+  return mailboxes_.size();
+}
+
+}  // namespace mosskeel
--- a/src/net/message_size.cpp
+++ b/src/net/message_size.cpp
@@ -3,32 +3,41 @@
 namespace mosskeel {
 namespace {
 
-size_t bytes_of(const Records& v) {
-  size_t n = 0;
-  for (auto& r : v)
-    n += sizeof r + r.input.size() + r.output.size();
-  return n;
+size_t bytes_of(const Records& records) {
+  size_t bytes = 0;
+  for (const auto& record : records) {
+    bytes += sizeof record + record.input.size() + record.output.size();
+  }
+  return bytes;
 }
 
-size_t bytes_of(const std::vector<HistoryCopy>& v) {
-  size_t n = 0;
-  for (auto& l : v)
-    n += bytes_of(l.records);
-  return n;
+size_t bytes_of(const std::vector<HistoryCopy>& histories) {
+  size_t bytes = 0;
+  for (const auto& history : histories) {
+    bytes += bytes_of(history.records);
+  }
+  return bytes;
 }
 
 }  // namespace
 
-size_t history_bytes(const Message& m) {
-  return std::visit(overload{[](const ReadHistoryReply& r) { return bytes_of(r.records); },
-                             [](const AppendHistory& w) { return bytes_of(w.records); },
-                             [](const StreamPartitionReply& r) { return bytes_of(r.histories); },
-                             [](const FetchHistoriesReply& r) { return bytes_of(r.histories); },
-                             [](const FindChainReply& f) { return f.text.size(); },
-                             [](const auto&) {
-                               return size_t{0};
-                             }},
-                    m);
+size_t history_bytes(const Message& message) {
+  if (const auto* reply = std::get_if<ReadHistoryReply>(&message)) {
+    return bytes_of(reply->records);
+  }
+  if (const auto* append = std::get_if<AppendHistory>(&message)) {
+    return bytes_of(append->records);
+  }
+  if (const auto* reply = std::get_if<StreamPartitionReply>(&message)) {
+    return bytes_of(reply->histories);
+  }
+  if (const auto* reply = std::get_if<FetchHistoriesReply>(&message)) {
+    return bytes_of(reply->histories);
+  }
+  if (const auto* reply = std::get_if<FindChainReply>(&message)) {
+    return reply->text.size();
+  }
+  return 0;
 }
 
 }  // namespace mosskeel
--- a/src/net/message_size.hpp
+++ b/src/net/message_size.hpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-/// The bytes of the histories and chains in a message; 0 for kinds that carry none.
-size_t history_bytes(const Message& m);
+/// Bytes of the histories and chains in a message; 0 for kinds that carry none.
+size_t history_bytes(const Message& message);
 
 }  // namespace mosskeel
--- a/src/net/protocol_codec.cpp
+++ b/src/net/protocol_codec.cpp
@@ -5,29 +5,33 @@
 namespace mosskeel {
 namespace {
 
-std::vector<const ProtocolCodec*>& registry() {
-  static std::vector<const ProtocolCodec*> v;
-  return v;
+std::vector<const ProtocolCodec*>& protocol_codecs() {
+  static std::vector<const ProtocolCodec*> codecs;
+  return codecs;
 }
 
 }  // namespace
 
-std::string_view header_value(const HeaderFields& f, std::string_view name) {
-  for (auto& [k, v] : f)
-    if (k.size() == name.size() && strncasecmp(k.data(), name.data(), k.size()) == 0)
-      return v;
+std::string_view header_value(const HeaderFields& fields, std::string_view name) {
+  for (const auto& field : fields) {
+    if (field.name.size() == name.size() && strncasecmp(field.name.data(), name.data(), name.size()) == 0) {
+      return field.value;
+    }
+  }
   return {};
 }
 
 const ProtocolCodec* find_protocol_codec(const std::string& name) {
-  for (auto* d : registry())
-    if (name == d->name())
-      return d;
+  for (const auto* codec : protocol_codecs()) {
+    if (name == codec->name()) {
+      return codec;
+    }
+  }
   return nullptr;
 }
 
-ProtocolCodecRegistration::ProtocolCodecRegistration(const ProtocolCodec* d) {
-  registry().push_back(d);
+ProtocolCodecRegistration::ProtocolCodecRegistration(const ProtocolCodec* codec) {
+  protocol_codecs().push_back(codec);
 }
 
 }  // namespace mosskeel
--- a/src/net/protocol_codec.hpp
+++ b/src/net/protocol_codec.hpp
@@ -1,61 +1,99 @@
 #pragma once
-// How the heads of callers and replicas are spelt; a platform's dialect is a plug-in that registers itself.
+// How the headers of callers and replicas are spelt; a platform's codec is a plug-in that registers itself.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
-using HeaderFields = std::vector<std::pair<std::string, std::string>>;
+/// One header field of an HTTP message.
+struct HeaderField {
+  std::string name, value;
+  bool operator==(const HeaderField&) const = default;
+};
+/// In the order of the message; names may repeat.
+using HeaderFields = std::vector<HeaderField>;
 
-/// The value of a header field, whatever the case of its name; empty where there is none.
-std::string_view header_value(const HeaderFields& f, std::string_view name);
+/// The value of the first field of that name, in any case; empty where there is none.
+std::string_view header_value(const HeaderFields& fields, std::string_view name);
 
-/// One whole request as a caller sent it; `target` is the path with the query as it came.
+/// A complete request as a caller sent it.
 struct HttpRequest {
-  std::string method, target, host;
+  std::string method;
+  /// Path and query as they came.
+  std::string target;
+  /// In lower case, without port.
+  std::string host;
   HeaderFields fields;
   std::string body;
 };
 
-/// What a caller's head says. Times in ms, -1 where it says nothing; counts in tokens.
+/// A piece of a prompt that replicas may have in their prefix cache.
+struct PromptPart {
+  std::string id;
+  uint64_t tokens = 0;
+  bool operator==(const PromptPart&) const = default;
+};
+
+/// What the headers of a caller's request say. Texts are empty, and times (ms) -1, where they say nothing.
 struct RequestHeaders {
-  std::string attempt_id, program_id, session_id, previous_turn, affinity_key, last_event_id;
+  std::string attempt_id, program_id, session_id;
+  /// The turn that this one goes on from.
+  std::string previous_turn;
+  /// Requests with the same key go to the same replica where possible.
+  std::string affinity_key;
+  /// The last event of a stream that the caller has, where it resumes one.
+  std::string last_event_id;
+  /// Tokens that the program may use.
   std::optional<uint64_t> token_budget;
   uint64_t prompt_tokens = 0, max_output_tokens = 0;
+  /// Of the request and of its whole program.
   Millis time_left = -1, program_time_left = -1;
-  /// The parts of the prompt in order, with their tokens.
+  /// In the order of the prompt.
   std::vector<std::pair<std::string, uint64_t>> prompt_parts;
 };
 
-/// What the head of a replica's answer says. `not_run`: this replica has not run it and never will.
+/// What a replica says of its load, in requests.
+struct ReplicaLoad {
+  uint32_t running = 0, waiting = 0, capacity = 0;
+  bool operator==(const ReplicaLoad&) const = default;
+};
+
+/// What the head of a replica's response says.
 struct ResponseHeaders {
   std::string attempt_id;
-  bool not_run = false, sealed = false;
-  /// Running, waiting, places; where the replica tells.
+  /// This replica has not run the request and never will.
+  bool not_run = false;
+  /// The response carries the replica's seal.
+  bool sealed = false;
   std::optional<std::array<uint32_t, 3>> load;
 };
 
+/// Translates between a platform's headers and the product's own terms. Stateless, and used from every thread.
 class ProtocolCodec {
  public:
   virtual ~ProtocolCodec() = default;
   virtual const char* name() const = 0;
-  /// Errors where the head can't be understood.
-  virtual Result<RequestHeaders> parse_request(const HttpRequest& r) const = 0;
-  virtual ResponseHeaders parse_response(uint32_t status, const HeaderFields& f) const = 0;
-  /// Puts what is for the replica into a request's fields: the one meant, the time left, how urgent (0 first, 9 last).
-  virtual void set_upstream_headers(HeaderFields& f, const std::string& replica, Millis left,
+  /// @return errors, by header name, where the headers can't be understood.
+  virtual Result<RequestHeaders> parse_request(const HttpRequest& request) const = 0;
+  virtual ResponseHeaders parse_response(uint32_t status, const HeaderFields& fields) const = 0;
+  /// Sets the fields that are meant for the replica, in place of such that the caller sent.
+  /// @param replica the one that the request is meant for.
+  /// @param time_left ms until the caller's deadline; negative says nothing.
+  /// @param urgency 0 is served first, 9 last.
+  virtual void set_upstream_headers(HeaderFields& fields, const std::string& replica, Millis time_left,
                                     std::optional<uint32_t> urgency) const = 0;
-  /// The fields of a refusal, for a caller that may come back after `retry_ms` (0: says nothing).
-  virtual HeaderFields rejection_headers(Millis retry_ms) const = 0;
-  /// Whether this is the question if the front is ready.
-  virtual bool is_readiness_probe(const HttpRequest& r) const = 0;
+  /// The fields of a rejection.
+  /// @param retry_after ms after which the caller may come back; 0 says nothing.
+  virtual HeaderFields rejection_headers(Millis retry_after) const = 0;
+  /// Whether the request asks if this gateway is ready.
+  virtual bool is_readiness_probe(const HttpRequest& request) const = 0;
 };
 
-/// The registered dialect of that name, or nothing.
+/// The registered codec of that name, or nothing.
 const ProtocolCodec* find_protocol_codec(const std::string& name);
 
-/// A static object of this type puts a dialect into the registry.
+/// A static object of this type puts a codec into the registry, which keeps the pointer.
 struct ProtocolCodecRegistration {
-  explicit ProtocolCodecRegistration(const ProtocolCodec* d);
+  explicit ProtocolCodecRegistration(const ProtocolCodec* codec);
 };
 
 }  // namespace mosskeel
--- a/src/net/transport.cpp
+++ b/src/net/transport.cpp
@@ -9,74 +9,110 @@
 #include "net/wire.hpp"
 
 namespace mosskeel {
+namespace {
 
-Socket::~Socket() {
-  if (id_)
+/// How long the receiving thread takes to see that it shall stop.
+constexpr nng_duration kReceiveTimeoutMs = 200;
+/// Larger than any message, small enough that a broken length costs little.
+constexpr size_t kMaxMessageBytes = 64u << 20;
+constexpr nng_duration kMinReconnectDelayMs = 50;
+constexpr nng_duration kMaxReconnectDelayMs = 200;
+/// Drops between two log lines about them.
+constexpr uint64_t kDropsPerLogLine = 1000;
+
+std::string nng_url(const Address& address) {
+  return "tcp://" + address;
+}
+
+}  // namespace
+
+NngSocket::~NngSocket() {
+  if (id_) {
     nng_close(nng_socket{id_});
+  }
 }
 
-Result<std::unique_ptr<Transport>> Transport::open(const Address& at, Hear hear) {
-  std::unique_ptr<Transport> p(new Transport);
-  p->hear_ = std::move(hear);
-  nng_socket s;
-  if (int rc = nng_pull0_open(&s))
-    return Errors{{at, nng_strerror(rc)}};
-  p->in_ = std::make_unique<Socket>(s.id);
-  nng_socket_set_int(s, NNG_OPT_RECVBUF, kMaxQueuedMessagesPerPeer);
-  nng_socket_set_ms(s, NNG_OPT_RECVTIMEO, 200);
-  nng_socket_set_size(s, NNG_OPT_RECVMAXSZ, 64u << 20);
-  if (int rc = nng_listen(s, ("tcp://" + at).c_str(), nullptr, 0))
-    return Errors{{at, nng_strerror(rc)}};
-  p->thread_ = std::thread([q = p.get()] { q->listen(); });
-  return p;
+Result<std::unique_ptr<Transport>> Transport::open(const Address& address, MessageCallback on_message) {
+  nng_socket socket;
+  if (int error = nng_pull0_open(&socket)) {
+    return Errors{{address, nng_strerror(error)}};
+  }
+  NngSocket receiver(socket.id);
+  nng_socket_set_int(socket, NNG_OPT_RECVBUF, kMaxQueuedMessagesPerPeer);
+  nng_socket_set_ms(socket, NNG_OPT_RECVTIMEO, kReceiveTimeoutMs);
+  nng_socket_set_size(socket, NNG_OPT_RECVMAXSZ, kMaxMessageBytes);
+  if (int error = nng_listen(socket, nng_url(address).c_str(), nullptr, 0)) {
+    return Errors{{address, nng_strerror(error)}};
+  }
+  std::unique_ptr<Transport> transport(new Transport(std::move(receiver), std::move(on_message)));
+  transport->thread_ = std::thread([self = transport.get()] { self->receive_messages(); });
+  return transport;
 }
 
+Transport::Transport(NngSocket receiver, MessageCallback on_message)
+    : receiver_(std::move(receiver)), on_message_(std::move(on_message)) {}
+
 Transport::~Transport() {
-  stop_ = true;
-  if (thread_.joinable())
+  stop_requested_ = true;
+  if (thread_.joinable()) {
     thread_.join();
+  }
 }
 
-void Transport::listen() {
-  while (!stop_) {
-    void* b = nullptr;
-    size_t n = 0;
-    int rc = nng_recv(nng_socket{in_->id()}, &b, &n, NNG_FLAG_ALLOC);
-    if (rc == NNG_ETIMEDOUT)
+void Transport::receive_messages() {
+  while (!stop_requested_) {
+    void* bytes = nullptr;
+    size_t size = 0;
+    int error = nng_recv(nng_socket{receiver_.id()}, &bytes, &size, NNG_FLAG_ALLOC);
+    if (error == NNG_ETIMEDOUT) {
       continue;
-    if (rc)
+    }
+    if (error) {
       return;
-    auto e = decode({static_cast<char*>(b), n});
-    nng_free(b, n);
-    if (e) {
-      hear_(std::move(*e), n);
-    } else {
-      ++foreign_;
-      note(Event::foreign, std::to_string(n) + " bytes that are no message of ours");
     }
+    auto envelope = decode({static_cast<char*>(bytes), size});
+    nng_free(bytes, size);
+    on_received(std::move(envelope), size);
   }
 }
 
-bool Transport::send(const Envelope& e) {
-  nng_socket s;
-  {
-    std::lock_guard l(m_);
-    auto i = peers_.find(e.to);
-    if (i == peers_.end()) {
-      if (nng_push0_open(&s))
-        return false;
-      i = peers_.emplace(e.to, Socket(s.id)).first;
-      nng_socket_set_int(s, NNG_OPT_SENDBUF, kMaxQueuedMessagesPerPeer);
-      nng_socket_set_ms(s, NNG_OPT_RECONNMINT, 50);
-      nng_socket_set_ms(s, NNG_OPT_RECONNMAXT, 200);
-      nng_dial(s, ("tcp://" + e.to).c_str(), nullptr, NNG_FLAG_NONBLOCK);
-    }
-    s = nng_socket{i->second.id()};
+void Transport::on_received(std::optional<Envelope> envelope, size_t bytes) {
+  if (envelope) {
+    on_message_(std::move(*envelope), bytes);
+    return;
+  }
+  ++foreign_;
+  note(Event::foreign, std::to_string(bytes) + " bytes that are no message of ours");
+}
+
+std::optional<uint32_t> Transport::peer_socket(const Address& peer) {
+  std::lock_guard lock(mutex_);
+  auto found = peers_.find(peer);
+  if (found != peers_.end()) {
+    return found->second.id();
+  }
+  nng_socket socket;
+  if (nng_push0_open(&socket)) {
+    return std::nullopt;
   }
-  auto bytes = encode(e);
-  if (nng_send(s, bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK)) {
-    if (dropped_++ % 1000 == 0)
-      note(Event::unsent, "to " + e.to);
+  peers_.emplace(peer, NngSocket(socket.id));
+  nng_socket_set_int(socket, NNG_OPT_SENDBUF, kMaxQueuedMessagesPerPeer);
+  nng_socket_set_ms(socket, NNG_OPT_RECONNMINT, kMinReconnectDelayMs);
+  nng_socket_set_ms(socket, NNG_OPT_RECONNMAXT, kMaxReconnectDelayMs);
+  nng_dial(socket, nng_url(peer).c_str(), nullptr, NNG_FLAG_NONBLOCK);
+  return socket.id;
+}
+
+bool Transport::send(const Envelope& envelope) {
+  auto socket = peer_socket(envelope.to);
+  if (!socket) {
+    return false;
+  }
+  auto bytes = encode(envelope);
+  if (nng_send(nng_socket{*socket}, bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK)) {
+    if (dropped_++ % kDropsPerLogLine == 0) {
+      note(Event::unsent, "to " + envelope.to);
+    }
     return false;
   }
   ++sent_;
--- a/src/net/upstream_client.hpp
+++ b/src/net/upstream_client.hpp
@@ -1,87 +1,81 @@
 #pragma once
-// HTTP/1.1 towards replicas, on a loop.
-#include <deque>
-
-#include "net/event_loop.hpp"
-#include "net/protocol_codec.hpp"
+// An HTTP/1.1 client on an event loop, towards replicas.
+#include "net/connection_pool.hpp"
 
 namespace mosskeel {
 
-/// Asks replicas and reads their answers; keeps connections for reuse. Never sends a request twice. All of it, events
-/// too, on the loop's thread; no event comes from within send_request(); must not be destroyed in an event.
-class UpstreamClient {
+/// Sends requests to replicas and reads their responses; keeps connections for reuse. It never sends a request twice:
+/// whether one that failed may be retried is for its sender to decide.
+///
+/// Everything, callbacks too, happens on the loop's thread. No callback comes from within `send_request`. It must not
+/// be destroyed in a callback. After `on_complete`, `on_failure` or `cancel` a request's id is dead: it has no more
+/// callbacks, and calls with it do nothing.
+class UpstreamClient : private UpstreamConnectionOwner {
  public:
-  struct ResponseHead {
-    uint32_t status = 0;
-    HeaderFields fields;
-    bool chunked = false;
-    std::optional<uint64_t> content_length;
-    /// The tag of the ask that had this connection before; empty on a new one.
-    std::string previous_tag;
-  };
-  /// `not_sent`: not one byte of the request can have reached the replica.
-  enum class Delivery { not_sent, possibly_sent };
+  using Delivery = UpstreamDelivery;
+  using Request = UpstreamRequest;
+  using ResponseHead = UpstreamResponseHead;
   struct Callbacks {
-    std::function<void(uint64_t id, ResponseHead&&)> head;
-    /// The body's bytes, dechunked.
-    std::function<void(uint64_t id, std::string_view)> bytes;
-    /// The whole answer was read, by its own framing. A body that lasts until the close ends as lost.
-    std::function<void(uint64_t id)> end;
-    std::function<void(uint64_t id, Delivery, std::string reason)> lost;
+    /// Interim responses (1xx) are not told.
+    std::function<void(uint64_t request, ResponseHead&& head)> on_head;
+    /// Bytes of the body, without the chunked coding.
+    std::function<void(uint64_t request, std::string_view bytes)> on_body;
+    /// The response is complete by its own framing. One whose body lasts until the close ends in `on_failure`.
+    std::function<void(uint64_t request)> on_complete;
+    /// There is no complete response, and there will be none.
+    std::function<void(uint64_t request, Delivery delivery, std::string reason)> on_failure;
   };
-  UpstreamClient(EventLoop& loop, Callbacks events);
+  UpstreamClient(EventLoop& loop, Callbacks callbacks);
   ~UpstreamClient();
-  struct Request {
-    Address to;
-    std::string method, target;
-    HeaderFields fields;
-    std::string body;
-    /// Not on a kept connection.
-    bool new_connection = false;
-    Millis connect_ms = 1000;
-    /// Only on a kept connection that has rested for no longer: a replica may have forgotten it silently.
-    Millis max_idle_ms = INT64_MAX;
-    /// What the asker calls it, for `ResponseHead::previous_tag`.
-    std::string tag;
-  };
-  /// The fields are sent as given, but for the framing, which is the upstream_client's own.
-  uint64_t send_request(Request a);
-  /// Closes its connection; no more events of that id.
-  void cancel(uint64_t id);
-  /// From within `head`: this answer is not the ask's own but a late one of an earlier ask. It is read to its end
-  /// unseen, and the next head is awaited.
-  void skip_response(uint64_t id);
-  /// Stops or starts reading; what the last read brought, at most 16 KiB, still comes.
-  void pause(uint64_t id, bool on);
-  /// Closes idle connections to a replica; running ones are not used again.
-  void forget(const Address& a);
-  uint64_t opened() const { return opened_; }
-  size_t idle() const;
+
+  /// @return the request's id; errors too are told by `on_failure`.
+  uint64_t send_request(Request request);
+  /// Closes the request's connection; it has no more callbacks.
+  void cancel(uint64_t request);
+  /// From within `on_head`: this response is not the request's own, but a late one to an earlier request. It is read to
+  /// its end unseen, and the next head is awaited.
+  void skip_response(uint64_t request);
+  /// Stops reading the response; what the last read brought, at most 16 KiB, still comes.
+  void pause_reading(uint64_t request);
+  void resume_reading(uint64_t request);
+  /// Closes the idle connections to a replica; the active ones take no further request.
+  void retire_connections(const Address& address);
+  /// Connections opened so far.
+  uint64_t connections_opened() const { return connections_opened_; }
+  size_t idle_connections() const { return pool_.size(); }
 
  private:
-  struct Connection;
-  using Held = std::shared_ptr<Connection>;
-  Held kept(const Address& to, Millis max_idle_ms);
-  std::string open(const Held& c, Millis connect_ms);
-  void ready(const Held& c, uint32_t events);
-  void connected(const Held& c);
-  void send(const Held& c);
-  void receive(const Held& c);
-  bool read(const Held& c);
-  bool read_head(const Held& c);
-  bool read_body(const Held& c);
-  bool finish(const Held& c);
-  void keep(const Held& c);
-  void lose(const Held& c, std::string reason);
-  void close(const Held& c);
-  void interest(const Held& c);
+  /// A new connection, or why there is none.
+  struct Opened {
+    std::shared_ptr<UpstreamConnection> connection;
+    std::string error;
+  };
+  Opened open_connection(const Address& address);
+  /// Fails the request from the loop, so that its sender knows its id by then.
+  void fail_later(uint64_t request, std::string reason);
+  /// Nothing where the request is over or has no connection.
+  std::shared_ptr<UpstreamConnection> find(uint64_t request) const;
+
+  // UpstreamConnectionOwner
+  std::vector<char>& read_buffer() override { return read_buffer_; }
+  void on_head(uint64_t request, ResponseHead&& head) override;
+  void on_body(uint64_t request, std::string_view bytes) override;
+  void on_complete(uint64_t request) override;
+  void on_failure(uint64_t request, Delivery delivery, std::string reason) override;
+  void on_idle(std::shared_ptr<UpstreamConnection> connection) override { pool_.add(std::move(connection)); }
+  void on_closed(UpstreamConnection& connection) override;
+
   EventLoop& loop_;
-  Callbacks events_;
-  uint64_t last_id_ = 0, opened_ = 0;
-  std::unordered_map<uint64_t, Held> asks_;
-  std::unordered_map<Connection*, Held> connections_;
-  std::unordered_map<Address, std::deque<Held>> idle_;
-  std::vector<char> buffer_;
+  Callbacks callbacks_;
+  uint64_t last_request_ = 0;
+  uint64_t connections_opened_ = 0;
+  /// Requests under way with their connections; without one those that are about to fail.
+  std::unordered_map<uint64_t, std::shared_ptr<UpstreamConnection>> requests_;
+  std::unordered_map<UpstreamConnection*, std::shared_ptr<UpstreamConnection>> connections_;
+  ConnectionPool pool_;
+  /// Shared by all connections, for only one reads at a time.
+  std::vector<char> read_buffer_;
+  /// Lets functions that the loop still holds find out that this object is gone.
   std::shared_ptr<UpstreamClient*> self_;
 };
 
--- /dev/null
+++ b/src/net/upstream_connection.cpp
@@ -0,0 +1,313 @@
+#include "net/upstream_connection.hpp"
+
+#include <sys/epoll.h>
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <cerrno>
+#include <cstring>
+
+namespace mosskeel {
+namespace {
+
+/// A replica that does not say how long it keeps idle connections is assumed to keep them this long.
+constexpr Millis kDefaultKeepAliveMs = 4000;
+/// A connection is given up this long before the replica would close it, so that no request crosses the close.
+constexpr Millis kKeepAliveMarginMs = 1000;
+constexpr Millis kMaxKeepAliveMs = 600000;
+/// Digits of a number of seconds below `kMaxKeepAliveMs` many times over, that surely fits.
+constexpr size_t kMaxKeepAliveDigits = 6;
+
+Millis keep_alive_of(std::string_view seconds) {
+  auto digits = seconds.substr(0, seconds.find_first_not_of("0123456789"));
+  if (digits.empty()) {
+    return 0;
+  }
+  if (digits.size() > kMaxKeepAliveDigits) {
+    return kMaxKeepAliveMs;
+  }
+  return std::min<Millis>(std::stoll(std::string(digits)) * 1000 - kKeepAliveMarginMs, kMaxKeepAliveMs);
+}
+
+/// How long a connection may be idle after this response: by "Keep-Alive: timeout=SECONDS", else the default.
+Millis keep_alive_of(const HeaderFields& fields) {
+  auto list = header_value(fields, "Keep-Alive");
+  while (!list.empty()) {
+    auto parameter = next_list_element(list);
+    auto equals_sign = parameter.find('=');
+    if (equals_sign != std::string_view::npos && equals_ignoring_case(parameter.substr(0, equals_sign), "timeout")) {
+      return keep_alive_of(parameter.substr(equals_sign + 1));
+    }
+  }
+  return kDefaultKeepAliveMs;
+}
+
+/// Whether the socket is open and nothing has been received on it.
+bool is_silent(int socket) {
+  char byte;
+  return ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
+}
+
+}  // namespace
+
+UpstreamConnection::UpstreamConnection(EventLoop& loop, UpstreamConnectionOwner& owner, Address address, Fd socket)
+    : loop_(loop), owner_(owner), address_(std::move(address)), socket_(std::move(socket)) {}
+
+void UpstreamConnection::assign(uint64_t id, const UpstreamRequest& request, std::string bytes) {
+  request_ = id;
+  request_bytes_ = std::move(bytes);
+  possibly_sent_ = false;
+  reader_.begin(request.method == "HEAD");
+  reusable_ = !has_token(request.fields, "Connection", "close");
+  previous_tag_ = std::exchange(tag_, request.tag);
+  skipping_ = false;
+}
+
+void UpstreamConnection::connect(Millis timeout) {
+  update_watched_events();
+  connect_deadline_ = monotonic_ms() + timeout;
+  start_timer(timeout, &UpstreamConnection::on_connect_timeout);
+}
+
+void UpstreamConnection::send() {
+  cancel_timer();
+  phase_ = Phase::active;
+  send_unsent();
+}
+
+void UpstreamConnection::pause_reading() {
+  reading_paused_ = true;
+  update_watched_events();
+}
+
+void UpstreamConnection::resume_reading() {
+  reading_paused_ = false;
+  update_watched_events();
+}
+
+bool UpstreamConnection::usable() const {
+  return monotonic_ms() < idle_until_ && is_silent(socket_.get());
+}
+
+void UpstreamConnection::update_watched_events() {
+  uint32_t events = 0;
+  switch (phase_) {
+    case Phase::connecting:
+      events = EPOLLOUT;
+      break;
+    case Phase::active:
+      if (!reading_paused_) {
+        events |= EPOLLIN;
+      }
+      if (sent_bytes_ < request_bytes_.size()) {
+        events |= EPOLLOUT;
+      }
+      break;
+    case Phase::idle:
+      events = EPOLLIN | EPOLLRDHUP;
+      break;
+    case Phase::closed:
+      return;
+  }
+  if (!watched_) {
+    watched_ = true;
+    loop_.watch(socket_.get(), events, [weak = weak_from_this()](uint32_t ready_events) {
+      if (auto self = weak.lock()) {
+        self->on_ready(ready_events);
+      }
+    });
+  } else if (events != watched_events_) {
+    loop_.set_events(socket_.get(), events);
+  }
+  watched_events_ = events;
+}
+
+void UpstreamConnection::on_ready(uint32_t events) {
+  if (phase_ == Phase::idle) {
+    close();
+    return;
+  }
+  if (phase_ == Phase::connecting) {
+    on_connected();
+    return;
+  }
+  bool gone = events & (EPOLLERR | EPOLLHUP);
+  if (reading_paused_ && gone) {
+    // Both are reported whether asked for or not; what was received before is read after the pause.
+    loop_.unwatch(socket_.get());
+    watched_ = false;
+    return;
+  }
+  if (events & EPOLLOUT) {
+    send_unsent();
+  }
+  if (phase_ == Phase::active && ((events & EPOLLIN) || gone)) {
+    receive();
+  }
+}
+
+void UpstreamConnection::on_connected() {
+  int error = 0;
+  socklen_t size = sizeof error;
+  ::getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
+  if (error) {
+    fail(std::string("connect: ") + std::strerror(error));
+    return;
+  }
+  if (monotonic_ms() > connect_deadline_) {
+    fail("connect: woken too late");
+    return;
+  }
+  cancel_timer();
+  if (!is_silent(socket_.get())) {
+    fail("closed, or spoke before it was asked");
+    return;
+  }
+  phase_ = Phase::active;
+  send_unsent();
+}
+
+void UpstreamConnection::on_connect_timeout() {
+  fail("connect: no answer in time");
+}
+
+void UpstreamConnection::send_unsent() {
+  while (sent_bytes_ < request_bytes_.size()) {
+    auto unsent = std::string_view(request_bytes_).substr(sent_bytes_);
+    auto sent = ::send(socket_.get(), unsent.data(), unsent.size(), MSG_NOSIGNAL);
+    if (sent < 0 && errno == EINTR) {
+      continue;
+    }
+    if (sent < 0 && errno == EAGAIN) {
+      break;
+    }
+    if (sent <= 0) {
+      // The replica may have responded before it closed: reading finds out.
+      reusable_ = false;
+      sent_bytes_ = request_bytes_.size();
+      break;
+    }
+    possibly_sent_ = true;
+    sent_bytes_ += static_cast<size_t>(sent);
+  }
+  if (sent_bytes_ == request_bytes_.size()) {
+    std::string().swap(request_bytes_);
+    sent_bytes_ = 0;
+  }
+  update_watched_events();
+}
+
+void UpstreamConnection::receive() {
+  auto& buffer = owner_.read_buffer();
+  auto received = ::recv(socket_.get(), buffer.data(), buffer.size(), 0);
+  if (received < 0 && (errno == EAGAIN || errno == EINTR)) {
+    return;
+  }
+  if (received < 0) {
+    fail(std::string("receive: ") + std::strerror(errno));
+    return;
+  }
+  if (received == 0) {
+    fail("closed before the answer was whole");
+    return;
+  }
+  reader_.append({buffer.data(), static_cast<size_t>(received)});
+  while (phase_ == Phase::active && read_response()) {}
+}
+
+bool UpstreamConnection::read_response() {
+  switch (reader_.read()) {
+    case HttpResponseReader::Progress::incomplete:
+      return false;
+    case HttpResponseReader::Progress::head:
+      on_head(reader_.take_head());
+      return true;
+    case HttpResponseReader::Progress::body: {
+      auto bytes = reader_.take_body();
+      if (!skipping_) {
+        owner_.on_body(request_, bytes);
+      }
+      return true;
+    }
+    case HttpResponseReader::Progress::complete:
+      return on_response_complete();
+    case HttpResponseReader::Progress::malformed:
+      fail(reader_.error());
+      return false;
+  }
+  return false;
+}
+
+void UpstreamConnection::on_head(HttpHead head) {
+  if (head.closes_connection) {
+    reusable_ = false;
+  }
+  keep_alive_ms_ = keep_alive_of(head.fields);
+  owner_.on_head(request_, {head.status, std::move(head.fields), head.chunked, head.content_length, previous_tag_});
+}
+
+bool UpstreamConnection::on_response_complete() {
+  if (std::exchange(skipping_, false)) {
+    return true;
+  }
+  auto request = std::exchange(request_, 0);
+  // Surplus bytes, or a request that was not taken to its end, leave the two sides with different views.
+  bool clean_end = !reader_.has_unread_bytes() && request_bytes_.empty();
+  if (clean_end && reusable_ && keep_alive_ms_ > 0) {
+    become_idle();
+  } else {
+    close();
+  }
+  owner_.on_complete(request);
+  return false;
+}
+
+void UpstreamConnection::become_idle() {
+  phase_ = Phase::idle;
+  reading_paused_ = false;
+  reader_.discard();
+  idle_since_ = monotonic_ms();
+  idle_until_ = idle_since_ + keep_alive_ms_;
+  update_watched_events();
+  start_timer(keep_alive_ms_, &UpstreamConnection::close);
+  owner_.on_idle(shared_from_this());
+}
+
+void UpstreamConnection::fail(std::string reason) {
+  auto request = std::exchange(request_, 0);
+  auto delivery = possibly_sent_ ? UpstreamDelivery::possibly_sent : UpstreamDelivery::not_sent;
+  close();
+  if (request) {
+    owner_.on_failure(request, delivery, std::move(reason));
+  }
+}
+
+void UpstreamConnection::close() {
+  if (std::exchange(phase_, Phase::closed) == Phase::closed) {
+    return;
+  }
+  request_ = 0;
+  cancel_timer();
+  loop_.unwatch(socket_.get());
+  socket_ = Fd();
+  reader_.discard();
+  std::string().swap(request_bytes_);
+  owner_.on_closed(*this);
+}
+
+void UpstreamConnection::start_timer(Millis delay, void (UpstreamConnection::*on_timer)()) {
+  timer_ = loop_.run_after(delay, [weak = weak_from_this(), on_timer] {
+    if (auto self = weak.lock()) {
+      self->timer_ = 0;
+      (*self.*on_timer)();
+    }
+  });
+}
+
+void UpstreamConnection::cancel_timer() {
+  if (timer_) {
+    loop_.cancel(std::exchange(timer_, 0));
+  }
+}
+
+}  // namespace mosskeel
--- a/tests/unit/net/backpressure_test.cpp
+++ b/tests/unit/net/backpressure_test.cpp
@@ -1,4 +1,4 @@
-// A slow caller holds its replica's answer back.
+// A slow caller holds its replica's response back.
 #include <sys/resource.h>
 
 #include <fstream>
@@ -10,131 +10,160 @@
 
 namespace {
 
-constexpr size_t answer_bytes = 1 << 20;
-constexpr int socket_buffer = 32 << 10;
+constexpr size_t response_bytes = 1 << 20;
+constexpr int socket_buffer_bytes = 32 << 10;
+/// What the listener may hold of one response: up to its high watermark and one read of the upstream client.
+constexpr size_t max_unsent_bytes = HttpListener::kHighWatermark + (16 << 10);
 
 /// Resident memory of this process.
 size_t resident_bytes() {
-  size_t all = 0, resident = 0;
-  std::ifstream("/proc/self/statm") >> all >> resident;
-  return resident * 4096;
+  constexpr size_t page_bytes = 4096;
+  size_t total_pages = 0;
+  size_t resident_pages = 0;
+  std::ifstream("/proc/self/statm") >> total_pages >> resident_pages;
+  return resident_pages * page_bytes;
 }
 
-/// A replica that gives each request a large answer, and a relay from callers to it.
-struct SlowCallers {
-  TestServer replica{socket_buffer}, front{socket_buffer};
-  std::map<uint64_t, uint64_t> upstream_of, exchange_of;
-  size_t ended = 0;
-  UpstreamClient out{front.loop,
-                     {[this](uint64_t u, UpstreamClient::ResponseHead&& a) {
-                        front.in->send_head(exchange_of.at(u), a.status, {}, a.content_length);
-                      },
-                      [this](uint64_t u, std::string_view s) {
-                        front.in->send_body(exchange_of.at(u), s);
-                        pressure->on_forwarded(exchange_of.at(u), u);
-                      },
-                      [this](uint64_t u) {
-                        pressure->on_finished(exchange_of.at(u));
-                        front.in->finish(exchange_of.at(u));
-                        ++ended;
-                      },
-                      [](uint64_t, UpstreamClient::Delivery, std::string) {
-                      }}};
-  std::unique_ptr<Backpressure> pressure;
-  std::thread other;
-
-  SlowCallers() {
-    pressure = std::make_unique<Backpressure>(*front.in, out);
-    front.answer = [this](uint64_t id) {
-      auto u = out.send_request({replica.in->local_address(), "GET", "/", {{"Host", "r"}}, "", true});
-      upstream_of[id] = u, exchange_of[u] = id;
+/// Callers that do not read, a proxy, and a replica that gives each request a large response.
+struct SlowCallersFixture {
+  TestServer replica{socket_buffer_bytes}, proxy{socket_buffer_bytes};
+  std::map<uint64_t, uint64_t> request_of_exchange, exchange_of_request;
+  size_t completions = 0;
+  UpstreamClient client{proxy.loop,
+                        {[this](uint64_t request, UpstreamClient::ResponseHead&& head) {
+                           proxy.listener->send_head(exchange_of_request.at(request), head.status, {},
+                                                     head.content_length);
+                         },
+                         [this](uint64_t request, std::string_view bytes) {
+                           auto exchange = exchange_of_request.at(request);
+                           proxy.listener->send_body(exchange, bytes);
+                           backpressure->on_forwarded(exchange, request);
+                         },
+                         [this](uint64_t request) {
+                           auto exchange = exchange_of_request.at(request);
+                           backpressure->on_finished(exchange);
+                           proxy.listener->finish(exchange);
+                           ++completions;
+                         },
+                         [](uint64_t, UpstreamClient::Delivery, std::string) {
+                         }}};
+  std::unique_ptr<Backpressure> backpressure;
+  std::vector<std::unique_ptr<SocketPeer>> callers;
+  std::thread replica_thread;
+
+  SlowCallersFixture() {
+    backpressure = std::make_unique<Backpressure>(*proxy.listener, client);
+    proxy.respond = [this](uint64_t exchange) {
+      auto request = client.send_request({replica.address(), "GET", "/", {{"Host", "r"}}, "", true});
+      request_of_exchange[exchange] = request;
+      exchange_of_request[request] = exchange;
     };
-    front.on_drained = [this](uint64_t id) {
-      pressure->on_drained(id);
+    proxy.on_drained = [this](uint64_t exchange) {
+      backpressure->on_drained(exchange);
     };
   }
-  /// Lets the replica stream on a thread of its own, sending only what is taken.
-  void serve() {
-    replica.answer = [this](uint64_t id) {
-      replica.in->send_head(id, 200, {}, answer_bytes);
-      replica.in->send_body(id, std::string(answer_bytes, 'x'));
-      replica.in->finish(id);
+  ~SlowCallersFixture() {
+    replica.loop.stop();
+    if (replica_thread.joinable()) {
+      replica_thread.join();
+    }
+  }
+  void add_caller() {
+    callers.push_back(std::make_unique<SocketPeer>(proxy.address()));
+    set_socket_option(callers.back()->socket.get(), SOL_SOCKET, SO_RCVBUF, socket_buffer_bytes);
+    callers.back()->send(get_request_closing);
+  }
+  /// Lets the replica respond on a thread of its own, sending only what is taken.
+  void run_replica() {
+    replica.respond = [this](uint64_t exchange) {
+      replica.listener->send_head(exchange, 200, {}, response_bytes);
+      replica.listener->send_body(exchange, std::string(response_bytes, 'x'));
+      replica.listener->finish(exchange);
     };
-    other = std::thread([this] { replica.loop.run(); });
+    replica_thread = std::thread([this] { replica.loop.run(); });
   }
-  ~SlowCallers() {
-    replica.loop.stop();
-    if (other.joinable())
-      other.join();
+  std::vector<size_t> unsent_bytes() const {
+    std::vector<size_t> unsent;
+    for (const auto& [exchange, request] : request_of_exchange) {
+      unsent.push_back(proxy.listener->unsent_bytes(exchange));
+    }
+    return unsent;
   }
-  size_t most_unsent() const {
-    size_t most = 0;
-    for (auto& [id, u] : upstream_of)
-      most = std::max(most, front.in->unsent_bytes(id));
-    return most;
+  size_t most_unsent_bytes() const {
+    auto unsent = unsent_bytes();
+    return unsent.empty() ? 0 : *std::max_element(unsent.begin(), unsent.end());
   }
 };
 
+void raise_descriptor_limit() {
+  rlimit descriptors{};
+  ::getrlimit(RLIMIT_NOFILE, &descriptors);
+  descriptors.rlim_cur = descriptors.rlim_max;
+  ::setrlimit(RLIMIT_NOFILE, &descriptors);
+}
+
 }  // namespace
 
-TEST_CASE("a caller that does not read holds its answer back within the bound, and gets all of it later") {
-  SlowCallers s;
-  s.serve();
-  std::vector<std::unique_ptr<Peer>> peers;
+TEST_CASE("Backpressure bounds what is held for callers that do not read, and they get all of it later") {
+  SlowCallersFixture fixture;
+  fixture.run_replica();
   for (int i = 0; i < 20; ++i) {
-    peers.push_back(std::make_unique<Peer>(s.front.in->local_address()));
-    int small = 32 << 10;
-    ::setsockopt(peers.back()->fd.get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-    peers.back()->say(get_close);
+    fixture.add_caller();
   }
-  REQUIRE(until(s.front.loop, [&] { return s.pressure->paused() == peers.size(); }));
-  turns(s.front.loop, 50);
-  CHECK(s.most_unsent() <= HttpListener::high_watermark + (16 << 10));
-  CHECK(s.ended == 0);
-  REQUIRE(
-      until(s.front.loop, [&] { return std::all_of(peers.begin(), peers.end(), [](auto& p) { return p->look(); }); }));
-  for (auto& p : peers)
-    CHECK(count(p->got, "x") == answer_bytes);
-  CHECK(s.pressure->paused() == 0);
+  REQUIRE(run_until(fixture.proxy.loop, [&] { return fixture.backpressure->paused() == fixture.callers.size(); }));
+  run_iterations(fixture.proxy.loop, 50);
+  CHECK(fixture.most_unsent_bytes() <= max_unsent_bytes);
+  CHECK(fixture.completions == 0);
+
+  REQUIRE(run_until(fixture.proxy.loop, [&] {
+    return std::all_of(fixture.callers.begin(), fixture.callers.end(), [](auto& caller) { return caller->receive(); });
+  }));
+
+  for (const auto& caller : fixture.callers) {
+    CHECK(count_occurrences(caller->received, "x") == response_bytes);
+  }
+  CHECK(fixture.backpressure->paused() == 0);
 }
 
-TEST_CASE("a thousand slow streams are held in bounded memory", "[.memory]") {
-  rlimit files{};
-  ::getrlimit(RLIMIT_NOFILE, &files);
-  files.rlim_cur = files.rlim_max;
-  ::setrlimit(RLIMIT_NOFILE, &files);
-  SlowCallers s;
+TEST_CASE("Backpressure holds a thousand slow streams in bounded memory", "[.memory]") {
+  constexpr size_t stream_count = 1000;
+  constexpr size_t piece_bytes = 32 << 10;
+  raise_descriptor_limit();
+  SlowCallersFixture fixture;
+  auto& replica = *fixture.replica.listener;
   HttpListenerLimits limits;
-  limits.max_connections = 2000;
-  s.front.in->set_limits(limits);
-  s.replica.answer = nullptr;
-  std::vector<std::unique_ptr<Peer>> peers;
-  std::vector<uint64_t> asked;
-  for (int i = 0; i < 1000; ++i) {
-    peers.push_back(std::make_unique<Peer>(s.front.in->local_address()));
-    int small = 32 << 10;
-    ::setsockopt(peers.back()->fd.get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-    peers.back()->say(get_close);
-    turns(s.front.loop, 1);
+  limits.max_connections = 2 * stream_count;
+  fixture.proxy.listener->set_limits(limits);
+  fixture.replica.respond = nullptr;
+  for (size_t i = 0; i < stream_count; ++i) {
+    fixture.add_caller();
+    run_iterations(fixture.proxy.loop, 1);
+  }
+  REQUIRE(run_until(fixture.proxy.loop, [&] { return fixture.request_of_exchange.size() == stream_count; }));
+  auto resident_before = resident_bytes();
+  REQUIRE(fixture.replica.run_until_requests(stream_count));
+  for (const auto& received : fixture.replica.requests) {
+    replica.send_head(received.exchange, 200, {}, response_bytes);
   }
-  REQUIRE(until(s.front.loop, [&] { return s.upstream_of.size() == 1000; }));
-  auto before = resident_bytes();
-  REQUIRE(until(s.replica.loop, [&] { return s.replica.asked.size() == 1000; }));
-  for (auto& [id, request] : s.replica.asked)
-    s.replica.in->send_head(id, 200, {}, answer_bytes);
-  // The replica gives each stream 32 KiB at a time, and only while what it gave is taken.
+
+  // The replica gives each stream a piece at a time, and only while what it gave is taken.
   for (int round = 0; round < 32; ++round) {
-    for (auto& [id, request] : s.replica.asked)
-      if (s.replica.in->unsent_bytes(id) == 0)
-        s.replica.in->send_body(id, std::string(32 << 10, 'x'));
-    turns(s.replica.loop, 2);
-    turns(s.front.loop, 4);
+    for (const auto& received : fixture.replica.requests) {
+      if (replica.unsent_bytes(received.exchange) == 0) {
+        replica.send_body(received.exchange, std::string(piece_bytes, 'x'));
+      }
+    }
+    run_iterations(fixture.replica.loop, 2);
+    run_iterations(fixture.proxy.loop, 4);
+  }
+
+  size_t held_bytes = 0;
+  for (auto unsent : fixture.unsent_bytes()) {
+    held_bytes += unsent;
   }
-  size_t held = 0;
-  for (auto& [id, u] : s.upstream_of)
-    held += s.front.in->unsent_bytes(id);
-  auto grown = resident_bytes() - before;
-  WARN("1,000 slow streams: " << held / 1024 << " KiB unsent, " << grown / 1024 << " KiB resident, replica included");
-  CHECK(s.most_unsent() <= HttpListener::high_watermark + (16 << 10));
-  CHECK(held <= 1000 * (HttpListener::high_watermark + (16 << 10)));
+  auto grown_bytes = resident_bytes() - resident_before;
+  WARN("1,000 slow streams: " << held_bytes / 1024 << " KiB unsent, " << grown_bytes / 1024
+                              << " KiB resident, replica included");
+  CHECK(fixture.most_unsent_bytes() <= max_unsent_bytes);
+  CHECK(held_bytes <= stream_count * max_unsent_bytes);
 }
--- a/tests/unit/net/event_loop_test.cpp
+++ b/tests/unit/net/event_loop_test.cpp
@@ -1,48 +1,115 @@
 #include <sys/epoll.h>
 
+#include "net/deadline_timer.hpp"
 #include "socket_peer.hpp"
 
 using namespace mosskeel;
 
-TEST_CASE("timers run in order, cancelled ones never") {
-  EventLoop l;
-  std::string s;
-  l.run_after(3, [&] { s += "c", l.stop(); });
-  l.run_after(1, [&] { s += "a"; });
-  auto no = l.run_after(1, [&] { s += "x"; });
-  l.run_after(2, [&] { s += "b"; });
-  l.cancel(no);
-  for (int i = 0; i < 1000; ++i)
-    l.cancel(l.run_after(1, [&] { s += "y"; }));
-  l.run();
-  CHECK(s == "abc");
+TEST_CASE("EventLoop runs timers in the order of their time and no cancelled one") {
+  EventLoop loop;
+  std::string ran;
+  loop.run_after(3, [&] {
+    ran += "c";
+    loop.stop();
+  });
+  loop.run_after(1, [&] { ran += "a"; });
+  auto cancelled = loop.run_after(1, [&] { ran += "x"; });
+  loop.run_after(2, [&] { ran += "b"; });
+  loop.cancel(cancelled);
+  for (int i = 0; i < 1000; ++i) {
+    loop.cancel(loop.run_after(1, [&] { ran += "y"; }));
+  }
+
+  loop.run();
+
+  CHECK(ran == "abc");
 }
 
-TEST_CASE("functions posted by other threads all run") {
-  EventLoop l;
-  int n = 0;
-  std::vector<std::jthread> ts;
-  for (int t = 0; t < 4; ++t)
-    ts.emplace_back([&] {
-      for (int i = 0; i < 1000; ++i)
-        l.post([&] { ++n; });
+TEST_CASE("EventLoop runs every function that other threads post") {
+  EventLoop loop;
+  int runs = 0;
+  std::vector<std::jthread> threads;
+  for (int thread = 0; thread < 4; ++thread) {
+    threads.emplace_back([&] {
+      for (int i = 0; i < 1000; ++i) {
+        loop.post([&] { ++runs; });
+      }
     });
-  CHECK(until(l, [&] { return n == 4000; }));
+  }
+
+  CHECK(run_until(loop, [&] { return runs == 4000; }));
 }
 
-TEST_CASE("a descriptor forgotten in the same batch is not called") {
-  EventLoop l;
-  int a[2], b[2], calls = 0;
-  REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, a) == 0);
-  REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, b) == 0);
-  Fd fds[] = {Fd(a[0]), Fd(a[1]), Fd(b[0]), Fd(b[1])};
-  auto both = [&](uint32_t) {
-    ++calls, l.unwatch(a[0]), l.unwatch(b[0]);
+TEST_CASE("EventLoop does not call a descriptor that was unwatched in the same iteration") {
+  EventLoop loop;
+  int first_pair[2];
+  int second_pair[2];
+  REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, first_pair) == 0);
+  REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, second_pair) == 0);
+  Fd owners[] = {Fd(first_pair[0]), Fd(first_pair[1]), Fd(second_pair[0]), Fd(second_pair[1])};
+  int calls = 0;
+  auto unwatch_both = [&](uint32_t) {
+    ++calls;
+    loop.unwatch(first_pair[0]);
+    loop.unwatch(second_pair[0]);
   };
-  l.watch(a[0], EPOLLIN, both);
-  l.watch(b[0], EPOLLIN, both);
-  REQUIRE(::send(a[1], "x", 1, 0) == 1);
-  REQUIRE(::send(b[1], "x", 1, 0) == 1);
-  turns(l);
+  loop.watch(first_pair[0], EPOLLIN, unwatch_both);
+  loop.watch(second_pair[0], EPOLLIN, unwatch_both);
+  REQUIRE(::send(first_pair[1], "x", 1, 0) == 1);
+  REQUIRE(::send(second_pair[1], "x", 1, 0) == 1);
+
+  run_iterations(loop);
+
   CHECK(calls == 1);
 }
+
+TEST_CASE("DeadlineTimer expires once, at the deadline that was set last") {
+  EventLoop loop;
+  int expirations = 0;
+  Millis expired_at = 0;
+  DeadlineTimer deadline(loop, [&] {
+    ++expirations;
+    expired_at = monotonic_ms();
+  });
+  auto begin = monotonic_ms();
+
+  SECTION("moved later") {
+    deadline.set(5);
+    deadline.set(30);
+  }
+  SECTION("moved earlier") {
+    deadline.set(4000);
+    deadline.set(30);
+  }
+  SECTION("set again after it was cleared") {
+    deadline.set(5);
+    deadline.clear();
+    deadline.set(30);
+  }
+
+  REQUIRE(run_until(loop, [&] { return expirations > 0; }));
+  run_iterations(loop, 50);
+  CHECK(expirations == 1);
+  CHECK(expired_at - begin >= 30);
+  CHECK(expired_at - begin < 3000);
+}
+
+TEST_CASE("DeadlineTimer does not expire once it is cleared, cancelled or set to 0") {
+  EventLoop loop;
+  bool expired = false;
+  DeadlineTimer deadline(loop, [&] { expired = true; });
+  deadline.set(5);
+
+  SECTION("cleared") {
+    deadline.clear();
+  }
+  SECTION("cancelled") {
+    deadline.cancel();
+  }
+  SECTION("set to 0") {
+    deadline.set(0);
+  }
+
+  run_iterations(loop, 30);
+  CHECK_FALSE(expired);
+}
--- a/tests/unit/net/faulty_replica.hpp
+++ b/tests/unit/net/faulty_replica.hpp
@@ -1,5 +1,7 @@
 #pragma once
-// A replica on a real socket that spoils its answers by seed and counts what it ran by attempt.
+// A replica on a real socket that makes faults by seed and counts what it ran by attempt.
+#include <sys/epoll.h>
+
 #include <random>
 
 #include "net/http_head.hpp"
@@ -7,172 +9,215 @@
 
 namespace mosskeel {
 
-/// What became of attempts at all replicas of a test.
-struct RunLedger {
+/// What all replicas of a test ran.
+struct ReplicaRunLog {
+  /// Runs by attempt.
   std::map<std::string, int> runs;
-  /// The body that was made for an attempt, by seal.
+  /// The bodies that were made for an attempt, by seal.
   std::map<std::string, std::map<std::string, std::string>> bodies;
-  uint64_t seals = 0;
+  uint64_t last_seal = 0;
 };
 
 class FaultyReplica {
  public:
   enum class Fault {
     none,
-    surplus,
-    late_surplus,
-    late_refusal,
+    surplus_response,
+    late_surplus_response,
+    late_rejection,
     reset,
-    cut_head,
-    cut_body,
+    truncated_head,
+    truncated_body,
     garbage,
     not_run,
     not_run_without_id,
     misdirected,
     silence,
     half_close,
-    other_id,
+    id_of_other_attempt,
     no_seal,
-    failure,
+    server_error,
     count
   };
-  FaultyReplica(EventLoop& loop, RunLedger& ledger, uint64_t seed, unsigned fault_percent)
-      : loop_(loop), ledger_(ledger), random_(seed), fault_percent_(fault_percent) {
-    auto e = parse_endpoint("127.0.0.1:0");
-    REQUIRE(::bind(listening_.get(), reinterpret_cast<sockaddr*>(&e->storage), e->length) == 0);
-    REQUIRE(::listen(listening_.get(), 100) == 0);
-    loop_.watch(listening_.get(), EPOLLIN, [this](uint32_t) { accept(); });
+  FaultyReplica(EventLoop& loop, ReplicaRunLog& log, uint64_t seed, unsigned fault_percent)
+      : loop_(loop), log_(log), random_(seed), fault_percent_(fault_percent) {
+    loop_.watch(listening_socket_.get(), EPOLLIN, [this](uint32_t) { accept(); });
   }
   ~FaultyReplica() {
-    for (auto timer : timers_)
+    for (auto timer : timers_) {
       loop_.cancel(timer);
-    while (!sessions_.empty())
-      close(sessions_.begin()->first);
-    loop_.unwatch(listening_.get());
+    }
+    while (!connections_.empty()) {
+      close(connections_.begin()->first);
+    }
+    loop_.unwatch(listening_socket_.get());
   }
-  Address at() const { return bound_address(listening_.get()); }
+  Address address() const { return bound_address(listening_socket_.get()); }
 
  private:
-  struct Session {
-    Fd fd;
-    std::string in;
+  struct Connection {
+    Fd socket;
+    std::string received;
   };
-  uint64_t roll(uint64_t n) { return random_() % n; }
+  /// The responses that one run may be answered with.
+  struct Responses {
+    std::string attempt_field, seal_field, body;
+    std::string complete() const { return response("200 OK", attempt_field + seal_field, body); }
+    std::string of_other_attempt() const {
+      return response("200 OK", "Mosskeel-Attempt-Id: stranger\r\n" + seal_field, body);
+    }
+    std::string without_seal() const { return response("200 OK", attempt_field, body); }
+    std::string server_error() const { return response("500 Broken", attempt_field + seal_field, ""); }
+    std::string rejection() const { return response("503 Busy", attempt_field + "Mosskeel-Not-Run: 1\r\n", ""); }
+  };
+
+  static std::string response(const std::string& status, const std::string& fields, const std::string& body) {
+    return "HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+           body;
+  }
+  static std::string attempt_field(const std::string& attempt) { return "Mosskeel-Attempt-Id: " + attempt + "\r\n"; }
+
+  uint64_t random_below(uint64_t bound) { return random_() % bound; }
+  Fault random_fault() {
+    if (random_below(100) >= fault_percent_) {
+      return Fault::none;
+    }
+    return static_cast<Fault>(random_below(static_cast<uint64_t>(Fault::count)));
+  }
+
   void accept() {
-    for (;;) {
-      Fd fd(::accept4(listening_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-      if (!fd)
+    while (true) {
+      Fd accepted(::accept4(listening_socket_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+      if (!accepted) {
         return;
-      auto id = ++last_;
-      auto raw = fd.get();
-      sessions_[id].fd = std::move(fd);
-      loop_.watch(raw, EPOLLIN, [this, id](uint32_t) { receive(id); });
+      }
+      auto id = ++last_connection_;
+      auto socket = accepted.get();
+      connections_[id].socket = std::move(accepted);
+      loop_.watch(socket, EPOLLIN, [this, id](uint32_t) { receive(id); });
     }
   }
   void close(uint64_t id) {
-    auto i = sessions_.find(id);
-    if (i == sessions_.end())
+    auto found = connections_.find(id);
+    if (found == connections_.end()) {
       return;
-    loop_.unwatch(i->second.fd.get());
-    sessions_.erase(i);
+    }
+    loop_.unwatch(found->second.socket.get());
+    connections_.erase(found);
   }
   void reset(uint64_t id) {
-    linger l{1, 0};
-    ::setsockopt(sessions_.at(id).fd.get(), SOL_SOCKET, SO_LINGER, &l, sizeof l);
+    reset_on_close(connections_.at(id).socket.get());
     close(id);
   }
-  void say(uint64_t id, const std::string& s) {
-    auto i = sessions_.find(id);
-    if (i != sessions_.end())
-      (void)!::send(i->second.fd.get(), s.data(), s.size(), MSG_NOSIGNAL);
+  void send(uint64_t id, const std::string& bytes) {
+    auto found = connections_.find(id);
+    if (found != connections_.end()) {
+      (void)!::send(found->second.socket.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
+    }
+  }
+  void send_later(uint64_t id, std::string bytes) {
+    auto delay = static_cast<Millis>(random_below(10));
+    timers_.push_back(loop_.run_after(delay, [this, id, bytes = std::move(bytes)] { send(id, bytes); }));
   }
   void receive(uint64_t id) {
     static char buffer[65536];
-    auto& s = sessions_.at(id);
-    auto n = ::recv(s.fd.get(), buffer, sizeof buffer, 0);
-    if (n < 0 && errno == EAGAIN)
+    auto& connection = connections_.at(id);
+    auto count = ::recv(connection.socket.get(), buffer, sizeof buffer, 0);
+    if (count < 0 && errno == EAGAIN) {
+      return;
+    }
+    if (count <= 0) {
+      close(id);
       return;
-    if (n <= 0)
-      return close(id);
-    s.in.append(buffer, static_cast<size_t>(n));
+    }
+    connection.received.append(buffer, static_cast<size_t>(count));
     size_t scanned = 0;
-    if (scan_head(s.in, scanned) != HeadScan::complete)
+    if (scan_head(connection.received, scanned) != HeadScan::complete) {
       return;
-    auto head = parse_request_head(std::string_view(s.in).substr(0, scanned));
-    if (s.in.size() < scanned + head.content_length.value_or(0))
+    }
+    auto head = parse_request_head(std::string_view(connection.received).substr(0, scanned));
+    auto request_size = scanned + head.content_length.value_or(0);
+    if (connection.received.size() < request_size) {
       return;
-    s.in.erase(0, scanned + head.content_length.value_or(0));
+    }
+    connection.received.erase(0, request_size);
     auto attempt = std::string(header_value(head.fields, "Mosskeel-Attempt-Id"));
-    auto delay = static_cast<Millis>(roll(20));
-    timers_.push_back(loop_.run_after(delay, [this, id, attempt] { answer(id, attempt); }));
-  }
-  static std::string head(const std::string& status, const std::string& fields, size_t length) {
-    return "HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + std::to_string(length) + "\r\n\r\n";
+    auto delay = static_cast<Millis>(random_below(20));
+    timers_.push_back(loop_.run_after(delay, [this, id, attempt] { respond(id, attempt); }));
   }
-  void refuse(uint64_t id, const std::string& status, const std::string& attempt) {
-    auto name = attempt.empty() ? "" : "Mosskeel-Attempt-Id: " + attempt + "\r\n";
-    say(id, head(status, name + "Mosskeel-Not-Run: 1\r\n", 0));
+  void reject(uint64_t id, const std::string& status, const std::string& fields) {
+    send(id, response(status, fields + "Mosskeel-Not-Run: 1\r\n", ""));
   }
-  void answer(uint64_t id, const std::string& attempt) {
-    if (!sessions_.count(id))
+  /// Responds to a request, which may fail before it runs.
+  void respond(uint64_t id, const std::string& attempt) {
+    if (!connections_.count(id)) {
       return;
-    auto fault =
-        roll(100) < fault_percent_ ? static_cast<Fault>(roll(static_cast<uint64_t>(Fault::count))) : Fault::none;
-    if (fault == Fault::not_run)
-      return refuse(id, "503 Busy", attempt);
-    if (fault == Fault::not_run_without_id)
-      return refuse(id, "503 Busy", "");
-    if (fault == Fault::misdirected)
-      return refuse(id, "421 Elsewhere", attempt);
-    ++ledger_.runs[attempt];
-    auto seal = "s" + std::to_string(++ledger_.seals);
+    }
+    auto fault = random_fault();
+    switch (fault) {
+      case Fault::not_run:
+        return reject(id, "503 Busy", attempt_field(attempt));
+      case Fault::not_run_without_id:
+        return reject(id, "503 Busy", "");
+      case Fault::misdirected:
+        return reject(id, "421 Elsewhere", attempt_field(attempt));
+      default:
+        return run(id, attempt, fault);
+    }
+  }
+  /// Runs a request and sends its response, or what the fault makes of it.
+  void run(uint64_t id, const std::string& attempt, Fault fault) {
+    ++log_.runs[attempt];
+    auto seal = "s" + std::to_string(++log_.last_seal);
     std::string body = attempt + " " + seal + " ";
-    body.append(roll(20) ? roll(2000) : 300000, static_cast<char>('a' + roll(26)));
-    auto name = "Mosskeel-Attempt-Id: " + attempt + "\r\n", sealed = "Mosskeel-Server-Seal: " + seal + "\r\n";
-    auto whole = head("200 OK", name + sealed, body.size()) + body;
-    auto stranger = head("200 OK", "Mosskeel-Attempt-Id: stranger\r\n" + sealed, body.size()) + body;
-    auto& made = ledger_.bodies[attempt][seal];
+    body.append(random_below(20) ? random_below(2000) : 300000, static_cast<char>('a' + random_below(26)));
+    Responses responses{attempt_field(attempt), "Mosskeel-Server-Seal: " + seal + "\r\n", body};
+    // What is sent below without this body may not count as the response to this run.
+    auto& made_body = log_.bodies[attempt][seal];
+    auto complete = responses.complete();
     switch (fault) {
       case Fault::reset:
         return reset(id);
-      case Fault::cut_head:
-        say(id, whole.substr(0, 20));
+      case Fault::truncated_head:
+        send(id, complete.substr(0, 20));
         return close(id);
-      case Fault::cut_body:
-        say(id, whole.substr(0, whole.size() - 1));
+      case Fault::truncated_body:
+        send(id, complete.substr(0, complete.size() - 1));
         return close(id);
       case Fault::garbage:
-        return say(id, "no answer at all\r\n\r\n");
+        return send(id, "no answer at all\r\n\r\n");
       case Fault::silence:
         return;
-      case Fault::other_id:
-        return say(id, stranger);
+      case Fault::id_of_other_attempt:
+        return send(id, responses.of_other_attempt());
       case Fault::no_seal:
-        return say(id, head("200 OK", name, body.size()) + body);
-      case Fault::failure:
-        return say(id, head("500 Broken", name + sealed, 0));
+        return send(id, responses.without_seal());
+      case Fault::server_error:
+        return send(id, responses.server_error());
       default:
         break;
     }
-    made = body;
-    say(id, whole);
-    auto again = fault == Fault::late_refusal ? head("503 Busy", name + "Mosskeel-Not-Run: 1\r\n", 0) : whole;
-    if (fault == Fault::surplus)
-      say(id, again);
-    if (fault == Fault::late_surplus || fault == Fault::late_refusal)
-      timers_.push_back(loop_.run_after(static_cast<Millis>(roll(10)), [this, id, again] { say(id, again); }));
-    if (fault == Fault::half_close)
-      ::shutdown(sessions_.at(id).fd.get(), SHUT_WR);
+    made_body = body;
+    send(id, complete);
+    if (fault == Fault::surplus_response) {
+      send(id, complete);
+    } else if (fault == Fault::late_surplus_response) {
+      send_later(id, complete);
+    } else if (fault == Fault::late_rejection) {
+      send_later(id, responses.rejection());
+    } else if (fault == Fault::half_close) {
+      ::shutdown(connections_.at(id).socket.get(), SHUT_WR);
+    }
   }
 
   EventLoop& loop_;
-  RunLedger& ledger_;
+  ReplicaRunLog& log_;
   std::mt19937_64 random_;
   unsigned fault_percent_;
-  Fd listening_{::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)};
-  std::map<uint64_t, Session> sessions_;
+  Fd listening_socket_ = listening_socket();
+  std::map<uint64_t, Connection> connections_;
   std::vector<uint64_t> timers_;
-  uint64_t last_ = 0;
+  uint64_t last_connection_ = 0;
 };
 
 }  // namespace mosskeel
--- a/tests/unit/net/http_listener_test.cpp
+++ b/tests/unit/net/http_listener_test.cpp
@@ -2,259 +2,363 @@
 
 using namespace mosskeel;
 
-TEST_CASE("a request comes whole, without what belongs to the connection") {
-  TestServer d;
-  auto got = d.talk(
+namespace {
+
+const std::string head_of_200 = "HTTP/1.1 200 OK\r\n";
+
+/// Responds with a body in pieces, and with fields that must not get through.
+auto respond_in_pieces(TestServer& server, std::optional<uint64_t> content_length, uint32_t status = 200) {
+  return [&server, content_length, status](uint64_t exchange) {
+    HeaderFields fields{{"Connection", "X"}, {"X", "1"}, {"Bad", "a\r\nB: c"}, {"Y", "2"}};
+    server.listener->send_head(exchange, status, fields, content_length);
+    server.listener->send_body(exchange, "hello ");
+    server.listener->send_body(exchange, "");
+    server.listener->send_body(exchange, "world");
+    server.listener->finish(exchange);
+  };
+}
+
+}  // namespace
+
+TEST_CASE("HttpListener gives a request without what belongs to its connection") {
+  TestServer server;
+
+  auto response = server.exchange(
       "\r\nPOST /a?b=%20 HTTP/1.1\r\nHost: News.Example:80\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nX-Stay:  two \r\n"
       "X-Empty:\r\nTE: trailers\r\nUpgrade: h2c\r\nKeep-Alive: timeout=5\r\nProxy-Connection: "
       "x\r\nProxy-Authorization: y\r\n"
       "Trailer: T\r\nTransfer-Encoding: Chunked\r\n\r\n3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\nT: v\r\n\r\n");
-  REQUIRE(d.asked.size() == 1);
-  auto& q = d.asked[0].second;
-  CHECK(q.method == "POST");
-  CHECK(q.target == "/a?b=%20");
-  CHECK(q.host == "news.example");
-  CHECK(q.body == "abcdefg");
-  CHECK(q.fields == HeaderFields{{"Host", "News.Example:80"}, {"X-Stay", "two"}, {"X-Empty", ""}});
-  CHECK(got == "HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello");
+
+  REQUIRE(server.requests.size() == 1);
+  const auto& request = server.requests[0].request;
+  CHECK(request.method == "POST");
+  CHECK(request.target == "/a?b=%20");
+  CHECK(request.host == "news.example");
+  CHECK(request.body == "abcdefg");
+  CHECK(request.fields == HeaderFields{{"Host", "News.Example:80"}, {"X-Stay", "two"}, {"X-Empty", ""}});
+  CHECK(response == head_of_200 + "X-A: b\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello");
 }
 
-TEST_CASE("a request may come byte by byte") {
-  TestServer d;
-  Peer p(d.in->local_address());
-  for (char c : std::string("PUT /x HTTP/1.1\r\nHost: [::1]:8\r\nContent-Length: 4\r\n\r\nbody")) {
-    p.say({&c, 1});
-    turns(d.loop, 1);
+TEST_CASE("HttpListener reads a request that comes byte by byte") {
+  TestServer server;
+  SocketPeer caller(server.address());
+
+  for (char byte : std::string("PUT /x HTTP/1.1\r\nHost: [::1]:8\r\nContent-Length: 4\r\n\r\nbody")) {
+    caller.send({&byte, 1});
+    run_iterations(server.loop, 1);
   }
-  REQUIRE(until(d.loop, [&] { return p.has("hello"); }));
-  CHECK(d.asked.at(0).second.host == "[::1]");
-  CHECK(d.asked.at(0).second.body == "body");
+
+  REQUIRE(run_until(server.loop, [&] { return caller.has_received("hello"); }));
+  CHECK(server.requests.at(0).request.host == "[::1]");
+  CHECK(server.requests.at(0).request.body == "body");
 }
 
-TEST_CASE("pipelined requests are asked one after the other") {
-  TestServer d;
-  d.answer = nullptr;
-  Peer p(d.in->local_address());
-  p.say(get + get + get_close + get);
-  for (size_t n = 1; n <= 3; ++n) {
-    REQUIRE(until(d.loop, [&] { return d.asked.size() == n; }));
-    turns(d.loop);
-    CHECK(d.asked.size() == n);
-    d.in->send_response(d.asked.back().first, 200, {}, std::to_string(n));
+TEST_CASE("HttpListener gives pipelined requests one after the other") {
+  TestServer server;
+  server.respond = nullptr;
+  SocketPeer caller(server.address());
+  caller.send(get_request + get_request + get_request_closing + get_request);
+
+  for (size_t count = 1; count <= 3; ++count) {
+    REQUIRE(server.run_until_requests(count));
+    run_iterations(server.loop);
+    CHECK(server.requests.size() == count);
+    server.listener->send_response(server.requests.back().exchange, 200, {}, std::to_string(count));
   }
-  REQUIRE(until(d.loop, [&] { return p.look(); }));
-  CHECK(count(p.got, "HTTP/1.1 200") == 3);
-  CHECK(d.asked.size() == 3);
-  CHECK(d.left.empty());
+
+  REQUIRE(run_until(server.loop, [&] { return caller.receive(); }));
+  CHECK(count_occurrences(caller.received, "HTTP/1.1 200") == 3);
+  CHECK(server.requests.size() == 3);
+  CHECK(server.disconnected.empty());
 }
 
-TEST_CASE("many pipelined requests answered at once neither recurse nor get lost") {
-  TestServer d;
-  Peer p(d.in->local_address());
-  std::string all;
-  for (int i = 0; i < 2000; ++i)
-    all += "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
-  p.say(all);
-  REQUIRE(until(d.loop, [&] { return p.look(), count(p.got, "hello") == 2000; }));
+TEST_CASE("HttpListener responds to thousands of pipelined requests without recursion or loss") {
+  constexpr size_t request_count = 2000;
+  TestServer server;
+  SocketPeer caller(server.address());
+  std::string requests;
+  for (size_t i = 0; i < request_count; ++i) {
+    requests += "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
+  }
+
+  caller.send(requests);
+
+  REQUIRE(run_until(server.loop, [&] {
+    caller.receive();
+    return count_occurrences(caller.received, "hello") == request_count;
+  }));
 }
 
-TEST_CASE("answers in pieces: chunks, lengths, bodiless ones, and HTTP/1.0") {
-  TestServer d;
-  auto pieces = [&](std::optional<uint64_t> length, uint32_t status = 200) {
-    d.answer = [&d, length, status](uint64_t id) {
-      d.in->send_head(id, status, {{"Connection", "X"}, {"X", "1"}, {"Bad", "a\r\nB: c"}, {"Y", "2"}}, length);
-      d.in->send_body(id, "hello ");
-      d.in->send_body(id, "");
-      d.in->send_body(id, "world");
-      d.in->finish(id);
-    };
-  };
-  pieces(std::nullopt);
-  CHECK(d.talk(get_close) ==
-        "HTTP/1.1 200 OK\r\nY: 2\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
-        "6\r\nhello \r\n5\r\nworld\r\n0\r\n\r\n");
-  CHECK(d.talk("GET / HTTP/1.0\r\n\r\n") == "HTTP/1.1 200 OK\r\nY: 2\r\nConnection: close\r\n\r\nhello world");
-  pieces(11);
-  CHECK(d.talk(get_close) == "HTTP/1.1 200 OK\r\nY: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\nhello world");
-  CHECK(d.talk("HEAD / HTTP/1.0\r\n\r\n") ==
-        "HTTP/1.1 200 OK\r\nY: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\n");
-  pieces(std::nullopt, 204);
-  CHECK(d.talk(get_close) == "HTTP/1.1 204 No Content\r\nY: 2\r\nConnection: close\r\n\r\n");
-  Peer p(d.in->local_address());
-  pieces(12);
-  p.say(get);
-  REQUIRE(until(d.loop, [&] { return p.look(); }));
-  CHECK(p.reset);
-  CHECK(d.left.empty());
+TEST_CASE("HttpListener chunks a body of unknown length, but for HTTP/1.0") {
+  TestServer server;
+  server.respond = respond_in_pieces(server, std::nullopt);
+
+  CHECK(server.exchange(get_request_closing) == head_of_200 +
+                                                    "Y: 2\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
+                                                    "6\r\nhello \r\n5\r\nworld\r\n0\r\n\r\n");
+  CHECK(server.exchange("GET / HTTP/1.0\r\n\r\n") == head_of_200 + "Y: 2\r\nConnection: close\r\n\r\nhello world");
 }
 
-TEST_CASE("an interim 100 is sent to those who wait for it, and not when the body is too big") {
-  TestServer d;
-  Peer p(d.in->local_address());
-  p.say("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n");
-  REQUIRE(until(d.loop, [&] { return p.has("HTTP/1.1 100 Continue\r\n\r\n"); }));
-  p.say("abc");
-  REQUIRE(until(d.loop, [&] { return p.has("hello"); }));
-  CHECK(header_value(d.asked[0].second.fields, "Expect").empty());
-  p.say("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 99999999\r\n\r\n");
-  REQUIRE(until(d.loop, [&] { return p.look(); }));
-  CHECK(count(p.got, "100 Continue") == 1);
-  CHECK(count(p.got, "HTTP/1.1 413") == 1);
+TEST_CASE("HttpListener sends a body of known length as it is, and none to HEAD") {
+  TestServer server;
+  server.respond = respond_in_pieces(server, 11);
+
+  CHECK(server.exchange(get_request_closing) ==
+        head_of_200 + "Y: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\nhello world");
+  CHECK(server.exchange("HEAD / HTTP/1.0\r\n\r\n") ==
+        head_of_200 + "Y: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\n");
 }
 
-TEST_CASE("a caller that closes or resets is told of once, and its exchange is dead") {
-  TestServer d;
-  d.answer = nullptr;
-  int way = GENERATE(0, 1, 2);
-  Peer p(d.in->local_address());
-  p.say(get + (way == 1 ? get : ""));
-  REQUIRE(until(d.loop, [&] { return d.asked.size() == 1; }));
-  auto id = d.asked[0].first;
-  d.in->send_head(id, 200, {}, std::nullopt);
-  way == 0 ? p.break_off() : way == 1 ? p.close() : void(::shutdown(p.fd.get(), SHUT_WR));
-  REQUIRE(until(d.loop, [&] { return !d.left.empty(); }));
-  CHECK(d.left == std::vector{id});
-  CHECK(d.in->connections() == 0);
-  d.in->send_body(id, "x");
-  d.in->finish(id);
-  turns(d.loop);
-  CHECK(d.left.size() == 1);
-  CHECK(d.asked.size() == 1);
+TEST_CASE("HttpListener sends neither body nor framing with a status that has none") {
+  TestServer server;
+  server.respond = respond_in_pieces(server, std::nullopt, 204);
+
+  CHECK(server.exchange(get_request_closing) == "HTTP/1.1 204 No Content\r\nY: 2\r\nConnection: close\r\n\r\n");
 }
 
-TEST_CASE("a cut answer ends in a reset") {
-  TestServer d;
-  d.answer = nullptr;
-  Peer p(d.in->local_address());
-  p.say(get);
-  REQUIRE(until(d.loop, [&] { return d.asked.size() == 1; }));
-  auto id = d.asked[0].first;
-  d.in->send_head(id, 200, {}, std::nullopt);
-  d.in->send_body(id, "part");
-  REQUIRE(until(d.loop, [&] { return p.has("part"); }));
-  d.in->abort(id);
-  REQUIRE(until(d.loop, [&] { return p.look(); }));
-  CHECK(p.reset);
-  CHECK(d.left.empty());
+TEST_CASE("HttpListener resets the connection of a response that is shorter than its length") {
+  TestServer server;
+  server.respond = respond_in_pieces(server, 12);
+  SocketPeer caller(server.address());
+
+  caller.send(get_request);
+
+  REQUIRE(run_until(server.loop, [&] { return caller.receive(); }));
+  CHECK(caller.reset);
+  CHECK(server.disconnected.empty());
 }
 
-TEST_CASE("unsent bytes are counted and their draining told") {
-  TestServer d;
-  d.answer = nullptr;
-  Peer p(d.in->local_address());
-  p.say(get);
-  REQUIRE(until(d.loop, [&] { return d.asked.size() == 1; }));
-  auto id = d.asked[0].first;
-  d.in->send_head(id, 200, {}, 32 << 20);
-  for (int i = 0; i < 32; ++i)
-    d.in->send_body(id, std::string(1 << 20, 'x'));
-  turns(d.loop);
-  CHECK(d.in->unsent_bytes(id) > HttpListener::high_watermark);
-  CHECK(d.drained.empty());
-  REQUIRE(until(d.loop, [&] { return p.look(), !d.drained.empty(); }));
-  CHECK(d.in->unsent_bytes(id) < HttpListener::low_watermark);
-  d.in->finish(id);
-  REQUIRE(until(d.loop, [&] { return p.look(), p.got.size() > 32 << 20; }));
-  turns(d.loop);
-  CHECK(d.drained.size() == 1);
-  CHECK(d.in->connections() == 1);
+TEST_CASE("HttpListener sends 100 Continue to a caller that waits for it, but not before a body that is too large") {
+  TestServer server;
+  SocketPeer caller(server.address());
+
+  caller.send("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n");
+  REQUIRE(run_until(server.loop, [&] { return caller.has_received("HTTP/1.1 100 Continue\r\n\r\n"); }));
+  caller.send("abc");
+  REQUIRE(run_until(server.loop, [&] { return caller.has_received("hello"); }));
+  CHECK(header_value(server.requests[0].request.fields, "Expect").empty());
+
+  caller.send("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 99999999\r\n\r\n");
+  REQUIRE(run_until(server.loop, [&] { return caller.receive(); }));
+  CHECK(count_occurrences(caller.received, "100 Continue") == 1);
+  CHECK(count_occurrences(caller.received, "HTTP/1.1 413") == 1);
 }
 
-TEST_CASE("closing after answers: idle sessions get one more answer, the last; listening goes on") {
-  TestServer d;
-  Peer idle(d.in->local_address()), busy(d.in->local_address()), half(d.in->local_address());
-  idle.say(get), half.say("GET / HTTP/1.1\r\n");
-  REQUIRE(until(d.loop, [&] { return idle.has("hello"); }));
-  d.answer = nullptr;
-  busy.say(get);
-  REQUIRE(until(d.loop, [&] { return d.asked.size() == 2; }));
-  d.in->close_after_responses();
-  turns(d.loop);
-  CHECK_FALSE(idle.look());
-  CHECK_FALSE(busy.look());
-  d.in->send_response(d.asked[1].first, 200, {}, "bye");
-  REQUIRE(until(d.loop, [&] { return busy.look(); }));
-  CHECK(busy.got.ends_with("Connection: close\r\n\r\nbye"));
-  d.answer = [&](uint64_t id) {
-    d.in->send_response(id, 503, {}, "late");
+TEST_CASE("HttpListener tells once of a caller that is gone, and its exchange is dead") {
+  TestServer server;
+  server.respond = nullptr;
+  SocketPeer caller(server.address());
+  std::function<void()> disconnect;
+  SECTION("by a reset") {
+    caller.send(get_request);
+    disconnect = [&] {
+      caller.close_with_reset();
+    };
+  }
+  SECTION("by a close, with a pipelined request unread") {
+    caller.send(get_request + get_request);
+    disconnect = [&] {
+      caller.close();
+    };
+  }
+  SECTION("by the end of its own direction") {
+    caller.send(get_request);
+    disconnect = [&] {
+      ::shutdown(caller.socket.get(), SHUT_WR);
+    };
+  }
+  REQUIRE(server.run_until_requests(1));
+  auto exchange = server.requests[0].exchange;
+  server.listener->send_head(exchange, 200, {}, std::nullopt);
+
+  disconnect();
+
+  REQUIRE(run_until(server.loop, [&] { return !server.disconnected.empty(); }));
+  CHECK(server.disconnected == std::vector{exchange});
+  CHECK(server.listener->connections() == 0);
+  server.listener->send_body(exchange, "x");
+  server.listener->finish(exchange);
+  run_iterations(server.loop);
+  CHECK(server.disconnected.size() == 1);
+  CHECK(server.requests.size() == 1);
+}
+
+TEST_CASE("HttpListener ends an aborted response with a reset") {
+  TestServer server;
+  server.respond = nullptr;
+  SocketPeer caller(server.address());
+  caller.send(get_request);
+  REQUIRE(server.run_until_requests(1));
+  auto exchange = server.requests[0].exchange;
+  server.listener->send_head(exchange, 200, {}, std::nullopt);
+  server.listener->send_body(exchange, "part");
+  REQUIRE(run_until(server.loop, [&] { return caller.has_received("part"); }));
+
+  server.listener->abort(exchange);
+
+  REQUIRE(run_until(server.loop, [&] { return caller.receive(); }));
+  CHECK(caller.reset);
+  CHECK(server.disconnected.empty());
+}
+
+TEST_CASE("HttpListener counts unsent bytes and tells once that they have drained") {
+  constexpr size_t body_bytes = 32 << 20;
+  constexpr size_t piece_bytes = 1 << 20;
+  TestServer server;
+  server.respond = nullptr;
+  SocketPeer caller(server.address());
+  caller.send(get_request);
+  REQUIRE(server.run_until_requests(1));
+  auto exchange = server.requests[0].exchange;
+
+  server.listener->send_head(exchange, 200, {}, body_bytes);
+  for (size_t sent = 0; sent < body_bytes; sent += piece_bytes) {
+    server.listener->send_body(exchange, std::string(piece_bytes, 'x'));
+  }
+  run_iterations(server.loop);
+  CHECK(server.listener->unsent_bytes(exchange) > HttpListener::kHighWatermark);
+  CHECK(server.drained.empty());
+
+  REQUIRE(run_until(server.loop, [&] {
+    caller.receive();
+    return !server.drained.empty();
+  }));
+  CHECK(server.listener->unsent_bytes(exchange) < HttpListener::kLowWatermark);
+
+  server.listener->finish(exchange);
+  REQUIRE(run_until(server.loop, [&] {
+    caller.receive();
+    return caller.received.size() > body_bytes;
+  }));
+  run_iterations(server.loop);
+  CHECK(server.drained.size() == 1);
+  CHECK(server.listener->connections() == 1);
+}
+
+TEST_CASE("HttpListener that closes after responses gives each connection one more response, and goes on listening") {
+  TestServer server;
+  SocketPeer idle(server.address());
+  SocketPeer busy(server.address());
+  SocketPeer half_sent(server.address());
+  idle.send(get_request);
+  half_sent.send("GET / HTTP/1.1\r\n");
+  REQUIRE(run_until(server.loop, [&] { return idle.has_received("hello"); }));
+  server.respond = nullptr;
+  busy.send(get_request);
+  REQUIRE(server.run_until_requests(2));
+
+  server.listener->close_after_responses();
+
+  run_iterations(server.loop);
+  CHECK_FALSE(idle.receive());
+  CHECK_FALSE(busy.receive());
+  server.listener->send_response(server.requests[1].exchange, 200, {}, "bye");
+  REQUIRE(run_until(server.loop, [&] { return busy.receive(); }));
+  CHECK(busy.received.ends_with("Connection: close\r\n\r\nbye"));
+
+  server.respond = [&](uint64_t exchange) {
+    server.listener->send_response(exchange, 503, {}, "late");
   };
-  half.say("Host: h\r\n\r\n");
-  REQUIRE(until(d.loop, [&] { return half.look(); }));
-  CHECK(half.got.ends_with("Connection: close\r\n\r\nlate"));
-  CHECK(d.talk(get).ends_with("Connection: close\r\n\r\nlate"));
-  idle.got.clear();
-  idle.say(get);
-  REQUIRE(until(d.loop, [&] { return idle.look(); }));
+  half_sent.send("Host: h\r\n\r\n");
+  REQUIRE(run_until(server.loop, [&] { return half_sent.receive(); }));
+  CHECK(half_sent.received.ends_with("Connection: close\r\n\r\nlate"));
+  CHECK(server.exchange(get_request).ends_with("Connection: close\r\n\r\nlate"));
+  idle.received.clear();
+  idle.send(get_request);
+  REQUIRE(run_until(server.loop, [&] { return idle.receive(); }));
   CHECK_FALSE(idle.reset);
-  CHECK(idle.got.ends_with("Connection: close\r\n\r\nlate"));
-  REQUIRE(until(d.loop, [&] { return d.in->connections() == 0; }));
+  CHECK(idle.received.ends_with("Connection: close\r\n\r\nlate"));
+  REQUIRE(server.run_until_connections(0));
 }
 
-TEST_CASE("draining: idle sessions end, nobody new is taken, every request that was read has its whole answer") {
-  TestServer d;
-  auto at = d.in->local_address();
-  Peer idle(at), busy(at), half(at), silent(at);
-  idle.say(get), half.say("GET / HTTP/1.1\r\n");
-  REQUIRE(until(d.loop, [&] { return idle.has("hello") && d.in->connections() == 4; }));
-  d.answer = nullptr;
-  busy.say(get);
-  REQUIRE(until(d.loop, [&] { return d.asked.size() == 2; }));
-  d.in->drain();
-  REQUIRE(until(d.loop, [&] { return idle.look() && silent.look(); }));
+TEST_CASE("HttpListener that drains closes idle connections, takes no new ones and completes what it has begun") {
+  TestServer server;
+  auto address = server.address();
+  SocketPeer idle(address);
+  SocketPeer busy(address);
+  SocketPeer half_sent(address);
+  SocketPeer silent(address);
+  idle.send(get_request);
+  half_sent.send("GET / HTTP/1.1\r\n");
+  REQUIRE(run_until(server.loop, [&] { return idle.has_received("hello") && server.listener->connections() == 4; }));
+  server.respond = nullptr;
+  busy.send(get_request);
+  REQUIRE(server.run_until_requests(2));
+
+  server.listener->drain();
+
+  REQUIRE(run_until(server.loop, [&] { return idle.receive() && silent.receive(); }));
   CHECK_FALSE(idle.reset);
-  CHECK(count(idle.got, "HTTP/1.1") == 1);
+  CHECK(count_occurrences(idle.received, "HTTP/1.1") == 1);
   Fd late(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  auto e = parse_endpoint(at);
-  CHECK(::connect(late.get(), reinterpret_cast<sockaddr*>(&e->storage), e->length) != 0);
-  half.say("Host: h\r\n\r\n");
-  REQUIRE(until(d.loop, [&] { return d.asked.size() == 3; }));
-  idle.close(), silent.close();
-  REQUIRE(until(d.loop, [&] { return d.in->connections() == 2; }));
-  for (auto i : {1, 2})
-    d.in->send_response(d.asked[static_cast<size_t>(i)].first, 200, {}, "bye");
-  REQUIRE(until(d.loop, [&] { return busy.look() && half.look(); }));
-  for (auto* p : {&busy, &half})
-    CHECK(p->got.ends_with("Connection: close\r\n\r\nbye"));
-  busy.close(), half.close();
-  REQUIRE(until(d.loop, [&] { return d.in->connections() == 0; }));
+  auto endpoint = parse_endpoint(address);
+  CHECK(::connect(late.get(), reinterpret_cast<sockaddr*>(&endpoint->storage), endpoint->length) != 0);
+  half_sent.send("Host: h\r\n\r\n");
+  REQUIRE(server.run_until_requests(3));
+  idle.close();
+  silent.close();
+  REQUIRE(server.run_until_connections(2));
+
+  server.listener->send_response(server.requests[1].exchange, 200, {}, "bye");
+  server.listener->send_response(server.requests[2].exchange, 200, {}, "bye");
+  REQUIRE(run_until(server.loop, [&] { return busy.receive() && half_sent.receive(); }));
+  CHECK(busy.received.ends_with("Connection: close\r\n\r\nbye"));
+  CHECK(half_sent.received.ends_with("Connection: close\r\n\r\nbye"));
+  busy.close();
+  half_sent.close();
+  REQUIRE(server.run_until_connections(0));
 }
 
-TEST_CASE("a request that crosses the close of its idle session is not read, and its caller sees that") {
-  TestServer d;
-  Peer p(d.in->local_address());
-  p.say(get);
-  REQUIRE(until(d.loop, [&] { return p.has("hello"); }));
-  SECTION("at draining") {
-    d.in->drain();
+TEST_CASE(
+    "HttpListener does not read a request that crosses the close of its idle connection, and its caller sees that") {
+  TestServer server;
+  SocketPeer caller(server.address());
+  caller.send(get_request);
+  REQUIRE(run_until(server.loop, [&] { return caller.has_received("hello"); }));
+  SECTION("when it drains") {
+    server.listener->drain();
   }
   SECTION("at the end of the idle time") {
-    HttpListenerLimits l;
-    l.idle_timeout_ms = 20;
-    d.in->set_limits(l);
-    Peer other(d.in->local_address());
-    REQUIRE(until(d.loop, [&] { return other.look(); }));
-    p.close();
-    p = std::move(other);
+    HttpListenerLimits limits;
+    limits.idle_timeout_ms = 20;
+    server.listener->set_limits(limits);
+    SocketPeer other(server.address());
+    REQUIRE(run_until(server.loop, [&] { return other.receive(); }));
+    caller.close();
+    caller = std::move(other);
   }
-  p.say(get);
-  REQUIRE(until(d.loop, [&] { return d.in->connections() == 0; }));
-  CHECK(d.asked.size() == 1);
-  REQUIRE(until(d.loop, [&] { return ::send(p.fd.get(), "x", 1, MSG_NOSIGNAL) < 0; }));
+
+  caller.send(get_request);
+
+  REQUIRE(server.run_until_connections(0));
+  CHECK(server.requests.size() == 1);
+  REQUIRE(run_until(server.loop, [&] { return ::send(caller.socket.get(), "x", 1, MSG_NOSIGNAL) < 0; }));
 }
 
-TEST_CASE("slow heads get 408, idle sessions are closed, too many are not taken") {
-  TestServer d;
-  HttpListenerLimits l;
-  l.head_timeout_ms = 20, l.idle_timeout_ms = 60, l.max_connections = 2;
-  d.in->set_limits(l);
-  CHECK(d.talk("GET / HT").starts_with("HTTP/1.1 408 "));
-  CHECK(d.talk("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\na").starts_with("HTTP/1.1 408 "));
-  CHECK(d.talk("").empty());
-  CHECK(d.talk("\r\n").empty());
-  REQUIRE(until(d.loop, [&] { return d.in->connections() == 0; }));
-  l.idle_timeout_ms = 15000;
-  d.in->set_limits(l);
-  Peer a(d.in->local_address()), b(d.in->local_address()), c(d.in->local_address());
-  REQUIRE(until(d.loop, [&] { return c.look(); }));
-  CHECK(d.in->connections() == 2);
+TEST_CASE("HttpListener responds 408 to slow requests and closes idle connections silently") {
+  TestServer server;
+  HttpListenerLimits limits;
+  limits.head_timeout_ms = 20;
+  limits.idle_timeout_ms = 60;
+  server.listener->set_limits(limits);
+
+  CHECK(server.exchange("GET / HT").starts_with("HTTP/1.1 408 "));
+  CHECK(server.exchange("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\na").starts_with("HTTP/1.1 408 "));
+  CHECK(server.exchange("").empty());
+  CHECK(server.exchange("\r\n").empty());
+  REQUIRE(server.run_until_connections(0));
+}
+
+TEST_CASE("HttpListener closes connections beyond its limit at once") {
+  TestServer server;
+  HttpListenerLimits limits;
+  limits.max_connections = 2;
+  server.listener->set_limits(limits);
+  SocketPeer first(server.address());
+  SocketPeer second(server.address());
+
+  SocketPeer third(server.address());
+
+  REQUIRE(run_until(server.loop, [&] { return third.receive(); }));
+  CHECK(server.listener->connections() == 2);
 }
--- a/tests/unit/net/replica_client_test.cpp
+++ b/tests/unit/net/replica_client_test.cpp
@@ -1,4 +1,4 @@
-// What libcurl must not do behind our back, and what a broken replica looks like.
+// What libcurl must not do on its own, and what a broken replica's response is taken for.
 #include <arpa/inet.h>
 #include <poll.h>
 #include <sys/socket.h>
@@ -6,141 +6,155 @@
 
 #include <atomic>
 #include <catch2/catch.hpp>
+#include <thread>
 
+#include "base/fd.hpp"
+#include "base/queue.hpp"
+#include "net/endpoint.hpp"
 #include "net/replica_client.hpp"
-#include "storage/disk.hpp"
 
 using namespace mosskeel;
 
 namespace {
 
-/// Answers the first request of a connection with `first`, and hangs up on every later one unanswered.
-class Server {
+/// A replica on a thread of its own that responds to the first request of a connection, and closes the connection at
+/// each later one without a response.
+class OneResponseReplica {
  public:
-  explicit Server(std::string first) : first_(std::move(first)), fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    sockaddr_in a{};
-    a.sin_family = AF_INET;
-    a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    socklen_t n = sizeof a;
-    REQUIRE(::bind(fd_.get(), reinterpret_cast<sockaddr*>(&a), n) == 0);
-    REQUIRE(::listen(fd_.get(), 16) == 0);
-    ::getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&a), &n);
-    url = "http://127.0.0.1:" + std::to_string(ntohs(a.sin_port));
+  /// @param response empty closes the connection at the first request already.
+  explicit OneResponseReplica(std::string response)
+      : response_(std::move(response)), listening_socket_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    auto endpoint = parse_endpoint("127.0.0.1:0");
+    REQUIRE(::bind(listening_socket_.get(), reinterpret_cast<sockaddr*>(&endpoint->storage), endpoint->length) == 0);
+    REQUIRE(::listen(listening_socket_.get(), 16) == 0);
+    url = "http://" + bound_address(listening_socket_.get());
     thread_ = std::thread([this] { run(); });
   }
-  ~Server() {
-    stop_ = true;
+  ~OneResponseReplica() {
+    stop_requested_ = true;
     thread_.join();
   }
   std::string url;
-  std::atomic<int> asked{0}, sessions{0};
+  std::atomic<int> requests{0}, connections{0};
 
  private:
-  bool readable(int fd) {
-    pollfd p{fd, POLLIN, 0};
-    return ::poll(&p, 1, 20) > 0;
+  struct Connection {
+    Fd socket;
+    int requests = 0;
+  };
+  static bool readable(int socket) {
+    pollfd polled{socket, POLLIN, 0};
+    return ::poll(&polled, 1, 20) > 0;
   }
   void run() {
-    std::map<int, std::pair<Fd, int>> open;
-    while (!stop_) {
-      if (readable(fd_.get())) {
-        Fd c(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
-        ++sessions;
-        int k = c.get();
-        open[k] = {std::move(c), 0};
-      }
-      for (auto i = open.begin(); i != open.end();) {
-        char b[8192];
-        bool bye = false;
-        if (readable(i->first)) {
-          auto n = ::recv(i->first, b, sizeof b, 0);
-          bye = n <= 0;
-          if (n > 0) {
-            ++asked;
-            if (i->second.second++ == 0 && !first_.empty())
-              bye = ::send(i->first, first_.data(), first_.size(), MSG_NOSIGNAL) < 0;
-            else
-              bye = true;
-          }
-        }
-        i = bye ? open.erase(i) : std::next(i);
+    std::vector<Connection> open;
+    while (!stop_requested_) {
+      if (readable(listening_socket_.get())) {
+        open.push_back({Fd(::accept4(listening_socket_.get(), nullptr, nullptr, SOCK_CLOEXEC))});
+        ++connections;
       }
+      std::erase_if(open,
+                    [this](Connection& connection) { return readable(connection.socket.get()) && !serve(connection); });
+    }
+  }
+  /// False where the connection is to be closed.
+  bool serve(Connection& connection) {
+    char buffer[8192];
+    if (::recv(connection.socket.get(), buffer, sizeof buffer, 0) <= 0) {
+      return false;
+    }
+    ++requests;
+    bool first = connection.requests++ == 0;
+    if (!first || response_.empty()) {
+      return false;
     }
+    return ::send(connection.socket.get(), response_.data(), response_.size(), MSG_NOSIGNAL) >= 0;
   }
-  std::string first_;
-  Fd fd_;
-  std::atomic<bool> stop_{false};
+
+  std::string response_;
+  Fd listening_socket_;
+  std::atomic<bool> stop_requested_{false};
   std::thread thread_;
 };
 
-struct Asker {
-  Queue<Message> heard;
-  ReplicaClient up{[this](Message m) {
-    heard.push(std::move(m));
+struct ReplicaClientFixture {
+  Queue<Message> messages;
+  ReplicaClient client{[this](Message message) {
+    messages.push(std::move(message));
   }};
-  ReplicaCallResponse ask(const std::string& url, bool repeatable, const std::string& kind = "app") {
-    up.send(
-        {"a" + std::to_string(++n), kind, url, repeatable ? "GET" : "POST", repeatable ? "" : "{}", 5000, repeatable});
+  int last_attempt = 0;
+
+  ReplicaCallResponse call(const std::string& url, bool idempotent, const std::string& kind = "app") {
+    auto attempt = "a" + std::to_string(++last_attempt);
+    client.send({attempt, kind, url, idempotent ? "GET" : "POST", idempotent ? "" : "{}", 5000, idempotent});
     while (true) {
-      auto m = heard.pop(20000);
-      REQUIRE(m);
-      if (auto* e = std::get_if<ReplicaCallResponse>(&*m))
-        return *e;
+      auto message = messages.pop(20000);
+      REQUIRE(message);
+      if (auto* response = std::get_if<ReplicaCallResponse>(&*message)) {
+        return *response;
+      }
     }
   }
-  int n = 0;
 };
 
-const char* const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Seal: ";
+const std::string sealed_response =
+    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Seal: " + hex(digest("ok")) + "\r\n\r\nok";
 
 }  // namespace
 
-TEST_CASE("what may not be repeated never rides on a used session, which libcurl would resend on") {
-  Server s(whole + hex(digest("ok")) + "\r\n\r\nok");
-  Asker a;
-  CHECK(a.ask(s.url + "/x", true).complete);
-  auto e = a.ask(s.url + "/count", false);
-  CHECK(e.complete);
-  CHECK(s.asked == 2);
-  CHECK(s.sessions == 2);
+TEST_CASE("ReplicaClient sends what is not idempotent on a fresh connection, for libcurl would resend on a used one") {
+  OneResponseReplica replica(sealed_response);
+  ReplicaClientFixture fixture;
+  CHECK(fixture.call(replica.url + "/x", true).complete);
+
+  auto response = fixture.call(replica.url + "/count", false);
+
+  CHECK(response.complete);
+  CHECK(replica.requests == 2);
+  CHECK(replica.connections == 2);
 }
 
-TEST_CASE("an ask whose answer is lost is sent once and known as sent") {
-  Server s("");
-  Asker a;
-  auto e = a.ask(s.url + "/count", false);
-  CHECK(e.request_sent);
-  CHECK_FALSE(e.complete);
-  CHECK_FALSE(e.reason.empty());
-  CHECK(s.asked == 1);
+TEST_CASE("ReplicaClient sends a request once whose response is lost, and says that it was sent") {
+  OneResponseReplica replica("");
+  ReplicaClientFixture fixture;
+
+  auto response = fixture.call(replica.url + "/count", false);
+
+  CHECK(response.request_sent);
+  CHECK_FALSE(response.complete);
+  CHECK_FALSE(response.reason.empty());
+  CHECK(replica.requests == 1);
 }
 
-TEST_CASE("where nobody listens nothing was sent") {
+TEST_CASE("ReplicaClient says that nothing was sent where nobody listens") {
   std::string url;
   {
-    Server s("");
-    url = s.url;
+    OneResponseReplica replica("");
+    url = replica.url;
   }
-  Asker a;
-  auto e = a.ask(url + "/count", false);
-  CHECK_FALSE(e.request_sent);
+  ReplicaClientFixture fixture;
+
+  auto response = fixture.call(url + "/count", false);
+
+  CHECK_FALSE(response.request_sent);
 }
 
-TEST_CASE("cut, unsealed and garbled answers are never sealed") {
-  const char* const answers[] = {
-      "HTTP/1.1 200 OK\r\nContent-Length: 50\r\nX-Seal: 0\r\n\r\nhalf",
-      "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-      "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
-      "nonsense\r\n\r\n",
-  };
-  for (auto* x : answers) {
-    Server s(x);
-    Asker a;
-    INFO(x);
-    auto e = a.ask(s.url + "/count", false);
-    CHECK_FALSE((e.complete && e.status == 200));
-  }
-  Server s("HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n{\"n\":0,\"text\":\"a\"}\nnot json!!!\n");
-  Asker a;
-  CHECK_FALSE(a.ask(s.url + "/turn", false, "model").complete);
+TEST_CASE("ReplicaClient never takes a truncated, unsealed or garbled response for complete") {
+  const char* response_bytes = GENERATE("HTTP/1.1 200 OK\r\nContent-Length: 50\r\nX-Seal: 0\r\n\r\nhalf",
+                                        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+                                        "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n");
+  CAPTURE(response_bytes);
+  OneResponseReplica replica(response_bytes);
+  ReplicaClientFixture fixture;
+
+  auto response = fixture.call(replica.url + "/count", false);
+
+  CHECK_FALSE((response.complete && response.status == 200));
+}
+
+TEST_CASE("ReplicaClient never takes a garbled stream for complete") {
+  OneResponseReplica replica("HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n{\"n\":0,\"text\":\"a\"}\nnot json!!!\n");
+  ReplicaClientFixture fixture;
+
+  CHECK_FALSE(fixture.call(replica.url + "/turn", false, "model").complete);
 }
--- a/tests/unit/net/request_framing_test.cpp
+++ b/tests/unit/net/request_framing_test.cpp
@@ -2,18 +2,24 @@
 
 using namespace mosskeel;
 
-TEST_CASE("what two readers might frame differently is refused, and its session closed") {
-  struct Row {
-    std::string bytes;
-    int status;
-  };
-  auto post = [](const std::string& f, const std::string& body = "") {
-    return "POST / HTTP/1.1\r\nHost: h\r\n" + f + "\r\n" + body;
+namespace {
+
+/// A request and the status that it is to be rejected with.
+struct RejectedRequest {
+  std::string bytes;
+  int status;
+};
+
+}  // namespace
+
+TEST_CASE("HttpListener rejects what two parsers might frame differently, and closes its connection") {
+  auto post = [](const std::string& fields, const std::string& body = "") {
+    return "POST / HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n" + body;
   };
-  auto line = [](const std::string& l) {
-    return l + "\r\nHost: h\r\n\r\n";
+  auto line = [](const std::string& request_line) {
+    return request_line + "\r\nHost: h\r\n\r\n";
   };
-  auto row = GENERATE_COPY(values<Row>({
+  auto rejected = GENERATE_COPY(values<RejectedRequest>({
       {post("Content-Length: 3\r\nContent-Length: 4\r\n", "abcd"), 400},
       {post("Content-Length: 3\r\nContent-Length: 3\r\n", "abc"), 400},
       {post("Content-Length: 3, 3\r\n", "abc"), 400},
@@ -90,14 +96,17 @@
       {post("X: " + std::string(3000, 'x') + "\r\n"), 431},
       {"GET /" + std::string(3000, 'x'), 431},
   }));
-  CAPTURE(row.bytes);
-  TestServer d;
-  HttpListenerLimits l;
-  l.max_head_bytes = 2048, l.max_body_bytes = 1000;
-  d.in->set_limits(l);
-  auto got = d.talk(row.bytes);
-  CHECK(got.starts_with("HTTP/1.1 " + std::to_string(row.status) + " "));
-  CHECK(got.find("\r\nConnection: close\r\n") != std::string::npos);
-  CHECK(count(got, "HTTP/1.1 ") == 1);
-  CHECK(d.asked.empty());
+  CAPTURE(rejected.bytes);
+  TestServer server;
+  HttpListenerLimits limits;
+  limits.max_head_bytes = 2048;
+  limits.max_body_bytes = 1000;
+  server.listener->set_limits(limits);
+
+  auto response = server.exchange(rejected.bytes);
+
+  CHECK(response.starts_with("HTTP/1.1 " + std::to_string(rejected.status) + " "));
+  CHECK(response.find("\r\nConnection: close\r\n") != std::string::npos);
+  CHECK(count_occurrences(response, "HTTP/1.1 ") == 1);
+  CHECK(server.requests.empty());
 }
--- a/tests/unit/net/socket_peer.hpp
+++ b/tests/unit/net/socket_peer.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A raw socket of the other side, and a loop driven until something holds.
+// A raw socket as the other side of a connection, and ways to drive a loop.
 #include <arpa/inet.h>
 #include <sys/socket.h>
 
@@ -10,66 +10,88 @@
 
 namespace mosskeel {
 
-/// Runs the loop until `holds`; false after 5 s.
-template <class F>
-bool until(EventLoop& loop, F holds) {
-  auto end = monotonic_ms() + 5000;
-  std::function<void()> look = [&] {
-    if (holds() || monotonic_ms() > end)
+/// Runs the loop until the condition holds.
+/// @return whether it holds; false after 5 s without.
+template <class Condition>
+bool run_until(EventLoop& loop, Condition holds) {
+  auto deadline = monotonic_ms() + 5000;
+  std::function<void()> check = [&] {
+    if (holds() || monotonic_ms() > deadline) {
       loop.stop();
-    else
-      loop.run_after(1, look);
+    } else {
+      loop.run_after(1, check);
+    }
   };
-  loop.post(look);
+  loop.post(check);
   loop.run();
   return holds();
 }
 
-/// Runs the loop for some of its own turns.
-inline void turns(EventLoop& loop, int n = 5) {
-  until(loop, [&] { return n-- <= 0; });
+/// Runs the loop for some of its iterations.
+inline void run_iterations(EventLoop& loop, int count = 5) {
+  run_until(loop, [&] { return count-- <= 0; });
 }
 
-struct Peer {
-  Fd fd;
-  std::string got;
+/// A blocking socket that notes what it receives.
+struct SocketPeer {
+  Fd socket;
+  std::string received;
+  /// Whether the other side has closed the connection, and whether by a reset.
   bool closed = false, reset = false;
-  explicit Peer(Fd f) : fd(std::move(f)) {}
-  explicit Peer(const Address& to) : fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    auto e = parse_endpoint(to);
-    REQUIRE(::connect(fd.get(), reinterpret_cast<sockaddr*>(&e->storage), e->length) == 0);
+
+  explicit SocketPeer(Fd accepted) : socket(std::move(accepted)) {}
+  explicit SocketPeer(const Address& address) : socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    auto endpoint = parse_endpoint(address);
+    REQUIRE(::connect(socket.get(), reinterpret_cast<sockaddr*>(&endpoint->storage), endpoint->length) == 0);
   }
-  void say(std::string_view s) {
-    REQUIRE(::send(fd.get(), s.data(), s.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(s.size()));
+  void send(std::string_view bytes) {
+    REQUIRE(::send(socket.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
-  /// Takes what is there; true once the other side has closed.
-  bool look() {
-    static char b[65536];
+  /// Receives what is there.
+  /// @return whether the other side has closed.
+  bool receive() {
+    static char buffer[65536];
     while (!closed) {
-      auto n = ::recv(fd.get(), b, sizeof b, MSG_DONTWAIT);
-      if (n > 0)
-        got.append(b, static_cast<size_t>(n));
-      if (n < 0 && errno == EAGAIN)
+      auto count = ::recv(socket.get(), buffer, sizeof buffer, MSG_DONTWAIT);
+      if (count > 0) {
+        received.append(buffer, static_cast<size_t>(count));
+        continue;
+      }
+      if (count < 0 && errno == EAGAIN) {
         break;
-      if (n <= 0)
-        closed = true, reset = n < 0;
+      }
+      closed = true;
+      reset = count < 0;
     }
     return closed;
   }
-  bool has(std::string_view s) { return look(), got.find(s) != std::string::npos; }
-  void close() { fd = Fd(); }
-  void break_off() {
-    linger l{1, 0};
-    ::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &l, sizeof l);
+  bool has_received(std::string_view text) {
+    receive();
+    return received.find(text) != std::string::npos;
+  }
+  void close() { socket = Fd(); }
+  void close_with_reset() {
+    reset_on_close(socket.get());
     close();
   }
 };
 
-inline size_t count(const std::string& s, std::string_view what) {
-  size_t n = 0;
-  for (size_t at = 0; (at = s.find(what, at)) != std::string::npos; at += what.size())
-    ++n;
-  return n;
+/// A non-blocking socket that listens at a port of the system's choice.
+inline Fd listening_socket(int backlog = 100) {
+  Fd socket(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  auto endpoint = parse_endpoint("127.0.0.1:0");
+  REQUIRE(::bind(socket.get(), reinterpret_cast<sockaddr*>(&endpoint->storage), endpoint->length) == 0);
+  REQUIRE(::listen(socket.get(), backlog) == 0);
+  return socket;
+}
+
+/// How often the text occurs, without overlaps.
+inline size_t count_occurrences(const std::string& text, std::string_view searched) {
+  size_t count = 0;
+  for (size_t at = 0; (at = text.find(searched, at)) != std::string::npos; at += searched.size()) {
+    ++count;
+  }
+  return count;
 }
 
 }  // namespace mosskeel
