--- a/tests/unit/net/test_server.hpp
+++ b/tests/unit/net/test_server.hpp
@@ -1,45 +1,62 @@
 #pragma once
-// An http_listener whose requests are noted and answered.
+// An HttpListener whose callbacks are recorded and whose requests are responded to at once.
 #include "net/http_listener.hpp"
 #include "socket_peer.hpp"
 
 namespace mosskeel {
 
 struct TestServer {
+  struct ReceivedRequest {
+    uint64_t exchange;
+    HttpRequest request;
+  };
   EventLoop loop;
-  std::vector<std::pair<uint64_t, HttpRequest>> asked;
-  std::vector<uint64_t> left, drained;
-  std::function<void(uint64_t)> answer = [this](uint64_t id) {
-    in->send_response(id, 200, {{"X-A", "b"}}, "hello");
+  std::vector<ReceivedRequest> requests;
+  /// Exchanges in the order of their callbacks.
+  std::vector<uint64_t> disconnected, drained;
+  /// Called with each request; empty leaves it without a response.
+  std::function<void(uint64_t exchange)> respond = [this](uint64_t exchange) {
+    listener->send_response(exchange, 200, {{"X-A", "b"}}, "hello");
   };
-  std::function<void(uint64_t)> on_drained;
-  std::unique_ptr<HttpListener> in;
+  std::function<void(uint64_t exchange)> on_drained;
+  std::unique_ptr<HttpListener> listener;
+
   explicit TestServer(int send_buffer = 0) {
-    auto r = HttpListener::open(loop, "127.0.0.1:0",
-                                {[this](uint64_t id, HttpRequest&& q) {
-                                   asked.emplace_back(id, std::move(q));
-                                   if (answer)
-                                     answer(id);
-                                 },
-                                 [this](uint64_t id) { left.push_back(id); },
-                                 [this](uint64_t id) {
-                                   drained.push_back(id);
-                                   if (on_drained)
-                                     on_drained(id);
-                                 }},
-                                send_buffer);
-    REQUIRE(r.ok());
-    in = std::move(r).value();
+    auto opened = HttpListener::open(loop, "127.0.0.1:0",
+                                     {[this](uint64_t exchange, HttpRequest&& request) {
+                                        requests.push_back({exchange, std::move(request)});
+                                        if (respond) {
+                                          respond(exchange);
+                                        }
+                                      },
+                                      [this](uint64_t exchange) { disconnected.push_back(exchange); },
+                                      [this](uint64_t exchange) {
+                                        drained.push_back(exchange);
+                                        if (on_drained) {
+                                          on_drained(exchange);
+                                        }
+                                      }},
+                                     send_buffer);
+    REQUIRE(opened.ok());
+    listener = std::move(opened).value();
+  }
+  Address address() const { return listener->local_address(); }
+  /// Sends the bytes on a new connection and returns what comes until it is closed.
+  std::string exchange(const std::string& bytes) {
+    SocketPeer caller(address());
+    caller.send(bytes);
+    CHECK(run_until(loop, [&] { return caller.receive(); }));
+    return caller.received;
+  }
+  bool run_until_requests(size_t count) {
+    return run_until(loop, [&] { return requests.size() == count; });
   }
-  std::string talk(const std::string& s) {
-    Peer p(in->local_address());
-    p.say(s);
-    CHECK(until(loop, [&] { return p.look(); }));
-    return p.got;
+  bool run_until_connections(size_t count) {
+    return run_until(loop, [&] { return listener->connections() == count; });
   }
 };
 
-inline const std::string get = "GET /a?b=c HTTP/1.1\r\nHost: News.Example:80\r\n\r\n";
-inline const std::string get_close = "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
+inline const std::string get_request = "GET /a?b=c HTTP/1.1\r\nHost: News.Example:80\r\n\r\n";
+inline const std::string get_request_closing = "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
 
 }  // namespace mosskeel
--- a/tests/unit/net/upstream_client_test.cpp
+++ b/tests/unit/net/upstream_client_test.cpp
@@ -5,199 +5,267 @@
 
 namespace {
 
-/// A scripted replica: a raw listener that counts what reaches it.
-struct Replica {
-  Fd fd{::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)};
-  std::deque<Peer> peers;
-  Replica() {
-    auto e = parse_endpoint("127.0.0.1:0");
-    REQUIRE(::bind(fd.get(), reinterpret_cast<sockaddr*>(&e->storage), e->length) == 0);
-    REQUIRE(::listen(fd.get(), 100) == 0);
+/// A scripted replica: a raw listener that counts the requests that reach it.
+struct ScriptedReplica {
+  Fd socket = listening_socket();
+  std::deque<SocketPeer> connections;
+
+  Address address() const { return bound_address(socket.get()); }
+  void accept() {
+    for (Fd accepted; (accepted = Fd(::accept(socket.get(), nullptr, nullptr)));) {
+      connections.emplace_back(std::move(accepted));
+    }
   }
-  Address at() const { return bound_address(fd.get()); }
   size_t requests() {
-    size_t n = 0;
-    for (Fd c; (c = Fd(::accept(fd.get(), nullptr, nullptr)));)
-      peers.emplace_back(std::move(c));
-    for (auto& p : peers)
-      p.look(), n += count(p.got, " HTTP/1.1\r\n");
-    return n;
+    accept();
+    size_t count = 0;
+    for (auto& connection : connections) {
+      connection.receive();
+      count += count_occurrences(connection.received, " HTTP/1.1\r\n");
+    }
+    return count;
   }
 };
 
-struct ClientFixture {
-  struct Told {
+struct UpstreamClientFixture {
+  /// What the client's callbacks told of one request.
+  struct Outcome {
     std::vector<UpstreamClient::ResponseHead> heads;
     std::string body, reason;
-    int ended = 0, lost = 0;
-    UpstreamClient::Delivery how{};
-    bool over() const { return ended + lost > 0; }
+    int completions = 0, failures = 0;
+    UpstreamClient::Delivery delivery{};
+    bool over() const { return completions + failures > 0; }
   };
   EventLoop loop;
-  Replica replica;
-  std::map<uint64_t, Told> told;
-  UpstreamClient out{
-      loop,
-      {[this](uint64_t id, UpstreamClient::ResponseHead&& a) {
-         told[id].heads.push_back(std::move(a));
-         if (skip_heads > 0 && skip_heads--)
-           out.skip_response(id);
-       },
-       [this](uint64_t id, std::string_view s) { told[id].body += s; }, [this](uint64_t id) { ++told[id].ended; },
-       [this](uint64_t id, UpstreamClient::Delivery how, std::string why) {
-         ++told[id].lost, told[id].how = how, told[id].reason = std::move(why);
-       }}};
-  uint64_t ask(const std::string& method = "POST", bool fresh = false) {
-    return out.send_request(
-        {replica.at(), method, "/run", {{"Host", "r"}, {"X", "1"}}, method == "POST" ? "ask" : "", fresh});
+  ScriptedReplica replica;
+  std::map<uint64_t, Outcome> outcomes;
+  /// So many heads are taken for late responses to earlier requests.
+  int heads_to_skip = 0;
+  /// The connection that the last scripted response went out on.
+  SocketPeer* responding = nullptr;
+  UpstreamClient client{loop,
+                        {[this](uint64_t request, UpstreamClient::ResponseHead&& head) {
+                           outcomes[request].heads.push_back(std::move(head));
+                           if (heads_to_skip > 0) {
+                             --heads_to_skip;
+                             client.skip_response(request);
+                           }
+                         },
+                         [this](uint64_t request, std::string_view bytes) { outcomes[request].body += bytes; },
+                         [this](uint64_t request) { ++outcomes[request].completions; },
+                         [this](uint64_t request, UpstreamClient::Delivery delivery, std::string reason) {
+                           auto& outcome = outcomes[request];
+                           ++outcome.failures;
+                           outcome.delivery = delivery;
+                           outcome.reason = std::move(reason);
+                         }}};
+
+  UpstreamClient::Request make_request(const std::string& method = "POST") const {
+    return {replica.address(), method, "/run", {{"Host", "r"}, {"X", "1"}}, method == "POST" ? "ask" : ""};
   }
-  /// Asks, waits for the request, answers on the connection it came by.
-  uint64_t exchange(const std::string& answer, const std::string& method = "POST") {
+  /// Sends a request and waits until it has reached the replica.
+  uint64_t send(UpstreamClient::Request request) {
     auto before = replica.requests();
-    auto id = ask(method);
-    REQUIRE(until(loop, [&] { return replica.requests() == before + 1; }));
-    auto& p = last();
-    p.say(answer);
+    auto id = client.send_request(std::move(request));
+    REQUIRE(run_until(loop, [&] { return replica.requests() == before + 1; }));
+    return id;
+  }
+  /// Sends a request and has the replica respond on the connection that it came by.
+  uint64_t exchange(const std::string& response, const std::string& method = "POST") {
+    auto id = send(make_request(method));
+    responding_connection().send(response);
     return id;
   }
-  Peer& last() {
-    for (auto& p : replica.peers)
-      if (!p.got.empty() && p.got.find("\r\n\r\n") != std::string::npos && !p.closed)
-        return busy = &p, p;
-    FAIL("nobody asked");
-    return *busy;
+  /// The first open connection that has received a request.
+  SocketPeer& responding_connection() {
+    for (auto& connection : replica.connections) {
+      bool has_request = connection.received.find("\r\n\r\n") != std::string::npos;
+      if (has_request && !connection.closed) {
+        responding = &connection;
+        return connection;
+      }
+    }
+    FAIL("no request has reached the replica");
+    return *responding;
   }
-  Told& over(uint64_t id) {
-    REQUIRE(until(loop, [&] { return told[id].over(); }));
-    turns(loop);
-    CHECK(told[id].ended + told[id].lost == 1);
-    return told[id];
+  /// Runs until the request is over, which it may be once.
+  Outcome& wait_for_outcome(uint64_t request) {
+    REQUIRE(run_until(loop, [&] { return outcomes[request].over(); }));
+    run_iterations(loop);
+    CHECK(outcomes[request].completions + outcomes[request].failures == 1);
+    return outcomes[request];
   }
-  Peer* busy = nullptr;
-  int skip_heads = 0;
 };
 
-const std::string good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const std::string good_response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 }  // namespace
 
-TEST_CASE("an answer is read and its connection used again") {
-  ClientFixture d;
-  auto id = d.exchange(
+TEST_CASE("UpstreamClient reads a response and reuses its connection") {
+  UpstreamClientFixture fixture;
+
+  auto request = fixture.exchange(
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\nHTTP/1.1 201 Made\r\n"
       "A: b\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n");
-  auto& t = d.over(id);
-  REQUIRE(t.heads.size() == 1);
-  CHECK(t.heads[0].status == 201);
-  CHECK(t.heads[0].chunked);
-  CHECK(t.heads[0].fields == HeaderFields{{"A", "b"}, {"Transfer-Encoding", "chunked"}});
-  CHECK(t.body == "abcde");
-  CHECK(t.ended == 1);
-  CHECK(d.replica.peers[0].got == "POST /run HTTP/1.1\r\nHost: r\r\nX: 1\r\nContent-Length: 3\r\n\r\nask");
-  CHECK(d.out.idle() == 1);
-  CHECK(d.over(d.exchange(good)).body == "ok");
-  CHECK(d.out.opened() == 1);
-  d.ask("POST", true);
-  REQUIRE(until(d.loop, [&] { return d.replica.requests() == 3; }));
-  CHECK(d.out.opened() == 2);
+
+  auto& outcome = fixture.wait_for_outcome(request);
+  REQUIRE(outcome.heads.size() == 1);
+  CHECK(outcome.heads[0].status == 201);
+  CHECK(outcome.heads[0].chunked);
+  CHECK(outcome.heads[0].fields == HeaderFields{{"A", "b"}, {"Transfer-Encoding", "chunked"}});
+  CHECK(outcome.body == "abcde");
+  CHECK(outcome.completions == 1);
+  CHECK(fixture.replica.connections[0].received ==
+        "POST /run HTTP/1.1\r\nHost: r\r\nX: 1\r\nContent-Length: 3\r\n\r\nask");
+  CHECK(fixture.client.idle_connections() == 1);
+  CHECK(fixture.wait_for_outcome(fixture.exchange(good_response)).body == "ok");
+  CHECK(fixture.client.connections_opened() == 1);
 }
 
-TEST_CASE("answers without a body by their kind end with their head") {
-  ClientFixture d;
-  CHECK(d.over(d.exchange("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n", "HEAD")).ended == 1);
-  CHECK(d.over(d.exchange("HTTP/1.1 204 No\r\n\r\n", "GET")).ended == 1);
-  CHECK(d.over(d.exchange("HTTP/1.1 304 Same\r\nContent-Length: 7\r\n\r\n", "GET")).ended == 1);
-  CHECK(d.over(d.exchange("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "GET")).ended == 1);
-  CHECK(d.out.opened() == 1);
-  CHECK(count(d.replica.peers[0].got, "Content-Length") == 0);
+TEST_CASE("UpstreamClient opens a new connection where a request asks for one") {
+  UpstreamClientFixture fixture;
+  fixture.wait_for_outcome(fixture.exchange(good_response));
+  REQUIRE(fixture.client.idle_connections() == 1);
+  auto request = fixture.make_request();
+  request.new_connection = true;
+
+  fixture.send(std::move(request));
+
+  CHECK(fixture.client.connections_opened() == 2);
+}
+
+TEST_CASE("UpstreamClient ends responses that have no body with their head") {
+  UpstreamClientFixture fixture;
+  auto completions = [&](const std::string& response, const std::string& method) {
+    return fixture.wait_for_outcome(fixture.exchange(response, method)).completions;
+  };
+
+  CHECK(completions("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n", "HEAD") == 1);
+  CHECK(completions("HTTP/1.1 204 No\r\n\r\n", "GET") == 1);
+  CHECK(completions("HTTP/1.1 304 Same\r\nContent-Length: 7\r\n\r\n", "GET") == 1);
+  CHECK(completions("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "GET") == 1);
+  CHECK(fixture.client.connections_opened() == 1);
+  CHECK(count_occurrences(fixture.replica.connections[0].received, "Content-Length") == 0);
 }
 
-TEST_CASE("connections that can't be trusted are not used again") {
-  ClientFixture d;
-  auto answer =
-      GENERATE(as<std::string>{}, good + "HTTP", good + good, "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok",
-               "HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 2\r\n\r\nok",
-               "HTTP/1.1 200 OK\r\nConnection: x, close\r\nContent-Length: 2\r\n\r\nok",
-               "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok");
-  CAPTURE(answer);
-  auto& t = d.over(d.exchange(answer));
-  CHECK(t.ended == 1);
-  CHECK(t.body == "ok");
-  CHECK(d.out.idle() == 0);
-  CHECK(d.over(d.exchange(good)).ended == 1);
-  CHECK(d.out.opened() == 2);
-  CHECK(d.replica.requests() == 2);
+TEST_CASE("UpstreamClient does not reuse a connection that it can't trust") {
+  UpstreamClientFixture fixture;
+  auto response = GENERATE(as<std::string>{}, good_response + "HTTP", good_response + good_response,
+                           "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok",
+                           "HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 2\r\n\r\nok",
+                           "HTTP/1.1 200 OK\r\nConnection: x, close\r\nContent-Length: 2\r\n\r\nok",
+                           "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok");
+  CAPTURE(response);
+
+  auto& outcome = fixture.wait_for_outcome(fixture.exchange(response));
+
+  CHECK(outcome.completions == 1);
+  CHECK(outcome.body == "ok");
+  CHECK(fixture.client.idle_connections() == 0);
+  CHECK(fixture.wait_for_outcome(fixture.exchange(good_response)).completions == 1);
+  CHECK(fixture.client.connections_opened() == 2);
+  CHECK(fixture.replica.requests() == 2);
 }
 
-TEST_CASE("a byte or a close on an idle connection discards it, also right before its use") {
-  ClientFixture d;
-  bool seen = GENERATE(true, false), byte = GENERATE(true, false);
-  d.over(d.exchange(good));
-  REQUIRE(d.out.idle() == 1);
-  byte ? d.replica.peers[0].say("x") : d.replica.peers[0].close();
-  if (seen) {
-    REQUIRE(until(d.loop, [&] { return d.out.idle() == 0; }));
+TEST_CASE("UpstreamClient discards an idle connection at a byte or a close, also right before its use") {
+  UpstreamClientFixture fixture;
+  bool noticed_before_use = GENERATE(true, false);
+  bool by_a_byte = GENERATE(true, false);
+  fixture.wait_for_outcome(fixture.exchange(good_response));
+  REQUIRE(fixture.client.idle_connections() == 1);
+
+  if (by_a_byte) {
+    fixture.replica.connections[0].send("x");
+  } else {
+    fixture.replica.connections[0].close();
+  }
+  if (noticed_before_use) {
+    REQUIRE(run_until(fixture.loop, [&] { return fixture.client.idle_connections() == 0; }));
   }
-  auto id = d.ask();
-  CHECK(d.out.opened() == 2);
-  REQUIRE(until(d.loop, [&] { return d.replica.requests() == 2; }));
-  d.replica.peers[1].say(good);
-  CHECK(d.over(id).ended == 1);
+  auto request = fixture.client.send_request(fixture.make_request());
+
+  CHECK(fixture.client.connections_opened() == 2);
+  REQUIRE(run_until(fixture.loop, [&] { return fixture.replica.requests() == 2; }));
+  fixture.replica.connections[1].send(good_response);
+  CHECK(fixture.wait_for_outcome(request).completions == 1);
 }
 
-TEST_CASE("idle connections expire, are forgotten, and the last one kept is used first") {
-  ClientFixture d;
-  d.over(d.exchange("HTTP/1.1 200 OK\r\nKeep-Alive: max=5, timeout=2\r\nContent-Length: 2\r\n\r\nok"));
-  CHECK(d.out.idle() == 1);
-  CHECK(until(d.loop, [&] { return d.out.idle() == 0; }));
-  auto a = d.ask(), b = d.ask();
-  REQUIRE(until(d.loop, [&] { return d.replica.requests() == 3; }));
-  d.replica.peers[2].say(good);
-  d.replica.peers[1].say(good);
-  d.over(a), d.over(b);
-  CHECK(d.out.idle() == 2);
-  auto c = d.ask();
-  d.out.forget(d.replica.at());
-  CHECK(d.out.idle() == 0);
-  REQUIRE(until(d.loop, [&] { return d.replica.requests() == 4; }));
-  d.replica.peers[1].say(good), d.replica.peers[2].closed || (d.replica.peers[2].say(good), true);
-  CHECK(d.over(c).ended == 1);
-  CHECK(d.out.idle() == 0);
+TEST_CASE("UpstreamClient closes an idle connection before the replica would") {
+  UpstreamClientFixture fixture;
+
+  fixture.wait_for_outcome(
+      fixture.exchange("HTTP/1.1 200 OK\r\nKeep-Alive: max=5, timeout=2\r\nContent-Length: 2\r\n\r\nok"));
+
+  CHECK(fixture.client.idle_connections() == 1);
+  CHECK(run_until(fixture.loop, [&] { return fixture.client.idle_connections() == 0; }));
 }
 
-TEST_CASE("what is lost before a byte was handed over is unsent") {
-  ClientFixture d;
-  auto at = d.replica.at();
-  d.replica.fd = Fd();
-  auto way = GENERATE(0, 1, 2);
-  UpstreamClient::Request a{at, "POST", "/", {{"Host", "r"}}, "b"};
-  if (way == 1)
-    a.to = "no-address";
-  if (way == 2)
-    a.fields.emplace_back("X", "a\r\nContent-Length: 9");
-  auto id = d.out.send_request(a);
-  CHECK_FALSE(d.told[id].over());
-  auto& t = d.over(id);
-  CHECK(t.lost == 1);
-  CHECK(t.how == UpstreamClient::Delivery::not_sent);
+TEST_CASE("UpstreamClient uses the connection first that became idle last, and none that was retired") {
+  UpstreamClientFixture fixture;
+  auto first = fixture.client.send_request(fixture.make_request());
+  auto second = fixture.client.send_request(fixture.make_request());
+  REQUIRE(run_until(fixture.loop, [&] { return fixture.replica.requests() == 2; }));
+  fixture.replica.connections[1].send(good_response);
+  fixture.wait_for_outcome(second);
+  fixture.replica.connections[0].send(good_response);
+  fixture.wait_for_outcome(first);
+  REQUIRE(fixture.client.idle_connections() == 2);
+
+  auto third = fixture.client.send_request(fixture.make_request());
+  fixture.client.retire_connections(fixture.replica.address());
+
+  CHECK(fixture.client.idle_connections() == 0);
+  REQUIRE(run_until(fixture.loop, [&] { return fixture.replica.requests() == 3; }));
+  CHECK(count_occurrences(fixture.replica.connections[0].received, " HTTP/1.1\r\n") == 2);
+  CHECK(fixture.replica.connections[1].receive());
+  fixture.replica.connections[0].send(good_response);
+  CHECK(fixture.wait_for_outcome(third).completions == 1);
+  CHECK(fixture.client.idle_connections() == 0);
 }
 
-TEST_CASE("a connect without an answer in time is unsent") {
-  ClientFixture d;
-  REQUIRE(::listen(d.replica.fd.get(), 0) == 0);
-  Peer fills(d.replica.at());
-  auto id = d.out.send_request({d.replica.at(), "GET", "/", {}, "", false, 30});
-  auto& t = d.over(id);
-  CHECK(t.how == UpstreamClient::Delivery::not_sent);
+TEST_CASE("UpstreamClient calls a request unsent that failed before a byte was handed over") {
+  UpstreamClientFixture fixture;
+  UpstreamClient::Request request{fixture.replica.address(), "POST", "/", {{"Host", "r"}}, "b"};
+  SECTION("nobody listens") {
+    fixture.replica.socket = Fd();
+  }
+  SECTION("the address is none") {
+    fixture.replica.socket = Fd();
+    request.address = "no-address";
+  }
+  SECTION("a field would change the framing") {
+    fixture.replica.socket = Fd();
+    request.fields.push_back({"X", "a\r\nContent-Length: 9"});
+  }
+
+  auto id = fixture.client.send_request(request);
+
+  CHECK_FALSE(fixture.outcomes[id].over());
+  auto& outcome = fixture.wait_for_outcome(id);
+  CHECK(outcome.failures == 1);
+  CHECK(outcome.delivery == UpstreamClient::Delivery::not_sent);
+}
+
+TEST_CASE("UpstreamClient calls a request unsent whose connect has no answer in time") {
+  UpstreamClientFixture fixture;
+  REQUIRE(::listen(fixture.replica.socket.get(), 0) == 0);
+  SocketPeer fills_the_backlog(fixture.replica.address());
+  UpstreamClient::Request request{fixture.replica.address(), "GET", "/", {}, ""};
+  request.connect_timeout_ms = 30;
+
+  auto id = fixture.client.send_request(request);
+
+  CHECK(fixture.wait_for_outcome(id).delivery == UpstreamClient::Delivery::not_sent);
 }
 
-TEST_CASE("what is lost after that is sent, ends once, and is never asked twice") {
-  ClientFixture d;
-  bool warm = GENERATE(true, false);
-  if (warm)
-    d.over(d.exchange(good));
-  auto before = d.replica.requests();
-  auto answer = GENERATE(
+TEST_CASE("UpstreamClient fails a request once whose response is lost or malformed, and never sends it twice") {
+  UpstreamClientFixture fixture;
+  bool on_kept_connection = GENERATE(true, false);
+  if (on_kept_connection) {
+    fixture.wait_for_outcome(fixture.exchange(good_response));
+  }
+  auto requests_before = fixture.replica.requests();
+  auto response = GENERATE(
       as<std::string>{}, "", "HTTP/1.1 2", "HTTP/1.1 100 Continue\r\n\r\n",
       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
@@ -208,106 +276,116 @@
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", "HTTP/1.1 200 OK\r\nX : y\r\n\r\n",
       "HTTP/1.1 200 OK\r\nX: y\r\n z\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\nContent-Length: 0\n\n",
       "HTTP/1.1 101 Switch\r\n\r\n", "HTTP/2 200\r\n\r\n", "HTTP/1.1 700 X\r\n\r\n", "nonsense\r\n\r\n");
-  CAPTURE(answer, warm);
-  bool breaks = GENERATE(true, false);
-  auto id = d.exchange(answer);
-  breaks ? d.busy->break_off() : d.busy->close();
-  auto& t = d.over(id);
-  CHECK(t.ended == 0);
-  CHECK(t.how == UpstreamClient::Delivery::possibly_sent);
-  turns(d.loop, 20);
-  CHECK(d.replica.requests() <= before + 1);
-  CHECK(d.out.opened() == 1);
-  CHECK(d.out.idle() == 0);
-}
+  CAPTURE(response, on_kept_connection);
+  bool by_reset = GENERATE(true, false);
 
-TEST_CASE("a paused answer is not read on, a dropped one says nothing more") {
-  ClientFixture d;
-  auto id = d.exchange("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabc");
-  REQUIRE(until(d.loop, [&] { return d.told[id].body == "abc"; }));
-  d.out.pause(id, true);
-  d.busy->say("def");
-  turns(d.loop, 20);
-  CHECK(d.told[id].body == "abc");
-  bool dropped = GENERATE(true, false);
-  dropped ? d.out.cancel(id) : d.out.pause(id, false);
-  if (dropped) {
-    REQUIRE(until(d.loop, [&] { return d.busy->look(); }));
-    CHECK_FALSE(d.told[id].over());
+  auto request = fixture.exchange(response);
+  if (by_reset) {
+    fixture.responding->close_with_reset();
   } else {
-    CHECK(d.over(id).body == "abcdef");
+    fixture.responding->close();
   }
+
+  auto& outcome = fixture.wait_for_outcome(request);
+  CHECK(outcome.completions == 0);
+  CHECK(outcome.delivery == UpstreamClient::Delivery::possibly_sent);
+  run_iterations(fixture.loop, 20);
+  CHECK(fixture.replica.requests() <= requests_before + 1);
+  CHECK(fixture.client.connections_opened() == 1);
+  CHECK(fixture.client.idle_connections() == 0);
 }
 
-TEST_CASE("an answer that comes before the whole request was taken is read, its connection not kept") {
-  ClientFixture d;
-  auto id = d.out.send_request({d.replica.at(), "POST", "/", {{"Host", "r"}}, std::string(64 << 20, 'x')});
-  REQUIRE(until(d.loop, [&] {
-    for (Fd c; (c = Fd(::accept(d.replica.fd.get(), nullptr, nullptr)));)
-      d.replica.peers.emplace_back(std::move(c));
-    return !d.replica.peers.empty();
+TEST_CASE("UpstreamClient does not read on while a response is paused, and tells nothing once it is cancelled") {
+  UpstreamClientFixture fixture;
+  auto request = fixture.exchange("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabc");
+  REQUIRE(run_until(fixture.loop, [&] { return fixture.outcomes[request].body == "abc"; }));
+
+  fixture.client.pause_reading(request);
+  fixture.responding->send("def");
+  run_iterations(fixture.loop, 20);
+  CHECK(fixture.outcomes[request].body == "abc");
+
+  SECTION("resumed") {
+    fixture.client.resume_reading(request);
+    CHECK(fixture.wait_for_outcome(request).body == "abcdef");
+  }
+  SECTION("cancelled") {
+    fixture.client.cancel(request);
+    REQUIRE(run_until(fixture.loop, [&] { return fixture.responding->receive(); }));
+    CHECK_FALSE(fixture.outcomes[request].over());
+  }
+}
+
+TEST_CASE("UpstreamClient reads a response that comes before the whole request was taken, and drops its connection") {
+  UpstreamClientFixture fixture;
+  UpstreamClient::Request request{fixture.replica.address(), "POST", "/", {{"Host", "r"}}, std::string(64 << 20, 'x')};
+  auto id = fixture.client.send_request(std::move(request));
+  REQUIRE(run_until(fixture.loop, [&] {
+    fixture.replica.accept();
+    return !fixture.replica.connections.empty();
   }));
-  d.replica.peers[0].say("HTTP/1.1 413 Big\r\nContent-Length: 0\r\n\r\n");
-  CHECK(d.over(id).ended == 1);
-  CHECK(d.told[id].heads.at(0).status == 413);
-  CHECK(d.out.idle() == 0);
+
+  fixture.replica.connections[0].send("HTTP/1.1 413 Big\r\nContent-Length: 0\r\n\r\n");
+
+  CHECK(fixture.wait_for_outcome(id).completions == 1);
+  CHECK(fixture.outcomes[id].heads.at(0).status == 413);
+  CHECK(fixture.client.idle_connections() == 0);
 }
 
-TEST_CASE("a connection that has rested too long for an ask is left alone, and a new one is opened") {
-  ClientFixture d;
-  auto request = [&](Millis max_idle_ms) {
-    UpstreamClient::Request a{d.replica.at(), "POST", "/run", {{"Host", "r"}}, "ask"};
-    a.max_idle_ms = max_idle_ms;
-    auto before = d.replica.requests();
-    auto id = d.out.send_request(std::move(a));
-    REQUIRE(until(d.loop, [&] { return d.replica.requests() == before + 1; }));
-    d.replica.peers.back().say(good);
-    CHECK(d.over(id).ended == 1);
+TEST_CASE("UpstreamClient leaves a connection alone that was idle for longer than a request allows") {
+  UpstreamClientFixture fixture;
+  auto exchange_with_max_idle = [&](Millis max_idle) {
+    auto request = fixture.make_request();
+    request.max_idle_ms = max_idle;
+    auto id = fixture.send(std::move(request));
+    fixture.replica.connections.back().send(good_response);
+    CHECK(fixture.wait_for_outcome(id).completions == 1);
   };
-  request(0);
-  auto rested = monotonic_ms() + 30;
-  until(d.loop, [&] { return monotonic_ms() > rested; });
-  request(20);
-  CHECK(d.out.opened() == 2);
-  CHECK(d.out.idle() == 2);
-  request(5000);
-  CHECK(d.out.opened() == 2);
+  exchange_with_max_idle(0);
+  auto idle_until = monotonic_ms() + 30;
+  run_until(fixture.loop, [&] { return monotonic_ms() > idle_until; });
+
+  exchange_with_max_idle(20);
+  CHECK(fixture.client.connections_opened() == 2);
+  CHECK(fixture.client.idle_connections() == 2);
+
+  exchange_with_max_idle(5000);
+  CHECK(fixture.client.connections_opened() == 2);
 }
 
-TEST_CASE("a skipped answer is read to its end unseen, and the own one behind it is told") {
-  ClientFixture d;
-  d.over(d.exchange(good));
-  auto before = d.replica.requests();
-  UpstreamClient::Request a{d.replica.at(), "POST", "/run", {{"Host", "r"}}, "ask"};
-  a.tag = "second";
-  auto id = d.out.send_request(std::move(a));
-  REQUIRE(until(d.loop, [&] { return d.replica.requests() == before + 1; }));
-  d.skip_heads = 1;
+TEST_CASE("UpstreamClient reads a skipped response to its end unseen, and tells the one behind it") {
+  UpstreamClientFixture fixture;
+  fixture.wait_for_outcome(fixture.exchange(good_response));
+  auto request = fixture.make_request();
+  request.tag = "second";
+  auto id = fixture.send(std::move(request));
+  fixture.heads_to_skip = 1;
   auto split = GENERATE(size_t{0}, size_t{5}, size_t{40}, size_t{55});
-  std::string both = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nlate\r\n0\r\n\r\n" + good;
-  auto& peer = d.last();
-  peer.say(both.substr(0, split));
-  turns(d.loop);
-  peer.say(both.substr(split));
-  auto& told = d.over(id);
-  CHECK(told.ended == 1);
-  CHECK(told.body == "ok");
-  CHECK(told.heads.size() == 2);
-  CHECK(d.out.idle() == 1);
+  std::string both = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nlate\r\n0\r\n\r\n" + good_response;
+
+  auto& connection = fixture.responding_connection();
+  connection.send(both.substr(0, split));
+  run_iterations(fixture.loop);
+  connection.send(both.substr(split));
+
+  auto& outcome = fixture.wait_for_outcome(id);
+  CHECK(outcome.completions == 1);
+  CHECK(outcome.body == "ok");
+  CHECK(outcome.heads.size() == 2);
+  CHECK(fixture.client.idle_connections() == 1);
 }
 
-TEST_CASE("a head tells the tag of the ask that had its connection before") {
-  ClientFixture d;
-  auto request = [&](const std::string& tag) {
-    UpstreamClient::Request a{d.replica.at(), "GET", "/", {{"Host", "r"}}, ""};
-    a.tag = tag;
-    auto before = d.replica.requests();
-    auto id = d.out.send_request(std::move(a));
-    REQUIRE(until(d.loop, [&] { return d.replica.requests() == before + 1; }));
-    d.last().say(good);
-    return d.over(id).heads.at(0).previous_tag;
+TEST_CASE("UpstreamClient tells with a head the tag of the request that had its connection before") {
+  UpstreamClientFixture fixture;
+  auto previous_tag_seen_by = [&](const std::string& tag) {
+    auto request = fixture.make_request("GET");
+    request.tag = tag;
+    auto id = fixture.send(std::move(request));
+    fixture.responding_connection().send(good_response);
+    return fixture.wait_for_outcome(id).heads.at(0).previous_tag;
   };
-  CHECK(request("first").empty());
-  CHECK(request("second") == "first");
-  CHECK(request("third") == "second");
+
+  CHECK(previous_tag_seen_by("first").empty());
+  CHECK(previous_tag_seen_by("second") == "first");
+  CHECK(previous_tag_seen_by("third") == "second");
 }
