--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -43,7 +43,7 @@
     throw std::system_error(errno, std::generic_category(), "epoll");
   }
   watch(wake_event_.get(), EPOLLIN, [this](uint32_t) {
-    uint64_t count;
+    uint64_t count = 0;
     [[maybe_unused]] auto read_bytes = ::read(wake_event_.get(), &count, sizeof count);
   });
 }
--- a/src/net/http_listener.hpp
+++ b/src/net/http_listener.hpp
@@ -11,7 +11,7 @@
 /// Everything, callbacks too, happens on the loop's thread. It must not be destroyed in a callback. After `finish`,
 /// `send_response`, `abort` or `on_disconnected` the id of an exchange is dead: it has no more callbacks, and calls
 /// with it do nothing.
-class HttpListener : private HttpConnectionOwner {
+class HttpListener final : private HttpConnectionOwner {
  public:
   struct Callbacks {
     /// A complete request has been read; `exchange` names it and its response.
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -4,7 +4,6 @@
 #include <microhttpd.h>
 #include <netinet/in.h>
 
-#include <cstring>
 #include <nlohmann/json.hpp>
 
 #include "base/address.hpp"
@@ -54,7 +53,7 @@
     }
   }
   auto count = std::min(size, stream.unread.size());
-  std::memcpy(buffer, stream.unread.data(), count);
+  stream.unread.copy(buffer, count);
   stream.unread.erase(0, count);
   return static_cast<ssize_t>(count);
 }
--- a/src/net/upstream_client.hpp
+++ b/src/net/upstream_client.hpp
@@ -10,7 +10,7 @@
 /// Everything, callbacks too, happens on the loop's thread. No callback comes from within `send_request`. It must not
 /// be destroyed in a callback. After `on_complete`, `on_failure` or `cancel` a request's id is dead: it has no more
 /// callbacks, and calls with it do nothing.
-class UpstreamClient : private UpstreamConnectionOwner {
+class UpstreamClient final : private UpstreamConnectionOwner {
  public:
   using Delivery = UpstreamDelivery;
   using Request = UpstreamRequest;
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -44,7 +44,7 @@
 
 /// Whether the socket is open and nothing has been received on it.
 bool is_silent(int socket) {
-  char byte;
+  char byte = 0;
   return ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
 }
 
--- a/src/net/wire.cpp
+++ b/src/net/wire.cpp
@@ -11,7 +11,7 @@
 }
 
 std::optional<Envelope> decode(std::string_view bytes) {
-  uint64_t checksum;
+  uint64_t checksum = 0;
   if (bytes.size() < sizeof checksum) {
     return std::nullopt;
   }
