--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -2,62 +2,69 @@
 
 namespace mosskeel {
 
-bool Acceptor::current(const Envelope& e, Epoch epoch) {
+bool Acceptor::accepts_instance(const Envelope& envelope, Epoch epoch) {
   if (epoch <= metadata_log_.epoch()) {
-    auto [c, v] = metadata_log_.updates_since(Epoch{epoch.value() - 1});
-    out_.send(e.from, CatchupReply{metadata_log_.epoch(), c, v});
+    auto [snapshot, entries] = metadata_log_.updates_since(Epoch{epoch.value() - 1});
+    outbox_.send(envelope.from, CatchupReply{metadata_log_.epoch(), snapshot, entries});
     return false;
   }
   if (epoch != next(metadata_log_.epoch())) {
-    out_.send(e.from, Catchup{metadata_log_.epoch()});
+    outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
     return false;
   }
-  auto& m = *metadata_log_.view();
-  auto& me = out_.id().self;
-  return m.cluster == 0 ? me.role == Role::controller : m.is_core_member(me.incarnation) || m.replaces_member(me);
+  const Metadata& metadata = *metadata_log_.view();
+  const Candidate& self = outbox_.id().self;
+  if (metadata.cluster == 0)
+    return self.role == Role::controller;
+  return metadata.is_core_member(self.incarnation) || metadata.replaces_member(self);
 }
 
-void Acceptor::on(const Envelope& e, const Prepare& p) {
-  if (!current(e, p.epoch))
+void Acceptor::handle(const Envelope& envelope, const Prepare& prepare) {
+  if (!accepts_instance(envelope, prepare.epoch))
     return;
-  bool yes = p.ballot >= promised_;
-  if (p.ballot > promised_) {
-    promised_ = p.ballot;
-    out_.write(codec::pack(ControllerRecord{PromiseRecord{p.epoch, p.ballot}}));
+  bool granted = prepare.ballot >= promised_;
+  if (prepare.ballot > promised_) {
+    promised_ = prepare.ballot;
+    outbox_.write(codec::pack(ControllerRecord{PromiseRecord{prepare.epoch, prepare.ballot}}));
   }
-  out_.send_synced(e.from, Promise{p.epoch, p.ballot, yes, promised_, accepted_}, e.from_inc);
+  outbox_.send_synced(envelope.from, Promise{prepare.epoch, prepare.ballot, granted, promised_, accepted_},
+                      envelope.from_inc);
 }
 
-void Acceptor::on(const Envelope& e, const Accept& a) {
-  if (!current(e, a.entry.epoch))
+void Acceptor::handle(const Envelope& envelope, const Accept& accept) {
+  if (!accepts_instance(envelope, accept.entry.epoch))
     return;
-  bool yes = a.ballot >= promised_;
-  if (yes) {
-    promised_ = a.ballot;
-    accepted_ = {a.ballot, a.entry};
-    out_.write(codec::pack(ControllerRecord{AcceptRecord{a.ballot, a.entry}}));
+  bool granted = accept.ballot >= promised_;
+  if (granted) {
+    promised_ = accept.ballot;
+    accepted_ = {accept.ballot, accept.entry};
+    outbox_.write(codec::pack(ControllerRecord{AcceptRecord{accept.ballot, accept.entry}}));
   }
-  out_.send_synced(e.from, Accepted{a.entry.epoch, a.ballot, yes, promised_}, e.from_inc);
+  outbox_.send_synced(envelope.from, Accepted{accept.entry.epoch, accept.ballot, granted, promised_},
+                      envelope.from_inc);
 }
 
-void Acceptor::recover(const ControllerCheckpoint& c) {
-  promised_ = c.promised;
-  accepted_ = c.accepted;
+void Acceptor::recover(const ControllerCheckpoint& checkpoint) {
+  promised_ = checkpoint.promised;
+  accepted_ = checkpoint.accepted;
 }
-void Acceptor::recover(const PromiseRecord& r) {
-  if (r.epoch == next(metadata_log_.epoch()) && r.ballot > promised_)
-    promised_ = r.ballot;
+
+void Acceptor::recover(const PromiseRecord& record) {
+  if (record.epoch == next(metadata_log_.epoch()) && record.ballot > promised_)
+    promised_ = record.ballot;
 }
-void Acceptor::recover(const AcceptRecord& r) {
-  if (r.entry.epoch != next(metadata_log_.epoch()) || r.ballot < promised_)
+
+void Acceptor::recover(const AcceptRecord& record) {
+  if (record.entry.epoch != next(metadata_log_.epoch()) || record.ballot < promised_)
     return;
-  promised_ = r.ballot;
-  accepted_ = {r.ballot, r.entry};
+  promised_ = record.ballot;
+  accepted_ = {record.ballot, record.entry};
 }
-void Acceptor::save(ControllerCheckpoint& c) const {
-  c.open = next(metadata_log_.epoch());
-  c.promised = promised_;
-  c.accepted = accepted_;
+
+void Acceptor::save(ControllerCheckpoint& checkpoint) const {
+  checkpoint.open = next(metadata_log_.epoch());
+  checkpoint.promised = promised_;
+  checkpoint.accepted = accepted_;
 }
 
 }  // namespace mosskeel
--- a/src/consensus/constants.hpp
+++ b/src/consensus/constants.hpp
@@ -4,6 +4,8 @@
 
 namespace mosskeel {
 
+/// Discovery intervals; a controller that was not discovered for so many is forgotten.
+constexpr Millis kDiscoveryMemoryIntervals = 8;
 /// Milliseconds; between two requests to be registered, each to another member.
 constexpr Millis kRegistrationRetryInterval = 300;
 /// Milliseconds; a controller that stops waits this long until the core goes on without it.
@@ -30,7 +32,7 @@
 constexpr Millis kSequenceStepTimeout = 15000;
 /// Milliseconds; a store silent this long loses its partitions; a restart takes less.
 constexpr Millis kRepairDelay = 3000;
-/// Doublings of kStoreRepairDelay for a store that comes and goes.
+/// Doublings of kRepairDelay for a store that comes and goes.
 constexpr uint32_t kMaxRepairDelayDoublings = 4;
 /// Milliseconds; a store silent this long may be lost: joins wait for its repair.
 constexpr Millis kStoreSuspectTimeout = 1200;
--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -1,300 +1,375 @@
 #include "consensus/controller_machine.hpp"
+
+#include <algorithm>
+
 #include "consensus/constants.hpp"
+#include "consensus/in_force.hpp"
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
 
-#include <algorithm>
-
 namespace mosskeel {
 
-ControllerMachine::ControllerMachine(const Identity& id, const Recovered& r, Millis now)
-    : out_(id),
-      acc_(out_, metadata_log_),
+ControllerMachine::ControllerMachine(const Identity& id, const Recovered& recovered, Millis now)
+    : outbox_(id),
+      acceptor_(outbox_, metadata_log_),
       detector_(now),
-      lease_(out_, metadata_log_, detector_, now),
-      sup_(out_, metadata_log_, detector_, lease_),
-      prop_(out_, metadata_log_, acc_, [this](const Entry& e) { enact(e); }),
-      born_(now) {
-  if (r.checkpoint)
-    if (auto c = codec::unpack<ControllerCheckpoint>(*r.checkpoint)) {
-      metadata_log_.install_snapshot(c->metadata);
-      acc_.recover(*c);
+      lease_(outbox_, metadata_log_, detector_, now),
+      supervisor_(outbox_, metadata_log_, detector_, lease_),
+      proposer_(
+          outbox_, metadata_log_, acceptor_, [this](const Entry& entry) { on_decided(entry); },
+          [this](Epoch epoch, Millis at) { return missing_acknowledgements(epoch, at); }),
+      discovered_(id.self.incarnation),
+      founding_(outbox_, metadata_log_, proposer_, discovered_, now),
+      refounding_(outbox_, metadata_log_, detector_, proposer_, discovered_),
+      registration_(outbox_, metadata_log_),
+      shutdown_(outbox_, metadata_log_) {
+  recover(recovered);
+}
+
+void ControllerMachine::recover(const Recovered& recovered) {
+  if (recovered.checkpoint) {
+    if (auto checkpoint = codec::unpack<ControllerCheckpoint>(*recovered.checkpoint)) {
+      metadata_log_.install_snapshot(checkpoint->metadata);
+      acceptor_.recover(*checkpoint);
     }
-  init_founders(r);
-  for (auto& s : r.journal) {
-    auto x = codec::unpack<ControllerRecord>(s);
-    if (!x)
-      continue;
-    std::visit(
-        overload{[&](const PromiseRecord& p) { acc_.recover(p); }, [&](const AcceptRecord& a) { acc_.recover(a); },
-                 [&](const DecidedRecord& d) {
-                   if (!metadata_log_.add(d.entry).empty())
-                     acc_.moved_on();
-                 },
-                 [&](const JumpRecord& j) {
-                   if (metadata_log_.install_snapshot(j.metadata))
-                     acc_.moved_on();
-                 },
-                 [&](const FoundersRecord& f) {
-                   founders_ = f.addresses;
-                 }},
-        *x);
   }
-  out_.cluster = metadata_log_.view()->cluster;
-  out_.epoch = metadata_log_.epoch();
-  prop_.missing_acknowledgements = [this](Epoch at, Millis t) {
-    return missing_acknowledgements(at, t);
-  };
+  founding_.initialize(recovered);
+  for (const std::string& bytes : recovered.journal)
+    if (auto record = codec::unpack<ControllerRecord>(bytes))
+      recover(*record);
+  stamp_messages();
+}
+
+void ControllerMachine::recover(const ControllerRecord& record) {
+  std::visit(overload{[&](const PromiseRecord& promise) { acceptor_.recover(promise); },
+                      [&](const AcceptRecord& accept) { acceptor_.recover(accept); },
+                      [&](const DecidedRecord& decided) {
+                        if (!metadata_log_.add(decided.entry).empty())
+                          acceptor_.reset();
+                      },
+                      [&](const JumpRecord& jump) {
+                        if (metadata_log_.install_snapshot(jump.metadata))
+                          acceptor_.reset();
+                      },
+                      [&](const FoundersRecord& founders) {
+                        founding_.recover(founders);
+                      }},
+             record);
 }
 
 std::string ControllerMachine::checkpoint() const {
-  ControllerCheckpoint c{};
-  c.metadata = *metadata_log_.view();
-  acc_.save(c);
-  return codec::pack(c);
-}
-
-Actions ControllerMachine::done() {
-  for (auto& s : out_.act.journal)
-    grown_ += s.size();
-  if (grown_ > kCheckpointJournalBytes) {
-    out_.act.checkpoint = checkpoint();
-    grown_ = 0;
-  }
-  return out_.take();
-}
-
-void ControllerMachine::enact(const Entry& e) {
-  for (auto& x : metadata_log_.add(e)) {
-    acc_.moved_on();
-    out_.write(codec::pack(ControllerRecord{DecidedRecord{x}}));
-    out_.cluster = metadata_log_.view()->cluster;
-    out_.epoch = metadata_log_.epoch();
-    out_.note(x.epoch.value() == 1 ? Event::founded : Event::decided,
-              std::to_string(x.epoch.value()) + ": " + describe(x.change));
-    for (auto& [id, d] : metadata_log_.view()->directory)
-      if (d.state != DaemonState::left && d.self.incarnation != out_.id().self.incarnation)
-        out_.send(d.self.agent_address.empty() ? d.self.address : d.self.agent_address, Decided{x});
+  ControllerCheckpoint checkpoint{};
+  checkpoint.metadata = *metadata_log_.view();
+  acceptor_.save(checkpoint);
+  return codec::pack(checkpoint);
+}
+
+Actions ControllerMachine::take_actions() {
+  for (const std::string& record : outbox_.act.journal)
+    journal_bytes_ += record.size();
+  if (journal_bytes_ > kCheckpointJournalBytes) {
+    outbox_.act.checkpoint = checkpoint();
+    journal_bytes_ = 0;
   }
+  return outbox_.take();
+}
+
+std::string ControllerMachine::missing_acknowledgements(Epoch epoch, Millis now) const {
+  return mosskeel::missing_acknowledgements(*metadata_log_.view(), self().incarnation, detector_, epoch, now);
 }
 
-void ControllerMachine::learn(const Entries& v, const std::optional<Metadata>& c) {
-  if (c && metadata_log_.install_snapshot(*c)) {
-    acc_.moved_on();
-    out_.write(codec::pack(ControllerRecord{JumpRecord{*c}}));
-    out_.note(Event::caught_up, "checkpoint at " + std::to_string(c->epoch.value()));
+Actions ControllerMachine::step(const Envelope& envelope, Millis now) {
+  if (!is_acceptable(envelope)) {
+    answer_former_cluster(envelope);
+    return take_actions();
   }
-  for (auto& e : v)
-    for (auto& x : metadata_log_.add(e)) {
-      acc_.moved_on();
-      out_.write(codec::pack(ControllerRecord{DecidedRecord{x}}));
-    }
-  if (out_.cluster != metadata_log_.view()->cluster)
-    outdated_ = false;
-  out_.cluster = metadata_log_.view()->cluster;
-  out_.epoch = metadata_log_.epoch();
+  if (!outbox_.cluster && envelope.cluster) {
+    founding_.record_founded_cluster(now);
+    if (!std::holds_alternative<DiscoverReply>(envelope.body))
+      outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
+  }
+  Epoch before = metadata_log_.epoch();
+  request_missing_entries(envelope, now);
+  std::visit([&](const auto& message) { handle(envelope, message, now); }, envelope.body);
+  react_to_new_epoch(before, now);
+  return take_actions();
 }
 
-/// One that the core was founded anew without has no vote until it has caught up with the new generation.
-bool ControllerMachine::may_vote(Millis now) const {
-  return out_.cluster ? !outdated_ : may_found(now);
+Actions ControllerMachine::tick(Millis now) {
+  Epoch before = metadata_log_.epoch();
+  if (!outbox_.cluster)
+    founding_.tick(now);
+  if (shutdown_.in_progress() && shutdown_.is_complete(now))
+    outbox_.act.stop = true;
+  if (outbox_.cluster && now >= next_heartbeat_at_)
+    send_heartbeats(now);
+  if (outbox_.cluster)
+    refounding_.tick(now);
+  lease_.tick(now);
+  supervisor_.tick(now);
+  finish_abandoned_instance(now);
+  proposer_.tick(now);
+  react_to_new_epoch(before, now);
+  return take_actions();
+}
+
+/// What waits for a new epoch need not wait for the next tick, and the others are to know of it at once.
+void ControllerMachine::react_to_new_epoch(Epoch before, Millis now) {
+  if (metadata_log_.epoch() == before)
+    return;
+  proposer_.tick(now);
+  send_heartbeats(now);
+}
+
+/// A proposal whose proposer gave up or stopped may be decided already without anybody knowing it.
+void ControllerMachine::finish_abandoned_instance(Millis now) {
+  if (!acceptor_.has_accepted() || unfinished_after_ != metadata_log_.epoch()) {
+    unfinished_since_ = now;
+    unfinished_after_ = metadata_log_.epoch();
+  }
+  if (outbox_.cluster && now - unfinished_since_ > kHeartbeatInterval * 2 && proposer_.idle()) {
+    unfinished_since_ = now + outbox_.jitter(kProposalJitter);
+    proposer_.finish_open_instance(now);
+  }
 }
 
-bool ControllerMachine::known_sender(const Envelope& e) const {
-  if (e.to_inc.value() && e.to_inc != out_.id().self.incarnation)
+/// Whether a message is for this incarnation, and of this cluster or one that succeeds it. Of a former cluster only
+/// those messages are taken by which a daemon finds its way to the present one.
+bool ControllerMachine::is_acceptable(const Envelope& envelope) const {
+  const Metadata& metadata = *metadata_log_.view();
+  if (envelope.to_inc.value() && envelope.to_inc != self().incarnation)
     return false;
-  if (e.cluster == 0 || out_.cluster == 0 || e.cluster == out_.cluster ||
-      is_successor_cluster(*metadata_log_.view(), e.cluster))
+  if (envelope.cluster == 0 || outbox_.cluster == 0 || envelope.cluster == outbox_.cluster ||
+      is_successor_cluster(metadata, envelope.cluster))
     return true;
-  auto& f = metadata_log_.view()->former_clusters;
-  auto* d = metadata_log_.view()->find(e.from_inc);
-  bool kin = std::find(f.begin(), f.end(), e.cluster) != f.end() && (!d || d->state != DaemonState::left);
-  return kin && (std::holds_alternative<Heartbeat>(e.body) || std::holds_alternative<Catchup>(e.body) ||
-                 std::holds_alternative<Discover>(e.body));
+  const auto& former = metadata.former_clusters;
+  const Daemon* sender = metadata.find(envelope.from_inc);
+  bool of_former_cluster = std::find(former.begin(), former.end(), envelope.cluster) != former.end();
+  bool may_return = !sender || sender->state != DaemonState::left;
+  bool finds_cluster = std::holds_alternative<Heartbeat>(envelope.body) ||
+                       std::holds_alternative<Catchup>(envelope.body) ||
+                       std::holds_alternative<Discover>(envelope.body);
+  return of_former_cluster && may_return && finds_cluster;
 }
 
 /// Somebody of an earlier generation learns of the new one. A controller gets the whole value, never entries: those
 /// may not fit the log that it holds.
-void ControllerMachine::answer_outsider(const Envelope& e) {
-  auto& m = *metadata_log_.view();
-  if (std::count(m.former_clusters.begin(), m.former_clusters.end(), e.cluster) == 0)
-    return out_.note(Event::foreign, "from " + e.from);
-  out_.send(e.from, DiscoverReply{out_.id().self, out_.cluster, metadata_log_.epoch(), {}, {}});
-  auto* known = m.find(e.from_inc);
-  bool catches_up = std::holds_alternative<Heartbeat>(e.body) || std::holds_alternative<Catchup>(e.body);
-  if (known && known->self.role == Role::controller && catches_up)
-    out_.send(e.from, CatchupReply{metadata_log_.epoch(), m, {}});
-}
-
-HeartbeatReply ControllerMachine::reply_to(const Heartbeat& h) const {
-  auto [c, v] = metadata_log_.small_updates_since(h.known);
-  return {metadata_log_.epoch(), c, v, 0, metadata_log_.view()->cluster != 0, h.sent};
-}
-
-Actions ControllerMachine::step(const Envelope& e, Millis now) {
-  if (!known_sender(e)) {
-    answer_outsider(e);
-    return done();
+void ControllerMachine::answer_former_cluster(const Envelope& envelope) {
+  const Metadata& metadata = *metadata_log_.view();
+  const auto& former = metadata.former_clusters;
+  if (std::find(former.begin(), former.end(), envelope.cluster) == former.end())
+    return outbox_.note(Event::foreign, "from " + envelope.from);
+  outbox_.send(envelope.from, DiscoverReply{self(), outbox_.cluster, metadata_log_.epoch(), {}, {}});
+  const Daemon* sender = metadata.find(envelope.from_inc);
+  bool catches_up = std::holds_alternative<Heartbeat>(envelope.body) || std::holds_alternative<Catchup>(envelope.body);
+  if (sender && sender->self.role == Role::controller && catches_up)
+    outbox_.send(envelope.from, CatchupReply{metadata_log_.epoch(), metadata, {}});
+}
+
+/// Asks a sender that knows a later epoch for what is missing here, unless its message brings that.
+void ControllerMachine::request_missing_entries(const Envelope& envelope, Millis now) {
+  bool brings_entries = std::holds_alternative<Decided>(envelope.body) ||
+                        std::holds_alternative<CatchupReply>(envelope.body) ||
+                        std::holds_alternative<HeartbeatReply>(envelope.body);
+  bool is_ahead = outbox_.cluster && envelope.cluster == outbox_.cluster && envelope.epoch > metadata_log_.epoch();
+  if (is_ahead && !brings_entries && catch_up_limiter_.may_request(metadata_log_.epoch(), now))
+    outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const Discover& discover, Millis now) {
+  const Metadata& metadata = *metadata_log_.view();
+  DiscoverReply reply{self(), outbox_.cluster, metadata_log_.epoch(), {}, {}};
+  if (outbox_.cluster) {
+    for (DaemonId id : metadata.members)
+      reply.core.push_back(metadata.find(id)->self.address);
+  } else {
+    for (const auto& [incarnation, sighting] : discovered_.all())
+      reply.candidates.push_back(sighting.candidate);
+  }
+  discovered_.record(discover.self, now);
+  outbox_.send(envelope.from, reply);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const DiscoverReply& reply, Millis now) {
+  if (!outbox_.cluster) {
+    if (reply.cluster)
+      return outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
+    return founding_.handle_reply(reply, now);
   }
-  if (!out_.cluster && e.cluster) {
-    evidence_ = now;
-    if (!std::holds_alternative<DiscoverReply>(e.body))
-      out_.send(e.from, Catchup{metadata_log_.epoch()});
+  bool from_successor = reply.cluster != outbox_.cluster && is_successor_cluster(*metadata_log_.view(), reply.cluster);
+  if (from_successor && !removed_by_refounding_) {
+    removed_by_refounding_ = true;
+    outbox_.note(Event::lost_identity, "the core was founded anew without this controller; empty its folder");
   }
-  auto before = metadata_log_.epoch();
-  handle(e, now);
-  moved(before, now);
-  return done();
+  discovered_.record(reply.self, now);
 }
 
-void ControllerMachine::moved(Epoch before, Millis now) {
-  if (metadata_log_.epoch() == before)
+/// One that the core was founded anew without has no vote until it has caught up with the new generation.
+bool ControllerMachine::may_vote(Millis now) const {
+  return outbox_.cluster ? !removed_by_refounding_ : founding_.may_vote(now);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const Prepare& prepare, Millis now) {
+  if (may_vote(now))
+    acceptor_.handle(envelope, prepare);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const Accept& accept, Millis now) {
+  if (may_vote(now))
+    acceptor_.handle(envelope, accept);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const Promise& promise, Millis now) {
+  proposer_.handle(envelope, promise, now);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const Accepted& accepted, Millis now) {
+  proposer_.handle(envelope, accepted, now);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const Decided& decided, Millis) {
+  apply_updates({decided.entry}, std::nullopt);
+  if (metadata_log_.has_gap())
+    outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const Catchup& request, Millis) {
+  auto [snapshot, entries] = metadata_log_.updates_since(request.known);
+  outbox_.send(envelope.from, CatchupReply{metadata_log_.epoch(), snapshot, entries});
+}
+
+void ControllerMachine::handle(const Envelope&, const CatchupReply& reply, Millis) {
+  apply_updates(reply.entries, reply.checkpoint);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const QuorumRead& read, Millis) {
+  if (metadata_log_.view()->is_core_member(self().incarnation))
+    outbox_.send_synced(envelope.from, QuorumReadReply{read.id, metadata_log_.epoch(), acceptor_.has_accepted()},
+                        envelope.from_inc);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const QuorumReadReply& reply, Millis now) {
+  proposer_.handle(envelope, reply, now);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const Commit& commit, Millis now) {
+  if (!removed_by_refounding_)
+    return proposer_.handle(envelope, commit, now);
+  outbox_.send(envelope.from, CommitReply{commit.id,
+                                          CommitOutcome::unknown,
+                                          "this controller belongs to an earlier generation",
+                                          metadata_log_.epoch(),
+                                          std::nullopt,
+                                          {},
+                                          Rejection::none});
+}
+
+void ControllerMachine::handle(const Envelope&, const CommitReply& reply, Millis) {
+  supervisor_.handle(reply);
+  apply_updates(reply.entries, reply.checkpoint);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const Heartbeat& heartbeat, Millis now) {
+  detector_.record(heartbeat, now);
+  if (heartbeat.leaving)
+    lease_.on_shutdown_of(heartbeat.self.incarnation, now);
+  proposer_.acknowledge_in_force(now);
+  if (envelope.from_inc == self().incarnation)
     return;
-  prop_.tick(now);
-  beat(now);
-}
-
-void ControllerMachine::handle(const Envelope& e, Millis now) {
-  auto& self = out_.id().self;
-  if (e.epoch > metadata_log_.epoch() && e.cluster == out_.cluster && out_.cluster &&
-      !std::holds_alternative<Decided>(e.body) && !std::holds_alternative<CatchupReply>(e.body) &&
-      !std::holds_alternative<HeartbeatReply>(e.body) && pace_.may_request(metadata_log_.epoch(), now))
-    out_.send(e.from, Catchup{metadata_log_.epoch()});
-  std::visit(
-      overload{
-          [&](const Discover& d) {
-            DiscoverReply r{self, out_.cluster, metadata_log_.epoch(), {}, {}};
-            if (out_.cluster)
-              for (auto id : metadata_log_.view()->members)
-                r.core.push_back(metadata_log_.view()->find(id)->self.address);
-            else
-              for (auto& [i, f] : fellows_)
-                r.candidates.push_back(f.first);
-            if (d.self.role == Role::controller && d.self.incarnation != self.incarnation)
-              fellows_[d.self.incarnation] = {d.self, now};
-            out_.send(e.from, r);
-          },
-          [&](const DiscoverReply& d) {
-            if (out_.cluster) {
-              if (d.cluster != out_.cluster && is_successor_cluster(*metadata_log_.view(), d.cluster) && !outdated_) {
-                outdated_ = true;
-                out_.note(Event::lost_identity, "the core was founded anew without this controller; empty its folder");
-              }
-              if (d.self.role == Role::controller && d.self.incarnation != self.incarnation)
-                fellows_[d.self.incarnation] = {d.self, now};
-              return;
-            }
-            if (d.cluster)
-              return out_.send(e.from, Catchup{metadata_log_.epoch()});
-            if (d.self.role == Role::controller && d.self.incarnation != self.incarnation)
-              fellows_[d.self.incarnation] = {d.self, now};
-            for (auto& c : d.candidates)
-              if (c.incarnation != self.incarnation && !fellows_.count(c.incarnation))
-                out_.send(c.address, Discover{self});
-          },
-          [&](const Prepare& p) {
-            if (may_vote(now))
-              acc_.on(e, p);
-          },
-          [&](const Accept& a) {
-            if (may_vote(now))
-              acc_.on(e, a);
-          },
-          [&](const RefoundRequest& r) { on(e, r, now); }, [&](const Promise& p) { prop_.on(e, p, now); },
-          [&](const Accepted& a) { prop_.on(e, a, now); },
-          [&](const Decided& d) {
-            learn({d.entry}, std::nullopt);
-            if (metadata_log_.has_gap())
-              out_.send(e.from, Catchup{metadata_log_.epoch()});
-          },
-          [&](const Catchup& c) {
-            auto [m, v] = metadata_log_.updates_since(c.known);
-            out_.send(e.from, CatchupReply{metadata_log_.epoch(), m, v});
-          },
-          [&](const CatchupReply& c) { learn(c.entries, c.checkpoint); },
-          [&](const QuorumRead& q) {
-            if (metadata_log_.view()->is_core_member(self.incarnation))
-              out_.send_synced(e.from, QuorumReadReply{q.id, metadata_log_.epoch(), acc_.open()}, e.from_inc);
-          },
-          [&](const QuorumReadReply& q) { prop_.on(e, q, now); },
-          [&](const Commit& c) {
-            if (outdated_)
-              return out_.send(e.from, CommitReply{c.id,
-                                                   CommitOutcome::unknown,
-                                                   "this controller belongs to an earlier generation",
-                                                   metadata_log_.epoch(),
-                                                   std::nullopt,
-                                                   {}});
-            prop_.on(e, c, now);
-          },
-          [&](const CommitReply& c) {
-            sup_.on(c);
-            learn(c.entries, c.checkpoint);
-          },
-          [&](const Heartbeat& h) {
-            detector_.record(h, now);
-            if (h.leaving)
-              lease_.on_resigned(h.self.incarnation, now);
-            prop_.heard(now);
-            if (e.from_inc != self.incarnation)
-              out_.send_synced(e.from, reply_to(h));
-          },
-          [&](const HeartbeatReply& h) { learn(h.entries, h.checkpoint); },
-          [&](const LeaseRequest& a) { lease_.on(e, a, now); }, [&](const LeaseGrant& g) { lease_.on(e, g, now); },
-          [&](const auto&) {
-          }},
-      e.body);
-}
-
-void ControllerMachine::beat(Millis now) {
-  next_beat_ = now + kHeartbeatInterval;
-  beaten_ = metadata_log_.epoch();
-  auto& self = out_.id().self;
-  Heartbeat h{self, metadata_log_.epoch(), 0, {}, 0, now, leaving_since_.has_value(), 0};
-  detector_.record(h, now);
-  for (auto id : metadata_log_.view()->members)
-    if (auto* d = metadata_log_.view()->find(id); d->self.incarnation != self.incarnation)
-      out_.send_synced(d->self.address, h);
-  auto* me = metadata_log_.view()->find(self.incarnation);
-  if ((!me || me->state == DaemonState::left) && now >= next_register_ && !leaving_since_)
-    register_self(now);
-}
-
-/// Asks one member after the other to put this controller into the directory, again if it was taken out of it.
-void ControllerMachine::register_self(Millis now) {
-  next_register_ = now + kRegistrationRetryInterval;
-  auto& m = *metadata_log_.view();
-  auto& self = out_.id().self;
-  auto* me = m.find(self.incarnation);
-  auto commit = "register-" + hex(self.incarnation.value()) + (me ? "-" + std::to_string(me->since.value()) : "");
-  for (size_t i = 0; i < m.members.size(); ++i) {
-    auto* d = m.find(m.members[register_tries_++ % m.members.size()]);
-    if (d->state != DaemonState::down)
-      return out_.send(d->self.address, Commit{commit, Register{self}, metadata_log_.epoch()});
+  auto [snapshot, entries] = metadata_log_.small_updates_since(heartbeat.known);
+  HeartbeatReply reply{metadata_log_.epoch(), snapshot, entries, 0, metadata_log_.view()->cluster != 0, heartbeat.sent};
+  outbox_.send_synced(envelope.from, reply);
+}
+
+void ControllerMachine::handle(const Envelope&, const HeartbeatReply& reply, Millis) {
+  apply_updates(reply.entries, reply.checkpoint);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const LeaseRequest& request, Millis now) {
+  lease_.handle(envelope, request, now);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const LeaseGrant& grant, Millis now) {
+  lease_.handle(envelope, grant, now);
+}
+
+void ControllerMachine::handle(const Envelope& envelope, const RefoundRequest& request, Millis now) {
+  refounding_.handle(envelope, request, now);
+}
+
+/// Messages carry the cluster and the epoch of the log as it is now.
+void ControllerMachine::stamp_messages() {
+  outbox_.cluster = metadata_log_.view()->cluster;
+  outbox_.epoch = metadata_log_.epoch();
+}
+
+/// Keeps an entry that the metadata log has applied; the acceptor's next instance opens.
+void ControllerMachine::append(const Entry& entry) {
+  acceptor_.reset();
+  outbox_.write(codec::pack(ControllerRecord{DecidedRecord{entry}}));
+}
+
+/// An entry of this controller's own proposal is decided: sends it to every daemon once; who misses it catches up.
+void ControllerMachine::on_decided(const Entry& entry) {
+  for (const Entry& applied : metadata_log_.add(entry)) {
+    append(applied);
+    stamp_messages();
+    outbox_.note(applied.epoch.value() == 1 ? Event::founded : Event::decided,
+                 std::to_string(applied.epoch.value()) + ": " + describe(applied.change));
+    for (const auto& [id, daemon] : metadata_log_.view()->directory) {
+      if (daemon.state == DaemonState::left || daemon.self.incarnation == self().incarnation)
+        continue;
+      const Address& agent = daemon.self.agent_address;
+      outbox_.send(agent.empty() ? daemon.self.address : agent, Decided{applied});
+    }
   }
 }
 
-Actions ControllerMachine::tick(Millis now) {
-  auto before = metadata_log_.epoch();
-  if (!out_.cluster && now >= next_discover_)
-    discover(now);
-  if (leaving_since_)
-    end_in_order(now);
-  if (out_.cluster && now >= next_beat_)
-    beat(now);
-  if (out_.cluster && now >= next_survey_)
-    survey(now);
-  lease_.tick(now);
-  sup_.tick(now);
-  if (!acc_.open() || open_at_ != metadata_log_.epoch())
-    open_since_ = now, open_at_ = metadata_log_.epoch();
-  if (out_.cluster && now - open_since_ > kHeartbeatInterval * 2 && prop_.idle()) {
-    open_since_ = now + out_.jitter(kProposalJitter);
-    prop_.finish(now);
+/// Takes entries or a whole value that others have decided.
+void ControllerMachine::apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot) {
+  if (snapshot && metadata_log_.install_snapshot(*snapshot)) {
+    acceptor_.reset();
+    outbox_.write(codec::pack(ControllerRecord{JumpRecord{*snapshot}}));
+    outbox_.note(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
+  }
+  for (const Entry& entry : entries)
+    for (const Entry& applied : metadata_log_.add(entry))
+      append(applied);
+  if (outbox_.cluster != metadata_log_.view()->cluster)
+    removed_by_refounding_ = false;
+  stamp_messages();
+}
+
+void ControllerMachine::send_heartbeats(Millis now) {
+  next_heartbeat_at_ = now + kHeartbeatInterval;
+  Heartbeat heartbeat{};
+  heartbeat.self = self();
+  heartbeat.known = metadata_log_.epoch();
+  heartbeat.sent = now;
+  heartbeat.leaving = shutdown_.in_progress();
+  detector_.record(heartbeat, now);
+  const Metadata& metadata = *metadata_log_.view();
+  for (DaemonId id : metadata.members) {
+    const Candidate& member = metadata.find(id)->self;
+    if (member.incarnation != self().incarnation)
+      outbox_.send_synced(member.address, heartbeat);
+  }
+  if (!shutdown_.in_progress())
+    registration_.request_if_needed(now);
+}
+
+/// The other members hear at once that this one stops: they take the lease over and need not wait for its silence.
+void ControllerMachine::begin_shutdown(Millis now) {
+  if (shutdown_.in_progress())
+    return;
+  shutdown_.begin(now);
+  lease_.resign();
+  if (!outbox_.cluster || !metadata_log_.view()->find(self().incarnation)) {
+    outbox_.act.stop = true;
+    return;
   }
-  prop_.tick(now);
-  moved(before, now);
-  return done();
+  send_heartbeats(now);
+  shutdown_.request_mark_down();
 }
 
 }  // namespace mosskeel
--- a/src/consensus/controller_machine.hpp
+++ b/src/consensus/controller_machine.hpp
@@ -1,79 +1,101 @@
 #pragma once
-// A controller: acceptor, proposer, founder, observer and, with the lease, supervisor.
+// The controller daemon as a state machine: wires its parts and dispatches messages to them.
+#include "consensus/failure_detector.hpp"
+#include "consensus/founding.hpp"
+#include "consensus/graceful_shutdown.hpp"
 #include "consensus/proposer.hpp"
-#include "consensus/sequence_barrier.hpp"
+#include "consensus/refounding.hpp"
+#include "consensus/registration.hpp"
 #include "consensus/supervisor.hpp"
 
 namespace mosskeel {
 
+/// A controller: Paxos acceptor and proposer of the metadata log, observer of heartbeats and, with the lease,
+/// supervisor; before there is a log, a candidate of the founding.
+///
+/// On disk are the metadata log, the acceptor's promise and acceptance, and the founders (`ControllerRecord`). Whatever
+/// depends on a record leaves only once that is synced. Not thread-safe: its host calls it on one thread.
 class ControllerMachine : public Machine {
  public:
-  /// Throws nothing; damaged records were already refused by the disk layer.
-  ControllerMachine(const Identity& id, const Recovered& r, Millis now);
-  Actions step(const Envelope& e, Millis now) override;
+  /// Takes up what an earlier process kept on disk; records that cannot be read were refused by the storage before.
+  ControllerMachine(const Identity& id, const Recovered& recovered, Millis now);
+
+  Actions step(const Envelope& envelope, Millis now) override;
   Actions tick(Millis now) override;
   View view() const override { return metadata_log_.view(); }
-  const std::deque<Entry>& recent_entries() const { return metadata_log_.recent_entries(); }
-  const FailureDetector& failure_detector() const { return detector_; }
-  const Candidate& self() const { return out_.id().self; }
-  bool is_supervisor(Millis now) const { return lease_.held(now); }
-  /// The core was founded anew without this controller: it has no say any more, its folder must be emptied.
-  bool removed_by_refounding() const { return outdated_; }
-  /// What still hinders that an epoch is in force; empty if nothing.
-  std::string missing_acknowledgements(Epoch at, Millis now) const;
-  /// Which partitions have a lost or silent member, so that a store that was emptied may not go yet; empty if none.
-  std::string endangered(Millis now) const {
-    return sequence_barrier::endangered(*metadata_log_.view(), detector_, now);
-  }
   std::string checkpoint() const override;
   /// Begins to stop in order: hands the lease over, lets the core go on without this member, then asks to be stopped.
   /// What it sends goes out with the next tick.
   void begin_shutdown(Millis now);
 
+  const std::deque<Entry>& recent_entries() const { return metadata_log_.recent_entries(); }
+  const FailureDetector& failure_detector() const { return detector_; }
+  const Candidate& self() const { return outbox_.id().self; }
+  bool is_supervisor(Millis now) const { return lease_.is_held(now); }
+  /// The core was founded anew without this controller: it takes part in nothing any more, its folder must be emptied.
+  bool removed_by_refounding() const { return removed_by_refounding_; }
+  /// Which acknowledgements an epoch lacks to be in force, as text; empty once it is in force.
+  std::string missing_acknowledgements(Epoch epoch, Millis now) const;
+
  private:
-  void handle(const Envelope& e, Millis now);
-  void enact(const Entry& e);
-  void learn(const Entries& v, const std::optional<Metadata>& c);
-  void init_founders(const Recovered& r);
-  bool founder(const Address& a) const;
-  bool may_found(Millis now) const;
+  // One handler for each kind of message that concerns a controller.
+  void handle(const Envelope& envelope, const Discover& discover, Millis now);
+  void handle(const Envelope& envelope, const DiscoverReply& reply, Millis now);
+  void handle(const Envelope& envelope, const Prepare& prepare, Millis now);
+  void handle(const Envelope& envelope, const Promise& promise, Millis now);
+  void handle(const Envelope& envelope, const Accept& accept, Millis now);
+  void handle(const Envelope& envelope, const Accepted& accepted, Millis now);
+  void handle(const Envelope& envelope, const Decided& decided, Millis now);
+  void handle(const Envelope& envelope, const Catchup& request, Millis now);
+  void handle(const Envelope& envelope, const CatchupReply& reply, Millis now);
+  void handle(const Envelope& envelope, const QuorumRead& read, Millis now);
+  void handle(const Envelope& envelope, const QuorumReadReply& reply, Millis now);
+  void handle(const Envelope& envelope, const Commit& commit, Millis now);
+  void handle(const Envelope& envelope, const CommitReply& reply, Millis now);
+  void handle(const Envelope& envelope, const Heartbeat& heartbeat, Millis now);
+  void handle(const Envelope& envelope, const HeartbeatReply& reply, Millis now);
+  void handle(const Envelope& envelope, const LeaseRequest& request, Millis now);
+  void handle(const Envelope& envelope, const LeaseGrant& grant, Millis now);
+  void handle(const Envelope& envelope, const RefoundRequest& request, Millis now);
+  /// The messages of histories, programs and turns are none of a controller's.
+  template <class Ignored>
+  void handle(const Envelope&, const Ignored&, Millis) {}
+
+  void recover(const Recovered& recovered);
+  void recover(const ControllerRecord& record);
+  bool is_acceptable(const Envelope& envelope) const;
+  void answer_former_cluster(const Envelope& envelope);
+  void request_missing_entries(const Envelope& envelope, Millis now);
+  void on_decided(const Entry& entry);
+  void apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot);
+  void append(const Entry& entry);
+  void stamp_messages();
   bool may_vote(Millis now) const;
-  Candidates candidates() const;
-  void discover(Millis now);
-  void found(Millis now);
-  void register_self(Millis now);
-  void end_in_order(Millis now);
-  void beat(Millis now);
-  /// Looks whether a majority of the core is provably lost, and then founds it anew.
-  void survey(Millis now);
-  void on(const Envelope& e, const RefoundRequest& r, Millis now);
-  bool core_lives(Millis now) const;
-  std::optional<Incarnation> successor_at(const Daemon& d) const;
-  void refound(const std::vector<DaemonId>& lost, Millis now);
-  void moved(Epoch before, Millis now);
-  bool known_sender(const Envelope& e) const;
-  void answer_outsider(const Envelope& e);
-  HeartbeatReply reply_to(const Heartbeat& h) const;
-  Actions done();
+  void send_heartbeats(Millis now);
+  void finish_abandoned_instance(Millis now);
+  void react_to_new_epoch(Epoch before, Millis now);
+  Actions take_actions();
 
-  Outbox out_;
+  Outbox outbox_;
   MetadataLog metadata_log_;
-  Acceptor acc_;
+  Acceptor acceptor_;
   FailureDetector detector_;
   SupervisorLease lease_;
-  Supervisor sup_;
-  Proposer prop_;
-  CatchupRateLimiter pace_;
-  std::map<Incarnation, std::pair<Candidate, Millis>> fellows_;
-  Millis born_, evidence_ = INT64_MIN / 2, survey_since_ = 0, next_survey_ = 0, open_since_ = 0, next_discover_ = 0,
-                next_beat_ = 0, next_register_ = 0;
-  /// Whose controllers may found the cluster; empty for one that has no say in it.
-  Addresses founders_;
-  std::optional<Millis> leaving_since_;
-  size_t register_tries_ = 0;
-  Epoch beaten_{}, open_at_{};
-  size_t grown_ = 0;
-  bool outdated_ = false;
+  Supervisor supervisor_;
+  Proposer proposer_;
+  CatchupRateLimiter catch_up_limiter_;
+  DiscoveredControllers discovered_;
+  Founding founding_;
+  Refounding refounding_;
+  Registration registration_;
+  GracefulShutdown shutdown_;
+  Millis next_heartbeat_at_ = 0;
+  /// Since when, at the log's present epoch, the acceptor has an accepted proposal that nobody has finished.
+  Millis unfinished_since_ = 0;
+  Epoch unfinished_after_{};
+  /// Bytes of the journal since the last checkpoint.
+  size_t journal_bytes_ = 0;
+  bool removed_by_refounding_ = false;
 };
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/consensus/controller_records.hpp
@@ -0,0 +1,43 @@
+#pragma once
+// What a controller keeps on its disk: the records of its journal and its checkpoint. The order of fields and of
+// alternatives is the format on disk.
+#include "replication/metadata_log.hpp"
+
+namespace mosskeel {
+
+/// The acceptor promised to reject proposals below `ballot` in the instance of `epoch`.
+struct PromiseRecord {
+  BOOST_HANA_DEFINE_STRUCT(PromiseRecord, (Epoch, epoch), (Ballot, ballot));
+};
+
+/// The acceptor accepted this proposal in the instance of the entry's epoch.
+struct AcceptRecord {
+  BOOST_HANA_DEFINE_STRUCT(AcceptRecord, (Ballot, ballot), (Entry, entry));
+};
+
+/// The entry was decided and applied to the metadata log.
+struct DecidedRecord {
+  BOOST_HANA_DEFINE_STRUCT(DecidedRecord, (Entry, entry));
+};
+
+/// A whole metadata value replaced the log up to its epoch.
+struct JumpRecord {
+  BOOST_HANA_DEFINE_STRUCT(JumpRecord, (Metadata, metadata));
+};
+
+/// The addresses whose controllers may found the cluster, as the first start's seeds named them.
+struct FoundersRecord {
+  BOOST_HANA_DEFINE_STRUCT(FoundersRecord, (Addresses, addresses));
+};
+
+/// Append only: the index is what the disk keeps.
+using ControllerRecord = std::variant<PromiseRecord, AcceptRecord, DecidedRecord, JumpRecord, FoundersRecord>;
+
+/// All that the journal before it says. `open` is the epoch of the Paxos instance that `promised` and `accepted` belong
+/// to; `recent` is always empty and kept for the format.
+struct ControllerCheckpoint {
+  BOOST_HANA_DEFINE_STRUCT(ControllerCheckpoint, (Metadata, metadata), (Entries, recent), (Epoch, open),
+                           (Ballot, promised), (std::optional<AcceptedProposal>, accepted));
+};
+
+}  // namespace mosskeel
--- /dev/null
+++ b/src/consensus/core_membership_policy.cpp
@@ -0,0 +1,89 @@
+#include "consensus/core_membership_policy.hpp"
+
+#include <algorithm>
+
+#include "consensus/constants.hpp"
+#include "metadata/constants.hpp"
+#include "metadata/core_membership.hpp"
+#include "replication/constants.hpp"
+
+namespace mosskeel {
+
+/// Heartbeats leave only once the log up to the epoch that they name is on the sender's disk.
+bool CoreMembershipPolicy::holds_log(const Daemon& daemon) const {
+  const PeerStatus* status = detector_.status_of(daemon.self.incarnation);
+  return status && status->known_epoch >= metadata_log_.epoch();
+}
+
+/// A controller outside the core that a majority of the members hears and that holds the whole log.
+const Daemon* CoreMembershipPolicy::find_newcomer(Millis now) const {
+  const Metadata& metadata = *metadata_log_.view();
+  for (const auto& [id, daemon] : metadata.directory) {
+    bool spare = daemon.self.role == Role::controller && daemon.state == DaemonState::up &&
+                 !metadata.is_core_member(daemon.self.incarnation);
+    if (spare && majority_.is_heard(daemon, now) && holds_log(daemon))
+      return &daemon;
+  }
+  return nullptr;
+}
+
+/// Whether a member that is marked down is no longer at work: a majority does not hear it, it announced its shutdown,
+/// or another controller runs at its address.
+bool CoreMembershipPolicy::is_gone(const Daemon& member, Millis now) const {
+  const PeerStatus* status = detector_.status_of(member.self.incarnation);
+  bool announced = status && status->leaving;
+  bool replaced = metadata_log_.view()->find_at(member.self.address) != &member;
+  return announced || replaced || !majority_.is_heard(member, now);
+}
+
+const Daemon* CoreMembershipPolicy::find_lost_member(Millis now) const {
+  const Metadata& metadata = *metadata_log_.view();
+  for (DaemonId id : metadata.members) {
+    const Daemon* member = metadata.find(id);
+    if (member->state == DaemonState::down && is_gone(*member, now))
+      return member;
+  }
+  return nullptr;
+}
+
+bool CoreMembershipPolicy::all_members_heard(Millis now) const {
+  const Metadata& metadata = *metadata_log_.view();
+  return std::all_of(metadata.members.begin(), metadata.members.end(),
+                     [&](DaemonId id) { return majority_.is_heard(*metadata.find(id), now); });
+}
+
+/// What a controller sent before it was marked down proves nothing.
+bool CoreMembershipPolicy::has_returned(const Daemon& daemon, Millis now) const {
+  if (!majority_.is_heard(daemon, now))
+    return false;
+  if (daemon.self.role != Role::controller)
+    return true;
+  const PeerStatus* status = detector_.status_of(daemon.self.incarnation);
+  return status && !status->leaving && status->known_epoch >= daemon.since &&
+         metadata_log_.view()->find_at(daemon.self.address) == &daemon;
+}
+
+std::optional<Transformation> CoreMembershipPolicy::next_change(Millis now) {
+  const Metadata& metadata = *metadata_log_.view();
+  const Daemon* lost = find_lost_member(now);
+  size_t members = metadata.members.size();
+  size_t down = count_down_members(metadata);
+  bool smaller_majority = members % 2 == 0 || down > 1;
+  if (lost && smaller_majority && members > kMinCoreSize)
+    return RemoveCoreMember{lost->id};
+  size_t max_size = std::max<size_t>(metadata.core_size, metadata.max_core_size);
+  bool room = members - down < max_size && members <= max_size;
+  const Daemon* newcomer = room ? find_newcomer(now) : nullptr;
+  if (!newcomer)
+    return std::nullopt;
+  if (!lost) {
+    // A loss before the newcomer came is marked by then; and a lease granted by a smaller core has ended.
+    Millis not_before =
+        growth_not_before_.try_emplace(newcomer->id, now + kHeartbeatTimeout + kHeartbeatInterval).first->second;
+    if (now < not_before || !all_members_heard(now))
+      return std::nullopt;
+  }
+  return AddCoreMember{newcomer->id};
+}
+
+}  // namespace mosskeel
--- /dev/null
+++ b/src/consensus/discovered_controllers.cpp
@@ -0,0 +1,19 @@
+#include "consensus/discovered_controllers.hpp"
+
+#include "consensus/constants.hpp"
+#include "replication/constants.hpp"
+
+namespace mosskeel {
+
+void DiscoveredControllers::record(const Candidate& candidate, Millis now) {
+  if (candidate.role == Role::controller && candidate.incarnation != self_)
+    sightings_[candidate.incarnation] = {candidate, now};
+}
+
+void DiscoveredControllers::expire(Millis now) {
+  std::erase_if(sightings_, [&](const auto& sighting) {
+    return now - sighting.second.heard_at > kDiscoveryInterval * kDiscoveryMemoryIntervals;
+  });
+}
+
+}  // namespace mosskeel
--- a/src/consensus/failure_detector.hpp
+++ b/src/consensus/failure_detector.hpp
@@ -1,59 +1,45 @@
 #pragma once
-// Who was heard when, and what they knew: the observations of one controller.
+// Whose heartbeats came when, and what they reported: the observations of one controller.
 #include "consensus/constants.hpp"
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
+/// What the heartbeats of one incarnation of a daemon have said, the latest first.
 struct PeerStatus {
   Millis last_heartbeat_at = 0;
+  /// The highest epoch that it has reported; a daemon with a disk has synced the log up to it.
   Epoch known_epoch{};
   uint32_t load = 0;
+  /// A store has all histories that it took over by this epoch.
   Epoch streamed_epoch{};
   uint32_t running = 0;
   Candidate self{};
+  /// A store's comparisons with its peers that have found histories missing here.
   uint32_t incomplete_comparisons = 0;
-  /// It announced that its process ends in order.
+  /// Its process is shutting down in order.
   bool leaving = false;
 };
 
+/// Keeps the last heartbeat of each daemon. Decides nothing: the supervisor asks a majority of the members for theirs.
+/// Times are this controller's own; owned by `ControllerMachine` and used on its thread only.
 class FailureDetector {
  public:
+  /// A daemon without any heartbeat counts as heard at `start`.
   explicit FailureDetector(Millis start) : start_(start) {}
-  void record(const Heartbeat& h, Millis now) {
-    auto& x = heard_[h.self.incarnation];
-    x = {now,    std::max(x.known_epoch, h.known), h.load,   h.streamed, h.running,
-         h.self, h.incomplete_comparisons,         h.leaving};
-  }
-  const PeerStatus* status_of(Incarnation incarnation) const {
-    auto i = heard_.find(incarnation);
-    return i == heard_.end() ? nullptr : &i->second;
-  }
-  Millis heartbeat_age(const Daemon& d, Millis now) const {
-    auto* h = status_of(d.self.incarnation);
-    return now - (h ? h->last_heartbeat_at : start_);
-  }
-  /// Whether another incarnation speaks at a daemon's address since the daemon itself was last heard: it runs no more.
-  bool superseded(const Daemon& daemon, Millis now) const {
-    auto* own = status_of(daemon.self.incarnation);
-    for (auto& [incarnation, status] : heard_)
-      if (incarnation != daemon.self.incarnation && status.self.address == daemon.self.address &&
-          now - status.last_heartbeat_at < kHeartbeatTimeout &&
-          (!own || status.last_heartbeat_at > own->last_heartbeat_at))
-        return true;
-    return false;
-  }
-  HeartbeatAges heartbeat_ages(const Metadata& m, Millis now) const {
-    HeartbeatAges s;
-    for (auto& [id, d] : m.directory)
-      if (d.state != DaemonState::left)
-        s[id] = heartbeat_age(d, now);
-    return s;
-  }
+
+  void record(const Heartbeat& heartbeat, Millis now);
+  /// Nothing for an incarnation that has sent no heartbeat.
+  const PeerStatus* status_of(Incarnation incarnation) const;
+  /// Milliseconds since the daemon's last heartbeat.
+  Millis heartbeat_age(const Daemon& daemon, Millis now) const;
+  HeartbeatAges heartbeat_ages(const Metadata& metadata, Millis now) const;
+  /// Whether another incarnation speaks at a daemon's address since the daemon's own last heartbeat: it runs no more.
+  bool superseded(const Daemon& daemon, Millis now) const;
 
  private:
   Millis start_;
-  std::map<Incarnation, PeerStatus> heard_;
+  std::map<Incarnation, PeerStatus> peers_;
 };
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/consensus/founding.cpp
@@ -0,0 +1,97 @@
+#include "consensus/founding.hpp"
+
+#include <algorithm>
+
+#include "consensus/constants.hpp"
+#include "replication/constants.hpp"
+
+namespace mosskeel {
+
+void Founding::initialize(const Recovered& recovered) {
+  const Identity& id = outbox_.id();
+  bool empty_disk = !recovered.checkpoint && recovered.journal.empty();
+  if (id.later_start || !empty_disk)
+    return;
+  founders_ = id.seeds;
+  if (founders_.empty())
+    founders_ = {id.self.address};
+  outbox_.write(codec::pack(ControllerRecord{FoundersRecord{founders_}}));
+}
+
+bool Founding::is_founder(const Address& address) const {
+  return std::find(founders_.begin(), founders_.end(), address) != founders_.end();
+}
+
+bool Founding::may_vote(Millis now) const {
+  return is_founder(outbox_.id().self.address) && now - last_evidence_at_ > kFoundingHoldOff;
+}
+
+void Founding::tick(Millis now) {
+  if (now < next_discovery_at_)
+    return;
+  next_discovery_at_ = now + kDiscoveryInterval;
+  discovered_.expire(now);
+  const Candidate& self = outbox_.id().self;
+  for (const Address& seed : outbox_.id().seeds)
+    if (seed != self.address)
+      outbox_.send(seed, Discover{self});
+  for (const auto& [incarnation, sighting] : discovered_.all())
+    outbox_.send(sighting.candidate.address, Discover{self});
+  if (may_vote(now) && proposer_.idle())
+    propose_if_due(now);
+}
+
+void Founding::handle_reply(const DiscoverReply& reply, Millis now) {
+  discovered_.record(reply.self, now);
+  const Candidate& self = outbox_.id().self;
+  for (const Candidate& candidate : reply.candidates)
+    if (candidate.incarnation != self.incarnation && !discovered_.contains(candidate.incarnation))
+      outbox_.send(candidate.address, Discover{self});
+}
+
+/// This controller and the founders heard lately, one for each address, lowest incarnation first.
+Candidates Founding::candidates() const {
+  const Candidate& self = outbox_.id().self;
+  std::map<Address, DiscoveredControllers::Sighting> latest;
+  for (const auto& [incarnation, sighting] : discovered_.all()) {
+    const Address& address = sighting.candidate.address;
+    if (!is_founder(address) || address == self.address)
+      continue;
+    DiscoveredControllers::Sighting& known = latest[address];
+    if (sighting.heard_at > known.heard_at)
+      known = sighting;
+  }
+  Candidates candidates{self};
+  for (const auto& [address, sighting] : latest)
+    candidates.push_back(sighting.candidate);
+  std::sort(candidates.begin(), candidates.end(),
+            [](const Candidate& left, const Candidate& right) { return left.incarnation < right.incarnation; });
+  return candidates;
+}
+
+/// The lowest candidate proposes once it sees all others, or a majority after a while; anybody if that one fails.
+Millis Founding::proposal_delay(const Candidates& candidates) const {
+  bool lowest = candidates.front().incarnation == outbox_.id().self.incarnation;
+  if (!lowest)
+    return kFoundingStragglerTimeout * 3;
+  bool complete = candidates.size() == founders_.size();
+  return complete ? kFoundingDelay : kFoundingStragglerTimeout;
+}
+
+void Founding::propose_if_due(Millis now) {
+  const Identity& id = outbox_.id();
+  Candidates electors = candidates();
+  size_t quorum_size = majority_of(founders_.size());
+  if (electors.size() < quorum_size || now - started_at_ <= proposal_delay(electors))
+    return;
+  Candidates members = electors;
+  if (members.size() > id.core_size)
+    members.resize(id.core_size);
+  outbox_.note(Event::founding,
+               std::to_string(electors.size()) + " of " + std::to_string(founders_.size()) + " candidates");
+  uint64_t cluster = digest(hex(id.self.incarnation.value()));
+  proposer_.found(FoundCluster{cluster, id.core_size, members, id.max_core_size, id.replication_factor}, electors,
+                  quorum_size, now);
+}
+
+}  // namespace mosskeel
--- /dev/null
+++ b/src/consensus/founding.hpp
@@ -0,0 +1,50 @@
+#pragma once
+// How controllers without a log find each other and found the cluster.
+#include "consensus/discovered_controllers.hpp"
+#include "consensus/proposer.hpp"
+
+namespace mosskeel {
+
+/// One controller's part in the founding: a Paxos instance at epoch 1 among fixed candidates.
+///
+/// Invariant: the candidates are the addresses of the first start's seeds, written to disk before any vote, so that
+/// every founding asks a majority of one and the same set, whatever each controller has discovered. A controller that
+/// starts with an empty disk later is no candidate: what it may have promised before is lost. Owned by
+/// `ControllerMachine` and used on its thread only.
+class Founding {
+ public:
+  Founding(Outbox& outbox, MetadataLog& metadata_log, Proposer& proposer, DiscoveredControllers& discovered, Millis now)
+      : outbox_(outbox), metadata_log_(metadata_log), proposer_(proposer), discovered_(discovered), started_at_(now) {}
+
+  /// Fixes the candidates if this is a controller's first start.
+  void initialize(const Recovered& recovered);
+  void recover(const FoundersRecord& record) { founders_ = record.addresses; }
+
+  /// While there is no log: looks for others each interval, and proposes the founding when it is this one's turn.
+  void tick(Millis now);
+  /// Adds what a controller without a log tells those who look for others.
+  void handle_reply(const DiscoverReply& reply, Millis now);
+  /// A founded cluster was heard of: nothing is founded beside it.
+  void record_founded_cluster(Millis now) { last_evidence_at_ = now; }
+  /// Whether this controller may vote for or propose a founding now.
+  bool may_vote(Millis now) const;
+
+ private:
+  bool is_founder(const Address& address) const;
+  Candidates candidates() const;
+  Millis proposal_delay(const Candidates& candidates) const;
+  void propose_if_due(Millis now);
+
+  Outbox& outbox_;
+  MetadataLog& metadata_log_;
+  Proposer& proposer_;
+  DiscoveredControllers& discovered_;
+  Millis started_at_;
+  Millis next_discovery_at_ = 0;
+  /// When a message of a founded cluster came last, while this controller had no log.
+  Millis last_evidence_at_ = INT64_MIN / 2;
+  /// Whose controllers may found the cluster; empty for one that has no vote in it.
+  Addresses founders_;
+};
+
+}  // namespace mosskeel
--- /dev/null
+++ b/src/consensus/majority_observation.cpp
@@ -0,0 +1,31 @@
+#include "consensus/majority_observation.hpp"
+
+#include "consensus/constants.hpp"
+#include "replication/constants.hpp"
+
+namespace mosskeel {
+
+bool MajorityObservation::majority_agrees(const Daemon& daemon, Millis now,
+                                          const std::function<bool(Millis heartbeat_age)>& agrees) const {
+  const Metadata& metadata = *metadata_log_.view();
+  size_t agreeing = 0;
+  for (const auto& [member, observation] : lease_.observations()) {
+    bool current = now - observation.received_at < kSupervisorLeaseDuration;
+    if (!current || !metadata.is_core_member(member))
+      continue;
+    auto age = observation.heartbeat_ages.find(daemon.id);
+    if (age != observation.heartbeat_ages.end() && agrees(age->second))
+      ++agreeing;
+  }
+  return agreeing >= majority_of(metadata.members.size());
+}
+
+bool MajorityObservation::is_silent(const Daemon& daemon, Millis timeout, Millis now) const {
+  return majority_agrees(daemon, now, [&](Millis heartbeat_age) { return heartbeat_age >= timeout; });
+}
+
+bool MajorityObservation::is_heard(const Daemon& daemon, Millis now) const {
+  return majority_agrees(daemon, now, [](Millis heartbeat_age) { return heartbeat_age < kHeartbeatInterval * 3; });
+}
+
+}  // namespace mosskeel
--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -1,293 +1,338 @@
 #include "consensus/proposer.hpp"
-#include "consensus/constants.hpp"
 
 #include <algorithm>
 
-namespace mosskeel {
+#include "consensus/constants.hpp"
 
+namespace mosskeel {
 namespace {
 
-/// Marks the ballots of this process alone. The rounds of an earlier process of the same incarnation may not have been
-/// synced, and a vote for one of its ballots must never count for another value.
+/// Marks the ballots of this process alone. The ballots of an earlier process of the same incarnation may not have been
+/// synced, and a vote for one of them must never count for another value.
 uint64_t ballot_owner(const Identity& id) {
   return digest(hex(id.self.incarnation.value()), id.dice);
 }
 
+/// Whether somebody outside the cluster relies on a change once it is acknowledged, so that it must be in force then.
+bool must_be_in_force(const Transformation& change) {
+  return std::holds_alternative<ApplyConfiguration>(change) || std::holds_alternative<SetReplica>(change) ||
+         std::holds_alternative<RemoveReplica>(change) || std::holds_alternative<EvacuateZone>(change) ||
+         std::holds_alternative<RestoreZone>(change) || std::holds_alternative<PrepareDrain>(change) ||
+         std::holds_alternative<MovePartition>(change) || std::holds_alternative<MoveAllPartitions>(change);
+}
+
 }  // namespace
 
-std::map<Incarnation, Address> Proposer::members() const {
-  std::map<Incarnation, Address> v;
-  auto& m = *metadata_log_.view();
-  for (auto id : m.members)
-    if (auto* d = m.find(id))
-      v[d->self.incarnation] = d->self.address;
-  if (m.cluster == 0 && founding_)
-    for (auto& c : founding_->electors)
-      v[c.incarnation] = c.address;
-  return v;
+/// The members of the core; before the founding, the fixed candidates.
+std::map<Incarnation, Address> Proposer::acceptors() const {
+  std::map<Incarnation, Address> acceptors;
+  const Metadata& metadata = *metadata_log_.view();
+  for (DaemonId id : metadata.members)
+    if (const Daemon* member = metadata.find(id))
+      acceptors[member->self.incarnation] = member->self.address;
+  if (metadata.cluster == 0 && founding_)
+    for (const Candidate& elector : founding_->electors)
+      acceptors[elector.incarnation] = elector.address;
+  return acceptors;
 }
 
-void Proposer::on(const Envelope& e, const Commit& c, Millis now) {
-  auto again = [&](Waiting& w) {
-    if (w.id != c.id || w.asker != e.from)
+/// Re-founding needs every survivor, founding a majority of its fixed candidates, all else a majority of the core.
+size_t Proposer::quorum_size(size_t acceptors) const {
+  if (refounding_)
+    return acceptors;
+  if (metadata_log_.view()->cluster == 0 && founding_)
+    return founding_->quorum_size;
+  return majority_of(acceptors);
+}
+
+bool Proposer::is_appended(const CommitRequest& request) const {
+  return metadata_log_.view()->epoch_of_commit(request.id).has_value();
+}
+
+void Proposer::handle(const Envelope& envelope, const Commit& commit, Millis now) {
+  auto extend_if_repeated = [&](CommitRequest& request) {
+    if (request.id != commit.id || request.requester != envelope.from)
       return false;
-    w.deadline = now + w.patience;
+    request.deadline = now + request.timeout;
     return true;
   };
-  if (std::any_of(queue_.begin(), queue_.end(), again))
+  if (std::any_of(requests_.begin(), requests_.end(), extend_if_repeated))
     return;
-  if (std::any_of(held_.begin(), held_.end(), [&](auto& h) { return again(h.w); }))
+  if (std::any_of(appended_.begin(), appended_.end(),
+                  [&](AppendedCommit& appended) { return extend_if_repeated(appended.request); }))
     return;
-  auto patience = c.timeout_ms > 0 ? std::min<Millis>(c.timeout_ms, out_.id().commit_attempt_timeout)
-                                   : out_.id().commit_attempt_timeout;
-  queue_.push_back({c.id, c.change, e.from, c.known_epoch, patience, now + patience, ++tickets_});
-  run(now);
+  Millis timeout = outbox_.id().commit_attempt_timeout;
+  if (commit.timeout_ms > 0)
+    timeout = std::min<Millis>(commit.timeout_ms, timeout);
+  requests_.push_back(
+      {commit.id, commit.change, envelope.from, commit.known_epoch, timeout, now + timeout, ++last_ticket_});
+  advance(now);
 }
 
-void Proposer::answer(const Waiting& w, CommitOutcome o, const std::string& reason, Rejection why) {
-  auto at = o == CommitOutcome::rejected ? metadata_log_.epoch()
-                                         : metadata_log_.view()->epoch_of_commit(w.id).value_or(metadata_log_.epoch());
-  auto [c, v] = metadata_log_.updates_since(w.known);
-  out_.send_synced(w.asker, CommitReply{w.id, o, reason, at, c, v, why});
-  if (o == CommitOutcome::rejected)
-    out_.note(Event::rejected, describe(w.change) + ": " + reason);
-  if (o == CommitOutcome::unknown)
-    out_.note(Event::unknown_outcome, describe(w.change) + " id " + w.id);
+void Proposer::reply(const CommitRequest& request, CommitOutcome outcome, const std::string& reason,
+                     Rejection rejection) {
+  Epoch epoch = metadata_log_.epoch();
+  if (outcome != CommitOutcome::rejected)
+    epoch = metadata_log_.view()->epoch_of_commit(request.id).value_or(epoch);
+  auto [snapshot, entries] = metadata_log_.updates_since(request.known_epoch);
+  outbox_.send_synced(request.requester, CommitReply{request.id, outcome, reason, epoch, snapshot, entries, rejection});
+  if (outcome == CommitOutcome::rejected)
+    outbox_.note(Event::rejected, describe(request.change) + ": " + reason);
+  if (outcome == CommitOutcome::unknown)
+    outbox_.note(Event::unknown_outcome, describe(request.change) + " id " + request.id);
 }
 
-/// Whoever was told that an order is unclear may have gone elsewhere with another: it is not proposed any more.
-void Proposer::expire(Millis now) {
-  std::vector<Waiting> late;
-  std::erase_if(queue_, [&](auto& w) {
-    if (now < w.deadline || (w.proposed && metadata_log_.view()->epoch_of_commit(w.id)))
+/// Whoever was told that the outcome of a commit is unknown may have gone to another controller with a different one:
+/// it is not proposed any more.
+void Proposer::expire_requests(Millis now) {
+  std::vector<CommitRequest> expired;
+  std::erase_if(requests_, [&](CommitRequest& request) {
+    if (now < request.deadline || (request.proposed && is_appended(request)))
       return false;
-    late.push_back(w);
+    expired.push_back(request);
     return true;
   });
-  for (auto& w : late) {
-    // Nobody has been asked to accept it yet, so it can be left.
-    if (round_ && round_->stage == Stage::preparing && round_->entry.commit_id == w.id)
-      round_.reset();
-    answer(w, CommitOutcome::unknown, "no majority of the core answered in time");
+  for (const CommitRequest& request : expired) {
+    // Nobody has been asked to accept it yet, so it can be abandoned.
+    if (proposal_ && proposal_->phase == Phase::preparing && proposal_->entry &&
+        proposal_->entry->commit_id == request.id)
+      proposal_.reset();
+    reply(request, CommitOutcome::unknown, "no majority of the core answered in time");
   }
 }
 
-void Proposer::run(Millis now) {
-  expire(now);
-  while (!round_ && now >= pause_) {
-    if (founding_ && metadata_log_.view()->cluster == 0)
-      return start(founding_->entry, now, false);
-    founding_.reset();
-    if (refound_) {
-      Entry e{next(metadata_log_.epoch()), "", refound_->first};
-      if (!apply(*metadata_log_.view(), e).ok()) {
-        refound_.reset();
-      } else if (refound_->second.empty()) {
-        refound_.reset();
-        enact_(e);
-      } else {
-        return start(std::move(e), now, false);
-      }
-    }
-    if (queue_.empty() || metadata_log_.view()->cluster == 0)
+/// Starts what is next, as far as nothing is in flight.
+void Proposer::advance(Millis now) {
+  expire_requests(now);
+  while (idle() && now >= retry_at_) {
+    if (propose_founding(now) || propose_refounding(now))
       return;
-    auto& w = queue_.front();
-    bool taken = metadata_log_.view()->epoch_of_commit(w.id).has_value();
-    if (taken && w.proposed) {
-      auto first = std::move(w);
-      queue_.erase(queue_.begin());
-      hold(std::move(first), now);
-      continue;
-    }
-    Entry e{next(metadata_log_.epoch()), w.id, w.change};
-    if (taken || !apply(*metadata_log_.view(), e).ok())
-      return read(now);
-    w.proposed = true;
-    start(std::move(e), now, false);
+    if (requests_.empty() || metadata_log_.view()->cluster == 0)
+      return;
+    CommitRequest& first = requests_.front();
+    if (first.proposed && is_appended(first))
+      await_in_force(take_first_request(), now);
+    else
+      propose_or_read(first, now);
   }
 }
 
-/// Re-founding needs every survivor, founding a majority of its fixed candidates, all else a majority of the core.
-size_t Proposer::votes_needed(size_t peers) const {
-  if (refound_)
-    return peers;
-  if (metadata_log_.view()->cluster == 0 && founding_)
-    return founding_->votes;
-  return majority_of(peers);
+bool Proposer::propose_founding(Millis now) {
+  if (!founding_ || metadata_log_.view()->cluster != 0) {
+    founding_.reset();
+    return false;
+  }
+  prepare(founding_->entry.epoch, founding_->entry, now);
+  return true;
+}
+
+bool Proposer::propose_refounding(Millis now) {
+  if (!refounding_)
+    return false;
+  Entry entry{next(metadata_log_.epoch()), "", refounding_->change};
+  if (!apply(*metadata_log_.view(), entry).ok()) {
+    refounding_.reset();
+    return false;
+  }
+  if (refounding_->survivors.empty()) {
+    refounding_.reset();
+    on_decided_(entry);
+    return false;
+  }
+  prepare(entry.epoch, entry, now);
+  return true;
 }
 
-void Proposer::start(Entry e, Millis now, bool finish_only) {
-  Round r{};
-  r.stage = Stage::preparing;
-  r.epoch = e.epoch;
-  top_ = std::max(top_, acc_.promised().round) + 1;
-  r.ballot = {top_, ballot_owner(out_.id())};
-  r.entry = std::move(e);
-  if (finish_only)
-    r.entry.epoch = Epoch{0};
-  r.peers = refound_ ? refound_->second : members();
-  r.need = votes_needed(r.peers.size());
-  r.until = now + kProposalTimeout + out_.jitter(kProposalJitter);
-  for (auto& [incarnation, a] : r.peers)
-    out_.send(a, Prepare{r.epoch, r.ballot}, incarnation);
-  round_ = std::move(r);
+/// What doesn't apply, or was appended for another request, is answered only after a quorum read.
+void Proposer::propose_or_read(CommitRequest& request, Millis now) {
+  Entry entry{next(metadata_log_.epoch()), request.id, request.change};
+  if (is_appended(request) || !apply(*metadata_log_.view(), entry).ok())
+    return begin_read(now);
+  request.proposed = true;
+  prepare(entry.epoch, entry, now);
 }
 
-/// Asks the core whether this epoch is the newest; whatever waits now may then be answered from this value.
-void Proposer::read(Millis now) {
-  Round r{};
-  r.stage = Stage::reading;
-  r.epoch = metadata_log_.epoch();
-  r.read = out_.roll();
-  r.last_ticket = queue_.back().ticket;
-  r.peers = members();
-  r.need = majority_of(r.peers.size());
-  r.until = now + kProposalTimeout;
-  for (auto& [incarnation, a] : r.peers)
-    out_.send(a, QuorumRead{r.read}, incarnation);
-  round_ = std::move(r);
+/// Phase 1 of Paxos in the instance of `epoch`, with a ballot above all that were seen here.
+void Proposer::prepare(Epoch epoch, std::optional<Entry> entry, Millis now) {
+  Proposal proposal{};
+  proposal.epoch = epoch;
+  highest_round_ = std::max(highest_round_, acceptor_.promised().round) + 1;
+  proposal.ballot = {highest_round_, ballot_owner(outbox_.id())};
+  proposal.entry = std::move(entry);
+  proposal.acceptors = refounding_ ? refounding_->survivors : acceptors();
+  proposal.quorum_size = quorum_size(proposal.acceptors.size());
+  proposal.deadline = now + kProposalTimeout + outbox_.jitter(kProposalJitter);
+  for (const auto& [incarnation, address] : proposal.acceptors)
+    outbox_.send(address, Prepare{proposal.epoch, proposal.ballot}, incarnation);
+  proposal_ = std::move(proposal);
 }
 
-void Proposer::on(const Envelope& e, const QuorumReadReply& q, Millis now) {
-  if (!round_ || round_->stage != Stage::reading || q.id != round_->read || !round_->peers.count(e.from_inc))
+void Proposer::handle(const Envelope& envelope, const Promise& promise, Millis now) {
+  if (!proposal_ || proposal_->phase != Phase::preparing || promise.epoch != proposal_->epoch ||
+      promise.ballot != proposal_->ballot || !proposal_->acceptors.count(envelope.from_inc))
     return;
-  if (q.epoch > metadata_log_.epoch()) {
-    out_.send(e.from, Catchup{metadata_log_.epoch()});
+  if (!promise.granted)
+    return abandon(now, promise.promised);
+  std::optional<AcceptedProposal>& highest = proposal_->highest_accepted;
+  if (promise.accepted && (!highest || highest->ballot < promise.accepted->ballot))
+    highest = promise.accepted;
+  proposal_->votes.insert(envelope.from_inc);
+  if (proposal_->votes.size() < proposal_->quorum_size)
     return;
+  // A proposal that an acceptor reports may be decided already: only that one may be proposed again.
+  if (highest)
+    proposal_->entry = highest->entry;
+  if (!proposal_->entry) {
+    proposal_.reset();
+    return advance(now);
   }
-  if (q.epoch == metadata_log_.epoch())
-    round_->open |= q.open;
-  round_->votes.insert(e.from_inc);
-  if (round_->votes.size() < round_->need)
+  proposal_->phase = Phase::accepting;
+  proposal_->votes.clear();
+  for (const auto& [incarnation, address] : proposal_->acceptors)
+    outbox_.send(address, Accept{proposal_->ballot, *proposal_->entry}, incarnation);
+}
+
+void Proposer::handle(const Envelope& envelope, const Accepted& accepted, Millis now) {
+  if (!proposal_ || proposal_->phase != Phase::accepting || accepted.epoch != proposal_->epoch ||
+      accepted.ballot != proposal_->ballot || !proposal_->acceptors.count(envelope.from_inc))
+    return;
+  if (!accepted.granted)
+    return abandon(now, accepted.promised);
+  proposal_->votes.insert(envelope.from_inc);
+  if (proposal_->votes.size() < proposal_->quorum_size)
     return;
-  auto r = std::move(*round_);
-  round_.reset();
-  if (metadata_log_.epoch() != r.epoch)
-    return run(now);
-  if (r.open)
-    return start(Entry{next(r.epoch), "", std::monostate{}}, now, true);
-  conclude(r.last_ticket, now);
-  run(now);
+  Entry decided = *proposal_->entry;
+  proposal_.reset();
+  on_decided_(decided);
+  advance(now);
 }
 
-/// Answers what had come before the read began, up to the first that can be proposed.
-void Proposer::conclude(uint64_t last_ticket, Millis now) {
-  while (!queue_.empty() && queue_.front().ticket <= last_ticket) {
-    auto& w = queue_.front();
-    bool taken = metadata_log_.view()->epoch_of_commit(w.id).has_value();
-    auto r =
-        taken ? Result<Metadata>{} : apply(*metadata_log_.view(), Entry{next(metadata_log_.epoch()), w.id, w.change});
-    if (!taken && r.ok())
-      return;
-    auto first = std::move(w);
-    queue_.erase(queue_.begin());
-    if (taken)
-      hold(std::move(first), now);
-    else
-      answer(first, CommitOutcome::rejected, to_string(r.errors()),
-             rejection_reason(*metadata_log_.view(), first.change));
-  }
+/// Gives up what is in flight; the next attempt takes a ballot above `seen`, after a random pause.
+void Proposer::abandon(Millis now, Ballot seen) {
+  highest_round_ = std::max(highest_round_, seen.round);
+  proposal_.reset();
+  read_.reset();
+  retry_at_ = now + 1 + outbox_.jitter(kProposalJitter);
 }
 
-void Proposer::hold(Waiting w, Millis now) {
-  auto at = *metadata_log_.view()->epoch_of_commit(w.id);
-  Held h{std::move(w), at};
-  if (!release(h, now))
-    held_.push_back(std::move(h));
+/// Asks the core whether this epoch is the newest; the commits that wait now may then be answered by its value.
+void Proposer::begin_read(Millis now) {
+  QuorumReadState read{};
+  read.id = outbox_.roll();
+  read.epoch = metadata_log_.epoch();
+  read.last_ticket = requests_.back().ticket;
+  read.members = acceptors();
+  read.quorum_size = majority_of(read.members.size());
+  read.deadline = now + kProposalTimeout;
+  for (const auto& [incarnation, address] : read.members)
+    outbox_.send(address, QuorumRead{read.id}, incarnation);
+  read_ = std::move(read);
 }
 
-void Proposer::on(const Envelope& e, const Promise& p, Millis now) {
-  if (!round_ || round_->stage != Stage::preparing || p.epoch != round_->epoch || p.ballot != round_->ballot)
-    return;
-  if (!round_->peers.count(e.from_inc))
+void Proposer::handle(const Envelope& envelope, const QuorumReadReply& reply, Millis now) {
+  if (!read_ || reply.id != read_->id || !read_->members.count(envelope.from_inc))
     return;
-  if (!p.granted)
-    return again(now, p.promised);
-  if (p.accepted && (!round_->best || round_->best->ballot < p.accepted->ballot))
-    round_->best = p.accepted;
-  round_->votes.insert(e.from_inc);
-  if (round_->votes.size() < round_->need)
+  if (reply.epoch > metadata_log_.epoch()) {
+    outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
     return;
-  if (round_->best)
-    round_->entry = round_->best->entry;
-  if (round_->entry.epoch.value() == 0) {
-    round_.reset();
-    return run(now);
   }
-  round_->stage = Stage::accepting;
-  round_->votes.clear();
-  for (auto& [incarnation, a] : round_->peers)
-    out_.send(a, Accept{round_->ballot, round_->entry}, incarnation);
+  if (reply.epoch == metadata_log_.epoch())
+    read_->instance_open |= reply.open;
+  read_->replies.insert(envelope.from_inc);
+  if (read_->replies.size() < read_->quorum_size)
+    return;
+  QuorumReadState read = std::move(*read_);
+  read_.reset();
+  finish_read(read, now);
 }
 
-void Proposer::on(const Envelope& e, const Accepted& a, Millis now) {
-  if (!round_ || round_->stage != Stage::accepting || a.epoch != round_->epoch || a.ballot != round_->ballot)
-    return;
-  if (!round_->peers.count(e.from_inc))
-    return;
-  if (!a.granted)
-    return again(now, a.promised);
-  round_->votes.insert(e.from_inc);
-  if (round_->votes.size() >= round_->need)
-    decided(now);
+void Proposer::finish_read(const QuorumReadState& read, Millis now) {
+  if (metadata_log_.epoch() != read.epoch)
+    return advance(now);
+  if (read.instance_open)
+    return prepare(next(read.epoch), std::nullopt, now);
+  answer_requests_up_to(read.last_ticket, now);
+  advance(now);
 }
 
-void Proposer::decided(Millis now) {
-  auto x = round_->entry;
-  round_.reset();
-  enact_(x);
-  run(now);
+/// Answers the requests that had come before a quorum read began, up to the first that can be proposed.
+void Proposer::answer_requests_up_to(uint64_t last_ticket, Millis now) {
+  while (!requests_.empty() && requests_.front().ticket <= last_ticket) {
+    const CommitRequest& first = requests_.front();
+    if (is_appended(first)) {
+      await_in_force(take_first_request(), now);
+      continue;
+    }
+    auto result = apply(*metadata_log_.view(), Entry{next(metadata_log_.epoch()), first.id, first.change});
+    if (result.ok())
+      return;
+    CommitRequest rejected = take_first_request();
+    reply(rejected, CommitOutcome::rejected, to_string(result.errors()),
+          rejection_reason(*metadata_log_.view(), rejected.change));
+  }
 }
 
-void Proposer::again(Millis now, Ballot seen) {
-  top_ = std::max(top_, seen.round);
-  round_.reset();
-  pause_ = now + 1 + out_.jitter(kProposalJitter);
+Proposer::CommitRequest Proposer::take_first_request() {
+  CommitRequest first = std::move(requests_.front());
+  requests_.erase(requests_.begin());
+  return first;
 }
 
-/// What somebody outside relies on once it is acknowledged.
-bool Proposer::promised(const Transformation& t) {
-  return std::visit(overload{[](const ApplyConfiguration&) { return true; }, [](const SetReplica&) { return true; },
-                             [](const RemoveReplica&) { return true; }, [](const EvacuateZone&) { return true; },
-                             [](const RestoreZone&) { return true; }, [](const PrepareDrain&) { return true; },
-                             [](const MovePartition&) { return true; }, [](const MoveAllPartitions&) { return true; },
-                             [](const auto&) {
-                               return false;
-                             }},
-                    t);
+void Proposer::await_in_force(CommitRequest request, Millis now) {
+  Epoch epoch = *metadata_log_.view()->epoch_of_commit(request.id);
+  AppendedCommit commit{std::move(request), epoch};
+  if (!try_acknowledge(commit, now))
+    appended_.push_back(std::move(commit));
 }
 
-/// Answers once the change is in force, or when its asker's patience is over.
-bool Proposer::release(const Held& h, Millis now) {
-  auto why = promised(h.w.change) && missing_acknowledgements ? missing_acknowledgements(h.at, now) : "";
-  if (why.empty())
-    return answer(h.w, CommitOutcome::committed, ""), true;
-  if (now < h.w.deadline)
+/// Answers once the change is in force, or at its deadline; false if it has still to wait.
+bool Proposer::try_acknowledge(const AppendedCommit& commit, Millis now) {
+  std::string missing;
+  if (must_be_in_force(commit.request.change))
+    missing = missing_acknowledgements_(commit.epoch, now);
+  if (missing.empty()) {
+    reply(commit.request, CommitOutcome::committed, "");
+    return true;
+  }
+  if (now < commit.request.deadline)
     return false;
-  answer(h.w, CommitOutcome::unknown,
-         "epoch " + std::to_string(h.at.value()) + " is in the log and not yet in force: " + why);
+  reply(commit.request, CommitOutcome::unknown,
+        "epoch " + std::to_string(commit.epoch.value()) + " is in the log and not yet in force: " + missing);
   return true;
 }
 
-void Proposer::found(const FoundCluster& f, const Candidates& electors, size_t votes, Millis now) {
-  founding_ = {Entry{Epoch{1}, "found", f}, electors, votes};
-  run(now);
+void Proposer::acknowledge_in_force(Millis now) {
+  std::erase_if(appended_, [&](const AppendedCommit& commit) { return try_acknowledge(commit, now); });
+}
+
+void Proposer::found(const FoundCluster& founding, const Candidates& electors, size_t quorum_size, Millis now) {
+  founding_ = {Entry{Epoch{1}, "found", founding}, electors, quorum_size};
+  advance(now);
+}
+
+void Proposer::refound(const RefoundCluster& refounding, std::map<Incarnation, Address> survivors, Millis now) {
+  proposal_.reset();
+  read_.reset();
+  retry_at_ = 0;
+  refounding_ = {refounding, std::move(survivors)};
+  advance(now);
 }
 
-void Proposer::refound(const RefoundCluster& t, std::map<Incarnation, Address> survivors, Millis now) {
-  round_.reset();
-  pause_ = 0;
-  refound_ = {t, std::move(survivors)};
-  run(now);
+void Proposer::finish_open_instance(Millis now) {
+  if (idle())
+    prepare(next(metadata_log_.epoch()), std::nullopt, now);
 }
 
 void Proposer::tick(Millis now) {
-  if (round_ && round_->epoch < (round_->stage == Stage::reading ? metadata_log_.epoch() : next(metadata_log_.epoch())))
-    round_.reset();
-  if (round_ && now >= round_->until)
-    again(now, {});
-  heard(now);
-  run(now);
+  if (proposal_ && proposal_->epoch < next(metadata_log_.epoch()))
+    proposal_.reset();
+  if (read_ && read_->epoch < metadata_log_.epoch())
+    read_.reset();
+  bool timed_out = (proposal_ && now >= proposal_->deadline) || (read_ && now >= read_->deadline);
+  if (timed_out)
+    abandon(now, {});
+  acknowledge_in_force(now);
+  advance(now);
 }
 
 }  // namespace mosskeel
--- a/src/consensus/proposer.hpp
+++ b/src/consensus/proposer.hpp
@@ -1,103 +1,154 @@
 #pragma once
-// Commits: run the transformation, append by Paxos compare-and-set at the strictly next epoch.
+// Commits: run the transformation, append its result by Paxos compare-and-set at the strictly next epoch.
 #include "consensus/acceptor.hpp"
 
 namespace mosskeel {
 
+/// The Paxos proposer of a controller, and the queue of commits that it proposes one after the other.
+///
+/// At most one proposal or one quorum read is in flight. A commit is rejected only after a quorum read has confirmed
+/// that the metadata that it was judged by is the newest; it is acknowledged once its entry is decided and, where
+/// somebody outside relies on it, in force. Owned by `ControllerMachine` and used on its thread only; nothing of it is
+/// on disk.
 class Proposer {
  public:
-  /// Called for every entry that this controller comes to know as decided.
-  using Enact = std::function<void(const Entry&)>;
-  Proposer(Outbox& out, MetadataLog& metadata_log, Acceptor& acc, Enact enact)
-      : out_(out), metadata_log_(metadata_log), acc_(acc), enact_(std::move(enact)) {}
+  /// Called for each entry that a majority has accepted under this proposer's ballot.
+  using DecidedCallback = std::function<void(const Entry&)>;
+  /// Which acknowledgements an epoch lacks at a time to be in force, as text; empty if none.
+  using MissingAcknowledgements = std::function<std::string(Epoch, Millis)>;
 
-  void on(const Envelope& e, const Commit& c, Millis now);
-  void on(const Envelope& e, const Promise& p, Millis now);
-  void on(const Envelope& e, const Accepted& a, Millis now);
-  void on(const Envelope& e, const QuorumReadReply& r, Millis now);
+  Proposer(Outbox& outbox, MetadataLog& metadata_log, Acceptor& acceptor, DecidedCallback on_decided,
+           MissingAcknowledgements missing_acknowledgements)
+      : outbox_(outbox),
+        metadata_log_(metadata_log),
+        acceptor_(acceptor),
+        on_decided_(std::move(on_decided)),
+        missing_acknowledgements_(std::move(missing_acknowledgements)) {}
+
+  void handle(const Envelope& envelope, const Commit& commit, Millis now);
+  void handle(const Envelope& envelope, const Promise& promise, Millis now);
+  void handle(const Envelope& envelope, const Accepted& accepted, Millis now);
+  void handle(const Envelope& envelope, const QuorumReadReply& reply, Millis now);
   void tick(Millis now);
-  /// Somebody told what it knows: what waited for that may be answered.
-  void heard(Millis now) {
-    std::erase_if(held_, [&](auto& h) { return release(h, now); });
-  }
-  /// Proposes the founding entry to these candidates, of whom `votes` must agree.
-  void found(const FoundCluster& f, const Candidates& electors, size_t votes, Millis now);
-  /// Proposes to found the core anew; every survivor must agree, the lost cannot.
-  void refound(const RefoundCluster& t, std::map<Incarnation, Address> survivors, Millis now);
-  bool refounding() const { return refound_.has_value(); }
-  /// Brings an instance to its end that its proposer left open.
-  void finish(Millis now) {
-    if (!round_)
-      start(Entry{next(metadata_log_.epoch()), "", std::monostate{}}, now, true);
-  }
-  bool idle() const { return !round_; }
-  /// What still hinders that an epoch is in force everywhere in touch and on every disk in touch; empty if nothing.
-  std::function<std::string(Epoch, Millis)> missing_acknowledgements;
+  /// Acknowledges the appended commits that are in force by now; called when a daemon has reported its epoch.
+  void acknowledge_in_force(Millis now);
+
+  /// Proposes the founding entry to these candidates, of whom `quorum_size` must accept it.
+  void found(const FoundCluster& founding, const Candidates& electors, size_t quorum_size, Millis now);
+  /// Proposes to found the core anew; every one of `survivors` must accept it, the lost members cannot.
+  void refound(const RefoundCluster& refounding, std::map<Incarnation, Address> survivors, Millis now);
+  bool refounding() const { return refounding_.has_value(); }
+  /// Decides the open instance, whose own proposer gave up, with the proposal that was accepted in it, if any.
+  void finish_open_instance(Millis now);
+  /// Whether neither a proposal nor a quorum read is in flight.
+  bool idle() const { return !proposal_ && !read_; }
 
  private:
-  enum class Stage { reading, preparing, accepting };
-  /// One asker's commit; a second asker of the same commit waits for itself, and has its own contact with a majority.
-  struct Waiting {
+  /// One requester's commit. Two requesters of the same commit are answered separately: each needs a contact with a
+  /// majority that began after its own request.
+  struct CommitRequest {
     std::string id;
     Transformation change;
-    Address asker;
-    Epoch known;
-    Millis patience;
+    Address requester;
+    /// The requester's own epoch: the reply brings what it lacks since.
+    Epoch known_epoch;
+    /// Milliseconds from the request, and from each repetition of it, to `deadline`.
+    Millis timeout;
     Millis deadline;
+    /// Order of arrival.
     uint64_t ticket;
+    /// Whether this process has proposed it.
     bool proposed = false;
   };
-  struct Round {
-    Stage stage;
+
+  /// A decided commit that is not acknowledged yet.
+  struct AppendedCommit {
+    CommitRequest request;
+    Epoch epoch;
+  };
+
+  enum class Phase { preparing, accepting };
+
+  /// The proposal in flight.
+  struct Proposal {
+    Phase phase = Phase::preparing;
+    /// Names the Paxos instance.
     Epoch epoch;
     Ballot ballot;
-    Entry entry;
-    std::optional<AcceptedProposal> best;
-    std::map<Incarnation, Address> peers;
+    /// What is proposed unless an accepted proposal is reported; nothing where an open instance is only to be finished.
+    std::optional<Entry> entry;
+    /// The accepted proposal with the highest ballot among the promises.
+    std::optional<AcceptedProposal> highest_accepted;
+    std::map<Incarnation, Address> acceptors;
+    size_t quorum_size;
+    /// Acceptors that have granted the present phase.
     std::set<Incarnation> votes;
-    Millis until;
-    uint64_t read = 0;
-    bool open = false;
-    /// A read answers whatever had come when it began.
-    uint64_t last_ticket = 0;
-    size_t need = 0;
+    /// Without a quorum by then, another ballot is tried.
+    Millis deadline;
+  };
+
+  /// The quorum read in flight: is `epoch`, this controller's newest, the newest of all?
+  struct QuorumReadState {
+    uint64_t id;
+    Epoch epoch;
+    std::map<Incarnation, Address> members;
+    size_t quorum_size;
+    std::set<Incarnation> replies;
+    Millis deadline;
+    /// Whether a member has accepted a proposal for the next epoch, which may be decided already.
+    bool instance_open = false;
+    /// The last commit request that had come when the read began; the read says nothing for later ones.
+    uint64_t last_ticket;
   };
-  /// The founding under way: who is asked, and how many must agree.
+
+  /// The founding to be proposed until the cluster is founded.
   struct Founding {
     Entry entry;
     Candidates electors;
-    size_t votes;
+    size_t quorum_size;
   };
-  /// In the log, and not yet acknowledged.
-  struct Held {
-    Waiting w;
-    Epoch at;
+
+  struct Refounding {
+    RefoundCluster change;
+    std::map<Incarnation, Address> survivors;
   };
-  void run(Millis now);
-  bool release(const Held& h, Millis now);
-  static bool promised(const Transformation& t);
-  void start(Entry e, Millis now, bool finish_only);
-  void read(Millis now);
-  void conclude(uint64_t last_ticket, Millis now);
-  void hold(Waiting w, Millis now);
-  void expire(Millis now);
-  void answer(const Waiting& w, CommitOutcome o, const std::string& reason, Rejection why = Rejection::none);
-  void decided(Millis now);
-  void again(Millis now, Ballot seen);
-  std::map<Incarnation, Address> members() const;
-  size_t votes_needed(size_t peers) const;
 
-  Outbox& out_;
+  void advance(Millis now);
+  bool propose_founding(Millis now);
+  bool propose_refounding(Millis now);
+  void propose_or_read(CommitRequest& request, Millis now);
+  void prepare(Epoch epoch, std::optional<Entry> entry, Millis now);
+  void begin_read(Millis now);
+  void finish_read(const QuorumReadState& read, Millis now);
+  void answer_requests_up_to(uint64_t last_ticket, Millis now);
+  void expire_requests(Millis now);
+  void abandon(Millis now, Ballot seen);
+  CommitRequest take_first_request();
+  void await_in_force(CommitRequest request, Millis now);
+  bool try_acknowledge(const AppendedCommit& commit, Millis now);
+  void reply(const CommitRequest& request, CommitOutcome outcome, const std::string& reason,
+             Rejection rejection = Rejection::none);
+  std::map<Incarnation, Address> acceptors() const;
+  size_t quorum_size(size_t acceptors) const;
+  bool is_appended(const CommitRequest& request) const;
+
+  Outbox& outbox_;
   MetadataLog& metadata_log_;
-  Acceptor& acc_;
-  Enact enact_;
-  std::vector<Waiting> queue_;
-  std::optional<Round> round_;
+  Acceptor& acceptor_;
+  DecidedCallback on_decided_;
+  MissingAcknowledgements missing_acknowledgements_;
+  /// Commits that are neither decided nor rejected, in order of arrival; the first one is being proposed or read for.
+  std::vector<CommitRequest> requests_;
+  std::vector<AppendedCommit> appended_;
+  std::optional<Proposal> proposal_;
+  std::optional<QuorumReadState> read_;
   std::optional<Founding> founding_;
-  std::optional<std::pair<RefoundCluster, std::map<Incarnation, Address>>> refound_;
-  std::vector<Held> held_;
-  uint64_t top_ = 0, tickets_ = 0;
-  Millis pause_ = 0;
+  std::optional<Refounding> refounding_;
+  /// The highest round of a ballot that was used here or seen in a rejection.
+  uint64_t highest_round_ = 0;
+  uint64_t last_ticket_ = 0;
+  /// No proposal before this time: duelling proposers separate.
+  Millis retry_at_ = 0;
 };
 
 }  // namespace mosskeel
--- a/src/consensus/refounding.cpp
+++ b/src/consensus/refounding.cpp
@@ -1,123 +1,168 @@
-// What a controller does when a majority of the core is gone for good.
+#include "consensus/refounding.hpp"
+
 #include <algorithm>
 
 #include "consensus/constants.hpp"
-#include "consensus/controller_machine.hpp"
 #include "replication/constants.hpp"
 
 namespace mosskeel {
+namespace {
+
+bool contains(const std::vector<DaemonId>& ids, DaemonId id) {
+  return std::find(ids.begin(), ids.end(), id) != ids.end();
+}
+
+std::string daemon_name(DaemonId id) {
+  return "daemon " + std::to_string(id.value());
+}
+
+}  // namespace
 
-bool ControllerMachine::core_lives(Millis now) const {
-  auto& m = *metadata_log_.view();
-  auto n = std::count_if(m.members.begin(), m.members.end(),
-                         [&](auto id) { return detector_.heartbeat_age(*m.find(id), now) < kCoreLossTimeout; });
-  return static_cast<size_t>(n) >= majority_of(m.members.size());
+bool Refounding::is_silent(DaemonId member, Millis now) const {
+  return detector_.heartbeat_age(*metadata_log_.view()->find(member), now) >= kCoreLossTimeout;
 }
 
-/// Another controller that answers at this one's address and came after it. One that the directory knows from before
-/// proves nothing: its words were late.
-std::optional<Incarnation> ControllerMachine::successor_at(const Daemon& d) const {
-  auto& self = out_.id().self;
-  auto later = [&](const Candidate& c) {
-    auto* known = metadata_log_.view()->find(c.incarnation);
-    return c.address == d.self.address && c.incarnation != d.self.incarnation && (!known || known->id > d.id);
+bool Refounding::majority_lives(Millis now) const {
+  const std::vector<DaemonId>& members = metadata_log_.view()->members;
+  auto living = std::count_if(members.begin(), members.end(), [&](DaemonId id) { return !is_silent(id, now); });
+  return static_cast<size_t>(living) >= majority_of(members.size());
+}
+
+/// Another controller that answers at the member's address and came after it. One that the directory knows from before
+/// proves nothing: its messages were late.
+std::optional<Incarnation> Refounding::successor_of(const Daemon& member) const {
+  auto came_later = [&](const Candidate& candidate) {
+    const Daemon* known = metadata_log_.view()->find(candidate.incarnation);
+    return candidate.address == member.self.address && candidate.incarnation != member.self.incarnation &&
+           (!known || known->id > member.id);
   };
-  if (later(self))
+  const Candidate& self = outbox_.id().self;
+  if (came_later(self))
     return self.incarnation;
-  for (auto& [incarnation, f] : fellows_)
-    if (later(f.first))
+  for (const auto& [incarnation, sighting] : discovered_.all())
+    if (came_later(sighting.candidate))
       return incarnation;
   return std::nullopt;
 }
 
-void ControllerMachine::survey(Millis now) {
-  next_survey_ = now + kDiscoveryInterval;
-  auto& m = *metadata_log_.view();
-  auto& self = out_.id().self;
-  std::erase_if(fellows_, [&](auto& f) { return now - f.second.second > kDiscoveryInterval * 8; });
-  if (core_lives(now) || !(m.is_core_member(self.incarnation) || m.replaces_member(self))) {
-    survey_since_ = 0;
+void Refounding::tick(Millis now) {
+  if (now < next_survey_at_)
+    return;
+  next_survey_at_ = now + kDiscoveryInterval;
+  discovered_.expire(now);
+  const Metadata& metadata = *metadata_log_.view();
+  const Candidate& self = outbox_.id().self;
+  bool may_propose = metadata.is_core_member(self.incarnation) || metadata.replaces_member(self);
+  if (majority_lives(now) || !may_propose) {
+    gathering_since_.reset();
     return;
   }
-  std::vector<DaemonId> lost;
-  bool accounted = true;
-  const Daemon* first = nullptr;
-  Incarnation heir = self.incarnation;
-  for (auto id : m.members) {
-    auto* d = m.find(id);
-    if (detector_.heartbeat_age(*d, now) < kCoreLossTimeout) {
-      if (!first)
-        first = d;
+  CoreSurvey survey = survey_core(now);
+  if (!must_propose(survey)) {
+    gathering_since_.reset();
+    return;
+  }
+  if (!gathering_since_) {
+    gathering_since_ = now;
+    request_longer_logs();
+  }
+  if (now - *gathering_since_ >= kRefoundingCatchUpTime && !proposer_.refounding())
+    propose(survey.lost, now);
+}
+
+/// Also looks for successors at the addresses of the silent members.
+Refounding::CoreSurvey Refounding::survey_core(Millis now) {
+  const Metadata& metadata = *metadata_log_.view();
+  const Candidate& self = outbox_.id().self;
+  CoreSurvey survey;
+  const Daemon* first_living = nullptr;
+  Incarnation lowest_successor = self.incarnation;
+  for (DaemonId id : metadata.members) {
+    const Daemon* member = metadata.find(id);
+    if (!is_silent(id, now)) {
+      if (!first_living)
+        first_living = member;
       continue;
     }
-    out_.send(d->self.address, Discover{self});
-    if (auto successor = successor_at(*d)) {
-      lost.push_back(id);
-      heir = std::min(heir, *successor);
+    outbox_.send(member->self.address, Discover{self});
+    if (auto successor = successor_of(*member)) {
+      survey.lost.push_back(id);
+      lowest_successor = std::min(lowest_successor, *successor);
     } else {
-      accounted = false;
+      survey.all_silent_are_lost = false;
     }
   }
-  bool mine = first ? first->self.incarnation == self.incarnation : heir == self.incarnation;
-  if (!accounted || !mine || lost.size() <= m.members.size() - majority_of(m.members.size())) {
-    survey_since_ = 0;
-    return;
-  }
-  if (survey_since_ == 0) {
-    survey_since_ = now;
-    for (auto& [id, d] : m.directory)
-      if (d.state != DaemonState::left)
-        out_.send(d.self.agent_address.empty() ? d.self.address : d.self.agent_address, Catchup{metadata_log_.epoch()});
+  survey.proposer = first_living ? first_living->self.incarnation : lowest_successor;
+  return survey;
+}
+
+bool Refounding::must_propose(const CoreSurvey& survey) const {
+  size_t members = metadata_log_.view()->members.size();
+  bool majority_lost = survey.lost.size() > members - majority_of(members);
+  return survey.all_silent_are_lost && majority_lost && survey.proposer == outbox_.id().self.incarnation;
+}
+
+/// A daemon outside the core may hold an epoch that only the lost members had decided.
+void Refounding::request_longer_logs() {
+  for (const auto& [id, daemon] : metadata_log_.view()->directory) {
+    if (daemon.state == DaemonState::left)
+      continue;
+    const Address& address = daemon.self.agent_address.empty() ? daemon.self.address : daemon.self.agent_address;
+    outbox_.send(address, Catchup{metadata_log_.epoch()});
   }
-  if (now - survey_since_ >= kRefoundingCatchUpTime && !prop_.refounding())
-    refound(lost, now);
 }
 
-void ControllerMachine::refound(const std::vector<DaemonId>& lost, Millis now) {
-  auto& m = *metadata_log_.view();
-  RefoundCluster r{m.generation, lost, {}};
+void Refounding::propose(const std::vector<DaemonId>& lost, Millis now) {
+  const Metadata& metadata = *metadata_log_.view();
+  const Candidate& self = outbox_.id().self;
   std::map<Incarnation, Address> survivors;
-  for (auto id : m.members)
-    if (std::find(lost.begin(), lost.end(), id) == lost.end())
-      survivors[m.find(id)->self.incarnation] = m.find(id)->self.address;
-  bool nobody = survivors.empty();
-  auto elect = [&](const Candidate& c) {
-    if (nobody && m.replaces_member(c))
-      survivors[c.incarnation] = c.address;
+  for (DaemonId id : metadata.members)
+    if (!contains(lost, id))
+      survivors[metadata.find(id)->self.incarnation] = metadata.find(id)->self.address;
+  bool nobody_survives = survivors.empty();
+  RefoundCluster change{metadata.generation, lost, {}};
+  auto add_fresh = [&](const Candidate& candidate) {
+    if (!metadata.is_core_member(candidate.incarnation))
+      change.fresh.push_back(candidate);
+    // Where no member is left, the controllers that replace them decide in their place.
+    if (nobody_survives && metadata.replaces_member(candidate))
+      survivors[candidate.incarnation] = candidate.address;
   };
-  elect(out_.id().self);
-  if (!m.is_core_member(out_.id().self.incarnation))
-    r.fresh.push_back(out_.id().self);
-  for (auto& [incarnation, f] : fellows_)
-    if (!m.is_core_member(incarnation))
-      r.fresh.push_back(f.first), elect(f.first);
-  out_.note(Event::refounding, std::to_string(lost.size()) + " of " + std::to_string(m.members.size()) +
-                                   " members are lost at epoch " + std::to_string(m.epoch.value()));
-  prop_.refound(r, survivors, now);
+  add_fresh(self);
+  for (const auto& [incarnation, sighting] : discovered_.all())
+    if (!metadata.is_core_member(incarnation))
+      add_fresh(sighting.candidate);
+  outbox_.note(Event::refounding, std::to_string(lost.size()) + " of " + std::to_string(metadata.members.size()) +
+                                      " members are lost at epoch " + std::to_string(metadata.epoch.value()));
+  proposer_.refound(change, survivors, now);
 }
 
-void ControllerMachine::on(const Envelope& e, const RefoundRequest& r, Millis now) {
-  auto say = [&](CommitOutcome o, const std::string& why) {
-    out_.send(e.from, CommitReply{r.id, o, why, metadata_log_.epoch(), std::nullopt, {}});
-  };
-  auto& m = *metadata_log_.view();
-  if (!m.cluster)
-    return say(CommitOutcome::rejected, "this controller holds no log");
-  if (core_lives(now))
-    return say(CommitOutcome::rejected, "a majority of the core lives; use replace core");
-  for (auto id : r.lost) {
-    if (std::find(m.members.begin(), m.members.end(), id) == m.members.end())
-      return say(CommitOutcome::rejected, "daemon " + std::to_string(id.value()) + " is no core member");
-    if (detector_.heartbeat_age(*m.find(id), now) < kCoreLossTimeout)
-      return say(CommitOutcome::rejected, "daemon " + std::to_string(id.value()) + " lives");
+void Refounding::handle(const Envelope& envelope, const RefoundRequest& request, Millis now) {
+  std::string reason = refusal(request, now);
+  CommitOutcome outcome = reason.empty() ? CommitOutcome::committed : CommitOutcome::rejected;
+  if (reason.empty())
+    propose(request.lost, now);
+  outbox_.send(envelope.from,
+               CommitReply{request.id, outcome, reason, metadata_log_.epoch(), std::nullopt, {}, Rejection::none});
+}
+
+/// Why the members that an operator named are not given up; empty if they are.
+std::string Refounding::refusal(const RefoundRequest& request, Millis now) const {
+  const Metadata& metadata = *metadata_log_.view();
+  if (!metadata.cluster)
+    return "this controller holds no log";
+  if (majority_lives(now))
+    return "a majority of the core lives; use replace core";
+  for (DaemonId id : request.lost) {
+    if (!contains(metadata.members, id))
+      return daemon_name(id) + " is no core member";
+    if (!is_silent(id, now))
+      return daemon_name(id) + " lives";
   }
-  for (auto id : m.members)
-    if (std::find(r.lost.begin(), r.lost.end(), id) == r.lost.end() &&
-        detector_.heartbeat_age(*m.find(id), now) >= kCoreLossTimeout)
-      return say(CommitOutcome::rejected,
-                 "daemon " + std::to_string(id.value()) + " is silent too, but was not named as lost");
-  refound(r.lost, now);
-  say(CommitOutcome::committed, "");
+  for (DaemonId id : metadata.members)
+    if (!contains(request.lost, id) && is_silent(id, now))
+      return daemon_name(id) + " is silent too, but was not named as lost";
+  return "";
 }
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/consensus/registration.hpp
@@ -0,0 +1,23 @@
+#pragma once
+// How a controller gets into the directory of the cluster.
+#include "replication/metadata_log.hpp"
+
+namespace mosskeel {
+
+/// Asks one member of the core after the other to register this controller, again if it was taken out of the directory.
+/// Owned by `ControllerMachine`.
+class Registration {
+ public:
+  Registration(Outbox& outbox, const MetadataLog& metadata_log) : outbox_(outbox), metadata_log_(metadata_log) {}
+  /// Requests the registration if it is missing, and the last request was long enough ago.
+  void request_if_needed(Millis now);
+
+ private:
+  Outbox& outbox_;
+  const MetadataLog& metadata_log_;
+  Millis next_request_at_ = 0;
+  /// Counts the members that were asked or passed over.
+  size_t next_member_ = 0;
+};
+
+}  // namespace mosskeel
--- a/src/consensus/supervisor.cpp
+++ b/src/consensus/supervisor.cpp
@@ -1,103 +1,99 @@
 #include "consensus/supervisor.hpp"
+
+#include <algorithm>
+
 #include "consensus/constants.hpp"
 #include "metadata/constants.hpp"
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
 
-#include <algorithm>
-
 namespace mosskeel {
 
 void Supervisor::tick(Millis now) {
-  if (!lease_.held(now)) {
-    busy_.clear();
-    barrier_.clear();
-    cold_.clear();
+  if (!lease_.is_held(now)) {
+    pending_commit_.clear();
+    sequences_.on_lease_lost();
+    warm_ups_.clear();
     return;
   }
-  if (now < next_ || (!busy_.empty() && now < busy_until_))
+  if (!pending_commit_.empty() && now < pending_until_)
     return;
-  auto t = decide(now);
-  if (!t)
+  auto change = next_change(now);
+  if (!change)
     return;
-  busy_ = "supervisor-" + hex(out_.roll());
-  busy_until_ = now + kCommitAttemptTimeout;
-  out_.send(out_.id().self.address, Commit{busy_, *t, metadata_log_.epoch()});
+  pending_commit_ = "supervisor-" + hex(outbox_.roll());
+  pending_until_ = now + kCommitAttemptTimeout;
+  outbox_.send(outbox_.id().self.address, Commit{pending_commit_, *change, metadata_log_.epoch()});
 }
 
-bool Supervisor::silent(const Daemon& d, Millis now, Millis limit) const {
-  size_t n = 0;
-  for (auto& [incarnation, s] : lease_.observers()) {
-    auto i = s.second.find(d.id);
-    if (now - s.first < kSupervisorLeaseDuration && metadata_log_.view()->is_core_member(incarnation) &&
-        i != s.second.end() && i->second >= limit)
-      ++n;
-  }
-  return n >= majority_of(metadata_log_.view()->members.size());
+std::optional<Transformation> Supervisor::next_change(Millis now) {
+  if (auto change = update_daemon_states(now))
+    return change;
+  if (auto change = core_membership_.next_change(now))
+    return change;
+  if (auto change = finish_warm_up(now))
+    return change;
+  if (auto change = update_quorum_membership())
+    return change;
+  return sequences_.next_change(now);
 }
 
-bool Supervisor::heard(const Daemon& d, Millis now) const {
-  size_t n = 0;
-  for (auto& [incarnation, s] : lease_.observers()) {
-    auto i = s.second.find(d.id);
-    if (now - s.first < kSupervisorLeaseDuration && metadata_log_.view()->is_core_member(incarnation) &&
-        i != s.second.end() && i->second < kHeartbeatInterval * 3)
-      ++n;
+/// Marks daemons down that a majority misses, and up again when a majority hears them.
+std::optional<Transformation> Supervisor::update_daemon_states(Millis now) {
+  const Metadata& metadata = *metadata_log_.view();
+  // Where this controller itself misses most of the fleet, it may be the one that is cut off.
+  bool isolated = !metadata.has_quorum(
+      [&](const Daemon& daemon) { return detector_.heartbeat_age(daemon, now) < kHeartbeatTimeout; });
+  Millis timeout = isolated ? kIsolatedHeartbeatTimeout : kHeartbeatTimeout;
+  for (const auto& [id, daemon] : metadata.directory) {
+    bool spare_controller = daemon.state == DaemonState::registered && daemon.self.role == Role::controller;
+    if (daemon.state == DaemonState::left || spare_controller)
+      continue;
+    bool superseded = daemon.self.role == Role::store && detector_.superseded(daemon, now);
+    if (daemon.state != DaemonState::down && (superseded || majority_.is_silent(daemon, timeout, now))) {
+      outbox_.note(Event::heartbeats_missed,
+                   std::string(name(daemon.self.role)) + " daemon " + std::to_string(id.value()));
+      return MarkDown{id};
+    }
+    if (daemon.state == DaemonState::down && !superseded && core_membership_.has_returned(daemon, now))
+      return MarkUp{id};
   }
-  return n >= majority_of(metadata_log_.view()->members.size());
+  return std::nullopt;
 }
 
-std::optional<Transformation> Supervisor::warm(Millis now) {
-  for (auto& [n, r] : metadata_log_.view()->replicas) {
-    if (r.health != ReplicaHealth::warming_up || !r.service.empty())
+/// A replica that belongs to no service is ready once every front must have seen it warm up for long enough.
+std::optional<Transformation> Supervisor::finish_warm_up(Millis now) {
+  for (const auto& [replica_name, replica] : metadata_log_.view()->replicas) {
+    if (replica.health != ReplicaHealth::warming_up || !replica.service.empty())
       continue;
-    auto& c = cold_[n];
-    if (c.first != r.since)
-      c = {r.since, now};
-    if (now - c.second < kSlowStartDuration + kIsolationTimeout)
+    WarmUp& warm_up = warm_ups_[replica_name];
+    if (warm_up.state_epoch != replica.since)
+      warm_up = {replica.since, now};
+    if (now - warm_up.since < kSlowStartDuration + kIsolationTimeout)
       continue;
-    auto x = r;
-    x.health = ReplicaHealth::ready;
-    return SetReplica{x};
+    Replica ready = replica;
+    ready.health = ReplicaHealth::ready;
+    return SetReplica{ready};
   }
   return std::nullopt;
 }
 
-/// Newcomers count in touch and acknowledgements once a majority of the old and the new set knows of them.
-std::optional<Transformation> Supervisor::count(Millis) const {
-  auto& m = *metadata_log_.view();
-  if (m.incoming_quorum_members.empty())
-    return eligible_quorum_members(m) == m.quorum_members ? std::nullopt
-                                                          : std::optional<Transformation>(BeginQuorumChange{});
-  auto knows = [&](const Daemon& d) {
-    auto* h = detector_.status_of(d.self.incarnation);
-    return h && h->known_epoch >= m.quorum_change_epoch;
-  };
-  return m.has_quorum(knows) ? std::optional<Transformation>(FinishQuorumChange{m.quorum_change_epoch}) : std::nullopt;
-}
-
-std::optional<Transformation> Supervisor::decide(Millis now) {
-  auto& m = *metadata_log_.view();
-  bool alone = !m.has_quorum([&](const Daemon& d) { return detector_.heartbeat_age(d, now) < kHeartbeatTimeout; });
-  auto limit = alone ? kIsolatedHeartbeatTimeout : kHeartbeatTimeout;
-  for (auto& [id, d] : m.directory) {
-    if (d.state == DaemonState::left || (d.state == DaemonState::registered && d.self.role == Role::controller))
-      continue;
-    bool superseded = d.self.role == Role::store && detector_.superseded(d, now);
-    if (d.state != DaemonState::down && (superseded || silent(d, now, limit))) {
-      out_.note(Event::heartbeats_missed, std::string(name(d.self.role)) + " daemon " + std::to_string(id.value()));
-      return MarkDown{id};
-    }
-    if (d.state == DaemonState::down && !superseded && returned(d, now))
-      return MarkUp{id};
+/// Daemons that came or left change the fleet's quorum in two steps: the new set counts beside the old one until a
+/// majority of both knows of it.
+std::optional<Transformation> Supervisor::update_quorum_membership() const {
+  const Metadata& metadata = *metadata_log_.view();
+  if (metadata.incoming_quorum_members.empty()) {
+    if (eligible_quorum_members(metadata) == metadata.quorum_members)
+      return std::nullopt;
+    return BeginQuorumChange{};
   }
-  if (auto t = core(now))
-    return t;
-  if (auto t = warm(now))
-    return t;
-  if (auto t = count(now))
-    return t;
-  return sequences(now);
+  auto knows_of_change = [&](const Daemon& daemon) {
+    const PeerStatus* status = detector_.status_of(daemon.self.incarnation);
+    return status && status->known_epoch >= metadata.quorum_change_epoch;
+  };
+  if (!metadata.has_quorum(knows_of_change))
+    return std::nullopt;
+  return FinishQuorumChange{metadata.quorum_change_epoch};
 }
 
 }  // namespace mosskeel
--- a/src/consensus/supervisor.hpp
+++ b/src/consensus/supervisor.hpp
@@ -1,55 +1,56 @@
 #pragma once
-// What the holder of the supervisor lease decides: failures, joins, steps, replacements. All by commits.
-#include "consensus/supervisor_lease.hpp"
+// What the holder of the supervisor lease decides: failures, the core's members, joins, drains, repairs.
+#include "consensus/core_membership_policy.hpp"
+#include "consensus/sequence_coordinator.hpp"
 
 namespace mosskeel {
 
+/// Commits one change after the other, the most urgent first, while this controller holds the supervisor lease.
+///
+/// Every change is an ordinary commit, so a supervisor that has lost its lease without knowing it can do no harm: its
+/// changes are judged by the newest metadata. Owned by `ControllerMachine`; nothing of it is on disk.
 class Supervisor {
  public:
-  Supervisor(Outbox& out, MetadataLog& metadata_log, const FailureDetector& detector, const SupervisorLease& lease)
-      : out_(out), metadata_log_(metadata_log), detector_(detector), lease_(lease) {}
+  Supervisor(Outbox& outbox, MetadataLog& metadata_log, const FailureDetector& detector, const SupervisorLease& lease)
+      : outbox_(outbox),
+        metadata_log_(metadata_log),
+        detector_(detector),
+        lease_(lease),
+        majority_(metadata_log, lease),
+        core_membership_(metadata_log, detector, majority_),
+        sequences_(outbox, metadata_log, detector, majority_) {}
+
   void tick(Millis now);
-  void on(const CommitReply& r) {
-    if (r.id == busy_)
-      busy_.clear();
+  /// The next change may be committed once the one before is answered.
+  void handle(const CommitReply& reply) {
+    if (reply.id == pending_commit_)
+      pending_commit_.clear();
   }
 
  private:
-  std::optional<Transformation> decide(Millis now);
-  std::optional<Transformation> core(Millis now);
-  const Daemon* newcomer(Millis now) const;
-  const Daemon* lost_member(Millis now) const;
-  bool holds_log(const Daemon& d) const;
-  bool gone(const Daemon& d, Millis now) const;
-  bool all_members_heard(Millis now) const;
-  bool returned(const Daemon& d, Millis now) const;
-  std::optional<Transformation> sequences(Millis now);
-  std::optional<Transformation> proceed(Millis now);
-  std::optional<Transformation> begin_join(Millis now) const;
-  std::optional<Transformation> resume_drain(Millis now) const;
-  std::optional<Transformation> repair(Millis now);
-  std::optional<Transformation> forget(Millis now) const;
-  std::optional<Transformation> warm(Millis now);
-  /// How many members agree that a daemon was silent this long, or heard this lately.
-  bool silent(const Daemon& d, Millis now, Millis limit) const;
-  std::optional<Transformation> count(Millis now) const;
-  bool heard(const Daemon& d, Millis now) const;
-  bool passed(const Sequence& sequence, Millis now) const;
-  std::string hindrance(const Sequence& sequence, Millis now);
-  bool paused(DaemonId id, Millis now) const;
-  bool store_in_doubt(Millis now) const;
-  Millis repair_patience(DaemonId id) const;
-  Outbox& out_;
+  /// Since when a replica, in its state of this epoch, is known to be warming up.
+  struct WarmUp {
+    Epoch state_epoch{};
+    Millis since = 0;
+  };
+
+  std::optional<Transformation> next_change(Millis now);
+  std::optional<Transformation> update_daemon_states(Millis now);
+  std::optional<Transformation> finish_warm_up(Millis now);
+  std::optional<Transformation> update_quorum_membership() const;
+
+  Outbox& outbox_;
   MetadataLog& metadata_log_;
   const FailureDetector& detector_;
   const SupervisorLease& lease_;
-  std::string busy_;
-  Millis busy_until_ = 0, next_ = 0;
-  std::map<DaemonId, std::pair<Epoch, Millis>> barrier_;
-  std::map<DaemonId, Millis> later_;
-  /// How many repairs of a store's places have begun, so that one that comes and goes causes fewer and fewer.
-  std::map<DaemonId, uint32_t> repairs_;
-  std::map<std::string, std::pair<Epoch, Millis>> cold_;
+  MajorityObservation majority_;
+  CoreMembershipPolicy core_membership_;
+  SequenceCoordinator sequences_;
+  /// The id of the commit under way, empty if none, and until when its reply is awaited.
+  std::string pending_commit_;
+  Millis pending_until_ = 0;
+  /// By the replica's name; of replicas that belong to no service.
+  std::map<std::string, WarmUp> warm_ups_;
 };
 
 }  // namespace mosskeel
--- a/src/consensus/supervisor_lease.cpp
+++ b/src/consensus/supervisor_lease.cpp
@@ -1,84 +1,98 @@
 #include "consensus/supervisor_lease.hpp"
-#include "consensus/constants.hpp"
 
 #include <algorithm>
 
+#include "consensus/constants.hpp"
+
 namespace mosskeel {
 
-void SupervisorLease::on(const Envelope& e, const LeaseRequest& a, Millis now) {
-  auto& m = *metadata_log_.view();
-  if (!m.is_core_member(e.from_inc) || !m.is_core_member(out_.id().self.incarnation))
+void SupervisorLease::handle(const Envelope& envelope, const LeaseRequest& request, Millis now) {
+  const Metadata& metadata = *metadata_log_.view();
+  if (!metadata.is_core_member(envelope.from_inc) || !metadata.is_core_member(outbox_.id().self.incarnation))
     return;
-  bool yes = now >= granted_until_ || granted_to_ == e.from_inc;
-  if (yes) {
-    granted_to_ = e.from_inc;
+  bool granted = now >= granted_until_ || granted_to_ == envelope.from_inc;
+  if (granted) {
+    granted_to_ = envelope.from_inc;
     granted_until_ = now + kSupervisorLeaseDuration;
   }
-  out_.send(e.from, LeaseGrant{a.request_id, yes, detector_.heartbeat_ages(m, now)}, e.from_inc);
+  outbox_.send(envelope.from, LeaseGrant{request.request_id, granted, detector_.heartbeat_ages(metadata, now)},
+               envelope.from_inc);
 }
 
-void SupervisorLease::on(const Envelope& e, const LeaseGrant& g, Millis now) {
-  auto& m = *metadata_log_.view();
-  if (g.request_id != number_ || !m.is_core_member(e.from_inc))
+void SupervisorLease::handle(const Envelope& envelope, const LeaseGrant& grant, Millis now) {
+  const Metadata& metadata = *metadata_log_.view();
+  if (grant.request_id != request_id_ || !metadata.is_core_member(envelope.from_inc))
     return;
-  seen_[e.from_inc] = {now, g.heartbeat_ages};
-  denied_ = denied_ || !g.granted;
-  // Who knows a later epoch than we do shows that our log is old: nothing may be decided on it.
-  if (!g.granted || e.epoch > metadata_log_.epoch())
+  observations_[envelope.from_inc] = {now, grant.heartbeat_ages};
+  denied_ = denied_ || !grant.granted;
+  // A member that knows a later epoch shows that our log is old: nothing may be decided by it.
+  if (!grant.granted || envelope.epoch > metadata_log_.epoch())
     return;
-  grants_.insert(e.from_inc);
-  if (grants_.size() >= majority_of(m.members.size()))
-    until_ = asked_ + kSupervisorLeaseDuration - kSupervisorLeaseMargin;
+  grants_.insert(envelope.from_inc);
+  if (grants_.size() >= majority_of(metadata.members.size()))
+    held_until_ = requested_at_ + kSupervisorLeaseDuration - kSupervisorLeaseMargin;
 }
 
 void SupervisorLease::resign() {
   resigned_ = true;
-  until_ = 0;
-  number_ = 0;
+  held_until_ = 0;
+  request_id_ = 0;
 }
 
-void SupervisorLease::on_resigned(Incarnation holder, Millis now) {
+void SupervisorLease::on_shutdown_of(Incarnation holder, Millis now) {
   if (granted_to_ != holder)
     return;
   granted_to_ = {};
   granted_until_ = now;
-  auto& m = *metadata_log_.view();
-  auto rank = std::find_if(m.members.begin(), m.members.end(),
-                           [&](auto id) { return m.find(id)->self.incarnation == out_.id().self.incarnation; });
-  next_ask_ = now + 1 + (rank - m.members.begin()) * kSupervisorLeaseMargin / 2;
+  next_request_at_ = now + request_delay();
+}
+
+Millis SupervisorLease::request_delay() const {
+  const Metadata& metadata = *metadata_log_.view();
+  auto self = std::find_if(metadata.members.begin(), metadata.members.end(), [&](DaemonId id) {
+    return metadata.find(id)->self.incarnation == outbox_.id().self.incarnation;
+  });
+  return 1 + (self - metadata.members.begin()) * kSupervisorLeaseMargin / 2;
 }
 
 void SupervisorLease::tick(Millis now) {
-  auto& m = *metadata_log_.view();
-  auto me = out_.id().self.incarnation;
-  if (held(now) != was_) {
-    was_ = !was_;
-    out_.note(was_ ? Event::lease_taken : Event::lease_lost, "number " + std::to_string(number_));
-  }
-  if (resigned_ || !m.is_core_member(me) || now < next_ask_)
-    return;
-  if (now < granted_until_ && granted_to_ != me) {
-    auto rank =
-        std::find_if(m.members.begin(), m.members.end(), [&](auto id) { return m.find(id)->self.incarnation == me; });
-    next_ask_ = granted_until_ + 1 + (rank - m.members.begin()) * kSupervisorLeaseMargin / 2;
-    return;
+  Incarnation self = outbox_.id().self.incarnation;
+  if (is_held(now) != noted_as_held_) {
+    noted_as_held_ = !noted_as_held_;
+    outbox_.note(noted_as_held_ ? Event::lease_taken : Event::lease_lost, "number " + std::to_string(request_id_));
   }
-  if (denied_ && !held(now)) {
-    // Two who each grant themselves would deny each other for ever: step back, and let whoever asks first have it.
-    denied_ = false;
-    if (granted_to_ == me)
-      granted_to_ = {}, granted_until_ = now;
-    number_ = 0;
-    next_ask_ = now + 1 + out_.jitter(kSupervisorLeaseRenewInterval);
+  if (resigned_ || !metadata_log_.view()->is_core_member(self) || now < next_request_at_)
     return;
+  if (now < granted_until_ && granted_to_ != self)
+    next_request_at_ = granted_until_ + request_delay();
+  else if (denied_ && !is_held(now))
+    step_back(now);
+  else
+    request_lease(now);
+}
+
+/// Two controllers that each grant themselves would deny each other for ever: let whoever asks first have the lease.
+void SupervisorLease::step_back(Millis now) {
+  denied_ = false;
+  if (granted_to_ == outbox_.id().self.incarnation) {
+    granted_to_ = {};
+    granted_until_ = now;
   }
-  next_ask_ = now + kSupervisorLeaseRenewInterval;
-  asked_ = now;
-  number_ = out_.roll();
+  request_id_ = 0;
+  next_request_at_ = now + 1 + outbox_.jitter(kSupervisorLeaseRenewInterval);
+}
+
+void SupervisorLease::request_lease(Millis now) {
+  next_request_at_ = now + kSupervisorLeaseRenewInterval;
+  requested_at_ = now;
+  request_id_ = outbox_.roll();
   grants_.clear();
   denied_ = false;
-  for (auto id : m.members)
-    out_.send(m.find(id)->self.address, LeaseRequest{number_}, m.find(id)->self.incarnation);
+  const Metadata& metadata = *metadata_log_.view();
+  for (DaemonId id : metadata.members) {
+    const Candidate& member = metadata.find(id)->self;
+    outbox_.send(member.address, LeaseRequest{request_id_}, member.incarnation);
+  }
 }
 
 }  // namespace mosskeel
--- a/src/consensus/supervisor_lease.hpp
+++ b/src/consensus/supervisor_lease.hpp
@@ -1,37 +1,64 @@
 #pragma once
 // The supervisor's lease: a majority of the core grants it, its holder stops before it ends.
-#include "consensus/constants.hpp"
 #include "consensus/failure_detector.hpp"
 
 namespace mosskeel {
 
+/// Both sides of the lease: what this controller has granted as a member of the core, and what it holds itself.
+///
+/// Invariant: at most one controller holds the lease. Each member grants it to one controller at a time, for
+/// `kSupervisorLeaseDuration` by its own clock; the holder counts from the sending of its request and stops
+/// `kSupervisorLeaseMargin` earlier. Nothing is on disk: a member grants nothing for one duration after its start.
+/// Owned by `ControllerMachine` and used on its thread only.
 class SupervisorLease {
  public:
-  SupervisorLease(Outbox& out, MetadataLog& metadata_log, const FailureDetector& detector, Millis start)
-      : out_(out), metadata_log_(metadata_log), detector_(detector), granted_until_(start + kSupervisorLeaseDuration) {}
-  void on(const Envelope& e, const LeaseRequest& a, Millis now);
-  void on(const Envelope& e, const LeaseGrant& g, Millis now);
+  /// A member's heartbeat ages, as its last reply to a lease request brought them.
+  struct Observation {
+    Millis received_at = 0;
+    HeartbeatAges heartbeat_ages;
+  };
+
+  SupervisorLease(Outbox& outbox, MetadataLog& metadata_log, const FailureDetector& detector, Millis start)
+      : outbox_(outbox),
+        metadata_log_(metadata_log),
+        detector_(detector),
+        granted_until_(start + kSupervisorLeaseDuration) {}
+
+  void handle(const Envelope& envelope, const LeaseRequest& request, Millis now);
+  void handle(const Envelope& envelope, const LeaseGrant& grant, Millis now);
+  /// Requests or renews the lease when it is time.
   void tick(Millis now);
-  /// Gives the lease back for good: its holder is about to stop.
+  /// Gives the lease back for good: this controller is shutting down.
   void resign();
-  /// The holder announced that it stops: the lease may go to another at once.
-  void on_resigned(Incarnation holder, Millis now);
-  bool held(Millis now) const { return now < until_; }
-  Incarnation holder() const { return granted_to_; }
-  /// Each observer's silences, as told within the lease.
-  const std::map<Incarnation, std::pair<Millis, HeartbeatAges>>& observers() const { return seen_; }
+  /// A controller announced that it shuts down: the lease that was granted to it may go to another at once.
+  void on_shutdown_of(Incarnation holder, Millis now);
+  bool is_held(Millis now) const { return now < held_until_; }
+  const std::map<Incarnation, Observation>& observations() const { return observations_; }
 
  private:
-  Outbox& out_;
+  void request_lease(Millis now);
+  void step_back(Millis now);
+  /// Lets the members ask one after the other: this one's delay after the lease has become free.
+  Millis request_delay() const;
+
+  Outbox& outbox_;
   MetadataLog& metadata_log_;
   const FailureDetector& detector_;
-  Millis granted_until_;
+  /// The grant that this member has given: to whom, and until when it gives none to another.
   Incarnation granted_to_{};
-  uint64_t number_ = 0;
-  Millis asked_ = 0, next_ask_ = 0, until_ = 0;
+  Millis granted_until_;
+  /// The request under way: its id, zero for none; when it was sent; who granted it, and whether a member denied it.
+  uint64_t request_id_ = 0;
+  Millis requested_at_ = 0;
   std::set<Incarnation> grants_;
-  std::map<Incarnation, std::pair<Millis, HeartbeatAges>> seen_;
-  bool was_ = false, denied_ = false, resigned_ = false;
+  bool denied_ = false;
+  Millis next_request_at_ = 0;
+  /// Until when this controller is the supervisor.
+  Millis held_until_ = 0;
+  std::map<Incarnation, Observation> observations_;
+  /// Whether the log's last note on the lease was that it is held.
+  bool noted_as_held_ = false;
+  bool resigned_ = false;
 };
 
 }  // namespace mosskeel
