--- /dev/null
+++ b/tests/unit/consensus/acceptor_test.cpp
@@ -0,0 +1,119 @@
+// The Paxos acceptor alone: what it promises, accepts and keeps.
+#include <catch2/catch.hpp>
+
+#include "consensus/acceptor.hpp"
+
+using namespace mosskeel;
+
+namespace {
+
+Candidate controller(uint64_t number) {
+  std::string address = "controller" + std::to_string(number);
+  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
+}
+
+Entry registration(Epoch epoch, uint64_t number) {
+  return {epoch, "register-" + std::to_string(number), Register{controller(number)}};
+}
+
+/// The acceptor of controller 1 in a founded core of three; the open instance is that of epoch 2.
+struct FoundedAcceptor {
+  Outbox outbox{Identity{controller(1), {}}};
+  MetadataLog metadata_log;
+  Acceptor acceptor{outbox, metadata_log};
+  Envelope from_2;
+
+  FoundedAcceptor() {
+    FoundCluster founding{7, 3, {controller(1), controller(2), controller(3)}, 3, 0};
+    REQUIRE(metadata_log.add({Epoch{1}, "found", founding}).size() == 1);
+    from_2.from = "controller2";
+    from_2.from_inc = Incarnation{2};
+  }
+
+  /// The reply to a prepare or accept request; it must wait for the journal.
+  template <class Reply, class Request>
+  Reply request(const Request& request) {
+    acceptor.handle(from_2, request);
+    Actions actions = outbox.take();
+    journal.insert(journal.end(), actions.journal.begin(), actions.journal.end());
+    CHECK(actions.now.empty());
+    REQUIRE(actions.synced.size() == 1);
+    return std::get<Reply>(actions.synced.front().body);
+  }
+
+  std::vector<std::string> journal;
+};
+
+constexpr Epoch kOpen{2};
+
+}  // namespace
+
+TEST_CASE("Acceptor promises a ballot and rejects lower ones afterwards") {
+  FoundedAcceptor founded;
+
+  Promise promise = founded.request<Promise>(Prepare{kOpen, {5, 2}});
+  CHECK(promise.granted);
+  CHECK(promise.promised == Ballot{5, 2});
+  CHECK_FALSE(promise.accepted);
+
+  CHECK_FALSE(founded.request<Promise>(Prepare{kOpen, {4, 3}}).granted);
+  CHECK_FALSE(founded.request<Accepted>(Accept{{4, 3}, registration(kOpen, 4)}).granted);
+  CHECK_FALSE(founded.acceptor.has_accepted());
+}
+
+TEST_CASE("Acceptor reports the proposal that it accepted to a higher ballot") {
+  FoundedAcceptor founded;
+  Entry entry = registration(kOpen, 4);
+
+  CHECK(founded.request<Accepted>(Accept{{5, 2}, entry}).granted);
+  Promise promise = founded.request<Promise>(Prepare{kOpen, {6, 3}});
+
+  CHECK(promise.granted);
+  REQUIRE(promise.accepted);
+  CHECK(promise.accepted->ballot == Ballot{5, 2});
+  CHECK(promise.accepted->entry == entry);
+}
+
+TEST_CASE("Acceptor recovers what it promised and accepted from its journal") {
+  FoundedAcceptor founded;
+  founded.request<Accepted>(Accept{{5, 2}, registration(kOpen, 4)});
+  founded.request<Promise>(Prepare{kOpen, {6, 3}});
+
+  FoundedAcceptor restarted;
+  for (const std::string& bytes : founded.journal) {
+    auto record = codec::unpack<ControllerRecord>(bytes);
+    REQUIRE(record);
+    if (const auto* promise = std::get_if<PromiseRecord>(&*record))
+      restarted.acceptor.recover(*promise);
+    else
+      restarted.acceptor.recover(std::get<AcceptRecord>(*record));
+  }
+
+  CHECK(restarted.acceptor.promised() == Ballot{6, 3});
+  CHECK(restarted.acceptor.has_accepted());
+  CHECK_FALSE(restarted.request<Promise>(Prepare{kOpen, {5, 9}}).granted);
+}
+
+TEST_CASE("Acceptor sends a proposer of a decided instance what it lacks, and promises nothing") {
+  FoundedAcceptor founded;
+
+  founded.acceptor.handle(founded.from_2, Prepare{Epoch{1}, {5, 2}});
+
+  Actions actions = founded.outbox.take();
+  CHECK(actions.synced.empty());
+  REQUIRE(actions.now.size() == 1);
+  CHECK(std::get<CatchupReply>(actions.now.front().body).entries.size() == 1);
+  CHECK(founded.acceptor.promised() == Ballot{});
+}
+
+TEST_CASE("Acceptor asks a proposer that is ahead for entries, and promises nothing") {
+  FoundedAcceptor founded;
+
+  founded.acceptor.handle(founded.from_2, Prepare{Epoch{3}, {5, 2}});
+
+  Actions actions = founded.outbox.take();
+  CHECK(actions.synced.empty());
+  REQUIRE(actions.now.size() == 1);
+  CHECK(std::get<Catchup>(actions.now.front().body).known == Epoch{1});
+  CHECK(founded.acceptor.promised() == Ballot{});
+}
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -14,404 +14,448 @@
 
 namespace {
 
-constexpr Millis catch_up = 4200;  // ms; the shortest CatchUpS of a deployment
-
-/// Controllers alone, started anew with these settings before anything has happened.
-struct Core {
-  World w;
-  Core(uint64_t seed, int controllers, uint32_t core_size = 3, bool later_start = false)
-      : w(seed, {controllers, 0, 0, 0, 3, 0}) {
-    w.configure = [=](Identity& id) {
-      id.core_size = core_size;
-      id.max_core_size = kMaxCoreSize;
-      id.later_start = later_start;
+/// The shortest time that a deployment's settings give a successor to catch up.
+constexpr Millis kCatchUpTime = 4200;
+/// A cluster is founded and its supervisor at work by then.
+constexpr Millis kFoundingTime = 8000;
+
+const std::set<std::string> kFirstThree{"controller1", "controller2", "controller3"};
+
+/// Controllers alone in a simulated world, started anew with these settings before anything has happened.
+struct SimulatedControllers {
+  World world;
+
+  SimulatedControllers(uint64_t seed, int controllers, uint32_t core_size = 3, bool later_start = false)
+      : world(seed, {controllers, 0, 0, 0, 3, 0}) {
+    world.configure = [=](Identity& identity) {
+      identity.core_size = core_size;
+      identity.max_core_size = kMaxCoreSize;
+      identity.later_start = later_start;
     };
-    for (auto& s : w.names(Kind::controller))
-      w.wipe(s), w.start(s);
+    for (const std::string& name : names()) {
+      world.wipe(name);
+      world.start(name);
+    }
   }
-  void later_starts() {
-    auto first = w.configure;
-    w.configure = [first](Identity& id) {
-      first(id), id.later_start = true;
+
+  std::vector<std::string> names() { return world.names(Kind::controller); }
+  View metadata() { return sim::latest(world); }
+
+  /// Whoever starts from now on may not found a cluster with an empty disk.
+  void forbid_founding_on_empty_disks() {
+    auto first_settings = world.configure;
+    world.configure = [first_settings](Identity& identity) {
+      first_settings(identity);
+      identity.later_start = true;
     };
   }
-  void part(const std::vector<std::string>& one, const std::vector<std::string>& other) {
-    for (auto& a : one)
-      for (auto& b : other)
-        w.cut(a, b), w.cut(b, a);
+
+  void partition(const std::vector<std::string>& one_side, const std::vector<std::string>& other_side) {
+    for (const std::string& one : one_side) {
+      for (const std::string& other : other_side) {
+        world.cut(one, other);
+        world.cut(other, one);
+      }
+    }
   }
+
+  /// The ids of all clusters that a running controller is part of.
   std::set<uint64_t> clusters() {
-    std::set<uint64_t> v;
-    for (auto& s : w.names(Kind::controller))
-      if (w.node(s).machine && w.node(s).machine->view()->cluster)
-        v.insert(w.node(s).machine->view()->cluster);
-    return v;
+    std::set<uint64_t> clusters;
+    for (const std::string& name : names()) {
+      const sim::Node& node = world.node(name);
+      if (node.machine && node.machine->view()->cluster)
+        clusters.insert(node.machine->view()->cluster);
+    }
+    return clusters;
   }
+
+  /// The addresses of the core's members.
   std::set<std::string> members() {
-    std::set<std::string> v;
-    auto m = sim::latest(w);
-    for (auto id : m->members)
-      v.insert(m->find(id)->self.address);
-    return v;
+    View latest = metadata();
+    std::set<std::string> addresses;
+    for (DaemonId id : latest->members)
+      addresses.insert(latest->find(id)->self.address);
+    return addresses;
   }
-  bool until_members(Millis within, const std::set<std::string>& want) {
-    return w.until(within, [&] { return members() == want; });
+
+  bool wait_for_members(Millis timeout, const std::set<std::string>& expected) {
+    return world.until(timeout, [&] { return members() == expected; });
   }
-  void no_failures() {
-    for (auto& f : w.failures)
-      FAIL_CHECK(f);
+
+  bool wait_for_member_count(Millis timeout, size_t expected) {
+    return world.until(timeout, [&] { return metadata()->members.size() == expected; });
+  }
+
+  /// The controller that holds the supervisor lease; empty if none does.
+  std::string supervisor() {
+    for (const std::string& name : names()) {
+      const sim::Node& node = world.node(name);
+      if (node.machine && static_cast<ControllerMachine&>(*node.machine).is_supervisor(world.clock(node)))
+        return name;
+    }
+    return "";
   }
-};
 
-const std::set<std::string> first_three{"controller1", "controller2", "controller3"};
+  void check_no_failures() {
+    for (const std::string& failure : world.failures)
+      FAIL_CHECK(failure);
+  }
+};
 
 }  // namespace
 
-TEST_CASE("a cut at the first start founds one cluster, and only the seeds found it") {
+TEST_CASE("Founding makes one cluster, of the seeds alone, across a network partition at the first start") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 5);
-    c.part({"controller1", "controller2"}, {"controller3", "controller4", "controller5"});
-    c.w.run(20000);
-    CHECK(c.clusters().size() == 1);
-    c.w.heal();
-    c.w.run(10000);
-    CHECK(c.clusters().size() == 1);
-    c.no_failures();
+    SimulatedControllers cluster(seed, 5);
+    cluster.partition({"controller1", "controller2"}, {"controller3", "controller4", "controller5"});
+    cluster.world.run(20000);
+    CHECK(cluster.clusters().size() == 1);
+    cluster.world.heal();
+    cluster.world.run(10000);
+    CHECK(cluster.clusters().size() == 1);
+    cluster.check_no_failures();
   }
 }
 
-TEST_CASE("no order of starts founds two clusters") {
+TEST_CASE("Founding makes one cluster in whatever order the controllers start") {
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 6);
-    for (auto& s : c.w.names(Kind::controller)) {
-      c.w.kill(s);
-      c.w.at(c.w.now() + c.w.below(seed % 2 ? 400 : 9000), [&c, s] { c.w.start(s); });
+    SimulatedControllers cluster(seed, 6);
+    for (const std::string& name : cluster.names()) {
+      cluster.world.kill(name);
+      Millis latest_start = seed % 2 ? 400 : 9000;
+      cluster.world.at(cluster.world.now() + cluster.world.below(latest_start),
+                       [&cluster, name] { cluster.world.start(name); });
     }
-    c.w.net.loss = seed % 3 ? 0 : 0.2;
+    cluster.world.net.loss = seed % 3 ? 0 : 0.2;
     for (int i = 0; i < 4; ++i) {
-      auto v = c.w.names(Kind::controller);
-      c.w.cut(v[c.w.roll() % v.size()], v[c.w.roll() % v.size()]);
+      auto names = cluster.names();
+      cluster.world.cut(names[cluster.world.roll() % names.size()], names[cluster.world.roll() % names.size()]);
     }
-    c.w.run(15000);
-    c.w.heal();
-    c.w.net.loss = 0;
-    c.w.run(10000);
-    CHECK(c.clusters().size() == 1);
-    c.no_failures();
+    cluster.world.run(15000);
+    cluster.world.heal();
+    cluster.world.net.loss = 0;
+    cluster.world.run(10000);
+    CHECK(cluster.clusters().size() == 1);
+    cluster.check_no_failures();
   }
 }
 
-TEST_CASE("empty disks at a later start never found a cluster") {
-  Core c(3, 3, 3, true);
-  c.w.run(60000);
-  CHECK(c.clusters().empty());
+TEST_CASE("Founding never happens on empty disks at a later start") {
+  SimulatedControllers cluster(3, 3, 3, true);
+  cluster.world.run(60000);
+  CHECK(cluster.clusters().empty());
 }
 
-TEST_CASE("a first start that is broken off is taken up from the disks at a later one") {
+TEST_CASE("Founding that was interrupted is taken up from the disks at a later start") {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 3);
-    c.w.run(300 + c.w.below(600));
-    c.later_starts();
-    for (auto& s : c.w.names(Kind::controller))
-      c.w.kill(s), c.w.start(s);
-    c.w.run(10000);
-    CHECK(c.clusters().size() == 1);
-    c.no_failures();
+    SimulatedControllers cluster(seed, 3);
+    cluster.world.run(300 + cluster.world.below(600));
+    cluster.forbid_founding_on_empty_disks();
+    for (const std::string& name : cluster.names()) {
+      cluster.world.kill(name);
+      cluster.world.start(name);
+    }
+    cluster.world.run(10000);
+    CHECK(cluster.clusters().size() == 1);
+    cluster.check_no_failures();
   }
 }
 
-TEST_CASE("a disk that was wiped before the founding has no second vote in it") {
+TEST_CASE("Founding counts no second vote of a controller whose disk was wiped before it") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 3);
-    c.part({"controller1"}, {"controller3"});
-    c.w.run(1000 + c.w.below(900));
-    c.later_starts();
-    c.w.wipe("controller2");
-    c.w.heal();
-    c.part({"controller1"}, {"controller2", "controller3"});
-    c.w.start("controller2");
-    c.w.run(15000);
-    c.w.heal();
-    c.w.run(10000);
-    CHECK(c.clusters().size() == 1);
-    c.no_failures();
+    SimulatedControllers cluster(seed, 3);
+    cluster.partition({"controller1"}, {"controller3"});
+    cluster.world.run(1000 + cluster.world.below(900));
+    cluster.forbid_founding_on_empty_disks();
+    cluster.world.wipe("controller2");
+    cluster.world.heal();
+    cluster.partition({"controller1"}, {"controller2", "controller3"});
+    cluster.world.start("controller2");
+    cluster.world.run(15000);
+    cluster.world.heal();
+    cluster.world.run(10000);
+    CHECK(cluster.clusters().size() == 1);
+    cluster.check_no_failures();
   }
 }
 
-TEST_CASE("the core grows to all controllers that run, one at a time, each with the log on its disk") {
-  Core c(5, 5);
+TEST_CASE("CoreMembershipPolicy admits all running controllers, one at a time, each with the log on its disk") {
+  SimulatedControllers cluster(5, 5);
   std::set<std::string> all;
-  for (auto& s : c.w.names(Kind::controller))
-    all.insert(s);
-  size_t before = 0;
-  auto steps_of_one = [&] {
-    auto m = sim::latest(c.w);
-    if (m && m->cluster && before && m->members.size() > before + 1)
+  for (const std::string& name : cluster.names())
+    all.insert(name);
+  size_t members_before = 0;
+  auto grows_by_one_to_five = [&] {
+    View metadata = cluster.metadata();
+    if (!metadata)
+      return false;
+    size_t members = metadata->members.size();
+    if (metadata->cluster && members_before && members > members_before + 1)
       FAIL_CHECK("two members came at once");
-    if (m && m->cluster)
-      before = m->members.size();
-    return m && m->members.size() == 5;
+    if (metadata->cluster)
+      members_before = members;
+    return members == 5;
   };
-  CHECK(c.w.until(15000, steps_of_one));
-  CHECK(c.members() == all);
+  CHECK(cluster.world.until(15000, grows_by_one_to_five));
+  CHECK(cluster.members() == all);
   for (int i = 6; i <= 11; ++i)
-    c.w.add("controller" + std::to_string(i), Kind::controller, "a");
-  c.w.run(30000);
-  CHECK(c.members().size() == kMaxCoreSize);
-  c.no_failures();
+    cluster.world.add("controller" + std::to_string(i), Kind::controller, "a");
+  cluster.world.run(30000);
+  CHECK(cluster.members().size() == kMaxCoreSize);
+  cluster.check_no_failures();
 }
 
-TEST_CASE("a lost member is replaced inside the catch-up time of its successor's start") {
-  Millis worst = 0;
+TEST_CASE("CoreMembershipPolicy replaces a lost member within the catch-up time of its successor's start") {
+  Millis longest = 0;
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 3);
-    c.later_starts();
-    c.w.run(8000);
-    REQUIRE(c.members() == first_three);
-    auto lost = "controller" + std::to_string(1 + seed % 3);
-    c.w.power_off(lost);
-    c.w.run(c.w.below(2000));
-    c.w.add("controller9", Kind::controller, "a");
-    auto want = first_three;
-    want.erase(lost);
-    want.insert("controller9");
-    auto start = c.w.now();
-    CHECK(c.until_members(2 * catch_up, want));
-    worst = std::max(worst, c.w.now() - start);
-    c.no_failures();
+    SimulatedControllers cluster(seed, 3);
+    cluster.forbid_founding_on_empty_disks();
+    cluster.world.run(kFoundingTime);
+    REQUIRE(cluster.members() == kFirstThree);
+    std::string lost = "controller" + std::to_string(1 + seed % 3);
+    cluster.world.power_off(lost);
+    cluster.world.run(cluster.world.below(2000));
+    cluster.world.add("controller9", Kind::controller, "a");
+    std::set<std::string> expected = kFirstThree;
+    expected.erase(lost);
+    expected.insert("controller9");
+    Millis start = cluster.world.now();
+    CHECK(cluster.wait_for_members(2 * kCatchUpTime, expected));
+    longest = std::max(longest, cluster.world.now() - start);
+    cluster.check_no_failures();
   }
-  INFO("worst " << worst << " ms");
-  CHECK(worst <= catch_up);
+  INFO("longest " << longest << " ms");
+  CHECK(longest <= kCatchUpTime);
 }
 
-TEST_CASE("a member that comes back with an empty disk is replaced by itself inside the catch-up time") {
-  Millis worst = 0;
+TEST_CASE("CoreMembershipPolicy replaces a member that returns with an empty disk by itself within the catch-up time") {
+  Millis longest = 0;
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 3);
-    c.later_starts();
-    c.w.run(8000);
-    REQUIRE(c.members() == first_three);
-    auto lost = "controller" + std::to_string(1 + seed % 3);
-    c.w.wipe(lost);
-    c.w.run(c.w.below(2000));
-    c.w.start(lost);
-    auto start = c.w.now();
-    auto incarnation = c.w.node(lost).id.self.incarnation;
-    CHECK(c.w.until(2 * catch_up, [&] { return sim::latest(c.w)->is_core_member(incarnation); }));
-    worst = std::max(worst, c.w.now() - start);
-    c.no_failures();
+    SimulatedControllers cluster(seed, 3);
+    cluster.forbid_founding_on_empty_disks();
+    cluster.world.run(kFoundingTime);
+    REQUIRE(cluster.members() == kFirstThree);
+    std::string lost = "controller" + std::to_string(1 + seed % 3);
+    cluster.world.wipe(lost);
+    cluster.world.run(cluster.world.below(2000));
+    cluster.world.start(lost);
+    Millis start = cluster.world.now();
+    Incarnation incarnation = cluster.world.node(lost).id.self.incarnation;
+    CHECK(cluster.world.until(2 * kCatchUpTime, [&] { return cluster.metadata()->is_core_member(incarnation); }));
+    longest = std::max(longest, cluster.world.now() - start);
+    cluster.check_no_failures();
   }
-  INFO("worst " << worst << " ms");
-  CHECK(worst <= catch_up);
+  INFO("longest " << longest << " ms");
+  CHECK(longest <= kCatchUpTime);
 }
 
-TEST_CASE("two replacements in a row leave a core of living members, and a third loss is borne") {
+TEST_CASE("CoreMembershipPolicy leaves a core of living members after two replacements that bears a third loss") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 3);
-    c.later_starts();
-    c.w.run(8000);
+    SimulatedControllers cluster(seed, 3);
+    cluster.forbid_founding_on_empty_disks();
+    cluster.world.run(kFoundingTime);
     for (int i = 1; i <= 2; ++i) {
-      auto lost = "controller" + std::to_string(i);
-      c.w.power_off(lost);
-      c.w.add("controller" + std::to_string(6 + i), Kind::controller, "a");
-      c.w.run(catch_up);
+      std::string lost = "controller" + std::to_string(i);
+      cluster.world.power_off(lost);
+      cluster.world.add("controller" + std::to_string(6 + i), Kind::controller, "a");
+      cluster.world.run(kCatchUpTime);
     }
-    CHECK(c.members() == std::set<std::string>{"controller3", "controller7", "controller8"});
-    c.w.power_off("controller3");
-    auto before = sim::latest(c.w)->epoch;
-    CHECK(c.w.until(6000, [&] { return sim::latest(c.w)->epoch > before; }));
-    c.no_failures();
+    CHECK(cluster.members() == std::set<std::string>{"controller3", "controller7", "controller8"});
+    cluster.world.power_off("controller3");
+    Epoch before = cluster.metadata()->epoch;
+    CHECK(cluster.world.until(6000, [&] { return cluster.metadata()->epoch > before; }));
+    cluster.check_no_failures();
   }
 }
 
-TEST_CASE("a lost member of a grown core does not weigh on its majority") {
+TEST_CASE("CoreMembershipPolicy removes a lost member of a grown core, so that it does not count in the majority") {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 4);
-    c.later_starts();
-    REQUIRE(c.w.until(12000, [&] { return sim::latest(c.w)->members.size() == 4; }));
-    c.w.power_off("controller" + std::to_string(1 + seed % 4));
-    CHECK(c.w.until(5000, [&] { return sim::latest(c.w)->members.size() == 3; }));
-    c.w.start("controller" + std::to_string(1 + seed % 4));
-    CHECK(c.w.until(8000, [&] { return sim::latest(c.w)->members.size() == 4; }));
-    c.no_failures();
+    SimulatedControllers cluster(seed, 4);
+    cluster.forbid_founding_on_empty_disks();
+    REQUIRE(cluster.wait_for_member_count(12000, 4));
+    std::string lost = "controller" + std::to_string(1 + seed % 4);
+    cluster.world.power_off(lost);
+    CHECK(cluster.wait_for_member_count(5000, 3));
+    cluster.world.start(lost);
+    CHECK(cluster.wait_for_member_count(8000, 4));
+    cluster.check_no_failures();
   }
 }
 
-TEST_CASE("a member frozen for a minute or flapping neither forks the log nor stays outside the core") {
+TEST_CASE("A member that is frozen for a minute or flaps neither forks the log nor stays outside the core") {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 4);
-    c.later_starts();
-    REQUIRE(c.w.until(12000, [&] { return sim::latest(c.w)->members.size() == 4; }));
-    auto s = "controller" + std::to_string(1 + seed % 4);
-    c.w.freeze(s);
-    c.w.run(60000);
-    c.w.wake(s);
-    CHECK(c.w.until(8000, [&] { return c.members().size() == 4; }));
-    auto epoch = sim::latest(c.w)->epoch;
+    SimulatedControllers cluster(seed, 4);
+    cluster.forbid_founding_on_empty_disks();
+    REQUIRE(cluster.wait_for_member_count(12000, 4));
+    std::string frozen = "controller" + std::to_string(1 + seed % 4);
+    cluster.world.freeze(frozen);
+    cluster.world.run(60000);
+    cluster.world.wake(frozen);
+    CHECK(cluster.world.until(8000, [&] { return cluster.members().size() == 4; }));
+    Epoch epoch = cluster.metadata()->epoch;
     for (int i = 0; i < 10; ++i) {
-      c.w.freeze(s);
-      c.w.run(1500);
-      c.w.wake(s);
-      c.w.run(300);
+      cluster.world.freeze(frozen);
+      cluster.world.run(1500);
+      cluster.world.wake(frozen);
+      cluster.world.run(300);
     }
-    CHECK(sim::latest(c.w)->epoch.value() <= epoch.value() + 4);
-    c.w.run(8000);
-    CHECK(c.members().size() == 4);
-    CHECK(c.clusters().size() == 1);
-    c.no_failures();
+    CHECK(cluster.metadata()->epoch.value() <= epoch.value() + 4);
+    cluster.world.run(8000);
+    CHECK(cluster.members().size() == 4);
+    CHECK(cluster.clusters().size() == 1);
+    cluster.check_no_failures();
   }
 }
 
-TEST_CASE("members frozen for a minute are no proof of loss") {
+TEST_CASE("Refounding does not take members that are frozen for a minute as lost") {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 3);
-    c.later_starts();
-    c.w.run(8000);
-    c.w.freeze("controller1");
-    c.w.wipe("controller2");
-    c.w.run(1000);
-    c.w.start("controller2");
-    c.w.run(60000);
-    CHECK(sim::latest(c.w)->generation == 1);
-    c.w.wake("controller1");
-    c.w.run(10000);
-    CHECK(sim::latest(c.w)->generation == 1);
-    CHECK(c.members() == first_three);
-    CHECK(c.clusters().size() == 1);
-    c.no_failures();
+    SimulatedControllers cluster(seed, 3);
+    cluster.forbid_founding_on_empty_disks();
+    cluster.world.run(kFoundingTime);
+    cluster.world.freeze("controller1");
+    cluster.world.wipe("controller2");
+    cluster.world.run(1000);
+    cluster.world.start("controller2");
+    cluster.world.run(60000);
+    CHECK(cluster.metadata()->generation == 1);
+    cluster.world.wake("controller1");
+    cluster.world.run(10000);
+    CHECK(cluster.metadata()->generation == 1);
+    CHECK(cluster.members() == kFirstThree);
+    CHECK(cluster.clusters().size() == 1);
+    cluster.check_no_failures();
   }
 }
 
-TEST_CASE("late words of an earlier controller at a member's address are no proof of its loss") {
+TEST_CASE("Refounding does not take late messages of an earlier controller at a member's address as its loss") {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 3);
-    c.later_starts();
-    c.w.run(8000);
+    SimulatedControllers cluster(seed, 3);
+    cluster.forbid_founding_on_empty_disks();
+    cluster.world.run(kFoundingTime);
     std::vector<Candidate> earlier;
-    for (auto& s : {"controller2", "controller3"}) {
-      earlier.push_back(c.w.node(s).id.self);
-      c.w.wipe(s);
-      c.w.run(500);
-      c.w.start(s);
-      c.w.run(9000);
+    for (const std::string name : {"controller2", "controller3"}) {
+      earlier.push_back(cluster.world.node(name).id.self);
+      cluster.world.wipe(name);
+      cluster.world.run(500);
+      cluster.world.start(name);
+      cluster.world.run(9000);
     }
-    REQUIRE(c.members() == first_three);
-    c.part({"controller1"}, {"controller2", "controller3"});
+    REQUIRE(cluster.members() == kFirstThree);
+    cluster.partition({"controller1"}, {"controller2", "controller3"});
     for (int i = 0; i < 100; ++i) {
-      for (auto& old : earlier) {
-        Envelope e{};
-        e.protocol = kProtocolRevision;
-        e.cluster = sim::latest(c.w)->cluster;
-        e.from = old.address;
-        e.from_inc = old.incarnation;
-        e.to = "controller1";
-        e.body = Discover{old};
-        c.w.post("controller1", e);
+      for (const Candidate& old : earlier) {
+        Envelope envelope{};
+        envelope.protocol = kProtocolRevision;
+        envelope.cluster = cluster.metadata()->cluster;
+        envelope.from = old.address;
+        envelope.from_inc = old.incarnation;
+        envelope.to = "controller1";
+        envelope.body = Discover{old};
+        cluster.world.post("controller1", envelope);
       }
-      c.w.run(100);
+      cluster.world.run(100);
     }
-    CHECK(sim::latest(c.w)->generation == 1);
-    c.w.heal();
-    c.w.run(10000);
-    CHECK(c.clusters().size() == 1);
-    c.no_failures();
+    CHECK(cluster.metadata()->generation == 1);
+    cluster.world.heal();
+    cluster.world.run(10000);
+    CHECK(cluster.clusters().size() == 1);
+    cluster.check_no_failures();
   }
 }
 
 namespace {
 
 /// Wipes these, waits for the re-founding that follows, and puts the old disks back at the old addresses.
-void refound_and_put_back(Core& c, const std::vector<std::string>& lost, const std::vector<std::string>& back,
-                          Millis pause) {
-  std::map<std::string, std::pair<Incarnation, sim::SimDisk>> aside;
-  for (auto& s : lost) {
-    auto& n = c.w.node(s);
-    c.w.power_off(s);
-    aside[s] = {n.id.self.incarnation, n.disk};
-    c.w.wipe(s);
-    c.w.start(s);
+void refound_and_put_back(SimulatedControllers& cluster, const std::vector<std::string>& lost,
+                          const std::vector<std::string>& back, Millis pause) {
+  struct OldDisk {
+    Incarnation incarnation;
+    sim::SimDisk content;
+  };
+  std::map<std::string, OldDisk> old_disks;
+  for (const std::string& name : lost) {
+    const sim::Node& node = cluster.world.node(name);
+    cluster.world.power_off(name);
+    old_disks[name] = {node.id.self.incarnation, node.disk};
+    cluster.world.wipe(name);
+    cluster.world.start(name);
   }
-  REQUIRE(c.w.until(15000, [&] { return sim::latest(c.w)->generation == 2; }));
-  c.w.run(pause);
-  for (auto& s : back) {
-    c.w.wipe(s);
-    auto& n = c.w.node(s);
-    n.id.self.incarnation = aside[s].first;
-    n.disk = aside[s].second;
-    c.w.start(s);
+  REQUIRE(cluster.world.until(15000, [&] { return cluster.metadata()->generation == 2; }));
+  cluster.world.run(pause);
+  for (const std::string& name : back) {
+    cluster.world.wipe(name);
+    sim::Node& node = cluster.world.node(name);
+    node.id.self.incarnation = old_disks[name].incarnation;
+    node.disk = old_disks[name].content;
+    cluster.world.start(name);
   }
 }
 
 }  // namespace
 
-TEST_CASE("a disk that comes back after a re-founding catches up and is admitted again") {
+TEST_CASE("A disk that returns after a re-founding catches up and is admitted again") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 3);
-    c.later_starts();
-    c.w.run(8000);
-    refound_and_put_back(c, {"controller2", "controller3"}, {"controller3"}, seed % 2 ? 5000 : 200);
-    c.w.run(20000);
-    CHECK(sim::latest(c.w)->generation == 2);
-    CHECK(c.members() == first_three);
-    CHECK(sim::latest(c.w)->is_core_member(c.w.node("controller3").id.self.incarnation));
-    CHECK(c.clusters().size() == 1);
-    c.no_failures();
+    SimulatedControllers cluster(seed, 3);
+    cluster.forbid_founding_on_empty_disks();
+    cluster.world.run(kFoundingTime);
+    refound_and_put_back(cluster, {"controller2", "controller3"}, {"controller3"}, seed % 2 ? 5000 : 200);
+    cluster.world.run(20000);
+    CHECK(cluster.metadata()->generation == 2);
+    CHECK(cluster.members() == kFirstThree);
+    CHECK(cluster.metadata()->is_core_member(cluster.world.node("controller3").id.self.incarnation));
+    CHECK(cluster.clusters().size() == 1);
+    cluster.check_no_failures();
   }
 }
 
-TEST_CASE("a majority of old disks that comes back after a re-founding joins the new generation, and forks nothing") {
+TEST_CASE("A majority of old disks that returns after a re-founding joins the new generation and forks nothing") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 3);
-    c.later_starts();
-    c.w.run(8000);
-    refound_and_put_back(c, {"controller2", "controller3"}, {"controller2", "controller3"}, seed % 2 ? 5000 : 200);
-    c.w.run(20000);
-    CHECK(sim::latest(c.w)->generation >= 2);
-    CHECK(c.clusters().size() == 1);
-    c.no_failures();
+    SimulatedControllers cluster(seed, 3);
+    cluster.forbid_founding_on_empty_disks();
+    cluster.world.run(kFoundingTime);
+    refound_and_put_back(cluster, {"controller2", "controller3"}, {"controller2", "controller3"},
+                         seed % 2 ? 5000 : 200);
+    cluster.world.run(20000);
+    CHECK(cluster.metadata()->generation >= 2);
+    CHECK(cluster.clusters().size() == 1);
+    cluster.check_no_failures();
   }
 }
 
-TEST_CASE("a controller that leaves in order hands the lease over and is removed before it stops") {
-  Millis worst = 0;
+TEST_CASE("GracefulShutdown hands the lease over and has the member removed before it stops") {
+  Millis longest = 0;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    Core c(seed, 4);
-    c.later_starts();
-    REQUIRE(c.w.until(12000, [&] { return sim::latest(c.w)->members.size() == 4; }));
-    auto supervisor = [&] {
-      for (auto& s : c.w.names(Kind::controller)) {
-        auto& n = c.w.node(s);
-        if (n.machine && static_cast<ControllerMachine&>(*n.machine).is_supervisor(c.w.clock(n)))
-          return s;
-      }
-      return std::string();
-    };
-    REQUIRE(c.w.until(5000, [&] { return !supervisor().empty(); }));
-    auto leaver = supervisor();
-    auto start = c.w.now();
-    auto& n = c.w.node(leaver);
-    static_cast<ControllerMachine&>(*n.machine).begin_shutdown(c.w.clock(n));
-    CHECK(c.w.until(1000, [&] { return !n.machine; }));
-    CHECK(c.w.until(2000, [&] { return c.members().count(leaver) == 0 && !supervisor().empty(); }));
-    worst = std::max(worst, c.w.now() - start);
-    c.w.start(leaver);
-    CHECK(c.w.until(8000, [&] { return sim::latest(c.w)->members.size() == 4; }));
-    c.no_failures();
+    SimulatedControllers cluster(seed, 4);
+    cluster.forbid_founding_on_empty_disks();
+    REQUIRE(cluster.wait_for_member_count(12000, 4));
+    REQUIRE(cluster.world.until(5000, [&] { return !cluster.supervisor().empty(); }));
+    std::string leaver = cluster.supervisor();
+    Millis start = cluster.world.now();
+    sim::Node& node = cluster.world.node(leaver);
+    static_cast<ControllerMachine&>(*node.machine).begin_shutdown(cluster.world.clock(node));
+    CHECK(cluster.world.until(1000, [&] { return !node.machine; }));
+    CHECK(cluster.world.until(2000,
+                              [&] { return cluster.members().count(leaver) == 0 && !cluster.supervisor().empty(); }));
+    longest = std::max(longest, cluster.world.now() - start);
+    cluster.world.start(leaver);
+    CHECK(cluster.wait_for_member_count(8000, 4));
+    cluster.check_no_failures();
   }
-  INFO("worst " << worst << " ms");
-  CHECK(worst < kSupervisorLeaseDuration);
+  INFO("longest " << longest << " ms");
+  CHECK(longest < kSupervisorLeaseDuration);
 }
--- a/tests/unit/consensus/proposer_test.cpp
+++ b/tests/unit/consensus/proposer_test.cpp
@@ -1,4 +1,4 @@
-// What the proposer answers whom, over every point of a cut, on real controllers in a simulated world.
+// What the proposer answers whom, over every point of a network partition, on real controllers in a simulated world.
 #include <catch2/catch.hpp>
 
 #include "simulation/world.hpp"
@@ -8,157 +8,189 @@
 
 namespace {
 
-/// Three controllers that know each other, and the replies of their local sessions.
-struct Core {
-  World w;
+constexpr Millis kFoundingTimeout = 30000;
+constexpr Millis kSettleTime = 3000;
+/// As an operator's request has it.
+constexpr Millis kCommitTimeoutOfOperators = 900;
+
+/// A small cluster with three controllers that know each other, and the replies that their local requesters got.
+struct SimulatedCore {
+  World world;
   std::map<Address, std::vector<CommitReply>> replies;
-  explicit Core(uint64_t seed) : w(seed, {3, 3, 1, 1, 3, 1}) {
-    w.local = [this](sim::Node&, const Envelope& e) {
-      if (auto* r = std::get_if<CommitReply>(&e.body))
-        replies[e.to].push_back(*r);
+
+  explicit SimulatedCore(uint64_t seed) : world(seed, {3, 3, 1, 1, 3, 1}) {
+    world.local = [this](sim::Node&, const Envelope& envelope) {
+      if (const auto* reply = std::get_if<CommitReply>(&envelope.body))
+        replies[envelope.to].push_back(*reply);
     };
-    bool up = w.until(30000, [this] {
-      for (auto& c : w.names(sim::Kind::controller))
-        if (!w.node(c).machine->view()->cluster)
-          return false;
-      return w.node("controller1").machine->view()->directory.size() >= 7;
-    });
-    REQUIRE(up);
-    w.run(3000);
+    REQUIRE(world.until(kFoundingTimeout, [this] { return is_founded(); }));
+    world.run(kSettleTime);
   }
-  void ask(const std::string& controller, const Address& session, const std::string& id, const Transformation& t,
-           Millis patience = 0) {
-    Envelope e{};
-    e.from = session;
-    e.cluster = w.node(controller).machine->view()->cluster;
-    e.epoch = w.node(controller).machine->view()->epoch;
-    e.body = Commit{id, t, e.epoch, patience};
-    w.post(controller, e);
+
+  void commit(const std::string& controller, const Address& requester, const std::string& id,
+              const Transformation& change, Millis timeout = 0) {
+    Envelope envelope{};
+    envelope.from = requester;
+    envelope.cluster = view(controller)->cluster;
+    envelope.epoch = view(controller)->epoch;
+    envelope.body = Commit{id, change, envelope.epoch, timeout};
+    world.post(controller, envelope);
   }
-  View view(const std::string& c) { return w.node(c).machine->view(); }
-  size_t count(const Address& session, CommitOutcome o) {
-    size_t n = 0;
-    for (auto& r : replies[session])
-      n += r.outcome == o;
-    return n;
+
+  View view(const std::string& controller) { return world.node(controller).machine->view(); }
+
+  size_t count_replies(const Address& requester, CommitOutcome outcome) {
+    size_t count = 0;
+    for (const CommitReply& reply : replies[requester])
+      if (reply.outcome == outcome)
+        ++count;
+    return count;
+  }
+
+ private:
+  bool is_founded() {
+    for (const std::string& controller : world.names(sim::Kind::controller))
+      if (!view(controller)->cluster)
+        return false;
+    return view("controller1")->directory.size() >= 7;
   }
 };
 
-ApplyConfiguration order(Revision base, uint64_t own) {
-  return {base, {}, Revision{own}};
+ApplyConfiguration empty_configuration(Revision base, uint64_t revision) {
+  return {base, {}, Revision{revision}};
 }
 
 }  // namespace
 
-TEST_CASE("a read that began for one commit refuses no other") {
+TEST_CASE("Proposer rejects no commit that came after the quorum read began") {
   for (int i = 0; i < 60; ++i) {
-    Core c(7);
-    c.w.net.delay = 100;
-    c.w.isolate("controller1");
-    c.ask("controller1", "local:bad", "bad", RemoveReplica{""});
-    c.w.run(1500);
-    c.ask("controller1", "local:good", "good", order(c.view("controller1")->revision, 9));
-    c.w.run(10 * i);
-    c.w.heal();
-    c.w.run(5000);
-    INFO("healed " << 1500 + 10 * i << " ms after the first");
-    CHECK(c.count("local:good", CommitOutcome::rejected) == 0);
-    CHECK(c.count("local:bad", CommitOutcome::committed) == 0);
+    Millis healed_after = 1500 + 10 * i;
+    INFO("healed " << healed_after << " ms after the first commit");
+    SimulatedCore core(7);
+    core.world.net.delay = 100;
+    core.world.isolate("controller1");
+
+    core.commit("controller1", "local:bad", "bad", RemoveReplica{""});
+    core.world.run(1500);
+    core.commit("controller1", "local:good", "good", empty_configuration(core.view("controller1")->revision, 9));
+    core.world.run(healed_after - 1500);
+    core.world.heal();
+    core.world.run(5000);
+
+    CHECK(core.count_replies("local:good", CommitOutcome::rejected) == 0);
+    CHECK(core.count_replies("local:bad", CommitOutcome::committed) == 0);
   }
 }
 
-TEST_CASE("what was left unclear before anybody was asked to accept it is never taken") {
+TEST_CASE("Proposer never proposes a commit again whose outcome was told to be unknown before any accept request") {
   for (int i = 0; i < 40; ++i) {
-    Core c(11);
-    c.w.isolate("controller1");
-    c.ask("controller1", "local:a", "a", order(c.view("controller1")->revision, 9), 900);
-    c.w.run(930 + 10 * i);
-    c.w.heal();
-    c.w.run(5000);
-    INFO("healed " << 930 + 10 * i << " ms after the order");
-    CHECK(c.count("local:a", CommitOutcome::unknown) == 1);
-    CHECK_FALSE(c.view("controller2")->epoch_of_commit("a"));
+    Millis healed_after = 930 + 10 * i;
+    INFO("healed " << healed_after << " ms after the commit");
+    SimulatedCore core(11);
+    core.world.isolate("controller1");
+
+    core.commit("controller1", "local:a", "a", empty_configuration(core.view("controller1")->revision, 9),
+                kCommitTimeoutOfOperators);
+    core.world.run(healed_after);
+    core.world.heal();
+    core.world.run(5000);
+
+    CHECK(core.count_replies("local:a", CommitOutcome::unknown) == 1);
+    CHECK_FALSE(core.view("controller2")->epoch_of_commit("a"));
   }
 }
 
-TEST_CASE("one of two changes on one base is acknowledged, wherever a cut falls") {
-  for (uint64_t seed = 1; seed <= 4; ++seed)
-    for (Millis cut = 0; cut <= 16; ++cut) {
-      Core c(seed);
-      auto base = c.view("controller1")->revision;
-      auto a = order(base, base.value() + 2), b = order(base, base.value() + 3);
-      c.ask("controller1", "local:a1", "a", a, 900);
-      c.w.run(cut);
-      c.w.isolate("controller1");
-      c.w.run(1000 - cut);
-      c.ask("controller2", "local:b1", "b", b, 900);
-      c.w.run(seed * 200);
-      c.w.heal();
-      c.w.run(2000);
-      c.ask("controller3", "local:a2", "a", a, 900);
-      c.ask("controller1", "local:b2", "b", b, 900);
-      c.w.run(2000);
-      INFO("seed " << seed << ", cut off after " << cut << " ms");
-      auto yes = [&](const char* one, const char* two) {
-        return c.count(one, CommitOutcome::committed) + c.count(two, CommitOutcome::committed);
+TEST_CASE("Proposer acknowledges one of two changes on one base, wherever a network partition falls") {
+  for (uint64_t seed = 1; seed <= 4; ++seed) {
+    for (Millis isolated_after = 0; isolated_after <= 16; ++isolated_after) {
+      INFO("seed " << seed << ", isolated after " << isolated_after << " ms");
+      SimulatedCore core(seed);
+      Revision base = core.view("controller1")->revision;
+      ApplyConfiguration first = empty_configuration(base, base.value() + 2);
+      ApplyConfiguration second = empty_configuration(base, base.value() + 3);
+
+      core.commit("controller1", "local:first", "first", first, kCommitTimeoutOfOperators);
+      core.world.run(isolated_after);
+      core.world.isolate("controller1");
+      core.world.run(1000 - isolated_after);
+      core.commit("controller2", "local:second", "second", second, kCommitTimeoutOfOperators);
+      core.world.run(static_cast<Millis>(seed) * 200);
+      core.world.heal();
+      core.world.run(2000);
+      core.commit("controller3", "local:first again", "first", first, kCommitTimeoutOfOperators);
+      core.commit("controller1", "local:second again", "second", second, kCommitTimeoutOfOperators);
+      core.world.run(2000);
+
+      auto first_has = [&](CommitOutcome outcome) {
+        return core.count_replies("local:first", outcome) + core.count_replies("local:first again", outcome) > 0;
       };
-      auto no = [&](const char* one, const char* two) {
-        return c.count(one, CommitOutcome::rejected) + c.count(two, CommitOutcome::rejected);
+      auto second_has = [&](CommitOutcome outcome) {
+        return core.count_replies("local:second", outcome) + core.count_replies("local:second again", outcome) > 0;
       };
-      bool first = yes("local:a1", "local:a2") > 0;
-      CHECK(first != (yes("local:b1", "local:b2") > 0));
-      CHECK(first != (no("local:a1", "local:a2") > 0));
-      CHECK(first == (no("local:b1", "local:b2") > 0));
-      for (auto& [session, rs] : c.replies)
-        for (auto& r : rs)
-          if (r.outcome == CommitOutcome::rejected)
-            CHECK(r.rejection == Rejection::revision_conflict);
+      bool first_committed = first_has(CommitOutcome::committed);
+      CHECK(first_committed != second_has(CommitOutcome::committed));
+      CHECK(first_committed != first_has(CommitOutcome::rejected));
+      CHECK(first_committed == second_has(CommitOutcome::rejected));
+      for (const auto& [requester, replies] : core.replies)
+        for (const CommitReply& reply : replies)
+          if (reply.outcome == CommitOutcome::rejected)
+            CHECK(reply.rejection == Rejection::revision_conflict);
     }
+  }
 }
 
-TEST_CASE("an order is acknowledged again only after a majority was heard, and never refused") {
-  Core c(3);
-  auto base = c.view("controller1")->revision;
-  c.ask("controller2", "local:first", "a", order(base, 9));
-  c.w.run(3000);
-  REQUIRE(c.count("local:first", CommitOutcome::committed) == 1);
-  c.w.isolate("controller1");
-  c.ask("controller1", "local:again", "a", order(base, 9), 900);
-  c.ask("controller1", "local:rival", "b", order(base, 9), 900);
-  c.w.run(2000);
-  CHECK(c.count("local:again", CommitOutcome::committed) == 0);
-  CHECK(c.count("local:again", CommitOutcome::unknown) == 1);
-  CHECK(c.count("local:rival", CommitOutcome::rejected) == 0);
-  c.w.heal();
-  c.w.run(2000);
-  c.ask("controller1", "local:again", "a", order(base, 9), 900);
-  c.ask("controller1", "local:rival", "b", order(base, 9), 900);
-  c.w.run(2000);
-  CHECK(c.count("local:again", CommitOutcome::committed) == 1);
-  CHECK(c.count("local:rival", CommitOutcome::rejected) == 1);
+TEST_CASE("Proposer acknowledges a repeated commit only after it has heard a majority, and never rejects it") {
+  SimulatedCore core(3);
+  Revision base = core.view("controller1")->revision;
+  core.commit("controller2", "local:first", "a", empty_configuration(base, 9));
+  core.world.run(3000);
+  REQUIRE(core.count_replies("local:first", CommitOutcome::committed) == 1);
+
+  core.world.isolate("controller1");
+  core.commit("controller1", "local:repeated", "a", empty_configuration(base, 9), kCommitTimeoutOfOperators);
+  core.commit("controller1", "local:rival", "b", empty_configuration(base, 9), kCommitTimeoutOfOperators);
+  core.world.run(2000);
+
+  CHECK(core.count_replies("local:repeated", CommitOutcome::committed) == 0);
+  CHECK(core.count_replies("local:repeated", CommitOutcome::unknown) == 1);
+  CHECK(core.count_replies("local:rival", CommitOutcome::rejected) == 0);
+
+  core.world.heal();
+  core.world.run(2000);
+  core.commit("controller1", "local:repeated", "a", empty_configuration(base, 9), kCommitTimeoutOfOperators);
+  core.commit("controller1", "local:rival", "b", empty_configuration(base, 9), kCommitTimeoutOfOperators);
+  core.world.run(2000);
+
+  CHECK(core.count_replies("local:repeated", CommitOutcome::committed) == 1);
+  CHECK(core.count_replies("local:rival", CommitOutcome::rejected) == 1);
 }
 
-TEST_CASE("eight orders at once on one base, and as many reads: one is taken, all are answered") {
+TEST_CASE("Proposer commits one of eight changes at once on one base, and answers them and as many reads") {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    Core c(seed);
-    auto base = c.view("controller1")->revision;
-    for (int i = 0; i < 8; ++i) {
-      auto n = std::to_string(i);
-      auto to = "controller" + std::to_string(1 + i % 3);
-      c.ask(to, "local:order" + n, "order" + n, order(base, 20 + i), 900);
-      c.ask(to, "local:read" + n, "read" + n, RemoveReplica{""}, 900);
+    INFO("seed " << seed);
+    SimulatedCore core(seed);
+    Revision base = core.view("controller1")->revision;
+    for (uint64_t i = 0; i < 8; ++i) {
+      std::string number = std::to_string(i);
+      std::string controller = "controller" + std::to_string(1 + i % 3);
+      core.commit(controller, "local:change" + number, "change" + number, empty_configuration(base, 20 + i),
+                  kCommitTimeoutOfOperators);
+      core.commit(controller, "local:read" + number, "read" + number, RemoveReplica{""}, kCommitTimeoutOfOperators);
     }
-    c.w.run(900);
-    size_t yes = 0, no = 0, reads = 0;
-    for (int i = 0; i < 8; ++i) {
-      auto n = std::to_string(i);
-      yes += c.count("local:order" + n, CommitOutcome::committed);
-      no += c.count("local:order" + n, CommitOutcome::rejected);
-      reads += c.count("local:read" + n, CommitOutcome::rejected);
+
+    core.world.run(kCommitTimeoutOfOperators);
+
+    size_t committed = 0;
+    size_t rejected = 0;
+    size_t reads = 0;
+    for (uint64_t i = 0; i < 8; ++i) {
+      std::string number = std::to_string(i);
+      committed += core.count_replies("local:change" + number, CommitOutcome::committed);
+      rejected += core.count_replies("local:change" + number, CommitOutcome::rejected);
+      reads += core.count_replies("local:read" + number, CommitOutcome::rejected);
     }
-    INFO("seed " << seed);
-    CHECK(yes == 1);
-    CHECK(no == 7);
+    CHECK(committed == 1);
+    CHECK(rejected == 7);
     CHECK(reads == 8);
   }
 }
--- a/tests/unit/consensus/stale_log_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -10,144 +10,189 @@
 
 namespace {
 
-constexpr Millis start = kProcessClockStart;
-constexpr Millis long_enough = 10000;  // ms; several leases
+constexpr Millis kStart = kProcessClockStart;
+constexpr Millis kSeveralLeases = 10000;
+constexpr uint64_t kCluster = 7;
 
-Candidate controller(uint64_t n) {
-  auto a = "controller" + std::to_string(n);
-  return {Incarnation{n}, Role::controller, "zone", a, "", "http-" + a, a};
+Candidate controller(uint64_t number) {
+  std::string address = "controller" + std::to_string(number);
+  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
+}
+
+std::unique_ptr<ControllerMachine> start_controller_1(const ControllerCheckpoint& checkpoint,
+                                                      std::vector<std::string> journal = {}) {
+  Recovered recovered{Incarnation{1}, codec::pack(checkpoint), std::move(journal)};
+  return std::make_unique<ControllerMachine>(Identity{controller(1), {}}, recovered, kStart);
 }
 
 /// The first of three controllers, started again with a log that lacks what the other two have.
-struct Restarted {
-  Metadata old{}, newest{};
-  std::vector<Entry> lacking;
+struct RestartedController {
+  Metadata old_metadata{};
+  Metadata newest_metadata{};
+  std::vector<Entry> missing_entries;
   std::unique_ptr<ControllerMachine> machine;
-  Millis now = start;
+  Millis now = kStart;
 
-  static void commit(Metadata& m, const Entry& e) {
-    auto r = apply(m, e);
-    REQUIRE(r.ok());
-    m = r.value();
-  }
-  Restarted() {
-    commit(old, {Epoch{1}, "", FoundCluster{7, 3, {controller(1), controller(2), controller(3)}}});
-    newest = old;
-    for (uint64_t n = 11; n <= 13; ++n) {
-      Candidate store{Incarnation{n}, Role::store, "zone", "store" + std::to_string(n), "", "", ""};
-      lacking.push_back({next(newest.epoch), "", Register{store}});
-      commit(newest, lacking.back());
+  RestartedController() {
+    apply_entry(old_metadata, {Epoch{1}, "", FoundCluster{kCluster, 3, {controller(1), controller(2), controller(3)}}});
+    newest_metadata = old_metadata;
+    for (uint64_t number = 11; number <= 13; ++number) {
+      Candidate store{Incarnation{number}, Role::store, "zone", "store" + std::to_string(number), "", "", ""};
+      missing_entries.push_back({next(newest_metadata.epoch), "", Register{store}});
+      apply_entry(newest_metadata, missing_entries.back());
     }
-    ControllerCheckpoint c{};
-    c.metadata = old;
-    machine = std::make_unique<ControllerMachine>(Identity{controller(1), {}},
-                                                  Recovered{Incarnation{1}, codec::pack(c), {}}, start);
+    ControllerCheckpoint checkpoint{};
+    checkpoint.metadata = old_metadata;
+    machine = start_controller_1(checkpoint);
   }
-  Actions from(uint64_t n, Epoch epoch, Message body) {
-    Envelope e{
-        kProtocolRevision, 7, epoch, 1, "controller" + std::to_string(n), Incarnation{n}, "controller1", Incarnation{1},
-        std::move(body)};
-    return machine->step(e, now);
+
+  static void apply_entry(Metadata& metadata, const Entry& entry) {
+    auto result = apply(metadata, entry);
+    REQUIRE(result.ok());
+    metadata = result.value();
+  }
+
+  /// What the machine does on a message of controller `sender`, which knows `epoch`.
+  Actions receive(uint64_t sender, Epoch epoch, Message body) {
+    Envelope envelope{};
+    envelope.protocol = kProtocolRevision;
+    envelope.cluster = kCluster;
+    envelope.epoch = epoch;
+    envelope.id = 1;
+    envelope.from = "controller" + std::to_string(sender);
+    envelope.from_inc = Incarnation{sender};
+    envelope.to = "controller1";
+    envelope.to_inc = Incarnation{1};
+    envelope.body = std::move(body);
+    return machine->step(envelope, now);
   }
-  /// Lets time pass; the others grant each lease asked for, stamped with `epoch`, and say nothing else.
-  bool supervises_with_grants_at(Epoch epoch) {
-    for (auto end = now + long_enough; now < end; now += kTickInterval) {
-      auto a = machine->tick(now);
-      for (auto& e : a.now)
-        if (auto* r = std::get_if<LeaseRequest>(&e.body)) {
-          auto by = e.to_inc.value();
-          from(by, by == 1 ? machine->view()->epoch : epoch, LeaseGrant{r->request_id, true, {}});
-        }
+
+  /// Lets time pass; the others grant each lease that is requested, stamped with `epoch`, and send nothing else.
+  bool becomes_supervisor_with_grants_at(Epoch epoch) {
+    for (Millis end = now + kSeveralLeases; now < end; now += kTickInterval) {
+      grant_leases(machine->tick(now), epoch);
       if (machine->is_supervisor(now))
         return true;
     }
     return false;
   }
+
+ private:
+  void grant_leases(const Actions& actions, Epoch epoch) {
+    for (const Envelope& envelope : actions.now) {
+      const auto* request = std::get_if<LeaseRequest>(&envelope.body);
+      if (!request)
+        continue;
+      uint64_t member = envelope.to_inc.value();
+      Epoch stamp = member == 1 ? machine->view()->epoch : epoch;
+      receive(member, stamp, LeaseGrant{request->request_id, true, {}});
+    }
+  }
 };
 
-template <class T>
-const T* sent(const std::vector<Envelope>& v) {
-  for (auto& e : v)
-    if (auto* x = std::get_if<T>(&e.body))
-      return x;
+/// The first message of a kind; null if there is none.
+template <class MessageKind>
+const MessageKind* find_message(const std::vector<Envelope>& envelopes) {
+  for (const Envelope& envelope : envelopes)
+    if (const auto* message = std::get_if<MessageKind>(&envelope.body))
+      return message;
   return nullptr;
 }
 
 }  // namespace
 
-TEST_CASE("a controller with an old log supervises nothing, whoever grants it the lease, until it has caught up") {
-  Restarted r;
-  CHECK_FALSE(r.supervises_with_grants_at(r.newest.epoch));
-  r.from(2, r.newest.epoch, CatchupReply{r.newest.epoch, std::nullopt, r.lacking});
-  REQUIRE(r.machine->view()->epoch == r.newest.epoch);
-  CHECK(r.supervises_with_grants_at(r.newest.epoch));
+TEST_CASE("SupervisorLease is not held on an old log, whoever grants it, until the controller has caught up") {
+  RestartedController controller;
+
+  CHECK_FALSE(controller.becomes_supervisor_with_grants_at(controller.newest_metadata.epoch));
+
+  Epoch newest = controller.newest_metadata.epoch;
+  controller.receive(2, newest, CatchupReply{newest, std::nullopt, controller.missing_entries});
+  REQUIRE(controller.machine->view()->epoch == newest);
+  CHECK(controller.becomes_supervisor_with_grants_at(newest));
 }
 
-TEST_CASE("a controller with an old log refuses no change by it: it reads from a majority first") {
-  Restarted r;
+TEST_CASE("Proposer with an old log rejects no commit by it: it reads from a majority first") {
+  RestartedController controller;
+  Epoch old_epoch = controller.old_metadata.epoch;
+  Epoch newest = controller.newest_metadata.epoch;
   // By the old log that daemon is unknown, by the newest one it is there.
   DaemonId store{4};
-  REQUIRE(r.newest.find(store) != nullptr);
-  auto a = r.from(2, r.old.epoch, Commit{"change", MarkDown{store}, {}});
-  CHECK(sent<CommitReply>(a.synced) == nullptr);
-  auto* read = sent<QuorumRead>(a.now);
+  REQUIRE(controller.newest_metadata.find(store) != nullptr);
+
+  Actions actions = controller.receive(2, old_epoch, Commit{"change", MarkDown{store}, {}, 0});
+  CHECK(find_message<CommitReply>(actions.synced) == nullptr);
+  const QuorumRead* read = find_message<QuorumRead>(actions.now);
   REQUIRE(read != nullptr);
-  auto id = read->id;
-  r.from(1, r.old.epoch, QuorumReadReply{id, r.old.epoch, false});
-  a = r.from(2, r.newest.epoch, QuorumReadReply{id, r.newest.epoch, false});
-  CHECK(sent<CommitReply>(a.synced) == nullptr);
-  a = r.from(2, r.newest.epoch, CatchupReply{r.newest.epoch, std::nullopt, r.lacking});
-  CHECK(sent<CommitReply>(a.synced) == nullptr);
-  auto* prepare = sent<Prepare>(a.now);
+  uint64_t read_id = read->id;
+
+  controller.receive(1, old_epoch, QuorumReadReply{read_id, old_epoch, false});
+  actions = controller.receive(2, newest, QuorumReadReply{read_id, newest, false});
+  CHECK(find_message<CommitReply>(actions.synced) == nullptr);
+
+  actions = controller.receive(2, newest, CatchupReply{newest, std::nullopt, controller.missing_entries});
+  CHECK(find_message<CommitReply>(actions.synced) == nullptr);
+  const Prepare* prepare = find_message<Prepare>(actions.now);
   REQUIRE(prepare != nullptr);
-  CHECK(prepare->epoch == next(r.newest.epoch));
+  CHECK(prepare->epoch == next(newest));
 }
 
-TEST_CASE("what a controller with an old log answers to a laggard takes nobody back") {
-  Restarted r;
-  auto a = r.from(2, r.newest.epoch, Catchup{r.newest.epoch});
-  auto* reply = sent<CatchupReply>(a.now);
+TEST_CASE("ControllerMachine with an old log takes nobody back by its answer to a catch-up request") {
+  RestartedController controller;
+  const Metadata& newest = controller.newest_metadata;
+
+  Actions actions = controller.receive(2, newest.epoch, Catchup{newest.epoch});
+  const CatchupReply* reply = find_message<CatchupReply>(actions.now);
   REQUIRE(reply != nullptr);
   CHECK_FALSE(reply->checkpoint);
   CHECK(reply->entries.empty());
-  MetadataLog ledger;
-  REQUIRE(ledger.install_snapshot(r.newest));
-  CHECK_FALSE(ledger.install_snapshot(r.old));
-  CHECK(ledger.add(r.lacking.front()).empty());
-  CHECK(*ledger.view() == r.newest);
+
+  MetadataLog log;
+  REQUIRE(log.install_snapshot(newest));
+  CHECK_FALSE(log.install_snapshot(controller.old_metadata));
+  CHECK(log.add(controller.missing_entries.front()).empty());
+  CHECK(*log.view() == newest);
 }
 
-TEST_CASE("a value of a generation that is over is not taken, and a later one is") {
-  Restarted r;
-  auto over = r.newest;
+TEST_CASE("ControllerMachine does not take a snapshot of a generation that is over, and takes a later one") {
+  RestartedController controller;
+  Metadata over = controller.newest_metadata;
   over.cluster = 6;
   over.epoch = Epoch{100};
-  r.from(2, r.old.epoch, CatchupReply{over.epoch, over, {}});
-  CHECK(r.machine->view()->cluster == 7);
-  CHECK(r.machine->view()->epoch == r.old.epoch);
+
+  controller.receive(2, controller.old_metadata.epoch, CatchupReply{over.epoch, over, {}});
+
+  CHECK(controller.machine->view()->cluster == kCluster);
+  CHECK(controller.machine->view()->epoch == controller.old_metadata.epoch);
+
+  Metadata later = controller.newest_metadata;
+  later.cluster = next_cluster_id(kCluster, later.generation);
+  ++later.generation;
+  controller.receive(2, controller.old_metadata.epoch, CatchupReply{later.epoch, later, {}});
+
+  CHECK(*controller.machine->view() == later);
 }
 
-TEST_CASE("a jump that died before it was synced leaves the old value, after that the new one, never a mixture") {
-  Restarted r;
-  auto a = r.from(2, r.newest.epoch, CatchupReply{r.newest.epoch, r.newest, {}});
-  REQUIRE_FALSE(a.journal.empty());
-  ControllerCheckpoint c{};
-  c.metadata = r.old;
-  c.open = next(r.old.epoch);
-  c.promised = {9, 9};
-  c.accepted = AcceptedProposal{{9, 9}, {next(r.old.epoch), "open", Register{controller(4)}}};
-  auto starts_with = [&](std::vector<std::string> journal) {
-    return ControllerMachine(Identity{controller(1), {}}, Recovered{Incarnation{1}, codec::pack(c), std::move(journal)},
-                             start);
-  };
-  auto before = starts_with({});
-  auto after = starts_with(a.journal);
-  CHECK(*before.view() == r.old);
-  CHECK(*after.view() == r.newest);
-  // The instance that was open at the old epoch is over with the jump: its promise and acceptance count no more.
-  auto kept = codec::unpack<ControllerCheckpoint>(after.checkpoint());
+TEST_CASE("ControllerMachine recovers the value before or after a snapshot that was being synced, never a mixture") {
+  RestartedController controller;
+  const Metadata& newest = controller.newest_metadata;
+  Actions actions = controller.receive(2, newest.epoch, CatchupReply{newest.epoch, newest, {}});
+  REQUIRE_FALSE(actions.journal.empty());
+  ControllerCheckpoint checkpoint{};
+  checkpoint.metadata = controller.old_metadata;
+  checkpoint.open = next(controller.old_metadata.epoch);
+  checkpoint.promised = {9, 9};
+  checkpoint.accepted = AcceptedProposal{{9, 9}, {checkpoint.open, "open", Register{::controller(4)}}};
+
+  auto before_sync = start_controller_1(checkpoint);
+  auto after_sync = start_controller_1(checkpoint, actions.journal);
+
+  CHECK(*before_sync->view() == controller.old_metadata);
+  CHECK(*after_sync->view() == newest);
+  // The instance that was open at the old epoch is over with the snapshot: its promise and acceptance count no more.
+  auto kept = codec::unpack<ControllerCheckpoint>(after_sync->checkpoint());
   REQUIRE(kept);
-  CHECK(kept->open == next(r.newest.epoch));
+  CHECK(kept->open == next(newest.epoch));
   CHECK_FALSE(kept->accepted);
   CHECK(kept->promised == Ballot{});
 }
--- /dev/null
+++ b/tests/unit/consensus/supervisor_lease_test.cpp
@@ -0,0 +1,124 @@
+// The supervisor's lease alone: grants of a member, and the holder's own time.
+#include <catch2/catch.hpp>
+
+#include "consensus/supervisor_lease.hpp"
+
+using namespace mosskeel;
+
+namespace {
+
+constexpr Millis kStart = 1000;
+
+Candidate controller(uint64_t number) {
+  std::string address = "controller" + std::to_string(number);
+  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
+}
+
+/// The lease of controller 1 in a core of three.
+struct LeaseOfMember {
+  Outbox outbox{Identity{controller(1), {}}};
+  MetadataLog metadata_log;
+  FailureDetector detector{kStart};
+  SupervisorLease lease{outbox, metadata_log, detector, kStart};
+
+  LeaseOfMember() {
+    FoundCluster founding{7, 3, {controller(1), controller(2), controller(3)}, 3, 0};
+    REQUIRE(metadata_log.add({Epoch{1}, "found", founding}).size() == 1);
+  }
+
+  Envelope from(uint64_t member) {
+    Envelope envelope{};
+    envelope.from = "controller" + std::to_string(member);
+    envelope.from_inc = Incarnation{member};
+    envelope.epoch = metadata_log.epoch();
+    return envelope;
+  }
+
+  /// Whether this member grants the lease to another one.
+  bool grants(uint64_t requester, Millis now) {
+    lease.handle(from(requester), LeaseRequest{1}, now);
+    Actions actions = outbox.take();
+    REQUIRE(actions.now.size() == 1);
+    return std::get<LeaseGrant>(actions.now.front().body).granted;
+  }
+
+  /// Requests the lease of all members; returns the request's id.
+  uint64_t request(Millis now) {
+    lease.tick(now);
+    Actions actions = outbox.take();
+    REQUIRE(actions.now.size() == 3);
+    return std::get<LeaseRequest>(actions.now.front().body).request_id;
+  }
+
+  void receive_grant(uint64_t member, uint64_t request_id, Millis now) {
+    lease.handle(from(member), LeaseGrant{request_id, true, {}}, now);
+  }
+};
+
+}  // namespace
+
+TEST_CASE("SupervisorLease is granted to one controller at a time, and to none right after a start") {
+  LeaseOfMember member;
+
+  CHECK_FALSE(member.grants(2, kStart + kSupervisorLeaseDuration - 1));
+  Millis granted_at = kStart + kSupervisorLeaseDuration;
+  CHECK(member.grants(2, granted_at));
+  CHECK_FALSE(member.grants(3, granted_at + kSupervisorLeaseDuration - 1));
+  CHECK(member.grants(2, granted_at + kSupervisorLeaseDuration - 1));
+  CHECK(member.grants(3, granted_at + 2 * kSupervisorLeaseDuration));
+}
+
+TEST_CASE("SupervisorLease goes to another at once when its holder shuts down") {
+  LeaseOfMember member;
+  Millis granted_at = kStart + kSupervisorLeaseDuration;
+  REQUIRE(member.grants(2, granted_at));
+
+  member.lease.on_shutdown_of(Incarnation{2}, granted_at + 1);
+
+  CHECK(member.grants(3, granted_at + 1));
+}
+
+TEST_CASE("SupervisorLease is held from a majority's grants until its margin before the end") {
+  LeaseOfMember holder;
+  Millis requested_at = kStart + kSupervisorLeaseDuration;
+  uint64_t request_id = holder.request(requested_at);
+
+  holder.receive_grant(1, request_id, requested_at + 10);
+  CHECK_FALSE(holder.lease.is_held(requested_at + 10));
+  holder.receive_grant(2, request_id, requested_at + 20);
+
+  Millis end = requested_at + kSupervisorLeaseDuration - kSupervisorLeaseMargin;
+  CHECK(holder.lease.is_held(requested_at + 20));
+  CHECK(holder.lease.is_held(end - 1));
+  CHECK_FALSE(holder.lease.is_held(end));
+}
+
+TEST_CASE("SupervisorLease counts no grant of an earlier request, nor two of one member") {
+  LeaseOfMember holder;
+  Millis requested_at = kStart + kSupervisorLeaseDuration;
+  uint64_t first_request = holder.request(requested_at);
+  holder.receive_grant(1, first_request, requested_at + 10);
+  uint64_t second_request = holder.request(requested_at + kSupervisorLeaseRenewInterval);
+  Millis now = requested_at + kSupervisorLeaseRenewInterval + 10;
+
+  holder.receive_grant(2, first_request, now);
+  holder.receive_grant(3, second_request, now);
+  holder.receive_grant(3, second_request, now);
+
+  CHECK_FALSE(holder.lease.is_held(now));
+}
+
+TEST_CASE("SupervisorLease that was resigned is not requested again") {
+  LeaseOfMember holder;
+  Millis requested_at = kStart + kSupervisorLeaseDuration;
+  uint64_t request_id = holder.request(requested_at);
+  holder.receive_grant(1, request_id, requested_at + 10);
+  holder.receive_grant(2, request_id, requested_at + 10);
+  REQUIRE(holder.lease.is_held(requested_at + 10));
+
+  holder.lease.resign();
+
+  CHECK_FALSE(holder.lease.is_held(requested_at + 10));
+  holder.lease.tick(requested_at + kSupervisorLeaseRenewInterval);
+  CHECK(holder.outbox.take().now.empty());
+}
