--- a/src/programs/admission_policy.cpp
+++ b/src/programs/admission_policy.cpp
@@ -1,112 +1,143 @@
+#include "programs/admission_policy.hpp"
+
 #include <algorithm>
 
-#include "programs/admission_policy.hpp"
 #include "programs/constants.hpp"
-#include "runtime/constants.hpp"
+#include "programs/program_request.hpp"
 
 namespace mosskeel {
 namespace {
 
-std::vector<std::unique_ptr<Policy>>& registry() {
-  static std::vector<std::unique_ptr<Policy>> r;
-  return r;
+std::vector<std::unique_ptr<AdmissionPolicy>>& policy_registry() {
+  static std::vector<std::unique_ptr<AdmissionPolicy>> policies;
+  return policies;
+}
+
+RequestRejection unavailable(std::string reason, Millis retry_after_ms) {
+  return {503, std::move(reason), static_cast<uint32_t>(retry_after_ms)};
 }
 
-/// Is the worker fit to judge anything: view confirmed, in touch, not leaving.
-class Touch : public Policy {
+/// The gateway must be fit to judge anything: its view confirmed and recent, and itself in service.
+class ServingPolicy : public AdmissionPolicy {
   int order() const override { return 10; }
-  const char* name() const override { return "touch"; }
-  std::optional<Refusal> judge(ProgramRequest&, const Situation& s) const override {
-    if (!s.confirmed || !s.me)
-      return Refusal{503, "this worker is not ready yet", kDefaultRetryAfter};
-    if (s.stopping && !s.proxied)
-      return Refusal{503, "this worker is stopping", kDefaultRetryAfter};
-    if (!s.in_touch)
-      return Refusal{503, "this worker is out of touch with the fleet", kDefaultRetryAfter * 2};
-    if (s.m.evacuated.count(s.me->self.zone))
-      return Refusal{503, "this worker's zone is evacuated", kDefaultRetryAfter};
-    if (s.me->state == DaemonState::down || s.me->state == DaemonState::left)
-      return Refusal{503, "this worker is marked down", kDefaultRetryAfter};
+  const char* name() const override { return "serving"; }
+  bool applies_to_history() const override { return true; }
+
+  std::optional<RequestRejection> evaluate(ProgramRequest&, const AdmissionContext& context) const override {
+    if (!context.is_confirmed || !context.self)
+      return unavailable("this worker is not ready yet", kDefaultRetryAfter);
+    if (context.is_shutting_down && !context.is_forwarded)
+      return unavailable("this worker is stopping", kDefaultRetryAfter);
+    if (!context.has_majority_contact)
+      return unavailable("this worker is out of touch with the fleet", kDefaultRetryAfter * 2);
+    if (context.metadata.evacuated.count(context.self->self.zone))
+      return unavailable("this worker's zone is evacuated", kDefaultRetryAfter);
+    auto state = context.self->state;
+    if (state == DaemonState::down || state == DaemonState::left)
+      return unavailable("this worker is marked down", kDefaultRetryAfter);
     return std::nullopt;
   }
 };
 
-/// The cell and the route must exist.
-class Authenticate : public Policy {
+/// The cell and its route must exist.
+class RoutePolicy : public AdmissionPolicy {
   int order() const override { return 20; }
-  const char* name() const override { return "authenticate"; }
-  std::optional<Refusal> judge(ProgramRequest& e, const Situation& s) const override {
-    auto* c = s.m.configuration.cell(e.cell);
-    if (!c)
-      return Refusal{404, "cell '" + e.cell + "' is unknown", 0};
-    for (auto& r : c->routes)
-      if (r.name == e.route && r.kind == e.kind)
-        return std::nullopt;
-    return Refusal{404, "route '" + e.route + "' of kind " + e.kind + " is unknown in cell '" + e.cell + "'", 0};
+  const char* name() const override { return "route"; }
+
+  std::optional<RequestRejection> evaluate(ProgramRequest& request, const AdmissionContext& context) const override {
+    const auto* cell = context.metadata.configuration.cell(request.cell);
+    if (!cell)
+      return RequestRejection{404, "cell '" + request.cell + "' is unknown"};
+    if (find_route(*cell, request))
+      return std::nullopt;
+    return RequestRejection{
+        404, "route '" + request.route + "' of kind " + request.kind + " is unknown in cell '" + request.cell + "'"};
   }
 };
 
 /// Fills in what the caller left open, within the cell's limits.
-class Classify : public Policy {
+class DefaultsPolicy : public AdmissionPolicy {
   int order() const override { return 30; }
-  const char* name() const override { return "classify"; }
-  std::optional<Refusal> judge(ProgramRequest& e, const Situation& s) const override {
-    auto* c = s.m.configuration.cell(e.cell);
-    if (e.kind == "model") {
-      e.idempotent = false;
-      if (e.program.empty())
-        return Refusal{400, "program: is empty", 0};
-      e.max_tokens = e.max_tokens ? std::min(e.max_tokens, c->turn_limit) : c->turn_limit;
+  const char* name() const override { return "defaults"; }
+
+  std::optional<RequestRejection> evaluate(ProgramRequest& request, const AdmissionContext& context) const override {
+    if (request.kind == kModelRequest) {
+      const auto* cell = context.metadata.configuration.cell(request.cell);
+      request.idempotent = false;
+      if (request.program.empty())
+        return RequestRejection{400, "program: is empty"};
+      bool names_limit = request.max_tokens != 0;
+      request.max_tokens = names_limit ? std::min(request.max_tokens, cell->turn_limit) : cell->turn_limit;
     }
-    if (e.key.empty())
-      e.key = e.attempt;
-    if (e.deadline_ms <= 0 || e.deadline_ms > kDefaultRequestTimeout)
-      e.deadline_ms = kDefaultRequestTimeout;
+    if (request.key.empty())
+      request.key = request.attempt;
+    bool names_deadline = request.deadline_ms > 0 && request.deadline_ms <= kDefaultRequestTimeout;
+    if (!names_deadline)
+      request.deadline_ms = kDefaultRequestTimeout;
     return std::nullopt;
   }
 };
 
-/// Decided on arrival, by the queue before it and the measured pace: what cannot begin in its share of time is refused
-/// at once. Urgent requests have places of their own, bulk yields first.
-class Admit : public Policy {
+/// Sheds load on arrival, by the queue's length and its measured pace: what cannot begin within its share of time is
+/// rejected at once. Urgent requests have capacity of their own; bulk requests get the smallest part of the queue.
+class LoadPolicy : public AdmissionPolicy {
   int order() const override { return 40; }
-  const char* name() const override { return "admit"; }
-  std::optional<Refusal> judge(ProgramRequest& e, const Situation& s) const override {
-    size_t room = e.urgent ? kMaxQueuedRequests + kUrgentQueueReserve
-                  : e.bulk ? kMaxQueuedRequests / 4
-                           : kMaxQueuedRequests;
-    if (s.running >= kMaxRunningRequests)
-      return Refusal{503, "too many requests are running", kDefaultRetryAfter * 2};
-    if (!s.here)
+  const char* name() const override { return "load"; }
+
+  static size_t queue_capacity(const ProgramRequest& request) {
+    if (request.urgent)
+      return kMaxQueuedRequests + kUrgentQueueReserve;
+    if (request.bulk)
+      return kMaxQueuedRequests / 4;
+    return kMaxQueuedRequests;
+  }
+
+  std::optional<RequestRejection> evaluate(ProgramRequest& request, const AdmissionContext& context) const override {
+    if (context.running >= kMaxRunningRequests)
+      return unavailable("too many requests are running", kDefaultRetryAfter * 2);
+    if (!context.is_served_here)
       return std::nullopt;
-    auto wait = e.urgent ? s.urgent_wait : s.wait;
-    auto back = static_cast<uint32_t>(std::clamp<Millis>(wait, kDefaultRetryAfter, kMaxQueueWait * 2));
-    if (s.queued >= room)
-      return Refusal{503, "the queue is full", back};
-    if (wait > std::min(kMaxQueueWait / 2, e.deadline_ms / 2))
-      return Refusal{503, "it would wait " + std::to_string(wait) + " ms for a replica", back};
+    auto wait = request.urgent ? context.expected_urgent_wait : context.expected_wait;
+    auto retry_after = std::clamp<Millis>(wait, kDefaultRetryAfter, kMaxQueueWait * 2);
+    if (context.queued >= queue_capacity(request))
+      return unavailable("the queue is full", retry_after);
+    if (wait > std::min(kMaxQueueWait / 2, request.deadline_ms / 2))
+      return unavailable("it would wait " + std::to_string(wait) + " ms for a replica", retry_after);
     return std::nullopt;
   }
 };
 
-const Enrolled touch{std::make_unique<Touch>()}, authenticate{std::make_unique<Authenticate>()},
-    classify{std::make_unique<Classify>()}, admit{std::make_unique<Admit>()};
+const AdmissionPolicyRegistration serving_policy{std::make_unique<ServingPolicy>()};
+const AdmissionPolicyRegistration route_policy{std::make_unique<RoutePolicy>()};
+const AdmissionPolicyRegistration defaults_policy{std::make_unique<DefaultsPolicy>()};
+const AdmissionPolicyRegistration load_policy{std::make_unique<LoadPolicy>()};
 
 }  // namespace
 
-Enrolled::Enrolled(std::unique_ptr<Policy> p) {
-  registry().push_back(std::move(p));
+AdmissionPolicyRegistration::AdmissionPolicyRegistration(std::unique_ptr<AdmissionPolicy> policy) {
+  policy_registry().push_back(std::move(policy));
 }
 
-const std::vector<const Policy*>& policies() {
-  static const std::vector<const Policy*> v = [] {
-    std::vector<const Policy*> w;
-    for (auto& p : registry())
-      w.push_back(p.get());
-    std::sort(w.begin(), w.end(), [](auto* a, auto* b) { return a->order() < b->order(); });
-    return w;
+const std::vector<const AdmissionPolicy*>& admission_policies() {
+  static const std::vector<const AdmissionPolicy*> ordered = [] {
+    std::vector<const AdmissionPolicy*> policies;
+    for (const auto& policy : policy_registry())
+      policies.push_back(policy.get());
+    std::sort(policies.begin(), policies.end(), [](auto* left, auto* right) { return left->order() < right->order(); });
+    return policies;
   }();
-  return v;
+  return ordered;
+}
+
+std::optional<RequestRejection> evaluate_admission(ProgramRequest& request, const AdmissionContext& context) {
+  bool reads_history = request.kind == kHistoryRequest;
+  for (const auto* policy : admission_policies()) {
+    if (reads_history && !policy->applies_to_history())
+      continue;
+    if (auto rejection = policy->evaluate(request, context))
+      return rejection;
+  }
+  return std::nullopt;
 }
 
 }  // namespace mosskeel
--- a/src/programs/admission_policy.hpp
+++ b/src/programs/admission_policy.hpp
@@ -1,62 +1,55 @@
 #pragma once
-// The way of a request: policies as plug-ins that register themselves, behind one interface.
-#include "runtime/state_machine.hpp"
+// What a request must satisfy on arrival: a chain of policies that register themselves.
+#include <memory>
 
-namespace mosskeel {
+#include "programs/open_request.hpp"
 
-/// What a policy may look at besides the request.
-struct Situation {
-  const Metadata& m;
-  const Daemon* me;
-  Millis now;
-  bool in_touch, confirmed, stopping;
-  size_t queued, running;
-  bool proxied;
-  /// Whether it would wait for a replica here, and how long by the measured pace, with urgent ones first.
-  bool here;
-  Millis wait, urgent_wait;
-};
+namespace mosskeel {
 
-/// Why a request is refused; it has not run.
-struct Refusal {
-  uint32_t status;
-  std::string reason;
-  uint32_t retry_ms = 0;
+/// What an admission policy may look at besides the request.
+struct AdmissionContext {
+  const Metadata& metadata;
+  /// This gateway in the directory, or null.
+  const Daemon* self = nullptr;
+  bool has_majority_contact = false;
+  /// Whether the core has confirmed this gateway's view of the cluster since the process started.
+  bool is_confirmed = false;
+  bool is_shutting_down = false;
+  /// Requests that wait here, and requests that a replica works on for this gateway.
+  size_t queued = 0;
+  size_t running = 0;
+  /// Whether another gateway forwarded it.
+  bool is_forwarded = false;
+  /// Whether it would wait for a replica here rather than at another gateway.
+  bool is_served_here = false;
+  /// How long it would wait, milliseconds by the queue's measured pace, and how long if it were urgent.
+  Millis expected_wait = 0;
+  Millis expected_urgent_wait = 0;
 };
 
-class Policy {
+/// One condition of admission. Stateless; a policy may fill in what the caller left open.
+class AdmissionPolicy {
  public:
-  virtual ~Policy() = default;
+  virtual ~AdmissionPolicy() = default;
+  /// Policies are asked in ascending order.
   virtual int order() const = 0;
   virtual const char* name() const = 0;
-  virtual std::optional<Refusal> judge(ProgramRequest& e, const Situation& s) const = 0;
+  /// Whether it also applies to the reading of a history, which takes no replica.
+  virtual bool applies_to_history() const { return false; }
+  /// Why the request is rejected, or nothing.
+  virtual std::optional<RequestRejection> evaluate(ProgramRequest& request, const AdmissionContext& context) const = 0;
 };
 
 /// All registered policies in their order.
-const std::vector<const Policy*>& policies();
+const std::vector<const AdmissionPolicy*>& admission_policies();
 
-/// A static object of this type puts a policy into the registry.
-struct Enrolled {
-  explicit Enrolled(std::unique_ptr<Policy> p);
-};
-
-/// Which replica a request goes to.
-class ReplicaSelector {
+/// A static object of this type registers a policy.
+class AdmissionPolicyRegistration {
  public:
-  /// The replica with a free place that suits best, or nothing; `busy` tells whether any would do later.
-  const Replica* select_replica(const ProgramRequest& e, const Metadata& m, const Daemon& me, Millis now,
-                                bool& any) const;
-  void took(const std::string& replica, const ProgramRequest& e);
-  void gave(const std::string& replica, const ProgramRequest& e);
-  void back_off(const std::string& replica, Millis now);
-  /// The share of a cold replica's places that may be used now.
-  uint32_t usable_capacity(const Replica& r, const Metadata& m, const Daemon& me, Millis now) const;
-  const std::map<std::string, uint32_t>& load() const { return load_; }
-
- private:
-  std::map<std::string, uint32_t> load_, bulk_;
-  std::map<std::string, Millis> backed_off_;
-  mutable std::map<std::string, std::pair<Epoch, Millis>> cold_since_;
+  explicit AdmissionPolicyRegistration(std::unique_ptr<AdmissionPolicy> policy);
 };
 
+/// Asks all policies that apply; the first rejection stands.
+std::optional<RequestRejection> evaluate_admission(ProgramRequest& request, const AdmissionContext& context);
+
 }  // namespace mosskeel
--- a/src/programs/history_closer.cpp
+++ b/src/programs/history_closer.cpp
@@ -1,52 +1,66 @@
-// How the owner ends a history that has outlived its retention.
+#include "programs/history_closer.hpp"
+
 #include <algorithm>
 
-#include "programs/gateway_machine.hpp"
+#include "history/constants.hpp"
+#include "programs/turn_log.hpp"
 
 namespace mosskeel {
+namespace {
 
-/// What is left of an ended program is its name: nothing runs on it again, under no key and on no budget.
-void GatewayMachine::gone(Ref w, Millis now) {
-  bool fresh = w.e.kind == "history" || w.e.key == w.e.attempt;
-  refuse(w, 410, "the program has ended: its retention is over", 0, now, fresh ? Outcome::no : Outcome::unknown);
-}
+constexpr size_t kMaxHistoriesWithReports = kLogEntriesKept * kMaxExpiredPerScan;
+
+}  // namespace
 
-/// A majority of the history's stores must say it, each by its own clock, and nothing may be under way.
-void GatewayMachine::on(const Envelope& e, const HistoryExpired& x, Millis now) {
-  auto* d = metadata_log_.view()->find(e.from_inc);
-  if (!d || x.partition != partition_of(x.history.cell, x.history.program))
+void HistoryCloser::handle(const Envelope& envelope, const HistoryExpired& report, Millis now) {
+  const auto* store = context_.metadata().find(envelope.from_inc);
+  const auto& history = report.history;
+  if (!store || report.partition != partition_of(history.cell, history.program))
     return;
-  auto s = history_writer_.open(x.history, now);
-  if (s != HistoryWriter::State::open)
+  if (history_writer_.open(history, now) != HistoryWriter::State::open)
     return;
-  auto& v = history_writer_.records(x.history);
-  if (history_writer_.ended(x.history)) {
-    if (history_writer_.committed_length(x.history) >= v.size())
-      out_.send(e.from, WriteTombstone{x.history, x.partition, history_writer_.term(x.history)}, e.from_inc);
+  if (history_writer_.ended(history)) {
+    bool is_committed = history_writer_.committed_length(history) >= history_writer_.records(history).size();
+    if (is_committed)
+      context_.outbox.send(envelope.from, WriteTombstone{history, report.partition, history_writer_.term(history)},
+                           envelope.from_inc);
     return;
   }
-  auto& said = aged_[x.history];
-  said[d->id] = x.length;
-  auto agrees = [&](DaemonId id) {
-    auto i = said.find(id);
-    return i != said.end() && i->second == v.size();
-  };
-  if (v.empty() || history_writer_.committed_length(x.history) < v.size() ||
-      !history_writer_.has_quorum(x.history, agrees))
-    return;
-  if (std::any_of(works_.begin(), works_.end(), [&](auto& w) { return w.second.history == x.history; }))
+  reported_lengths_[history][store->id] = report.length;
+  if (!has_expired_on_quorum(history) || is_in_use(history, now))
     return;
-  std::map<std::string, const Record*> last;
-  for (auto& r : v)
-    last[r.key] = &r;
-  for (auto& [k, r] : last)
-    if (r->kind == RecordKind::reservation && running_elsewhere(x.history, *r, now))
-      return;
-  Record r{};
-  r.kind = RecordKind::ended;
-  history_writer_.append(x.history, r, now);
-  aged_.erase(x.history);
-  ++metrics_["histories_expired"];
+  Record end{};
+  end.kind = RecordKind::ended;
+  history_writer_.append(history, std::move(end), now);
+  reported_lengths_.erase(history);
+  context_.count("histories_expired");
+}
+
+bool HistoryCloser::has_expired_on_quorum(const HistoryName& history) const {
+  auto length = history_writer_.records(history).size();
+  if (length == 0 || history_writer_.committed_length(history) < length)
+    return false;
+  const auto& reported = reported_lengths_.at(history);
+  auto reports_present_length = [&](DaemonId store) {
+    auto found = reported.find(store);
+    return found != reported.end() && found->second == length;
+  };
+  return history_writer_.has_quorum(history, reports_present_length);
+}
+
+bool HistoryCloser::is_in_use(const HistoryName& history, Millis now) {
+  if (requests_.contains_if([&](const OpenRequest& open) { return open.history == history; }))
+    return true;
+  auto turns = turns_by_key(history_writer_.records(history));
+  return std::any_of(turns.begin(), turns.end(), [&](const auto& entry) {
+    const auto& turn = entry.second;
+    return turn.is_open() && turn_runners_.may_run_elsewhere(history, *turn.latest, now);
+  });
+}
+
+void HistoryCloser::expire() {
+  if (reported_lengths_.size() > kMaxHistoriesWithReports)
+    reported_lengths_.clear();
 }
 
 }  // namespace mosskeel
--- a/src/programs/majority_contact.cpp
+++ b/src/programs/majority_contact.cpp
@@ -1,52 +1,50 @@
-// Whether a front is in touch and ready, and what a request meets there.
-#include "programs/gateway_machine.hpp"
-#include "replication/constants.hpp"
+#include "programs/majority_contact.hpp"
+
+#include <algorithm>
 
 namespace mosskeel {
 namespace {
 
-/// ms; a gateway goes on without an epoch that it has heard of: shorter than the touch that an acknowledgement rests on
-constexpr Millis behind_patience = kIsolationTimeout / 2;
+/// Milliseconds that a gateway goes on without an epoch that it has heard of: shorter than the contact on which the
+/// acknowledgement of a configuration rests.
+constexpr Millis kMissingEpochTolerance = kIsolationTimeout / 2;
 
 }  // namespace
 
-RoutingSnapshot GatewayMachine::routing_snapshot(Millis now) const {
-  auto* d = me();
-  bool whole = confirmed_ && d;
-  return {metadata_log_.view(), d ? d->id : DaemonId{}, whole ? in_touch_until() : 0, ready(now), stopping_};
-}
-
-Millis GatewayMachine::in_touch_until() const {
-  auto touch = touched_ + kIsolationTimeout;
-  return behind_ ? std::min(touch, behind_->since + behind_patience) : touch;
+void MajorityContact::on_heartbeat_reply(const HeartbeatReply& reply, Millis now) {
+  on_epoch_seen(reply.epoch, now);
+  bool knows_epoch = reply.epoch <= metadata_log_.epoch();
+  auto contact = reply.sent - reply.touched_ms;
+  if (knows_epoch) {
+    last_contact_ = std::max(last_contact_, contact);
+  } else if (!early_contact_) {
+    early_contact_ = {reply.epoch, contact};
+  }
+  is_confirmed_ = is_confirmed_ || (reply.confirmed && knows_epoch);
 }
 
-bool GatewayMachine::has_majority_contact(Millis now) const {
-  return now < in_touch_until();
+void MajorityContact::on_epoch_seen(Epoch epoch, Millis now) {
+  newest_seen_ = std::max(newest_seen_, epoch);
+  if (!missing_epoch_ && newest_seen_ > metadata_log_.epoch())
+    missing_epoch_ = {newest_seen_, now};
 }
 
-bool GatewayMachine::ready(Millis now) const {
-  auto* d = me();
-  return confirmed_ && !stopping_ && d && d->state == DaemonState::up && has_majority_contact(now) &&
-         !metadata_log_.view()->evacuated.count(d->self.zone);
+void MajorityContact::on_epochs_applied(Millis now) {
+  auto known = metadata_log_.epoch();
+  if (early_contact_ && early_contact_->epoch <= known) {
+    last_contact_ = std::max(last_contact_, early_contact_->at);
+    early_contact_.reset();
+  }
+  if (missing_epoch_ && missing_epoch_->epoch <= known)
+    missing_epoch_.reset();
+  on_epoch_seen(known, now);
 }
 
-Situation GatewayMachine::situation(Millis now, const ProgramRequest& e, bool proxied) const {
-  bool direct = e.kind == "app" && (e.idempotent || e.key.empty());
-  auto* o = direct ? nullptr : owner(partition_of(e.cell, e.program));
-  bool here = direct || proxied || (o && o->self.incarnation == out_.id().self.incarnation);
-  return {*metadata_log_.view(),
-          me(),
-          now,
-          has_majority_contact(now),
-          confirmed_,
-          stopping_,
-          count(Stage::queued) + count(Stage::waiting) + count(Stage::opening),
-          count(Stage::running) + count(Stage::reserving),
-          proxied,
-          here,
-          expected_wait(e.kind, false),
-          expected_wait(e.kind, true)};
+Millis MajorityContact::valid_until() const {
+  auto contact_ends = last_contact_ + kIsolationTimeout;
+  if (!missing_epoch_)
+    return contact_ends;
+  return std::min(contact_ends, missing_epoch_->since + kMissingEpochTolerance);
 }
 
 }  // namespace mosskeel
--- a/src/programs/model_request_body.cpp
+++ b/src/programs/model_request_body.cpp
@@ -4,13 +4,15 @@
 
 namespace mosskeel {
 
-std::string model_body(const ProgramRequest& e, const std::vector<ChainLink>& chain, uint64_t reservation) {
-  nlohmann::json j{{"attempt", e.attempt}, {"cell", e.cell},     {"program", e.program}, {"thread", e.thread},
-                   {"key", e.key},         {"prefix", e.prefix}, {"input", e.body},      {"max_tokens", reservation}};
-  auto& c = j["chain"] = nlohmann::json::array();
-  for (auto& x : chain)
-    c.push_back({{"input", x.input}, {"output", x.output}});
-  return j.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+std::string model_request_body(const ProgramRequest& request, const std::vector<ChainLink>& conversation,
+                               uint64_t max_tokens) {
+  nlohmann::json json{{"attempt", request.attempt}, {"cell", request.cell},    {"program", request.program},
+                      {"thread", request.thread},   {"key", request.key},      {"prefix", request.prefix},
+                      {"input", request.body},      {"max_tokens", max_tokens}};
+  auto& chain = json["chain"] = nlohmann::json::array();
+  for (const auto& turn : conversation)
+    chain.push_back({{"input", turn.input}, {"output", turn.output}});
+  return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
 }  // namespace mosskeel
--- a/src/programs/model_request_body.hpp
+++ b/src/programs/model_request_body.hpp
@@ -1,13 +1,11 @@
 #pragma once
-// The shape of what a model replica is asked; the one place to change it.
-#include "messages/message.hpp"
+// The JSON that a model replica is sent for a turn; the one place to change its shape.
+#include "programs/turn_log.hpp"
 
 namespace mosskeel {
 
-/// One settled turn of the chain.
-struct ChainLink {
-  std::string input, output;
-};
-std::string model_body(const ProgramRequest& e, const std::vector<ChainLink>& chain, uint64_t reservation);
+/// The body of a turn's request: the conversation so far, the input, and at most how many tokens to make.
+std::string model_request_body(const ProgramRequest& request, const std::vector<ChainLink>& conversation,
+                               uint64_t max_tokens);
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/programs/program_request.cpp
@@ -0,0 +1,18 @@
+#include "programs/program_request.hpp"
+
+#include <algorithm>
+
+namespace mosskeel {
+
+const Route* find_route(const Cell& cell, const ProgramRequest& request) {
+  auto found = std::find_if(cell.routes.begin(), cell.routes.end(), [&](const Route& route) {
+    return route.name == request.route && route.kind == request.kind;
+  });
+  return found == cell.routes.end() ? nullptr : &*found;
+}
+
+uint64_t body_digest(const ProgramRequest& request) {
+  return digest(request.body + '\0' + request.path);
+}
+
+}  // namespace mosskeel
--- /dev/null
+++ b/src/programs/replica_dispatcher.hpp
@@ -0,0 +1,55 @@
+#pragma once
+// Attempts at replicas: the call, its stream, its response, and retries.
+#include "programs/majority_contact.hpp"
+#include "programs/request_queue.hpp"
+#include "programs/turn_owner.hpp"
+
+namespace mosskeel {
+
+/// Sends a request to the replica that was assigned to it and judges what comes back. A request is retried only if
+/// nothing reached the replica or it is idempotent, if nothing was streamed, and within a budget that grows with
+/// successes (kRetryBudgetPerSuccess), so that retries do not add to an overload.
+class ReplicaDispatcher {
+ public:
+  ReplicaDispatcher(GatewayContext& context, const MajorityContact& majority_contact, HistoryWriter& history_writer,
+                    OpenRequests& requests, RequestQueue& queue, ReplicaSelector& replica_selector,
+                    TurnOwner& turn_owner)
+      : context_(context),
+        majority_contact_(majority_contact),
+        history_writer_(history_writer),
+        requests_(requests),
+        queue_(queue),
+        replica_selector_(replica_selector),
+        turn_owner_(turn_owner) {}
+
+  /// Calls `open.replica` unless the request may not be dispatched any more, which ends it as not run.
+  void dispatch(OpenRequest& open, Millis now);
+  void handle(const ReplicaCallChunk& chunk, Millis now);
+  void handle(const ReplicaCallResponse& response, Millis now);
+  /// Ends a running request whose deadline has passed or whose replica is silent for kReplicaStallTimeout.
+  void check_timeouts(OpenRequest& open, Millis now);
+
+ private:
+  OpenRequest* find_running(const std::string& attempt);
+  ReplicaCall make_call(const OpenRequest& open, const Replica& replica, Millis now) const;
+  void abort_stream(OpenRequest& open, const std::string& reason, Millis now);
+  bool is_complete(const OpenRequest& open, const ReplicaCallResponse& response) const;
+  void handle_failure(OpenRequest& open, const ReplicaCallResponse& response, Millis now);
+  /// Whether the request was queued or dispatched again.
+  bool retry(OpenRequest& open, Millis now);
+  void cancel_call(const OpenRequest& open);
+
+  GatewayContext& context_;
+  const MajorityContact& majority_contact_;
+  HistoryWriter& history_writer_;
+  OpenRequests& requests_;
+  RequestQueue& queue_;
+  ReplicaSelector& replica_selector_;
+  TurnOwner& turn_owner_;
+  /// Retries that may be made now.
+  double retry_budget_ = kMaxRetryBudget;
+
+  static constexpr double kMaxRetryBudget = 10;
+};
+
+}  // namespace mosskeel
--- a/src/programs/replica_selector.cpp
+++ b/src/programs/replica_selector.cpp
@@ -1,94 +1,147 @@
+#include "programs/replica_selector.hpp"
+
 #include <algorithm>
 
 #include "metadata/constants.hpp"
-#include "programs/admission_policy.hpp"
 #include "programs/constants.hpp"
+#include "programs/program_request.hpp"
 
 namespace mosskeel {
+namespace {
+
+/// This gateway's place among all that may use a replica, in an order of the replica's own.
+struct FrontRank {
+  uint32_t rank = 0;
+  uint32_t fronts = 0;
+};
+
+bool may_use_replicas(const Daemon& daemon, const Metadata& metadata) {
+  bool in_service = daemon.state == DaemonState::up || daemon.state == DaemonState::draining;
+  return daemon.self.role == Role::front && in_service && !metadata.evacuated.count(daemon.self.zone);
+}
+
+/// Nothing where this gateway may not use replicas.
+std::optional<FrontRank> rank_among_fronts(const Replica& replica, const Metadata& metadata, const Daemon& self) {
+  std::vector<std::pair<uint64_t, DaemonId>> fronts;
+  for (const auto& [id, daemon] : metadata.directory) {
+    if (may_use_replicas(daemon, metadata))
+      fronts.push_back({digest(replica.name, id.value() + 1), id});
+  }
+  std::sort(fronts.begin(), fronts.end());
+  auto own = std::find_if(fronts.begin(), fronts.end(), [&](const auto& front) { return front.second == self.id; });
+  if (own == fronts.end())
+    return std::nullopt;
+  return FrontRank{static_cast<uint32_t>(own - fronts.begin()), static_cast<uint32_t>(fronts.size())};
+}
+
+bool serves(const Replica& replica, const Route& route) {
+  if (replica.kind != route.kind)
+    return false;
+  if (route.replicas.empty())
+    return true;
+  return std::find(route.replicas.begin(), route.replicas.end(), replica.name) != route.replicas.end();
+}
+
+/// Orders replicas by preference; the smallest is the best.
+struct Preference {
+  bool is_backed_off = false;
+  bool is_half_loaded = false;
+  bool is_in_other_zone = false;
+  uint64_t affinity = 0;
+  auto operator<=>(const Preference&) const = default;
+};
+
+}  // namespace
 
-/// A replica's places are shared out over the fronts in the log; at least one each. While it is cold, one front alone
-/// ramps it up for the whole fleet.
-uint32_t ReplicaSelector::usable_capacity(const Replica& r, const Metadata& m, const Daemon& me, Millis now) const {
-  if (r.health == ReplicaHealth::draining || m.evacuated.count(r.zone))
+uint32_t ReplicaSelector::usable_capacity(const Replica& replica, const Metadata& metadata, const Daemon& self,
+                                          Millis now) {
+  if (replica.health == ReplicaHealth::draining || metadata.evacuated.count(replica.zone))
     return 0;
-  std::vector<std::pair<uint64_t, DaemonId>> v;
-  for (auto& [id, d] : m.directory)
-    if (d.self.role == Role::front && (d.state == DaemonState::up || d.state == DaemonState::draining) &&
-        !m.evacuated.count(d.self.zone))
-      v.push_back({digest(r.name, id.value() + 1), id});
-  std::sort(v.begin(), v.end());
-  auto at = std::find_if(v.begin(), v.end(), [&](auto& x) { return x.second == me.id; });
-  if (at == v.end())
+  auto own = rank_among_fronts(replica, metadata, self);
+  if (!own)
     return 0;
-  auto rank = static_cast<uint32_t>(at - v.begin()), all = static_cast<uint32_t>(v.size());
-  if (r.health == ReplicaHealth::ready)
-    return std::max(1u, r.capacity / all + (rank < r.capacity % all));
-  if (rank >= kFrontsPerColdReplica)
+  if (replica.health == ReplicaHealth::ready) {
+    uint32_t remainder = own->rank < replica.capacity % own->fronts ? 1 : 0;
+    return std::max(1u, replica.capacity / own->fronts + remainder);
+  }
+  if (own->rank >= kFrontsPerColdReplica)
     return 0;
-  auto& c = cold_since_[r.name];
-  if (c.first != r.since)
-    c = {r.since, now};
-  auto grown = (now - c.second) * r.capacity / kSlowStartDuration;
-  return static_cast<uint32_t>(std::clamp<Millis>(grown, 1, r.capacity));
+  auto& slow_start = slow_starts_[replica.name];
+  if (slow_start.cold_since_epoch != replica.since)
+    slow_start = {replica.since, now};
+  auto ramped = (now - slow_start.started_at) * replica.capacity / kSlowStartDuration;
+  return static_cast<uint32_t>(std::clamp<Millis>(ramped, 1, replica.capacity));
 }
 
-const Replica* ReplicaSelector::select_replica(const ProgramRequest& e, const Metadata& m, const Daemon& me, Millis now,
-                                               bool& any) const {
-  any = false;
-  auto* c = m.configuration.cell(e.cell);
-  if (!c)
-    return nullptr;
-  const Route* route = nullptr;
-  for (auto& r : c->routes)
-    if (r.name == e.route && r.kind == e.kind)
-      route = &r;
+ReplicaChoice ReplicaSelector::select(const ProgramRequest& request, const Metadata& metadata, const Daemon& self,
+                                      Millis now) {
+  ReplicaChoice choice;
+  const auto* cell = metadata.configuration.cell(request.cell);
+  const auto* route = cell ? find_route(*cell, request) : nullptr;
   if (!route)
-    return nullptr;
-  const Replica* best = nullptr;
-  std::tuple<int, int, int, uint64_t> top;
-  for (auto& [n, r] : m.replicas) {
-    if (r.kind != e.kind)
-      continue;
-    if (!route->replicas.empty() &&
-        std::find(route->replicas.begin(), route->replicas.end(), n) == route->replicas.end())
+    return choice;
+  auto affinity_key = digest(request.prefix.empty() ? request.program : request.prefix);
+  bool prefers_own_zone = request.kind != kModelRequest;
+  Preference best;
+  for (const auto& [name, replica] : metadata.replicas) {
+    if (!serves(replica, *route))
       continue;
-    auto room = usable_capacity(r, m, me, now);
-    if (room == 0)
+    auto capacity = usable_capacity(replica, metadata, self, now);
+    if (capacity == 0)
       continue;
-    any = true;
-    auto i = load_.find(n);
-    uint32_t p = i == load_.end() ? 0 : i->second;
-    auto b = bulk_.find(n);
-    if (e.bulk && (b == bulk_.end() ? 0 : b->second) >= std::min(room, kMaxBulkRequestsPerReplica))
+    choice.any_eligible = true;
+    if (!has_free_capacity(request, name, capacity))
       continue;
-    if (p >= room)
+    Preference preference{is_backed_off(name, now), load_of(name) * 2 >= capacity,
+                          prefers_own_zone && replica.zone != self.self.zone, digest(name, affinity_key)};
+    if (choice.replica && preference >= best)
       continue;
-    auto s = backed_off_.find(n);
-    int back_off = s != backed_off_.end() && now < s->second;
-    int high = p * 2 >= room;
-    int far = r.zone != me.self.zone;
-    auto affinity = digest(n, digest(e.prefix.empty() ? e.program : e.prefix));
-    auto key = e.kind == "model" ? std::make_tuple(back_off, high, 0, affinity)
-                                 : std::make_tuple(back_off, high, far, affinity);
-    if (!best || key < top)
-      best = &r, top = key;
+    choice.replica = &replica;
+    best = preference;
   }
-  return best;
+  return choice;
+}
+
+bool ReplicaSelector::has_free_capacity(const ProgramRequest& request, const std::string& replica,
+                                        uint32_t capacity) const {
+  auto found = load_.find(replica);
+  auto load = found == load_.end() ? Load{} : found->second;
+  if (request.bulk && load.bulk_requests >= std::min(capacity, kMaxBulkRequestsPerReplica))
+    return false;
+  return load.requests < capacity;
+}
+
+uint32_t ReplicaSelector::load_of(const std::string& replica) const {
+  auto found = load_.find(replica);
+  return found == load_.end() ? 0 : found->second.requests;
 }
 
-void ReplicaSelector::took(const std::string& n, const ProgramRequest& e) {
-  ++load_[n];
-  if (e.bulk)
-    ++bulk_[n];
+bool ReplicaSelector::is_backed_off(const std::string& replica, Millis now) const {
+  auto found = backed_off_until_.find(replica);
+  return found != backed_off_until_.end() && now < found->second;
 }
-void ReplicaSelector::gave(const std::string& n, const ProgramRequest& e) {
-  if (auto& p = load_[n]; p)
-    --p;
-  if (auto& b = bulk_[n]; e.bulk && b)
-    --b;
+
+void ReplicaSelector::assign(OpenRequest& open, const Replica& replica) {
+  open.replica = replica.name;
+  auto& load = load_[replica.name];
+  ++load.requests;
+  if (open.request.bulk)
+    ++load.bulk_requests;
 }
-void ReplicaSelector::back_off(const std::string& n, Millis now) {
-  backed_off_[n] = now + kReplicaBackoff;
+
+void ReplicaSelector::release(OpenRequest& open) {
+  if (open.replica.empty())
+    return;
+  auto& load = load_[open.replica];
+  if (load.requests)
+    --load.requests;
+  if (open.request.bulk && load.bulk_requests)
+    --load.bulk_requests;
+  open.replica.clear();
+}
+
+void ReplicaSelector::back_off(const std::string& replica, Millis now) {
+  backed_off_until_[replica] = now + kReplicaBackoff;
 }
 
 }  // namespace mosskeel
--- a/src/programs/request_forwarder.cpp
+++ b/src/programs/request_forwarder.cpp
@@ -1,75 +1,98 @@
-// Proxying a request to the owner of its program, and the way back.
-#include "programs/gateway_machine.hpp"
-#include "runtime/constants.hpp"
+#include "programs/request_forwarder.hpp"
+
+#include "history/constants.hpp"
+#include "programs/constants.hpp"
 
 namespace mosskeel {
+namespace {
 
-void GatewayMachine::proxy(Ref w, Millis now) {
-  w.last = now;
-  auto* o = metadata_log_.view()->find(w.target);
-  if (!o)
-    return;
-  w.sent = true;
-  ++metrics_["requests_forwarded_out"];
-  out_.send(o->self.address, w.e, o->self.incarnation);
+/// Milliseconds; an owner that has acknowledged a request is reminded this often, in case its response was lost.
+constexpr Millis kAcknowledgedResendInterval = 4 * kStoreRetryInterval;
+
+}  // namespace
+
+void RequestForwarder::start(OpenRequest& open, Millis now) {
+  const auto* owner = context_.owner_of(open.partition);
+  open.stage = RequestStage::forwarded;
+  open.forward_acknowledged = false;
+  open.forwarded_to = owner ? owner->id : DaemonId{};
+  open.waiting_since = now;
+  send(open, now);
 }
 
-void GatewayMachine::on(const Envelope& e, const ProgramResponseChunk& x, Millis now) {
-  auto i = works_.find(x.attempt);
-  if (i == works_.end() || i->second.stage != Stage::proxying)
+void RequestForwarder::send(OpenRequest& open, Millis now) {
+  open.last_activity = now;
+  const auto* owner = context_.metadata().find(open.forwarded_to);
+  if (!owner)
     return;
-  auto& w = i->second;
-  auto* d = metadata_log_.view()->find(w.target);
-  if (!d || d->self.incarnation != e.from_inc)
-    return;
-  w.seen = true;
-  w.last = now;
-  if (x.index != w.pieces)
-    return;
-  w.text += x.text;
-  ++w.pieces;
-  out_.send(w.reply, x);
+  open.is_forwarded = true;
+  context_.count("requests_forwarded_out");
+  context_.send(*owner, open.request);
 }
 
-void GatewayMachine::on(const Envelope& e, const ProgramResponse& x, Millis now) {
-  auto i = works_.find(x.attempt);
-  if (i == works_.end() || i->second.stage != Stage::proxying)
-    return;
-  auto& w = i->second;
-  auto* d = metadata_log_.view()->find(w.target);
-  if (!d || d->self.incarnation != e.from_inc)
+bool RequestForwarder::must_reroute(const OpenRequest& open) const {
+  const auto* owner = context_.owner_of(open.partition);
+  if (!owner || owner->id == open.forwarded_to)
+    return false;
+  const auto* previous = context_.metadata().find(open.forwarded_to);
+  bool is_gone = !previous || !is_in_service(*previous);
+  return is_gone || !open.forward_acknowledged;
+}
+
+void RequestForwarder::advance(OpenRequest& open, Millis now) {
+  auto waited = now - open.waiting_since;
+  if (!open.forward_acknowledged && waited > kForwardAcknowledgementTimeout + kHistoryQuorumTimeout)
+    return responder_.reject(open, {503, "the program's owner does not answer", kDefaultRetryAfter}, now);
+  auto interval = open.forward_acknowledged ? kAcknowledgedResendInterval : kStoreRetryInterval;
+  if (now - open.last_activity >= interval)
+    send(open, now);
+}
+
+OpenRequest* RequestForwarder::find_forwarded(const std::string& attempt, const Envelope& envelope) {
+  auto* open = requests_.find(attempt);
+  if (!open || open->stage != RequestStage::forwarded)
+    return nullptr;
+  const auto* owner = context_.metadata().find(open->forwarded_to);
+  bool is_from_owner = owner && owner->self.incarnation == envelope.from_inc;
+  return is_from_owner ? open : nullptr;
+}
+
+void RequestForwarder::handle(const Envelope& envelope, const ProgramRequestAcknowledgement& acknowledgement) {
+  auto* open = find_forwarded(acknowledgement.attempt, envelope);
+  if (open)
+    open->forward_acknowledged = true;
+}
+
+void RequestForwarder::handle(const Envelope& envelope, const ProgramResponseChunk& chunk, Millis now) {
+  auto* open = find_forwarded(chunk.attempt, envelope);
+  if (!open)
     return;
-  if (x.wrong_owner) {
-    w.sent = false;
-    w.seen = false;
-    w.last = now;
-    auto* o = owner(w.partition);
-    if (o && o->id != w.target)
-      route(w, now);
+  open->forward_acknowledged = true;
+  open->last_activity = now;
+  if (chunk.index != open->streamed_chunks)
     return;
-  }
-  w.end = x;
-  if (w.outcome_unknown && x.executed == Outcome::no && x.status != 429)
-    w.end.executed = Outcome::unknown;
-  complete(w, now);
+  open->streamed_text += chunk.text;
+  ++open->streamed_chunks;
+  context_.outbox.send(open->reply_to, chunk);
 }
 
-/// The last word after a stream of which pieces may be missing: a whole answer fills the rest in.
-void GatewayMachine::complete(Ref w, Millis now) {
-  if (w.end.status == 200 && w.pieces > 0 && w.e.kind == "model") {
-    auto& b = w.end.body;
-    if (!b.starts_with(w.text)) {
-      out_.note(Event::forwarded_response_lost, w.e.attempt + " streamed another text than was kept");
-      return refuse(w, 502, "the stream broke; the answer is kept under the key", kDefaultRetryAfter, now,
-                    Outcome::unknown);
-    }
-    if (b.size() > w.text.size()) {
-      ++metrics_["streams_completed_from_response"];
-      out_.send(w.reply, ProgramResponseChunk{w.e.attempt, w.pieces++, b.substr(w.text.size())}, w.reply_inc);
-    }
+OpenRequest* RequestForwarder::handle(const Envelope& envelope, const ProgramResponse& response, Millis now) {
+  auto* open = find_forwarded(response.attempt, envelope);
+  if (!open)
+    return nullptr;
+  if (response.wrong_owner) {
+    open->is_forwarded = false;
+    open->forward_acknowledged = false;
+    open->last_activity = now;
+    const auto* owner = context_.owner_of(open->partition);
+    return owner && owner->id != open->forwarded_to ? open : nullptr;
   }
-  w.end.chunks = w.pieces;
-  end(w, now);
+  open->response = response;
+  bool says_not_run = response.executed == Outcome::no && response.status != 429;
+  if (open->outcome_unknown && says_not_run)
+    open->response.executed = Outcome::unknown;
+  responder_.respond_after_stream(*open, now);
+  return nullptr;
 }
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/programs/request_pipeline.cpp
@@ -0,0 +1,334 @@
+#include "programs/request_pipeline.hpp"
+
+#include "history/constants.hpp"
+#include "programs/constants.hpp"
+#include "programs/program_request.hpp"
+#include "routing/constants.hpp"
+
+namespace mosskeel {
+
+RequestPipeline::RequestPipeline(GatewayContext& context, const MajorityContact& majority_contact,
+                                 HistoryWriter& history_writer, const TurnClient& turn_client)
+    : context_(context),
+      majority_contact_(majority_contact),
+      history_writer_(history_writer),
+      queue_(requests_),
+      responder_(context, requests_, recent_responses_, replica_selector_),
+      turn_runners_(context, requests_, turn_client),
+      outcome_sender_(context, requests_, responder_),
+      outcome_receiver_(context, history_writer),
+      turn_owner_(context, history_writer, requests_, replica_selector_, responder_, turn_runners_, outcome_sender_),
+      replica_dispatcher_(context, majority_contact, history_writer, requests_, queue_, replica_selector_, turn_owner_),
+      request_forwarder_(context, requests_, responder_),
+      history_closer_(context, history_writer, requests_, turn_runners_) {}
+
+void RequestPipeline::handle(const Envelope& envelope, const ProgramRequest& request, Millis now) {
+  ProgramRequestAcknowledgement acknowledgement{request.attempt};
+  if (requests_.find(request.attempt))
+    return context_.outbox.send(envelope.from, acknowledgement, envelope.from_inc);
+  if (recent_responses_.contains(request.attempt)) {
+    if (const auto* response = recent_responses_.find(request.attempt))
+      context_.outbox.send(envelope.from, *response, envelope.from_inc);
+    return;
+  }
+  auto& open = this->open(envelope, request, now);
+  bool is_forwarded = !open.is_from_local_caller();
+  context_.count(is_forwarded ? "requests_forwarded_in" : "requests_received");
+  if (is_forwarded && is_stamped_before_term(envelope, request)) {
+    auto epoch = std::to_string(envelope.epoch.value());
+    context_.outbox.note(Event::stale_epoch_rejected, request.attempt + " placed at " + epoch);
+    open.response.wrong_owner = true;
+    return responder_.reject(open, {503, "placed at an epoch too old for its slot"}, now);
+  }
+  if (is_forwarded)
+    context_.outbox.send(envelope.from, acknowledgement, envelope.from_inc);
+  auto rejection = evaluate_admission(open.request, admission_context(open.request, is_forwarded, now));
+  if (rejection)
+    return responder_.reject(open, std::move(*rejection), now);
+  begin(open, now);
+}
+
+OpenRequest& RequestPipeline::open(const Envelope& envelope, const ProgramRequest& request, Millis now) {
+  OpenRequest open;
+  open.request = request;
+  open.reply_to = envelope.from;
+  if (!open.is_from_local_caller())
+    open.reply_to_incarnation = envelope.from_inc;
+  open.arrived_at = now;
+  open.arrival_number = ++arrivals_;
+  open.response.attempt = request.attempt;
+  return requests_.add(std::move(open));
+}
+
+/// The sender may not know yet that the program has moved; it may have moved here and on meanwhile.
+bool RequestPipeline::is_stamped_before_term(const Envelope& envelope, const ProgramRequest& request) const {
+  const auto& metadata = context_.metadata();
+  if (envelope.epoch >= metadata.epoch || request.kind == kHistoryRequest)
+    return false;
+  auto partition = partition_of(request.cell, request.program);
+  return envelope.epoch < metadata.partitions[partition.value()].term;
+}
+
+AdmissionContext RequestPipeline::admission_context(const ProgramRequest& request, bool is_forwarded,
+                                                    Millis now) const {
+  bool is_stateless = request.kind == kApplicationRequest && (request.idempotent || request.key.empty());
+  bool is_owned = !is_stateless && context_.owns(partition_of(request.cell, request.program));
+  auto queued = requests_.count(RequestStage::queued) + requests_.count(RequestStage::awaiting_previous_turn) +
+                requests_.count(RequestStage::opening_history);
+  auto running = requests_.count(RequestStage::running) + requests_.count(RequestStage::reserving);
+  return {.metadata = context_.metadata(),
+          .self = context_.self(),
+          .has_majority_contact = majority_contact_.is_valid(now),
+          .is_confirmed = majority_contact_.is_confirmed(),
+          .is_shutting_down = context_.shutting_down,
+          .queued = queued,
+          .running = running,
+          .is_forwarded = is_forwarded,
+          .is_served_here = is_stateless || is_forwarded || is_owned,
+          .expected_wait = queue_.expected_wait(request.kind, false),
+          .expected_urgent_wait = queue_.expected_wait(request.kind, true)};
+}
+
+void RequestPipeline::begin(OpenRequest& open, Millis now) {
+  auto& request = open.request;
+  open.deadline = now + (request.deadline_ms > 0 ? request.deadline_ms : kDefaultRequestTimeout);
+  bool is_application_request = request.kind == kApplicationRequest;
+  bool has_own_key = request.key != request.attempt;
+  open.is_stateless = is_application_request && (request.idempotent || !has_own_key);
+  if (open.is_stateless)
+    return queue_.push(open);
+  if (is_application_request) {
+    // A request under a key is the one turn of a program of its own, so that it runs once.
+    request.program = "app:" + request.key;
+    request.thread = request.key;
+  }
+  open.history = {request.cell, request.program};
+  open.partition = partition_of(request.cell, request.program);
+  route(open, now);
+}
+
+bool RequestPipeline::handle(const Envelope& envelope, Millis now) {
+  const auto& body = envelope.body;
+  if (const auto* request = std::get_if<ProgramRequest>(&body)) {
+    handle(envelope, *request, now);
+  } else if (const auto* acknowledgement = std::get_if<ProgramRequestAcknowledgement>(&body)) {
+    request_forwarder_.handle(envelope, *acknowledgement);
+  } else if (const auto* chunk = std::get_if<ProgramResponseChunk>(&body)) {
+    request_forwarder_.handle(envelope, *chunk, now);
+  } else if (const auto* response = std::get_if<ProgramResponse>(&body)) {
+    if (auto* rerouted = request_forwarder_.handle(envelope, *response, now))
+      route(*rerouted, now);
+  } else if (const auto* replica_chunk = std::get_if<ReplicaCallChunk>(&body)) {
+    replica_dispatcher_.handle(*replica_chunk, now);
+  } else if (const auto* replica_response = std::get_if<ReplicaCallResponse>(&body)) {
+    replica_dispatcher_.handle(*replica_response, now);
+  } else if (const auto* transfer = std::get_if<TransferTurnOutcome>(&body)) {
+    outcome_receiver_.handle(envelope, *transfer, now);
+  } else if (const auto* transfer_reply = std::get_if<TransferTurnOutcomeReply>(&body)) {
+    if (auto* rerouted = outcome_sender_.handle(*transfer_reply, now))
+      route(*rerouted, now);
+  } else if (const auto* query = std::get_if<QueryTurnRunner>(&body)) {
+    turn_runners_.handle(envelope, *query);
+  } else if (const auto* query_reply = std::get_if<QueryTurnRunnerReply>(&body)) {
+    turn_runners_.handle(envelope, *query_reply);
+  } else if (const auto* report = std::get_if<HistoryExpired>(&body)) {
+    history_closer_.handle(envelope, *report, now);
+  } else {
+    return false;
+  }
+  return true;
+}
+
+void RequestPipeline::on_history_changed(const HistoryName& history, Millis now) {
+  advance(requests_.attempts_on(history), now);
+  outcome_receiver_.advance(now);
+}
+
+void RequestPipeline::sweep(Millis now) {
+  advance(requests_.attempts(), now);
+  outcome_receiver_.advance(now);
+  history_closer_.expire();
+  turn_runners_.expire(now);
+  recent_responses_.expire(now);
+}
+
+void RequestPipeline::advance(const std::vector<std::string>& attempts, Millis now) {
+  for (const auto& attempt : attempts) {
+    if (auto* open = requests_.find(attempt))
+      advance(*open, now);
+  }
+}
+
+void RequestPipeline::route(OpenRequest& open, Millis now) {
+  open.outcome_unknown = open.outcome_unknown || open.is_forwarded;
+  open.is_forwarded = false;
+  if (context_.owns(open.partition)) {
+    open.stage = RequestStage::opening_history;
+    open.last_activity = now;
+    return advance(open, now);
+  }
+  if (!open.is_from_local_caller()) {
+    open.response.wrong_owner = true;
+    return responder_.reject(open, {503, "this worker does not own the program"}, now);
+  }
+  request_forwarder_.start(open, now);
+}
+
+void RequestPipeline::advance(OpenRequest& open, Millis now) {
+  switch (open.stage) {
+    case RequestStage::opening_history:
+      return advance_opening(open, now);
+    case RequestStage::awaiting_previous_turn:
+      return advance_awaiting_previous_turn(open, now);
+    case RequestStage::queued:
+      return advance_queued(open, now);
+    case RequestStage::reserving:
+      return advance_reserving(open, now);
+    case RequestStage::running:
+      return replica_dispatcher_.check_timeouts(open, now);
+    case RequestStage::committing_outcome:
+      return advance_committing_outcome(open, now);
+    case RequestStage::transferring_outcome:
+      return advance_transferring_outcome(open, now);
+    case RequestStage::forwarded:
+      return advance_forwarded(open, now);
+  }
+}
+
+void RequestPipeline::advance_opening(OpenRequest& open, Millis now) {
+  if (!is_owned(open))
+    return route(open, now);
+  auto state = history_writer_.open(open.history, now);
+  if (state == HistoryWriter::State::open)
+    return start_on_open_history(open, now);
+  if (state == HistoryWriter::State::unavailable)
+    responder_.reject(open, {503, "too few stores answer", kDefaultRetryAfter * 2}, now);
+}
+
+void RequestPipeline::start_on_open_history(OpenRequest& open, Millis now) {
+  // The history tells what became of the turn at earlier owners.
+  open.outcome_unknown = false;
+  if (history_writer_.ended(open.history))
+    return responder_.reject_ended_program(open, now);
+  if (open.request.kind == kHistoryRequest)
+    return turn_owner_.report_history(open, now);
+  if (turn_owner_.admit(open, now))
+    queue_.push(open);
+}
+
+void RequestPipeline::advance_awaiting_previous_turn(OpenRequest& open, Millis now) {
+  if (!is_owned(open))
+    return route(open, now);
+  if (now - open.arrived_at > kMaxQueueWait) {
+    RequestRejection rejection{503, "the turn before this one is still running", kDefaultRetryAfter * 2};
+    return responder_.reject(open, std::move(rejection), now);
+  }
+  open.stage = RequestStage::opening_history;
+  advance(open, now);
+}
+
+void RequestPipeline::advance_queued(OpenRequest& open, Millis now) {
+  if (!open.is_stateless && !is_owned(open))
+    return route(open, now);
+  bool is_late = now >= open.deadline || now - open.waiting_since > kMaxQueueWait;
+  if (!is_late)
+    return;
+  context_.count("requests_rejected_after_queueing");
+  responder_.reject(open, {503, "no replica had a free place in time", kDefaultRetryAfter * 2}, now);
+}
+
+void RequestPipeline::advance_reserving(OpenRequest& open, Millis now) {
+  if (!holds_admitted_term(open)) {
+    replica_selector_.release(open);
+    open.reroute_after_transfer = true;
+    open.record.kind = RecordKind::outcome;
+    open.record.status = 0;
+    return outcome_sender_.send(open, now);
+  }
+  bool reservation_is_committed = is_committed(open);
+  if (reservation_is_committed)
+    replica_dispatcher_.dispatch(open, now);
+}
+
+void RequestPipeline::advance_committing_outcome(OpenRequest& open, Millis now) {
+  bool has_moved = !holds_admitted_term(open);
+  if (has_moved)
+    return outcome_sender_.send(open, now);
+  bool outcome_is_committed = is_committed(open);
+  if (outcome_is_committed)
+    responder_.respond(open, now);
+}
+
+void RequestPipeline::advance_transferring_outcome(OpenRequest& open, Millis now) {
+  if (now - open.waiting_since > kOutcomeTransferTimeout)
+    return responder_.reject(open, {502, "the outcome could not be kept", 0, Outcome::unknown}, now);
+  if (now - open.last_activity >= kStoreRetryInterval)
+    outcome_sender_.send(open, now);
+}
+
+void RequestPipeline::advance_forwarded(OpenRequest& open, Millis now) {
+  if (now >= open.deadline)
+    return responder_.reject(open, {504, "the deadline passed", kDefaultRetryAfter}, now);
+  if (request_forwarder_.must_reroute(open))
+    return route(open, now);
+  request_forwarder_.advance(open, now);
+}
+
+bool RequestPipeline::holds_admitted_term(const OpenRequest& open) const {
+  return is_owned(open) && history_writer_.term(open.history) == open.owner_term && open.owner_term.value();
+}
+
+bool RequestPipeline::is_committed(const OpenRequest& open) const {
+  return history_writer_.committed_length(open.history) >= open.commit_length;
+}
+
+void RequestPipeline::dispatch_queued(Millis now) {
+  std::vector<RequestQueue::Entry> still_waiting;
+  const auto* self = context_.self();
+  while (!queue_.empty() && self) {
+    auto entry = queue_.pop();
+    auto* open = requests_.find(entry.attempt);
+    if (!open || open->stage != RequestStage::queued)
+      continue;
+    if (!try_dispatch(*open, *self, now))
+      still_waiting.push_back(entry);
+  }
+  for (const auto& entry : still_waiting)
+    queue_.push(entry);
+}
+
+bool RequestPipeline::try_dispatch(OpenRequest& open, const Daemon& self, Millis now) {
+  ReplicaChoice choice;
+  if (majority_contact_.is_valid(now))
+    choice = replica_selector_.select(open.request, context_.metadata(), self, now);
+  if (!choice.replica && choice.any_eligible)
+    return false;
+  if (!choice.replica) {
+    responder_.reject(open, {503, "no replica serves this route now", kDefaultRetryAfter * 2}, now);
+    return true;
+  }
+  if (!open.is_stateless && !may_still_reserve(open, now))
+    return true;
+  replica_selector_.assign(open, *choice.replica);
+  queue_.record_departure(open.request.kind, now);
+  if (open.is_stateless)
+    replica_dispatcher_.dispatch(open, now);
+  else
+    turn_owner_.reserve(open, now);
+  return true;
+}
+
+bool RequestPipeline::may_still_reserve(OpenRequest& open, Millis now) {
+  bool is_open = history_writer_.open(open.history, now) == HistoryWriter::State::open;
+  if (!is_open || history_writer_.term(open.history) != open.owner_term) {
+    route(open, now);
+    return false;
+  }
+  if (history_writer_.ended(open.history)) {
+    responder_.reject_ended_program(open, now);
+    return false;
+  }
+  return turn_owner_.admit(open, now);
+}
+
+}  // namespace mosskeel
--- /dev/null
+++ b/src/programs/request_pipeline.hpp
@@ -0,0 +1,82 @@
+#pragma once
+// The way of a request through a gateway, from its arrival to its response.
+#include "programs/admission_policy.hpp"
+#include "programs/history_closer.hpp"
+#include "programs/replica_dispatcher.hpp"
+#include "programs/request_forwarder.hpp"
+
+namespace mosskeel {
+
+/// Takes requests and moves each through its stages (RequestStage): a turn goes over its program's history, the queue,
+/// its reservation, a replica and its outcome; a request to a program of another gateway is forwarded; a stateless one
+/// is queued at once. What a stage does is left to the parts; this class decides what comes next.
+class RequestPipeline {
+ public:
+  RequestPipeline(GatewayContext& context, const MajorityContact& majority_contact, HistoryWriter& history_writer,
+                  const TurnClient& turn_client);
+
+  /// A request from a caller of this process, or one that another gateway forwarded.
+  void handle(const Envelope& envelope, const ProgramRequest& request, Millis now);
+  /// Messages that concern open requests and turns; false leaves the message to others.
+  bool handle(const Envelope& envelope, Millis now);
+  /// Goes on with everything that waits for this history.
+  void on_history_changed(const HistoryName& history, Millis now);
+  /// Goes on with all requests, and forgets what is too old to matter.
+  void sweep(Millis now);
+  /// Hands queued requests to replicas with free capacity.
+  void dispatch_queued(Millis now);
+
+  size_t open_requests() const { return requests_.size(); }
+  /// Whether nothing is under way for a caller or another gateway.
+  bool is_idle() const { return requests_.empty() && outcome_receiver_.pending() == 0; }
+
+ private:
+  AdmissionContext admission_context(const ProgramRequest& request, bool is_forwarded, Millis now) const;
+  OpenRequest& open(const Envelope& envelope, const ProgramRequest& request, Millis now);
+  bool is_stamped_before_term(const Envelope& envelope, const ProgramRequest& request) const;
+  void begin(OpenRequest& open, Millis now);
+
+  /// Serves the request here if this gateway owns its program, else forwards it to the owner or back.
+  void route(OpenRequest& open, Millis now);
+  /// Goes on with a request if what it waits for has come, or its time is over. May close it.
+  void advance(OpenRequest& open, Millis now);
+  void advance(const std::vector<std::string>& attempts, Millis now);
+  void advance_opening(OpenRequest& open, Millis now);
+  void advance_awaiting_previous_turn(OpenRequest& open, Millis now);
+  void advance_queued(OpenRequest& open, Millis now);
+  void advance_reserving(OpenRequest& open, Millis now);
+  void advance_committing_outcome(OpenRequest& open, Millis now);
+  void advance_transferring_outcome(OpenRequest& open, Millis now);
+  void advance_forwarded(OpenRequest& open, Millis now);
+  /// The history is open and not ended, or the request was answered.
+  void start_on_open_history(OpenRequest& open, Millis now);
+  /// Whether the request could be served, rejected or moved on; false if it must wait in the queue.
+  bool try_dispatch(OpenRequest& open, const Daemon& self, Millis now);
+  /// Checks again what may have changed while a turn waited in the queue.
+  bool may_still_reserve(OpenRequest& open, Millis now);
+
+  bool is_owned(const OpenRequest& open) const { return !open.is_stateless && context_.owns(open.partition); }
+  /// Whether this gateway still owns the program under the term at which the turn was admitted.
+  bool holds_admitted_term(const OpenRequest& open) const;
+  bool is_committed(const OpenRequest& open) const;
+
+  GatewayContext& context_;
+  const MajorityContact& majority_contact_;
+  HistoryWriter& history_writer_;
+  OpenRequests requests_;
+  RecentResponses recent_responses_;
+  ReplicaSelector replica_selector_;
+  RequestQueue queue_;
+  RequestResponder responder_;
+  TurnRunners turn_runners_;
+  OutcomeSender outcome_sender_;
+  OutcomeReceiver outcome_receiver_;
+  TurnOwner turn_owner_;
+  ReplicaDispatcher replica_dispatcher_;
+  RequestForwarder request_forwarder_;
+  HistoryCloser history_closer_;
+  /// Requests taken since the process started.
+  uint64_t arrivals_ = 0;
+};
+
+}  // namespace mosskeel
--- a/src/programs/turn_owner.cpp
+++ b/src/programs/turn_owner.cpp
@@ -1,286 +1,185 @@
-// The owner's turn: history, key, budget, reservation, settlement.
-#include <algorithm>
+#include "programs/turn_owner.hpp"
 
-#include <nlohmann/json.hpp>
+#include <algorithm>
 
-#include "history/constants.hpp"
 #include "programs/constants.hpp"
-#include "programs/gateway_machine.hpp"
-#include "programs/model_request_body.hpp"
-#include "routing/constants.hpp"
-#include "runtime/constants.hpp"
+#include "programs/program_request.hpp"
 
 namespace mosskeel {
+namespace {
 
-void GatewayMachine::advance(Ref w, Millis now) {
-  auto* o = w.direct ? nullptr : owner(w.partition);
-  bool mine = o && o->self.incarnation == out_.id().self.incarnation;
-  bool line_held = mine && history_writer_.term(w.history) == w.term && w.term.value();
-  switch (w.stage) {
-    case Stage::opening:
-      if (!mine)
-        return route(w, now);
-      switch (history_writer_.open(w.history, now)) {
-        case HistoryWriter::State::open:
-          return opened(w, now);
-        case HistoryWriter::State::unavailable:
-          return refuse(w, 503, "too few stores answer", kDefaultRetryAfter * 2, now);
-        default:
-          return;
-      }
-    case Stage::waiting:
-      if (!mine)
-        return route(w, now);
-      if (now - w.born > kMaxQueueWait)
-        return refuse(w, 503, "the turn before this one is still running", kDefaultRetryAfter * 2, now);
-      w.stage = Stage::opening;
-      return advance(w, now);
-    case Stage::queued:
-      if (!w.direct && !mine)
-        return route(w, now);
-      if (now >= w.deadline || now - w.asked > kMaxQueueWait)
-        return ++metrics_["requests_rejected_after_queueing"],
-               refuse(w, 503, "no replica had a free place in time", kDefaultRetryAfter * 2, now);
-      return;
-    case Stage::reserving:
-      if (!line_held) {
-        free_replica(w);
-        w.again = true;
-        w.settled.kind = RecordKind::outcome;
-        w.settled.status = 0;
-        return hand_over(w, now);
-      }
-      if (history_writer_.committed_length(w.history) >= w.mark)
-        return dispatch(w, now);
-      return;
-    case Stage::running:
-      if (now >= w.deadline || now - w.last > kReplicaStallTimeout) {
-        auto why = now >= w.deadline ? "the deadline passed while the turn was running" : "the replica fell silent";
-        out_.send("replica:" + w.replica, CancelReplicaCall{w.e.attempt});
-        nom_.back_off(w.replica, now);
-        settle(w, 504, Outcome::unknown, why, w.reservation, now);
-      }
-      return;
-    case Stage::settling:
-      if (!line_held)
-        return hand_over(w, now);
-      if (history_writer_.committed_length(w.history) >= w.mark)
-        return end(w, now);
-      return;
-    case Stage::handing:
-      if (now - w.asked > kOutcomeTransferTimeout)
-        return refuse(w, 502, "the outcome could not be kept", 0, now, Outcome::unknown);
-      if (now - w.last >= kStoreRetryInterval)
-        hand_over(w, now);
-      return;
-    case Stage::proxying: {
-      if (now >= w.deadline)
-        return refuse(w, 504, "the deadline passed", kDefaultRetryAfter, now);
-      auto* t = metadata_log_.view()->find(w.target);
-      bool gone = !t || t->state == DaemonState::down || t->state == DaemonState::left;
-      if (o && o->id != w.target && (gone || !w.seen))
-        return route(w, now);
-      if (!w.seen && now - w.asked > kForwardAcknowledgementTimeout + kHistoryQuorumTimeout)
-        return refuse(w, 503, "the program's owner does not answer", kDefaultRetryAfter, now);
-      if (now - w.last >= kStoreRetryInterval * (w.seen ? 4 : 1))
-        proxy(w, now);
-      return;
-    }
-  }
-}
+constexpr const char* kConversationMissing =
+    "the conversation is missing: a majority of its stores keeps no such turns";
 
-bool GatewayMachine::running_elsewhere(const HistoryName& n, const Record& r, Millis now) {
-  auto* d = metadata_log_.view()->find(r.runner);
-  if (!d || d->self.incarnation == out_.id().self.incarnation || d->state == DaemonState::down ||
-      d->state == DaemonState::left)
-    return false;
-  auto& x = runners_[{n, r.key, r.runner}];
-  if (!x.over && now - x.at >= kStoreRetryInterval) {
-    x.at = now;
-    out_.send(d->self.address, QueryTurnRunner{n, r.key}, d->self.incarnation);
-  }
-  return !x.over;
+RequestRejection turn_is_running() {
+  return {409, "key: this turn is running now", kDefaultRetryAfter * 2, Outcome::yes};
 }
 
-bool GatewayMachine::running_here(const HistoryName& n, const std::string& key) const {
-  return std::any_of(works_.begin(), works_.end(), [&](auto& x) {
-    auto& w = x.second;
-    return w.history == n && w.e.key == key && w.stage >= Stage::reserving && w.stage <= Stage::handing;
-  });
+/// The response that a request under a used key gets: what the caller of the first one got.
+ProgramResponse response_from(const Record& outcome) {
+  bool succeeded = outcome.status == 200;
+  ProgramResponse response{};
+  response.status = outcome.status;
+  response.executed = succeeded ? Outcome::yes : Outcome::unknown;
+  response.reason = succeeded ? "" : "kept outcome: " + outcome.output;
+  response.body = succeeded ? outcome.output : "";
+  response.turn = outcome.turn;
+  response.tokens = outcome.tokens;
+  return response;
 }
 
-void GatewayMachine::opened(Ref w, Millis now) {
-  w.outcome_unknown = false;
-  if (history_writer_.ended(w.history))
-    return gone(w, now);
-  if (w.e.kind == "history")
-    return history(w, now);
-  if (examine(w, now))
-    enqueue(w);
-}
+}  // namespace
 
-/// Whether the turn may go on; otherwise it was answered, or waits.
-bool GatewayMachine::examine(Ref w, Millis now) {
-  auto& v = history_writer_.records(w.history);
-  auto* c = metadata_log_.view()->configuration.cell(w.e.cell);
-  if (!c)
-    return refuse(w, 404, "cell '" + w.e.cell + "' is unknown", 0, now), false;
-  std::map<std::string, const Record*> last, reservations;
-  for (auto& r : v) {
-    last[r.key] = &r;
-    if (r.kind == RecordKind::reservation)
-      reservations[r.key] = &r;
-  }
-  if (auto i = last.find(w.e.key);
-      i != last.end() && !(i->second->kind == RecordKind::outcome && i->second->status == 0)) {
-    auto& r = *i->second;
-    if (reservations[w.e.key]->body_digest != digest(w.e.body + '\0' + w.e.path))
-      return refuse(w, 409, "key: was used with another body", 0, now), false;
-    if (r.kind == RecordKind::outcome && !history_writer_.is_committed(w.history, r))
-      return refuse(w, 409, "key: this turn is running now", kDefaultRetryAfter * 2, now, Outcome::yes), false;
-    if (r.kind == RecordKind::outcome) {
-      w.end = {w.e.attempt,
-               r.status,
-               r.status == 200 ? Outcome::yes : Outcome::unknown,
-               r.status == 200 ? "" : "kept outcome: " + r.output,
-               r.status == 200 ? r.output : "",
-               r.turn,
-               r.tokens,
-               0,
-               false,
-               0};
-      return complete(w, now), false;
-    }
-    if (running_here(w.history, w.e.key) || running_elsewhere(w.history, r, now))
-      return refuse(w, 409, "key: this turn is running now", kDefaultRetryAfter * 2, now, Outcome::yes), false;
-    out_.note(Event::reservation_without_outcome, w.history.program + " key " + w.e.key);
-    return refuse(w, 502, "the outcome of this turn is unknown; it will not be run again", 0, now, Outcome::unknown),
-           false;
+bool TurnOwner::admit(OpenRequest& open, Millis now) {
+  auto decision = decide(open, now);
+  if (auto* rejection = std::get_if<RequestRejection>(&decision)) {
+    responder_.reject(open, std::move(*rejection), now);
+    return false;
   }
-  uint64_t spent = 0;
-  uint32_t turns = 0;
-  bool busy = false;
-  for (auto& [k, r] : last) {
-    bool open = r->kind == RecordKind::reservation;
-    if (open || r->status != 0)
-      spent += r->tokens;
-    if (r->thread != w.e.thread)
-      continue;
-    if (!open && r->status == 200)
-      ++turns;
-    if (open && (running_here(w.history, k) || running_elsewhere(w.history, *r, now)))
-      busy = true;
+  if (const auto* recorded = std::get_if<RecordedOutcome>(&decision)) {
+    open.response = response_from(*recorded->record);
+    responder_.respond_after_stream(open, now);
+    return false;
   }
-  if (w.e.kind == "model" && w.e.expected_turns && *w.e.expected_turns > 0 && turns == 0)
-    return refuse(w, 404, "the conversation is missing: a majority of its stores keeps no such turns", 0, now), false;
-  if (busy) {
-    auto waiting = std::count_if(works_.begin(), works_.end(), [&](auto& x) {
-      return x.second.history == w.history && x.second.stage == Stage::waiting;
-    });
-    if (static_cast<uint32_t>(waiting) >= kMaxQueuedTurnsPerThread)
-      return refuse(w, 503, "too many turns wait for the one before them", kDefaultRetryAfter * 2, now), false;
-    w.stage = Stage::waiting;
+  if (std::holds_alternative<AwaitsPreviousTurn>(decision)) {
+    open.stage = RequestStage::awaiting_previous_turn;
     return false;
   }
-  if (w.e.kind == "model" && w.e.expected_turns && *w.e.expected_turns != turns)
-    return refuse(w, 409, "after: the thread has " + std::to_string(turns) + " settled turns", 0, now), false;
-  if (w.e.kind == "model" && spent >= c->budget)
-    return refuse(w, 429, "the program's budget of " + std::to_string(c->budget) + " tokens is spent", 0, now), false;
-  w.reservation = w.e.kind == "model" ? w.e.max_tokens : 0;
-  w.turn = turns + 1;
-  w.term = history_writer_.term(w.history);
+  open.turn_number = std::get<Admitted>(decision).turn_number;
+  open.reserved_tokens = open.request.kind == kModelRequest ? open.request.max_tokens : 0;
+  open.owner_term = history_writer_.term(open.history);
   return true;
 }
 
-void GatewayMachine::reserve(Ref w, Millis now) {
-  Record r{};
-  r.kind = RecordKind::reservation;
-  r.key = w.e.key;
-  r.thread = w.e.thread;
-  r.body_digest = digest(w.e.body + '\0' + w.e.path);
-  r.tokens = w.reservation;
-  r.turn = w.turn;
-  r.runner = me()->id;
-  r.input = w.e.body;
-  r.retention_ms = metadata_log_.view()->configuration.cell(w.e.cell)->retention_ms;
-  w.settled = r;
-  w.stage = Stage::reserving;
-  w.mark = history_writer_.append(w.history, r, now);
+TurnOwner::Decision TurnOwner::decide(const OpenRequest& open, Millis now) {
+  const auto* cell = context_.metadata().configuration.cell(open.request.cell);
+  if (!cell)
+    return RequestRejection{404, "cell '" + open.request.cell + "' is unknown"};
+  auto turns = turns_by_key(history_writer_.records(open.history));
+  auto known = turns.find(open.request.key);
+  if (known != turns.end() && !known->second.has_not_run())
+    return decide_known_key(open, known->second, now);
+  return decide_new_turn(open, turns, *cell, now);
 }
 
-void GatewayMachine::settle(Ref w, uint32_t status, Outcome ran, std::string reason, uint64_t tokens, Millis now) {
-  free_replica(w);
-  w.end = {w.e.attempt, status ? status : 503,           ran,   reason,  status == 200 ? w.text : "", w.turn,
-           tokens,      status ? 0 : kDefaultRetryAfter, false, w.pieces};
-  if (w.direct)
-    return end(w, now);
-  auto& r = w.settled;
-  r.kind = RecordKind::outcome;
-  r.status = status;
-  r.tokens = tokens;
-  r.output = status == 200 ? w.text : reason;
-  r.input.clear();
-  if (auto* c = metadata_log_.view()->configuration.cell(w.e.cell))
-    r.retention_ms = std::max(r.retention_ms, c->retention_ms);
-  if (history_writer_.term(w.history) != w.term) {
-    w.asked = now;
-    return hand_over(w, now);
+TurnOwner::Decision TurnOwner::decide_known_key(const OpenRequest& open, const KeyedTurn& turn, Millis now) {
+  const auto& latest = *turn.latest;
+  if (turn.reservation->body_digest != body_digest(open.request))
+    return RequestRejection{409, "key: was used with another body"};
+  if (!turn.is_open() && !history_writer_.is_committed(open.history, latest))
+    return turn_is_running();
+  if (!turn.is_open())
+    return RecordedOutcome{&latest};
+  if (turn_runners_.runs_here(open.history, open.request.key) ||
+      turn_runners_.may_run_elsewhere(open.history, latest, now))
+    return turn_is_running();
+  context_.outbox.note(Event::reservation_without_outcome, open.history.program + " key " + open.request.key);
+  return RequestRejection{502, "the outcome of this turn is unknown; it will not be run again", 0, Outcome::unknown};
+}
+
+TurnOwner::Decision TurnOwner::decide_new_turn(const OpenRequest& open, const TurnsByKey& turns, const Cell& cell,
+                                               Millis now) {
+  auto used = usage(open, turns, now);
+  bool is_model_turn = open.request.kind == kModelRequest;
+  const auto& expected_turns = open.request.expected_turns;
+  if (is_model_turn && expected_turns && *expected_turns > 0 && used.thread_turns == 0)
+    return RequestRejection{404, kConversationMissing};
+  if (used.thread_is_busy) {
+    if (turns_waiting_on(open.history) >= kMaxQueuedTurnsPerThread)
+      return RequestRejection{503, "too many turns wait for the one before them", kDefaultRetryAfter * 2};
+    return AwaitsPreviousTurn{};
   }
-  w.stage = Stage::settling;
-  w.mark = history_writer_.append(w.history, r, now);
+  if (is_model_turn && expected_turns && *expected_turns != used.thread_turns)
+    return RequestRejection{409, "after: the thread has " + std::to_string(used.thread_turns) + " settled turns"};
+  if (is_model_turn && used.tokens >= cell.budget)
+    return RequestRejection{429, "the program's budget of " + std::to_string(cell.budget) + " tokens is spent"};
+  return Admitted{used.thread_turns + 1};
 }
 
-void GatewayMachine::hand_over(Ref w, Millis now) {
-  if (w.stage != Stage::handing)
-    w.asked = now;
-  w.stage = Stage::handing;
-  w.last = now;
-  auto* o = owner(w.partition);
-  if (o)
-    out_.send(o->self.address, TransferTurnOutcome{w.e.attempt, w.history, w.settled}, o->self.incarnation);
+TurnOwner::Usage TurnOwner::usage(const OpenRequest& open, const TurnsByKey& turns, Millis now) {
+  Usage used;
+  for (const auto& [key, turn] : turns) {
+    const auto& latest = *turn.latest;
+    if (turn.is_open() || latest.status != 0)
+      used.tokens += latest.tokens;
+    if (latest.thread != open.request.thread)
+      continue;
+    if (!turn.is_open() && latest.status == 200)
+      ++used.thread_turns;
+    if (turn.is_open() &&
+        (turn_runners_.runs_here(open.history, key) || turn_runners_.may_run_elsewhere(open.history, latest, now)))
+      used.thread_is_busy = true;
+  }
+  return used;
 }
 
-void GatewayMachine::on(const Envelope& e, const TransferTurnOutcome& x, Millis now) {
-  for (auto& l : lates_)
-    if (std::get<TransferTurnOutcome>(l.from.body).attempt == x.attempt)
-      return;
-  Late l{e, 0, now, {}};
-  if (!late(l, now))
-    lates_.push_back(std::move(l));
+size_t TurnOwner::turns_waiting_on(const HistoryName& history) const {
+  return requests_.count_if([&](const OpenRequest& open) {
+    return open.history == history && open.stage == RequestStage::awaiting_previous_turn;
+  });
 }
 
-bool GatewayMachine::late(Late& l, Millis now) {
-  auto& x = std::get<TransferTurnOutcome>(l.from.body);
-  auto say = [&](Outcome o) {
-    return out_.send(l.from.from, TransferTurnOutcomeReply{x.attempt, o}, l.from.from_inc), true;
-  };
-  auto s = history_writer_.open(x.history, now);
-  if (s == HistoryWriter::State::fenced || now - l.born > kOutcomeTransferTimeout)
-    return true;
-  if (s != HistoryWriter::State::open)
-    return false;
-  if (history_writer_.ended(x.history))
-    return say(Outcome::no);
-  if (l.mark && l.term == history_writer_.term(x.history))
-    return history_writer_.committed_length(x.history) >= l.mark ? say(Outcome::yes) : false;
-  const Record *last = nullptr, *after = nullptr;
-  for (auto& r : history_writer_.records(x.history)) {
-    if (r.key == x.record.key)
-      last = &r, after = nullptr;
-    else if (last && r.thread == x.record.thread)
-      after = &r;
+void TurnOwner::reserve(OpenRequest& open, Millis now) {
+  Record reservation{};
+  reservation.kind = RecordKind::reservation;
+  reservation.key = open.request.key;
+  reservation.thread = open.request.thread;
+  reservation.body_digest = body_digest(open.request);
+  reservation.tokens = open.reserved_tokens;
+  reservation.turn = open.turn_number;
+  reservation.runner = context_.self()->id;
+  reservation.input = open.request.body;
+  reservation.retention_ms = context_.metadata().configuration.cell(open.request.cell)->retention_ms;
+  open.record = reservation;
+  open.stage = RequestStage::reserving;
+  open.commit_length = history_writer_.append(open.history, std::move(reservation), now);
+}
+
+void TurnOwner::finish(OpenRequest& open, AttemptResult result, Millis now) {
+  replica_selector_.release(open);
+  bool succeeded = result.status == 200;
+  bool has_not_run = result.status == 0;
+  ProgramResponse response{};
+  response.status = has_not_run ? 503 : result.status;
+  response.executed = result.executed;
+  response.reason = result.reason;
+  response.body = succeeded ? open.streamed_text : "";
+  response.turn = open.turn_number;
+  response.tokens = result.tokens;
+  response.retry_ms = has_not_run ? kDefaultRetryAfter : 0;
+  response.chunks = open.streamed_chunks;
+  open.response = std::move(response);
+  if (open.is_stateless)
+    return responder_.respond(open, now);
+  auto& outcome = open.record;
+  outcome.kind = RecordKind::outcome;
+  outcome.status = result.status;
+  outcome.tokens = result.tokens;
+  outcome.output = succeeded ? open.streamed_text : result.reason;
+  outcome.input.clear();
+  if (const auto* cell = context_.metadata().configuration.cell(open.request.cell))
+    outcome.retention_ms = std::max(outcome.retention_ms, cell->retention_ms);
+  if (history_writer_.term(open.history) != open.owner_term) {
+    open.waiting_since = now;
+    return outcome_sender_.send(open, now);
   }
-  if (!last)
-    return say(x.record.status == 0 ? Outcome::yes : Outcome::no);
-  if (last->kind == RecordKind::outcome && !history_writer_.is_committed(x.history, *last))
-    return false;
-  if (last->kind == RecordKind::outcome)
-    return say(last->status == x.record.status && last->output == x.record.output ? Outcome::yes : Outcome::no);
-  if (last->runner != x.record.runner || after)
-    return say(Outcome::no);
-  l.term = history_writer_.term(x.history);
-  l.mark = history_writer_.append(x.history, x.record, now);
-  return false;
+  open.stage = RequestStage::committing_outcome;
+  open.commit_length = history_writer_.append(open.history, outcome, now);
+}
+
+void TurnOwner::report_history(OpenRequest& open, Millis now) {
+  const auto& records = history_writer_.records(open.history);
+  if (records.empty())
+    return responder_.reject(open, {404, kConversationMissing}, now);
+  const auto* cell = context_.metadata().configuration.cell(open.request.cell);
+  auto committed_length = std::min<size_t>(history_writer_.committed_length(open.history), records.size());
+  ProgramResponse response{};
+  response.status = 200;
+  response.executed = Outcome::yes;
+  response.body =
+      history_json(open.request.program, std::span(records).first(committed_length), cell ? cell->budget : 0);
+  open.response = std::move(response);
+  responder_.respond(open, now);
 }
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/programs/turn_runners.hpp
@@ -0,0 +1,41 @@
+#pragma once
+// Whether a turn without an outcome is still running, and where.
+#include "programs/open_requests.hpp"
+#include "routing/turn_client.hpp"
+
+namespace mosskeel {
+
+/// Answers for this gateway whether it runs a turn, and asks the gateways that reserved others. Only their own word
+/// counts, or the directory's that they are gone; never the age of a record.
+class TurnRunners {
+ public:
+  TurnRunners(GatewayContext& context, const OpenRequests& requests, const TurnClient& turn_client)
+      : context_(context), requests_(requests), turn_client_(turn_client) {}
+
+  /// Whether a turn under this key is between its reservation and its outcome here.
+  bool runs_here(const HistoryName& history, const std::string& key) const;
+  /// Whether the gateway that wrote the reservation may still run its turn. Asks it, at most once per
+  /// kStoreRetryInterval; the answer is true until it has denied.
+  bool may_run_elsewhere(const HistoryName& history, const Record& reservation, Millis now);
+
+  void handle(const Envelope& envelope, const QueryTurnRunner& query);
+  void handle(const Envelope& envelope, const QueryTurnRunnerReply& reply);
+  /// Forgets queries that nobody has asked about for kIdleHistoryTimeout.
+  void expire(Millis now);
+
+ private:
+  /// A turn by its history, its key and the gateway that reserved it.
+  using TurnId = std::tuple<HistoryName, std::string, DaemonId>;
+  struct Query {
+    Millis sent_at = 0;
+    /// The gateway has denied: it does not run the turn and never will.
+    bool is_denied = false;
+  };
+
+  GatewayContext& context_;
+  const OpenRequests& requests_;
+  const TurnClient& turn_client_;
+  std::map<TurnId, Query> queries_;
+};
+
+}  // namespace mosskeel
--- a/tests/unit/history/tombstones_test.cpp
+++ b/tests/unit/history/tombstones_test.cpp
@@ -3,7 +3,7 @@
 
 #include "history/tombstones.hpp"
 #include "metadata/constants.hpp"
-#include "programs/admission_policy.hpp"
+#include "programs/replica_selector.hpp"
 
 using namespace mosskeel;
 
--- a/tools/scale/control.cpp
+++ b/tools/scale/control.cpp
@@ -201,14 +201,16 @@
   e.cell = m.configuration.cells.at(0).name;
   e.route = "chat";
   e.kind = "model";
-  bool any = false;
+  ReplicaChoice choice;
   const int times = 10;
-  r.times["select_replica.ms"] = millis_of([&] {
-                                   for (int i = 0; i < times; ++i)
-                                     e.program = "p" + std::to_string(i), n.select_replica(e, m, me->second, 1, any);
-                                 }) /
-                                 times;
-  r.counts["found"] = any;
+  auto select_for_each_program = [&] {
+    for (int i = 0; i < times; ++i) {
+      e.program = "p" + std::to_string(i);
+      choice = n.select(e, m, me->second, 1);
+    }
+  };
+  r.times["select_replica.ms"] = millis_of(select_for_each_program) / times;
+  r.counts["found"] = choice.any_eligible;
   return r;
 }
 
