--- a/src/daemons/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -1,3 +1,4 @@
+// The gateway daemon: wires its state machine to callers' HTTP, to replicas and to the other daemons.
 #include <curl/curl.h>
 
 #include "gateway/program_api.hpp"
@@ -7,63 +8,100 @@
 
 using namespace mosskeel;
 
+namespace {
+
+/// How long a stopping process waits for its callers' HTTP sessions to end: so many looks, so far apart.
+constexpr int kSessionEndChecks = 50;
+constexpr auto kSessionEndCheckInterval = std::chrono::milliseconds(20);
+
+Identity identity_from(const Settings& settings) {
+  Identity identity{};
+  identity.self = {Incarnation{dice()}, Role::front,   settings.zone,   settings.listen,
+                   settings.agent,      settings.http, settings.machine};
+  identity.core_size = 0;
+  identity.dice = dice();
+  identity.commit_attempt_timeout = settings.tcm_rpc_ms;
+  return identity;
+}
+
+/// Posts what the replicas answer to the state machine.
+Envelope from_replicas(Message body) {
+  Envelope envelope{};
+  envelope.from = kReplicaAddressPrefix;
+  envelope.body = std::move(body);
+  return envelope;
+}
+
+void send_to_replica(ReplicaClient& replicas, const Message& message) {
+  if (const auto* call = std::get_if<ReplicaCall>(&message))
+    replicas.send(*call);
+  if (const auto* cancellation = std::get_if<CancelReplicaCall>(&message))
+    replicas.cancel(cancellation->attempt);
+}
+
+void wait_for_sessions(const LocalMailboxes& mailboxes) {
+  for (int i = 0; i < kSessionEndChecks && mailboxes.size(); ++i)
+    std::this_thread::sleep_for(kSessionEndCheckInterval);
+}
+
+}  // namespace
+
 int main(int argc, const char** argv) {
-  auto r = read_settings(argc, argv,
-                         {"gateway", "A front worker: takes callers' requests, owns programs, asks replicas.", true,
-                          true, true, true, false, false, false});
-  if (auto* rc = std::get_if<int>(&r))
-    return *rc;
-  auto& p = std::get<Settings>(r);
+  auto parsed = read_settings(argc, argv,
+                              {"gateway", "A front worker: takes callers' requests, owns programs, asks replicas.",
+                               true, true, true, true, false, false, false});
+  if (const auto* exit_code = std::get_if<int>(&parsed))
+    return *exit_code;
+  auto& settings = std::get<Settings>(parsed);
   start_log("gateway");
   hold_signals();
   curl_global_init(CURL_GLOBAL_DEFAULT);
-  Identity id{
-      {Incarnation{dice()}, Role::front, p.zone, p.listen, p.agent, p.http, p.machine}, {}, 0, dice(), p.tcm_rpc_ms};
-  Host host(nullptr, p.listen);
-  LocalMailboxes sessions;
-  ReplicaClient up([&](Message m) {
-    Envelope e{};
-    e.from = "replica:";
-    e.body = std::move(m);
-    host.post(std::move(e));
-  });
+
+  auto identity = identity_from(settings);
+  Host host(nullptr, settings.listen);
+  LocalMailboxes mailboxes;
+  ReplicaClient replicas([&](Message message) { host.post(from_replicas(std::move(message))); });
+
+  // Where a protocol codec is set, callers speak the platform's protocol; else the product's own.
   std::unique_ptr<RoutingThread> routing_thread;
-  if (!p.dialect.empty()) {
-    auto* d = find_protocol_codec(p.dialect);
-    if (!d)
-      return cannot_start("gateway", {{"dialect", "'" + p.dialect + "' is not known"}});
-    auto x = RoutingThread::start(host, *d, p.http, p.ready);
-    if (!x.ok())
-      return cannot_start("gateway", x.errors());
-    routing_thread = std::move(x).value();
+  if (!settings.dialect.empty()) {
+    const auto* codec = find_protocol_codec(settings.dialect);
+    if (!codec)
+      return cannot_start("gateway", {{"dialect", "'" + settings.dialect + "' is not known"}});
+    auto started = RoutingThread::start(host, *codec, settings.http, settings.ready);
+    if (!started.ok())
+      return cannot_start("gateway", started.errors());
+    routing_thread = std::move(started).value();
   }
-  host.route("local", [&](const Envelope& e) { sessions.deliver(e); });
-  host.route("replica", [&](const Envelope& e) {
-    if (auto* a = std::get_if<ReplicaCall>(&e.body))
-      up.send(*a);
-    if (auto* s = std::get_if<CancelReplicaCall>(&e.body))
-      up.cancel(s->attempt);
-  });
-  if (auto f = host.start([&](const Recovered&, Millis now) { return std::make_unique<GatewayMachine>(id, now); });
-      !f.empty())
-    return cannot_start("gateway", f);
-  Callers callers(host, sessions);
-  std::unique_ptr<HttpServer> web;
+
+  host.route("local", [&](const Envelope& envelope) { mailboxes.deliver(envelope); });
+  host.route("replica", [&](const Envelope& envelope) { send_to_replica(replicas, envelope.body); });
+  auto make_machine = [&](const Recovered&, Millis now) {
+    return std::make_unique<GatewayMachine>(identity, now);
+  };
+  if (auto errors = host.start(make_machine); !errors.empty())
+    return cannot_start("gateway", errors);
+
+  ProgramApi program_api(host, mailboxes);
+  std::unique_ptr<HttpServer> http_server;
   if (!routing_thread) {
-    auto w = HttpServer::open(p.http, [&](const ApiRequest& a) { return callers.answer(a); });
-    if (!w.ok())
-      return cannot_start("gateway", w.errors());
-    web = std::move(w).value();
+    auto answer = [&](const ApiRequest& request) {
+      return program_api.answer(request);
+    };
+    auto opened = HttpServer::open(settings.http, answer);
+    if (!opened.ok())
+      return cannot_start("gateway", opened.errors());
+    http_server = std::move(opened).value();
   }
-  auto rc = run_until_stopped(host, "gateway", [&] {
-    host.ask([](Machine& m, Millis) { static_cast<GatewayMachine&>(m).begin_shutdown(); });
+
+  auto exit_code = run_until_stopped(host, "gateway", [&] {
+    host.ask([](Machine& machine, Millis) { static_cast<GatewayMachine&>(machine).begin_shutdown(); });
     if (routing_thread)
       routing_thread->begin_draining();
     return false;
   });
-  for (int i = 0; i < 50 && sessions.size(); ++i)
-    std::this_thread::sleep_for(std::chrono::milliseconds(20));
-  web.reset();
+  wait_for_sessions(mailboxes);
+  http_server.reset();
   routing_thread.reset();
-  return rc;
+  return exit_code;
 }
--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -1,277 +1,258 @@
 #include "gateway/program_api.hpp"
 
-#include <nlohmann/json.hpp>
-
+#include "gateway/program_response_json.hpp"
 #include "programs/constants.hpp"
+#include "programs/program_request.hpp"
 #include "routing/constants.hpp"
-#include "runtime/constants.hpp"
-#include "runtime/daemon.hpp"
+#include "runtime/settings.hpp"
 
 namespace mosskeel {
 namespace {
 using Json = nlohmann::json;
 
-std::string header(const ApiRequest& a, const char* n) {
-  auto i = a.headers.find(n);
-  return i == a.headers.end() ? "" : i->second;
+constexpr size_t kMaxKeyBytes = 256;
+/// Digits of X-Deadline-Ms: any such number fits into a Millis, and is capped later.
+constexpr size_t kMaxDeadlineDigits = 9;
+constexpr uint64_t kMaxExpectedTurns = 1000000;
+
+std::string header(const ApiRequest& request, const char* name) {
+  auto found = request.headers.find(name);
+  return found == request.headers.end() ? "" : found->second;
 }
 
-std::string dump(const Json& j) {
-  return j.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
+void read_key(const ApiRequest& http, ProgramRequest& request, Errors& errors) {
+  request.key = header(http, "idempotency-key");
+  if (request.key.size() > kMaxKeyBytes)
+    errors.push_back({"Idempotency-Key", "is longer than 256 bytes"});
 }
 
-const char* code(const ProgramResponse& e) {
-  if (e.status == 410)
-    return "ended";
-  if (e.executed == Outcome::unknown)
-    return "outcome_unknown";
-  switch (e.status) {
-    case 400:
-      return "invalid";
-    case 404:
-      return "unknown_or_missing";
-    case 409:
-      return "conflict";
-    case 429:
-      return "budget_spent";
-    case 503:
-      return "not_run";
-    case 504:
-      return "late";
-    default:
-      return "refused";
-  }
+void read_deadline(const ApiRequest& http, ProgramRequest& request, Errors& errors) {
+  auto deadline = header(http, "x-deadline-ms");
+  if (deadline.empty())
+    return;
+  bool is_number = deadline.find_first_not_of("0123456789") == std::string::npos;
+  if (deadline.size() > kMaxDeadlineDigits || !is_number)
+    errors.push_back({"X-Deadline-Ms", "is no number of milliseconds"});
+  else
+    request.deadline_ms = std::stoll(deadline);
 }
 
-Json verdict(const ProgramResponse& e) {
-  Json j{{"error", code(e)},
-         {"reason", e.reason},
-         {"ran", e.executed == Outcome::yes  ? "yes"
-                 : e.executed == Outcome::no ? "no"
-                                             : "unknown"}};
-  if (e.retry_ms)
-    j["retry_after_ms"] = e.retry_ms;
-  return j;
+void read_class(const ApiRequest& http, ProgramRequest& request, Errors& errors) {
+  auto priority = header(http, "x-class");
+  request.urgent = priority == "urgent";
+  request.bulk = priority == "bulk";
+  bool is_known = request.urgent || request.bulk || priority.empty() || priority == "normal";
+  if (!is_known)
+    errors.push_back({"X-Class", "is none of urgent, normal, bulk"});
 }
 
-ApiResponse refused(const ProgramResponse& e) {
-  ApiResponse a;
-  a.status = e.status;
-  a.body = dump(verdict(e));
-  if (e.retry_ms)
-    a.headers["Retry-After"] = std::to_string((e.retry_ms + 999) / 1000);
-  return a;
+/// What all kinds of requests have in common.
+ProgramRequest read_headers(const ApiRequest& http, std::string_view kind, const std::string& cell, Errors& errors) {
+  ProgramRequest request{};
+  request.kind = kind;
+  request.cell = cell;
+  read_key(http, request, errors);
+  read_deadline(http, request, errors);
+  read_class(http, request, errors);
+  request.attempt = "a" + hex(dice());
+  return request;
 }
 
-Json done(const ProgramResponse& e) {
-  return {{"done", true}, {"turn", e.turn}, {"tokens", e.tokens}, {"pieces", e.chunks}};
+/// Takes one field of a turn's body; false where it is unknown or of another type.
+bool read_turn_field(const std::string& name, const Json& value, ProgramRequest& request, bool& is_streamed) {
+  const std::map<std::string, std::string*> texts{
+      {"input", &request.body}, {"prefix", &request.prefix}, {"thread", &request.thread}, {"route", &request.route}};
+  if (auto text = texts.find(name); text != texts.end() && value.is_string()) {
+    *text->second = value.get<std::string>();
+  } else if (name == "max_tokens" && value.is_number_unsigned()) {
+    request.max_tokens = value.get<uint64_t>();
+  } else if (name == "after" && value.is_number_unsigned() && value.get<uint64_t>() < kMaxExpectedTurns) {
+    request.expected_turns = value.get<uint32_t>();
+  } else if (name == "stream" && value.is_boolean()) {
+    is_streamed = value.get<bool>();
+  } else {
+    return false;
+  }
+  return true;
 }
 
-/// Common headers: deadline, class, key.
-Errors dress(const ApiRequest& a, ProgramRequest& e) {
-  Errors f;
-  e.key = header(a, "idempotency-key");
-  if (e.key.size() > 256)
-    f.push_back({"Idempotency-Key", "is longer than 256 bytes"});
-  auto h = header(a, "x-deadline-ms");
-  if (!h.empty()) {
-    if (h.size() > 9 || h.find_first_not_of("0123456789") != std::string::npos)
-      f.push_back({"X-Deadline-Ms", "is no number of milliseconds"});
-    else
-      e.deadline_ms = std::stoll(h);
+/// Takes a turn's body, and the defaults for what it leaves out.
+void read_turn_body(const std::string& body, ProgramRequest& request, bool& is_streamed, Errors& errors) {
+  auto json = Json::parse(body, nullptr, false);
+  if (json.is_object()) {
+    for (const auto& [name, value] : json.items()) {
+      if (!read_turn_field(name, value, request, is_streamed))
+        errors.push_back({name, "is not known here or of another type"});
+    }
+    if (!json.contains("input"))
+      errors.push_back({"input", "is missing"});
+  } else {
+    errors.push_back({"body", "is no JSON object"});
   }
-  auto c = header(a, "x-class");
-  if (c == "urgent")
-    e.urgent = true;
-  else if (c == "bulk")
-    e.bulk = true;
-  else if (!c.empty() && c != "normal")
-    f.push_back({"X-Class", "is none of urgent, normal, bulk"});
-  e.attempt = "a" + hex(dice());
-  return f;
+  if (request.thread.empty())
+    request.thread = "main";
+  if (request.route.empty())
+    request.route = "chat";
+}
+
+ApiResponse success_response(const ProgramResponse& response) {
+  auto json = success_json(response);
+  json["output"] = response.body;
+  ApiResponse http;
+  http.body = json_line(json);
+  return http;
+}
+
+/// A caller that asked for a stream gets one, also where the response came in one part.
+ApiResponse stream_of_one_chunk(const ProgramResponse& response) {
+  auto end = success_json(response);
+  end["pieces"] = 1;
+  ApiResponse http;
+  http.headers["Content-Type"] = "application/x-ndjson";
+  http.body = json_line(chunk_json({response.attempt, 0, response.body})) + json_line(end);
+  return http;
+}
+
+ApiResponse stream_response(std::shared_ptr<CallerSession> session, const ProgramResponseChunk& first,
+                            const ProgramResponse& timeout) {
+  auto stream = std::make_shared<ResponseStream>(std::move(session), first, timeout);
+  ApiResponse http;
+  http.headers["Content-Type"] = "application/x-ndjson";
+  http.next_chunk = [stream](std::string& bytes) {
+    return stream->next(bytes);
+  };
+  return http;
+}
+
+ApiResponse unknown_path(const ApiRequest& request) {
+  return ApiResponse::error(404, "unknown_path", request.method + " " + request.path + " is nothing here");
 }
 
 }  // namespace
 
-ApiResponse Callers::run(ProgramRequest e, bool stream) {
-  auto [address, words] = sessions_.open();
-  auto a = address;
-  auto w = words;
-  std::shared_ptr<void> open(nullptr, [this, a](void*) { sessions_.close(a); });
-  Envelope env{};
-  env.from = address;
-  auto v = host_.view();
-  env.cluster = v->cluster;
-  env.epoch = v->epoch;
-  auto attempt = e.attempt;
-  auto patience =
-      (e.deadline_ms > 0 ? std::min<Millis>(e.deadline_ms, kDefaultRequestTimeout) : kDefaultRequestTimeout) +
-      kOutcomeTransferTimeout;
-  env.body = std::move(e);
-  host_.post(std::move(env));
-  std::string text;
-  uint32_t n = 0;
-  auto until = process_now() + patience;
-  ProgramResponse lost{
-      attempt, 504, Outcome::unknown, "this worker lost sight of the request", "", 0, 0, kDefaultRetryAfter, false, 0};
+ApiResponse ProgramApi::run(ProgramRequest request, Delivery delivery) {
+  bool names_deadline = request.deadline_ms > 0 && request.deadline_ms <= kDefaultRequestTimeout;
+  auto timeout = names_deadline ? request.deadline_ms : kDefaultRequestTimeout;
+  auto session = std::make_shared<CallerSession>(mailboxes_, process_now() + timeout + kOutcomeTransferTimeout);
+
+  ProgramResponse lost{};
+  lost.attempt = request.attempt;
+  lost.status = 504;
+  lost.executed = Outcome::unknown;
+  lost.reason = "this worker lost sight of the request";
+  lost.retry_ms = kDefaultRetryAfter;
+
+  auto view = host_.view();
+  Envelope envelope{};
+  envelope.from = session->address();
+  envelope.cluster = view->cluster;
+  envelope.epoch = view->epoch;
+  envelope.body = std::move(request);
+  host_.post(std::move(envelope));
+
   while (true) {
-    auto m = w->pop(std::max<Millis>(1, until - process_now()));
-    if (!m)
-      return refused(lost);
-    if (auto* p = std::get_if<ProgramResponseChunk>(&*m)) {
-      text += p->text;
-      ++n;
-      if (!stream)
-        continue;
-      ApiResponse r;
-      r.headers["Content-Type"] = "application/x-ndjson";
-      auto first = std::make_shared<std::optional<ProgramResponseChunk>>(*p);
-      auto over = std::make_shared<int>(0);
-      r.next_chunk = [=](std::string& o) mutable -> ApiResponse::StreamState {
-        auto piece = [](const ProgramResponseChunk& x) {
-          return dump({{"n", x.index}, {"text", x.text}});
-        };
-        if (*over)
-          return *over == 1 ? ApiResponse::StreamState::finished : ApiResponse::StreamState::aborted;
-        if (*first) {
-          o = piece(**first);
-          first->reset();
-          return ApiResponse::StreamState::more;
-        }
-        auto m = w->pop(std::max<Millis>(1, until - process_now()));
-        if (m && std::holds_alternative<ProgramResponseChunk>(*m))
-          return o = piece(std::get<ProgramResponseChunk>(*m)), ApiResponse::StreamState::more;
-        auto* end = m ? std::get_if<ProgramResponse>(&*m) : nullptr;
-        if (m && !end)
-          return ApiResponse::StreamState::more;
-        bool good = end && end->status == 200;
-        o = dump(good ? done(*end) : verdict(end ? *end : lost));
-        *over = good ? 1 : 2;
-        open.reset();
-        return ApiResponse::StreamState::more;
-      };
-      return r;
-    }
-    if (auto* end = std::get_if<ProgramResponse>(&*m)) {
-      if (end->status != 200)
-        return refused(*end);
-      ApiResponse r;
-      if (stream) {
-        r.headers["Content-Type"] = "application/x-ndjson";
-        auto d = done(*end);
-        d["pieces"] = 1;
-        r.body = dump({{"n", 0}, {"text", end->body}}) + dump(d);
-        return r;
-      }
-      auto d = done(*end);
-      d["output"] = end->body;
-      r.body = dump(d);
-      return r;
-    }
+    auto message = session->receive();
+    if (!message)
+      return failure_response(lost);
+    const auto* chunk = std::get_if<ProgramResponseChunk>(&*message);
+    if (chunk && delivery == Delivery::streamed)
+      return stream_response(session, *chunk, lost);
+    const auto* response = std::get_if<ProgramResponse>(&*message);
+    if (!response)
+      continue;
+    if (response->status != 200)
+      return failure_response(*response);
+    return delivery == Delivery::streamed ? stream_of_one_chunk(*response) : success_response(*response);
   }
 }
 
-ApiResponse Callers::turn(const ApiRequest& a, const std::string& cell, const std::string& program) {
-  ProgramRequest e{};
-  auto f = dress(a, e);
-  auto j = Json::parse(a.body, nullptr, false);
-  bool stream = false;
-  if (!j.is_object()) {
-    f.push_back({"body", "is no JSON object"});
-  } else {
-    for (auto& [k, v] : j.items()) {
-      if (k == "input" && v.is_string())
-        e.body = v;
-      else if (k == "prefix" && v.is_string())
-        e.prefix = v;
-      else if (k == "thread" && v.is_string())
-        e.thread = v;
-      else if (k == "route" && v.is_string())
-        e.route = v;
-      else if (k == "max_tokens" && v.is_number_unsigned())
-        e.max_tokens = v;
-      else if (k == "after" && v.is_number_unsigned() && v < 1000000)
-        e.expected_turns = v.get<uint32_t>();
-      else if (k == "stream" && v.is_boolean())
-        stream = v;
-      else
-        f.push_back({k, "is not known here or of another type"});
-    }
-    if (!j.contains("input"))
-      f.push_back({"input", "is missing"});
-  }
-  if (e.thread.empty())
-    e.thread = "main";
-  if (e.route.empty())
-    e.route = "chat";
-  if (!f.empty())
-    return ApiResponse::error(400, "invalid", f);
-  e.kind = "model";
-  e.cell = cell;
-  e.program = program;
-  return run(std::move(e), stream);
+ApiResponse ProgramApi::answer_turn(const ApiRequest& http, const std::string& cell, const std::string& program) {
+  Errors errors;
+  bool is_streamed = false;
+  auto request = read_headers(http, kModelRequest, cell, errors);
+  request.program = program;
+  read_turn_body(http.body, request, is_streamed, errors);
+  if (!errors.empty())
+    return ApiResponse::error(400, "invalid", errors);
+  return run(std::move(request), is_streamed ? Delivery::streamed : Delivery::complete);
 }
 
-ApiResponse Callers::app(const ApiRequest& a, const std::string& cell, const std::string& path) {
-  ProgramRequest e{};
-  if (auto f = dress(a, e); !f.empty())
-    return ApiResponse::error(400, "invalid", f);
-  e.kind = "app";
-  e.cell = cell;
-  e.route = header(a, "x-route").empty() ? "app" : header(a, "x-route");
-  e.method = a.method;
-  e.path = path;
-  e.body = a.body;
-  e.idempotent = a.method == "GET" || a.method == "HEAD" || header(a, "x-repeatable") == "yes";
-  if (a.method == "HEAD")
-    e.method = "GET";
-  auto r = run(std::move(e), false);
-  if (r.status != 200)
-    return r;
-  auto j = Json::parse(r.body, nullptr, false);
-  r.body = j["output"].get<std::string>();
-  r.headers["Content-Type"] = "application/octet-stream";
-  return r;
+ApiResponse ProgramApi::answer_application(const ApiRequest& http, const std::string& cell, const std::string& path) {
+  Errors errors;
+  auto request = read_headers(http, kApplicationRequest, cell, errors);
+  if (!errors.empty())
+    return ApiResponse::error(400, "invalid", errors);
+  auto route = header(http, "x-route");
+  bool only_reads = http.method == "GET" || http.method == "HEAD";
+  request.route = route.empty() ? "app" : route;
+  request.method = http.method == "HEAD" ? "GET" : http.method;
+  request.path = path;
+  request.body = http.body;
+  request.idempotent = only_reads || header(http, "x-repeatable") == "yes";
+  auto response = run(std::move(request), Delivery::complete);
+  if (response.status != 200)
+    return response;
+  response.body = Json::parse(response.body, nullptr, false)["output"].get<std::string>();
+  response.headers["Content-Type"] = "application/octet-stream";
+  return response;
 }
 
-ApiResponse Callers::answer(const ApiRequest& a) {
-  if (a.path == "/metrics")
-    return metrics();
-  if (a.path == "/ready") {
-    bool up = false;
-    host_.ask([&](Machine& m, Millis now) { up = static_cast<GatewayMachine&>(m).ready(now); });
-    ApiResponse r;
-    r.body = "{\"ready\":true}\n";
-    return up ? r : ApiResponse::error(503, "not_ready", "this worker is not ready", kDefaultRetryAfter);
-  }
-  if (a.path.starts_with("/v1/cells/")) {
-    auto rest = a.path.substr(10);
-    auto k = rest.find('/');
-    auto cell = rest.substr(0, k);
-    auto tail = k == std::string::npos ? "" : rest.substr(k);
-    if (tail.starts_with("/app/"))
-      return app(a, cell, tail.substr(4));
-    if (tail.starts_with("/programs/")) {
-      auto p = tail.substr(10);
-      auto t = p.find('/');
-      auto name = p.substr(0, t);
-      if (!name.empty() && t != std::string::npos && p.substr(t) == "/turns" && a.method == "POST")
-        return turn(a, cell, name);
-      if (!name.empty() && t == std::string::npos && a.method == "GET") {
-        ProgramRequest e{};
-        if (auto f = dress(a, e); !f.empty())
-          return ApiResponse::error(400, "invalid", f);
-        e.kind = "history";
-        e.cell = cell;
-        e.program = name;
-        auto r = run(std::move(e), false);
-        if (r.status == 200)
-          r.body = Json::parse(r.body)["output"].get<std::string>() + "\n";
-        return r;
-      }
-    }
-  }
-  return ApiResponse::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
+ApiResponse ProgramApi::answer_history(const ApiRequest& http, const std::string& cell, const std::string& program) {
+  Errors errors;
+  auto request = read_headers(http, kHistoryRequest, cell, errors);
+  if (!errors.empty())
+    return ApiResponse::error(400, "invalid", errors);
+  request.program = program;
+  auto response = run(std::move(request), Delivery::complete);
+  if (response.status == 200)
+    response.body = Json::parse(response.body)["output"].get<std::string>() + "\n";
+  return response;
+}
+
+ApiResponse ProgramApi::answer_readiness() {
+  bool is_ready = false;
+  host_.ask([&](Machine& machine, Millis now) { is_ready = static_cast<GatewayMachine&>(machine).ready(now); });
+  if (!is_ready)
+    return ApiResponse::error(503, "not_ready", "this worker is not ready", kDefaultRetryAfter);
+  ApiResponse response;
+  response.body = "{\"ready\":true}\n";
+  return response;
+}
+
+/// `/v1/cells/CELL/app/PATH`, `/v1/cells/CELL/programs/PROGRAM` and `/v1/cells/CELL/programs/PROGRAM/turns`.
+ApiResponse ProgramApi::answer_cell(const ApiRequest& request) {
+  const std::string cells = "/v1/cells/";
+  const std::string application = "/app";
+  const std::string programs = "/programs/";
+  auto in_cells = request.path.substr(cells.size());
+  auto cell_end = in_cells.find('/');
+  if (cell_end == std::string::npos)
+    return unknown_path(request);
+  auto cell = in_cells.substr(0, cell_end);
+  auto in_cell = in_cells.substr(cell_end);
+  if (in_cell.starts_with(application + "/"))
+    return answer_application(request, cell, in_cell.substr(application.size()));
+  if (!in_cell.starts_with(programs))
+    return unknown_path(request);
+  auto in_programs = in_cell.substr(programs.size());
+  auto program_end = in_programs.find('/');
+  auto program = in_programs.substr(0, program_end);
+  auto in_program = program_end == std::string::npos ? "" : in_programs.substr(program_end);
+  if (!program.empty() && in_program == "/turns" && request.method == "POST")
+    return answer_turn(request, cell, program);
+  if (!program.empty() && in_program.empty() && request.method == "GET")
+    return answer_history(request, cell, program);
+  return unknown_path(request);
+}
+
+ApiResponse ProgramApi::answer(const ApiRequest& request) {
+  if (request.path == "/metrics")
+    return answer_metrics();
+  if (request.path == "/ready")
+    return answer_readiness();
+  if (request.path.starts_with("/v1/cells/"))
+    return answer_cell(request);
+  return unknown_path(request);
 }
 
 }  // namespace mosskeel
--- a/src/gateway/program_api_metrics.cpp
+++ b/src/gateway/program_api_metrics.cpp
@@ -4,19 +4,19 @@
 
 namespace mosskeel {
 
-ApiResponse Callers::metrics() {
-  std::map<std::string, double> more;
-  host_.ask([&](Machine& m, Millis now) {
-    auto& s = static_cast<GatewayMachine&>(m);
-    for (auto& [n, v] : s.metrics())
-      more[n] = static_cast<double>(v);
-    more["requests_active"] = static_cast<double>(s.active_requests());
-    more["ready"] = s.ready(now);
+ApiResponse ProgramApi::answer_metrics() {
+  std::map<std::string, double> values;
+  host_.ask([&](Machine& machine, Millis now) {
+    auto& gateway = static_cast<GatewayMachine&>(machine);
+    for (const auto& [name, value] : gateway.metrics())
+      values[name] = static_cast<double>(value);
+    values["requests_active"] = static_cast<double>(gateway.active_requests());
+    values["ready"] = gateway.ready(now);
   });
-  ApiResponse r;
-  r.body = metrics_of(host_, "gateway", more);
-  r.headers["Content-Type"] = "text/plain";
-  return r;
+  ApiResponse response;
+  response.body = metrics_of(host_, "gateway", values);
+  response.headers["Content-Type"] = "text/plain";
+  return response;
 }
 
 }  // namespace mosskeel
