--- /dev/null
+++ b/tests/unit/programs/admission_policy_test.cpp
@@ -0,0 +1,136 @@
+// What a request meets on its arrival at a gateway.
+#include <catch2/catch.hpp>
+
+#include "programs/admission_policy.hpp"
+#include "programs/constants.hpp"
+
+using namespace mosskeel;
+
+namespace {
+
+/// A gateway in service whose cluster has one cell, "news", with one route to models, "chat".
+struct Arrival {
+  Arrival() {
+    metadata.configuration.cells.push_back({"news", 400, 10, 60000, {{"chat", "model", {}}}});
+    self.state = DaemonState::up;
+    self.self.zone = "a";
+    request.attempt = "attempt";
+    request.kind = "model";
+    request.cell = "news";
+    request.route = "chat";
+    request.program = "p";
+  }
+  AdmissionContext context() const {
+    AdmissionContext context{.metadata = metadata};
+    context.self = &self;
+    context.has_majority_contact = true;
+    context.is_confirmed = true;
+    context.is_served_here = true;
+    return context;
+  }
+  std::optional<RequestRejection> evaluate(const AdmissionContext& context) {
+    return evaluate_admission(request, context);
+  }
+
+  Metadata metadata;
+  Daemon self;
+  ProgramRequest request{};
+};
+
+}  // namespace
+
+TEST_CASE("Admission fills in the key, the token limit and the timeout that a caller left open") {
+  Arrival arrival;
+
+  CHECK_FALSE(arrival.evaluate(arrival.context()));
+
+  CHECK(arrival.request.key == "attempt");
+  CHECK(arrival.request.max_tokens == 10);
+  CHECK(arrival.request.deadline_ms == kDefaultRequestTimeout);
+}
+
+TEST_CASE("Admission rejects callers of a gateway that shuts down, and takes what other gateways forward") {
+  Arrival arrival;
+  auto context = arrival.context();
+  context.is_shutting_down = true;
+
+  auto from_caller = arrival.evaluate(context);
+  context.is_forwarded = true;
+  auto from_gateway = arrival.evaluate(context);
+
+  REQUIRE(from_caller);
+  CHECK(from_caller->status == 503);
+  CHECK_FALSE(from_gateway);
+}
+
+TEST_CASE("Admission rejects everything without majority contact") {
+  Arrival arrival;
+  auto context = arrival.context();
+  context.has_majority_contact = false;
+
+  auto turn = arrival.evaluate(context);
+  arrival.request.kind = "history";
+  auto history = arrival.evaluate(context);
+
+  REQUIRE(turn);
+  CHECK(turn->status == 503);
+  REQUIRE(history);
+  CHECK(history->status == 503);
+}
+
+TEST_CASE("Admission rejects an unknown cell or route with 404") {
+  Arrival arrival;
+  arrival.request.route = "other";
+  auto unknown_route = arrival.evaluate(arrival.context());
+  arrival.request.cell = "other";
+  auto unknown_cell = arrival.evaluate(arrival.context());
+
+  REQUIRE(unknown_route);
+  CHECK(unknown_route->status == 404);
+  REQUIRE(unknown_cell);
+  CHECK(unknown_cell->status == 404);
+}
+
+TEST_CASE("Admission sheds bulk requests first and urgent ones last as the queue grows") {
+  struct Row {
+    size_t queued;
+    bool takes_bulk;
+    bool takes_normal;
+    bool takes_urgent;
+  };
+  const Row rows[] = {{kMaxQueuedRequests / 4 - 1, true, true, true},
+                      {kMaxQueuedRequests / 4, false, true, true},
+                      {kMaxQueuedRequests, false, false, true},
+                      {kMaxQueuedRequests + kUrgentQueueReserve, false, false, false}};
+  for (const auto& row : rows) {
+    INFO(row.queued);
+    Arrival bulk;
+    Arrival normal;
+    Arrival urgent;
+    bulk.request.bulk = true;
+    urgent.request.urgent = true;
+    auto takes = [&](Arrival& arrival) {
+      auto context = arrival.context();
+      context.queued = row.queued;
+      return !arrival.evaluate(context);
+    };
+    CHECK(takes(bulk) == row.takes_bulk);
+    CHECK(takes(normal) == row.takes_normal);
+    CHECK(takes(urgent) == row.takes_urgent);
+  }
+}
+
+TEST_CASE("Admission rejects at once what would wait longer than its share of time, unless it waits elsewhere") {
+  Arrival arrival;
+  auto context = arrival.context();
+  context.expected_wait = kMaxQueueWait / 2 + 1;
+
+  auto here = arrival.evaluate(context);
+  context.is_served_here = false;
+  auto elsewhere = arrival.evaluate(context);
+
+  REQUIRE(here);
+  CHECK(here->status == 503);
+  CHECK(here->retry_after_ms == kMaxQueueWait / 2 + 1);
+  CHECK_FALSE(elsewhere);
+}
--- a/tests/unit/programs/majority_contact_test.cpp
+++ b/tests/unit/programs/majority_contact_test.cpp
@@ -1,4 +1,4 @@
-// How long a gateway dispatches while the log moves on ahead of it.
+// How long a gateway dispatches while the metadata log moves on ahead of it.
 #include <catch2/catch.hpp>
 
 #include "messages/constants.hpp"
@@ -10,84 +10,109 @@
 
 namespace {
 
-constexpr Millis start = kProcessClockStart;
+constexpr Millis kStart = kProcessClockStart;
 
 Candidate candidate(uint64_t incarnation, Role role, const std::string& address, const std::string& agent = "") {
   return {Incarnation{incarnation}, role, "zone", address, agent, "http-" + address, address};
 }
 
-/// A gateway that its agent has just told the newest metadata.
-struct Touch {
-  Metadata metadata{};
-  Candidate self = candidate(21, Role::front, "gateway", "agent");
-  GatewayMachine gateway{Identity{self, {}}, start};
-
-  void commit(const Transformation& t) {
-    auto r = apply(metadata, {next(metadata.epoch), "", t});
-    REQUIRE(r.ok());
-    metadata = r.value();
-  }
-  Touch() {
+/// A gateway that has just got the newest metadata from its agent.
+class ConnectedGateway {
+ public:
+  ConnectedGateway() {
     commit(FoundCluster{7, 1, {candidate(1, Role::controller, "controller")}});
-    commit(Register{self});
-    answer(start, metadata.epoch, metadata);
-  }
-  Envelope envelope(Epoch epoch, Message body) const {
-    return {kProtocolRevision, metadata.cluster, epoch,          1, "agent", Incarnation{},
-            "gateway",         self.incarnation, std::move(body)};
+    commit(Register{self_});
+    answer_heartbeat(kStart, metadata_.epoch, metadata_);
   }
-  Actions answer(Millis sent, Epoch epoch, std::optional<Metadata> checkpoint = std::nullopt, Millis now = 0) {
-    HeartbeatReply r{epoch, std::move(checkpoint), {}, 0, true, sent};
-    return gateway.step(envelope(epoch, std::move(r)), std::max(now, sent));
+
+  Epoch epoch() const { return metadata_.epoch; }
+  Entry next_entry() const { return {next(metadata_.epoch), "", Register{candidate(31, Role::store, "store")}}; }
+
+  /// The agent's answer to a heartbeat that was sent then.
+  void answer_heartbeat(Millis sent, Epoch epoch, std::optional<Metadata> checkpoint = std::nullopt) {
+    HeartbeatReply reply{epoch, std::move(checkpoint), {}, 0, true, sent};
+    machine.step(envelope(epoch, std::move(reply)), sent);
   }
   /// A message that is stamped with an epoch which the gateway does not have.
-  Actions hear_of(Epoch epoch, Millis now) {
-    return gateway.step(envelope(epoch, ProgramRequestAcknowledgement{"nobody's"}), now);
+  Actions receive_stamped(Epoch epoch, Millis now) {
+    return machine.step(envelope(epoch, ProgramRequestAcknowledgement{"unknown attempt"}), now);
   }
-  Entry next_entry() const { return {next(metadata.epoch), "", Register{candidate(31, Role::store, "store")}}; }
+  void receive_entry(const Entry& entry, Millis now) { machine.step(envelope(entry.epoch, Decided{entry}), now); }
+
+ private:
+  void commit(const Transformation& transformation) {
+    auto result = apply(metadata_, {next(metadata_.epoch), "", transformation});
+    REQUIRE(result.ok());
+    metadata_ = result.value();
+  }
+  Envelope envelope(Epoch epoch, Message body) const {
+    return {kProtocolRevision, metadata_.cluster, epoch,          1, "agent", Incarnation{},
+            "gateway",         self_.incarnation, std::move(body)};
+  }
+
+  Metadata metadata_{};
+  Candidate self_ = candidate(21, Role::front, "gateway", "agent");
+
+ public:
+  GatewayMachine machine{Identity{self_, {}}, kStart};
 };
 
-size_t catchups(const Actions& a) {
-  return static_cast<size_t>(
-      std::count_if(a.now.begin(), a.now.end(), [](auto& e) { return std::holds_alternative<Catchup>(e.body); }));
+size_t catchup_requests(const Actions& actions) {
+  return static_cast<size_t>(std::count_if(actions.now.begin(), actions.now.end(), [](const Envelope& envelope) {
+    return std::holds_alternative<Catchup>(envelope.body);
+  }));
 }
 
 }  // namespace
 
 TEST_CASE("GatewayMachine dispatches for a limited time after it has heard of a later epoch") {
-  Touch t;
-  CHECK(t.gateway.has_majority_contact(start));
-  t.hear_of(next(t.metadata.epoch), start + 10);
-  CHECK(t.gateway.has_majority_contact(start + 11));
-  CHECK(t.gateway.routing_snapshot(start + 11).dispatch_until > start + 11);
-  CHECK_FALSE(t.gateway.has_majority_contact(start + 10 + kIsolationTimeout / 2));
-  CHECK(t.gateway.routing_snapshot(start + 11).dispatch_until <= start + 10 + kIsolationTimeout / 2);
+  ConnectedGateway gateway;
+  const auto& machine = gateway.machine;
+  CHECK(machine.has_majority_contact(kStart));
+
+  gateway.receive_stamped(next(gateway.epoch()), kStart + 10);
+
+  auto limit = kStart + 10 + kIsolationTimeout / 2;
+  CHECK(machine.has_majority_contact(kStart + 11));
+  CHECK(machine.routing_snapshot(kStart + 11).dispatch_until > kStart + 11);
+  CHECK_FALSE(machine.has_majority_contact(limit));
+  CHECK(machine.routing_snapshot(kStart + 11).dispatch_until <= limit);
 }
 
 TEST_CASE("GatewayMachine does not extend that time when it hears of ever later epochs") {
-  Touch t;
-  auto epoch = t.metadata.epoch.value();
-  for (Millis k = 0; k < 20; ++k)
-    t.hear_of(Epoch{epoch + 1 + static_cast<uint64_t>(k)}, start + 10 + k * 50);
-  CHECK_FALSE(t.gateway.has_majority_contact(start + 10 + kIsolationTimeout / 2));
+  ConnectedGateway gateway;
+
+  for (uint64_t i = 0; i < 20; ++i) {
+    Epoch later{gateway.epoch().value() + 1 + i};
+    gateway.receive_stamped(later, kStart + 10 + static_cast<Millis>(i) * 50);
+  }
+
+  CHECK_FALSE(gateway.machine.has_majority_contact(kStart + 10 + kIsolationTimeout / 2));
 }
 
 TEST_CASE("GatewayMachine counts contact at an epoch ahead of its entry once the entry is there, and not before") {
-  Touch t;
-  auto e = t.next_entry();
-  t.answer(start + 1500, e.epoch);
-  CHECK(t.gateway.has_majority_contact(start + kIsolationTimeout - 1));
-  CHECK_FALSE(t.gateway.has_majority_contact(start + kIsolationTimeout));
-  t.gateway.step(t.envelope(e.epoch, Decided{e}), start + 1600);
-  CHECK(t.gateway.has_majority_contact(start + kIsolationTimeout + 1));
-  CHECK_FALSE(t.gateway.has_majority_contact(start + 1500 + kIsolationTimeout));
+  ConnectedGateway gateway;
+  const auto& machine = gateway.machine;
+  auto entry = gateway.next_entry();
+
+  gateway.answer_heartbeat(kStart + 1500, entry.epoch);
+  CHECK(machine.has_majority_contact(kStart + kIsolationTimeout - 1));
+  CHECK_FALSE(machine.has_majority_contact(kStart + kIsolationTimeout));
+
+  gateway.receive_entry(entry, kStart + 1600);
+  CHECK(machine.has_majority_contact(kStart + kIsolationTimeout + 1));
+  CHECK_FALSE(machine.has_majority_contact(kStart + 1500 + kIsolationTimeout));
 }
 
 TEST_CASE("GatewayMachine asks once for a missing epoch, and again when nothing comes") {
-  Touch t;
-  size_t asked = 0;
-  for (Millis k = 0; k < 100; ++k)
-    asked += catchups(t.hear_of(next(t.metadata.epoch), start + 10 + k));
-  CHECK(asked == 1);
-  CHECK(catchups(t.hear_of(next(t.metadata.epoch), start + 10 + kCatchUpInterval)) == 1);
+  ConnectedGateway gateway;
+  auto missing = next(gateway.epoch());
+
+  size_t requests = 0;
+  for (Millis i = 0; i < 100; ++i)
+    requests += catchup_requests(gateway.receive_stamped(missing, kStart + 10 + i));
+  auto requests_later = catchup_requests(gateway.receive_stamped(missing, kStart + 10 + kCatchUpInterval));
+
+  CHECK(requests == 1);
+  CHECK(requests_later == 1);
 }
--- a/tests/unit/programs/program_requests_test.cpp
+++ b/tests/unit/programs/program_requests_test.cpp
@@ -1,4 +1,4 @@
-// The gateway's word on keys, retention and order, in a simulated fleet without troubles.
+// Requests to programs end to end, in a simulated cluster without faults: keys, order, retention, lost stores.
 #include <catch2/catch.hpp>
 
 #include "history/constants.hpp"
@@ -9,110 +9,138 @@
 
 namespace {
 
-struct Fleet {
-  World w{5, {3, 3, 3, 4, 3}};
-  Callers c{w, 4, 3, 400, 10};
-  Fleet() { REQUIRE(c.introduce()); }
-  ~Fleet() { w.died = nullptr; }
-
-  ProgramResponse ask(ProgramRequest e, const std::string& front = "gateway1") {
-    std::optional<ProgramResponse> got;
-    auto old = w.local;
-    w.local = [&](Node& n, const Envelope& x) {
-      if (x.to != "local:test")
-        return old(n, x);
-      if (auto* end = std::get_if<ProgramResponse>(&x.body))
-        got = *end;
-    };
-    e.attempt = "t" + std::to_string(w.roll());
-    e.cell = "news";
-    if (e.kind.empty())
-      e.kind = "model", e.route = "chat";
-    Envelope env{};
-    env.from = "local:test";
-    env.body = e;
-    w.post(front, env);
-    w.until(20000, [&] { return got.has_value(); });
-    w.local = old;
-    REQUIRE(got);
-    return *got;
+constexpr const char* kTestSession = "local:test";
+constexpr Millis kResponseTimeout = 20000;
+
+/// A cluster that serves the cell "news", and a caller that asks one thing after the other.
+class ProgramCluster {
+ public:
+  ProgramCluster() { REQUIRE(callers.introduce()); }
+  ~ProgramCluster() { world.died = nullptr; }
+
+  ProgramResponse send_turn(const std::string& program, const std::string& key, const std::string& input,
+                            std::optional<uint32_t> expected_turns = std::nullopt) {
+    ProgramRequest request{};
+    request.kind = "model";
+    request.route = "chat";
+    request.program = program;
+    request.thread = "main";
+    request.key = key;
+    request.body = input;
+    request.expected_turns = expected_turns;
+    return send(std::move(request), "gateway1");
   }
-  ProgramResponse turn(const std::string& program, const std::string& key, const std::string& body,
-                       std::optional<uint32_t> after = std::nullopt) {
-    ProgramRequest e{};
-    e.program = program;
-    e.thread = "main";
-    e.key = key;
-    e.body = body;
-    e.expected_turns = after;
-    return ask(e);
+
+  ProgramResponse read_history(const std::string& program) {
+    ProgramRequest request{};
+    request.kind = "history";
+    request.program = program;
+    return send(std::move(request), "gateway2");
   }
-  ProgramResponse history(const std::string& program) {
-    ProgramRequest e{};
-    e.kind = "history";
-    e.program = program;
-    return ask(e, "gateway2");
+
+  void set_retention(Millis retention) {
+    auto configuration = world.node("controller1").machine->view()->configuration;
+    configuration.cells[0].retention_ms = retention;
+    bool is_committed = false;
+    callers.commit(ApplyConfiguration{Revision{1}, configuration},
+                   [&](const CommitReply& reply) { is_committed = reply.outcome == CommitOutcome::committed; });
+    REQUIRE(world.until(5000, [&] { return is_committed; }));
+  }
+
+  void restart_gateways() {
+    for (const auto& gateway : world.names(Kind::gateway)) {
+      world.kill(gateway);
+      world.start(gateway);
+    }
+  }
+
+  World world{5, {3, 3, 3, 4, 3}};
+  Callers callers{world, 4, 3, 400, 10};
+
+ private:
+  ProgramResponse send(ProgramRequest request, const std::string& gateway) {
+    std::optional<ProgramResponse> response;
+    auto deliver_to_others = world.local;
+    world.local = [&](Node& node, const Envelope& envelope) {
+      if (envelope.to != kTestSession)
+        return deliver_to_others(node, envelope);
+      if (const auto* received = std::get_if<ProgramResponse>(&envelope.body))
+        response = *received;
+    };
+    request.attempt = "t" + std::to_string(world.roll());
+    request.cell = "news";
+    Envelope envelope{};
+    envelope.from = kTestSession;
+    envelope.body = std::move(request);
+    world.post(gateway, envelope);
+    world.until(kResponseTimeout, [&] { return response.has_value(); });
+    world.local = deliver_to_others;
+    REQUIRE(response);
+    return *response;
   }
 };
 
 }  // namespace
 
-TEST_CASE("a key runs once: the kept answer, or 409 for another body") {
-  Fleet f;
-  auto a = f.turn("p", "k", "question");
-  CHECK(a.status == 200);
-  auto b = f.turn("p", "k", "question");
-  CHECK(b.status == 200);
-  CHECK(b.body == a.body);
-  auto c = f.turn("p", "k", "other question");
-  CHECK(c.status == 409);
-  CHECK(c.executed == Outcome::no);
-  CHECK(f.w.failures.empty());
+TEST_CASE("A key runs once: its second request gets the recorded answer, or 409 with another body") {
+  ProgramCluster cluster;
+
+  auto first = cluster.send_turn("p", "k", "question");
+  auto second = cluster.send_turn("p", "k", "question");
+  auto with_other_body = cluster.send_turn("p", "k", "other question");
+
+  CHECK(first.status == 200);
+  CHECK(second.status == 200);
+  CHECK(second.body == first.body);
+  CHECK(with_other_body.status == 409);
+  CHECK(with_other_body.executed == Outcome::no);
+  CHECK(cluster.world.failures.empty());
 }
 
-TEST_CASE("a follow-on turn names how many turns it follows") {
-  Fleet f;
-  CHECK(f.turn("p", "k1", "a", 1).status == 404);
-  CHECK(f.turn("p", "k2", "a", 0).status == 200);
-  CHECK(f.turn("p", "k3", "b", 0).status == 409);
-  CHECK(f.turn("p", "k4", "b", 1).turn == 2);
-  CHECK(f.turn("p", "k5", "c", 3).status == 409);
+TEST_CASE("A follow-on turn runs only if it names the number of turns before it") {
+  ProgramCluster cluster;
+
+  CHECK(cluster.send_turn("p", "k1", "a", 1).status == 404);
+  CHECK(cluster.send_turn("p", "k2", "a", 0).status == 200);
+  CHECK(cluster.send_turn("p", "k3", "b", 0).status == 409);
+  CHECK(cluster.send_turn("p", "k4", "b", 1).turn == 2);
+  CHECK(cluster.send_turn("p", "k5", "c", 3).status == 409);
 }
 
-TEST_CASE("a conversation is kept for its retention and has then ended") {
-  Fleet f;
-  auto m = f.w.node("controller1").machine->view()->configuration;
-  m.cells[0].retention_ms = 5000;
-  bool done = false;
-  f.c.commit(ApplyConfiguration{Revision{1}, m},
-             [&](const CommitReply& r) { done = r.outcome == CommitOutcome::committed; });
-  REQUIRE(f.w.until(5000, [&] { return done; }));
-  f.w.run(1000);
-  CHECK(f.turn("p", "k1", "a").status == 200);
-  f.w.run(4000);
-  CHECK(f.history("p").status == 200);
-  CHECK(f.turn("p", "k2", "b", 1).status == 200);
-  f.w.run(4500);
-  CHECK(f.history("p").status == 200);
-  f.w.run(5000 + kRetentionMargin + 40000);
-  CHECK(f.history("p").status == 410);
-  CHECK(f.turn("p", "k3", "c", 2).status == 410);
-  CHECK(f.turn("p", "k1", "a").executed == Outcome::unknown);
+TEST_CASE("A conversation is kept for its retention after the last turn and has then ended") {
+  ProgramCluster cluster;
+  auto& world = cluster.world;
+  cluster.set_retention(5000);
+  world.run(1000);
+
+  CHECK(cluster.send_turn("p", "k1", "a").status == 200);
+  world.run(4000);
+  CHECK(cluster.read_history("p").status == 200);
+  CHECK(cluster.send_turn("p", "k2", "b", 1).status == 200);
+  world.run(4500);
+  CHECK(cluster.read_history("p").status == 200);
+
+  world.run(5000 + kRetentionMargin + 40000);
+  CHECK(cluster.read_history("p").status == 410);
+  CHECK(cluster.send_turn("p", "k3", "c", 2).status == 410);
+  CHECK(cluster.send_turn("p", "k1", "a").executed == Outcome::unknown);
 }
 
-TEST_CASE("nothing is called missing while too few stores answer") {
-  Fleet f;
-  CHECK(f.turn("p", "k1", "a").status == 200);
-  f.w.power_off("store1");
-  f.w.power_off("store2");
-  for (auto& s : f.w.names(Kind::gateway))
-    f.w.kill(s), f.w.start(s);
-  f.w.run(6000);
-  auto e = f.history("p");
-  CHECK(e.status == 503);
-  CHECK(e.retry_ms > 0);
-  CHECK(f.turn("p", "k2", "b", 1).status == 503);
-  f.w.start("store1");
-  f.w.run(6000);
-  CHECK(f.history("p").status == 200);
+TEST_CASE("No conversation is reported missing while too few stores answer") {
+  ProgramCluster cluster;
+  auto& world = cluster.world;
+  CHECK(cluster.send_turn("p", "k1", "a").status == 200);
+
+  world.power_off("store1");
+  world.power_off("store2");
+  cluster.restart_gateways();
+  world.run(6000);
+  auto unavailable = cluster.read_history("p");
+  CHECK(unavailable.status == 503);
+  CHECK(unavailable.retry_ms > 0);
+  CHECK(cluster.send_turn("p", "k2", "b", 1).status == 503);
+
+  world.start("store1");
+  world.run(6000);
+  CHECK(cluster.read_history("p").status == 200);
 }
--- /dev/null
+++ b/tests/unit/programs/request_queue_test.cpp
@@ -0,0 +1,64 @@
+// The order in which requests leave a gateway's queue, and how long one would wait.
+#include <catch2/catch.hpp>
+
+#include "programs/constants.hpp"
+#include "programs/request_queue.hpp"
+
+using namespace mosskeel;
+
+namespace {
+
+OpenRequest& queue_request(OpenRequests& requests, RequestQueue& queue, const std::string& attempt, bool is_urgent) {
+  OpenRequest open;
+  open.request.attempt = attempt;
+  open.request.kind = "model";
+  open.request.urgent = is_urgent;
+  open.arrival_number = requests.size() + 1;
+  open.arrived_at = 1000;
+  auto& added = requests.add(std::move(open));
+  queue.push(added);
+  return added;
+}
+
+}  // namespace
+
+TEST_CASE("RequestQueue serves urgent requests first, else in the order of their arrival") {
+  OpenRequests requests;
+  RequestQueue queue(requests);
+  queue_request(requests, queue, "first", false);
+  queue_request(requests, queue, "second", false);
+  queue_request(requests, queue, "urgent", true);
+
+  CHECK(queue.pop().attempt == "urgent");
+  CHECK(queue.pop().attempt == "first");
+  CHECK(queue.pop().attempt == "second");
+  CHECK(queue.empty());
+}
+
+TEST_CASE("RequestQueue counts the wait from the arrival, and from the retry where there is one") {
+  OpenRequests requests;
+  RequestQueue queue(requests);
+
+  auto& open = queue_request(requests, queue, "attempt", false);
+  CHECK(open.waiting_since == 1000);
+
+  open.waiting_since = 1500;
+  queue.push(open);
+  CHECK(open.waiting_since == 1500);
+}
+
+TEST_CASE("RequestQueue expects a wait by the requests ahead and the pace at which others left") {
+  OpenRequests requests;
+  RequestQueue queue(requests);
+  for (int i = 0; i < 4; ++i)
+    queue_request(requests, queue, "attempt " + std::to_string(i), i == 0);
+  CHECK(queue.expected_wait("model", false) == 0);
+
+  queue.record_departure("model", 2000);
+  queue.record_departure("model", 2000 + 1000);
+
+  auto interval = 1000 * kQueuePaceSmoothing;
+  CHECK(queue.expected_wait("model", false) == static_cast<Millis>(4 * interval));
+  CHECK(queue.expected_wait("model", true) == static_cast<Millis>(1 * interval));
+  CHECK(queue.expected_wait("app", false) == 0);
+}
--- /dev/null
+++ b/tests/unit/replication/agent_shutdown_test.cpp
@@ -0,0 +1,69 @@
+// When an agent that was told to shut down stops: it is its gateway's link to the core and outlives it.
+#include <catch2/catch.hpp>
+
+#include "replication/agent_machine.hpp"
+#include "replication/constants.hpp"
+#include "runtime/constants.hpp"
+
+using namespace mosskeel;
+
+namespace {
+
+constexpr const char* kGatewayAddress = "10.0.0.1:1";
+constexpr const char* kAgentAddress = "10.0.0.1:2";
+
+Candidate gateway_of_incarnation(uint64_t incarnation) {
+  return {Incarnation{incarnation}, Role::front, "z1", kGatewayAddress, kAgentAddress, "", "machine-1"};
+}
+
+Identity agent_identity() {
+  Identity identity{};
+  identity.self = {Incarnation{1}, Role::front, "z1", kAgentAddress, kGatewayAddress, "", "machine-1"};
+  identity.dice = 99;
+  return identity;
+}
+
+Envelope heartbeat_of(const Candidate& gateway, bool is_shutting_down, Millis now) {
+  Heartbeat heartbeat{};
+  heartbeat.self = gateway;
+  heartbeat.sent = now;
+  heartbeat.leaving = is_shutting_down;
+  Envelope envelope{};
+  envelope.from = kGatewayAddress;
+  envelope.body = heartbeat;
+  return envelope;
+}
+
+/// Lets time pass; whether the machine stops by itself meanwhile.
+bool stops_within(AgentMachine& agent, Millis& now, Millis duration) {
+  for (auto end = now + duration; now < end; now += kTickInterval) {
+    if (agent.tick(now).stop)
+      return true;
+  }
+  return false;
+}
+
+}  // namespace
+
+TEST_CASE("An agent that shuts down outlives a gateway that gets no processor time for a second") {
+  Millis now = kProcessClockStart;
+  AgentMachine agent(agent_identity(), now);
+  agent.leave();
+
+  agent.step(heartbeat_of(gateway_of_incarnation(1), true, now), now);
+
+  CHECK_FALSE(stops_within(agent, now, 1500));
+  CHECK(stops_within(agent, now, kAgentShutdownDelay));
+}
+
+TEST_CASE("An agent that shuts down stops as soon as its gateway was restarted") {
+  Millis now = kProcessClockStart;
+  AgentMachine agent(agent_identity(), now);
+  agent.step(heartbeat_of(gateway_of_incarnation(1), true, now), now);
+  agent.leave();
+  CHECK_FALSE(stops_within(agent, now, 3 * kTickInterval));
+
+  agent.step(heartbeat_of(gateway_of_incarnation(2), false, now), now);
+
+  CHECK(stops_within(agent, now, 2 * kTickInterval));
+}
