--- a/src/programs/request_pipeline.cpp
+++ b/src/programs/request_pipeline.cpp
@@ -14,6 +14,7 @@
       history_writer_(history_writer),
       queue_(requests_),
       responder_(context, requests_, recent_responses_, replica_selector_),
+      request_intake_(context, majority_contact, requests_, recent_responses_, queue_, responder_),
       turn_runners_(context, requests_, turn_client),
       outcome_sender_(context, requests_, responder_),
       outcome_receiver_(context, history_writer),
@@ -22,73 +23,6 @@
       request_forwarder_(context, requests_, responder_),
       history_closer_(context, history_writer, requests_, turn_runners_) {}
 
-void RequestPipeline::handle(const Envelope& envelope, const ProgramRequest& request, Millis now) {
-  ProgramRequestAcknowledgement acknowledgement{request.attempt};
-  if (requests_.find(request.attempt))
-    return context_.outbox.send(envelope.from, acknowledgement, envelope.from_inc);
-  if (recent_responses_.contains(request.attempt)) {
-    if (const auto* response = recent_responses_.find(request.attempt))
-      context_.outbox.send(envelope.from, *response, envelope.from_inc);
-    return;
-  }
-  auto& open = this->open(envelope, request, now);
-  bool is_forwarded = !open.is_from_local_caller();
-  context_.count(is_forwarded ? "requests_forwarded_in" : "requests_received");
-  if (is_forwarded && is_stamped_before_term(envelope, request)) {
-    auto epoch = std::to_string(envelope.epoch.value());
-    context_.outbox.note(Event::stale_epoch_rejected, request.attempt + " placed at " + epoch);
-    open.response.wrong_owner = true;
-    return responder_.reject(open, {503, "placed at an epoch too old for its slot"}, now);
-  }
-  if (is_forwarded)
-    context_.outbox.send(envelope.from, acknowledgement, envelope.from_inc);
-  auto rejection = evaluate_admission(open.request, admission_context(open.request, is_forwarded, now));
-  if (rejection)
-    return responder_.reject(open, std::move(*rejection), now);
-  begin(open, now);
-}
-
-OpenRequest& RequestPipeline::open(const Envelope& envelope, const ProgramRequest& request, Millis now) {
-  OpenRequest open;
-  open.request = request;
-  open.reply_to = envelope.from;
-  if (!open.is_from_local_caller())
-    open.reply_to_incarnation = envelope.from_inc;
-  open.arrived_at = now;
-  open.arrival_number = ++arrivals_;
-  open.response.attempt = request.attempt;
-  return requests_.add(std::move(open));
-}
-
-/// The sender may not know yet that the program has moved; it may have moved here and on meanwhile.
-bool RequestPipeline::is_stamped_before_term(const Envelope& envelope, const ProgramRequest& request) const {
-  const auto& metadata = context_.metadata();
-  if (envelope.epoch >= metadata.epoch || request.kind == kHistoryRequest)
-    return false;
-  auto partition = partition_of(request.cell, request.program);
-  return envelope.epoch < metadata.partitions[partition.value()].term;
-}
-
-AdmissionContext RequestPipeline::admission_context(const ProgramRequest& request, bool is_forwarded,
-                                                    Millis now) const {
-  bool is_stateless = request.kind == kApplicationRequest && (request.idempotent || request.key.empty());
-  bool is_owned = !is_stateless && context_.owns(partition_of(request.cell, request.program));
-  auto queued = requests_.count(RequestStage::queued) + requests_.count(RequestStage::awaiting_previous_turn) +
-                requests_.count(RequestStage::opening_history);
-  auto running = requests_.count(RequestStage::running) + requests_.count(RequestStage::reserving);
-  return {.metadata = context_.metadata(),
-          .self = context_.self(),
-          .has_majority_contact = majority_contact_.is_valid(now),
-          .is_confirmed = majority_contact_.is_confirmed(),
-          .is_shutting_down = context_.shutting_down,
-          .queued = queued,
-          .running = running,
-          .is_forwarded = is_forwarded,
-          .is_served_here = is_stateless || is_forwarded || is_owned,
-          .expected_wait = queue_.expected_wait(request.kind, false),
-          .expected_urgent_wait = queue_.expected_wait(request.kind, true)};
-}
-
 void RequestPipeline::begin(OpenRequest& open, Millis now) {
   auto& request = open.request;
   open.deadline = now + (request.deadline_ms > 0 ? request.deadline_ms : kDefaultRequestTimeout);
@@ -110,7 +44,8 @@
 bool RequestPipeline::handle(const Envelope& envelope, Millis now) {
   const auto& body = envelope.body;
   if (const auto* request = std::get_if<ProgramRequest>(&body)) {
-    handle(envelope, *request, now);
+    if (auto* admitted = request_intake_.admit(envelope, *request, now))
+      begin(*admitted, now);
   } else if (const auto* acknowledgement = std::get_if<ProgramRequestAcknowledgement>(&body)) {
     request_forwarder_.handle(envelope, *acknowledgement);
   } else if (const auto* chunk = std::get_if<ProgramResponseChunk>(&body)) {
--- a/src/programs/request_pipeline.hpp
+++ b/src/programs/request_pipeline.hpp
@@ -1,9 +1,9 @@
 #pragma once
 // The way of a request through a gateway, from its arrival to its response.
-#include "programs/admission_policy.hpp"
 #include "programs/history_closer.hpp"
 #include "programs/replica_dispatcher.hpp"
 #include "programs/request_forwarder.hpp"
+#include "programs/request_intake.hpp"
 
 namespace mosskeel {
 
@@ -15,9 +15,7 @@
   RequestPipeline(GatewayContext& context, const MajorityContact& majority_contact, HistoryWriter& history_writer,
                   const TurnClient& turn_client);
 
-  /// A request from a caller of this process, or one that another gateway forwarded.
-  void handle(const Envelope& envelope, const ProgramRequest& request, Millis now);
-  /// Messages that concern open requests and turns; false leaves the message to others.
+  /// Requests, and messages that concern open requests and turns; false leaves the message to others.
   bool handle(const Envelope& envelope, Millis now);
   /// Goes on with everything that waits for this history.
   void on_history_changed(const HistoryName& history, Millis now);
@@ -31,9 +29,7 @@
   bool is_idle() const { return requests_.empty() && outcome_receiver_.pending() == 0; }
 
  private:
-  AdmissionContext admission_context(const ProgramRequest& request, bool is_forwarded, Millis now) const;
-  OpenRequest& open(const Envelope& envelope, const ProgramRequest& request, Millis now);
-  bool is_stamped_before_term(const Envelope& envelope, const ProgramRequest& request) const;
+  /// Starts a request that was admitted.
   void begin(OpenRequest& open, Millis now);
 
   /// Serves the request here if this gateway owns its program, else forwards it to the owner or back.
@@ -68,6 +64,7 @@
   ReplicaSelector replica_selector_;
   RequestQueue queue_;
   RequestResponder responder_;
+  RequestIntake request_intake_;
   TurnRunners turn_runners_;
   OutcomeSender outcome_sender_;
   OutcomeReceiver outcome_receiver_;
@@ -75,8 +72,6 @@
   ReplicaDispatcher replica_dispatcher_;
   RequestForwarder request_forwarder_;
   HistoryCloser history_closer_;
-  /// Requests taken since the process started.
-  uint64_t arrivals_ = 0;
 };
 
 }  // namespace mosskeel
