--- a/src/gateway/program_api.hpp
+++ b/src/gateway/program_api.hpp
@@ -2,6 +2,7 @@
 // The HTTP interface for callers of programs and applications, as docs/http.md tells it.
 #include "gateway/caller_session.hpp"
 #include "net/http_server.hpp"
+#include "net/local_mailboxes.hpp"
 #include "programs/gateway_machine.hpp"
 #include "runtime/host.hpp"
 
