--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -7,12 +7,11 @@
 
 namespace mosskeel {
 
-CallerSession::CallerSession(LocalMailboxes& mailboxes, Millis deadline) : mailboxes_(mailboxes), deadline_(deadline) {
-  std::tie(address_, mailbox_) = mailboxes_.open();
-}
+CallerSession::CallerSession(LocalMailboxes& mailboxes, Millis deadline)
+    : mailboxes_(mailboxes), deadline_(deadline), opened_(mailboxes.open()) {}
 
 std::optional<Message> CallerSession::receive() {
-  return mailbox_->pop(std::max<Millis>(1, deadline_ - process_now()));
+  return opened_.mailbox->pop(std::max<Millis>(1, deadline_ - process_now()));
 }
 
 ApiResponse::StreamState ResponseStream::next(std::string& bytes) {
@@ -20,14 +19,14 @@
   if (end_)
     return *end_;
   if (first_) {
-    bytes = json_line(chunk_json(*first_));
+    bytes += json_line(chunk_json(*first_));
     first_.reset();
     return State::more;
   }
   auto message = session_->receive();
   if (message) {
     if (const auto* chunk = std::get_if<ProgramResponseChunk>(&*message)) {
-      bytes = json_line(chunk_json(*chunk));
+      bytes += json_line(chunk_json(*chunk));
       return State::more;
     }
     if (!std::holds_alternative<ProgramResponse>(*message))
@@ -35,7 +34,7 @@
   }
   const auto& response = message ? std::get<ProgramResponse>(*message) : timeout_;
   bool succeeded = message && response.status == 200;
-  bytes = json_line(succeeded ? success_json(response) : failure_json(response));
+  bytes += json_line(succeeded ? success_json(response) : failure_json(response));
   end_ = succeeded ? State::finished : State::aborted;
   session_.reset();
   return State::more;
--- a/src/gateway/caller_session.hpp
+++ b/src/gateway/caller_session.hpp
@@ -3,6 +3,7 @@
 #include <optional>
 
 #include "net/http_server.hpp"
+#include "net/local_mailboxes.hpp"
 
 namespace mosskeel {
 
@@ -12,19 +13,18 @@
  public:
   /// `deadline` is a point in time by process_now(), milliseconds.
   CallerSession(LocalMailboxes& mailboxes, Millis deadline);
-  ~CallerSession() { mailboxes_.close(address_); }
+  ~CallerSession() { mailboxes_.close(opened_.address); }
   CallerSession(const CallerSession&) = delete;
   CallerSession& operator=(const CallerSession&) = delete;
 
-  const Address& address() const { return address_; }
+  const Address& address() const { return opened_.address; }
   /// The next message, or nothing where none comes before the deadline.
   std::optional<Message> receive();
 
  private:
   LocalMailboxes& mailboxes_;
   Millis deadline_;
-  Address address_;
-  std::shared_ptr<LocalMailboxes::Mailbox> mailbox_;
+  LocalMailboxes::Opened opened_;
 };
 
 /// A streamed response: one JSON object a line for each chunk, and a last line on how the request ended.
@@ -34,7 +34,7 @@
   ResponseStream(std::shared_ptr<CallerSession> session, ProgramResponseChunk first, ProgramResponse timeout)
       : session_(std::move(session)), first_(std::move(first)), timeout_(std::move(timeout)) {}
 
-  /// Waits for the next line and writes it into `bytes`; `finished` and `aborted` leave that empty.
+  /// Waits for the next line and appends it to `bytes`; `finished` and `aborted` append nothing.
   ApiResponse::StreamState next(std::string& bytes);
 
  private:
--- a/src/gateway/program_response_json.hpp
+++ b/src/gateway/program_response_json.hpp
@@ -2,6 +2,7 @@
 // Responses to callers of programs as JSON and HTTP, as docs/http.md tells them.
 #include <nlohmann/json.hpp>
 
+#include "messages/message.hpp"
 #include "net/http_server.hpp"
 
 namespace mosskeel {
