--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -14,7 +14,7 @@
   return opened_.mailbox->pop(std::max<Millis>(1, deadline_ - process_now()));
 }
 
-ApiResponse::StreamState ResponseStream::next(std::string& bytes) {
+ApiResponse::StreamState ProgramResponseStream::next(std::string& bytes) {
   using State = ApiResponse::StreamState;
   if (end_)
     return *end_;
--- a/src/gateway/caller_session.hpp
+++ b/src/gateway/caller_session.hpp
@@ -28,10 +28,10 @@
 };
 
 /// A streamed response: one JSON object a line for each chunk, and a last line on how the request ended.
-class ResponseStream {
+class ProgramResponseStream {
  public:
   /// `timeout` is reported where the session's deadline passes first.
-  ResponseStream(std::shared_ptr<CallerSession> session, ProgramResponseChunk first, ProgramResponse timeout)
+  ProgramResponseStream(std::shared_ptr<CallerSession> session, ProgramResponseChunk first, ProgramResponse timeout)
       : session_(std::move(session)), first_(std::move(first)), timeout_(std::move(timeout)) {}
 
   /// Waits for the next line and appends it to `bytes`; `finished` and `aborted` append nothing.
--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -115,7 +115,7 @@
 
 ApiResponse stream_response(std::shared_ptr<CallerSession> session, const ProgramResponseChunk& first,
                             const ProgramResponse& timeout) {
-  auto stream = std::make_shared<ResponseStream>(std::move(session), first, timeout);
+  auto stream = std::make_shared<ProgramResponseStream>(std::move(session), first, timeout);
   ApiResponse http;
   http.headers["Content-Type"] = "application/x-ndjson";
   http.next_chunk = [stream](std::string& bytes) {
