--- a/src/daemons/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -1,3 +1,4 @@
+// The storage daemon: wires a StoreMachine to its disk, the network and its HTTP page.
 #include "base/memory.hpp"
 #include "history/constants.hpp"
 #include "history/store_machine.hpp"
@@ -6,73 +7,116 @@
 
 using namespace mosskeel;
 
-int main(int argc, const char** argv) {
-  auto r = read_settings(
-      argc, argv, {"store", "A storage daemon: keeps the histories.", true, true, false, true, true, true, false});
-  if (auto* rc = std::get_if<int>(&r))
-    return *rc;
-  auto& p = std::get<Settings>(r);
-  start_log("store");
-  hold_signals();
-  auto d = open_disk(p.data);
-  if (auto* rc = std::get_if<int>(&d))
-    return *rc;
-  auto disk = std::get<0>(d);
-  Identity id{{disk->recovered().incarnation, Role::store, p.zone, p.listen, "", p.http, p.machine},
-              p.seeds,
-              0,
-              dice(),
-              p.tcm_rpc_ms};
-  return_large_blocks();
-  Host host(disk, p.listen, kStoreInboxBytes);
-  Millis next_look = 0;
-  host.watch([&host, next_look](Machine& m, Millis now) mutable {
-    if (now < next_look)
+namespace {
+
+constexpr const char* kProgram = "store";
+
+StoreMachine& store_of(Machine& machine) {
+  return static_cast<StoreMachine&>(machine);
+}
+
+Identity identity_of(const Settings& settings, Incarnation incarnation) {
+  Identity identity;
+  identity.self = {incarnation, Role::store, settings.zone, settings.listen, "", settings.http, settings.machine};
+  identity.seeds = settings.seeds;
+  identity.core_size = 0;
+  identity.dice = dice();
+  identity.commit_attempt_timeout = settings.tcm_rpc_ms;
+  return identity;
+}
+
+/// Measures the process's load at intervals, on the machine's thread, and tells the machine.
+class LoadMonitor {
+ public:
+  explicit LoadMonitor(const Host& host) : host_(host) {}
+
+  void operator()(Machine& machine, Millis now) {
+    if (now < next_look_at_)
       return;
-    next_look = now + kStoreLoadInterval;
-    bool held_back = host.journal()->pending_bytes() > kMaxBytesWaitingForDisk;
-    static_cast<StoreMachine&>(m).set_load(
-        {held_back || process_memory().over(kStoreMemoryShare), host.waiting() > kMaxBytesWaitingForDisk});
+    next_look_at_ = now + kStoreLoadInterval;
+    bool journal_held_back = host_.journal()->pending_bytes() > kMaxBytesWaitingForDisk;
+    StoreLoad load;
+    load.memory_short = journal_held_back || process_memory().over(kStoreMemoryShare);
+    load.disk_behind = host_.waiting() > kMaxBytesWaitingForDisk;
+    store_of(machine).set_load(load);
+  }
+
+ private:
+  const Host& host_;
+  Millis next_look_at_ = 0;
+};
+
+ApiResponse metrics_response(Host& host) {
+  std::map<std::string, double> metrics;
+  host.ask([&](Machine& machine, Millis) {
+    auto& store = store_of(machine);
+    metrics["histories"] = static_cast<double>(store.history_count());
+    metrics["tombstones"] = static_cast<double>(store.tombstone_count());
+    metrics["incomplete_comparisons"] = store.repair().incomplete_comparisons();
+    metrics["histories_repaired"] = static_cast<double>(store.repair().fetched());
+    metrics["messages_shed"] = static_cast<double>(store.shed_messages());
   });
-  if (auto f =
-          host.start([&](Recovered r, Millis now) { return std::make_unique<StoreMachine>(id, std::move(r), now); });
-      !f.empty())
-    return cannot_start("store", f);
-  auto answer = [&](const ApiRequest& a) {
-    ApiResponse x;
-    if (a.path == "/metrics") {
-      size_t n = 0, g = 0, lacking = 0, fetched = 0, refused = 0;
-      host.ask([&](Machine& m, Millis) {
-        n = static_cast<StoreMachine&>(m).history_count();
-        g = static_cast<StoreMachine&>(m).tombstone_count();
-        lacking = static_cast<StoreMachine&>(m).repair().incomplete_comparisons();
-        fetched = static_cast<StoreMachine&>(m).repair().fetched();
-        refused = static_cast<StoreMachine&>(m).refused();
-      });
-      x.body = metrics_of(host, "store",
-                          {{"histories", static_cast<double>(n)},
-                           {"tombstones", static_cast<double>(g)},
-                           {"incomplete_comparisons", static_cast<double>(lacking)},
-                           {"histories_repaired", static_cast<double>(fetched)},
-                           {"store_refused", static_cast<double>(refused)},
-                           {"messages_refused", static_cast<double>(host.refused())}});
-      x.headers["Content-Type"] = "text/plain";
-      return x;
-    }
-    if (a.path != "/ready")
-      return ApiResponse::error(404, "unknown_path", a.method + " " + a.path + " is nothing here");
-    auto* me = host.view()->find(disk->recovered().incarnation);
-    if (!me || me->state != DaemonState::up)
-      return ApiResponse::error(503, "not_ready", "this store is not in the directory yet", kDefaultRetryAfter);
-    x.body = "{\"ready\":true}\n";
-    return x;
-  };
-  Result<std::unique_ptr<HttpServer>> web = std::unique_ptr<HttpServer>{};
-  if (!p.http.empty())
-    web = HttpServer::open(p.http, answer);
-  if (!web.ok())
-    return cannot_start("store", web.errors());
-  auto rc = run_until_stopped(host, "store", [] { return true; });
-  web.value().reset();
-  return rc;
+  metrics["inbox_messages_dropped"] = static_cast<double>(host.refused());
+  ApiResponse response;
+  response.body = metrics_of(host, kProgram, metrics);
+  response.headers["Content-Type"] = "text/plain";
+  return response;
+}
+
+/// Ready is a store that is up in the directory.
+ApiResponse readiness_response(const Host& host, Incarnation self) {
+  auto view = host.view();
+  auto* daemon = view->find(self);
+  if (!daemon || daemon->state != DaemonState::up)
+    return ApiResponse::error(503, "not_ready", "this store is not in the directory yet", kDefaultRetryAfter);
+  ApiResponse response;
+  response.body = "{\"ready\":true}\n";
+  return response;
+}
+
+ApiResponse respond(Host& host, Incarnation self, const ApiRequest& request) {
+  if (request.path == "/metrics")
+    return metrics_response(host);
+  if (request.path == "/ready")
+    return readiness_response(host, self);
+  return ApiResponse::error(404, "unknown_path", request.method + " " + request.path + " is nothing here");
+}
+
+int run(const Settings& settings, const std::shared_ptr<Disk>& disk) {
+  auto incarnation = disk->recovered().incarnation;
+  auto identity = identity_of(settings, incarnation);
+  return_large_blocks();
+  Host host(disk, settings.listen, kStoreInboxBytes);
+  host.watch(LoadMonitor(host));
+  auto errors = host.start([&](Recovered recovered, Millis now) {
+    return std::make_unique<StoreMachine>(identity, std::move(recovered), now);
+  });
+  if (!errors.empty())
+    return cannot_start(kProgram, errors);
+  Result<std::unique_ptr<HttpServer>> server = std::unique_ptr<HttpServer>{};
+  if (!settings.http.empty())
+    server =
+        HttpServer::open(settings.http, [&](const ApiRequest& request) { return respond(host, incarnation, request); });
+  if (!server.ok())
+    return cannot_start(kProgram, server.errors());
+  auto exit_code = run_until_stopped(host, kProgram, [] { return true; });
+  // Before the host, whose machine it asks.
+  server.value().reset();
+  return exit_code;
+}
+
+}  // namespace
+
+int main(int argc, const char** argv) {
+  Needs needs{kProgram, "A storage daemon: keeps the replicas of histories.", true, true, false, true, true, true,
+              false};
+  auto settings = read_settings(argc, argv, needs);
+  if (auto* exit_code = std::get_if<int>(&settings))
+    return *exit_code;
+  start_log(kProgram);
+  hold_signals();
+  auto disk = open_disk(std::get<Settings>(settings).data);
+  if (auto* exit_code = std::get_if<int>(&disk))
+    return *exit_code;
+  return run(std::get<Settings>(settings), std::get<std::shared_ptr<Disk>>(disk));
 }
--- a/src/history/constants.hpp
+++ b/src/history/constants.hpp
@@ -16,9 +16,9 @@
 constexpr Millis kExpiryScanInterval = 100;
 /// Expired histories reported by one scan.
 constexpr size_t kMaxExpiredPerScan = 16;
-/// Names of deleted histories a partition: the last 2^18 to 2^19, 8 bytes each.
+/// Names of deleted histories a partition: the last 2^18 to 2^19 are kept, 8 bytes each.
 constexpr size_t kTombstonesPerPartition = 1u << 18;
-/// Of them in one message.
+/// Tombstones in one message.
 constexpr size_t kTombstonesPerMessage = 4096;
 /// Milliseconds; between two requests of a store's repair: 5 MB a second at most.
 constexpr Millis kRepairInterval = 50;
@@ -26,18 +26,20 @@
 constexpr Millis kRepairRequestTimeout = 1000;
 /// Milliseconds; histories written later than this are not compared yet.
 constexpr Millis kRepairMinimumAge = 5000;
-/// Histories named in one message.
+/// Histories listed in one message.
 constexpr size_t kRepairSummariesPerMessage = 512;
 /// Histories fetched by one message.
 constexpr size_t kRepairHistoriesPerMessage = 16;
+/// Bytes of records; a repair's message ends after the history that exceeds this.
+constexpr size_t kRepairMessageBytes = 256u << 10;
 /// Milliseconds; an idle history leaves its owner's memory.
 constexpr Millis kIdleHistoryTimeout = 60000;
 /// Pages requested and not yet answered; 2 MB with their copies.
-constexpr size_t kTransferWindowPages = 8;
+constexpr size_t kStreamWindowPages = 8;
 /// Bytes; a page ends after the history that exceeds this.
-constexpr size_t kTransferPageBytes = 128 << 10;
+constexpr size_t kStreamPageBytes = 128 << 10;
 /// Milliseconds; an unanswered page is requested again, from another store first.
-constexpr Millis kTransferPageTimeout = 1000;
+constexpr Millis kStreamPageTimeout = 1000;
 /// Bytes; a shorter journal calls for no checkpoint, however small the state.
 constexpr size_t kMinCheckpointJournalBytes = 4u << 20;
 /// Milliseconds; a partition that moved to other stores is dropped after this.
--- /dev/null
+++ b/src/history/history_expiry.cpp
@@ -0,0 +1,52 @@
+#include "history/history_expiry.hpp"
+
+#include <algorithm>
+
+#include "history/constants.hpp"
+
+namespace mosskeel {
+
+void HistoryExpiry::tick(Millis now) {
+  if (now < next_scan_at_)
+    return;
+  next_scan_at_ = now + kExpiryScanInterval;
+  scan_next_partition();
+}
+
+void HistoryExpiry::scan_next_partition() {
+  auto& metadata = *metadata_log_.view();
+  if (metadata.partitions.empty())
+    return;
+  auto partition_count = static_cast<uint32_t>(metadata.partitions.size());
+  last_scanned_ = PartitionId{(last_scanned_.value() + 1) % partition_count};
+  auto* stored = table_.find(last_scanned_);
+  auto* owner = metadata.find(metadata.partitions[last_scanned_.value()].owner);
+  if (!stored || !owner)
+    return;
+  size_t reported = 0;
+  for (auto& [name, history] : stored->histories) {
+    if (reported == kMaxExpiredPerScan)
+      return;
+    if (!has_expired(history))
+      continue;
+    ++reported;
+    out_.send(owner->self.address, HistoryExpired{name, last_scanned_, history.records.size()},
+              owner->self.incarnation);
+  }
+}
+
+/// Time counts from the last write, over this store's own uptime only, stretched by a margin: what clocks do can
+/// only lengthen the retention. A history keeps the longest retention that any of its records was promised.
+bool HistoryExpiry::has_expired(const History& history) const {
+  if (history.records.empty())
+    return false;
+  if (history.records.back().kind == RecordKind::ended)
+    return true;
+  Millis retention = 0;
+  for (auto& record : history.records)
+    retention = std::max(retention, record.retention_ms);
+  auto stretched = retention + retention / kRetentionStretchDivisor + kRetentionMargin;
+  return clock_.uptime() - history.written_at > stretched;
+}
+
+}  // namespace mosskeel
--- a/src/history/history_writer.cpp
+++ b/src/history/history_writer.cpp
@@ -1,253 +1,328 @@
 #include "history/history_writer.hpp"
-#include "history/constants.hpp"
 
 #include <algorithm>
 
-namespace mosskeel {
-
-bool HistoryWriter::mine(PartitionId s) const {
-  auto& m = *metadata_log_.view();
-  if (s.value() >= m.partitions.size())
-    return false;
-  auto* d = m.find(m.partitions[s.value()].owner);
-  return d && d->self.incarnation == out_.id().self.incarnation;
-}
+#include "history/constants.hpp"
+#include "history/history_version.hpp"
+#include "history/partition_lookup.hpp"
 
-std::vector<const Daemon*> HistoryWriter::targets(const Held& h) const {
-  auto& m = *metadata_log_.view();
-  auto& s = m.partitions[h.partition.value()];
-  std::set<DaemonId> ids(s.stores.begin(), s.stores.end());
-  ids.insert(s.pending_stores.begin(), s.pending_stores.end());
-  std::vector<const Daemon*> v;
-  for (auto id : ids)
-    if (auto* d = m.find(id); d && d->state != DaemonState::left && !m.evacuated.count(d->self.zone))
-      v.push_back(d);
-  return v;
-}
+namespace mosskeel {
 
-/// A read quorum of the set in force, or a write quorum of both sets while places move.
-bool HistoryWriter::enough(const Held& h, const std::function<bool(DaemonId)>& has) const {
+bool HistoryWriter::owns(PartitionId id) const {
   auto& metadata = *metadata_log_.view();
-  auto& partition = metadata.partitions[h.partition.value()];
-  auto count = [&](const std::vector<DaemonId>& set) {
-    return static_cast<size_t>(std::count_if(set.begin(), set.end(), has));
-  };
-  auto written = [&](const std::vector<DaemonId>& set) {
-    return count(set) >= metadata.write_quorum(set.size());
-  };
-  auto size = partition.stores.size();
-  if (h.reading)
-    return size >= metadata.write_quorum(size) && count(partition.stores) >= metadata.read_quorum(size);
-  return written(partition.stores) && (partition.pending_stores.empty() || written(partition.pending_stores));
+  auto* partition = find_partition(metadata, id);
+  auto* owner = partition ? metadata.find(partition->owner) : nullptr;
+  return owner && owner->self.incarnation == out_.id().self.incarnation;
 }
 
-/// What a store said before it knew of the set in force is no word on what it holds as a member of that set.
-bool HistoryWriter::has_read(const Held& h, const Peer& p) const {
-  return p.read && p.read_at >= metadata_log_.view()->partitions[h.partition.value()].stores_epoch;
+const HistoryWriter::OpenHistory* HistoryWriter::find(const HistoryName& name) const {
+  auto found = histories_.find(name);
+  return found == histories_.end() ? nullptr : &found->second;
 }
 
-HistoryWriter::State HistoryWriter::open(const HistoryName& n, Millis now) {
-  auto partition = partition_of(n.cell, n.program);
-  if (!mine(partition))
+HistoryWriter::State HistoryWriter::open(const HistoryName& name, Millis now) {
+  auto partition = partition_of(name.cell, name.program);
+  if (!owns(partition))
     return State::fenced;
   auto term = metadata_log_.view()->partitions[partition.value()].term;
-  auto i = lines_.find(n);
-  if (i != lines_.end() && i->second.term != term) {
-    lines_.erase(i);
-    i = lines_.end();
-  }
-  if (i == lines_.end()) {
-    i = lines_.emplace(n, Held{}).first;
-    i->second.partition = partition;
-    i->second.term = term;
-    i->second.since = now;
-    pump(n, i->second, now, false);
+  auto found = histories_.find(name);
+  if (found != histories_.end() && found->second.term != term) {
+    histories_.erase(found);
+    found = histories_.end();
   }
-  i->second.used = now;
-  auto& h = i->second;
-  if (h.state == State::opening && now - h.since > kHistoryQuorumTimeout) {
-    if (h.reading)
-      lines_.erase(i);
+  if (found == histories_.end())
+    found = begin_opening(name, partition, term, now);
+  auto& history = found->second;
+  history.last_used_at = now;
+  if (history.state == State::opening && now - history.opening_since > kHistoryQuorumTimeout) {
+    // The next call begins anew. What has been read stays, since its writing goes on.
+    if (history.reading)
+      histories_.erase(found);
     return State::unavailable;
   }
-  return h.state;
+  return history.state;
 }
 
-const Records& HistoryWriter::records(const HistoryName& n) const {
+HistoryWriter::OpenHistories::iterator HistoryWriter::begin_opening(const HistoryName& name, PartitionId partition,
+                                                                    Epoch term, Millis now) {
+  auto opened = histories_.emplace(name, OpenHistory{}).first;
+  auto& history = opened->second;
+  history.partition = partition;
+  history.term = term;
+  history.opening_since = now;
+  send_due(name, history, now, Resend::none);
+  return opened;
+}
+
+const Records& HistoryWriter::records(const HistoryName& name) const {
   static const Records none;
-  auto i = lines_.find(n);
-  return i == lines_.end() ? none : i->second.records;
+  auto* history = find(name);
+  return history ? history->records : none;
 }
 
-uint64_t HistoryWriter::committed_length(const HistoryName& n) const {
-  auto i = lines_.find(n);
-  return i == lines_.end() ? 0 : i->second.committed;
+uint64_t HistoryWriter::committed_length(const HistoryName& name) const {
+  auto* history = find(name);
+  return history ? history->committed_length : 0;
 }
 
-bool HistoryWriter::is_committed(const HistoryName& n, const Record& r) const {
-  return static_cast<uint64_t>(&r - records(n).data()) < committed_length(n);
+bool HistoryWriter::is_committed(const HistoryName& name, const Record& record) const {
+  auto index = static_cast<uint64_t>(&record - records(name).data());
+  return index < committed_length(name);
 }
 
-Epoch HistoryWriter::term(const HistoryName& n) const {
-  auto i = lines_.find(n);
-  return i == lines_.end() ? Epoch{} : i->second.term;
+Epoch HistoryWriter::term(const HistoryName& name) const {
+  auto* history = find(name);
+  return history ? history->term : Epoch{};
 }
 
-bool HistoryWriter::ended(const HistoryName& n) const {
-  auto i = lines_.find(n);
-  if (i == lines_.end())
+bool HistoryWriter::ended(const HistoryName& name) const {
+  auto* history = find(name);
+  if (!history)
     return false;
-  auto& v = i->second.records;
-  return i->second.has_tombstone || (!v.empty() && v.back().kind == RecordKind::ended);
+  auto& records = history->records;
+  return history->has_tombstone || (!records.empty() && records.back().kind == RecordKind::ended);
 }
 
-bool HistoryWriter::has_quorum(const HistoryName& n, const std::function<bool(DaemonId)>& has) const {
-  auto i = lines_.find(n);
-  return i != lines_.end() && enough(i->second, has);
+bool HistoryWriter::has_quorum(const HistoryName& name, const StorePredicate& has) const {
+  auto* history = find(name);
+  return history && is_quorum(*history, has);
 }
 
-uint64_t HistoryWriter::append(const HistoryName& n, Record r, Millis now) {
-  auto i = lines_.find(n);
-  if (i == lines_.end())
+uint64_t HistoryWriter::append(const HistoryName& name, Record record, Millis now) {
+  auto found = histories_.find(name);
+  if (found == histories_.end())
     return 0;
-  i->second.records.push_back(std::move(r));
-  pump(n, i->second, now, false);
-  return i->second.records.size();
+  auto& history = found->second;
+  history.records.push_back(std::move(record));
+  send_due(name, history, now, Resend::none);
+  return history.records.size();
 }
 
-void HistoryWriter::pump(const HistoryName& n, Held& h, Millis now, bool retry) {
-  if (h.state == State::fenced)
-    return;
-  for (auto* d : targets(h)) {
-    auto& p = h.peers[d->id];
-    if (auto& incarnation = h.incs[d->id]; incarnation != d->self.incarnation) {
-      p = {};
-      incarnation = d->self.incarnation;
-    }
-    bool due = p.last == 0 || (retry && now - p.last >= kStoreRetryInterval);
-    if (h.reading) {
-      if (has_read(h, p) || !due)
-        continue;
-      out_.send(d->self.address, ReadHistory{n, h.partition, h.term}, d->self.incarnation);
-    } else if (!p.adopted) {
-      if (!due || h.records.empty())
-        continue;
-      p.sent = h.records.size();
-      out_.send(d->self.address, AppendHistory{n, h.partition, h.term, true, 0, h.records}, d->self.incarnation);
-    } else {
-      if (retry && p.acked < h.records.size() && now - p.last >= kStoreRetryInterval)
-        p.sent = p.acked;
-      if (p.sent >= h.records.size())
-        continue;
-      Records v(h.records.begin() + static_cast<ptrdiff_t>(p.sent), h.records.end());
-      out_.send(d->self.address, AppendHistory{n, h.partition, h.term, false, p.sent, std::move(v)},
-                d->self.incarnation);
-      p.sent = h.records.size();
-    }
-    p.last = now;
+/// All stores of both sets, but those of an evacuated zone.
+std::vector<const Daemon*> HistoryWriter::write_targets(const OpenHistory& history) const {
+  auto& metadata = *metadata_log_.view();
+  auto& partition = metadata.partitions[history.partition.value()];
+  std::set<DaemonId> ids(partition.stores.begin(), partition.stores.end());
+  ids.insert(partition.pending_stores.begin(), partition.pending_stores.end());
+  std::vector<const Daemon*> targets;
+  for (auto id : ids) {
+    auto* store = metadata.find(id);
+    if (store && store->state != DaemonState::left && !metadata.evacuated.count(store->self.zone))
+      targets.push_back(store);
   }
+  return targets;
 }
 
-void HistoryWriter::settle(const HistoryName& n, Held& h, Millis now) {
-  if (h.reading) {
-    if (!enough(h, [&](DaemonId id) { return h.peers.count(id) && has_read(h, h.peers[id]); }))
-      return;
-    h.reading = false;
-    for (auto& [id, p] : h.peers)
-      p.last = 0, p.adopted = false;
-    if (h.has_tombstone)
-      h.records.clear();
-    if (h.records.empty()) {
-      h.state = State::open;
-      changed_.insert(n);
+void HistoryWriter::send_due(const HistoryName& name, OpenHistory& history, Millis now, Resend resend) {
+  for (auto* store : write_targets(history)) {
+    auto& progress = history.stores[store->id];
+    if (progress.incarnation != store->self.incarnation) {
+      progress = {};
+      progress.incarnation = store->self.incarnation;
     }
-    pump(n, h, now, false);
-    return;
+    if (send_next(name, history, *store, progress, now, resend))
+      progress.last_sent_at = now;
   }
-  auto before = h.committed;
-  std::vector<uint64_t> marks;
-  for (auto& [id, p] : h.peers)
-    if (p.adopted)
-      marks.push_back(p.acked);
-  std::sort(marks.rbegin(), marks.rend());
-  for (auto k : marks) {
-    if (k < h.committed || (k == h.committed && h.state == State::open))
-      break;
-    if (!enough(h, [&](DaemonId id) { return h.peers.count(id) && h.peers[id].adopted && h.peers[id].acked >= k; }))
-      continue;
-    h.committed = k;
-    break;
+}
+
+bool HistoryWriter::send_next(const HistoryName& name, OpenHistory& history, const Daemon& store,
+                              StoreProgress& progress, Millis now, Resend resend) {
+  bool is_overdue = resend == Resend::overdue && now - progress.last_sent_at >= kStoreRetryInterval;
+  bool is_due = progress.last_sent_at == 0 || is_overdue;
+  auto& self = store.self;
+  if (history.reading) {
+    if (!is_due || has_read(history, progress))
+      return false;
+    out_.send(self.address, ReadHistory{name, history.partition, history.term}, self.incarnation);
+    return true;
   }
-  if (h.state == State::opening && h.committed >= h.records.size() &&
-      enough(h, [&](DaemonId id) { return h.peers.count(id) && h.peers[id].adopted; })) {
-    h.state = State::open;
-    changed_.insert(n);
+  if (!progress.has_history) {
+    if (!is_due || history.records.empty())
+      return false;
+    progress.sent_length = history.records.size();
+    out_.send(self.address, AppendHistory{name, history.partition, history.term, true, 0, history.records},
+              self.incarnation);
+    return true;
   }
-  if (h.committed != before)
-    changed_.insert(n);
-}
-
-bool HistoryWriter::handle(const Envelope& e, Millis now) {
-  if (auto* r = std::get_if<ReadHistoryReply>(&e.body)) {
-    auto i = lines_.find(r->history);
-    auto* d = metadata_log_.view()->find(e.from_inc);
-    if (i == lines_.end() || i->second.term != r->term || !d)
-      return true;
-    auto& h = i->second;
-    if (!r->granted || !h.reading)
-      return true;
-    auto& p = h.peers[d->id];
-    p.read = true;
-    p.read_at = std::max(p.read_at, e.epoch);
-    h.has_tombstone = h.has_tombstone || r->has_tombstone;
-    if (std::make_pair(h.best_term, h.records.size()) < std::make_pair(r->history_term, r->records.size())) {
-      h.best_term = r->history_term;
-      h.records = r->records;
-    }
-    settle(r->history, h, now);
+  if (is_overdue && progress.synced_length < history.records.size())
+    progress.sent_length = progress.synced_length;
+  return send_new_records(name, history, store, progress);
+}
+
+bool HistoryWriter::send_new_records(const HistoryName& name, const OpenHistory& history, const Daemon& store,
+                                     StoreProgress& progress) {
+  auto& records = history.records;
+  if (progress.sent_length >= records.size())
+    return false;
+  Records unsent(records.begin() + static_cast<ptrdiff_t>(progress.sent_length), records.end());
+  out_.send(store.self.address,
+            AppendHistory{name, history.partition, history.term, false, progress.sent_length, std::move(unsent)},
+            store.self.incarnation);
+  progress.sent_length = records.size();
+  return true;
+}
+
+bool HistoryWriter::handle(const Envelope& envelope, Millis now) {
+  if (auto* reply = std::get_if<ReadHistoryReply>(&envelope.body)) {
+    handle(*reply, envelope, now);
     return true;
   }
-  if (auto* r = std::get_if<AppendHistoryReply>(&e.body)) {
-    auto i = lines_.find(r->history);
-    auto* d = metadata_log_.view()->find(e.from_inc);
-    if (i == lines_.end() || i->second.term != r->term || !d)
-      return true;
-    auto& h = i->second;
-    auto& p = h.peers[d->id];
-    if (!r->granted)
-      return true;
-    if (r->gap) {
-      p.adopted = false;
-      p.last = 0;
-      pump(r->history, h, now, false);
-      return true;
-    }
-    p.adopted = true;
-    p.acked = std::max(p.acked, r->length);
-    settle(r->history, h, now);
-    if (h.state == State::open)
-      pump(r->history, h, now, false);
+  if (auto* reply = std::get_if<AppendHistoryReply>(&envelope.body)) {
+    handle(*reply, envelope, now);
     return true;
   }
   return false;
 }
 
-void HistoryWriter::tick(Millis now) {
-  for (auto i = lines_.begin(); i != lines_.end();) {
-    auto& [n, h] = *i;
-    if (!mine(h.partition) || metadata_log_.view()->partitions[h.partition.value()].term != h.term) {
-      changed_.insert(n);
-      i = lines_.erase(i);
-      continue;
-    }
-    if (h.state == State::opening || h.committed < h.records.size()) {
-      settle(n, h, now);
-      pump(n, h, now, true);
-    } else if (now - h.used > kIdleHistoryTimeout) {
-      i = lines_.erase(i);
+HistoryWriter::OpenHistory* HistoryWriter::awaiting(const HistoryName& name, Epoch term) {
+  auto found = histories_.find(name);
+  return found != histories_.end() && found->second.term == term ? &found->second : nullptr;
+}
+
+void HistoryWriter::handle(const ReadHistoryReply& reply, const Envelope& envelope, Millis now) {
+  auto* history = awaiting(reply.history, reply.term);
+  auto* store = metadata_log_.view()->find(envelope.from_inc);
+  if (!history || !store || !reply.granted || !history->reading)
+    return;
+  auto& progress = history->stores[store->id];
+  progress.has_answered_read = true;
+  progress.read_epoch = std::max(progress.read_epoch, envelope.epoch);
+  history->has_tombstone = history->has_tombstone || reply.has_tombstone;
+  HistoryVersion best_read{history->replica_term, history->records.size()};
+  if (best_read < version_of(reply)) {
+    history->replica_term = reply.history_term;
+    history->records = reply.records;
+  }
+  advance(reply.history, *history, now);
+}
+
+void HistoryWriter::handle(const AppendHistoryReply& reply, const Envelope& envelope, Millis now) {
+  auto* history = awaiting(reply.history, reply.term);
+  auto* store = metadata_log_.view()->find(envelope.from_inc);
+  if (!history || !store)
+    return;
+  auto& progress = history->stores[store->id];
+  if (!reply.granted)
+    return;
+  if (reply.gap) {
+    progress.has_history = false;
+    progress.last_sent_at = 0;
+    send_due(reply.history, *history, now, Resend::none);
+    return;
+  }
+  progress.has_history = true;
+  progress.synced_length = std::max(progress.synced_length, reply.length);
+  advance(reply.history, *history, now);
+  if (history->state == State::open)
+    send_due(reply.history, *history, now, Resend::none);
+}
+
+void HistoryWriter::advance(const HistoryName& name, OpenHistory& history, Millis now) {
+  if (history.reading)
+    finish_reading(name, history, now);
+  else
+    advance_commit(name, history);
+}
+
+void HistoryWriter::finish_reading(const HistoryName& name, OpenHistory& history, Millis now) {
+  if (!is_quorum(history, by_progress(history, [&](auto& progress) { return has_read(history, progress); })))
+    return;
+  history.reading = false;
+  for (auto& [id, progress] : history.stores) {
+    progress.last_sent_at = 0;
+    progress.has_history = false;
+  }
+  if (history.has_tombstone)
+    history.records.clear();
+  // There is nothing to write back.
+  if (history.records.empty())
+    set_open(name, history);
+  send_due(name, history, now, Resend::none);
+}
+
+/// The committed length is the largest that a quorum has synced. It never falls, and records of earlier terms count
+/// only with the whole history written back under this one.
+void HistoryWriter::advance_commit(const HistoryName& name, OpenHistory& history) {
+  std::vector<uint64_t> synced_lengths;
+  for (auto& [id, progress] : history.stores)
+    if (progress.has_history)
+      synced_lengths.push_back(progress.synced_length);
+  std::sort(synced_lengths.rbegin(), synced_lengths.rend());
+  auto committed_before = history.committed_length;
+  for (auto length : synced_lengths) {
+    bool is_news = length > committed_before || (length == committed_before && history.state != State::open);
+    if (!is_news)
+      break;
+    auto has_synced = [&](auto& progress) {
+      return progress.has_history && progress.synced_length >= length;
+    };
+    if (!is_quorum(history, by_progress(history, has_synced)))
       continue;
+    history.committed_length = length;
+    break;
+  }
+  bool all_committed = history.committed_length >= history.records.size();
+  auto has_history = [](auto& progress) {
+    return progress.has_history;
+  };
+  if (history.state == State::opening && all_committed && is_quorum(history, by_progress(history, has_history)))
+    set_open(name, history);
+  if (history.committed_length != committed_before)
+    changed_.insert(name);
+}
+
+void HistoryWriter::set_open(const HistoryName& name, OpenHistory& history) {
+  history.state = State::open;
+  changed_.insert(name);
+}
+
+/// While reading, a read quorum of the set in force; else a write quorum of it, and of the pending set where there is
+/// one.
+bool HistoryWriter::is_quorum(const OpenHistory& history, const StorePredicate& has) const {
+  auto& metadata = *metadata_log_.view();
+  auto& partition = metadata.partitions[history.partition.value()];
+  auto count = [&](const std::vector<DaemonId>& stores) {
+    return static_cast<size_t>(std::count_if(stores.begin(), stores.end(), has));
+  };
+  auto is_write_quorum = [&](const std::vector<DaemonId>& stores) {
+    return count(stores) >= metadata.write_quorum(stores.size());
+  };
+  if (history.reading) {
+    auto size = partition.stores.size();
+    return size >= metadata.write_quorum(size) && count(partition.stores) >= metadata.read_quorum(size);
+  }
+  bool is_pending_quorum = partition.pending_stores.empty() || is_write_quorum(partition.pending_stores);
+  return is_pending_quorum && is_write_quorum(partition.stores);
+}
+
+/// What a store said before it knew of the set in force does not tell what it holds as a member of that set.
+bool HistoryWriter::has_read(const OpenHistory& history, const StoreProgress& progress) const {
+  auto& partition = metadata_log_.view()->partitions[history.partition.value()];
+  return progress.has_answered_read && progress.read_epoch >= partition.stores_epoch;
+}
+
+HistoryWriter::StorePredicate HistoryWriter::by_progress(const OpenHistory& history,
+                                                         std::function<bool(const StoreProgress&)> holds) {
+  return [&history, holds = std::move(holds)](DaemonId id) {
+    auto progress = history.stores.find(id);
+    return progress != history.stores.end() && holds(progress->second);
+  };
+}
+
+void HistoryWriter::tick(Millis now) {
+  for (auto next = histories_.begin(); next != histories_.end();) {
+    auto current = next++;
+    auto& [name, history] = *current;
+    bool owned = owns(history.partition);
+    if (!owned || metadata_log_.view()->partitions[history.partition.value()].term != history.term) {
+      changed_.insert(name);
+      histories_.erase(current);
+    } else if (history.state == State::opening || history.committed_length < history.records.size()) {
+      advance(name, history, now);
+      send_due(name, history, now, Resend::overdue);
+    } else if (now - history.last_used_at > kIdleHistoryTimeout) {
+      histories_.erase(current);
     }
-    ++i;
   }
 }
 
--- a/src/history/history_writer.hpp
+++ b/src/history/history_writer.hpp
@@ -1,66 +1,113 @@
 #pragma once
-// The owner's side of the histories: fence, read from a majority, adopt, append.
+// The owner's side of histories: how a partition's single writer reads, replicates and commits them.
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
+/// Writes the histories of the partitions that this gateway owns. Opening a history reads it from a read quorum of its
+/// stores under the ownership term, which fences off earlier owners there, takes the replica of the highest (term,
+/// length) and writes it back to the stores as a whole. From then on records are appended. A record is committed once
+/// a write quorum of the partition's stores has synced it; while the set of stores changes, of both sets.
+///
+/// All state is in memory and may be lost: a later owner, or this one after a restart, opens the history again.
+/// Runs on the thread of the state machine that owns it.
 class HistoryWriter {
  public:
+  /// `unavailable`: no quorum of stores answered in time. `fenced`: this gateway does not own the partition.
   enum class State { opening, open, fenced, unavailable };
-  HistoryWriter(Outbox& out, MetadataLog& metadata_log) : out_(out), metadata_log_(metadata_log) {}
+  /// Whether something holds for a store.
+  using StorePredicate = std::function<bool(DaemonId)>;
 
-  /// Starts opening a history of a partition we own; call again at will.
-  State open(const HistoryName& n, Millis now);
-  /// The records of an open history; all of them, committed or under way.
-  const Records& records(const HistoryName& n) const;
-  /// Appends to an open history; the number to wait for.
-  uint64_t append(const HistoryName& n, Record r, Millis now);
-  /// Whether a record of the history, one of `records`, lies on a majority; until then nobody may be told of it.
-  bool is_committed(const HistoryName& n, const Record& r) const;
-  /// How many records a majority has synced.
-  uint64_t committed_length(const HistoryName& n) const;
-  /// The term under which the history is open, to notice a change of ownership.
-  Epoch term(const HistoryName& n) const;
-  /// Whether an open history has ended: its text is gone or may go, and nothing runs on it any more.
-  bool ended(const HistoryName& n) const;
-  bool handle(const Envelope& e, Millis now);
+  HistoryWriter(Outbox& out, const MetadataLog& metadata_log) : out_(out), metadata_log_(metadata_log) {}
+
+  /// Begins to open a history where it is not open, and tells how far that is; may be called at any time.
+  State open(const HistoryName& name, Millis now);
+  /// All records of the history, committed or not; none where it is not being opened or open.
+  const Records& records(const HistoryName& name) const;
+  /// Appends to an open history. The record is committed once `committed_length` reaches the number returned.
+  uint64_t append(const HistoryName& name, Record record, Millis now);
+  /// Whether a record, an element of `records(name)`, is committed; until then nobody may be told of it.
+  bool is_committed(const HistoryName& name, const Record& record) const;
+  /// How many records of the history are committed.
+  uint64_t committed_length(const HistoryName& name) const;
+  /// The ownership term under which the history was opened, to notice a change of ownership; 0 where it was not.
+  Epoch term(const HistoryName& name) const;
+  /// Whether the history has ended: it is deleted or about to be, and takes no turns any more.
+  bool ended(const HistoryName& name) const;
+  /// Whether the stores for which `has` holds are a quorum of the history's stores.
+  bool has_quorum(const HistoryName& name, const StorePredicate& has) const;
+  /// Handles the stores' replies; false leaves the message to the caller.
+  bool handle(const Envelope& envelope, Millis now);
+  /// Repeats unanswered requests, and forgets histories that are idle or owned no more.
   void tick(Millis now);
-  /// Histories whose state or committed length changed since the last call.
+  /// The histories whose state or committed length changed since the last call.
   std::set<HistoryName> take_changed() { return std::exchange(changed_, {}); }
-  /// Whether those who said so are a majority of the history's stores.
-  bool has_quorum(const HistoryName& n, const std::function<bool(DaemonId)>& has) const;
-  size_t open_lines() const { return lines_.size(); }
 
  private:
-  struct Peer {
-    uint64_t acked = 0, sent = 0;
-    bool read = false, adopted = false;
-    /// The epoch that the store knew when it answered the reading.
-    Epoch read_at{};
-    Millis last = 0;
+  /// What one store has of an open history.
+  struct StoreProgress {
+    /// The store's life that this holds for.
+    Incarnation incarnation{};
+    /// Records that it has synced, and records that it was sent.
+    uint64_t synced_length = 0;
+    uint64_t sent_length = 0;
+    bool has_answered_read = false;
+    /// The latest epoch that the store knew when it answered a read.
+    Epoch read_epoch{};
+    /// It has taken the whole history under this term, so that records can be appended.
+    bool has_history = false;
+    /// 0: at once.
+    Millis last_sent_at = 0;
   };
-  struct Held {
+  struct OpenHistory {
     PartitionId partition{};
     Epoch term{};
     State state = State::opening;
-    bool reading = true, has_tombstone = false;
-    Epoch best_term{};
+    /// Still reading from a quorum; nothing has been written.
+    bool reading = true;
+    bool has_tombstone = false;
+    /// The term of the replica that `records` were taken from.
+    Epoch replica_term{};
     Records records;
-    std::map<DaemonId, Peer> peers;
-    std::map<DaemonId, Incarnation> incs;
-    uint64_t committed = 0;
-    Millis since = 0, used = 0;
+    std::map<DaemonId, StoreProgress> stores;
+    uint64_t committed_length = 0;
+    Millis opening_since = 0;
+    Millis last_used_at = 0;
   };
-  bool has_read(const Held& h, const Peer& p) const;
-  bool enough(const Held& h, const std::function<bool(DaemonId)>& has) const;
-  void pump(const HistoryName& n, Held& h, Millis now, bool retry);
-  void settle(const HistoryName& n, Held& h, Millis now);
-  std::vector<const Daemon*> targets(const Held& h) const;
-  bool mine(PartitionId s) const;
+  using OpenHistories = std::map<HistoryName, OpenHistory>;
+  /// Whether requests that were not answered for a while are sent again.
+  enum class Resend { none, overdue };
+
+  const OpenHistory* find(const HistoryName& name) const;
+  bool owns(PartitionId id) const;
+  OpenHistories::iterator begin_opening(const HistoryName& name, PartitionId partition, Epoch term, Millis now);
+  void handle(const ReadHistoryReply& reply, const Envelope& envelope, Millis now);
+  void handle(const AppendHistoryReply& reply, const Envelope& envelope, Millis now);
+  /// The open history that a reply of this term belongs to, or nothing.
+  OpenHistory* awaiting(const HistoryName& name, Epoch term);
+
+  /// Sends each store what it lacks.
+  void send_due(const HistoryName& name, OpenHistory& history, Millis now, Resend resend);
+  /// Sends a store the next request of an open history; false where there is none to send now.
+  bool send_next(const HistoryName& name, OpenHistory& history, const Daemon& store, StoreProgress& progress,
+                 Millis now, Resend resend);
+  bool send_new_records(const HistoryName& name, const OpenHistory& history, const Daemon& store,
+                        StoreProgress& progress);
+  std::vector<const Daemon*> write_targets(const OpenHistory& history) const;
+
+  /// Goes on where a quorum has answered.
+  void advance(const HistoryName& name, OpenHistory& history, Millis now);
+  void finish_reading(const HistoryName& name, OpenHistory& history, Millis now);
+  void advance_commit(const HistoryName& name, OpenHistory& history);
+  void set_open(const HistoryName& name, OpenHistory& history);
+  bool is_quorum(const OpenHistory& history, const StorePredicate& has) const;
+  bool has_read(const OpenHistory& history, const StoreProgress& progress) const;
+  /// The same predicate over the stores that this history has heard of or written to.
+  static StorePredicate by_progress(const OpenHistory& history, std::function<bool(const StoreProgress&)> holds);
 
   Outbox& out_;
-  MetadataLog& metadata_log_;
-  std::map<HistoryName, Held> lines_;
+  const MetadataLog& metadata_log_;
+  OpenHistories histories_;
   std::set<HistoryName> changed_;
 };
 
--- a/src/history/moved_partitions.cpp
+++ b/src/history/moved_partitions.cpp
@@ -1,40 +1,38 @@
-// How a store frees what it keeps of partitions whose places went to other stores.
-#include <algorithm>
+#include "history/moved_partitions.hpp"
 
 #include "history/constants.hpp"
-#include "history/store_machine.hpp"
+#include "history/partition_lookup.hpp"
 
 namespace mosskeel {
 
-/// No place here, and none on the way to anybody: the partition's stores are settled, and nobody reads it here any
-/// more.
-bool StoreMachine::moved(PartitionId s, DaemonId me) const {
-  auto& partitions = metadata_log_.view()->partitions;
-  if (s.value() >= partitions.size())
-    return false;
-  auto& x = partitions[s.value()];
-  return x.pending_stores.empty() && !x.stores.empty() && !std::count(x.stores.begin(), x.stores.end(), me);
+void MovedPartitions::tick(Millis now) {
+  if (now < next_scan_at_)
+    return;
+  next_scan_at_ = now + kMovedPartitionScanInterval;
+  if (auto* self = metadata_log_.view()->find(out_.id().self.incarnation))
+    scan(self->id, now);
 }
 
-/// A store that gets a place later reads the partition anew from those that hold it; only what fences and what has
-/// ended stays.
-void StoreMachine::drop_moved(Millis now) {
-  next_drop_ = now + kMovedPartitionScanInterval;
-  auto* me = metadata_log_.view()->find(out_.id().self.incarnation);
-  if (!me)
-    return;
-  for (auto& [id, s] : slots_) {
-    if (s.histories.empty() || !moved(id, me->id)) {
+void MovedPartitions::scan(DaemonId self, Millis now) {
+  for (auto& [id, stored] : table_.partitions()) {
+    if (stored.histories.empty() || !has_moved(id, self)) {
       moved_since_.erase(id);
       continue;
     }
-    auto since = moved_since_.emplace(id, now).first->second;
-    if (now - since < kMovedPartitionKeepTime)
+    auto moved_since = moved_since_.emplace(id, now).first->second;
+    if (now - moved_since < kMovedPartitionKeepTime)
       continue;
-    s.histories.clear();
+    table_.drop_histories(id);
     moved_since_.erase(id);
-    journal(DropPartitionRecord{id});
   }
 }
 
+bool MovedPartitions::has_moved(PartitionId id, DaemonId self) const {
+  auto* partition = find_partition(*metadata_log_.view(), id);
+  if (!partition)
+    return false;
+  bool is_settled = partition->pending_stores.empty() && !partition->stores.empty();
+  return is_settled && !contains(partition->stores, self);
+}
+
 }  // namespace mosskeel
--- /dev/null
+++ b/src/history/moved_partitions.hpp
@@ -0,0 +1,30 @@
+#pragma once
+// How a store frees the memory of partitions that moved to other stores.
+#include "history/history_table.hpp"
+#include "replication/metadata_log.hpp"
+
+namespace mosskeel {
+
+/// Drops the histories of partitions that have lain on other stores for a while. A store that gets such a partition
+/// again later streams it anew from those that hold it; only the fence and the tombstones stay.
+class MovedPartitions {
+ public:
+  MovedPartitions(const Outbox& out, const MetadataLog& metadata_log, HistoryTable& table)
+      : out_(out), metadata_log_(metadata_log), table_(table) {}
+
+  void tick(Millis now);
+
+ private:
+  void scan(DaemonId self, Millis now);
+  /// Whether the partition lies on other stores for good: nobody reads it here any more.
+  bool has_moved(PartitionId id, DaemonId self) const;
+
+  const Outbox& out_;
+  const MetadataLog& metadata_log_;
+  HistoryTable& table_;
+  Millis next_scan_at_ = 0;
+  /// When each partition with histories here was first seen on other stores.
+  std::map<PartitionId, Millis> moved_since_;
+};
+
+}  // namespace mosskeel
--- /dev/null
+++ b/src/history/partition_lookup.hpp
@@ -0,0 +1,19 @@
+#pragma once
+// Small queries on the metadata value that the parts of a store share.
+#include <algorithm>
+
+#include "metadata/metadata.hpp"
+
+namespace mosskeel {
+
+/// The partition of this number, or nothing: before the founding there is none, and a message may name any number.
+inline const Partition* find_partition(const Metadata& metadata, PartitionId id) {
+  return id.value() < metadata.partitions.size() ? &metadata.partitions[id.value()] : nullptr;
+}
+
+/// Whether a store is one of a partition's set.
+inline bool contains(const std::vector<DaemonId>& stores, DaemonId store) {
+  return std::find(stores.begin(), stores.end(), store) != stores.end();
+}
+
+}  // namespace mosskeel
--- a/src/history/partition_repair.cpp
+++ b/src/history/partition_repair.cpp
@@ -1,196 +1,235 @@
 #include "history/partition_repair.hpp"
-#include "history/constants.hpp"
-#include "net/constants.hpp"
-#include "replication/constants.hpp"
 
 #include <algorithm>
 
+#include "history/constants.hpp"
+#include "history/partition_lookup.hpp"
+#include "replication/constants.hpp"
+
 namespace mosskeel {
+namespace {
 
-std::vector<PartitionRepair::Pair> PartitionRepair::pairs() const {
-  std::vector<Pair> v;
-  auto& m = *metadata_log_.view();
-  auto* me = m.find(out_.id().self.incarnation);
-  if (!me)
-    return v;
-  for (uint32_t i = 0; i < m.partitions.size(); ++i) {
-    auto& s = m.partitions[i];
-    if (!s.pending_stores.empty() || !std::count(s.stores.begin(), s.stores.end(), me->id))
+size_t memory_size(const Records& records) {
+  size_t bytes = 0;
+  for (auto& record : records)
+    bytes += record.input.size() + record.output.size() + sizeof record;
+  return bytes;
+}
+
+}  // namespace
+
+/// In order, each settled partition of this store with each other store of it that is up.
+std::vector<PartitionRepair::Comparison> PartitionRepair::comparisons() const {
+  std::vector<Comparison> all;
+  auto& metadata = *metadata_log_.view();
+  auto* self = metadata.find(out_.id().self.incarnation);
+  if (!self)
+    return all;
+  for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
+    auto& partition = metadata.partitions[i];
+    if (!partition.pending_stores.empty() || !contains(partition.stores, self->id))
       continue;
-    for (auto id : s.stores)
-      if (auto* d = m.find(id); d && id != me->id && d->state == DaemonState::up)
-        v.push_back({PartitionId{i}, id});
+    for (auto id : partition.stores) {
+      auto* peer = metadata.find(id);
+      if (peer && id != self->id && peer->state == DaemonState::up)
+        all.push_back({PartitionId{i}, id});
+    }
   }
-  std::sort(v.begin(), v.end());
-  return v;
+  std::sort(all.begin(), all.end());
+  return all;
 }
 
 uint32_t PartitionRepair::incomplete_comparisons() const {
-  uint32_t n = 0;
-  for (auto& p : pairs()) {
-    auto i = whole_.find(p);
-    n += i == whole_.end() || i->second != metadata_log_.view()->partitions[p.first.value()].stores_epoch;
+  auto& partitions = metadata_log_.view()->partitions;
+  uint32_t incomplete = 0;
+  for (auto& comparison : comparisons()) {
+    auto finished = finished_.find(comparison);
+    bool is_current =
+        finished != finished_.end() && finished->second == partitions[comparison.partition.value()].stores_epoch;
+    incomplete += !is_current;
   }
-  return n;
+  return incomplete;
 }
 
-/// Order does not count; what was written lately is left out, since it may still be on its way.
-uint64_t PartitionRepair::sum(PartitionId s) const {
-  uint64_t x = 0;
-  auto i = slots_.find(s);
-  if (i == slots_.end())
-    return x;
-  for (auto& [n, l] : i->second.histories)
-    if (settled(l))
-      x += digest(codec::pack(std::make_pair(l.term, l.records.size())), tombstone_of(n));
-  return x;
+/// A sum, so that order does not count. What was written lately is left out, since it may still be on its way to the
+/// other store.
+uint64_t PartitionRepair::checksum(PartitionId id) const {
+  uint64_t sum = 0;
+  auto* stored = table_.find(id);
+  if (!stored)
+    return sum;
+  for (auto& [name, history] : stored->histories)
+    if (is_comparable(history))
+      sum += digest(codec::pack(std::make_pair(history.term, history.records.size())), tombstone_of(name));
+  return sum;
 }
 
-void PartitionRepair::begin(Millis now) {
-  auto v = pairs();
-  std::erase_if(whole_, [&](auto& w) { return !std::binary_search(v.begin(), v.end(), w.first); });
-  if (v.empty())
-    return;
-  auto i = std::upper_bound(v.begin(), v.end(), last_);
-  last_ = i == v.end() ? v.front() : *i;
-  auto* d = metadata_log_.view()->find(last_.second);
-  job_ = Job{last_, metadata_log_.view()->partitions[last_.first.value()].stores_epoch};
-  job_->asked = now;
-  out_.send(d->self.address, PartitionChecksum{last_.first, job_->changed, sum(last_.first)}, d->self.incarnation);
-}
-
-void PartitionRepair::proceed(Millis now) {
-  auto& j = *job_;
-  auto* d = metadata_log_.view()->find(j.pair.second);
-  if (!d || (j.want.empty() && !j.more))
-    return finish();
-  j.answered = false;
-  j.asked = now;
-  if (j.want.empty())
-    return out_.send(d->self.address, ListHistories{j.pair.first, j.after}, d->self.incarnation);
-  auto n = std::min(j.want.size(), kRepairHistoriesPerMessage);
-  out_.send(d->self.address, FetchHistories{j.pair.first, {j.want.begin(), j.want.begin() + static_cast<ptrdiff_t>(n)}},
-            d->self.incarnation);
+bool PartitionRepair::is_comparable(const History& history) const {
+  return clock_.uptime() - history.written_at > kRepairMinimumAge;
 }
 
 void PartitionRepair::tick(Millis now) {
-  if (now - ticked_ > kIsolationTimeout)
-    whole_.clear();
-  ticked_ = now;
-  if (now < next_)
+  // A store that was frozen this long may have missed writes.
+  if (now - last_tick_at_ > kIsolationTimeout)
+    finished_.clear();
+  last_tick_at_ = now;
+  if (now < next_step_at_)
     return;
-  next_ = now + kRepairInterval;
+  next_step_at_ = now + kRepairInterval;
   if (!job_)
-    return begin(now);
+    return begin_next(now);
   if (job_->answered)
     return proceed(now);
-  if (now - job_->asked < kRepairRequestTimeout)
+  if (now - job_->requested_at >= kRepairRequestTimeout)
+    abandon();
+}
+
+void PartitionRepair::begin_next(Millis now) {
+  auto all = comparisons();
+  std::erase_if(finished_, [&](auto& entry) { return !std::binary_search(all.begin(), all.end(), entry.first); });
+  if (all.empty())
     return;
-  whole_.erase(job_->pair);
+  auto next = std::upper_bound(all.begin(), all.end(), last_begun_);
+  last_begun_ = next == all.end() ? all.front() : *next;
+  auto& metadata = *metadata_log_.view();
+  auto* peer = metadata.find(last_begun_.peer);
+  auto partition = last_begun_.partition;
+  job_ = Job{last_begun_, metadata.partitions[partition.value()].stores_epoch};
+  job_->requested_at = now;
+  out_.send(peer->self.address, PartitionChecksum{partition, job_->stores_epoch, checksum(partition)},
+            peer->self.incarnation);
+}
+
+/// The next request after a reply: what is wanted of the last page, else the next page.
+void PartitionRepair::proceed(Millis now) {
+  auto& job = *job_;
+  auto partition = job.comparison.partition;
+  auto* peer = metadata_log_.view()->find(job.comparison.peer);
+  if (!peer || (job.wanted.empty() && !job.more_to_list))
+    return finish();
+  job.answered = false;
+  job.requested_at = now;
+  if (job.wanted.empty())
+    return out_.send(peer->self.address, ListHistories{partition, job.last_listed}, peer->self.incarnation);
+  auto count = static_cast<ptrdiff_t>(std::min(job.wanted.size(), kRepairHistoriesPerMessage));
+  out_.send(peer->self.address, FetchHistories{partition, {job.wanted.begin(), job.wanted.begin() + count}},
+            peer->self.incarnation);
+}
+
+void PartitionRepair::finish() {
+  finished_[job_->comparison] = job_->stores_epoch;
+  job_.reset();
+}
+
+void PartitionRepair::abandon() {
+  finished_.erase(job_->comparison);
   job_.reset();
 }
 
-bool PartitionRepair::mine(const Envelope& e, PartitionId s) const {
-  auto* d = metadata_log_.view()->find(e.from_inc);
-  return job_ && d && job_->pair == Pair{s, d->id} && !job_->answered;
-}
-
-bool PartitionRepair::on(const Envelope& e, Millis) {
-  return std::visit(overload{[&](const PartitionChecksum& c) {
-                               auto& m = *metadata_log_.view();
-                               bool same = c.partition.value() < m.partitions.size() &&
-                                           m.partitions[c.partition.value()].stores_epoch == c.changed &&
-                                           sum(c.partition) == c.checksum;
-                               out_.send(e.from, PartitionChecksumReply{c.partition, c.changed, same}, e.from_inc);
-                               return true;
-                             },
-                             [&](const PartitionChecksumReply& r) {
-                               if (!mine(e, r.partition) || job_->listing || r.changed != job_->changed)
-                                 return true;
-                               if (r.equal)
-                                 return finish(), true;
-                               whole_.erase(job_->pair);
-                               job_->listing = job_->answered = true;
-                               return true;
-                             },
-                             [&](const ListHistories& q) { return on(e, q), true; },
-                             [&](const FetchHistories& q) { return on(e, q), true; },
-                             [&](const ListHistoriesReply& r) {
-                               if (mine(e, r.partition) && job_->listing && job_->after == r.after)
-                                 on(r);
-                               return true;
-                             },
-                             [&](const FetchHistoriesReply& r) {
-                               if (mine(e, r.partition) && !job_->want.empty())
-                                 on(r);
-                               return true;
-                             },
-                             [](const auto&) {
+bool PartitionRepair::is_awaited(const Envelope& envelope, PartitionId partition) const {
+  auto* sender = metadata_log_.view()->find(envelope.from_inc);
+  return job_ && sender && job_->comparison == Comparison{partition, sender->id} && !job_->answered;
+}
+
+bool PartitionRepair::handle(const Envelope& envelope) {
+  auto handled = [&](const auto& message) {
+    handle(message, envelope);
+    return true;
+  };
+  return std::visit(overload{[&](const PartitionChecksum& request) { return handled(request); },
+                             [&](const PartitionChecksumReply& reply) { return handled(reply); },
+                             [&](const ListHistories& request) { return handled(request); },
+                             [&](const ListHistoriesReply& reply) { return handled(reply); },
+                             [&](const FetchHistories& request) { return handled(request); },
+                             [&](const FetchHistoriesReply& reply) { return handled(reply); },
+                             [](const auto& /* not of a comparison */) {
                                return false;
                              }},
-                    e.body);
+                    envelope.body);
+}
+
+void PartitionRepair::handle(const PartitionChecksum& request, const Envelope& envelope) {
+  auto* partition = find_partition(*metadata_log_.view(), request.partition);
+  bool equal =
+      partition && partition->stores_epoch == request.stores_epoch && checksum(request.partition) == request.checksum;
+  out_.send(envelope.from, PartitionChecksumReply{request.partition, request.stores_epoch, equal}, envelope.from_inc);
 }
 
-void PartitionRepair::on(const Envelope& e, const ListHistories& q) {
-  ListHistoriesReply r{q.partition, q.after, {}, false};
-  if (auto i = slots_.find(q.partition); i != slots_.end()) {
-    auto& v = i->second.histories;
-    for (auto j = q.after.program.empty() ? v.begin() : v.upper_bound(q.after); j != v.end(); ++j) {
-      if (r.summaries.size() == kRepairSummariesPerMessage) {
-        r.more = true;
+void PartitionRepair::handle(const PartitionChecksumReply& reply, const Envelope& envelope) {
+  if (!is_awaited(envelope, reply.partition) || job_->listing || reply.stores_epoch != job_->stores_epoch)
+    return;
+  if (reply.equal)
+    return finish();
+  finished_.erase(job_->comparison);
+  job_->listing = true;
+  job_->answered = true;
+}
+
+void PartitionRepair::handle(const ListHistories& request, const Envelope& envelope) {
+  ListHistoriesReply page{request.partition, request.after, {}, false};
+  if (auto* stored = table_.find(request.partition)) {
+    auto& histories = stored->histories;
+    auto next = request.after.program.empty() ? histories.begin() : histories.upper_bound(request.after);
+    for (; next != histories.end(); ++next) {
+      if (page.summaries.size() == kRepairSummariesPerMessage) {
+        page.more = true;
         break;
       }
-      r.summaries.push_back({j->first, j->second.term, j->second.records.size()});
+      auto& [name, history] = *next;
+      page.summaries.push_back({name, history.term, history.records.size()});
     }
   }
-  out_.send(e.from, r, e.from_inc);
-}
-
-void PartitionRepair::on(const ListHistoriesReply& r) {
-  auto i = slots_.find(r.partition);
-  for (auto& x : r.summaries) {
-    job_->after = x.history;
-    Epoch term{};
-    uint64_t length = 0;
-    if (i != slots_.end()) {
-      if (i->second.tombstones.has(tombstone_of(x.history)))
-        continue;
-      if (auto l = i->second.histories.find(x.history); l != i->second.histories.end())
-        term = l->second.term, length = l->second.records.size();
-    }
-    if (std::make_pair(term, length) < std::make_pair(x.term, x.length))
-      job_->want.push_back(x.history);
+  out_.send(envelope.from, page, envelope.from_inc);
+}
+
+void PartitionRepair::handle(const ListHistoriesReply& reply, const Envelope& envelope) {
+  if (!is_awaited(envelope, reply.partition) || !job_->listing || job_->last_listed != reply.after)
+    return;
+  for (auto& summary : reply.summaries) {
+    job_->last_listed = summary.history;
+    if (lacks(reply.partition, summary))
+      job_->wanted.push_back(summary.history);
   }
-  job_->more = r.more;
+  job_->more_to_list = reply.more;
   job_->answered = true;
 }
 
-void PartitionRepair::on(const Envelope& e, const FetchHistories& q) {
-  FetchHistoriesReply r{q.partition, {}};
-  auto i = slots_.find(q.partition);
+/// The history with the higher version replaces the other one, and one that has ended stays deleted.
+bool PartitionRepair::lacks(PartitionId id, const HistorySummary& summary) const {
+  auto* stored = table_.find(id);
+  if (stored && stored->has_tombstone(summary.history))
+    return false;
+  auto* history = table_.find(id, summary.history);
+  return (history ? history->version() : HistoryVersion{}) < version_of(summary);
+}
+
+void PartitionRepair::handle(const FetchHistories& request, const Envelope& envelope) {
+  FetchHistoriesReply reply{request.partition, {}};
   size_t bytes = 0;
-  for (auto& n : q.names) {
-    if (i == slots_.end() || bytes > kMaxHttpBodyBytes / 4)
+  for (auto& name : request.names) {
+    if (bytes > kRepairMessageBytes)
       break;
-    auto l = i->second.histories.find(n);
-    if (l == i->second.histories.end())
+    auto* history = table_.find(request.partition, name);
+    if (!history)
       continue;
-    for (auto& x : l->second.records)
-      bytes += x.input.size() + x.output.size() + sizeof x;
-    r.histories.push_back({n, l->second.term, l->second.records});
+    bytes += memory_size(history->records);
+    reply.histories.push_back({name, history->term, history->records});
   }
-  out_.send(e.from, r, e.from_inc);
+  out_.send(envelope.from, reply, envelope.from_inc);
 }
 
-void PartitionRepair::on(const FetchHistoriesReply& r) {
-  auto n = std::min(job_->want.size(), kRepairHistoriesPerMessage);
-  auto last = job_->want[n - 1];
-  if (!r.histories.empty()) {
-    fetched_ += r.histories.size();
-    take({r.partition, {}, r.histories, {}});
-    last = r.histories.back().history;
+/// Where nothing came, the peer has none of what was asked for any more.
+void PartitionRepair::handle(const FetchHistoriesReply& reply, const Envelope& envelope) {
+  if (!is_awaited(envelope, reply.partition) || job_->wanted.empty())
+    return;
+  auto requested = std::min(job_->wanted.size(), kRepairHistoriesPerMessage);
+  auto last_answered = job_->wanted[requested - 1];
+  if (!reply.histories.empty()) {
+    fetched_ += reply.histories.size();
+    table_.merge({reply.partition, {}, reply.histories, {}});
+    last_answered = reply.histories.back().history;
   }
-  std::erase_if(job_->want, [&](auto& x) { return x <= last; });
+  std::erase_if(job_->wanted, [&](auto& name) { return name <= last_answered; });
   job_->answered = true;
 }
 
--- a/src/history/partition_repair.hpp
+++ b/src/history/partition_repair.hpp
@@ -1,57 +1,78 @@
 #pragma once
-// A store's background repair: compare partitions with the other stores, fetch the histories that are lacking here.
-#include "history/constants.hpp"
-#include "history/stored_partition.hpp"
+// Anti-entropy between the stores of a partition.
+#include "history/history_table.hpp"
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
+/// Compares this store's partitions in the background with the other stores in place, one comparison at a time, and
+/// fetches what this store lacks: first a checksum, where it differs the histories' names and versions page by page,
+/// then the histories. A history that only a bare quorum holds after a fault comes back to its full number of replicas
+/// this way. Results are kept in memory only: after a restart everything is compared anew.
 class PartitionRepair {
  public:
-  PartitionRepair(Outbox& out, MetadataLog& metadata_log, const StoredPartitions& partitions)
-      : out_(out), metadata_log_(metadata_log), slots_(partitions) {}
-  /// Handles what concerns repair; false leaves the message to the caller.
-  bool on(const Envelope& e, Millis now);
+  PartitionRepair(Outbox& out, const MetadataLog& metadata_log, HistoryTable& table, const UptimeClock& clock)
+      : out_(out), metadata_log_(metadata_log), table_(table), clock_(clock) {}
+
+  /// Handles the messages of comparisons, both ways; false leaves the message to the caller.
+  bool handle(const Envelope& envelope);
   void tick(Millis now);
-  /// How many partitions, each with one other store in place, are not known to be whole here.
+  /// How many comparisons of a partition with another store have not ended, under the present set of stores, with this
+  /// store having all that the other one had.
   uint32_t incomplete_comparisons() const;
   /// Histories fetched since the start.
   uint64_t fetched() const { return fetched_; }
-  /// Takes histories into the store and the journal.
-  std::function<void(const MergeRecord&)> take;
-  std::function<Millis()> uptime;
 
  private:
-  using Pair = std::pair<PartitionId, DaemonId>;
-  /// One comparison under way: the check, then pages of names, then what is wanted of a page.
+  /// One partition against one other store.
+  struct Comparison {
+    PartitionId partition;
+    DaemonId peer;
+    auto operator<=>(const Comparison&) const = default;
+  };
+  /// The comparison under way. One request is open at a time.
   struct Job {
-    Pair pair;
-    Epoch changed;
-    HistoryName after{};
-    std::vector<HistoryName> want{};
-    bool listing = false, more = true, answered = false;
-    Millis asked = 0;
+    Comparison comparison;
+    /// The epoch of the partition's set of stores when the comparison began.
+    Epoch stores_epoch;
+    /// The last history that the peer has listed.
+    HistoryName last_listed{};
+    /// Listed histories that are to be fetched, in order of their names.
+    std::vector<HistoryName> wanted{};
+    /// The checksums differed, so the histories are listed.
+    bool listing = false;
+    bool more_to_list = true;
+    /// The open request was answered.
+    bool answered = false;
+    Millis requested_at = 0;
   };
-  std::vector<Pair> pairs() const;
-  uint64_t sum(PartitionId s) const;
-  bool settled(const History& l) const { return uptime() - l.touched > kRepairMinimumAge; }
-  void begin(Millis now);
+  std::vector<Comparison> comparisons() const;
+  uint64_t checksum(PartitionId id) const;
+  bool is_comparable(const History& history) const;
+  bool lacks(PartitionId id, const HistorySummary& summary) const;
+  void begin_next(Millis now);
   void proceed(Millis now);
-  void finish() { whole_[job_->pair] = job_->changed, job_.reset(); }
-  /// The job's own peer answered on the job's own partition.
-  bool mine(const Envelope& e, PartitionId s) const;
-  void on(const Envelope& e, const ListHistories& q);
-  void on(const Envelope& e, const FetchHistories& q);
-  void on(const ListHistoriesReply& r);
-  void on(const FetchHistoriesReply& r);
+  void finish();
+  void abandon();
+  /// Whether a reply is the one that the job waits for.
+  bool is_awaited(const Envelope& envelope, PartitionId partition) const;
+  void handle(const PartitionChecksum& request, const Envelope& envelope);
+  void handle(const PartitionChecksumReply& reply, const Envelope& envelope);
+  void handle(const ListHistories& request, const Envelope& envelope);
+  void handle(const ListHistoriesReply& reply, const Envelope& envelope);
+  void handle(const FetchHistories& request, const Envelope& envelope);
+  void handle(const FetchHistoriesReply& reply, const Envelope& envelope);
 
   Outbox& out_;
-  MetadataLog& metadata_log_;
-  const StoredPartitions& slots_;
-  std::map<Pair, Epoch> whole_;
+  const MetadataLog& metadata_log_;
+  HistoryTable& table_;
+  const UptimeClock& clock_;
+  /// Finished comparisons with the epoch of the set of stores for which they hold.
+  std::map<Comparison, Epoch> finished_;
   std::optional<Job> job_;
-  Pair last_{};
-  Millis next_ = 0, ticked_ = 0;
+  Comparison last_begun_{};
+  Millis next_step_at_ = 0;
+  Millis last_tick_at_ = 0;
   uint64_t fetched_ = 0;
 };
 
--- a/src/history/partition_streams.cpp
+++ b/src/history/partition_streams.cpp
@@ -1,146 +1,212 @@
 #include "history/partition_streams.hpp"
-#include "history/constants.hpp"
 
 #include <algorithm>
 
+#include "history/constants.hpp"
+#include "history/partition_lookup.hpp"
+
 namespace mosskeel {
 namespace {
 
-bool among(const std::vector<DaemonId>& v, DaemonId id) {
-  return std::count(v.begin(), v.end(), id) > 0;
+size_t encoded_size(const Records& records) {
+  size_t bytes = 0;
+  for (auto& record : records)
+    bytes += record.input.size() + record.output.size() + kRecordOverheadBytes;
+  return bytes;
+}
+
+/// Adds the histories behind the requested one, until the page is full.
+void add_histories(StreamPartitionReply& page, const Histories& histories) {
+  size_t bytes = 0;
+  auto next = page.after.program.empty() ? histories.begin() : histories.upper_bound(page.after);
+  for (; next != histories.end(); ++next) {
+    if (bytes > kStreamPageBytes) {
+      page.more = true;
+      return;
+    }
+    auto& [name, history] = *next;
+    bytes += encoded_size(history.records);
+    page.histories.push_back({name, history.term, history.records});
+  }
+}
+
+void add_tombstones(StreamPartitionReply& page, const Tombstones& tombstones) {
+  page.tombstones = tombstones.above(page.after_tombstone, kTombstonesPerMessage);
+  if (page.tombstones.size() == kTombstonesPerMessage)
+    page.more = true;
 }
 
 }  // namespace
 
+bool PartitionStreams::Source::in_flight(Millis now) const {
+  return awaits_page && now - requested_at < kStreamPageTimeout;
+}
+
 void PartitionStreams::tick(Millis now) {
-  auto* me = metadata_log_.view()->find(out_.id().self.incarnation);
-  if (!me)
+  auto* self = metadata_log_.view()->find(out_.id().self.incarnation);
+  if (!self)
     return;
-  follow_places(*me);
-  ask_pages(now);
+  follow_metadata(self->id);
+  request_pages(now);
 }
 
-void PartitionStreams::follow_places(const Daemon& me) {
-  auto& m = *metadata_log_.view();
-  for (uint32_t i = 0; i < m.partitions.size(); ++i) {
-    auto& partition = m.partitions[i];
-    if (!among(partition.pending_stores, me.id) || among(partition.stores, me.id)) {
-      streams_.erase(PartitionId{i});
+void PartitionStreams::follow_metadata(DaemonId self) {
+  auto& partitions = metadata_log_.view()->partitions;
+  for (uint32_t i = 0; i < partitions.size(); ++i) {
+    auto& partition = partitions[i];
+    PartitionId id{i};
+    if (!contains(partition.pending_stores, self) || contains(partition.stores, self)) {
+      streams_.erase(id);
       continue;
     }
-    auto& x = streams_[PartitionId{i}];
-    if (x.sequence != partition.stores_epoch)
-      x = {partition.stores_epoch, {}, false};
+    auto& stream = streams_[id];
+    if (stream.sequence != partition.stores_epoch)
+      stream = {partition.stores_epoch, {}, false};
     if (partition.stores.empty())
-      x.complete = true;
+      stream.complete = true;
   }
 }
 
-/// In turns, so that a partition whose stores are silent does not hold up the others.
-void PartitionStreams::ask_pages(Millis now) {
-  std::vector<PartitionId> order;
-  for (auto i = streams_.upper_bound(last_); i != streams_.end(); ++i)
-    order.push_back(i->first);
-  for (auto i = streams_.begin(); i != streams_.end() && i->first <= last_; ++i)
-    order.push_back(i->first);
-  for (auto id : order) {
-    if (under_way(now) >= kTransferWindowPages)
+void PartitionStreams::request_pages(Millis now) {
+  for (auto id : in_rotation()) {
+    if (pages_in_flight(now) >= kStreamWindowPages)
       return;
-    last_ = id;
-    if (auto& x = streams_[id]; !x.complete)
-      ask_slot(id, x, now);
+    last_requested_ = id;
+    if (auto& stream = streams_[id]; !stream.complete)
+      request_pages(id, stream, now);
   }
 }
 
-/// Those that are up first, then those that have not been asked for the longest time.
-std::vector<const Daemon*> PartitionStreams::by_promise(const Partition& partition, Streaming& x) const {
-  std::vector<const Daemon*> v;
-  for (auto id : partition.stores)
-    if (auto* d = metadata_log_.view()->find(id))
-      v.push_back(d);
-  auto key = [&](const Daemon* d) {
-    return std::make_pair(d->state != DaemonState::up, x.sources[d->id].asked);
-  };
-  std::stable_sort(v.begin(), v.end(), [&](auto* a, auto* b) { return key(a) < key(b); });
-  return v;
+/// All partitions, beginning behind the last one, so that one whose stores are silent does not hold up the others.
+std::vector<PartitionId> PartitionStreams::in_rotation() const {
+  std::vector<PartitionId> order;
+  auto behind_last = streams_.upper_bound(last_requested_);
+  for (auto stream = behind_last; stream != streams_.end(); ++stream)
+    order.push_back(stream->first);
+  for (auto stream = streams_.begin(); stream != behind_last; ++stream)
+    order.push_back(stream->first);
+  return order;
 }
 
 /// No more sources than a read quorum are read at a time, and of each source one page for all partitions.
-void PartitionStreams::ask_slot(PartitionId id, Streaming& x, Millis now) {
-  auto& partition = metadata_log_.view()->partitions[id.value()];
+void PartitionStreams::request_pages(PartitionId id, Stream& stream, Millis now) {
+  auto& metadata = *metadata_log_.view();
+  auto& partition = metadata.partitions[id.value()];
   size_t engaged = 0;
-  for (auto& [source_id, source] : x.sources)
-    engaged += source.done || source.busy(now);
-  for (auto* d : by_promise(partition, x)) {
-    if (engaged >= metadata_log_.view()->read_quorum(partition.stores.size()) || under_way(now) >= kTransferWindowPages)
+  for (auto& [source_id, source] : stream.sources)
+    engaged += source.complete || source.in_flight(now);
+  for (auto* daemon : preferred_sources(partition, stream)) {
+    if (engaged >= metadata.read_quorum(partition.stores.size()) || pages_in_flight(now) >= kStreamWindowPages)
       return;
-    auto& source = x.sources[d->id];
-    if (source.done || asks(d->id, now))
+    auto& source = stream.sources[daemon->id];
+    if (source.complete || is_sending(daemon->id, now))
       continue;
-    ask(id, x, source, *d, now);
+    request_page(id, stream, source, *daemon, now);
     ++engaged;
   }
 }
 
-void PartitionStreams::ask(PartitionId id, const Streaming& x, Source& source, const Daemon& d, Millis now) {
-  source.asked = now;
-  source.waiting = true;
-  out_.send(d.self.address, StreamPartition{id, x.sequence, source.history, source.tombstone}, d.self.incarnation);
+/// Those that are up first, then those that have not been asked for the longest time.
+std::vector<const Daemon*> PartitionStreams::preferred_sources(const Partition& partition, Stream& stream) const {
+  std::vector<const Daemon*> sources;
+  for (auto id : partition.stores)
+    if (auto* daemon = metadata_log_.view()->find(id))
+      sources.push_back(daemon);
+  auto rank = [&](const Daemon* daemon) {
+    bool is_down = daemon->state != DaemonState::up;
+    return std::make_pair(is_down, stream.sources[daemon->id].requested_at);
+  };
+  std::stable_sort(sources.begin(), sources.end(), [&](auto* a, auto* b) { return rank(a) < rank(b); });
+  return sources;
+}
+
+void PartitionStreams::request_page(PartitionId id, const Stream& stream, Source& source, const Daemon& daemon,
+                                    Millis now) {
+  source.requested_at = now;
+  source.awaits_page = true;
+  out_.send(daemon.self.address, StreamPartition{id, stream.sequence, source.last_history, source.last_tombstone},
+            daemon.self.incarnation);
 }
 
-bool PartitionStreams::asks(DaemonId source, Millis now) const {
-  return std::any_of(streams_.begin(), streams_.end(), [&](auto& s) {
-    auto i = s.second.sources.find(source);
-    return i != s.second.sources.end() && i->second.busy(now);
+bool PartitionStreams::is_sending(DaemonId source, Millis now) const {
+  return std::any_of(streams_.begin(), streams_.end(), [&](auto& entry) {
+    auto& sources = entry.second.sources;
+    auto found = sources.find(source);
+    return found != sources.end() && found->second.in_flight(now);
   });
 }
 
-size_t PartitionStreams::under_way(Millis now) const {
-  size_t n = 0;
-  for (auto& [id, x] : streams_)
-    for (auto& [source_id, source] : x.sources)
-      n += source.busy(now);
-  return n;
+size_t PartitionStreams::pages_in_flight(Millis now) const {
+  size_t pages = 0;
+  for (auto& [id, stream] : streams_)
+    for (auto& [source_id, source] : stream.sources)
+      pages += source.in_flight(now);
+  return pages;
 }
 
-bool PartitionStreams::on(const Envelope& e, const StreamPartitionReply& r, Millis now) {
-  auto i = streams_.find(r.partition);
-  auto* d = metadata_log_.view()->find(e.from_inc);
-  if (i == streams_.end() || i->second.sequence != r.sequence || !d || i->second.complete)
-    return false;
-  auto& x = i->second;
-  auto at = x.sources.find(d->id);
-  if (at == x.sources.end() || at->second.done)
+void PartitionStreams::handle(const StreamPartition& request, const Envelope& envelope) {
+  StreamPartitionReply page{
+      request.partition, request.sequence, request.after, request.after_tombstone, {}, {}, {}, false};
+  if (auto* stored = table_.find(request.partition)) {
+    page.fence = stored->fence;
+    add_histories(page, stored->histories);
+    add_tombstones(page, stored->tombstones);
+  }
+  out_.send(envelope.from, page, envelope.from_inc);
+}
+
+bool PartitionStreams::handle(const StreamPartitionReply& page, const Envelope& envelope, Millis now) {
+  auto found = streams_.find(page.partition);
+  auto* sender = metadata_log_.view()->find(envelope.from_inc);
+  if (found == streams_.end() || !sender)
     return false;
-  auto& source = at->second;
-  if (source.history != r.after || source.tombstone != r.tombstone)
+  auto& stream = found->second;
+  auto* source = awaited_source(stream, page, sender->id);
+  if (!source)
     return false;
-  take({r.partition, r.fence, r.histories, r.tombstones});
-  source.waiting = false;
-  if (r.more) {
-    if (!r.histories.empty())
-      source.history = r.histories.back().history;
-    if (!r.tombstones.empty())
-      source.tombstone = r.tombstones.back();
-    ask(r.partition, x, source, *d, now);
+  table_.merge({page.partition, page.fence, page.histories, page.tombstones});
+  source->awaits_page = false;
+  if (page.more) {
+    if (!page.histories.empty())
+      source->last_history = page.histories.back().history;
+    if (!page.tombstones.empty())
+      source->last_tombstone = page.tombstones.back();
+    request_page(page.partition, stream, *source, *sender, now);
     return false;
   }
-  source.done = true;
-  auto done = std::count_if(x.sources.begin(), x.sources.end(), [](auto& s) { return s.second.done; });
-  x.complete = static_cast<size_t>(done) >=
-               metadata_log_.view()->read_quorum(metadata_log_.view()->partitions[r.partition.value()].stores.size());
-  ask_pages(now);
-  return x.complete;
-}
-
-Epoch PartitionStreams::complete() const {
-  Epoch e{0};
-  for (auto& [id, x] : streams_) {
-    if (!x.complete)
+  source->complete = true;
+  stream.complete = has_read_quorum(page.partition, stream);
+  request_pages(now);
+  return stream.complete;
+}
+
+PartitionStreams::Source* PartitionStreams::awaited_source(Stream& stream, const StreamPartitionReply& page,
+                                                           DaemonId sender) const {
+  if (stream.complete || stream.sequence != page.sequence)
+    return nullptr;
+  auto found = stream.sources.find(sender);
+  if (found == stream.sources.end() || found->second.complete)
+    return nullptr;
+  auto& source = found->second;
+  bool is_next_page = source.last_history == page.after && source.last_tombstone == page.after_tombstone;
+  return is_next_page ? &source : nullptr;
+}
+
+bool PartitionStreams::has_read_quorum(PartitionId id, const Stream& stream) const {
+  auto& metadata = *metadata_log_.view();
+  auto complete =
+      std::count_if(stream.sources.begin(), stream.sources.end(), [](auto& entry) { return entry.second.complete; });
+  return static_cast<size_t>(complete) >= metadata.read_quorum(metadata.partitions[id.value()].stores.size());
+}
+
+Epoch PartitionStreams::completed_sequence() const {
+  Epoch latest{0};
+  for (auto& [id, stream] : streams_) {
+    if (!stream.complete)
       return {};
-    e = std::max(e, x.sequence);
+    latest = std::max(latest, stream.sequence);
   }
-  return e;
+  return latest;
 }
 
 }  // namespace mosskeel
--- a/src/history/partition_streams.hpp
+++ b/src/history/partition_streams.hpp
@@ -1,50 +1,63 @@
 #pragma once
-// A store's copying of partitions that it is about to hold, in pages, with a bound on those under way.
-#include "history/constants.hpp"
-#include "history/stored_partition.hpp"
+// How a store copies the partitions that it is about to hold from the stores that hold them.
+#include "history/history_table.hpp"
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
+/// Streams each partition for which this store is pending, page by page, from a read quorum of the stores in place. The
+/// number of pages in flight is bounded over all partitions, and each source sends one page at a time. What
+/// comes is merged into the table; progress is kept in memory only, so that a restart streams anew.
 class PartitionStreams {
  public:
-  PartitionStreams(Outbox& out, MetadataLog& metadata_log) : out_(out), metadata_log_(metadata_log) {}
-  /// Begins and ends streams with the partitions' pending places, and asks for the next pages.
+  PartitionStreams(Outbox& out, const MetadataLog& metadata_log, HistoryTable& table)
+      : out_(out), metadata_log_(metadata_log), table_(table) {}
+
+  /// Begins and ends streams as partitions become pending here and cease to be, and requests the next pages.
   void tick(Millis now);
-  /// Takes a page that was asked for; true where it completed its partition.
-  bool on(const Envelope& e, const StreamPartitionReply& r, Millis now);
-  /// The latest sequence for which all partitions here are whole; nothing while one is not.
-  Epoch complete() const;
-  /// Pages asked for and neither answered nor given up.
-  size_t under_way(Millis now) const;
-  /// Takes a page into the store and the journal.
-  std::function<void(const MergeRecord&)> take;
+  /// Serves a page to another store.
+  void handle(const StreamPartition& request, const Envelope& envelope);
+  /// Takes a page that was requested; true where it completed its partition.
+  bool handle(const StreamPartitionReply& page, const Envelope& envelope, Millis now);
+  /// The epoch of the latest sequence for which all partitions pending here are complete; 0 while one is not.
+  Epoch completed_sequence() const;
+  /// Pages requested and neither answered nor given up.
+  size_t pages_in_flight(Millis now) const;
 
  private:
-  /// One of the stores that hold a partition, and how far its copy has been read.
+  /// One of the stores that hold a partition, and how far its replica has been read.
   struct Source {
-    HistoryName history;
-    uint64_t tombstone = 0;
-    Millis asked = 0;
-    bool waiting = false, done = false;
-    bool busy(Millis now) const { return waiting && now - asked < kTransferPageTimeout; }
+    HistoryName last_history;
+    uint64_t last_tombstone = 0;
+    Millis requested_at = 0;
+    bool awaits_page = false;
+    bool complete = false;
+    /// Whether a page is awaited that has not timed out.
+    bool in_flight(Millis now) const;
   };
-  struct Streaming {
+  struct Stream {
+    /// The epoch at which the partition's pending stores were set.
     Epoch sequence;
     std::map<DaemonId, Source> sources;
     bool complete = false;
   };
-  void follow_places(const Daemon& me);
-  void ask_pages(Millis now);
-  void ask_slot(PartitionId id, Streaming& x, Millis now);
-  void ask(PartitionId id, const Streaming& x, Source& source, const Daemon& d, Millis now);
-  bool asks(DaemonId source, Millis now) const;
-  std::vector<const Daemon*> by_promise(const Partition& partition, Streaming& x) const;
+  void follow_metadata(DaemonId self);
+  void request_pages(Millis now);
+  void request_pages(PartitionId id, Stream& stream, Millis now);
+  void request_page(PartitionId id, const Stream& stream, Source& source, const Daemon& daemon, Millis now);
+  std::vector<PartitionId> in_rotation() const;
+  std::vector<const Daemon*> preferred_sources(const Partition& partition, Stream& stream) const;
+  bool is_sending(DaemonId source, Millis now) const;
+  /// The source that this page was requested of, or nothing.
+  Source* awaited_source(Stream& stream, const StreamPartitionReply& page, DaemonId sender) const;
+  bool has_read_quorum(PartitionId id, const Stream& stream) const;
 
   Outbox& out_;
-  MetadataLog& metadata_log_;
-  std::map<PartitionId, Streaming> streams_;
-  PartitionId last_{};
+  const MetadataLog& metadata_log_;
+  HistoryTable& table_;
+  std::map<PartitionId, Stream> streams_;
+  /// The partition for which pages were requested last.
+  PartitionId last_requested_{};
 };
 
 }  // namespace mosskeel
--- a/src/history/store_machine.hpp
+++ b/src/history/store_machine.hpp
@@ -1,107 +1,66 @@
 #pragma once
-// A store: fenced append logs, one a history; it syncs before it answers.
+// A store: the replicas of histories on one machine's disk.
+#include "history/history_expiry.hpp"
+#include "history/load_shedder.hpp"
+#include "history/moved_partitions.hpp"
 #include "history/partition_repair.hpp"
 #include "history/partition_streams.hpp"
 #include "replication/follower.hpp"
 
 namespace mosskeel {
 
-struct StoreCheckpoint {
-  BOOST_HANA_DEFINE_STRUCT(StoreCheckpoint, (Metadata, metadata), (StoredPartitions, partitions), (Millis, uptime));
-};
-struct FenceRecord {
-  BOOST_HANA_DEFINE_STRUCT(FenceRecord, (PartitionId, partition), (Epoch, term));
-};
-struct TombstoneRecord {
-  BOOST_HANA_DEFINE_STRUCT(TombstoneRecord, (PartitionId, partition), (HistoryName, history));
-};
-/// The history's records, as they are here, hold under a newer term.
-struct HistoryTermRecord {
-  BOOST_HANA_DEFINE_STRUCT(HistoryTermRecord, (PartitionId, partition), (HistoryName, history), (Epoch, term));
-};
-/// The partition's histories were dropped, since its places are elsewhere; its fence and ends stay.
-struct DropPartitionRecord {
-  BOOST_HANA_DEFINE_STRUCT(DropPartitionRecord, (PartitionId, partition));
-};
-using StoreRecord = std::variant<FenceRecord, AppendHistory, MergeRecord, TombstoneRecord, Entry, Metadata,
-                                 HistoryTermRecord, DropPartitionRecord>;
-
-/// What a store's process says of itself, for the store to refuse work before its limits.
-struct StoreLoad {
-  bool memory_short = false, disk_behind = false;
-};
-
+/// The state machine of a storage daemon. It follows the metadata log, serves the owners of the partitions that lie
+/// here, and in the background streams new partitions, compares old ones with other stores, reports expired histories
+/// and drops what moved away. Invariant: whatever it answers for is synced before the answer leaves.
 class StoreMachine : public Machine {
  public:
-  /// Takes what was recovered, and frees it piece by piece as the state grows.
-  StoreMachine(const Identity& id, Recovered r, Millis now);
-  Actions step(const Envelope& e, Millis now) override;
+  /// Takes what was recovered from the disk, and frees it piece by piece as the state grows.
+  StoreMachine(const Identity& id, Recovered recovered, Millis now);
+  Actions step(const Envelope& envelope, Millis now) override;
   Actions tick(Millis now) override;
   View view() const override { return metadata_log_.view(); }
+  /// Encodes a `StoreCheckpoint`.
   std::string checkpoint() const override;
-  const StoredPartitions& partitions() const { return slots_; }
-  size_t history_count() const;
-  size_t tombstone_count() const;
-  const PartitionRepair& repair() const { return rep_; }
+
+  const StoredPartitions& partitions() const { return table_.partitions(); }
+  size_t history_count() const { return table_.history_count(); }
+  size_t tombstone_count() const { return table_.tombstone_count(); }
+  const PartitionRepair& repair() const { return repair_; }
   const PartitionStreams& streams() const { return streams_; }
-  void set_load(const StoreLoad& l) { load_ = l; }
-  /// Writes and reads refused because of the load.
-  uint64_t refused() const { return refused_; }
+  void set_load(const StoreLoad& load) { load_shedder_.set_load(load); }
+  /// Messages rejected or dropped because of the load.
+  uint64_t shed_messages() const { return load_shedder_.shed_messages(); }
 
  private:
-  /// What a write changed here, and so what the journal must say.
-  enum class Change { nothing, term, records };
-  struct Written {
-    AppendHistoryReply reply;
-    Change change = Change::nothing;
-  };
-  void recover(std::string checkpoint);
-  void replay(const StoreRecord& r);
-  void handle(const Envelope& e, Millis now);
-  /// Refuses or leaves unanswered what the load forbids.
-  bool refuse(const Envelope& e);
-  bool admits_more(const AppendHistory& w) const;
-  bool placed(const Envelope& e, PartitionId s) const;
-  bool fence(PartitionId s, Epoch term);
-  void on(const Envelope& e, const ReadHistory& r);
-  void on(const Envelope& e, const AppendHistory& w);
-  void on(const Envelope& e, const StreamPartition& q);
-  void on(const Envelope& e, const StreamPartitionReply& r, Millis now);
-  void on(const Envelope& e, const WriteTombstone& b);
-  void on(const Envelope& e, const FindChain& f);
-  Written write(StoredPartition& s, const AppendHistory& w);
-  Written adopt(StoredPartition& s, const AppendHistory& w);
-  void journal_write(const AppendHistory& w, Change change, bool fenced);
-  /// Takes what is newer than what is here; the part that was.
-  MergeRecord merge(StoredPartition& s, const MergeRecord& r);
-  static void bury(StoredPartition& s, const HistoryName& n);
-  /// Tells the owner of histories that have outlived their retention by this store's own clock.
-  void expire(Millis now);
-  bool aged(const History& l) const;
-  /// Drops the histories of partitions whose places went elsewhere some time ago.
-  void drop_moved(Millis now);
-  bool moved(PartitionId s, DaemonId me) const;
-  Millis uptime() const { return before_ + (now_ - born_); }
-  void turn(Millis now);
-  size_t journal_limit() const;
-  void journal(const StoreRecord& r) { out_.write(codec::pack(r)); }
-  Actions done();
+  void restore_checkpoint(std::string checkpoint);
+  void replay_journal(std::vector<std::string> journal);
+  void replay(const StoreRecord& record);
+
+  void handle(const Envelope& envelope, Millis now);
+  void handle(const ReadHistory& request, const Envelope& envelope);
+  void handle(const AppendHistory& request, const Envelope& envelope);
+  void handle(const WriteTombstone& request, const Envelope& envelope);
+  void handle(const StreamPartitionReply& page, const Envelope& envelope, Millis now);
+  void handle(const FindChain& request, const Envelope& envelope);
+  /// Whether the sender owns the partition, knows its present set of stores, and this store is in that set or to come
+  /// into it.
+  bool is_from_owner(const Envelope& envelope, PartitionId id) const;
+  void run_timers(Millis now);
+  /// The step's actions, with a checkpoint where the journal has grown enough.
+  Actions finish_step();
 
   Outbox out_;
   MetadataLog metadata_log_;
   Follower follower_;
-  StoredPartitions slots_;
-  PartitionRepair rep_;
+  UptimeClock clock_;
+  /// Learns each checkpoint's size, which `checkpoint() const` alone knows.
+  mutable StoreJournal journal_;
+  HistoryTable table_;
+  PartitionRepair repair_;
   PartitionStreams streams_;
-  StoreLoad load_;
-  uint64_t refused_ = 0;
-  /// Bytes of the journal since the last checkpoint, and of that checkpoint.
-  size_t grown_ = 0;
-  mutable size_t checkpoint_size_ = 0;
-  Millis born_, now_, before_ = 0, next_expire_ = 0, next_drop_ = 0;
-  /// Since when partitions with histories here have had no place here.
-  std::map<PartitionId, Millis> moved_since_;
-  PartitionId expiring_{};
+  HistoryExpiry expiry_;
+  MovedPartitions moved_partitions_;
+  LoadShedder load_shedder_;
 };
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/history/store_records.hpp
@@ -0,0 +1,46 @@
+#pragma once
+// What a store writes to its disk. Append only: the order of fields and of the alternatives is the format.
+#include "history/stored_partition.hpp"
+#include "metadata/transformation.hpp"
+
+namespace mosskeel {
+
+/// The store's whole state. `uptime` is in ms.
+struct StoreCheckpoint {
+  BOOST_HANA_DEFINE_STRUCT(StoreCheckpoint, (Metadata, metadata), (StoredPartitions, partitions), (Millis, uptime));
+};
+
+/// The partition's fence rose to `term`.
+struct FenceRecord {
+  BOOST_HANA_DEFINE_STRUCT(FenceRecord, (PartitionId, partition), (Epoch, term));
+};
+
+/// What another store sent and this one did not have; histories of the same name are replaced.
+struct MergeRecord {
+  BOOST_HANA_DEFINE_STRUCT(MergeRecord, (PartitionId, partition), (Epoch, fence), (std::vector<HistoryCopy>, histories),
+                           (std::vector<uint64_t>, tombstones));
+
+  bool empty() const { return fence == Epoch{} && histories.empty() && tombstones.empty(); }
+};
+
+/// The history was deleted and its name became a tombstone.
+struct TombstoneRecord {
+  BOOST_HANA_DEFINE_STRUCT(TombstoneRecord, (PartitionId, partition), (HistoryName, history));
+};
+
+/// The history's records, as they are here, hold under a newer term.
+struct HistoryTermRecord {
+  BOOST_HANA_DEFINE_STRUCT(HistoryTermRecord, (PartitionId, partition), (HistoryName, history), (Epoch, term));
+};
+
+/// The partition's histories were dropped because it lies on other stores; its fence and tombstones stay.
+struct DropPartitionRecord {
+  BOOST_HANA_DEFINE_STRUCT(DropPartitionRecord, (PartitionId, partition));
+};
+
+/// A record of the journal. `AppendHistory` is the owner's request itself, `Entry` and `Metadata` what the store
+/// learned of the metadata log.
+using StoreRecord = std::variant<FenceRecord, AppendHistory, MergeRecord, TombstoneRecord, Entry, Metadata,
+                                 HistoryTermRecord, DropPartitionRecord>;
+
+}  // namespace mosskeel
--- a/src/history/stored_partition.hpp
+++ b/src/history/stored_partition.hpp
@@ -1,21 +1,27 @@
 #pragma once
-// What a store keeps of its partitions.
+// What a store keeps of each partition, in memory and in its checkpoints. The order of the fields is the format on
+// disk.
+#include "history/history_version.hpp"
 #include "history/tombstones.hpp"
 
 namespace mosskeel {
 
-/// `touched` is when it was last written, by the store's own count of the time that it was up.
+/// This store's replica of one program's history. `term` is the ownership term of the last write, `written_at` the
+/// store's uptime (ms, see `UptimeClock`) at that write.
 struct History {
-  BOOST_HANA_DEFINE_STRUCT(History, (Epoch, term), (Records, records), (Millis, touched));
+  BOOST_HANA_DEFINE_STRUCT(History, (Epoch, term), (Records, records), (Millis, written_at));
+
+  HistoryVersion version() const { return {term, records.size()}; }
 };
 using Histories = std::map<HistoryName, History>;
+
+/// One partition's replica. `fence` is the highest ownership term that any owner has shown here: nothing of a lower
+/// term is written any more. A history is in `histories` or its name in `tombstones`, never both.
 struct StoredPartition {
   BOOST_HANA_DEFINE_STRUCT(StoredPartition, (Epoch, fence), (Histories, histories), (Tombstones, tombstones));
+
+  bool has_tombstone(const HistoryName& name) const { return tombstones.has(tombstone_of(name)); }
 };
 using StoredPartitions = std::map<PartitionId, StoredPartition>;
-struct MergeRecord {
-  BOOST_HANA_DEFINE_STRUCT(MergeRecord, (PartitionId, partition), (Epoch, fence), (std::vector<HistoryCopy>, histories),
-                           (std::vector<uint64_t>, tombstones));
-};
 
 }  // namespace mosskeel
--- a/src/history/tombstones.cpp
+++ b/src/history/tombstones.cpp
@@ -4,34 +4,35 @@
 
 namespace mosskeel {
 
-bool Tombstones::has(uint64_t x) const {
-  return std::binary_search(young.begin(), young.end(), x) || std::binary_search(old.begin(), old.end(), x);
+bool Tombstones::has(uint64_t digest) const {
+  return std::binary_search(young.begin(), young.end(), digest) || std::binary_search(old.begin(), old.end(), digest);
 }
 
-void Tombstones::add(uint64_t x, size_t bound) {
-  auto i = std::lower_bound(young.begin(), young.end(), x);
-  if (i != young.end() && *i == x)
+void Tombstones::add(uint64_t digest, size_t generation_size) {
+  auto place = std::lower_bound(young.begin(), young.end(), digest);
+  if (place != young.end() && *place == digest)
     return;
-  young.insert(i, x);
-  if (young.size() < bound)
-    return;
-  old = std::exchange(young, {});
+  young.insert(place, digest);
+  if (young.size() >= generation_size)
+    old = std::exchange(young, {});
 }
 
-std::vector<uint64_t> Tombstones::above(uint64_t after, size_t most) const {
-  std::vector<uint64_t> v;
-  auto a = std::upper_bound(young.begin(), young.end(), after), b = std::upper_bound(old.begin(), old.end(), after);
-  while (v.size() < most && (a != young.end() || b != old.end())) {
-    bool first = b == old.end() || (a != young.end() && *a <= *b);
-    auto x = first ? *a++ : *b++;
-    if (v.empty() || v.back() != x)
-      v.push_back(x);
+/// Merges both generations; a digest may be in both.
+std::vector<uint64_t> Tombstones::above(uint64_t after, size_t limit) const {
+  std::vector<uint64_t> merged;
+  auto from_young = std::upper_bound(young.begin(), young.end(), after);
+  auto from_old = std::upper_bound(old.begin(), old.end(), after);
+  while (merged.size() < limit && (from_young != young.end() || from_old != old.end())) {
+    bool young_is_next = from_old == old.end() || (from_young != young.end() && *from_young <= *from_old);
+    auto digest = young_is_next ? *from_young++ : *from_old++;
+    if (merged.empty() || merged.back() != digest)
+      merged.push_back(digest);
   }
-  return v;
+  return merged;
 }
 
-uint64_t tombstone_of(const HistoryName& n) {
-  return digest(n.program, digest(n.cell));
+uint64_t tombstone_of(const HistoryName& name) {
+  return digest(name.program, digest(name.cell));
 }
 
 }  // namespace mosskeel
--- a/src/history/tombstones.hpp
+++ b/src/history/tombstones.hpp
@@ -1,20 +1,28 @@
 #pragma once
-// What outlives a history's text: that it was there and has ended.
+// What a store keeps of a deleted history: that there was one of this name.
+#include <cstdint>
+#include <vector>
+
 #include "history/constants.hpp"
-#include "messages/message.hpp"
+#include "messages/history_messages.hpp"
 
 namespace mosskeel {
 
-/// Digests of the names of ended histories, bounded: the older half goes when the younger is full.
+/// Digests of the names of deleted histories, 8 bytes each, in two sorted generations. When the young one is full it
+/// becomes the old one, whose digests are forgotten, so that memory is bounded and the most recent ends are kept.
+/// The order of the fields is the format on disk.
 struct Tombstones {
   BOOST_HANA_DEFINE_STRUCT(Tombstones, (std::vector<uint64_t>, young), (std::vector<uint64_t>, old));
-  bool has(uint64_t x) const;
-  void add(uint64_t x, size_t bound = kTombstonesPerPartition);
-  /// Those above `after` in order, at most `most`.
-  std::vector<uint64_t> above(uint64_t after, size_t most) const;
+
+  bool has(uint64_t digest) const;
+  /// `generation_size` is the number of digests at which the young generation is full.
+  void add(uint64_t digest, size_t generation_size = kTombstonesPerPartition);
+  /// Those above `after` in ascending order, at most `limit`.
+  std::vector<uint64_t> above(uint64_t after, size_t limit) const;
   size_t size() const { return young.size() + old.size(); }
 };
 
-uint64_t tombstone_of(const HistoryName& n);
+/// The digest that stands for a history's name. Two names may share one, at 1 in 10^19 a pair.
+uint64_t tombstone_of(const HistoryName& name);
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/history/uptime_clock.hpp
@@ -0,0 +1,26 @@
+#pragma once
+// The time by which a store measures retention.
+#include "mosskeel/time.hpp"
+
+namespace mosskeel {
+
+/// Counts the milliseconds for which this store has been running, over all its starts. Downtime does not count, and a
+/// restart falls back to the uptime in the last checkpoint: every error lengthens the retention of histories, none
+/// shortens it.
+class UptimeClock {
+ public:
+  explicit UptimeClock(Millis now) : started_at_(now), now_(now) {}
+
+  /// Takes over the uptime of earlier starts, as the last checkpoint has it.
+  void restore(Millis earlier_uptime) { earlier_uptime_ = earlier_uptime; }
+  void advance_to(Millis now) { now_ = now; }
+  Millis uptime() const { return earlier_uptime_ + (now_ - started_at_); }
+
+ private:
+  /// On the state machine's clock.
+  Millis started_at_;
+  Millis now_;
+  Millis earlier_uptime_ = 0;
+};
+
+}  // namespace mosskeel
--- /dev/null
+++ b/tests/unit/programs/replica_selector_test.cpp
@@ -0,0 +1,39 @@
+#include <catch2/catch.hpp>
+
+#include "metadata/constants.hpp"
+#include "programs/admission_policy.hpp"
+
+using namespace mosskeel;
+
+TEST_CASE("A replica's capacity is shared out over the fronts, and grows from one while it warms up") {
+  Metadata metadata;
+  for (uint64_t number = 1; number <= 6; ++number) {
+    DaemonId id{number};
+    Candidate self{Incarnation{number}, Role::front, "a", "f" + std::to_string(number), "", ""};
+    metadata.directory[id] = {id, self, DaemonState::up, {}};
+  }
+  struct Row {
+    ReplicaHealth health;
+    uint32_t capacity;
+    Millis elapsed;
+    uint32_t expected_sum;
+  };
+  const Row rows[] = {{ReplicaHealth::ready, 32, 0, 32},
+                      {ReplicaHealth::ready, 6, 0, 6},
+                      {ReplicaHealth::ready, 3, 0, 6},
+                      {ReplicaHealth::draining, 32, 0, 0},
+                      {ReplicaHealth::warming_up, 32, 0, 1},
+                      {ReplicaHealth::warming_up, 32, kSlowStartDuration / 2, 16},
+                      {ReplicaHealth::warming_up, 32, kSlowStartDuration * 2, 32}};
+  for (auto& row : rows) {
+    uint32_t sum = 0;
+    for (auto& [id, front] : metadata.directory) {
+      ReplicaSelector selector;
+      Replica replica{"model1", "model", "a", "http://x", row.health, Epoch{9}, row.capacity};
+      selector.usable_capacity(replica, metadata, front, 1000);
+      sum += selector.usable_capacity(replica, metadata, front, 1000 + row.elapsed);
+    }
+    INFO(name(row.health) << " " << row.capacity << " after " << row.elapsed);
+    CHECK(sum == row.expected_sum);
+  }
+}
--- /dev/null
+++ b/tests/unit/runtime/inbox_test.cpp
@@ -0,0 +1,24 @@
+#include "runtime/inbox.hpp"
+
+#include <catch2/catch.hpp>
+
+using namespace mosskeel;
+
+TEST_CASE("An inbox drops large messages beyond its bound, and takes them once there is room") {
+  Inbox inbox(10000);
+  Envelope envelope{};
+  envelope.body = Discover{};
+
+  CHECK(inbox.hear(envelope, 6000));
+  CHECK_FALSE(inbox.hear(envelope, 6000));
+  CHECK(inbox.hear(envelope, Inbox::kSmallMessageBytes));
+  CHECK(inbox.refused() == 1);
+
+  auto items = inbox.take(0);
+  REQUIRE(items.size() == 2);
+  CHECK(inbox.bytes() == 6000 + Inbox::kSmallMessageBytes);
+  for (auto& item : items)
+    inbox.done(item);
+  CHECK(inbox.bytes() == 0);
+  CHECK(inbox.hear(envelope, 6000));
+}
--- a/tests/unit/tools/capacity_test.cpp
+++ b/tests/unit/tools/capacity_test.cpp
@@ -1,3 +1,4 @@
+// What the simulated fleet of tools/scale counts, against the capacity page and the bounds that it rests on.
 #include <catch2/catch.hpp>
 #include <fstream>
 #include <sstream>
@@ -10,71 +11,89 @@
 
 namespace {
 
-scale::Plan small() {
-  scale::Plan p;
-  p.daemons = 10, p.replicas = 4, p.paths = 2, p.cells = 4;
-  return p;
+scale::Plan small_plan() {
+  scale::Plan plan;
+  plan.daemons = 10;
+  plan.replicas = 4;
+  plan.paths = 2;
+  plan.cells = 4;
+  return plan;
 }
 
-/// A ledger at epoch 1 and entries that each apply a configuration of so many cells.
-MetadataLog ledger(int changes, int cells) {
-  auto p = small();
-  MetadataLog l;
-  auto seats = scale::seats(p, 1);
-  l.install_snapshot(scale::rest(p, seats));
-  p.cells = cells;
-  for (int i = 0; i < changes; ++i)
-    l.add({next(l.epoch()), "", ApplyConfiguration{l.view()->revision, scale::configuration(p), {}}});
-  return l;
+/// A log at epoch 1 with entries that each apply a configuration of so many cells.
+MetadataLog log_with_changes(int changes, int cells) {
+  auto plan = small_plan();
+  MetadataLog log;
+  log.install_snapshot(scale::rest(plan, scale::seats(plan, 1)));
+  plan.cells = cells;
+  for (int i = 0; i < changes; ++i) {
+    ApplyConfiguration change{log.view()->revision, scale::configuration(plan), {}};
+    log.add({next(log.epoch()), "", change});
+  }
+  return log;
+}
+
+std::string read_file(const std::string& path) {
+  std::ifstream file(path);
+  REQUIRE(file);
+  std::stringstream text;
+  text << file.rdbuf();
+  return text.str();
 }
 
 }  // namespace
 
-TEST_CASE("the capacity page's counts are what the simulated fleet counts") {
-  std::ifstream f(SOURCE_DIR "/docs/CAPACITY.md");
-  std::stringstream s;
-  s << f.rdbuf();
-  REQUIRE(f);
-  for (int n : {10, 40, 100}) {
-    auto row = scale::page_row(n, 1);
+TEST_CASE("The capacity page's counts are those of the simulated fleet") {
+  auto page = read_file(SOURCE_DIR "/docs/CAPACITY.md");
+
+  for (int daemons : {10, 40, 100}) {
+    auto row = scale::page_row(daemons, 1);
     INFO(row);
-    CHECK(s.str().find(row) != std::string::npos);
+    CHECK(page.find(row) != std::string::npos);
   }
 }
 
-TEST_CASE("a daemon that hears the core asks no other daemon; without the core all are asked and go on serving") {
-  scale::Field f(small(), 1);
-  f.run(4000);
-  REQUIRE(f.fronts_in_touch());
-  f.forget();
-  f.run(3000);
-  CHECK(f.sum(scale::Part::agent).in["heartbeat"].count == 0);
-  CHECK(f.sum(scale::Part::store).in["heartbeat"].count == 0);
-  for (auto i : f.all(scale::Part::controller))
-    f.stop(i);
-  for (int k = 0; k < 40; ++k) {
-    f.run(100);
-    CHECK(f.fronts_in_touch());
+TEST_CASE("A daemon in contact with the core sends heartbeats to no other; without the core all stay in contact") {
+  scale::Field fleet(small_plan(), 1);
+  auto heartbeats_received = [&](scale::Part part) {
+    return fleet.sum(part).in["heartbeat"].count;
+  };
+  fleet.run(4000);
+  REQUIRE(fleet.fronts_in_touch());
+  fleet.forget();
+
+  fleet.run(3000);
+  CHECK(heartbeats_received(scale::Part::agent) == 0);
+  CHECK(heartbeats_received(scale::Part::store) == 0);
+
+  for (auto controller : fleet.all(scale::Part::controller))
+    fleet.stop(controller);
+  for (int step = 0; step < 40; ++step) {
+    fleet.run(100);
+    CHECK(fleet.fronts_in_touch());
   }
-  CHECK(f.sum(scale::Part::agent).in["heartbeat"].count > 0);
-  CHECK(f.failures.empty());
+  CHECK(heartbeats_received(scale::Part::agent) > 0);
+  CHECK(fleet.failures.empty());
 }
 
-TEST_CASE("what a laggard lacks comes as entries while they are small, else as the whole value") {
-  auto few = ledger(100, 4);
-  auto [none, entries] = few.updates_since(Epoch{few.epoch().value() - 100});
-  CHECK_FALSE(none);
+TEST_CASE("A lagging daemon gets entries while they are small, and a snapshot beyond that") {
+  auto small_log = log_with_changes(100, 4);
+  auto [no_snapshot, entries] = small_log.updates_since(Epoch{small_log.epoch().value() - 100});
+  CHECK_FALSE(no_snapshot);
   CHECK(entries.size() == 100);
-  const int cells = 8000, changes = 5;
-  auto many = ledger(changes, cells);
-  auto bytes = codec::pack(many.recent_entries().back()).size();
-  REQUIRE(bytes * changes > kLogBytesKept);
-  CHECK(bytes * many.recent_entries().size() <= kLogBytesKept);
-  auto [whole, rest] = many.updates_since(Epoch{many.epoch().value() - changes});
-  REQUIRE(whole);
-  CHECK(whole->epoch == many.epoch());
-  CHECK(rest.empty());
-  auto [again, last] = many.updates_since(Epoch{many.epoch().value() - 1});
-  CHECK_FALSE(again);
-  CHECK(last.size() == 1);
+
+  constexpr int kCells = 8000;
+  constexpr int kChanges = 5;
+  auto large_log = log_with_changes(kChanges, kCells);
+  auto& recent = large_log.recent_entries();
+  auto entry_bytes = codec::pack(recent.back()).size();
+  REQUIRE(entry_bytes * kChanges > kLogBytesKept);
+  CHECK(entry_bytes * recent.size() <= kLogBytesKept);
+  auto [snapshot, no_entries] = large_log.updates_since(Epoch{large_log.epoch().value() - kChanges});
+  REQUIRE(snapshot);
+  CHECK(snapshot->epoch == large_log.epoch());
+  CHECK(no_entries.empty());
+  auto [none, last_entry] = large_log.updates_since(Epoch{large_log.epoch().value() - 1});
+  CHECK_FALSE(none);
+  CHECK(last_entry.size() == 1);
 }
