--- a/src/messages/history_messages.hpp
+++ b/src/messages/history_messages.hpp
@@ -1,19 +1,21 @@
 #pragma once
 // What the owners of programs and the stores of their histories say to each other.
+// The order of the fields is the format on the wire and, where stores journal them, on disk.
 #include "base/codec.hpp"
 
 namespace mosskeel {
 
-/// What is known of an event: it happened, it did not and never will, or neither is known.
+/// Whether something happened, as far as is known.
 enum class Outcome : uint8_t { yes, no, unknown };
 
 /// A `reservation` of a turn's tokens is committed before its dispatch, its `outcome` before success is reported;
 /// `ended` closes the history.
 enum class RecordKind : uint8_t { reservation, outcome, ended };
 
-/// A record of a history. `key` identifies the turn, `thread` the sub-agent; `body_digest` tells a retry from another
-/// request under the same key; `tokens` are reserved or spent; `turn` counts the history's turns; `status` is the
-/// HTTP status of an outcome; `runner` is the gateway that dispatches; `parent` is the turn that it continues.
+/// One element of a program's history. `key` names the turn (the caller's idempotency key, or the attempt), `parent`
+/// the turn that it goes on from, `thread` the thread of turns, of which this is number `turn`. `tokens` are reserved
+/// or spent. `status` is the outcome's HTTP status; 0: the turn never ran. `runner` is the gateway that runs the turn,
+/// `body_digest` the digest of its request, `retention_ms` how long the history is kept after its last write.
 struct Record {
   BOOST_HANA_DEFINE_STRUCT(Record, (RecordKind, kind), (std::string, key), (std::string, thread),
                            (uint64_t, body_digest), (uint64_t, tokens), (uint32_t, turn), (uint32_t, status),
@@ -23,19 +25,19 @@
 };
 using Records = std::vector<Record>;
 
-/// Identifies a history in a cluster.
+/// The program whose turns the history holds.
 struct HistoryName {
   BOOST_HANA_DEFINE_STRUCT(HistoryName, (std::string, cell), (std::string, program));
   auto operator<=>(const HistoryName&) const = default;
 };
 
-/// The owner reads a history from a store under its term, which the store fences: it takes no lower term afterwards.
+/// An owner asks a store for its replica. The store rejects writes to the partition under lower terms from then on.
 struct ReadHistory {
   BOOST_HANA_DEFINE_STRUCT(ReadHistory, (HistoryName, history), (PartitionId, partition), (Epoch, term));
 };
 
-/// Where not `granted`, `term` is the higher one that forbids it, or the store does not hold the partition.
-/// `history_term` is the term under which the records were last written as a whole.
+/// `granted` is false where the sender does not own the partition, or a higher term has been seen. `history_term` is
+/// the term under which the replica was last written. With `has_tombstone` the history was deleted here.
 struct ReadHistoryReply {
   BOOST_HANA_DEFINE_STRUCT(ReadHistoryReply, (HistoryName, history), (Epoch, term), (bool, granted),
                            (Epoch, history_term), (bool, has_tombstone), (Records, records));
@@ -47,8 +49,8 @@
                            (bool, replace), (uint64_t, from), (Records, records));
 };
 
-/// `gap` says that the store lacks records before `from`, and how many it has in `length`. Sent once the records are
-/// durable.
+/// Sent once the write is on disk. `length` counts the records that the replica has now. With `gap` it lacks records
+/// before `from`, or was not written under this term: the owner then sends the whole history.
 struct AppendHistoryReply {
   BOOST_HANA_DEFINE_STRUCT(AppendHistoryReply, (HistoryName, history), (Epoch, term), (bool, granted), (bool, gap),
                            (uint64_t, length));
@@ -64,42 +66,42 @@
   BOOST_HANA_DEFINE_STRUCT(WriteTombstone, (HistoryName, history), (PartitionId, partition), (Epoch, term));
 };
 
-/// A store that is to hold a partition asks for a page of it: histories after the name `after`, tombstones after the
-/// number `tombstone`. `sequence` is the epoch of the move.
+/// A store that is about to hold a partition asks one that holds it for the next page of its replica: the histories and
+/// the tombstones behind those that it has. `sequence` is the epoch at which it became pending.
 struct StreamPartition {
   BOOST_HANA_DEFINE_STRUCT(StreamPartition, (PartitionId, partition), (Epoch, sequence), (HistoryName, after),
-                           (uint64_t, tombstone));
+                           (uint64_t, after_tombstone));
 };
 
-/// A complete history as one store holds it.
+/// A store's replica of a history, on its way to another store.
 struct HistoryCopy {
   BOOST_HANA_DEFINE_STRUCT(HistoryCopy, (HistoryName, history), (Epoch, history_term), (Records, records));
 };
 
-/// One page. `fence` is the highest term that the sender has fenced; `more` says that another page follows.
+/// A page; `more` where others follow. `fence` is the highest term shown to the partition there.
 struct StreamPartitionReply {
   BOOST_HANA_DEFINE_STRUCT(StreamPartitionReply, (PartitionId, partition), (Epoch, sequence), (HistoryName, after),
-                           (uint64_t, tombstone), (Epoch, fence), (std::vector<HistoryCopy>, histories),
+                           (uint64_t, after_tombstone), (Epoch, fence), (std::vector<HistoryCopy>, histories),
                            (std::vector<uint64_t>, tombstones), (bool, more));
 };
 
-/// Anti-entropy: a store sends the checksum of a partition's histories to a peer; `changed` is the epoch of the store
-/// set that it refers to.
+/// Anti-entropy: stores compare their partitions' histories in the background and fetch what they lack. `checksum` is
+/// over the names and versions of the sender's histories, `stores_epoch` that of the partition's set of stores.
 struct PartitionChecksum {
-  BOOST_HANA_DEFINE_STRUCT(PartitionChecksum, (PartitionId, partition), (Epoch, changed), (uint64_t, checksum));
+  BOOST_HANA_DEFINE_STRUCT(PartitionChecksum, (PartitionId, partition), (Epoch, stores_epoch), (uint64_t, checksum));
 };
 
-/// Whether the peer has the same checksum.
+/// Whether the receiver's checksum is the same, under the same set of stores.
 struct PartitionChecksumReply {
-  BOOST_HANA_DEFINE_STRUCT(PartitionChecksumReply, (PartitionId, partition), (Epoch, changed), (bool, equal));
+  BOOST_HANA_DEFINE_STRUCT(PartitionChecksumReply, (PartitionId, partition), (Epoch, stores_epoch), (bool, equal));
 };
 
-/// Asks a peer for the next page of a partition's histories, by name after `after`.
+/// Asks for the names and versions of the histories behind `after`.
 struct ListHistories {
   BOOST_HANA_DEFINE_STRUCT(ListHistories, (PartitionId, partition), (HistoryName, after));
 };
 
-/// Enough of a history to tell whether a copy of it is behind.
+/// A history's version: the term under which it was last written, and its number of records.
 struct HistorySummary {
   BOOST_HANA_DEFINE_STRUCT(HistorySummary, (HistoryName, history), (Epoch, term), (uint64_t, length));
 };
@@ -109,31 +111,31 @@
                            (std::vector<HistorySummary>, summaries), (bool, more));
 };
 
-/// Asks a peer for these histories.
+/// Asks for whole histories.
 struct FetchHistories {
   BOOST_HANA_DEFINE_STRUCT(FetchHistories, (PartitionId, partition), (std::vector<HistoryName>, names));
 };
 
+/// In the order in which they were asked for; those that do not fit into the message, or are gone, are left out.
 struct FetchHistoriesReply {
   BOOST_HANA_DEFINE_STRUCT(FetchHistoriesReply, (PartitionId, partition), (std::vector<HistoryCopy>, histories));
 };
 
-/// The old owner hands the outcome of a turn that was running when its partition moved to the new owner.
+/// The outcome of a turn that was running when its partition moved, for the new owner.
 struct TransferTurnOutcome {
   BOOST_HANA_DEFINE_STRUCT(TransferTurnOutcome, (std::string, attempt), (HistoryName, history), (Record, record));
 };
 
-/// Whether the outcome is committed.
+/// `no`: the new owner cannot take the outcome, since the history has gone on without it.
 struct TransferTurnOutcomeReply {
   BOOST_HANA_DEFINE_STRUCT(TransferTurnOutcomeReply, (std::string, attempt), (Outcome, outcome));
 };
 
-/// Asks the gateway that wrote a reservation whether it still runs the turn; only its own answer counts.
+/// Asks the front that wrote a reservation whether it still runs it; only its own word counts.
 struct QueryTurnRunner {
   BOOST_HANA_DEFINE_STRUCT(QueryTurnRunner, (HistoryName, history), (std::string, key));
 };
 
-/// `running` false means that this gateway will not report an outcome any more.
 struct QueryTurnRunnerReply {
   BOOST_HANA_DEFINE_STRUCT(QueryTurnRunnerReply, (HistoryName, history), (std::string, key), (bool, running));
 };
