--- a/src/routing/turn_client.cpp
+++ b/src/routing/turn_client.cpp
@@ -1,4 +1,5 @@
 #include "routing/turn_client.hpp"
+
 #include "history/constants.hpp"
 #include "routing/constants.hpp"
 #include "runtime/constants.hpp"
@@ -6,101 +7,148 @@
 namespace mosskeel {
 
 const Daemon* TurnClient::owner(const std::string& program) const {
-  auto& m = *metadata_log_.view();
-  auto n = turn_history_name(program);
-  auto s = partition_of(n.cell, n.program);
-  return s.value() < m.partitions.size() ? m.find(m.partitions[s.value()].owner) : nullptr;
+  auto& metadata = *metadata_log_.view();
+  auto history = turn_history_name(program);
+  auto partition = partition_of(history.cell, history.program);
+  if (partition.value() >= metadata.partitions.size())
+    return nullptr;
+  return metadata.find(metadata.partitions[partition.value()].owner);
+}
+
+template <class Body>
+void TurnClient::send(Unanswered<Body>& request, Millis now) {
+  auto* daemon = owner(request.body.program);
+  if (!daemon || daemon->state == DaemonState::down || daemon->state == DaemonState::left)
+    return;
+  request.last_sent_at = now;
+  request.owner = daemon->id;
+  outbox_.send(daemon->self.address, request.body, daemon->self.incarnation);
 }
 
-template <class T>
-bool TurnClient::send(Open<T>& x, Millis now) {
-  auto* d = owner(x.body.program);
-  if (!d || d->state == DaemonState::down || d->state == DaemonState::left)
-    return false;
-  x.last = now;
-  x.owner = d->id;
-  out_.send(d->self.address, x.body, d->self.incarnation);
-  return true;
+template <class Body>
+bool TurnClient::is_due(const Unanswered<Body>& request, Millis now) const {
+  auto elapsed = now - request.last_sent_at;
+  if (elapsed >= kStoreRetryInterval)
+    return true;
+  auto* daemon = owner(request.body.program);
+  bool owner_changed = daemon && daemon->id != request.owner;
+  return owner_changed && elapsed >= kTickInterval;
 }
 
-bool TurnClient::handle(const Envelope& e, Millis now) {
-  bool own = e.from == kRoutingAddress;
-  if (auto* a = std::get_if<ReserveTurn>(&e.body); a && own) {
-    send(asks_[a->attempt] = {*a, now, 0, {}}, now);
+bool TurnClient::handle(const Envelope& envelope, Millis now) {
+  bool from_own_router = envelope.from == kRoutingAddress;
+  if (auto* request = std::get_if<ReserveTurn>(&envelope.body); request && from_own_router) {
+    on_reserve(*request, now);
     return true;
   }
-  if (auto* s = std::get_if<CommitTurn>(&e.body); s && own) {
-    asks_.erase(s->attempt);
-    running_.erase(s->attempt);
-    send(ends_[s->attempt] = {*s, now, 0, {}}, now);
+  if (auto* request = std::get_if<CommitTurn>(&envelope.body); request && from_own_router) {
+    on_commit(*request, now);
     return true;
   }
-  if (auto* g = std::get_if<ReserveTurnReply>(&e.body)) {
-    auto i = asks_.find(g->attempt);
-    auto x = overtaken_.find(g->attempt);
-    if (x != overtaken_.end() && g->status == 200) {
-      send(ends_[g->attempt] = {std::move(x->second.first), now, 0, {}}, now);
-      overtaken_.erase(x);
-    }
-    if (i == asks_.end())
-      return true;
-    if (g->status == 0) {
-      i->second.owner = {};
-      return true;
-    }
-    if (g->status == 200)
-      running_.insert(g->attempt);
-    else
-      out_.note(Event::turn_refused, g->attempt + " with " + std::to_string(g->status) + ": " + g->reason);
-    asks_.erase(i);
-    out_.send(kRoutingAddress, *g);
+  if (auto* reply = std::get_if<ReserveTurnReply>(&envelope.body)) {
+    on_reply(*reply, now);
     return true;
   }
-  if (auto* s = std::get_if<CommitTurnReply>(&e.body)) {
-    auto i = ends_.find(s->attempt);
-    if (i == ends_.end())
-      return true;
-    if (!s->committed && i->second.body.status == 0)
-      overtaken_[s->attempt] = {std::move(i->second.body), now};
-    ends_.erase(i);
-    out_.send(kRoutingAddress, *s);
+  if (auto* reply = std::get_if<CommitTurnReply>(&envelope.body)) {
+    on_reply(*reply, now);
     return true;
   }
   return false;
 }
 
+void TurnClient::on_reserve(const ReserveTurn& request, Millis now) {
+  auto& reservation = reservations_[request.attempt];
+  reservation = {request, now, 0, {}};
+  send(reservation, now);
+}
+
+void TurnClient::on_commit(const CommitTurn& request, Millis now) {
+  reservations_.erase(request.attempt);
+  granted_.erase(request.attempt);
+  auto& commit = commits_[request.attempt];
+  commit = {request, now, 0, {}};
+  send(commit, now);
+}
+
+void TurnClient::on_reply(const ReserveTurnReply& reply, Millis now) {
+  bool granted = reply.status == 200;
+  if (granted)
+    release_late_grant(reply.attempt, now);
+  auto reservation = reservations_.find(reply.attempt);
+  if (reservation == reservations_.end())
+    return;
+  bool wrong_owner = reply.status == 0;
+  if (wrong_owner) {
+    reservation->second.owner = {};
+    return;
+  }
+  if (granted)
+    granted_.insert(reply.attempt);
+  else
+    outbox_.note(Event::turn_refused, reply.attempt + " with " + std::to_string(reply.status) + ": " + reply.reason);
+  reservations_.erase(reservation);
+  outbox_.send(kRoutingAddress, reply);
+}
+
+/// A grant whose "not run" outcome the owner did not know what to do with: the outcome is sent again.
+void TurnClient::release_late_grant(const std::string& attempt, Millis now) {
+  auto unmatched = unmatched_commits_.find(attempt);
+  if (unmatched == unmatched_commits_.end())
+    return;
+  auto& commit = commits_[attempt];
+  commit = {std::move(unmatched->second.body), now, 0, {}};
+  send(commit, now);
+  unmatched_commits_.erase(unmatched);
+}
+
+void TurnClient::on_reply(const CommitTurnReply& reply, Millis now) {
+  auto commit = commits_.find(reply.attempt);
+  if (commit == commits_.end())
+    return;
+  bool not_run = commit->second.body.status == 0;
+  if (!reply.committed && not_run)
+    unmatched_commits_[reply.attempt] = {std::move(commit->second.body), now};
+  commits_.erase(commit);
+  outbox_.send(kRoutingAddress, reply);
+}
+
 void TurnClient::tick(Millis now) {
-  std::erase_if(overtaken_, [&](auto& x) { return now - x.second.second > kOutcomeTransferTimeout; });
-  auto moved = [&](auto& x) {
-    auto* d = owner(x.body.program);
-    return d && d->id != x.owner;
-  };
-  auto due = [&](auto& x) {
-    return now - x.last >= kStoreRetryInterval || (moved(x) && now - x.last >= kTickInterval);
-  };
-  for (auto i = asks_.begin(); i != asks_.end();) {
-    auto& x = i->second;
-    if (now - x.born > std::min(kTurnReservationTimeout, x.body.timeout_ms)) {
-      auto a = x.body;
-      i = asks_.erase(i);
-      send(ends_[a.attempt] = {CommitTurn{a.attempt, a.program, 0, 0, false, {}}, now, 0, {}}, now);
-      out_.send(kRoutingAddress,
-                ReserveTurnReply{a.attempt, 503, kDefaultRetryAfter, "the program's owner does not answer", {}});
+  std::erase_if(unmatched_commits_,
+                [&](auto& entry) { return now - entry.second.acknowledged_at > kOutcomeTransferTimeout; });
+  tick_reservations(now);
+  tick_commits(now);
+}
+
+void TurnClient::tick_reservations(Millis now) {
+  for (auto entry = reservations_.begin(); entry != reservations_.end();) {
+    auto& reservation = entry->second;
+    if (now - reservation.first_sent_at <= std::min(kTurnReservationTimeout, reservation.body.timeout_ms)) {
+      if (is_due(reservation, now))
+        send(reservation, now);
+      ++entry;
       continue;
     }
-    if (due(x))
-      send(x, now);
-    ++i;
+    auto request = std::move(reservation.body);
+    entry = reservations_.erase(entry);
+    auto& commit = commits_[request.attempt];
+    commit = {CommitTurn{request.attempt, request.program, 0, 0, false, {}}, now, 0, {}};
+    send(commit, now);
+    outbox_.send(kRoutingAddress,
+                 ReserveTurnReply{request.attempt, 503, kDefaultRetryAfter, "the program's owner does not answer", {}});
   }
-  for (auto i = ends_.begin(); i != ends_.end();) {
-    if (now - i->second.born > kOutcomeTransferTimeout) {
-      out_.send(kRoutingAddress, CommitTurnReply{i->first, false});
-      i = ends_.erase(i);
+}
+
+void TurnClient::tick_commits(Millis now) {
+  for (auto entry = commits_.begin(); entry != commits_.end();) {
+    auto& commit = entry->second;
+    if (now - commit.first_sent_at <= kOutcomeTransferTimeout) {
+      if (is_due(commit, now))
+        send(commit, now);
+      ++entry;
       continue;
     }
-    if (due(i->second))
-      send(i->second, now);
-    ++i;
+    outbox_.send(kRoutingAddress, CommitTurnReply{entry->first, false});
+    entry = commits_.erase(entry);
   }
 }
 
--- a/src/routing/turn_client.hpp
+++ b/src/routing/turn_client.hpp
@@ -1,41 +1,68 @@
 #pragma once
-// A front's link to the owners of its callers' turns: asks until there is an answer, follows a program that moves.
+// The caller's side of turns: the link of this gateway to the owners of its callers' programs.
 #include "routing/turn_coordinator.hpp"
 
 namespace mosskeel {
 
-/// Where the traffic of this process listens to its control state.
-inline const Address kRoutingAddress = "local:traffic";
+/// Where the request router of this process listens to its control state.
+inline const Address kRoutingAddress = "local:routing";
 
+/// Forwards reservations and outcomes of this process's router to the owner of the program, sends them again until they
+/// are answered, and follows a partition to its new owner. Answers go to `kRoutingAddress`.
+///
+/// Part of the gateway's state machine and used on its thread; nothing is on disk. Times are milliseconds on the
+/// process's clock.
 class TurnClient {
  public:
-  TurnClient(Outbox& out, MetadataLog& metadata_log) : out_(out), metadata_log_(metadata_log) {}
-  /// Asks and outcomes from this process's own traffic, answers from owners; false leaves the message to the caller.
-  bool handle(const Envelope& e, Millis now);
-  /// Asks again what has no answer, at once where the owner has changed.
+  TurnClient(Outbox& outbox, MetadataLog& metadata_log) : outbox_(outbox), metadata_log_(metadata_log) {}
+  /// Handles requests of this process's own router and replies of owners; false where the message is another's.
+  bool handle(const Envelope& envelope, Millis now);
+  /// Sends again what is unanswered, at once where the owner has changed, and gives up what timed out.
   void tick(Millis now);
-  size_t waiting() const { return asks_.size() + ends_.size(); }
-  /// Whether this process still carries the turn.
-  bool is_in_flight(const std::string& attempt) const { return running_.count(attempt) || ends_.count(attempt); }
+  /// Number of unanswered requests.
+  size_t waiting() const { return reservations_.size() + commits_.size(); }
+  /// Whether this gateway runs the turn, or its outcome is not acknowledged yet.
+  bool is_in_flight(const std::string& attempt) const { return granted_.count(attempt) || commits_.count(attempt); }
 
  private:
-  template <class T>
-  struct Open {
-    T body;
-    Millis born = 0, last = 0;
+  template <class Body>
+  struct Unanswered {
+    Body body;
+    Millis first_sent_at = 0;
+    Millis last_sent_at = 0;
+    /// To whom it was sent last; 0 where it was not, or where that one is not the owner.
     DaemonId owner{};
   };
+  /// An outcome whose owner knew no reservation.
+  struct UnmatchedCommit {
+    CommitTurn body;
+    Millis acknowledged_at = 0;
+  };
+
+  void on_reserve(const ReserveTurn& request, Millis now);
+  void on_commit(const CommitTurn& request, Millis now);
+  void on_reply(const ReserveTurnReply& reply, Millis now);
+  void on_reply(const CommitTurnReply& reply, Millis now);
+  void release_late_grant(const std::string& attempt, Millis now);
+  void tick_reservations(Millis now);
+  void tick_commits(Millis now);
   const Daemon* owner(const std::string& program) const;
-  template <class T>
-  bool send(Open<T>& x, Millis now);
+  /// Sends to the present owner, where there is one that is up.
+  template <class Body>
+  void send(Unanswered<Body>& request, Millis now);
+  template <class Body>
+  bool is_due(const Unanswered<Body>& request, Millis now) const;
 
-  Outbox& out_;
+  Outbox& outbox_;
   MetadataLog& metadata_log_;
-  std::map<std::string, Open<ReserveTurn>> asks_;
-  std::map<std::string, Open<CommitTurn>> ends_;
-  std::set<std::string> running_;
-  /// Outcomes that their owner knew no turn for, and when: an ask that was overtaken may still reserve.
-  std::map<std::string, std::pair<CommitTurn, Millis>> overtaken_;
+  /// All by the attempt id of the turn.
+  std::map<std::string, Unanswered<ReserveTurn>> reservations_;
+  std::map<std::string, Unanswered<CommitTurn>> commits_;
+  /// Turns that were granted and have no outcome yet.
+  std::set<std::string> granted_;
+  /// "Not run" outcomes that reached the owner before the reservation: that one may still be granted, and is then
+  /// released by the outcome once more.
+  std::map<std::string, UnmatchedCommit> unmatched_commits_;
 };
 
 }  // namespace mosskeel
--- a/src/routing/turn_coordinator.cpp
+++ b/src/routing/turn_coordinator.cpp
@@ -1,274 +1,294 @@
 #include "routing/turn_coordinator.hpp"
+
 #include "history/constants.hpp"
 #include "routing/constants.hpp"
 #include "runtime/constants.hpp"
 
-#include <algorithm>
-
 namespace mosskeel {
 namespace {
 
-/// Whether a reservation is this front's own: an attempt's id alone does not tell two fronts apart.
-bool granted_to(const Metadata& m, const Record& reservation, Incarnation front) {
-  auto* d = m.find(front);
-  return reservation.runner == DaemonId{} || !d || d->id == reservation.runner;
+/// Programs of paths have no cell; no cell of the configuration can have this name.
+constexpr const char* kPathCell = "=";
+
+Record reservation_record(const ReserveTurn& request, DaemonId gateway) {
+  Record record{};
+  record.kind = RecordKind::reservation;
+  record.key = request.attempt;
+  record.tokens = request.max_tokens;
+  record.runner = gateway;
+  record.retention_ms = request.retention_ms;
+  record.parent = request.parent;
+  if (request.keep_history)
+    record.input = request.input;
+  return record;
+}
+
+Record outcome_record(const CommitTurn& request) {
+  Record record{};
+  record.kind = RecordKind::outcome;
+  record.key = request.attempt;
+  record.status = request.status;
+  record.tokens = request.tokens;
+  if (request.keep_output)
+    record.output = request.output;
+  return record;
+}
+
+/// The whole chain of another program's turn as the output of one turn.
+Record imported_record(const FindChainReply& reply, int64_t retention_ms) {
+  Record record{};
+  record.kind = RecordKind::outcome;
+  record.key = reply.turn;
+  record.status = 200;
+  record.retention_ms = retention_ms;
+  record.output = reply.text;
+  return record;
 }
 
 }  // namespace
 
 HistoryName turn_history_name(const std::string& program) {
-  return {"=", program};
+  return {kPathCell, program};
 }
 
-bool TurnCoordinator::mine(const HistoryName& n) const {
-  auto& m = *metadata_log_.view();
-  auto s = partition_of(n.cell, n.program);
-  if (s.value() >= m.partitions.size())
-    return false;
-  auto* d = m.find(m.partitions[s.value()].owner);
-  return d && d->self.incarnation == out_.id().self.incarnation;
+bool TurnCoordinator::handle(const Envelope& envelope, Millis now) {
+  if (auto* request = std::get_if<ReserveTurn>(&envelope.body)) {
+    handle(*request, envelope, now);
+    return true;
+  }
+  if (auto* request = std::get_if<CommitTurn>(&envelope.body)) {
+    handle(*request, envelope, now);
+    return true;
+  }
+  if (auto* reply = std::get_if<FindChainReply>(&envelope.body)) {
+    handle(*reply, envelope, now);
+    return true;
+  }
+  return false;
 }
 
-bool TurnCoordinator::busy(const HistoryName& n) const {
-  auto on = [&](auto& x) {
-    return x.second.history == n;
-  };
-  return std::any_of(asks_.begin(), asks_.end(), on) || std::any_of(ends_.begin(), ends_.end(), on);
+void TurnCoordinator::handle(const ReserveTurn& request, const Envelope& envelope, Millis now) {
+  auto [entry, inserted] = reservations_.try_emplace(request.attempt);
+  if (inserted)
+    entry->second = pending(request, envelope, now);
+  if (advance(entry->second, now) == Progress::answered)
+    reservations_.erase(entry);
+}
+
+void TurnCoordinator::handle(const CommitTurn& request, const Envelope& envelope, Millis now) {
+  auto reservation = reservations_.find(request.attempt);
+  if (reservation != reservations_.end() && reservation->second.from == envelope.from)
+    reservations_.erase(reservation);
+  auto [entry, inserted] = commits_.try_emplace(request.attempt);
+  if (inserted)
+    entry->second = pending(request, envelope, now);
+  if (advance(entry->second, now) == Progress::answered)
+    commits_.erase(entry);
 }
 
-TurnCoordinator::Tab& TurnCoordinator::tab(const HistoryName& n) {
-  auto& t = tabs_[n];
-  auto& v = history_writer_.records(n);
-  if (t.term != history_writer_.term(n) || v.size() < t.seen)
-    t = {history_writer_.term(n), 0, 0, 0, {}};
-  for (; t.seen < v.size(); ++t.seen) {
-    auto& r = v[t.seen];
-    if (r.kind == RecordKind::ended)
-      continue;
-    auto& x = t.turns[r.key];
-    if (r.kind == RecordKind::reservation && x.reservation == none && x.settled == none) {
-      x.reservation = t.seen;
-      t.reserved += r.tokens;
-    } else if (r.kind == RecordKind::outcome && x.settled == none) {
-      x.settled = t.seen;
-      x.status = r.status;
-      t.spent += r.tokens;
-      if (x.reservation != none)
-        t.reserved -= v[x.reservation].tokens;
+void TurnCoordinator::handle(const FindChainReply& reply, const Envelope& envelope, Millis now) {
+  auto* store = metadata_log_.view()->find(envelope.from_inc);
+  if (!store)
+    return;
+  auto awaits_reply = [&](const PendingReservation& pending) {
+    return pending.chain_search.active() && pending.body.parent == reply.turn;
+  };
+  advance_if(reservations_, now, [&](PendingReservation& pending) {
+    if (!awaits_reply(pending))
+      return false;
+    if (reply.found) {
+      import_chain(pending, reply, now);
+      pending.chain_search.on_found();
+    } else {
+      pending.chain_search.on_missing(store->id);
     }
-  }
-  return t;
+    return true;
+  });
 }
 
-std::string TurnCoordinator::chain(const HistoryName& n, const Tab& t, const std::string& turn) const {
-  auto& v = history_writer_.records(n);
-  std::vector<const Turn*> w;
-  size_t bytes = 0;
-  for (auto i = t.turns.find(turn); i != t.turns.end() && w.size() <= t.turns.size();) {
-    auto& x = i->second;
-    if (x.settled == none)
-      break;
-    w.push_back(&x);
-    bytes += v[x.settled].output.size();
-    if (x.reservation == none)
-      break;
-    bytes += v[x.reservation].input.size();
-    i = v[x.reservation].parent.empty() ? t.turns.end() : t.turns.find(v[x.reservation].parent);
-  }
-  std::string s;
-  s.reserve(bytes);
-  for (auto i = w.rbegin(); i != w.rend(); ++i) {
-    if ((*i)->reservation != none)
-      s += v[(*i)->reservation].input;
-    s += v[(*i)->settled].output;
-  }
-  return s;
+/// One record holds the whole chain, for the owner may change at any point: a store that has it has all of it.
+void TurnCoordinator::import_chain(const PendingReservation& pending, const FindChainReply& reply, Millis now) {
+  if (!is_owner(pending.history))
+    return;
+  if (history_writer_.open(pending.history, now) != HistoryWriter::State::open)
+    return;
+  if (index(pending.history).find(reply.turn))
+    return;
+  history_writer_.append(pending.history, imported_record(reply, pending.body.retention_ms), now);
 }
 
-TurnCoordinator::Verdict TurnCoordinator::refuse(const Pending& p, uint32_t status, std::string reason,
-                                                 uint32_t retry_ms) {
-  out_.send(p.from, ReserveTurnReply{p.ask.attempt, status, retry_ms, std::move(reason), {}}, p.incarnation);
-  return Verdict::over;
+TurnCoordinator::Progress TurnCoordinator::advance(PendingReservation& pending, Millis now) {
+  if (auto progress = open_history(pending, now))
+    return *progress;
+  auto& turns = index(pending.history);
+  if (auto progress = append_reservation(pending, turns, now))
+    return *progress;
+  if (history_writer_.committed_length(pending.history) < pending.required_length)
+    return Progress::waiting;
+  auto& request = pending.body;
+  auto chain = request.parent.empty() ? "" : turns.chain_text(history_writer_.records(pending.history), request.parent);
+  outbox_.send(pending.from, ReserveTurnReply{request.attempt, 200, 0, {}, std::move(chain)}, pending.incarnation);
+  return Progress::answered;
 }
 
-TurnCoordinator::Verdict TurnCoordinator::serve(Pending& p, Millis now) {
-  auto& a = p.ask;
-  if (!mine(p.history))
-    return refuse(p, 0, "another front owns the program", 0);
-  switch (history_writer_.open(p.history, now)) {
+std::optional<TurnCoordinator::Progress> TurnCoordinator::open_history(PendingReservation& pending, Millis now) {
+  if (!is_owner(pending.history))
+    return reject(pending, 0, "another front owns the program");
+  switch (history_writer_.open(pending.history, now)) {
     case HistoryWriter::State::open:
       break;
     case HistoryWriter::State::unavailable:
-      return refuse(p, 503, "too few stores answer", kDefaultRetryAfter);
+      return reject(pending, 503, "too few stores answer", kDefaultRetryAfter);
     case HistoryWriter::State::fenced:
-      return refuse(p, 0, "another front owns the program", 0);
+      return reject(pending, 0, "another front owns the program");
     case HistoryWriter::State::opening:
-      return Verdict::wait;
+      return Progress::waiting;
   }
-  if (history_writer_.ended(p.history))
-    return refuse(p, a.parent.empty() ? 503 : 404, "the program's retention is over", kDefaultRetryAfter);
-  auto& t = tab(p.history);
-  if (auto i = t.turns.find(a.attempt); i != t.turns.end() && i->second.reservation != none) {
-    if (i->second.settled != none)
-      return refuse(p, 409, "this attempt has an outcome already", 0);
-    if (!granted_to(*metadata_log_.view(), history_writer_.records(p.history)[i->second.reservation], p.incarnation))
-      return refuse(p, 409, "this attempt was granted to another front", 0);
-    p.mark = i->second.reservation + 1;
+  if (history_writer_.ended(pending.history)) {
+    uint32_t status = pending.body.parent.empty() ? 503 : 404;
+    return reject(pending, status, "the program's retention is over", kDefaultRetryAfter);
   }
-  if (p.mark == 0) {
-    if (!a.parent.empty()) {
-      auto i = t.turns.find(a.parent);
-      if (i == t.turns.end())
-        return search(p, now);
-      if (i->second.settled == none)
-        return refuse(p, 503, "the turn before this one, " + a.parent + ", has no outcome yet", kDefaultRetryAfter / 2);
-      if (i->second.status != 200)
-        return refuse(p, 404, "the turn before this one did not end whole", 0);
-    }
-    if (t.spent + t.reserved + a.max_tokens > a.budget)
-      return refuse(p, 402, "the program's budget is spent", 0);
-    auto* d = metadata_log_.view()->find(p.incarnation);
-    Record r{};
-    r.kind = RecordKind::reservation;
-    r.key = a.attempt;
-    r.tokens = a.max_tokens;
-    r.runner = d ? d->id : DaemonId{};
-    r.retention_ms = a.retention_ms;
-    r.parent = a.parent;
-    if (a.keep_history)
-      r.input = a.input;
-    p.mark = history_writer_.append(p.history, std::move(r), now);
-    tab(p.history);
-  }
-  if (history_writer_.committed_length(p.history) < p.mark)
-    return Verdict::wait;
-  out_.send(p.from, ReserveTurnReply{a.attempt, 200, 0, {}, a.parent.empty() ? "" : chain(p.history, t, a.parent)},
-            p.incarnation);
-  return Verdict::over;
+  return std::nullopt;
 }
 
-/// A turn of another program, taken over into this one's history as one record, for its owner may change at any point:
-/// any store that has it settled has the chain. Missing is said only if all answer so.
-TurnCoordinator::Verdict TurnCoordinator::search(Pending& p, Millis now) {
-  p.searching = true;
-  size_t lacking = 0;
-  for (auto& [id, d] : metadata_log_.view()->directory) {
-    if (d.self.role != Role::store || d.state == DaemonState::left || p.without.count(id))
-      continue;
-    ++lacking;
-    if (now - p.searched >= kStoreRetryInterval)
-      out_.send(d.self.address, FindChain{p.ask.parent}, d.self.incarnation);
+std::optional<TurnCoordinator::Progress> TurnCoordinator::append_reservation(PendingReservation& pending,
+                                                                             const TurnIndex& index, Millis now) {
+  auto& request = pending.body;
+  if (auto* turn = index.find(request.attempt); turn && turn->reservation) {
+    if (turn->outcome)
+      return reject(pending, 409, "this attempt has an outcome already");
+    if (!is_granted_to(pending.history, *turn->reservation, pending.incarnation))
+      return reject(pending, 409, "this attempt was granted to another front");
+    pending.required_length = *turn->reservation + 1;
   }
-  if (now - p.searched >= kStoreRetryInterval)
-    p.searched = now;
-  if (lacking == 0)
-    return refuse(p, 404, "no store keeps the turn before this one", 0);
-  if (now - p.born > kChainSearchTimeout)
-    return refuse(p, 503, "not all stores answer for the turn before", kDefaultRetryAfter);
-  return Verdict::wait;
+  if (pending.required_length > 0)
+    return std::nullopt;
+  if (auto progress = check_parent(pending, index, now))
+    return progress;
+  if (index.spent_tokens() + index.reserved_tokens() + request.max_tokens > request.budget)
+    return reject(pending, 402, "the program's budget is spent");
+  auto* gateway = metadata_log_.view()->find(pending.incarnation);
+  auto record = reservation_record(request, gateway ? gateway->id : DaemonId{});
+  pending.required_length = history_writer_.append(pending.history, std::move(record), now);
+  this->index(pending.history);
+  return std::nullopt;
 }
 
-void TurnCoordinator::found(const Envelope& e, const FindChainReply& f, Millis now) {
-  auto* d = metadata_log_.view()->find(e.from_inc);
-  if (!d)
-    return;
-  for (auto i = asks_.begin(); i != asks_.end();) {
-    auto& p = i->second;
-    auto j = i++;
-    if (!p.searching || p.ask.parent != f.turn)
-      continue;
-    if (!f.found) {
-      p.without.insert(d->id);
-    } else if (mine(p.history) && history_writer_.open(p.history, now) == HistoryWriter::State::open &&
-               !tab(p.history).turns.count(f.turn)) {
-      Record r{};
-      r.kind = RecordKind::outcome;
-      r.key = f.turn;
-      r.status = 200;
-      r.retention_ms = p.ask.retention_ms;
-      r.output = f.text;
-      history_writer_.append(p.history, std::move(r), now);
-    }
-    if (f.found)
-      p.searching = false;
-    if (serve(p, now) == Verdict::over)
-      asks_.erase(j);
+std::optional<TurnCoordinator::Progress> TurnCoordinator::check_parent(PendingReservation& pending,
+                                                                       const TurnIndex& index, Millis now) {
+  auto& parent = pending.body.parent;
+  if (parent.empty())
+    return std::nullopt;
+  auto* turn = index.find(parent);
+  if (!turn)
+    return search_chain(pending, now);
+  if (!turn->outcome)
+    return reject(pending, 503, "the turn before this one, " + parent + ", has no outcome yet", kDefaultRetryAfter / 2);
+  if (turn->status != 200)
+    return reject(pending, 404, "the turn before this one did not end whole");
+  return std::nullopt;
+}
+
+TurnCoordinator::Progress TurnCoordinator::search_chain(PendingReservation& pending, Millis now) {
+  auto& metadata = *metadata_log_.view();
+  switch (pending.chain_search.advance(outbox_, metadata, pending.body.parent, pending.received_at, now)) {
+    case ChainSearch::State::missing:
+      return reject(pending, 404, "no store keeps the turn before this one");
+    case ChainSearch::State::timed_out:
+      return reject(pending, 503, "not all stores answer for the turn before", kDefaultRetryAfter);
+    case ChainSearch::State::searching:
+      break;
   }
+  return Progress::waiting;
 }
 
-TurnCoordinator::Verdict TurnCoordinator::settle(Ending& x, Millis now) {
-  auto& s = x.settle;
-  auto say = [&](bool kept) {
-    out_.send(x.from, CommitTurnReply{s.attempt, kept}, x.incarnation);
-    return Verdict::over;
-  };
-  if (!mine(x.history))
-    return Verdict::over;
-  if (history_writer_.open(x.history, now) != HistoryWriter::State::open)
-    return now - x.born > kHistoryQuorumTimeout ? Verdict::over : Verdict::wait;
-  auto& t = tab(x.history);
-  auto i = t.turns.find(s.attempt);
-  if (i == t.turns.end() || i->second.reservation == none)
-    return say(false);
-  if (!granted_to(*metadata_log_.view(), history_writer_.records(x.history)[i->second.reservation], x.incarnation))
-    return say(false);
-  if (i->second.settled != none) {
-    x.mark = i->second.settled + 1;
-    if (i->second.status != s.status)
-      return say(false);
+TurnCoordinator::Progress TurnCoordinator::reject(const PendingReservation& pending, uint32_t status,
+                                                  std::string reason, uint32_t retry_after_ms) {
+  outbox_.send(pending.from, ReserveTurnReply{pending.body.attempt, status, retry_after_ms, std::move(reason), {}},
+               pending.incarnation);
+  return Progress::answered;
+}
+
+TurnCoordinator::Progress TurnCoordinator::advance(PendingCommit& pending, Millis now) {
+  // The gateway asks again, and finds the new owner.
+  if (!is_owner(pending.history))
+    return Progress::answered;
+  if (history_writer_.open(pending.history, now) != HistoryWriter::State::open)
+    return now - pending.received_at > kHistoryQuorumTimeout ? Progress::answered : Progress::waiting;
+  auto* turn = index(pending.history).find(pending.body.attempt);
+  if (!turn || !turn->reservation)
+    return acknowledge(pending, false);
+  if (!is_granted_to(pending.history, *turn->reservation, pending.incarnation))
+    return acknowledge(pending, false);
+  if (turn->outcome) {
+    if (turn->status != pending.body.status)
+      return acknowledge(pending, false);
+    pending.required_length = *turn->outcome + 1;
   } else {
-    Record r{};
-    r.kind = RecordKind::outcome;
-    r.key = s.attempt;
-    r.status = s.status;
-    r.tokens = s.tokens;
-    if (s.keep_output)
-      r.output = s.output;
-    x.mark = history_writer_.append(x.history, std::move(r), now);
-    tab(x.history);
+    pending.required_length = history_writer_.append(pending.history, outcome_record(pending.body), now);
+    index(pending.history);
   }
-  return history_writer_.committed_length(x.history) >= x.mark ? say(true) : Verdict::wait;
+  if (history_writer_.committed_length(pending.history) < pending.required_length)
+    return Progress::waiting;
+  return acknowledge(pending, true);
 }
 
-bool TurnCoordinator::handle(const Envelope& e, Millis now) {
-  if (auto* a = std::get_if<ReserveTurn>(&e.body)) {
-    auto [i, fresh] = asks_.try_emplace(a->attempt);
-    if (fresh)
-      i->second = {*a, e.from, e.from_inc, turn_history_name(a->program), now};
-    if (serve(i->second, now) == Verdict::over)
-      asks_.erase(i);
-    return true;
-  }
-  if (auto* s = std::get_if<CommitTurn>(&e.body)) {
-    if (auto i = asks_.find(s->attempt); i != asks_.end() && i->second.from == e.from)
-      asks_.erase(i);
-    auto [i, fresh] = ends_.try_emplace(s->attempt);
-    if (fresh)
-      i->second = {*s, e.from, e.from_inc, turn_history_name(s->program), now};
-    if (settle(i->second, now) == Verdict::over)
-      ends_.erase(i);
-    return true;
-  }
-  if (auto* f = std::get_if<FindChainReply>(&e.body)) {
-    found(e, *f, now);
-    return true;
+TurnCoordinator::Progress TurnCoordinator::acknowledge(const PendingCommit& pending, bool committed) {
+  outbox_.send(pending.from, CommitTurnReply{pending.body.attempt, committed}, pending.incarnation);
+  return Progress::answered;
+}
+
+template <class Requests, class Predicate>
+void TurnCoordinator::advance_if(Requests& requests, Millis now, const Predicate& selected) {
+  for (auto entry = requests.begin(); entry != requests.end();) {
+    auto& pending = entry->second;
+    if (selected(pending) && advance(pending, now) == Progress::answered)
+      entry = requests.erase(entry);
+    else
+      ++entry;
   }
-  return false;
 }
 
 void TurnCoordinator::advance(const std::set<HistoryName>& changed, Millis now) {
-  for (auto i = asks_.begin(); i != asks_.end();)
-    i = changed.count(i->second.history) && serve(i->second, now) == Verdict::over ? asks_.erase(i) : std::next(i);
-  for (auto i = ends_.begin(); i != ends_.end();)
-    i = changed.count(i->second.history) && settle(i->second, now) == Verdict::over ? ends_.erase(i) : std::next(i);
+  auto has_changed = [&](const auto& pending) {
+    return changed.count(pending.history) > 0;
+  };
+  advance_if(reservations_, now, has_changed);
+  advance_if(commits_, now, has_changed);
 }
 
 void TurnCoordinator::tick(Millis now) {
-  for (auto i = asks_.begin(); i != asks_.end();)
-    i = serve(i->second, now) == Verdict::over ? asks_.erase(i) : std::next(i);
-  for (auto i = ends_.begin(); i != ends_.end();)
-    i = settle(i->second, now) == Verdict::over ? ends_.erase(i) : std::next(i);
-  std::erase_if(tabs_, [&](auto& t) { return history_writer_.term(t.first) != t.second.term; });
+  auto all = [](const auto&) {
+    return true;
+  };
+  advance_if(reservations_, now, all);
+  advance_if(commits_, now, all);
+  std::erase_if(indexes_, [&](auto& entry) { return history_writer_.term(entry.first) != entry.second.term(); });
+}
+
+bool TurnCoordinator::is_owner(const HistoryName& history) const {
+  auto& metadata = *metadata_log_.view();
+  auto partition = partition_of(history.cell, history.program);
+  if (partition.value() >= metadata.partitions.size())
+    return false;
+  auto* owner = metadata.find(metadata.partitions[partition.value()].owner);
+  return owner && owner->self.incarnation == outbox_.id().self.incarnation;
+}
+
+bool TurnCoordinator::is_granted_to(const HistoryName& history, size_t reservation, Incarnation gateway) const {
+  auto runner = history_writer_.records(history)[reservation].runner;
+  auto* daemon = metadata_log_.view()->find(gateway);
+  return runner == DaemonId{} || !daemon || daemon->id == runner;
+}
+
+TurnIndex& TurnCoordinator::index(const HistoryName& history) {
+  auto& index = indexes_[history];
+  auto& records = history_writer_.records(history);
+  auto term = history_writer_.term(history);
+  if (index.term() != term || records.size() < index.length())
+    index = TurnIndex(term);
+  index.update(records);
+  return index;
 }
 
 }  // namespace mosskeel
--- a/src/routing/turn_coordinator.hpp
+++ b/src/routing/turn_coordinator.hpp
@@ -1,74 +1,88 @@
 #pragma once
-// The owner's side of turns that fronts carry: budget, chain, a durable reservation before, the outcome after.
-#include <unordered_map>
-
+// The owner's side of callers' turns: budget, chain, a durable reservation before, a durable outcome after.
 #include "history/history_writer.hpp"
+#include "routing/chain_search.hpp"
+#include "routing/turn_index.hpp"
 
 namespace mosskeel {
 
-/// The history on which a program's turns lie, whatever path they came by.
+/// The history that holds a program's turns, whatever path they came by.
 HistoryName turn_history_name(const std::string& program);
 
+/// Grants turns of the programs whose partition this gateway owns, and records their outcomes.
+///
+/// Invariants: a turn is granted only once its reservation is on a majority of the history's stores, at most once by
+/// outcome, and only to the gateway that the reservation names; an outcome is acknowledged only once it is on a
+/// majority. Nothing is kept on this gateway's disk: after a change of owner the history tells the state.
+///
+/// Part of the gateway's state machine and used on its thread. Times are milliseconds on the process's clock.
 class TurnCoordinator {
  public:
-  TurnCoordinator(Outbox& out, MetadataLog& metadata_log, HistoryWriter& history_writer)
-      : out_(out), metadata_log_(metadata_log), history_writer_(history_writer) {}
-  /// Handles what concerns turns as their owner; false leaves the message to the caller.
-  bool handle(const Envelope& e, Millis now);
-  /// Goes on with what waited for these histories.
+  TurnCoordinator(Outbox& outbox, MetadataLog& metadata_log, HistoryWriter& history_writer)
+      : outbox_(outbox), metadata_log_(metadata_log), history_writer_(history_writer) {}
+  /// Handles `ReserveTurn`, `CommitTurn` and `FindChainReply`; false where the message is another's.
+  bool handle(const Envelope& envelope, Millis now);
+  /// Goes on with the requests that wait for one of these histories.
   void advance(const std::set<HistoryName>& changed, Millis now);
+  /// Goes on with all requests, and drops the indexes of histories that were handed over.
   void tick(Millis now);
-  /// Whether something is under way on a history, so that it must not end.
-  bool busy(const HistoryName& n) const;
-  size_t waiting() const { return asks_.size() + ends_.size(); }
 
  private:
+  /// A gateway's request, until it is answered.
+  template <class Body>
   struct Pending {
-    ReserveTurn ask;
-    Address from;
-    Incarnation incarnation;
-    HistoryName history;
-    Millis born = 0, searched = 0;
-    uint64_t mark = 0;
-    bool searching = false;
-    std::set<DaemonId> without;
-  };
-  struct Ending {
-    CommitTurn settle;
+    Body body;
     Address from;
     Incarnation incarnation;
     HistoryName history;
-    Millis born = 0;
-    uint64_t mark = 0;
-  };
-  static constexpr size_t none = SIZE_MAX;
-  struct Turn {
-    size_t reservation = none, settled = none;
-    uint32_t status = 0;
+    Millis received_at = 0;
+    /// How long the history must be committed before the request is answered; 0 before its record was appended.
+    uint64_t required_length = 0;
+    /// Only for reservations: where the previous turn is not in this history.
+    ChainSearch chain_search;
   };
-  /// What a history's records add up to, kept so that a turn does not walk its whole history.
-  struct Tab {
-    Epoch term;
-    size_t seen = 0;
-    uint64_t spent = 0, reserved = 0;
-    std::unordered_map<std::string, Turn> turns;
-  };
-  enum class Verdict { wait, over };
-  bool mine(const HistoryName& n) const;
-  Tab& tab(const HistoryName& n);
-  Verdict serve(Pending& p, Millis now);
-  Verdict settle(Ending& x, Millis now);
-  Verdict refuse(const Pending& p, uint32_t status, std::string reason, uint32_t retry_ms);
-  Verdict search(Pending& p, Millis now);
-  void found(const Envelope& e, const FindChainReply& f, Millis now);
-  std::string chain(const HistoryName& n, const Tab& t, const std::string& turn) const;
+  using PendingReservation = Pending<ReserveTurn>;
+  using PendingCommit = Pending<CommitTurn>;
+  enum class Progress { waiting, answered };
+
+  template <class Body>
+  static Pending<Body> pending(const Body& body, const Envelope& envelope, Millis now) {
+    return {body, envelope.from, envelope.from_inc, turn_history_name(body.program), now, 0, {}};
+  }
+  void handle(const ReserveTurn& request, const Envelope& envelope, Millis now);
+  void handle(const CommitTurn& request, const Envelope& envelope, Millis now);
+  void handle(const FindChainReply& reply, const Envelope& envelope, Millis now);
+
+  Progress advance(PendingReservation& pending, Millis now);
+  /// Opens the history; nothing once it is open and has not ended, else what became of the request.
+  std::optional<Progress> open_history(PendingReservation& pending, Millis now);
+  /// Appends the reservation; nothing once it is appended, else what became of the request.
+  std::optional<Progress> append_reservation(PendingReservation& pending, const TurnIndex& index, Millis now);
+  /// Looks at the turn before this one; nothing where the turn may go on from it.
+  std::optional<Progress> check_parent(PendingReservation& pending, const TurnIndex& index, Millis now);
+  Progress search_chain(PendingReservation& pending, Millis now);
+  Progress reject(const PendingReservation& pending, uint32_t status, std::string reason, uint32_t retry_after_ms = 0);
+  void import_chain(const PendingReservation& pending, const FindChainReply& reply, Millis now);
+
+  Progress advance(PendingCommit& pending, Millis now);
+  Progress acknowledge(const PendingCommit& pending, bool committed);
+
+  /// Advances the requests that `selected` holds for, and forgets those that were answered.
+  template <class Requests, class Predicate>
+  void advance_if(Requests& requests, Millis now, const Predicate& selected);
+
+  bool is_owner(const HistoryName& history) const;
+  /// Whether a reservation was made for the gateway of this incarnation: an attempt's id does not tell two apart.
+  bool is_granted_to(const HistoryName& history, size_t reservation, Incarnation gateway) const;
+  TurnIndex& index(const HistoryName& history);
 
-  Outbox& out_;
+  Outbox& outbox_;
   MetadataLog& metadata_log_;
   HistoryWriter& history_writer_;
-  std::map<std::string, Pending> asks_;
-  std::map<std::string, Ending> ends_;
-  std::map<HistoryName, Tab> tabs_;
+  /// By the attempt id of the turn.
+  std::map<std::string, PendingReservation> reservations_;
+  std::map<std::string, PendingCommit> commits_;
+  std::map<HistoryName, TurnIndex> indexes_;
 };
 
 }  // namespace mosskeel
--- a/tests/unit/routing/turn_client_test.cpp
+++ b/tests/unit/routing/turn_client_test.cpp
@@ -1,9 +1,7 @@
-// A front's link to the owners of its turns.
-#include <catch2/catch.hpp>
+#include "routing/turn_client.hpp"
 
 #include "history/constants.hpp"
 #include "routing/constants.hpp"
-#include "routing/turn_client.hpp"
 #include "unit/routing/turn_owner_fixture.hpp"
 
 using namespace mosskeel;
@@ -11,86 +9,88 @@
 
 namespace {
 
-/// The turn_client of front 2; front 1 owns everything.
-struct Carrier {
-  Identity id{candidate(2, Role::front, "z2"), {}, 0, 99};
-  Outbox out{id};
+/// Gateway 2, which has callers; gateway 1 owns all programs.
+struct ClientFixture {
+  Identity identity{candidate(2, Role::front, "z2"), {}, 0, 99};
+  Outbox outbox{identity};
   MetadataLog metadata_log;
-  TurnClient turn_client{out, metadata_log};
+  TurnClient client{outbox, metadata_log};
   Millis now = 1000;
-  Carrier() { metadata_log.install_snapshot(small_fleet()); }
-  void own(Message m) {
-    Envelope e{};
-    e.from = kRoutingAddress;
-    e.body = std::move(m);
-    turn_client.handle(e, now);
+
+  ClientFixture() { metadata_log.install_snapshot(small_fleet()); }
+  void receive_from_router(Message body) {
+    Envelope envelope{};
+    envelope.from = kRoutingAddress;
+    envelope.body = std::move(body);
+    client.handle(envelope, now);
   }
-  void hear(Message m) { turn_client.handle(Owner::from(1, std::move(m)), now); }
-  template <class T>
-  std::vector<T> sent() {
-    std::vector<T> v;
-    for (auto& e : out.act.now)
-      if (auto* x = std::get_if<T>(&e.body))
-        v.push_back(*x);
-    std::erase_if(out.act.now, [](auto& e) { return std::holds_alternative<T>(e.body); });
-    return v;
+  void receive_from_owner(Message body) { client.handle(Owner::from(1, std::move(body)), now); }
+  /// Takes what was sent of one kind, whoever it is for.
+  template <class Body>
+  std::vector<Body> take() {
+    std::vector<Body> bodies;
+    for (auto& [receiver, body] : take_sent<Body>(outbox))
+      bodies.push_back(body);
+    return bodies;
   }
 };
 
 }  // namespace
 
 TEST_CASE("TurnClient releases a reservation that is granted after its turn is gone") {
-  Carrier c;
-  c.own(turn("a"));
-  CHECK(c.sent<ReserveTurn>().size() == 1);
-  c.own(CommitTurn{"a", "p", 0, 0, false, ""});
-  CHECK(c.sent<CommitTurn>().size() == 1);
+  ClientFixture fixture;
+  fixture.receive_from_router(turn("a"));
+  CHECK(fixture.take<ReserveTurn>().size() == 1);
+  fixture.receive_from_router(CommitTurn{"a", "p", 0, 0, false, ""});
+  CHECK(fixture.take<CommitTurn>().size() == 1);
   SECTION("before the owner has answered the outcome") {
-    c.hear(ReserveTurnReply{"a", 200, 0, "", ""});
-    c.now += kStoreRetryInterval;
-    c.turn_client.tick(c.now);
-    CHECK(c.sent<CommitTurn>().size() == 1);
+    fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
+    fixture.now += kStoreRetryInterval;
+    fixture.client.tick(fixture.now);
+    CHECK(fixture.take<CommitTurn>().size() == 1);
   }
-  SECTION("after the owner knew of no such turn, for the ask came behind the outcome") {
-    c.hear(CommitTurnReply{"a", false});
-    c.hear(ReserveTurnReply{"a", 200, 0, "", ""});
-    auto s = c.sent<CommitTurn>();
-    REQUIRE(s.size() == 1);
-    CHECK(s[0].attempt == "a");
-    CHECK(s[0].program == "p");
-    CHECK(s[0].status == 0);
-    c.hear(CommitTurnReply{"a", true});
-    CHECK(c.turn_client.waiting() == 0);
+  SECTION("after the owner knew of no such turn, for the reservation came behind the outcome") {
+    fixture.receive_from_owner(CommitTurnReply{"a", false});
+    fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
+    auto outcomes = fixture.take<CommitTurn>();
+    REQUIRE(outcomes.size() == 1);
+    CHECK(outcomes[0].attempt == "a");
+    CHECK(outcomes[0].program == "p");
+    CHECK(outcomes[0].status == 0);
+    fixture.receive_from_owner(CommitTurnReply{"a", true});
+    CHECK(fixture.client.waiting() == 0);
   }
-  CHECK(c.sent<ReserveTurnReply>().empty());
+  CHECK(fixture.take<ReserveTurnReply>().empty());
 }
 
 TEST_CASE("TurnClient ignores a second grant of a turn that runs or has ended") {
-  Carrier c;
-  c.own(turn("a"));
-  c.hear(ReserveTurnReply{"a", 200, 0, "", ""});
-  CHECK(c.sent<ReserveTurnReply>().size() == 1);
-  c.hear(ReserveTurnReply{"a", 200, 0, "", ""});
-  CHECK(c.sent<CommitTurn>().empty());
-  c.own(CommitTurn{"a", "p", 200, 8, true, "x\n"});
-  CHECK(c.sent<CommitTurn>().size() == 1);
-  c.hear(CommitTurnReply{"a", true});
-  c.hear(ReserveTurnReply{"a", 200, 0, "", ""});
-  CHECK(c.sent<CommitTurn>().empty());
-  c.hear(ReserveTurnReply{"never", 200, 0, "", ""});
-  CHECK(c.sent<CommitTurn>().empty());
-  CHECK(c.sent<ReserveTurnReply>().empty());
+  ClientFixture fixture;
+  fixture.receive_from_router(turn("a"));
+  fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
+  CHECK(fixture.take<ReserveTurnReply>().size() == 1);
+  fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
+  CHECK(fixture.take<CommitTurn>().empty());
+
+  fixture.receive_from_router(CommitTurn{"a", "p", 200, 8, true, "x\n"});
+  CHECK(fixture.take<CommitTurn>().size() == 1);
+  fixture.receive_from_owner(CommitTurnReply{"a", true});
+  fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
+  CHECK(fixture.take<CommitTurn>().empty());
+
+  fixture.receive_from_owner(ReserveTurnReply{"never", 200, 0, "", ""});
+  CHECK(fixture.take<CommitTurn>().empty());
+  CHECK(fixture.take<ReserveTurnReply>().empty());
 }
 
 TEST_CASE("TurnClient rejects a turn whose owner is silent, and tells the owner that it has not run") {
-  Carrier c;
-  c.own(turn("a"));
-  c.now += kTurnReservationTimeout + 1;
-  c.turn_client.tick(c.now);
-  auto g = c.sent<ReserveTurnReply>();
-  REQUIRE(g.size() == 1);
-  CHECK(g[0].status == 503);
-  auto s = c.sent<CommitTurn>();
-  REQUIRE(s.size() == 1);
-  CHECK(s[0].status == 0);
+  ClientFixture fixture;
+  fixture.receive_from_router(turn("a"));
+  fixture.now += kTurnReservationTimeout + 1;
+  fixture.client.tick(fixture.now);
+  auto rejections = fixture.take<ReserveTurnReply>();
+  REQUIRE(rejections.size() == 1);
+  CHECK(rejections[0].status == 503);
+  auto outcomes = fixture.take<CommitTurn>();
+  REQUIRE(outcomes.size() == 1);
+  CHECK(outcomes[0].status == 0);
 }
--- a/tests/unit/routing/turn_coordinator_test.cpp
+++ b/tests/unit/routing/turn_coordinator_test.cpp
@@ -1,4 +1,4 @@
-#include <catch2/catch.hpp>
+#include "routing/turn_coordinator.hpp"
 
 #include "unit/routing/turn_owner_fixture.hpp"
 
@@ -6,117 +6,115 @@
 using namespace mosskeel::test;
 
 TEST_CASE("TurnCoordinator grants a turn only once its reservation is on a majority") {
-  Owner o;
-  o.hear(2, turn("a"));
-  CHECK(o.sent<ReserveTurnReply>().empty());
-  auto kept = o.settle_writes();
-  REQUIRE(kept.size() == 1);
-  CHECK(kept[0].kind == RecordKind::reservation);
-  CHECK(kept[0].tokens == 100);
-  auto g = o.sent<ReserveTurnReply>();
-  REQUIRE(g.size() == 1);
-  CHECK(g[0].second.status == 200);
+  Owner owner;
+  owner.receive(2, turn("a"));
+  CHECK(owner.take<ReserveTurnReply>().empty());
+
+  auto written = owner.complete_writes();
+
+  REQUIRE(written.size() == 1);
+  CHECK(written[0].kind == RecordKind::reservation);
+  CHECK(written[0].tokens == 100);
+  CHECK(owner.take_one<ReserveTurnReply>().status == 200);
 }
 
 TEST_CASE("TurnCoordinator sends the chain of a follow-on turn in order, also to several of one turn") {
-  Owner o;
-  for (auto [k, parent] : {std::pair{"a", ""}, {"b", "a"}, {"c", "a"}}) {
-    o.hear(2, turn(k, parent));
-    o.settle_writes();
-    auto g = o.sent<ReserveTurnReply>();
-    REQUIRE(g.size() == 1);
-    CHECK(g[0].second.chain == (parent[0] ? "in:a;out:a\n" : ""));
-    o.hear(2, CommitTurn{k, "p", 200, 40, true, std::string("out:") + k + "\n"});
-    CHECK(o.sent<CommitTurnReply>().empty());
-    o.settle_writes();
-    auto s = o.sent<CommitTurnReply>();
-    REQUIRE(s.size() == 1);
-    CHECK(s[0].second.committed);
+  Owner owner;
+  for (auto [attempt, parent] : {std::pair{"a", ""}, {"b", "a"}, {"c", "a"}}) {
+    owner.receive(2, turn(attempt, parent));
+    owner.complete_writes();
+    bool follows = parent[0] != '\0';
+    CHECK(owner.take_one<ReserveTurnReply>().chain == (follows ? "in:a;out:a\n" : ""));
+
+    owner.receive(2, CommitTurn{attempt, "p", 200, 40, true, std::string("out:") + attempt + "\n"});
+    CHECK(owner.take<CommitTurnReply>().empty());
+    owner.complete_writes();
+    CHECK(owner.take_one<CommitTurnReply>().committed);
   }
 }
 
 TEST_CASE("TurnCoordinator rejects a turn beyond the budget with 402 and writes nothing") {
-  Owner o;
-  o.hear(2, turn("a", "", 150));
-  o.settle_writes();
-  o.hear(2, turn("b", "", 150));
-  CHECK(o.settle_writes().empty());
-  auto g = o.sent<ReserveTurnReply>();
-  REQUIRE(g.size() == 2);
-  CHECK(g[1].second.status == 402);
-  o.hear(2, CommitTurn{"a", "p", 502, 40, false, ""});
-  o.settle_writes();
-  o.hear(2, turn("c", "", 150));
-  o.settle_writes();
-  CHECK(o.sent<ReserveTurnReply>()[0].second.status == 200);
+  Owner owner;
+  owner.receive(2, turn("a", "", 150));
+  owner.complete_writes();
+  owner.receive(2, turn("b", "", 150));
+  CHECK(owner.complete_writes().empty());
+  auto replies = owner.take<ReserveTurnReply>();
+  REQUIRE(replies.size() == 2);
+  CHECK(replies[1].status == 402);
+
+  // The outcome gives back what was reserved and not spent.
+  owner.receive(2, CommitTurn{"a", "p", 502, 40, false, ""});
+  owner.complete_writes();
+  owner.receive(2, turn("c", "", 150));
+  owner.complete_writes();
+  CHECK(owner.take<ReserveTurnReply>().at(0).status == 200);
 }
 
 TEST_CASE("TurnCoordinator imports the chain of another program's turn in one record") {
-  Owner o;
-  o.hear(2, turn("n", "old"));
-  CHECK(o.settle_writes().empty());
-  auto asked = o.sent<FindChain>();
-  CHECK(asked.size() == 3);
-  o.hear(12, FindChainReply{"old", true, "what was said"});
-  auto kept = o.settle_writes();
-  REQUIRE(kept.size() == 2);
-  CHECK(kept[0].kind == RecordKind::outcome);
-  CHECK(kept[0].key == "old");
-  auto g = o.sent<ReserveTurnReply>();
-  REQUIRE(g.size() == 1);
-  CHECK(g[0].second.chain == "what was said");
+  Owner owner;
+  owner.receive(2, turn("n", "old"));
+  CHECK(owner.complete_writes().empty());
+  CHECK(owner.take<FindChain>().size() == 3);
+
+  owner.receive(12, FindChainReply{"old", true, "what was said"});
+
+  auto written = owner.complete_writes();
+  REQUIRE(written.size() == 2);
+  CHECK(written[0].kind == RecordKind::outcome);
+  CHECK(written[0].key == "old");
+  CHECK(owner.take_one<ReserveTurnReply>().chain == "what was said");
 }
 
 TEST_CASE("TurnCoordinator reports a previous turn as missing only when every store says so") {
-  Owner o;
-  o.hear(2, turn("n", "never"));
-  o.settle_writes();
-  o.hear(11, FindChainReply{"never", false, ""});
-  o.hear(12, FindChainReply{"never", false, ""});
-  CHECK(o.sent<ReserveTurnReply>().empty());
+  Owner owner;
+  owner.receive(2, turn("n", "never"));
+  owner.complete_writes();
+  owner.receive(11, FindChainReply{"never", false, ""});
+  owner.receive(12, FindChainReply{"never", false, ""});
+  CHECK(owner.take<ReserveTurnReply>().empty());
   SECTION("all answer") {
-    o.hear(13, FindChainReply{"never", false, ""});
-    CHECK(o.sent<ReserveTurnReply>()[0].second.status == 404);
+    owner.receive(13, FindChainReply{"never", false, ""});
+    CHECK(owner.take<ReserveTurnReply>().at(0).status == 404);
   }
   SECTION("one is silent") {
-    o.now += 1200;
-    o.reg.tick(o.now);
-    CHECK(o.sent<ReserveTurnReply>()[0].second.status == 503);
+    owner.now += 1200;
+    owner.coordinator.tick(owner.now);
+    CHECK(owner.take<ReserveTurnReply>().at(0).status == 503);
   }
 }
 
 TEST_CASE("TurnCoordinator acknowledges an outcome only from a majority, and a second one changes nothing") {
-  Owner o;
-  o.hear(2, turn("a"));
-  o.settle_writes();
-  o.hear(2, CommitTurn{"a", "p", 200, 40, true, "x\n"});
-  CHECK(o.sent<CommitTurnReply>().empty());
-  o.settle_writes();
-  o.hear(2, CommitTurn{"a", "p", 200, 40, true, "x\n"});
-  CHECK(o.settle_writes().empty());
-  CHECK(o.sent<CommitTurnReply>().size() == 2);
-  o.hear(2, CommitTurn{"never", "p", 200, 40, true, "x\n"});
-  CHECK_FALSE(o.sent<CommitTurnReply>()[0].second.committed);
+  Owner owner;
+  owner.receive(2, turn("a"));
+  owner.complete_writes();
+  owner.receive(2, CommitTurn{"a", "p", 200, 40, true, "x\n"});
+  CHECK(owner.take<CommitTurnReply>().empty());
+  owner.complete_writes();
+
+  owner.receive(2, CommitTurn{"a", "p", 200, 40, true, "x\n"});
+  CHECK(owner.complete_writes().empty());
+  CHECK(owner.take<CommitTurnReply>().size() == 2);
+  owner.receive(2, CommitTurn{"never", "p", 200, 40, true, "x\n"});
+  CHECK_FALSE(owner.take<CommitTurnReply>().at(0).committed);
 }
 
 TEST_CASE("TurnCoordinator neither grants nor commits a turn for a second front") {
-  Owner o;
-  o.hear(2, turn("a"));
-  o.settle_writes();
-  CHECK(o.sent<ReserveTurnReply>().size() == 1);
-  o.hear(3, turn("a"));
-  CHECK(o.settle_writes().empty());
-  auto refused = o.sent<ReserveTurnReply>();
-  REQUIRE(refused.size() == 1);
-  CHECK(refused[0].second.status == 409);
-  o.hear(3, CommitTurn{"a", "p", 0, 0, false, ""});
-  CHECK(o.settle_writes().empty());
-  auto ignored = o.sent<CommitTurnReply>();
-  REQUIRE(ignored.size() == 1);
-  CHECK_FALSE(ignored[0].second.committed);
-  o.hear(2, turn("a"));
-  CHECK(o.sent<ReserveTurnReply>().at(0).second.status == 200);
-  o.hear(2, CommitTurn{"a", "p", 200, 40, true, "out"});
-  CHECK(o.settle_writes().size() == 1);
-  CHECK(o.sent<CommitTurnReply>().at(0).second.committed);
+  Owner owner;
+  owner.receive(2, turn("a"));
+  owner.complete_writes();
+  CHECK(owner.take<ReserveTurnReply>().size() == 1);
+
+  owner.receive(3, turn("a"));
+  CHECK(owner.complete_writes().empty());
+  CHECK(owner.take_one<ReserveTurnReply>().status == 409);
+  owner.receive(3, CommitTurn{"a", "p", 0, 0, false, ""});
+  CHECK(owner.complete_writes().empty());
+  CHECK_FALSE(owner.take_one<CommitTurnReply>().committed);
+
+  owner.receive(2, turn("a"));
+  CHECK(owner.take<ReserveTurnReply>().at(0).status == 200);
+  owner.receive(2, CommitTurn{"a", "p", 200, 40, true, "out"});
+  CHECK(owner.complete_writes().size() == 1);
+  CHECK(owner.take<CommitTurnReply>().at(0).committed);
 }
--- a/tests/unit/routing/turn_owner_fixture.hpp
+++ b/tests/unit/routing/turn_owner_fixture.hpp
@@ -1,97 +1,124 @@
 #pragma once
-// A front with three stores in a directory of its own making, for the parts of the traffic.
+// The owner of all programs, with three stores and two other gateways that the test plays.
+#include <catch2/catch.hpp>
+
 #include "routing/turn_coordinator.hpp"
 
 namespace mosskeel::test {
 
-inline Candidate candidate(uint64_t incarnation, Role r, const std::string& zone) {
-  return {Incarnation{incarnation},
-          r,
-          zone,
-          "10.0.0." + std::to_string(incarnation) + ":1",
-          "",
-          "",
-          "machine-" + std::to_string(incarnation)};
+inline Address address_of(uint64_t daemon) {
+  return "10.0.0." + std::to_string(daemon) + ":1";
+}
+
+inline Candidate candidate(uint64_t incarnation, Role role, const std::string& zone) {
+  auto machine = "machine-" + std::to_string(incarnation);
+  return {Incarnation{incarnation}, role, zone, address_of(incarnation), "", "", machine};
 }
 
-/// Front 1 owns all partitions, 2 and 3 carry callers; stores 11, 12, 13 keep them.
+/// Gateway 1 owns all partitions, 2 and 3 have callers; the histories are on the stores 11, 12 and 13.
 inline Metadata small_fleet() {
-  Metadata m{};
-  m.epoch = Epoch{5};
-  m.cluster = 7;
-  m.configured_replication_factor = 3;
-  for (uint64_t i : {1, 2, 3, 11, 12, 13}) {
-    auto r = i < 10 ? Role::front : Role::store;
-    m.directory[DaemonId{i}] = {DaemonId{i}, candidate(i, r, "z" + std::to_string(i)), DaemonState::up, Epoch{2}};
+  Metadata metadata{};
+  metadata.epoch = Epoch{5};
+  metadata.cluster = 7;
+  metadata.configured_replication_factor = 3;
+  for (uint64_t daemon : {1, 2, 3, 11, 12, 13}) {
+    auto role = daemon < 10 ? Role::front : Role::store;
+    auto self = candidate(daemon, role, "z" + std::to_string(daemon));
+    metadata.directory[DaemonId{daemon}] = {DaemonId{daemon}, self, DaemonState::up, Epoch{2}};
   }
-  Partition s{DaemonId{1}, Epoch{4}, {DaemonId{11}, DaemonId{12}, DaemonId{13}}, {}, Epoch{3}};
-  m.partitions.assign(64, s);
-  return m;
+  Partition partition{DaemonId{1}, Epoch{4}, {DaemonId{11}, DaemonId{12}, DaemonId{13}}, {}, Epoch{3}};
+  metadata.partitions.assign(64, partition);
+  return metadata;
 }
 
+/// Takes the messages of one kind that an outbox holds, with their receivers.
+template <class Body>
+std::vector<std::pair<Address, Body>> take_sent(Outbox& outbox) {
+  std::vector<std::pair<Address, Body>> taken;
+  for (auto& envelope : outbox.act.now)
+    if (auto* body = std::get_if<Body>(&envelope.body))
+      taken.push_back({envelope.to, *body});
+  std::erase_if(outbox.act.now, [](auto& envelope) { return std::holds_alternative<Body>(envelope.body); });
+  return taken;
+}
+
+/// Gateway 1.
 struct Owner {
-  Identity id{candidate(1, Role::front, "z1"), {}, 0, 99};
-  Outbox out{id};
+  Identity identity{candidate(1, Role::front, "z1"), {}, 0, 99};
+  Outbox outbox{identity};
   MetadataLog metadata_log;
-  HistoryWriter history_writer{out, metadata_log};
-  TurnCoordinator reg{out, metadata_log, history_writer};
+  HistoryWriter history_writer{outbox, metadata_log};
+  TurnCoordinator coordinator{outbox, metadata_log, history_writer};
   Millis now = 1000;
+
   Owner() {
     metadata_log.install_snapshot(small_fleet());
-    out.cluster = 7;
-    out.epoch = metadata_log.epoch();
+    outbox.cluster = 7;
+    outbox.epoch = metadata_log.epoch();
   }
-  static Envelope from(uint64_t who, Message m) {
-    Envelope e{};
-    e.cluster = 7;
-    e.epoch = Epoch{5};
-    e.from = "10.0.0." + std::to_string(who) + ":1";
-    e.from_inc = Incarnation{who};
-    e.body = std::move(m);
-    return e;
+  static Envelope from(uint64_t sender, Message body) {
+    Envelope envelope{};
+    envelope.cluster = 7;
+    envelope.epoch = Epoch{5};
+    envelope.from = address_of(sender);
+    envelope.from_inc = Incarnation{sender};
+    envelope.body = std::move(body);
+    return envelope;
   }
-  /// Takes what was sent, as bodies of one kind.
-  template <class T>
-  std::vector<std::pair<Address, T>> sent() {
-    std::vector<std::pair<Address, T>> v;
-    for (auto& e : out.act.now)
-      if (auto* x = std::get_if<T>(&e.body))
-        v.push_back({e.to, *x});
-    std::erase_if(out.act.now, [](auto& e) { return std::holds_alternative<T>(e.body); });
-    return v;
+  void receive(uint64_t sender, Message body) {
+    auto envelope = from(sender, std::move(body));
+    if (!history_writer.handle(envelope, now))
+      coordinator.handle(envelope, now);
+    coordinator.advance(history_writer.take_changed(), now);
   }
-  void hear(uint64_t who, Message m) {
-    auto e = from(who, std::move(m));
-    if (!history_writer.handle(e, now))
-      reg.handle(e, now);
-    reg.advance(history_writer.take_changed(), now);
+
+  /// Takes what was sent of one kind, whoever it is for.
+  template <class Body>
+  std::vector<Body> take() {
+    std::vector<Body> bodies;
+    for (auto& [receiver, body] : take_sent<Body>(outbox))
+      bodies.push_back(body);
+    return bodies;
+  }
+  template <class Body>
+  Body take_one() {
+    auto bodies = take<Body>();
+    REQUIRE(bodies.size() == 1);
+    return bodies[0];
   }
-  /// Lets two stores answer whatever is under way, until nothing is; what they were told to keep comes back.
-  Records settle_writes() {
-    Records all;
-    for (int i = 0; i < 20; ++i) {
-      auto r = sent<ReadHistory>();
-      auto w = sent<AppendHistory>();
-      if (r.empty() && w.empty())
+
+  /// Lets two stores, a majority, answer until nothing is under way. Returns the records that they were sent.
+  Records complete_writes() {
+    constexpr int kMaxRounds = 20;
+    Records written;
+    for (int round = 0; round < kMaxRounds; ++round) {
+      auto reads = take_sent<ReadHistory>(outbox);
+      auto appends = take_sent<AppendHistory>(outbox);
+      if (reads.empty() && appends.empty())
         break;
-      for (uint64_t who : {11, 12}) {
-        auto at = "10.0.0." + std::to_string(who) + ":1";
-        for (auto& [to, x] : r)
-          if (to == at)
-            hear(who, ReadHistoryReply{x.history, x.term, true, {}, false, {}});
-        for (auto& [to, x] : w) {
-          if (to != at)
-            continue;
-          if (who == 11)
-            all.insert(all.end(), x.records.begin(), x.records.end());
-          hear(who, AppendHistoryReply{x.history, x.term, true, false, x.from + x.records.size()});
-        }
-      }
+      for (auto& [receiver, append] : appends)
+        if (receiver == address_of(11))
+          written.insert(written.end(), append.records.begin(), append.records.end());
+      for (uint64_t store : {11, 12})
+        answer(store, reads, appends);
     }
-    return all;
+    return written;
+  }
+
+ private:
+  void answer(uint64_t store, const std::vector<std::pair<Address, ReadHistory>>& reads,
+              const std::vector<std::pair<Address, AppendHistory>>& appends) {
+    for (auto& [receiver, read] : reads)
+      if (receiver == address_of(store))
+        receive(store, ReadHistoryReply{read.history, read.term, true, {}, false, {}});
+    for (auto& [receiver, append] : appends)
+      if (receiver == address_of(store))
+        receive(store,
+                AppendHistoryReply{append.history, append.term, true, false, append.from + append.records.size()});
   }
 };
 
+/// A turn of program p on a path that keeps history, for at most 100 tokens.
 inline ReserveTurn turn(const std::string& attempt, const std::string& parent = "", uint64_t budget = 1000) {
   return {attempt, "p", parent, "in:" + attempt + ";", budget, 100, true, 60000, 4000};
 }
