--- a/src/gateway/routing_thread.cpp
+++ b/src/gateway/routing_thread.cpp
@@ -1,35 +1,27 @@
 #include "gateway/routing_thread.hpp"
+
 #include "gateway/constants.hpp"
 #include "runtime/constants.hpp"
 
 namespace mosskeel {
 
-Result<std::unique_ptr<RoutingThread>> RoutingThread::start(Host& h, const ProtocolCodec& d, const Address& front,
-                                                            const Address& ready) {
-  std::unique_ptr<RoutingThread> made(new RoutingThread(h, d));
-  auto* routing_thread = made.get();
-  auto opened = HttpFrontend::open(
-      routing_thread->loop_, d, front, [routing_thread] { return routing_thread->snapshot(); },
-      [routing_thread](Message body) { routing_thread->tell_owner(std::move(body)); });
-  if (!opened.ok())
-    return opened.errors();
-  routing_thread->front_ = std::move(opened).value();
-  if (auto f = routing_thread->listen_for_readiness(ready); !f.empty())
-    return f;
-  h.route(kRoutingAddress, [routing_thread](const Envelope& e) {
-    routing_thread->loop_.post([routing_thread, body = e.body]() mutable {
-      if (auto* grant = std::get_if<ReserveTurnReply>(&body))
-        routing_thread->front_->step(std::move(*grant));
-      if (auto* settled = std::get_if<CommitTurnReply>(&body))
-        routing_thread->front_->step(std::move(*settled));
-    });
+Result<std::unique_ptr<RoutingThread>> RoutingThread::start(Host& host, const ProtocolCodec& codec,
+                                                            const Address& callers, const Address& readiness) {
+  std::unique_ptr<RoutingThread> started(new RoutingThread(host, codec));
+  auto* self = started.get();
+  if (auto errors = self->listen_for_callers(callers); !errors.empty())
+    return errors;
+  if (auto errors = self->listen_for_readiness(readiness); !errors.empty())
+    return errors;
+  host.route(kRoutingAddress, [self](const Envelope& envelope) {
+    self->loop_.post([self, message = envelope.body]() mutable { self->on_owner_reply(std::move(message)); });
   });
-  h.watch([routing_thread](Machine& m, Millis now) { routing_thread->publish(m, now); });
-  routing_thread->thread_ = std::thread([routing_thread] {
-    routing_thread->tick();
-    routing_thread->loop_.run();
+  host.watch([self](Machine& machine, Millis now) { self->publish_snapshot(machine, now); });
+  self->thread_ = std::thread([self] {
+    self->tick();
+    self->loop_.run();
   });
-  return made;
+  return started;
 }
 
 RoutingThread::~RoutingThread() {
@@ -38,60 +30,81 @@
     thread_.join();
 }
 
-Errors RoutingThread::listen_for_readiness(const Address& at) {
-  if (at.empty())
+Errors RoutingThread::listen_for_callers(const Address& address) {
+  auto opened = HttpFrontend::open(
+      loop_, codec_, address, [this] { return snapshot(); },
+      [this](Message message) { send_to_owner(std::move(message)); });
+  if (!opened.ok())
+    return opened.errors();
+  frontend_ = std::move(opened).value();
+  return {};
+}
+
+Errors RoutingThread::listen_for_readiness(const Address& address) {
+  if (address.empty())
     return {};
-  auto answer = [this](uint64_t id, HttpRequest&& request) {
-    auto now = snapshot();
-    bool asked = dialect_.is_readiness_probe(request);
-    bool ready = now->ready && process_now() < now->dispatch_until;
-    ready_->send_response(id, !asked ? 404 : ready ? 200 : 503, {}, "");
+  auto answer_probe = [this](uint64_t request_id, HttpRequest&& request) {
+    readiness_listener_->send_response(request_id, readiness_status(request), {}, "");
+  };
+  auto ignore = [](uint64_t) {
   };
-  auto opened = HttpListener::open(loop_, at,
-                                   {answer, [](uint64_t) {},
-                                    [](uint64_t) {
-                                    }});
+  auto opened = HttpListener::open(loop_, address, {answer_probe, ignore, ignore});
   if (!opened.ok())
     return opened.errors();
-  ready_ = std::move(opened).value();
+  readiness_listener_ = std::move(opened).value();
   return {};
 }
 
+uint32_t RoutingThread::readiness_status(const HttpRequest& request) const {
+  if (!codec_.is_readiness_probe(request))
+    return 404;
+  auto current = snapshot();
+  bool ready = current->ready && process_now() < current->dispatch_until;
+  return ready ? 200 : 503;
+}
+
+void RoutingThread::on_owner_reply(Message&& message) {
+  if (auto* reply = std::get_if<ReserveTurnReply>(&message))
+    frontend_->step(std::move(*reply));
+  if (auto* reply = std::get_if<CommitTurnReply>(&message))
+    frontend_->step(std::move(*reply));
+}
+
+void RoutingThread::send_to_owner(Message message) {
+  auto view = host_.view();
+  Envelope envelope{};
+  envelope.from = kRoutingAddress;
+  envelope.cluster = view->cluster;
+  envelope.epoch = view->epoch;
+  envelope.body = std::move(message);
+  host_.post(std::move(envelope));
+}
+
 void RoutingThread::begin_draining() {
   loop_.post([this] {
-    front_->close_after_responses();
-    leaving_since_ = process_now();
+    frontend_->close_after_responses();
+    draining_since_ = process_now();
   });
 }
 
-void RoutingThread::go_on_leaving(Millis now) {
-  if (!leaving_since_ || now - leaving_since_ < kReadinessPropagation)
+void RoutingThread::continue_draining(Millis now) {
+  if (!draining_since_ || now - draining_since_ < kReadinessPropagation)
     return;
-  front_->drain();
-  open_ = front_->has_active_callers();
+  frontend_->drain();
+  has_active_callers_ = frontend_->has_active_callers();
 }
 
-void RoutingThread::publish(Machine& m, Millis now) {
-  auto& gateway = static_cast<GatewayMachine&>(m);
-  gateway.set_open_routing_sessions(open_ ? 1 : 0);
+void RoutingThread::publish_snapshot(Machine& machine, Millis now) {
+  auto& gateway = static_cast<GatewayMachine&>(machine);
+  gateway.set_open_routing_sessions(has_active_callers_ ? 1 : 0);
   std::shared_ptr<const RoutingSnapshot> next = std::make_shared<RoutingSnapshot>(gateway.routing_snapshot(now));
   std::atomic_store(&snapshot_, next);
 }
 
 void RoutingThread::tick() {
   loop_.run_after(kTickInterval, [this] { tick(); });
-  front_->tick();
-  go_on_leaving(process_now());
-}
-
-void RoutingThread::tell_owner(Message body) {
-  auto view = host_.view();
-  Envelope e{};
-  e.from = kRoutingAddress;
-  e.cluster = view->cluster;
-  e.epoch = view->epoch;
-  e.body = std::move(body);
-  host_.post(std::move(e));
+  frontend_->tick();
+  continue_draining(process_now());
 }
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/routing/active_request.cpp
@@ -0,0 +1,82 @@
+#include "routing/active_request.hpp"
+
+#include <algorithm>
+
+#include "routing/constants.hpp"
+#include "routing/route_table.hpp"
+
+namespace mosskeel::routing {
+
+bool ActiveRequest::runs_once() const {
+  return turn || !is_idempotent(*path);
+}
+
+void ActiveRequest::route_to(const Path& new_path, const View& new_view) {
+  view = new_view;
+  path = &new_path;
+  // All turns of a program go to one service, and so do all sendings of one attempt.
+  auto& identity = headers.program_id.empty() ? headers.attempt_id : headers.program_id;
+  auto* selected = select_service(new_path, digest(identity));
+  service = selected ? *selected : "";
+}
+
+uint64_t ActiveRequest::streamed_tokens() const {
+  auto* model = view->configuration.service(service);
+  auto tokens_per_event = model && model->event_tokens ? model->event_tokens : 1;
+  return turn->events.events() * tokens_per_event;
+}
+
+ActiveRequest make_active_request(RequestReceived&& event, const RequestHeaders& headers, const Path& path,
+                                  const View& view, Millis now) {
+  ActiveRequest request;
+  request.id = event.request_id;
+  request.request = std::move(event.request);
+  request.headers = headers;
+  request.route_to(path, view);
+  request.received_at = now;
+  auto time_left = headers.time_left >= 0 ? std::min(headers.time_left, path.timeout_ms) : path.timeout_ms;
+  request.deadline = now + time_left;
+  auto wait = path.target_ms > 0 ? path.target_ms / 4 : kMaxReplicaWait;
+  request.wait_until = now + std::min(wait, kMaxReplicaWait);
+
+  bool streaming = path.path_kind() == PathKind::streaming;
+  if (streaming && !headers.program_id.empty()) {
+    request.affinity_hash = digest(headers.program_id);
+    request.turn.emplace();
+    request.turn->events = EventReader(path.kept);
+  } else if ((path.sticky || streaming) && !headers.affinity_key.empty()) {
+    request.affinity_hash = digest(headers.affinity_key);
+  }
+  return request;
+}
+
+ReserveTurn make_reservation(const ActiveRequest& request, Millis now) {
+  auto& headers = request.headers;
+  auto& path = *request.path;
+  ReserveTurn reservation{};
+  reservation.attempt = headers.attempt_id;
+  reservation.program = headers.program_id;
+  reservation.parent = headers.previous_turn;
+  if (path.kept)
+    reservation.input = request.request.body;
+  reservation.budget = headers.token_budget.value_or(UINT64_MAX);
+  reservation.max_tokens = headers.max_output_tokens;
+  reservation.keep_history = path.kept;
+  reservation.retention_ms = std::max(path.retention_ms, kMinTurnRetention);
+  reservation.timeout_ms = request.deadline - now;
+  return reservation;
+}
+
+CommitTurn make_outcome(const ActiveRequest& request, uint32_t status) {
+  CommitTurn outcome{};
+  outcome.attempt = request.headers.attempt_id;
+  outcome.program = request.headers.program_id;
+  outcome.status = status;
+  outcome.tokens = request.streamed_tokens();
+  outcome.keep_output = request.path->kept && status == 200;
+  if (outcome.keep_output)
+    outcome.output = request.turn->events.data();
+  return outcome;
+}
+
+}  // namespace mosskeel::routing
--- a/src/routing/event_reader.cpp
+++ b/src/routing/event_reader.cpp
@@ -2,52 +2,56 @@
 
 namespace mosskeel {
 
-void EventReader::line(std::string_view s) {
-  if (s.ends_with('\r'))
-    s.remove_suffix(1);
-  if (s.empty()) {
-    if (any_) {
-      ++events_;
-      if (gather_)
-        data_ += event_ + "\n";
-      last_id_ = id_;
-    }
-    event_.clear();
-    any_ = false;
+void EventReader::finish_event() {
+  if (event_has_data_) {
+    ++events_;
+    if (collect_data_)
+      data_ += event_data_ + "\n";
+    last_id_ = event_id_;
+  }
+  event_data_.clear();
+  event_has_data_ = false;
+}
+
+void EventReader::read_line(std::string_view line) {
+  if (line.ends_with('\r'))
+    line.remove_suffix(1);
+  if (line.empty()) {
+    finish_event();
     return;
   }
-  auto colon = s.find(':');
-  auto name = s.substr(0, colon);
-  auto value = colon == std::string_view::npos ? std::string_view{} : s.substr(colon + 1);
+  auto colon = line.find(':');
+  auto name = line.substr(0, colon);
+  auto value = colon == std::string_view::npos ? std::string_view{} : line.substr(colon + 1);
   if (value.starts_with(' '))
     value.remove_prefix(1);
   if (name == "id")
-    id_ = value;
+    event_id_ = value;
   if (name != "data")
     return;
-  if (gather_) {
-    if (any_)
-      event_ += '\n';
-    event_ += value;
+  if (collect_data_) {
+    if (event_has_data_)
+      event_data_ += '\n';
+    event_data_ += value;
   }
-  any_ = true;
+  event_has_data_ = true;
 }
 
-void EventReader::read(std::string_view s) {
-  while (!s.empty()) {
-    auto n = s.find('\n');
-    if (n == std::string_view::npos) {
-      line_ += s;
+void EventReader::read(std::string_view bytes) {
+  while (!bytes.empty()) {
+    auto line_feed = bytes.find('\n');
+    if (line_feed == std::string_view::npos) {
+      partial_line_ += bytes;
       return;
     }
-    if (line_.empty()) {
-      line(s.substr(0, n));
+    if (partial_line_.empty()) {
+      read_line(bytes.substr(0, line_feed));
     } else {
-      line_ += s.substr(0, n);
-      line(line_);
-      line_.clear();
+      partial_line_ += bytes.substr(0, line_feed);
+      read_line(partial_line_);
+      partial_line_.clear();
     }
-    s.remove_prefix(n + 1);
+    bytes.remove_prefix(line_feed + 1);
   }
 }
 
--- a/src/routing/event_reader.hpp
+++ b/src/routing/event_reader.hpp
@@ -1,25 +1,37 @@
 #pragma once
-// Reads a text/event-stream as it passes: counts events and gathers their data.
+// Incremental reader of a text/event-stream body (server-sent events).
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
+/// Counts the events of a stream as its bytes pass, and collects their data on request. Bytes may be split anywhere.
 class EventReader {
  public:
-  /// With `gather`, the data of each event is kept, a line feed behind each.
-  explicit EventReader(bool gather = false) : gather_(gather) {}
-  void read(std::string_view s);
-  /// Whole events so far.
+  /// With `collect_data`, the data of each complete event is kept, followed by a line feed.
+  explicit EventReader(bool collect_data = false) : collect_data_(collect_data) {}
+  /// Reads the next bytes of the stream.
+  void read(std::string_view bytes);
+  /// Number of complete events with data so far.
   uint64_t events() const { return events_; }
+  /// The data collected so far; empty without `collect_data`.
   const std::string& data() const { return data_; }
-  /// The id of the last whole event that had one.
+  /// The id that was in force at the last complete event; empty where none was given.
   const std::string& last_id() const { return last_id_; }
 
  private:
-  void line(std::string_view s);
-  bool gather_, any_ = false;
+  void read_line(std::string_view line);
+  void finish_event();
+
+  bool collect_data_;
   uint64_t events_ = 0;
-  std::string line_, event_, data_, id_, last_id_;
+  std::string data_;
+  std::string last_id_;
+  /// The line whose end has not arrived yet.
+  std::string partial_line_;
+  /// Data and id of the event whose blank line has not arrived yet.
+  bool event_has_data_ = false;
+  std::string event_data_;
+  std::string event_id_;
 };
 
 }  // namespace mosskeel
--- a/src/routing/http_frontend.cpp
+++ b/src/routing/http_frontend.cpp
@@ -4,140 +4,159 @@
 
 namespace mosskeel {
 
-HttpFrontend::HttpFrontend(EventLoop& loop, const ProtocolCodec& dialect, Snapshot snapshot, SendToOwner tell)
-    : snapshot_(std::move(snapshot)), tell_owner_(std::move(tell)), traffic_(dialect) {
-  replicas_ = std::make_unique<UpstreamClient>(loop, replica_events());
-}
-
-Result<std::unique_ptr<HttpFrontend>> HttpFrontend::open(EventLoop& loop, const ProtocolCodec& dialect,
-                                                         const Address& at, Snapshot snapshot, SendToOwner tell) {
-  std::unique_ptr<HttpFrontend> made(new HttpFrontend(loop, dialect, std::move(snapshot), std::move(tell)));
-  auto* front = made.get();
-  HttpListener::Callbacks events{[front](uint64_t id, HttpRequest&& request) {
-                                   front->step(routing::RequestReceived{id, std::move(request)});
-                                 },
-                                 [front](uint64_t id) {
-                                   front->backpressure_->on_finished(id);
-                                   front->step(routing::CallerDisconnected{id});
-                                 },
-                                 [front](uint64_t id) {
-                                   front->backpressure_->on_drained(id);
-                                 }};
-  auto callers = HttpListener::open(loop, at, std::move(events));
-  if (!callers.ok())
-    return callers.errors();
-  made->callers_ = std::move(callers).value();
-  made->backpressure_ = std::make_unique<Backpressure>(*made->callers_, *made->replicas_);
-  return made;
+routing::AttemptNumber HttpFrontend::AttemptMap::attempt_of(uint64_t upstream_id) const {
+  auto found = attempt_by_upstream_id_.find(upstream_id);
+  return found == attempt_by_upstream_id_.end() ? 0 : found->second;
+}
+
+uint64_t HttpFrontend::AttemptMap::upstream_id_of(routing::AttemptNumber attempt) const {
+  auto found = upstream_id_by_attempt_.find(attempt);
+  return found == upstream_id_by_attempt_.end() ? 0 : found->second;
 }
 
-UpstreamClient::Callbacks HttpFrontend::replica_events() {
-  return {[this](uint64_t upstream, UpstreamClient::ResponseHead&& answer) {
-            step(routing::ResponseHeadersReceived{ask_of(upstream), answer.status, std::move(answer.fields),
-                                                  std::move(answer.previous_tag)});
-          },
-          [this](uint64_t upstream, std::string_view bytes) {
-            step(routing::ResponseDataReceived{ask_of(upstream), std::string(bytes)});
-          },
-          [this](uint64_t upstream) { step(routing::ResponseCompleted{forget_ask(upstream)}); },
-          [this](uint64_t upstream, UpstreamClient::Delivery lost, std::string reason) {
-            bool sent = lost == UpstreamClient::Delivery::possibly_sent;
-            step(routing::AttemptFailed{forget_ask(upstream), sent, std::move(reason)});
-          }};
+void HttpFrontend::AttemptMap::add(routing::AttemptNumber attempt, uint64_t upstream_id) {
+  upstream_id_by_attempt_[attempt] = upstream_id;
+  attempt_by_upstream_id_[upstream_id] = attempt;
 }
 
-uint64_t HttpFrontend::ask_of(uint64_t upstream) const {
-  auto found = ask_of_upstream_.find(upstream);
-  return found == ask_of_upstream_.end() ? 0 : found->second;
+routing::AttemptNumber HttpFrontend::AttemptMap::remove(uint64_t upstream_id) {
+  auto attempt = attempt_of(upstream_id);
+  attempt_by_upstream_id_.erase(upstream_id);
+  upstream_id_by_attempt_.erase(attempt);
+  return attempt;
 }
 
-uint64_t HttpFrontend::forget_ask(uint64_t upstream) {
-  auto ask = ask_of(upstream);
-  ask_of_upstream_.erase(upstream);
-  upstream_of_ask_.erase(ask);
-  return ask;
+HttpFrontend::HttpFrontend(EventLoop& loop, const ProtocolCodec& codec, Snapshot snapshot, SendToOwner send_to_owner)
+    : snapshot_(std::move(snapshot)), send_to_owner_(std::move(send_to_owner)), router_(codec) {
+  replicas_ = std::make_unique<UpstreamClient>(loop, replica_callbacks());
+}
+
+Result<std::unique_ptr<HttpFrontend>> HttpFrontend::open(EventLoop& loop, const ProtocolCodec& codec,
+                                                         const Address& address, Snapshot snapshot,
+                                                         SendToOwner send_to_owner) {
+  std::unique_ptr<HttpFrontend> frontend(new HttpFrontend(loop, codec, std::move(snapshot), std::move(send_to_owner)));
+  auto callers = HttpListener::open(loop, address, frontend->caller_callbacks());
+  if (!callers.ok())
+    return callers.errors();
+  frontend->callers_ = std::move(callers).value();
+  frontend->backpressure_ = std::make_unique<Backpressure>(*frontend->callers_, *frontend->replicas_);
+  return frontend;
 }
 
-void HttpFrontend::take_snapshot() {
+HttpListener::Callbacks HttpFrontend::caller_callbacks() {
+  auto on_request = [this](uint64_t request_id, HttpRequest&& request) {
+    step(routing::RequestReceived{request_id, std::move(request)});
+  };
+  auto on_disconnected = [this](uint64_t request_id) {
+    backpressure_->on_finished(request_id);
+    step(routing::CallerDisconnected{request_id});
+  };
+  auto on_drained = [this](uint64_t request_id) {
+    backpressure_->on_drained(request_id);
+  };
+  return {on_request, on_disconnected, on_drained};
+}
+
+UpstreamClient::Callbacks HttpFrontend::replica_callbacks() {
+  auto on_head = [this](uint64_t upstream_id, UpstreamClient::ResponseHead&& head) {
+    step(routing::ResponseHeadersReceived{attempts_.attempt_of(upstream_id), head.status, std::move(head.fields),
+                                          std::move(head.previous_tag)});
+  };
+  auto on_body = [this](uint64_t upstream_id, std::string_view bytes) {
+    step(routing::ResponseDataReceived{attempts_.attempt_of(upstream_id), std::string(bytes)});
+  };
+  auto on_complete = [this](uint64_t upstream_id) {
+    step(routing::ResponseCompleted{attempts_.remove(upstream_id)});
+  };
+  auto on_failed = [this](uint64_t upstream_id, UpstreamClient::Delivery delivery, std::string reason) {
+    bool possibly_sent = delivery == UpstreamClient::Delivery::possibly_sent;
+    step(routing::AttemptFailed{attempts_.remove(upstream_id), possibly_sent, std::move(reason)});
+  };
+  return {on_head, on_body, on_complete, on_failed};
+}
+
+void HttpFrontend::update_router() {
   auto snapshot = snapshot_();
-  auto& view = *snapshot->view;
-  if (view.revision != limits_revision_) {
-    limits_revision_ = view.revision;
-    take_limits(view.configuration.callers);
+  auto& metadata = *snapshot->view;
+  if (metadata.revision != limits_revision_) {
+    limits_revision_ = metadata.revision;
+    apply_limits(metadata.configuration.callers);
   }
-  traffic_.routing_snapshot(std::move(snapshot), process_now());
+  router_.update(std::move(snapshot), process_now());
 }
 
-void HttpFrontend::take_limits(const CallerLimits& limits) {
-  HttpListenerLimits taken;
+void HttpFrontend::apply_limits(const CallerLimits& limits) {
+  HttpListenerLimits applied;
   if (limits.head_bytes)
-    taken.max_head_bytes = limits.head_bytes;
+    applied.max_head_bytes = limits.head_bytes;
   if (limits.body_bytes)
-    taken.max_body_bytes = limits.body_bytes;
+    applied.max_body_bytes = limits.body_bytes;
   if (limits.head_ms)
-    taken.head_timeout_ms = limits.head_ms;
+    applied.head_timeout_ms = limits.head_ms;
   if (limits.idle_ms)
-    taken.idle_timeout_ms = limits.idle_ms;
-  callers_->set_limits(taken);
+    applied.idle_timeout_ms = limits.idle_ms;
+  callers_->set_limits(applied);
 }
 
 void HttpFrontend::step(routing::Event event) {
-  take_snapshot();
-  act(traffic_.step(std::move(event), process_now()));
+  update_router();
+  for (auto& action : router_.handle(std::move(event), process_now()))
+    std::visit([this](auto& alternative) { perform(alternative); }, action);
 }
 
 void HttpFrontend::tick() {
-  take_snapshot();
-  act(traffic_.tick(process_now()));
-}
-
-void HttpFrontend::act(routing::Actions actions) {
-  for (auto& action : actions)
-    std::visit(
-        overload{[&](routing::SendResponse& x) { callers_->send_response(x.id, x.status, x.fields, x.body); },
-                 [&](routing::SendResponseHeaders& x) { callers_->send_head(x.id, x.status, x.fields, std::nullopt); },
-                 [&](routing::SendResponseData& x) { act(x); },
-                 [&](routing::EndResponse& x) {
-                   backpressure_->on_finished(x.id);
-                   callers_->finish(x.id);
-                 },
-                 [&](routing::ResetResponse& x) {
-                   backpressure_->on_finished(x.id);
-                   callers_->abort(x.id);
-                 },
-                 [&](routing::SendToReplica& x) { act(x); }, [&](routing::CancelAttempt& x) { act(x); },
-                 [&](routing::SkipStaleResponse& x) {
-                   if (auto i = upstream_of_ask_.find(x.ask); i != upstream_of_ask_.end())
-                     replicas_->skip_response(i->second);
-                 },
-                 [&](routing::SendToOwner& x) {
-                   tell_owner_(std::move(x.body));
-                 }},
-        action);
-}
-
-void HttpFrontend::act(routing::SendResponseData& x) {
-  callers_->send_body(x.id, x.bytes);
-  if (auto i = upstream_of_ask_.find(x.ask); i != upstream_of_ask_.end())
-    backpressure_->on_forwarded(x.id, i->second);
-}
-
-void HttpFrontend::act(routing::SendToReplica& x) {
-  UpstreamClient::Request ask{x.to, std::move(x.method), std::move(x.target), std::move(x.fields), std::move(x.body)};
-  ask.max_idle_ms = x.max_idle_ms;
-  ask.tag = std::move(x.tag);
-  auto upstream = replicas_->send_request(std::move(ask));
-  upstream_of_ask_[x.ask] = upstream;
-  ask_of_upstream_[upstream] = x.ask;
-}
-
-void HttpFrontend::act(routing::CancelAttempt& x) {
-  auto i = upstream_of_ask_.find(x.ask);
-  if (i == upstream_of_ask_.end())
+  update_router();
+  for (auto& action : router_.tick(process_now()))
+    std::visit([this](auto& alternative) { perform(alternative); }, action);
+}
+
+void HttpFrontend::perform(routing::SendResponse& action) {
+  callers_->send_response(action.request_id, action.status, action.fields, action.body);
+}
+
+void HttpFrontend::perform(routing::SendResponseHeaders& action) {
+  callers_->send_head(action.request_id, action.status, action.fields, std::nullopt);
+}
+
+void HttpFrontend::perform(routing::SendResponseData& action) {
+  callers_->send_body(action.request_id, action.bytes);
+  if (auto upstream_id = attempts_.upstream_id_of(action.attempt))
+    backpressure_->on_forwarded(action.request_id, upstream_id);
+}
+
+void HttpFrontend::perform(routing::EndResponse& action) {
+  backpressure_->on_finished(action.request_id);
+  callers_->finish(action.request_id);
+}
+
+void HttpFrontend::perform(routing::ResetResponse& action) {
+  backpressure_->on_finished(action.request_id);
+  callers_->abort(action.request_id);
+}
+
+void HttpFrontend::perform(routing::SendToReplica& action) {
+  UpstreamClient::Request request{action.to, std::move(action.method), std::move(action.target),
+                                  std::move(action.fields), std::move(action.body)};
+  request.max_idle_ms = action.max_idle_ms;
+  request.tag = std::move(action.attempt_id);
+  attempts_.add(action.attempt, replicas_->send_request(std::move(request)));
+}
+
+void HttpFrontend::perform(routing::CancelAttempt& action) {
+  auto upstream_id = attempts_.upstream_id_of(action.attempt);
+  if (!upstream_id)
     return;
-  auto upstream = i->second;
-  replicas_->cancel(upstream);
-  forget_ask(upstream);
+  replicas_->cancel(upstream_id);
+  attempts_.remove(upstream_id);
+}
+
+void HttpFrontend::perform(routing::SkipStaleResponse& action) {
+  if (auto upstream_id = attempts_.upstream_id_of(action.attempt))
+    replicas_->skip_response(upstream_id);
+}
+
+void HttpFrontend::perform(routing::SendToOwner& action) {
+  send_to_owner_(std::move(action.message));
 }
 
 }  // namespace mosskeel
--- a/src/routing/load_balancer.cpp
+++ b/src/routing/load_balancer.cpp
@@ -1,108 +1,137 @@
 #include "routing/load_balancer.hpp"
-#include "routing/constants.hpp"
 
 #include <algorithm>
 #include <cmath>
 
+#include "routing/constants.hpp"
+
 namespace mosskeel {
+namespace {
 
-void LoadBalancer::update(const RoutingSnapshot& o, Millis now) {
-  if (view_ == o.view && me_ == o.self_id)
-    return;
-  view_ = o.view;
-  me_ = o.self_id;
-  auto& m = *view_;
-  std::string zone;
-  std::vector<DaemonId> fronts;
-  std::map<std::string, uint32_t> in_zone;
-  for (auto& [id, d] : m.directory) {
-    if (id == me_)
-      zone = d.self.zone;
-    if (d.self.role != Role::front || d.state == DaemonState::down || d.state == DaemonState::left)
+/// Whether the daemon is a gateway that carries requests.
+bool is_serving_gateway(const Daemon& daemon) {
+  return daemon.self.role == Role::front && daemon.state != DaemonState::down && daemon.state != DaemonState::left;
+}
+
+/// The gateway that alone sends to a replica in slow start: the first by rendezvous hashing.
+DaemonId warming_gateway(const std::string& replica, const std::vector<DaemonId>& gateways) {
+  auto weight = [&](DaemonId id) {
+    return digest(replica, id.value() + 1);
+  };
+  auto first = std::min_element(gateways.begin(), gateways.end(),
+                                [&](DaemonId left, DaemonId right) { return weight(left) < weight(right); });
+  return first == gateways.end() ? DaemonId{} : *first;
+}
+
+}  // namespace
+
+LoadBalancer::Gateways LoadBalancer::gateways() const {
+  Gateways gateways;
+  for (auto& [id, daemon] : view_->directory) {
+    if (id == self_id_)
+      gateways.own_zone = daemon.self.zone;
+    if (!is_serving_gateway(daemon))
       continue;
-    fronts.push_back(id);
-    ++in_zone[d.self.zone];
+    gateways.ids.push_back(id);
+    ++gateways.count_by_zone[daemon.self.zone];
   }
-  by_service_.clear();
-  for (auto& [n, s] : seen_)
-    s.present = false;
-  for (auto& [n, r] : m.replicas) {
-    if (r.service.empty() || r.health == ReplicaHealth::draining || m.evacuated.count(r.zone))
+  return gateways;
+}
+
+void LoadBalancer::update(const RoutingSnapshot& snapshot, Millis now) {
+  if (view_ == snapshot.view && self_id_ == snapshot.self_id)
+    return;
+  view_ = snapshot.view;
+  self_id_ = snapshot.self_id;
+  auto serving = gateways();
+  replicas_by_service_.clear();
+  for (auto& [name, state] : replicas_)
+    state.listed = false;
+  for (auto& [name, replica] : view_->replicas) {
+    if (replica.service.empty() || replica.health == ReplicaHealth::draining || view_->evacuated.count(replica.zone))
       continue;
-    auto& s = seen_[n];
-    s.r = &r;
-    s.present = true;
-    s.local = r.zone == zone;
-    auto z = in_zone.find(r.zone);
-    auto share = static_cast<double>(r.capacity) / std::max(1u, z == in_zone.end() ? 1u : z->second);
-    s.cap = static_cast<uint32_t>(std::max(1.0, std::ceil(share * kCapacityShareFactor)));
-    auto rank = [&](DaemonId id) {
-      return digest(n, id.value() + 1);
-    };
-    auto first = std::min_element(fronts.begin(), fronts.end(), [&](auto a, auto b) { return rank(a) < rank(b); });
-    s.mine = r.health != ReplicaHealth::warming_up || (first != fronts.end() && *first == me_);
-    auto* c = m.configuration.service(r.service);
-    s.rate = r.health == ReplicaHealth::warming_up && c ? c->cold_per_s * kSlowStartRateShare : 0;
-    if (r.health == ReplicaHealth::warming_up && s.since != r.since)
-      s.tokens = 1, s.cold_at = now;
-    s.since = r.since;
-    by_service_[r.service].push_back(&s);
+    auto& state = replicas_[name];
+    update_replica(state, replica, serving, now);
+    replicas_by_service_[replica.service].push_back(&state);
   }
-  std::erase_if(seen_, [](auto& x) { return !x.second.present && x.second.running == 0; });
+  std::erase_if(replicas_, [](auto& entry) { return !entry.second.listed && entry.second.running == 0; });
 }
 
-bool LoadBalancer::free(Seen& s, Millis now) {
-  if (!s.mine || now < s.backed_off || s.running >= s.cap)
+void LoadBalancer::update_replica(ReplicaState& state, const Replica& replica, const Gateways& gateways, Millis now) {
+  bool warming_up = replica.health == ReplicaHealth::warming_up;
+  state.replica = &replica;
+  state.listed = true;
+  state.same_zone = replica.zone == gateways.own_zone;
+
+  auto sharing = gateways.count_by_zone.find(replica.zone);
+  auto gateway_count = sharing == gateways.count_by_zone.end() ? 1u : std::max(1u, sharing->second);
+  auto share = static_cast<double>(replica.capacity) / gateway_count;
+  state.capacity = static_cast<uint32_t>(std::max(1.0, std::ceil(share * kCapacityShareFactor)));
+
+  auto warmed_here = !gateways.ids.empty() && warming_gateway(replica.name, gateways.ids) == self_id_;
+  state.assigned_here = !warming_up || warmed_here;
+  auto* service = view_->configuration.service(replica.service);
+  state.slow_start.set_rate(warming_up && service ? service->cold_per_s * kSlowStartRateShare : 0);
+  if (warming_up && state.health_since != replica.since)
+    state.slow_start.reset(now);
+  state.health_since = replica.since;
+}
+
+bool LoadBalancer::has_capacity(ReplicaState& state, Millis now) {
+  if (!state.assigned_here || now < state.backed_off_until || state.running >= state.capacity)
     return false;
-  if (s.rate <= 0)
-    return s.r->health != ReplicaHealth::warming_up;
-  s.tokens = std::min(s.tokens + s.rate * static_cast<double>(now - s.cold_at) / 1000, std::max(1.0, s.rate / 10));
-  s.cold_at = now;
-  return s.tokens >= 1;
+  if (!state.slow_start.is_limited())
+    return state.replica->health != ReplicaHealth::warming_up;
+  state.slow_start.refill(now);
+  return state.slow_start.has_token();
 }
 
-const Replica* LoadBalancer::pick(const LoadBalancerContext& w, Millis now, bool& any) {
-  any = false;
-  auto i = by_service_.find(w.service);
-  if (i == by_service_.end())
-    return nullptr;
-  Seen* best = nullptr;
-  std::tuple<int, uint64_t, uint64_t> top;
-  for (auto* s : i->second) {
-    if (w.tried && std::find(w.tried->begin(), w.tried->end(), s->r->name) != w.tried->end())
+ReplicaChoice LoadBalancer::choose(const LoadBalancerContext& context, Millis now) {
+  ReplicaChoice choice;
+  auto candidates = replicas_by_service_.find(context.service);
+  if (candidates == replicas_by_service_.end())
+    return choice;
+  auto was_tried = [&](const std::string& name) {
+    auto* tried = context.tried_replicas;
+    return tried && std::find(tried->begin(), tried->end(), name) != tried->end();
+  };
+  std::tuple<int, uint64_t, uint64_t> best_preference;
+  for (auto* state : candidates->second) {
+    if (was_tried(state->replica->name))
       continue;
-    any = true;
-    if (!free(*s, now))
+    choice.has_candidates = true;
+    if (!has_capacity(*state, now))
       continue;
-    bool full = s->running * 2 >= s->cap;
-    int tier = (s->local ? 0 : 1) + (full ? 2 : 0);
-    auto key = w.key ? std::make_tuple(tier, digest(s->r->name, w.key), uint64_t{0})
-                     : std::make_tuple(tier, uint64_t{s->running}, s->last);
-    if (!best || key < top)
-      best = s, top = key;
+    // Half-loaded replicas come after all others, and within each half the own zone comes first.
+    bool half_loaded = state->running * 2 >= state->capacity;
+    int tier = (state->same_zone ? 0 : 1) + (half_loaded ? 2 : 0);
+    auto preference = context.affinity_hash
+                          ? std::make_tuple(tier, digest(state->replica->name, context.affinity_hash), uint64_t{0})
+                          : std::make_tuple(tier, uint64_t{state->running}, state->last_attempt);
+    if (!choice.replica || preference < best_preference) {
+      choice.replica = state->replica;
+      best_preference = preference;
+    }
   }
-  return best ? best->r : nullptr;
+  return choice;
 }
 
-void LoadBalancer::took(const std::string& name, Millis) {
-  auto& s = seen_[name];
-  ++s.running;
-  s.last = ++turn_;
-  if (s.rate > 0)
-    s.tokens -= 1;
-}
-void LoadBalancer::gave(const std::string& name) {
-  if (auto i = seen_.find(name); i != seen_.end() && i->second.running)
-    --i->second.running;
+void LoadBalancer::on_attempt_started(const std::string& replica) {
+  auto& state = replicas_[replica];
+  ++state.running;
+  state.last_attempt = ++attempts_;
+  if (state.slow_start.is_limited())
+    state.slow_start.take();
 }
-void LoadBalancer::back_off(const std::string& name, Millis until) {
-  if (auto i = seen_.find(name); i != seen_.end())
-    i->second.backed_off = std::max(i->second.backed_off, until);
+
+void LoadBalancer::on_attempt_finished(const std::string& replica) {
+  if (auto found = replicas_.find(replica); found != replicas_.end() && found->second.running > 0)
+    --found->second.running;
 }
-void LoadBalancer::told(const std::string&, const std::array<uint32_t, 3>&, Millis) {}
-uint32_t LoadBalancer::load(const std::string& name) const {
-  auto i = seen_.find(name);
-  return i == seen_.end() ? 0 : i->second.running;
+
+void LoadBalancer::back_off(const std::string& replica, Millis until) {
+  if (auto found = replicas_.find(replica); found != replicas_.end())
+    found->second.backed_off_until = std::max(found->second.backed_off_until, until);
 }
 
 }  // namespace mosskeel
--- a/src/routing/load_balancer.hpp
+++ b/src/routing/load_balancer.hpp
@@ -1,47 +1,80 @@
 #pragma once
-// Which replica takes a request: rendezvous hashing with bounded load, the own zone first.
+// Choice of the replica that takes a request.
 #include <unordered_map>
 
 #include "routing/routing_snapshot.hpp"
+#include "routing/token_bucket.hpp"
 
 namespace mosskeel {
 
-/// What a choice rests on. `key` keeps what belongs together on one replica; 0 spreads.
+/// What a choice rests on.
 struct LoadBalancerContext {
   std::string service;
-  uint64_t key = 0;
-  const std::vector<std::string>* tried = nullptr;
+  /// Requests of one hash stay on one replica (rendezvous hashing); 0 spreads by load.
+  uint64_t affinity_hash = 0;
+  /// Replicas that the request has already been sent to; may be null.
+  const std::vector<std::string>* tried_replicas = nullptr;
 };
 
+/// The replica to send to, and whether waiting for one makes sense.
+struct ReplicaChoice {
+  /// Null where no replica has free capacity now.
+  const Replica* replica = nullptr;
+  /// Whether the service has any replica that was not tried yet, free or not.
+  bool has_candidates = false;
+};
+
+/// Balances over the replicas of a service with bounded load: each gateway uses its share of a replica's capacity, its
+/// own zone first. A replica in slow start gets requests of one gateway only, within its permitted rate. Draining
+/// replicas and those in evacuated zones get nothing.
+///
+/// Owned by the request router and used on its thread. Times are milliseconds on the process's clock.
 class LoadBalancer {
  public:
-  /// Takes over a new view: replicas that are gone are forgotten.
-  void update(const RoutingSnapshot& o, Millis now);
-  /// The replica that suits best and has a free place here, or nothing; `any` tells whether one would do later.
-  const Replica* pick(const LoadBalancerContext& w, Millis now, bool& any);
-  void took(const std::string& name, Millis now);
-  void gave(const std::string& name);
-  void back_off(const std::string& name, Millis until);
-  /// What a replica told of itself: running, waiting, places.
-  void told(const std::string& name, const std::array<uint32_t, 3>& load, Millis now);
-  uint32_t load(const std::string& name) const;
+  /// Adopts new metadata. Replicas that are gone are forgotten once their last request has ended.
+  void update(const RoutingSnapshot& snapshot, Millis now);
+  /// Chooses a replica without reserving capacity: see `on_attempt_started`.
+  ReplicaChoice choose(const LoadBalancerContext& context, Millis now);
+  void on_attempt_started(const std::string& replica);
+  void on_attempt_finished(const std::string& replica);
+  /// Sends nothing to the replica until then.
+  void back_off(const std::string& replica, Millis until);
 
  private:
-  struct Seen {
-    const Replica* r = nullptr;
-    uint32_t running = 0, cap = 1;
-    Millis backed_off = 0, cold_at = 0;
-    bool mine = true, present = false, local = false;
-    double tokens = 0, rate = 0;
-    Epoch since{};
-    uint64_t last = 0;
+  struct ReplicaState {
+    /// Points into `view_`; valid while `listed`.
+    const Replica* replica = nullptr;
+    /// Whether the present metadata lets it take requests.
+    bool listed = false;
+    bool same_zone = false;
+    /// Whether this gateway may send to it: always, but for a replica in slow start that another gateway warms up.
+    bool assigned_here = true;
+    uint32_t running = 0;
+    /// The most requests that this gateway runs on it.
+    uint32_t capacity = 1;
+    Millis backed_off_until = 0;
+    TokenBucket slow_start;
+    /// The epoch at which it got its present health.
+    Epoch health_since{};
+    /// Number of the last attempt sent to it: the least recently used one goes first among equals.
+    uint64_t last_attempt = 0;
   };
-  bool free(Seen& s, Millis now);
+  /// The gateways that share the replicas.
+  struct Gateways {
+    std::string own_zone;
+    std::vector<DaemonId> ids;
+    std::map<std::string, uint32_t> count_by_zone;
+  };
+  Gateways gateways() const;
+  void update_replica(ReplicaState& state, const Replica& replica, const Gateways& gateways, Millis now);
+  static bool has_capacity(ReplicaState& state, Millis now);
+
   View view_;
-  DaemonId me_{};
-  std::unordered_map<std::string, Seen> seen_;
-  std::unordered_map<std::string, std::vector<Seen*>> by_service_;
-  uint64_t turn_ = 0;
+  DaemonId self_id_{};
+  std::unordered_map<std::string, ReplicaState> replicas_;
+  /// Points into `replicas_`, whose elements stay in place while they are listed.
+  std::unordered_map<std::string, std::vector<ReplicaState*>> replicas_by_service_;
+  uint64_t attempts_ = 0;
 };
 
 }  // namespace mosskeel
--- a/src/routing/recent_attempts.cpp
+++ b/src/routing/recent_attempts.cpp
@@ -1,17 +1,16 @@
 #include "routing/recent_attempts.hpp"
-#include "routing/constants.hpp"
 
 namespace mosskeel {
 
-void RecentAttempts::add(const std::string& attempt) {
-  auto id = digest(attempt);
-  if (!known_.insert(id).second)
+void RecentAttempts::add(const std::string& attempt_id) {
+  auto attempt_digest = digest(attempt_id);
+  if (!digests_.insert(attempt_digest).second)
     return;
-  order_.push_back(id);
-  if (order_.size() <= kRecentAttempts)
+  oldest_first_.push_back(attempt_digest);
+  if (oldest_first_.size() <= kRecentAttempts)
     return;
-  known_.erase(order_.front());
-  order_.pop_front();
+  digests_.erase(oldest_first_.front());
+  oldest_first_.pop_front();
 }
 
 }  // namespace mosskeel
--- a/src/routing/recent_attempts.hpp
+++ b/src/routing/recent_attempts.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The ids of the attempts that may have run here lately.
+// Memory of the callers' attempts that may have run on this gateway lately.
 #include <deque>
 #include <unordered_set>
 
@@ -8,15 +8,15 @@
 
 namespace mosskeel {
 
-/// Remembers the last `kRecentAttempts` ids, the oldest go first.
+/// Remembers the last `kRecentAttempts` attempt ids by a 64-bit digest each; the oldest is dropped first.
 class RecentAttempts {
  public:
-  void add(const std::string& attempt);
-  bool contains(const std::string& attempt) const { return known_.count(digest(attempt)) > 0; }
+  void add(const std::string& attempt_id);
+  bool contains(const std::string& attempt_id) const { return digests_.count(digest(attempt_id)) > 0; }
 
  private:
-  std::unordered_set<uint64_t> known_;
-  std::deque<uint64_t> order_;
+  std::unordered_set<uint64_t> digests_;
+  std::deque<uint64_t> oldest_first_;
 };
 
 }  // namespace mosskeel
--- a/src/routing/request_router.cpp
+++ b/src/routing/request_router.cpp
@@ -1,237 +1,292 @@
 #include "routing/request_router.hpp"
-#include "routing/constants.hpp"
-#include "runtime/constants.hpp"
 
 #include <algorithm>
 
+#include "routing/constants.hpp"
+#include "routing/response_check.hpp"
+#include "runtime/constants.hpp"
+
 namespace mosskeel::routing {
 namespace {
 
-/// Statuses that tell a caller that nothing has run and nothing will.
-bool promises(uint32_t status) {
-  return status == 408 || status == 421 || status == 429 || status == 503;
-}
+/// Milliseconds; when a caller may come back that was rejected for want of majority contact.
+constexpr Millis kRetryAfterNoContact = kDefaultRetryAfter / 2;
+/// Milliseconds; when a caller may come back that found no replica: shorter, for capacity frees up fast.
+constexpr Millis kRetryAfterNoReplica = kDefaultRetryAfter / 4;
+
+/// The status of a reservation's reply that was granted.
+constexpr uint32_t kGranted = 200;
+/// The status of a reservation's reply whose attempt may have run before.
+constexpr uint32_t kAttemptKnown = 409;
+/// The status of an answer to a request that was sent to the wrong replica.
+constexpr uint32_t kMisdirected = 421;
 
 }  // namespace
 
-void RequestRouter::routing_snapshot(std::shared_ptr<const RoutingSnapshot> o, Millis now) {
-  if (o == snapshot_)
-    return;
-  bool moved = !snapshot_ || snapshot_->view != o->view;
-  bool paths = !snapshot_ || snapshot_->view->revision != o->view->revision;
-  snapshot_ = std::move(o);
-  if (moved)
-    balancer_.update(*snapshot_, now);
-  if (paths)
-    table_ = std::make_shared<RouteTable>(snapshot_->view);
+Actions RequestRouter::handle(Event event, Millis now) {
+  std::visit([&](auto& alternative) { on(alternative, now); }, event);
+  dispatch_queued(now);
+  return std::exchange(actions_, {});
 }
 
-AnyRequest* RequestRouter::by_ask(uint64_t ask) {
-  auto a = asks_.find(ask);
-  if (a == asks_.end())
-    return nullptr;
-  auto c = calls_.find(a->second);
-  return c == calls_.end() ? nullptr : &c->second;
+Actions RequestRouter::tick(Millis now) {
+  for (auto id : requests_.ids())
+    if (auto* request = requests_.find(id))
+      check_deadlines(*request, now);
+  dispatch_queued(now);
+  return std::exchange(actions_, {});
 }
 
-Actions RequestRouter::step(Event e, Millis now) {
-  std::visit([&](auto& x) { on(x, now); }, e);
-  serve_queue(now);
-  return take();
-}
+void RequestRouter::on(RequestReceived& event, Millis now) {
+  auto id = event.request_id;
+  auto parsed = codec_.parse_request(event.request);
+  if (!parsed.ok())
+    return send_error(id, {400, to_string(parsed.errors())});
+  auto& headers = parsed.value();
+  if (headers.attempt_id.empty())
+    return send_error(id, {400, "the attempt has no id"});
+  if (!dispatcher_.has_majority_contact(now))
+    return send_error(id, {503, "this front is out of touch", kRetryAfterNoContact});
+  auto& routes = dispatcher_.routes();
+  auto* path = routes.find(event.request.host, event.request.target);
+  if (!path)
+    return send_error(id, {404, "no path leads there"});
 
-Actions RequestRouter::tick(Millis now) {
-  std::vector<uint64_t> ids;
-  for (auto& [id, c] : calls_)
-    ids.push_back(id);
-  for (auto id : ids)
-    if (auto i = calls_.find(id); i != calls_.end())
-      expire(i->second, now);
-  serve_queue(now);
-  return take();
-}
-
-void RequestRouter::refuse(uint64_t id, uint32_t status, const std::string& why, Millis retry) {
-  ++metrics_["refused_" + std::to_string(status)];
-  auto f = dialect_.rejection_headers(retry);
-  f.push_back({"Content-Type", "text/plain"});
-  out_.push_back(SendResponse{id, status, std::move(f), why + "\n"});
-}
-
-void RequestRouter::on(RequestReceived& a, Millis now) {
-  ++metrics_["asked"];
-  auto words = dialect_.parse_request(a.request);
-  if (!words.ok())
-    return refuse(a.id, 400, to_string(words.errors()), 0);
-  auto& w = words.value();
-  if (w.attempt_id.empty())
-    return refuse(a.id, 400, "the attempt has no id", 0);
-  if (!in_touch(now))
-    return refuse(a.id, 503, "this front is out of touch", kDefaultRetryAfter / 2);
-  auto* p = table_->find(a.request.host, a.request.target);
-  if (!p)
-    return refuse(a.id, 404, "no path leads there", 0);
-  ActiveRequest c;
-  c.id = a.id;
-  c.request = std::move(a.request);
-  c.words = w;
-  c.view = table_->view();
-  c.path = p;
-  c.born = now;
-  c.until = now + (w.time_left >= 0 ? std::min(w.time_left, p->timeout_ms) : p->timeout_ms);
-  c.hold = now + std::min(p->target_ms > 0 ? p->target_ms / 4 : kMaxReplicaWait, kMaxReplicaWait);
-  auto* s = select_service(*p, digest(w.program_id.empty() ? w.attempt_id : w.program_id));
-  c.service = s ? *s : "";
-  bool turn = p->path_kind() == PathKind::streaming && !w.program_id.empty();
-  bool once = turn || !is_idempotent(*p);
-  if (once && attempts_.count(w.attempt_id))
-    return refuse(a.id, 502, "this attempt is under way here already", 0);
-  if (once && ran_.contains(w.attempt_id))
-    return refuse(a.id, 502, "this attempt may have run here already", 0);
-  if (once)
-    attempts_[w.attempt_id] = a.id;
-  if (turn) {
-    TurnRequest t{std::move(c)};
-    t.key = digest(t.words.program_id);
-    t.events = EventReader(p->kept);
-    ReserveTurn q{w.attempt_id,
-                  w.program_id,
-                  w.previous_turn,
-                  p->kept ? t.request.body : "",
-                  w.token_budget.value_or(UINT64_MAX),
-                  w.max_output_tokens,
-                  p->kept,
-                  std::max(p->retention_ms, kMinTurnRetention),
-                  t.until - now};
-    out_.push_back(SendToOwner{std::move(q)});
-    calls_.emplace(t.id, std::move(t));
-    return;
+  auto request = make_active_request(std::move(event), headers, *path, routes.view(), now);
+  if (request.runs_once()) {
+    auto duplicate = requests_.find_duplicate(headers.attempt_id);
+    if (duplicate == RequestTable::Duplicate::in_progress)
+      return send_error(id, {502, "this attempt is under way here already"});
+    if (duplicate == RequestTable::Duplicate::may_have_run)
+      return send_error(id, {502, "this attempt may have run here already"});
   }
-  PlainRequest x{std::move(c)};
-  if (p->sticky || p->path_kind() == PathKind::streaming)
-    x.key = x.words.affinity_key.empty() ? 0 : digest(x.words.affinity_key);
-  auto id = x.id;
-  offer(calls_.emplace(id, std::move(x)).first->second, now);
-}
-
-void RequestRouter::on(ReserveTurnReply& g, Millis now) {
-  auto a = attempts_.find(g.attempt);
-  auto i = a == attempts_.end() ? calls_.end() : calls_.find(a->second);
-  auto* t = i == calls_.end() ? nullptr : std::get_if<TurnRequest>(&i->second);
-  if (!t || t->stage != TurnRequest::Stage::asking)
+  auto& added = requests_.add(std::move(request));
+  if (added.turn)
+    actions_.push_back(SendToOwner{make_reservation(added, now)});
+  else
+    dispatch(added, now);
+}
+
+void RequestRouter::on(ReserveTurnReply& reply, Millis now) {
+  auto* request = requests_.find_turn(reply.attempt);
+  if (!request || !request->is_reserving())
     return;
-  if (g.status != 200) {
-    auto status = g.status == 409 ? 502 : g.status;
-    refuse(t->id, status, g.reason, g.retry_after_ms);
-    return finish(t->id);
+  if (reply.status != kGranted) {
+    // A conflict means that the attempt may have run, so the caller is not told that it has not.
+    auto status = reply.status == kAttemptKnown ? 502 : reply.status;
+    send_error(request->id, {status, reply.reason, reply.retry_after_ms});
+    return finish(*request);
   }
-  t->chain = std::move(g.chain);
-  t->stage = TurnRequest::Stage::waiting;
-  t->hold = std::max(t->hold, now + t->path->target_ms / 4);
-  offer(i->second, now);
+  request->turn->chain = std::move(reply.chain);
+  request->turn->phase = Turn::Phase::dispatching;
+  request->wait_until = std::max(request->wait_until, now + request->path->target_ms / 4);
+  dispatch(*request, now);
 }
 
-void RequestRouter::on(const CommitTurnReply& s, Millis) {
-  auto a = attempts_.find(s.attempt);
-  auto i = a == attempts_.end() ? calls_.end() : calls_.find(a->second);
-  auto* t = i == calls_.end() ? nullptr : std::get_if<TurnRequest>(&i->second);
-  if (!t || t->stage != TurnRequest::Stage::settling)
+void RequestRouter::on(const CommitTurnReply& reply, Millis) {
+  auto* request = requests_.find_turn(reply.attempt);
+  if (!request || !request->is_committing())
     return;
-  if (s.committed)
-    out_.push_back(EndResponse{t->id});
+  if (reply.committed)
+    actions_.push_back(EndResponse{request->id});
   else
-    out_.push_back(ResetResponse{t->id});
-  ++metrics_[s.committed ? "turns_done" : "turns_not_kept"];
-  finish(t->id);
+    actions_.push_back(ResetResponse{request->id});
+  finish(*request);
+}
+
+void RequestRouter::on(const CallerDisconnected& event, Millis) {
+  auto* request = requests_.find(event.request_id);
+  if (!request)
+    return;
+  if (request->attempt) {
+    request->retry.on_failure(Outcome::unknown);
+    actions_.push_back(CancelAttempt{request->attempt->number});
+    dispatcher_.end_attempt(*request);
+  }
+  if (request->turn && !request->is_committing())
+    send_outcome(*request, request->retry.turn_status());
+  finish(*request);
 }
 
-void RequestRouter::on(const CallerDisconnected& l, Millis) {
-  auto i = calls_.find(l.id);
-  if (i == calls_.end())
+void RequestRouter::on(ResponseHeadersReceived& event, Millis now) {
+  auto* request = find_by_attempt(event.attempt);
+  if (!request)
     return;
-  ++metrics_["callers_left"];
-  auto& c = base(i->second);
-  bool sent = c.outcome_unknown || c.offer;
-  c.outcome_unknown = sent;
-  if (c.offer) {
-    out_.push_back(CancelAttempt{c.offer->ask});
-    free_offer(c);
+  auto& attempt = *request->attempt;
+  auto headers = codec_.parse_response(event.status, event.fields);
+  switch (check_response(*request, event, headers)) {
+    case ResponseVerdict::accepted:
+      return relay_.on_headers(*request, std::move(event));
+    case ResponseVerdict::stale:
+      attempt.skipped_stale_response = true;
+      actions_.push_back(SkipStaleResponse{event.attempt});
+      return;
+    case ResponseVerdict::not_run: {
+      // Without an id it could be a late one for the next request: the connection is not used again.
+      if (headers.attempt_id.empty())
+        actions_.push_back(CancelAttempt{event.attempt});
+      auto backoff = event.status == kMisdirected ? kConnectFailureBackoff : kReplicaFullBackoff;
+      dispatcher_.back_off(attempt.replica, now + backoff);
+      return on_attempt_failed(*request, Outcome::no, "the replica did not run it: " + std::to_string(event.status),
+                               now);
+    }
+    case ResponseVerdict::not_trustable:
+      actions_.push_back(CancelAttempt{event.attempt});
+      dispatcher_.back_off(attempt.replica, now + kLostResponseBackoff);
+      return on_attempt_failed(*request, Outcome::unknown,
+                               "the replica's answer is not this request's, or promises what it can't", now);
   }
-  if (auto* t = std::get_if<TurnRequest>(&i->second); t && t->stage != TurnRequest::Stage::settling)
-    settle(*t, sent ? 502 : 0);
-  finish(l.id);
 }
 
-void RequestRouter::on(ResponseHeadersReceived& h, Millis now) {
-  auto* c = by_ask(h.ask);
-  if (!c)
+void RequestRouter::on(ResponseDataReceived& event, Millis now) {
+  auto* request = find_by_attempt(event.attempt);
+  if (!request || relay_.on_data(*request, std::move(event.bytes)))
     return;
-  auto& b = base(*c);
-  auto w = dialect_.parse_response(h.status, h.fields);
-  if (w.load)
-    balancer_.told(b.offer->replica, *w.load, now);
-  bool ours = w.attempt_id == b.words.attempt_id || (w.not_run && w.attempt_id.empty());
-  if (!ours && !w.attempt_id.empty() && w.attempt_id == h.previous_attempt && !std::exchange(b.offer->skipped, true)) {
-    ++metrics_["late_answers_skipped"];
-    out_.push_back(SkipStaleResponse{h.ask});
+  actions_.push_back(CancelAttempt{event.attempt});
+  on_attempt_failed(*request, Outcome::unknown, "the replica's failure is too large", now);
+}
+
+void RequestRouter::on(const ResponseCompleted& event, Millis now) {
+  auto* request = find_by_attempt(event.attempt);
+  if (!request)
     return;
+  if (request->turn)
+    on_turn_response(*request);
+  else
+    on_plain_response(*request, now);
+}
+
+void RequestRouter::on_plain_response(ActiveRequest& request, Millis now) {
+  auto& attempt = *request.attempt;
+  if (attempt.streaming) {
+    actions_.push_back(EndResponse{request.id});
+    return finish(request);
   }
-  if (ours && w.not_run) {
-    // A late one without an id could pass for the next request's: the connection is not used again.
-    if (w.attempt_id.empty())
-      out_.push_back(CancelAttempt{h.ask});
-    balancer_.back_off(b.offer->replica, now + (h.status == 421 ? kConnectFailureBackoff : kReplicaFullBackoff));
-    return failed(*c, Outcome::no, "the replica did not run it: " + std::to_string(h.status), now);
+  bool may_retry = is_idempotent(*request.path) && request.retry.has_attempts_left(*request.path);
+  if (attempt.status >= 500 && may_retry && now < request.deadline) {
+    auto reason = "the replica answered " + std::to_string(attempt.status);
+    return on_attempt_failed(request, Outcome::unknown, reason, now);
   }
-  bool good = h.status >= 200 && h.status < 300;
-  if (!ours || (good && !w.sealed) || promises(h.status)) {
-    out_.push_back(CancelAttempt{h.ask});
-    balancer_.back_off(b.offer->replica, now + kLostResponseBackoff);
-    return failed(*c, Outcome::unknown, "the replica's answer is not this request's, or promises what it can't", now);
+  relay_.send_buffered(request);
+  finish(request);
+}
+
+void RequestRouter::on_turn_response(ActiveRequest& request) {
+  auto& attempt = *request.attempt;
+  if (!attempt.streaming) {
+    relay_.send_buffered(request);
+    send_outcome(request, attempt.status);
+    return finish(request);
   }
-  b.offer->headed = true;
-  b.offer->status = h.status;
-  std::visit([&](auto& x) { head(x, h); }, *c);
+  send_outcome(request, 200);
+  dispatcher_.end_attempt(request);
+  if (request.path->kept) {
+    request.turn->phase = Turn::Phase::committing;
+    return;
+  }
+  actions_.push_back(EndResponse{request.id});
+  finish(request);
 }
 
-void RequestRouter::on(ResponseDataReceived& r, Millis now) {
-  auto* c = by_ask(r.ask);
-  if (!c)
+void RequestRouter::on(const AttemptFailed& event, Millis now) {
+  auto* request = find_by_attempt(event.attempt);
+  if (!request)
     return;
-  auto& b = base(*c);
-  if (!b.offer->streaming) {
-    b.offer->body += r.bytes;
-    if (b.offer->body.size() <= kMaxBufferedResponseBytes)
+  auto backoff = event.possibly_sent ? kLostResponseBackoff : kConnectFailureBackoff;
+  dispatcher_.back_off(request->attempt->replica, now + backoff);
+  if (!event.possibly_sent)
+    request->retry.on_not_sent();
+  on_attempt_failed(*request, event.possibly_sent ? Outcome::unknown : Outcome::no, event.reason, now);
+}
+
+void RequestRouter::on_attempt_failed(ActiveRequest& request, Outcome ran, const std::string& reason, Millis now) {
+  bool response_begun = request.attempt && request.attempt->streaming;
+  dispatcher_.end_attempt(request);
+  request.retry.on_failure(ran);
+  if (response_begun)
+    return reset(request);
+  if (!request.retry.allows_retry(*request.path, ran) || now >= request.deadline)
+    return reject(request, {request.retry.error_status(), reason, kRetryAfterNoReplica});
+  auto wait = std::min(request.path->target_ms / 4, kMaxReplicaWait);
+  request.wait_until = std::max(request.wait_until, now + wait);
+  dispatch(request, now);
+}
+
+void RequestRouter::dispatch(ActiveRequest& request, Millis now) {
+  auto error_status = request.retry.error_status();
+  switch (dispatcher_.dispatch(request, now, actions_)) {
+    case AttemptDispatcher::Result::sent:
+    case AttemptDispatcher::Result::queued:
       return;
-    if (b.offer->status >= 300 && std::holds_alternative<TurnRequest>(*c)) {
-      out_.push_back(CancelAttempt{r.ask});
-      return failed(*c, Outcome::unknown, "the replica's failure is too large", now);
-    }
-    b.offer->streaming = true;
-    out_.push_back(SendResponseHeaders{b.id, b.offer->status, std::move(b.offer->fields)});
-    r.bytes = std::move(b.offer->body);
-    if (auto* p = std::get_if<PlainRequest>(c))
-      p->stage = PlainRequest::Stage::passing;
+    case AttemptDispatcher::Result::no_route:
+      if (!request.retry.outcome_unknown())
+        error_status = 404;
+      return reject(request, {error_status, "its path leads there no more", kRetryAfterNoReplica});
+    case AttemptDispatcher::Result::route_changed:
+      return reject(request, {error_status, "its path leads there no more", kRetryAfterNoReplica});
+    case AttemptDispatcher::Result::no_replica:
+      return reject(request, {error_status, "no other replica serves this", kRetryAfterNoReplica});
   }
-  if (auto* t = std::get_if<TurnRequest>(c))
-    t->events.read(r.bytes);
-  out_.push_back(SendResponseData{b.id, std::move(r.bytes), r.ask});
 }
 
-void RequestRouter::on(const ResponseCompleted& d, Millis now) {
-  if (auto* c = by_ask(d.ask))
-    std::visit([&](auto& x) { done(x, now); }, *c);
+void RequestRouter::dispatch_queued(Millis now) {
+  for (auto id : dispatcher_.queued())
+    if (auto* request = requests_.find(id))
+      dispatch(*request, now);
 }
 
-void RequestRouter::on(const AttemptFailed& l, Millis now) {
-  auto* c = by_ask(l.ask);
-  if (!c)
-    return;
-  auto& b = base(*c);
-  balancer_.back_off(b.offer->replica, now + (l.sent ? kLostResponseBackoff : kConnectFailureBackoff));
-  if (!l.sent)
-    --b.offers;
-  failed(*c, l.sent ? Outcome::unknown : Outcome::no, l.reason, now);
+void RequestRouter::check_deadlines(ActiveRequest& request, Millis now) {
+  bool expired = now >= request.deadline;
+  if (request.is_committing()) {
+    if (now < request.deadline + kTurnCommitGrace)
+      return;
+    actions_.push_back(ResetResponse{request.id});
+    return finish(request);
+  }
+  if (request.attempt) {
+    if (!expired)
+      return;
+    actions_.push_back(CancelAttempt{request.attempt->number});
+    if (request.attempt->streaming)
+      return on_attempt_failed(request, Outcome::unknown, "", now);
+    request.retry.on_failure(Outcome::unknown);
+    dispatcher_.end_attempt(request);
+    return reject(request, {504, "the deadline passed while a replica was at work"});
+  }
+  if (expired || (!request.is_reserving() && now >= request.wait_until))
+    reject(request, {request.retry.error_status(), "no replica had a free place in time", kRetryAfterNoReplica});
+}
+
+void RequestRouter::reset(ActiveRequest& request) {
+  actions_.push_back(ResetResponse{request.id});
+  if (request.turn)
+    send_outcome(request, 502);
+  finish(request);
+}
+
+void RequestRouter::reject(ActiveRequest& request, ErrorResponse error) {
+  if (request.turn)
+    send_outcome(request, request.retry.turn_status());
+  // Only a request that has not run may be told to come back.
+  if (error.status != 503)
+    error.retry_after = 0;
+  send_error(request.id, error);
+  finish(request);
+}
+
+void RequestRouter::send_error(RequestId id, const ErrorResponse& error) {
+  auto fields = codec_.rejection_headers(error.retry_after);
+  fields.push_back({"Content-Type", "text/plain"});
+  actions_.push_back(SendResponse{id, error.status, std::move(fields), error.reason + "\n"});
+}
+
+void RequestRouter::send_outcome(const ActiveRequest& request, uint32_t status) {
+  actions_.push_back(SendToOwner{make_outcome(request, status)});
+}
+
+void RequestRouter::finish(ActiveRequest& request) {
+  dispatcher_.forget(request);
+  requests_.remove(request);
 }
 
 }  // namespace mosskeel::routing
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -2,46 +2,51 @@
 
 namespace mosskeel {
 
-RouteTable::RouteTable(View v) : view_(std::move(v)) {
-  for (auto& p : view_->configuration.paths) {
-    by_[p.host + "\n" + p.prefix] = &p;
-    auto& n = longest_[p.host];
-    n = std::max(n, p.prefix.size());
+RouteTable::RouteTable(View view) : view_(std::move(view)) {
+  for (auto& path : view_->configuration.paths) {
+    path_by_key_[key(path.host, path.prefix)] = &path;
+    auto& longest = longest_prefix_[path.host];
+    longest = std::max(longest, path.prefix.size());
   }
 }
 
+std::string RouteTable::key(const std::string& host, std::string_view prefix) {
+  std::string joined = host + "\n";
+  joined.append(prefix);
+  return joined;
+}
+
 const Path* RouteTable::find(const std::string& host, std::string_view target) const {
-  auto l = longest_.find(host);
-  if (l == longest_.end())
+  auto longest = longest_prefix_.find(host);
+  if (longest == longest_prefix_.end())
     return nullptr;
   auto path = target.substr(0, target.find_first_of("?#"));
-  std::string key = host + "\n";
-  auto head = key.size();
-  for (auto end = path.substr(0, l->second).rfind('/'); end != std::string_view::npos;
-       end = end ? path.rfind('/', end - 1) : std::string_view::npos) {
-    key.resize(head);
-    key.append(path.substr(0, end + 1));
-    if (auto i = by_.find(key); i != by_.end())
-      return i->second;
+  // Prefixes end with a slash, so only the parts up to a slash are looked up, the longest first.
+  auto prefix = path.substr(0, longest->second);
+  for (auto slash = prefix.rfind('/'); slash != std::string_view::npos; slash = prefix.rfind('/')) {
+    prefix = prefix.substr(0, slash + 1);
+    if (auto found = path_by_key_.find(key(host, prefix)); found != path_by_key_.end())
+      return found->second;
+    prefix.remove_suffix(1);
   }
   return nullptr;
 }
 
-bool is_idempotent(const Path& p) {
-  return p.path_kind() == PathKind::safe || (p.path_kind() == PathKind::streaming && p.resumable);
+bool is_idempotent(const Path& path) {
+  return path.path_kind() == PathKind::safe || (path.path_kind() == PathKind::streaming && path.resumable);
 }
 
-const std::string* select_service(const Path& p, uint64_t dice) {
-  uint64_t sum = 0;
-  for (auto& s : p.shares)
-    sum += s.weight;
-  if (sum == 0)
+const std::string* select_service(const Path& path, uint64_t hash) {
+  uint64_t total = 0;
+  for (auto& share : path.shares)
+    total += share.weight;
+  if (total == 0)
     return nullptr;
-  auto x = dice % sum;
-  for (auto& s : p.shares) {
-    if (x < s.weight)
-      return &s.service;
-    x -= s.weight;
+  auto position = hash % total;
+  for (auto& share : path.shares) {
+    if (position < share.weight)
+      return &share.service;
+    position -= share.weight;
   }
   return nullptr;
 }
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -1,28 +1,33 @@
 #pragma once
-// The lookup of a configuration's paths by host and longest prefix, built once a revision.
+// Lookup of the configuration's paths by host and longest prefix.
 #include <unordered_map>
 
 #include "metadata/metadata.hpp"
 
 namespace mosskeel {
 
+/// Immutable index of one configuration revision; keeps the metadata alive that its paths lie in.
 class RouteTable {
  public:
-  explicit RouteTable(View v);
-  /// The path with the longest prefix that begins `target` (its query does not count), or nothing.
+  explicit RouteTable(View view);
+  /// The path of this host with the longest prefix of `target`, whose query does not count; nullptr where none matches.
   const Path* find(const std::string& host, std::string_view target) const;
   const View& view() const { return view_; }
 
  private:
+  static std::string key(const std::string& host, std::string_view prefix);
+
   View view_;
-  std::unordered_map<std::string, const Path*> by_;
-  std::unordered_map<std::string, size_t> longest_;
+  std::unordered_map<std::string, const Path*> path_by_key_;
+  /// Length in bytes of the longest prefix of each host.
+  std::unordered_map<std::string, size_t> longest_prefix_;
 };
 
 /// Whether a request of this path may run more than once.
-bool is_idempotent(const Path& p);
+bool is_idempotent(const Path& path);
 
-/// The service that takes a request of this path: by weight, the same one for the same dice.
-const std::string* select_service(const Path& p, uint64_t dice);
+/// The service that takes a request of this path, chosen by weight; equal hashes give the same service. nullptr where
+/// no service has a weight.
+const std::string* select_service(const Path& path, uint64_t hash);
 
 }  // namespace mosskeel
--- a/src/routing/routing_snapshot.hpp
+++ b/src/routing/routing_snapshot.hpp
@@ -1,15 +1,21 @@
 #pragma once
-// What the control state of a front tells its traffic, swapped whole.
+// What a gateway's control state tells its routing thread.
 #include "metadata/metadata.hpp"
 
 namespace mosskeel {
 
-/// `dispatch_until` is when, in the process's own ms, the view may no longer be dispatched on: it was in touch before.
+/// Immutable; replaced as a whole after each step of the control state.
 struct RoutingSnapshot {
+  /// Never null. Empty metadata before the gateway has heard of the cluster.
   View view;
+  /// This gateway's number in the directory; 0 before it is registered.
   DaemonId self_id{};
+  /// Milliseconds on the process's clock: when majority contact expires, after which nothing may be dispatched.
   Millis dispatch_until = 0;
-  bool ready = false, leaving = false;
+  /// Whether the gateway may report readiness to the platform.
+  bool ready = false;
+  /// Whether the gateway is shutting down.
+  bool leaving = false;
 };
 
 }  // namespace mosskeel
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -1,139 +1,159 @@
 #pragma once
-// A front's traffic with replicas and callers played by hand, in the platform's words.
+// A request router whose callers, replicas and owners of turns are played by the test, in the platform's headers.
 #include <catch2/catch.hpp>
 
+#include "routing/constants.hpp"
 #include "routing/request_router.hpp"
 
 namespace mosskeel::test {
 
 using namespace routing;
 
+/// A path "/NAME/" of the host h.example with one service, 4 s of time and two attempts.
 inline Path path(const std::string& name, const std::string& kind, const std::string& service) {
-  Path p{};
-  p.name = name;
-  p.host = "h.example";
-  p.prefix = "/" + name + "/";
-  p.kind = kind;
-  p.timeout_ms = 4000;
-  p.target_ms = 800;
-  p.rank = 1;
-  p.attempts = 2;
-  p.retention_ms = 60000;
-  p.shares = {{service, 1}};
-  return p;
+  Path path{};
+  path.name = name;
+  path.host = "h.example";
+  path.prefix = "/" + name + "/";
+  path.kind = kind;
+  path.timeout_ms = 4000;
+  path.target_ms = 800;
+  path.rank = 1;
+  path.attempts = 2;
+  path.retention_ms = 60000;
+  path.shares = {{service, 1}};
+  return path;
 }
 
-inline Replica listed(const std::string& name, const std::string& service, const std::string& zone, uint32_t places) {
-  return {name, "listed", zone, "http://" + name + ":1", ReplicaHealth::ready, Epoch{3}, places, service, 0};
+inline Replica listed(const std::string& name, const std::string& service, const std::string& zone, uint32_t capacity) {
+  return {name, "listed", zone, "http://" + name + ":1", ReplicaHealth::ready, Epoch{3}, capacity, service, 0};
 }
 
 inline Service service(const std::string& name, uint32_t event_tokens) {
-  Service s{};
-  s.name = name;
-  s.event_tokens = event_tokens;
-  return s;
+  Service service{};
+  service.name = name;
+  service.event_tokens = event_tokens;
+  return service;
 }
 
-/// Front 1 in zone z1; three replicas of `app`, three of `model`, two of `spare`.
+/// Gateways 1 and 2 in zone z1; three replicas of `app`, three of `model`, two of `spare`, of capacity 8. Paths are
+/// named by their kind; `turn` keeps its history, `brief` does not.
 inline Metadata served() {
-  Metadata m{};
-  m.epoch = Epoch{5};
-  m.revision = Revision{1};
-  for (uint64_t i : {1, 2}) {
-    auto n = std::to_string(i);
-    Candidate c{Incarnation{i}, Role::front, "z1", "10.0.0." + n + ":1", "", "", "machine-" + n};
-    m.directory[DaemonId{i}] = {DaemonId{i}, c, DaemonState::up, Epoch{2}};
+  Metadata metadata{};
+  metadata.epoch = Epoch{5};
+  metadata.revision = Revision{1};
+  for (uint64_t id : {1, 2}) {
+    auto number = std::to_string(id);
+    Candidate gateway{Incarnation{id}, Role::front, "z1", "10.0.0." + number + ":1", "", "", "machine-" + number};
+    metadata.directory[DaemonId{id}] = {DaemonId{id}, gateway, DaemonState::up, Epoch{2}};
   }
-  for (std::string s : {"app", "model", "spare"})
-    for (int i = 1; i <= (s == "spare" ? 2 : 3); ++i) {
-      auto n = s + std::to_string(i);
-      m.replicas[n] = listed(n, s, "z1", 8);
+  for (std::string service_name : {"app", "model", "spare"}) {
+    int replicas = service_name == "spare" ? 2 : 3;
+    for (int number = 1; number <= replicas; ++number) {
+      auto name = service_name + std::to_string(number);
+      metadata.replicas[name] = listed(name, service_name, "z1", 8);
     }
-  m.configuration.services = {service("app", 0), service("model", 4), service("spare", 0)};
-  m.configuration.paths = {path("safe", "safe", "app"),          path("unsafe", "unsafe", "app"),
-                           path("stream", "streaming", "model"), path("resume", "streaming", "model"),
-                           path("turn", "streaming", "model"),   path("brief", "streaming", "model")};
-  m.configuration.paths[3].resumable = true;
-  m.configuration.paths[4].kept = true;
-  return m;
+  }
+  metadata.configuration.services = {service("app", 0), service("model", 4), service("spare", 0)};
+  metadata.configuration.paths = {path("safe", "safe", "app"),          path("unsafe", "unsafe", "app"),
+                                  path("stream", "streaming", "model"), path("resume", "streaming", "model"),
+                                  path("turn", "streaming", "model"),   path("brief", "streaming", "model")};
+  metadata.configuration.paths[3].resumable = true;
+  metadata.configuration.paths[4].kept = true;
+  return metadata;
+}
+
+/// Whether the requests of the path of that name are turns.
+inline bool is_turn(const std::string& path_name) {
+  return path_name == "turn" || path_name == "brief";
 }
 
-struct Front {
-  Metadata m = served();
-  RequestRouter t{*find_protocol_codec("platform")};
+struct RouterFixture {
+  Metadata metadata = served();
+  RequestRouter router{*find_protocol_codec("platform")};
   Millis now = 1000;
-  Actions got;
-  uint64_t last = 0;
+  /// What the last event or tick led to.
+  Actions actions;
+  RequestId last_request_id = 0;
 
-  Front() { publish(); }
-  /// Lets the traffic see `m`, in touch until `until`.
-  void publish(Millis until = 1000000) {
-    t.routing_snapshot(std::make_shared<RoutingSnapshot>(
-                           RoutingSnapshot{std::make_shared<Metadata>(m), DaemonId{1}, until, true, false}),
-                       now);
+  RouterFixture() { publish(); }
+  /// Lets the router see `metadata`, with majority contact until `dispatch_until`.
+  void publish(Millis dispatch_until = 1000000) {
+    RoutingSnapshot snapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, dispatch_until, true, false};
+    router.update(std::make_shared<RoutingSnapshot>(std::move(snapshot)), now);
   }
-  void happen(Event e) { got = t.step(std::move(e), now); }
-  void pass(Millis ms) {
-    now += ms;
-    got = t.tick(now);
+  void handle(Event event) { actions = router.handle(std::move(event), now); }
+  void advance(Millis elapsed) {
+    now += elapsed;
+    actions = router.tick(now);
   }
-  template <class T>
-  std::vector<T> all() const {
-    std::vector<T> v;
-    for (auto& a : got)
-      if (auto* x = std::get_if<T>(&a))
-        v.push_back(*x);
-    return v;
+
+  /// The actions of one kind that the last event led to.
+  template <class Kind>
+  std::vector<Kind> all() const {
+    std::vector<Kind> selected;
+    for (auto& action : actions)
+      if (auto* alternative = std::get_if<Kind>(&action))
+        selected.push_back(*alternative);
+    return selected;
   }
-  template <class T>
-  T one() const {
-    auto v = all<T>();
-    REQUIRE(v.size() == 1);
-    return v[0];
+  template <class Kind>
+  Kind one() const {
+    auto selected = all<Kind>();
+    REQUIRE(selected.size() == 1);
+    return selected[0];
   }
-  template <class T>
+  template <class Kind>
   bool none() const {
-    return all<T>().empty();
+    return all<Kind>().empty();
   }
 
-  /// A caller's request on the path of that name; a turn of program p where the path is `turn` or `brief`.
-  std::string ask(const std::string& name, HeaderFields more = {}, const std::string& attempt = "") {
-    auto id = ++last;
-    auto a = attempt.empty() ? "a" + std::to_string(id) : attempt;
-    HttpRequest r{"POST", "/" + name + "/1?q=2", "h.example", {{"Mosskeel-Attempt-Id", a}}, "new;"};
-    r.fields.insert(r.fields.end(), more.begin(), more.end());
-    if (name == "turn" || name == "brief") {
-      r.fields.push_back({"Mosskeel-Program-Id", "p"});
-      r.fields.push_back({"Mosskeel-Token-Budget", "1000"});
-      r.fields.push_back({"Mosskeel-Token-Count", "100,40"});
+  /// A caller's request on the path of that name; a turn of program p where the path is one of turns. Returns the
+  /// attempt's id.
+  std::string receive(const std::string& path_name, HeaderFields more = {}, const std::string& id = "") {
+    auto request_id = ++last_request_id;
+    auto attempt_id = id.empty() ? "a" + std::to_string(request_id) : id;
+    HttpRequest request{"POST", "/" + path_name + "/1?q=2", "h.example", {{"Mosskeel-Attempt-Id", attempt_id}}, "new;"};
+    request.fields.insert(request.fields.end(), more.begin(), more.end());
+    if (is_turn(path_name)) {
+      request.fields.push_back({"Mosskeel-Program-Id", "p"});
+      request.fields.push_back({"Mosskeel-Token-Budget", "1000"});
+      request.fields.push_back({"Mosskeel-Token-Count", "100,40"});
     }
-    happen(RequestReceived{id, std::move(r)});
-    return a;
+    handle(RequestReceived{request_id, std::move(request)});
+    return attempt_id;
   }
-  void grant(const std::string& attempt, uint32_t status = 200, const std::string& chain = "", uint32_t retry = 0) {
-    happen(ReserveTurnReply{attempt, status, retry, "for a reason", chain});
+  /// The owner's reply to a reservation.
+  void reply_to_reservation(const std::string& attempt_id, uint32_t status = 200, const std::string& chain = "",
+                            uint32_t retry_after_ms = 0) {
+    handle(ReserveTurnReply{attempt_id, status, retry_after_ms, "for a reason", chain});
   }
-  /// Asks, and for a turn grants; leaves the ask of the replica.
-  SendToReplica offered(const std::string& name, HeaderFields more = {}) {
-    auto a = ask(name, std::move(more));
-    if (name == "turn" || name == "brief")
-      grant(a);
+  /// Receives a request, grants it where it is a turn, and returns what was sent to a replica.
+  SendToReplica receive_and_send(const std::string& path_name, HeaderFields more = {}) {
+    auto attempt_id = receive(path_name, std::move(more));
+    if (is_turn(path_name))
+      reply_to_reservation(attempt_id);
     return one<SendToReplica>();
   }
-  void head(const SendToReplica& q, uint32_t status, HeaderFields more = {}, bool sealed = true) {
-    HeaderFields f{{"Mosskeel-Attempt-Id", std::string(header_value(q.fields, "Mosskeel-Attempt-Id"))}};
+  /// The head of the replica's response, with the attempt's id.
+  void respond(const SendToReplica& sent, uint32_t status, HeaderFields more = {}, bool sealed = true) {
+    HeaderFields fields{{"Mosskeel-Attempt-Id", std::string(header_value(sent.fields, "Mosskeel-Attempt-Id"))}};
     if (sealed)
-      f.push_back({"Mosskeel-Server-Seal", "s.1"});
-    f.insert(f.end(), more.begin(), more.end());
-    happen(ResponseHeadersReceived{q.ask, status, f});
+      fields.push_back({"Mosskeel-Server-Seal", "s.1"});
+    fields.insert(fields.end(), more.begin(), more.end());
+    handle(ResponseHeadersReceived{sent.attempt, status, fields, ""});
   }
-  void events(const SendToReplica& q, int from, int to) {
-    for (int i = from; i < to; ++i)
-      happen(ResponseDataReceived{q.ask, "id: " + std::to_string(i) + "\ndata: w" + std::to_string(i) + "\n\n"});
+  void respond_with_stream(const SendToReplica& sent) { respond(sent, 200, {{"Content-Type", "text/event-stream"}}); }
+  /// The events first to last - 1 of the replica's stream.
+  void stream_events(const SendToReplica& sent, int first, int last) {
+    for (int number = first; number < last; ++number) {
+      auto text = std::to_string(number);
+      handle(ResponseDataReceived{sent.attempt, "id: " + text + "\ndata: w" + text + "\n\n"});
+    }
   }
-  void stream_head(const SendToReplica& q) { head(q, 200, {{"Content-Type", "text/event-stream"}}); }
-  /// What the owner was told of a turn.
-  CommitTurn told() const { return std::get<CommitTurn>(one<SendToOwner>().body); }
+  /// The outcome of a turn that its owner was told.
+  CommitTurn outcome() const { return std::get<CommitTurn>(one<SendToOwner>().message); }
+  /// When the caller that was rejected may come back; empty where it was not told so.
   std::string retry_after() const { return std::string(header_value(one<SendResponse>().fields, "Retry-After")); }
 };
 
--- a/tests/unit/routing/request_router_test.cpp
+++ b/tests/unit/routing/request_router_test.cpp
@@ -1,4 +1,4 @@
-// Every point at which a try can fail: what is known then, and what is answered.
+// Every point at which an attempt can fail: what is known then, and what the caller is told.
 #include "routing/constants.hpp"
 #include "unit/routing/request_router_fixture.hpp"
 
@@ -7,285 +7,290 @@
 
 namespace {
 
-const char* const kinds[] = {"safe", "unsafe", "stream", "resume", "turn", "brief"};
+const char* const kPathNames[] = {"safe", "unsafe", "stream", "resume", "turn", "brief"};
 
-bool repeats(const std::string& kind) {
-  return kind == "safe" || kind == "resume";
-}
-bool is_turn(const std::string& kind) {
-  return kind == "turn" || kind == "brief";
+bool is_idempotent_path(const std::string& path_name) {
+  return path_name == "safe" || path_name == "resume";
 }
 
-/// A way for an offer to fail before anything of it was passed on.
+/// A way for an attempt to fail before anything of its response was passed on.
 struct Failure {
-  const char* what;
+  const char* name;
+  /// Whether the attempt is known not to have run.
   bool not_run;
-  std::function<void(Front&, const SendToReplica&)> play;
+  std::function<void(RouterFixture&, const SendToReplica&)> play;
 };
 
-const Failure failures[] = {
+const Failure kFailures[] = {
     {"full", true,
-     [](Front& f, auto& q) {
-       f.head(q, 503, {{"Mosskeel-Not-Run", "full"}}, false);
+     [](RouterFixture& fixture, const SendToReplica& sent) {
+       fixture.respond(sent, 503, {{"Mosskeel-Not-Run", "full"}}, false);
      }},
     {"over its rate", true,
-     [](Front& f, auto& q) {
-       f.head(q, 429, {{"Mosskeel-Not-Run", "1"}}, false);
+     [](RouterFixture& fixture, const SendToReplica& sent) {
+       fixture.respond(sent, 429, {{"Mosskeel-Not-Run", "1"}}, false);
      }},
-    {"not the one meant", true,
-     [](Front& f, auto& q) {
-       f.head(q, 421, {}, false);
+    {"misdirected", true,
+     [](RouterFixture& fixture, const SendToReplica& sent) {
+       fixture.respond(sent, 421, {}, false);
      }},
-    {"unsent", true,
-     [](Front& f, auto& q) {
-       f.happen(AttemptFailed{q.ask, false, "refused"});
+    {"not sent", true,
+     [](RouterFixture& fixture, const SendToReplica& sent) {
+       fixture.handle(AttemptFailed{sent.attempt, false, "refused"});
      }},
     {"lost", false,
-     [](Front& f, auto& q) {
-       f.happen(AttemptFailed{q.ask, true, "reset"});
+     [](RouterFixture& fixture, const SendToReplica& sent) {
+       fixture.handle(AttemptFailed{sent.attempt, true, "reset"});
      }},
-    {"another request's answer", false,
-     [](Front& f, auto& q) {
-       f.happen(ResponseHeadersReceived{q.ask, 200, {{"Mosskeel-Attempt-Id", "x"}, {"Mosskeel-Server-Seal", "s"}}});
+    {"another request's response", false,
+     [](RouterFixture& fixture, const SendToReplica& sent) {
+       fixture.handle(ResponseHeadersReceived{
+           sent.attempt, 200, {{"Mosskeel-Attempt-Id", "x"}, {"Mosskeel-Server-Seal", "s"}}, ""});
      }},
-    {"another request's refusal", false,
-     [](Front& f, auto& q) {
-       f.happen(ResponseHeadersReceived{q.ask, 503, {{"Mosskeel-Attempt-Id", "x"}, {"Mosskeel-Not-Run", "1"}}});
+    {"another request's rejection", false,
+     [](RouterFixture& fixture, const SendToReplica& sent) {
+       fixture.handle(
+           ResponseHeadersReceived{sent.attempt, 503, {{"Mosskeel-Attempt-Id", "x"}, {"Mosskeel-Not-Run", "1"}}, ""});
      }},
-    {"no echo", false,
-     [](Front& f, auto& q) {
-       f.happen(ResponseHeadersReceived{q.ask, 200, {{"Mosskeel-Server-Seal", "s"}}});
+    {"no attempt id", false,
+     [](RouterFixture& fixture, const SendToReplica& sent) {
+       fixture.handle(ResponseHeadersReceived{sent.attempt, 200, {{"Mosskeel-Server-Seal", "s"}}, ""});
      }},
     {"no seal", false,
-     [](Front& f, auto& q) {
-       f.head(q, 200, {}, false);
+     [](RouterFixture& fixture, const SendToReplica& sent) {
+       fixture.respond(sent, 200, {}, false);
      }},
     {"lost after the head", false,
-     [](Front& f, auto& q) {
-       f.head(q, 500, {});
-       f.happen(ResponseDataReceived{q.ask, "half"});
-       f.happen(AttemptFailed{q.ask, true, "cut"});
+     [](RouterFixture& fixture, const SendToReplica& sent) {
+       fixture.respond(sent, 500, {});
+       fixture.handle(ResponseDataReceived{sent.attempt, "half"});
+       fixture.handle(AttemptFailed{sent.attempt, true, "cut"});
      }},
 };
 
 }  // namespace
 
 TEST_CASE("RequestRouter retries a failed attempt where allowed and rejects by what is known of it") {
-  for (std::string kind : kinds)
-    for (auto& x : failures) {
-      INFO(kind << ": " << x.what);
-      Front f;
-      auto q = f.offered(kind);
-      x.play(f, q);
-      if (x.not_run || repeats(kind)) {
-        CHECK(f.none<SendResponse>());
-        CHECK(f.none<SendToOwner>());
-        auto r = f.one<SendToReplica>();
-        CHECK(r.to != q.to);
-        CHECK(std::string(header_value(r.fields, "Mosskeel-Target-Replica")) + ":1" == r.to);
-        CHECK(r.body == q.body);
-        x.play(f, r);
-        if (std::string(x.what) == "unsent")
-          x.play(f, f.one<SendToReplica>());
+  for (std::string path_name : kPathNames) {
+    for (auto& failure : kFailures) {
+      INFO(path_name << ": " << failure.name);
+      RouterFixture fixture;
+      auto first = fixture.receive_and_send(path_name);
+
+      failure.play(fixture, first);
+      if (failure.not_run || is_idempotent_path(path_name)) {
+        CHECK(fixture.none<SendResponse>());
+        CHECK(fixture.none<SendToOwner>());
+        auto second = fixture.one<SendToReplica>();
+        CHECK(second.to != first.to);
+        CHECK(std::string(header_value(second.fields, "Mosskeel-Target-Replica")) + ":1" == second.to);
+        CHECK(second.body == first.body);
+        failure.play(fixture, second);
+        // An attempt that was not sent does not count, so a third one follows.
+        if (std::string(failure.name) == "not sent")
+          failure.play(fixture, fixture.one<SendToReplica>());
       }
-      auto w = f.one<SendResponse>();
-      CHECK(w.status == (x.not_run ? 503 : 502));
-      CHECK(f.retry_after().empty() != x.not_run);
-      CHECK(f.none<SendToReplica>());
-      if (is_turn(kind))
-        CHECK(f.told().status == (x.not_run ? 0 : 502));
-      CHECK(f.t.active_requests() == 0);
+
+      CHECK(fixture.one<SendResponse>().status == (failure.not_run ? 503 : 502));
+      CHECK(fixture.retry_after().empty() != failure.not_run);
+      CHECK(fixture.none<SendToReplica>());
+      if (is_turn(path_name))
+        CHECK(fixture.outcome().status == (failure.not_run ? 0 : 502));
+      CHECK(fixture.router.active_requests() == 0);
     }
+  }
 }
 
 TEST_CASE("RequestRouter does not report not run once a replica may have run it, whatever another says") {
-  for (std::string kind : {"safe", "resume"}) {
-    Front f;
-    auto q = f.offered(kind);
-    f.happen(AttemptFailed{q.ask, true, "reset"});
-    f.head(f.one<SendToReplica>(), 503, {{"Mosskeel-Not-Run", "full"}}, false);
-    CHECK(f.one<SendResponse>().status == 502);
-    CHECK(f.retry_after().empty());
+  for (std::string path_name : {"safe", "resume"}) {
+    RouterFixture fixture;
+    auto sent = fixture.receive_and_send(path_name);
+    fixture.handle(AttemptFailed{sent.attempt, true, "reset"});
+    fixture.respond(fixture.one<SendToReplica>(), 503, {{"Mosskeel-Not-Run", "full"}}, false);
+    CHECK(fixture.one<SendResponse>().status == 502);
+    CHECK(fixture.retry_after().empty());
   }
 }
 
 TEST_CASE("RequestRouter cancels the attempt when the response is another request's") {
-  Front f;
-  auto q = f.offered("unsafe");
-  f.happen(ResponseHeadersReceived{q.ask, 200, {{"Mosskeel-Attempt-Id", "x"}, {"Mosskeel-Server-Seal", "s"}}});
-  CHECK(f.one<routing::CancelAttempt>().ask == q.ask);
-  f.happen(ResponseDataReceived{q.ask, "late"});
-  CHECK(f.got.empty());
-  f.happen(ResponseCompleted{q.ask});
-  CHECK(f.got.empty());
+  RouterFixture fixture;
+  auto sent = fixture.receive_and_send("unsafe");
+  fixture.handle(
+      ResponseHeadersReceived{sent.attempt, 200, {{"Mosskeel-Attempt-Id", "x"}, {"Mosskeel-Server-Seal", "s"}}, ""});
+  CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+  fixture.handle(ResponseDataReceived{sent.attempt, "late"});
+  CHECK(fixture.actions.empty());
+  fixture.handle(ResponseCompleted{sent.attempt});
+  CHECK(fixture.actions.empty());
 }
 
 TEST_CASE("RequestRouter skips one stale response to the previous attempt and waits for its own") {
-  Front f;
-  auto q = f.offered("unsafe");
-  HeaderFields late{{"Mosskeel-Attempt-Id", "before"}, {"Mosskeel-Server-Seal", "s.0"}};
-  f.happen(ResponseHeadersReceived{q.ask, 200, late, "before"});
-  CHECK(f.one<SkipStaleResponse>().ask == q.ask);
-  CHECK(f.got.size() == 1);
-  SECTION("the own one comes") {
-    f.head(q, 200);
-    f.happen(ResponseDataReceived{q.ask, "own"});
-    f.happen(ResponseCompleted{q.ask});
-    CHECK(f.one<SendResponse>().body == "own");
+  RouterFixture fixture;
+  auto sent = fixture.receive_and_send("unsafe");
+  HeaderFields stale{{"Mosskeel-Attempt-Id", "before"}, {"Mosskeel-Server-Seal", "s.0"}};
+  fixture.handle(ResponseHeadersReceived{sent.attempt, 200, stale, "before"});
+  CHECK(fixture.one<SkipStaleResponse>().attempt == sent.attempt);
+  CHECK(fixture.actions.size() == 1);
+  SECTION("its own response comes") {
+    fixture.respond(sent, 200);
+    fixture.handle(ResponseDataReceived{sent.attempt, "own"});
+    fixture.handle(ResponseCompleted{sent.attempt});
+    CHECK(fixture.one<SendResponse>().body == "own");
   }
-  SECTION("another late one comes") {
-    f.happen(ResponseHeadersReceived{q.ask, 200, late, "before"});
-    CHECK(f.one<routing::CancelAttempt>().ask == q.ask);
-    CHECK(f.one<SendResponse>().status == 502);
+  SECTION("a second stale response comes") {
+    fixture.handle(ResponseHeadersReceived{sent.attempt, 200, stale, "before"});
+    CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+    CHECK(fixture.one<SendResponse>().status == 502);
   }
 }
 
 TEST_CASE("RequestRouter does not skip a response with the id of any other attempt") {
-  Front f;
-  auto q = f.offered("unsafe");
+  RouterFixture fixture;
+  auto sent = fixture.receive_and_send("unsafe");
   HeaderFields other{{"Mosskeel-Attempt-Id", "stranger"}, {"Mosskeel-Server-Seal", "s.0"}};
-  f.happen(ResponseHeadersReceived{q.ask, 200, other, GENERATE("", "before")});
-  CHECK(f.one<routing::CancelAttempt>().ask == q.ask);
-  CHECK(f.one<SendResponse>().status == 502);
+  fixture.handle(ResponseHeadersReceived{sent.attempt, 200, other, GENERATE("", "before")});
+  CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+  CHECK(fixture.one<SendResponse>().status == 502);
 }
 
 TEST_CASE("RequestRouter does not reuse the connection of a rejection without an id") {
-  Front f;
-  auto q = f.offered("unsafe");
-  f.happen(ResponseHeadersReceived{q.ask, 503, {{"Mosskeel-Not-Run", "1"}}, ""});
-  CHECK(f.one<routing::CancelAttempt>().ask == q.ask);
-  CHECK(f.all<SendToReplica>().size() == 1);
+  RouterFixture fixture;
+  auto sent = fixture.receive_and_send("unsafe");
+  fixture.handle(ResponseHeadersReceived{sent.attempt, 503, {{"Mosskeel-Not-Run", "1"}}, ""});
+  CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+  CHECK(fixture.all<SendToReplica>().size() == 1);
 }
 
 TEST_CASE("RequestRouter sends what is not idempotent only on a new connection or one that was just used") {
-  Front f;
-  CHECK(f.offered("unsafe").max_idle_ms == kMaxReuseIdle);
-  CHECK(f.offered("stream").max_idle_ms == kMaxReuseIdle);
-  CHECK(f.offered("turn").max_idle_ms == kMaxReuseIdle);
-  CHECK(f.offered("safe").max_idle_ms == INT64_MAX);
-  CHECK(f.offered("resume").max_idle_ms == INT64_MAX);
+  RouterFixture fixture;
+  CHECK(fixture.receive_and_send("unsafe").max_idle_ms == kMaxReuseIdle);
+  CHECK(fixture.receive_and_send("stream").max_idle_ms == kMaxReuseIdle);
+  CHECK(fixture.receive_and_send("turn").max_idle_ms == kMaxReuseIdle);
+  CHECK(fixture.receive_and_send("safe").max_idle_ms == INT64_MAX);
+  CHECK(fixture.receive_and_send("resume").max_idle_ms == INT64_MAX);
 }
 
 TEST_CASE("RequestRouter bounds the memory held for an error response") {
-  Front f;
-  auto turn = GENERATE(false, true);
-  auto q = f.offered(turn ? "turn" : "unsafe");
-  f.head(q, 400);
+  RouterFixture fixture;
+  auto is_turn = GENERATE(false, true);
+  auto sent = fixture.receive_and_send(is_turn ? "turn" : "unsafe");
+  fixture.respond(sent, 400);
   std::string large(kMaxBufferedResponseBytes + 1, 'x');
-  f.happen(ResponseDataReceived{q.ask, large});
-  if (turn) {
-    CHECK(f.one<routing::CancelAttempt>().ask == q.ask);
-    CHECK(f.one<SendResponse>().status == 502);
+  fixture.handle(ResponseDataReceived{sent.attempt, large});
+  if (is_turn) {
+    CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+    CHECK(fixture.one<SendResponse>().status == 502);
     return;
   }
-  CHECK(f.one<SendResponseHeaders>().status == 400);
-  CHECK(f.one<SendResponseData>().bytes == large);
-  f.happen(ResponseCompleted{q.ask});
-  CHECK(f.all<EndResponse>().size() == 1);
+  CHECK(fixture.one<SendResponseHeaders>().status == 400);
+  CHECK(fixture.one<SendResponseData>().bytes == large);
+  fixture.handle(ResponseCompleted{sent.attempt});
+  CHECK(fixture.all<EndResponse>().size() == 1);
 }
 
 TEST_CASE("RequestRouter reports an unknown outcome for a rejection that does not say not run") {
-  for (std::string kind : {"unsafe", "stream", "turn", "brief"})
+  for (std::string path_name : {"unsafe", "stream", "turn", "brief"})
     for (uint32_t status : {408u, 429u, 503u}) {
-      INFO(kind << " " << status);
-      Front f;
-      auto q = f.offered(kind);
-      f.head(q, status);
-      CHECK(f.one<SendResponse>().status == 502);
-      CHECK(f.one<routing::CancelAttempt>().ask == q.ask);
-      if (is_turn(kind))
-        CHECK(f.told().status == 502);
+      INFO(path_name << " " << status);
+      RouterFixture fixture;
+      auto sent = fixture.receive_and_send(path_name);
+      fixture.respond(sent, status);
+      CHECK(fixture.one<SendResponse>().status == 502);
+      CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+      if (is_turn(path_name))
+        CHECK(fixture.outcome().status == 502);
     }
 }
 
 TEST_CASE("RequestRouter passes a complete response on unchanged") {
-  for (std::string kind : {"safe", "unsafe"}) {
-    Front f;
-    auto q = f.offered(kind);
-    CHECK(q.method == "POST");
-    CHECK(q.target == "/" + kind + "/1?q=2");
-    CHECK(q.body == "new;");
-    f.head(q, 200, {{"X-A", "b"}});
-    f.happen(ResponseDataReceived{q.ask, "one "});
-    f.happen(ResponseDataReceived{q.ask, "two"});
-    CHECK(f.got.empty());
-    f.happen(ResponseCompleted{q.ask});
-    auto w = f.one<SendResponse>();
-    CHECK(w.status == 200);
-    CHECK(w.body == "one two");
-    CHECK(header_value(w.fields, "Mosskeel-Server-Seal") == "s.1");
-    CHECK(header_value(w.fields, "X-A") == "b");
+  for (std::string path_name : {"safe", "unsafe"}) {
+    RouterFixture fixture;
+    auto sent = fixture.receive_and_send(path_name);
+    CHECK(sent.method == "POST");
+    CHECK(sent.target == "/" + path_name + "/1?q=2");
+    CHECK(sent.body == "new;");
+    fixture.respond(sent, 200, {{"X-A", "b"}});
+    fixture.handle(ResponseDataReceived{sent.attempt, "one "});
+    fixture.handle(ResponseDataReceived{sent.attempt, "two"});
+    CHECK(fixture.actions.empty());
+    fixture.handle(ResponseCompleted{sent.attempt});
+    auto response = fixture.one<SendResponse>();
+    CHECK(response.status == 200);
+    CHECK(response.body == "one two");
+    CHECK(header_value(response.fields, "Mosskeel-Server-Seal") == "s.1");
+    CHECK(header_value(response.fields, "X-A") == "b");
   }
 }
 
 TEST_CASE("RequestRouter does not pass a truncated body on as complete, and resets a response that it has begun") {
-  Front f;
-  auto q = f.offered("unsafe");
-  f.head(q, 200);
-  f.happen(ResponseDataReceived{q.ask, "half"});
-  SECTION("still read whole") {
-    f.happen(AttemptFailed{q.ask, true, "cut"});
-    CHECK(f.one<SendResponse>().status == 502);
+  RouterFixture fixture;
+  auto sent = fixture.receive_and_send("unsafe");
+  fixture.respond(sent, 200);
+  fixture.handle(ResponseDataReceived{sent.attempt, "half"});
+  SECTION("while the response is buffered") {
+    fixture.handle(AttemptFailed{sent.attempt, true, "cut"});
+    CHECK(fixture.one<SendResponse>().status == 502);
   }
-  SECTION("passed on") {
-    f.happen(ResponseDataReceived{q.ask, std::string(kMaxBufferedResponseBytes, 'x')});
-    CHECK(f.one<SendResponseHeaders>().status == 200);
-    CHECK(f.one<SendResponseData>().bytes.size() == kMaxBufferedResponseBytes + 4);
-    f.happen(AttemptFailed{q.ask, true, "cut"});
-    f.one<ResetResponse>();
-    CHECK(f.none<EndResponse>());
+  SECTION("after the response has begun") {
+    fixture.handle(ResponseDataReceived{sent.attempt, std::string(kMaxBufferedResponseBytes, 'x')});
+    CHECK(fixture.one<SendResponseHeaders>().status == 200);
+    CHECK(fixture.one<SendResponseData>().bytes.size() == kMaxBufferedResponseBytes + 4);
+    fixture.handle(AttemptFailed{sent.attempt, true, "cut"});
+    fixture.one<ResetResponse>();
+    CHECK(fixture.none<EndResponse>());
   }
 }
 
 TEST_CASE("RequestRouter resets a broken stream, and neither ends nor retries it") {
-  for (std::string kind : {"stream", "resume", "turn", "brief"})
-    for (int seen : {0, 2}) {
-      INFO(kind << " after " << seen);
-      Front f;
-      auto q = f.offered(kind);
-      f.stream_head(q);
-      CHECK(f.one<SendResponseHeaders>().status == 200);
-      f.events(q, 0, seen);
-      f.happen(AttemptFailed{q.ask, true, "reset"});
-      f.one<ResetResponse>();
-      CHECK(f.none<EndResponse>());
-      CHECK(f.none<SendToReplica>());
-      if (!is_turn(kind))
+  for (std::string path_name : {"stream", "resume", "turn", "brief"})
+    for (int streamed_events : {0, 2}) {
+      INFO(path_name << " after " << streamed_events);
+      RouterFixture fixture;
+      auto sent = fixture.receive_and_send(path_name);
+      fixture.respond_with_stream(sent);
+      CHECK(fixture.one<SendResponseHeaders>().status == 200);
+      fixture.stream_events(sent, 0, streamed_events);
+      fixture.handle(AttemptFailed{sent.attempt, true, "reset"});
+      fixture.one<ResetResponse>();
+      CHECK(fixture.none<EndResponse>());
+      CHECK(fixture.none<SendToReplica>());
+      if (!is_turn(path_name))
         continue;
-      CHECK(f.told().status == 502);
-      CHECK(f.told().tokens == 4u * static_cast<unsigned>(seen));
+      CHECK(fixture.outcome().status == 502);
+      CHECK(fixture.outcome().tokens == 4u * static_cast<unsigned>(streamed_events));
     }
 }
 
 TEST_CASE("RequestRouter answers 404 without a route, 503 without majority contact and 400 to malformed headers") {
-  Front f;
-  f.ask("nowhere");
-  CHECK(f.one<SendResponse>().status == 404);
-  f.ask("safe", {{"Mosskeel-Time-Left", "soon"}});
-  CHECK(f.one<SendResponse>().status == 400);
-  f.publish(f.now);
-  for (auto* kind : kinds) {
-    f.ask(kind);
-    CHECK(f.one<SendResponse>().status == 503);
-    CHECK_FALSE(f.retry_after().empty());
+  RouterFixture fixture;
+  fixture.receive("nowhere");
+  CHECK(fixture.one<SendResponse>().status == 404);
+  fixture.receive("safe", {{"Mosskeel-Time-Left", "soon"}});
+  CHECK(fixture.one<SendResponse>().status == 400);
+  fixture.publish(fixture.now);
+  for (auto* path_name : kPathNames) {
+    fixture.receive(path_name);
+    CHECK(fixture.one<SendResponse>().status == 503);
+    CHECK_FALSE(fixture.retry_after().empty());
   }
-  f.ask("nowhere");
-  CHECK(f.one<SendResponse>().status == 503);
+  fixture.receive("nowhere");
+  CHECK(fixture.one<SendResponse>().status == 503);
 }
 
 TEST_CASE("RequestRouter sends nothing without majority contact, and rejects a waiting request when its wait is over") {
-  Front f;
-  auto a = f.ask("turn");
-  f.publish(f.now);
-  f.grant(a);
-  CHECK(f.got.empty());
-  f.pass(200);
-  CHECK(f.one<SendResponse>().status == 503);
-  CHECK(f.told().status == 0);
+  RouterFixture fixture;
+  auto attempt_id = fixture.receive("turn");
+  fixture.publish(fixture.now);
+  fixture.reply_to_reservation(attempt_id);
+  CHECK(fixture.actions.empty());
+  fixture.advance(200);
+  CHECK(fixture.one<SendResponse>().status == 503);
+  CHECK(fixture.outcome().status == 0);
 }
 
 TEST_CASE("RequestRouter forwards the smaller of the caller's and the path's time left") {
-  Front f;
-  CHECK(header_value(f.offered("safe").fields, "Mosskeel-Time-Left") == "4000");
-  CHECK(header_value(f.offered("safe", {{"Mosskeel-Time-Left", "700"}}).fields, "Mosskeel-Time-Left") == "700");
+  RouterFixture fixture;
+  CHECK(header_value(fixture.receive_and_send("safe").fields, "Mosskeel-Time-Left") == "4000");
+  CHECK(header_value(fixture.receive_and_send("safe", {{"Mosskeel-Time-Left", "700"}}).fields, "Mosskeel-Time-Left") ==
+        "700");
 }
--- a/tests/unit/routing/turn_request_test.cpp
+++ b/tests/unit/routing/turn_request_test.cpp
@@ -1,4 +1,4 @@
-// A turn's stages: who is told what when it ends there.
+// The stages of a turn: what its caller, its replica and its owner are told when it ends there.
 #include "routing/constants.hpp"
 #include "unit/routing/request_router_fixture.hpp"
 
@@ -7,255 +7,259 @@
 
 namespace {
 
-enum class Stage { asking, waiting, offered, passing, settling };
-const Stage stages[] = {Stage::asking, Stage::waiting, Stage::offered, Stage::passing, Stage::settling};
+enum class Stage { reserving, waiting, sent, streaming, committing };
+const Stage kStages[] = {Stage::reserving, Stage::waiting, Stage::sent, Stage::streaming, Stage::committing};
 
-/// Brings a kept turn to a stage; four events of four tokens each have passed from `passing` on.
-SendToReplica bring(Front& f, Stage to) {
-  if (to == Stage::waiting)
-    f.m.replicas.clear();
-  f.publish();
-  auto a = f.ask("turn");
-  if (to == Stage::asking)
+/// Brings a turn with kept history to a stage; from `streaming` on, four events of four tokens each were passed on.
+/// Returns what was sent to the replica, if anything.
+SendToReplica bring_to(RouterFixture& fixture, Stage stage) {
+  if (stage == Stage::waiting)
+    fixture.metadata.replicas.clear();
+  fixture.publish();
+  auto attempt_id = fixture.receive("turn");
+  if (stage == Stage::reserving)
     return {};
-  f.grant(a, 200, "before;");
-  if (to == Stage::waiting)
+  fixture.reply_to_reservation(attempt_id, 200, "before;");
+  if (stage == Stage::waiting)
     return {};
-  auto q = f.one<SendToReplica>();
-  if (to == Stage::offered)
-    return q;
-  f.stream_head(q);
-  f.events(q, 0, 4);
-  if (to == Stage::settling)
-    f.happen(ResponseCompleted{q.ask});
-  return q;
+  auto sent = fixture.one<SendToReplica>();
+  if (stage == Stage::sent)
+    return sent;
+  fixture.respond_with_stream(sent);
+  fixture.stream_events(sent, 0, 4);
+  if (stage == Stage::committing)
+    fixture.handle(ResponseCompleted{sent.attempt});
+  return sent;
 }
 
 }  // namespace
 
 TEST_CASE("A stream with kept history ends only once its outcome is on a majority") {
-  Front f;
-  auto a = f.ask("turn");
-  auto q = std::get<ReserveTurn>(f.one<SendToOwner>().body);
-  CHECK(q.budget == 1000);
-  CHECK(q.max_tokens == 40);
-  CHECK(q.input == "new;");
-  f.grant(a, 200, "in:x;out\n");
-  auto r = f.one<SendToReplica>();
-  CHECK(r.body == "in:x;out\nnew;");
-  f.stream_head(r);
-  f.events(r, 0, 3);
-  f.happen(ResponseCompleted{r.ask});
-  CHECK(f.none<EndResponse>());
-  auto s = f.told();
-  CHECK(s.status == 200);
-  CHECK(s.keep_output);
-  CHECK(s.tokens == 12);
-  CHECK(s.output == "w0\nw1\nw2\n");
-  SECTION("kept") {
-    f.happen(CommitTurnReply{a, true});
-    f.one<EndResponse>();
-    CHECK(f.none<ResetResponse>());
+  RouterFixture fixture;
+  auto attempt_id = fixture.receive("turn");
+  auto reservation = std::get<ReserveTurn>(fixture.one<SendToOwner>().message);
+  CHECK(reservation.budget == 1000);
+  CHECK(reservation.max_tokens == 40);
+  CHECK(reservation.input == "new;");
+
+  fixture.reply_to_reservation(attempt_id, 200, "in:x;out\n");
+  auto sent = fixture.one<SendToReplica>();
+  CHECK(sent.body == "in:x;out\nnew;");
+  fixture.respond_with_stream(sent);
+  fixture.stream_events(sent, 0, 3);
+  fixture.handle(ResponseCompleted{sent.attempt});
+  CHECK(fixture.none<EndResponse>());
+  auto outcome = fixture.outcome();
+  CHECK(outcome.status == 200);
+  CHECK(outcome.keep_output);
+  CHECK(outcome.tokens == 12);
+  CHECK(outcome.output == "w0\nw1\nw2\n");
+
+  SECTION("committed") {
+    fixture.handle(CommitTurnReply{attempt_id, true});
+    fixture.one<EndResponse>();
+    CHECK(fixture.none<ResetResponse>());
   }
-  SECTION("not kept") {
-    f.happen(CommitTurnReply{a, false});
-    f.one<ResetResponse>();
-    CHECK(f.none<EndResponse>());
+  SECTION("not committed") {
+    fixture.handle(CommitTurnReply{attempt_id, false});
+    fixture.one<ResetResponse>();
+    CHECK(fixture.none<EndResponse>());
   }
-  CHECK(f.t.active_requests() == 0);
-  f.happen(CommitTurnReply{a, true});
-  CHECK(f.got.empty());
+  CHECK(fixture.router.active_requests() == 0);
+  fixture.handle(CommitTurnReply{attempt_id, true});
+  CHECK(fixture.actions.empty());
 }
 
 TEST_CASE("A turn without kept history ends at once and reports its tokens") {
-  Front f;
-  auto q = f.offered("brief");
-  f.stream_head(q);
-  f.events(q, 0, 3);
-  f.happen(ResponseCompleted{q.ask});
-  f.one<EndResponse>();
-  CHECK(f.told().tokens == 12);
-  CHECK_FALSE(f.told().keep_output);
-  CHECK(f.told().output.empty());
+  RouterFixture fixture;
+  auto sent = fixture.receive_and_send("brief");
+  fixture.respond_with_stream(sent);
+  fixture.stream_events(sent, 0, 3);
+  fixture.handle(ResponseCompleted{sent.attempt});
+  fixture.one<EndResponse>();
+  CHECK(fixture.outcome().tokens == 12);
+  CHECK_FALSE(fixture.outcome().keep_output);
+  CHECK(fixture.outcome().output.empty());
 }
 
 TEST_CASE("A turn whose caller disconnects has not run before it is sent, and may have from there on") {
-  for (auto s : stages) {
-    INFO(static_cast<int>(s));
-    Front f;
-    auto q = bring(f, s);
-    f.happen(CallerDisconnected{f.last});
-    if (s == Stage::settling) {
-      CHECK(f.got.empty());
+  for (auto stage : kStages) {
+    INFO("stage " << static_cast<int>(stage));
+    RouterFixture fixture;
+    auto sent = bring_to(fixture, stage);
+    fixture.handle(CallerDisconnected{fixture.last_request_id});
+    if (stage == Stage::committing) {
+      CHECK(fixture.actions.empty());
     } else {
-      bool sent = s == Stage::offered || s == Stage::passing;
-      CHECK(f.told().status == (sent ? 502 : 0));
-      CHECK(f.told().tokens == (s == Stage::passing ? 16 : 0));
-      CHECK(f.all<routing::CancelAttempt>().size() == (sent ? 1 : 0));
+      bool at_replica = stage == Stage::sent || stage == Stage::streaming;
+      CHECK(fixture.outcome().status == (at_replica ? 502 : 0));
+      CHECK(fixture.outcome().tokens == (stage == Stage::streaming ? 16 : 0));
+      CHECK(fixture.all<CancelAttempt>().size() == (at_replica ? 1 : 0));
     }
-    CHECK(f.none<SendResponse>());
-    CHECK(f.t.active_requests() == 0);
-    f.happen(CallerDisconnected{f.last});
-    CHECK(f.got.empty());
+    CHECK(fixture.none<SendResponse>());
+    CHECK(fixture.router.active_requests() == 0);
+    fixture.handle(CallerDisconnected{fixture.last_request_id});
+    CHECK(fixture.actions.empty());
   }
 }
 
 TEST_CASE("A turn that reaches its deadline ends by what is known at its stage") {
-  for (auto s : stages) {
-    INFO(static_cast<int>(s));
-    Front f;
-    auto q = bring(f, s);
-    if (s == Stage::waiting) {
-      f.pass(201);
+  for (auto stage : kStages) {
+    INFO("stage " << static_cast<int>(stage));
+    RouterFixture fixture;
+    auto sent = bring_to(fixture, stage);
+    if (stage == Stage::waiting) {
+      fixture.advance(201);
     } else {
-      f.pass(3999);
-      CHECK(f.got.empty());
-      f.pass(1);
+      fixture.advance(3999);
+      CHECK(fixture.actions.empty());
+      fixture.advance(1);
     }
-    switch (s) {
-      case Stage::asking:
+    switch (stage) {
+      case Stage::reserving:
       case Stage::waiting:
-        CHECK(f.one<SendResponse>().status == 503);
-        CHECK_FALSE(f.retry_after().empty());
-        CHECK(f.told().status == 0);
+        CHECK(fixture.one<SendResponse>().status == 503);
+        CHECK_FALSE(fixture.retry_after().empty());
+        CHECK(fixture.outcome().status == 0);
         break;
-      case Stage::offered:
-        CHECK(f.one<SendResponse>().status == 504);
-        CHECK(f.one<routing::CancelAttempt>().ask == q.ask);
-        CHECK(f.told().status == 502);
+      case Stage::sent:
+        CHECK(fixture.one<SendResponse>().status == 504);
+        CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+        CHECK(fixture.outcome().status == 502);
         break;
-      case Stage::passing:
-        f.one<ResetResponse>();
-        CHECK(f.one<routing::CancelAttempt>().ask == q.ask);
-        CHECK(f.told().status == 502);
-        CHECK(f.told().tokens == 16);
+      case Stage::streaming:
+        fixture.one<ResetResponse>();
+        CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+        CHECK(fixture.outcome().status == 502);
+        CHECK(fixture.outcome().tokens == 16);
         break;
-      case Stage::settling:
-        CHECK(f.got.empty());
-        f.pass(kTurnCommitGrace);
-        f.one<ResetResponse>();
-        CHECK(f.none<EndResponse>());
+      case Stage::committing:
+        CHECK(fixture.actions.empty());
+        fixture.advance(kTurnCommitGrace);
+        fixture.one<ResetResponse>();
+        CHECK(fixture.none<EndResponse>());
     }
-    CHECK(f.t.active_requests() == 0);
+    CHECK(fixture.router.active_requests() == 0);
   }
 }
 
 TEST_CASE("An owner's rejection is passed on, and nothing is sent to a replica") {
-  for (auto [status, retry, answered] :
+  for (auto [status, retry_after_ms, expected_status] :
        {std::tuple{402u, 0u, 402u}, {404u, 0u, 404u}, {503u, 500u, 503u}, {409u, 0u, 502u}}) {
-    Front f;
-    auto a = f.ask("turn");
-    f.grant(a, status, "", retry);
-    CHECK(f.one<SendResponse>().status == answered);
-    CHECK(f.retry_after() == (retry ? "0.500" : ""));
-    CHECK(f.none<SendToReplica>());
-    CHECK(f.none<SendToOwner>());
-    f.grant(a);
-    CHECK(f.got.empty());
+    RouterFixture fixture;
+    auto attempt_id = fixture.receive("turn");
+    fixture.reply_to_reservation(attempt_id, status, "", retry_after_ms);
+    CHECK(fixture.one<SendResponse>().status == expected_status);
+    CHECK(fixture.retry_after() == (retry_after_ms ? "0.500" : ""));
+    CHECK(fixture.none<SendToReplica>());
+    CHECK(fixture.none<SendToOwner>());
+    fixture.reply_to_reservation(attempt_id);
+    CHECK(fixture.actions.empty());
   }
 }
 
 TEST_CASE("An attempt that is in progress is not started twice") {
-  Front f;
-  f.ask("turn", {}, "same");
-  f.ask("turn", {}, "same");
-  CHECK(f.one<SendResponse>().status == 502);
-  CHECK(f.none<SendToOwner>());
-  f.grant("same");
-  CHECK(f.all<SendToReplica>().size() == 1);
+  RouterFixture fixture;
+  fixture.receive("turn", {}, "same");
+  fixture.receive("turn", {}, "same");
+  CHECK(fixture.one<SendResponse>().status == 502);
+  CHECK(fixture.none<SendToOwner>());
+  fixture.reply_to_reservation("same");
+  CHECK(fixture.all<SendToReplica>().size() == 1);
 }
 
 TEST_CASE("A duplicate of a request that may run once gets an unknown outcome") {
-  Front f;
-  f.ask("unsafe", {}, "same");
-  auto q = f.one<SendToReplica>();
-  f.ask("unsafe", {}, "same");
-  CHECK(f.one<SendResponse>().status == 502);
-  CHECK(f.none<SendToReplica>());
-  SECTION("while the first one runs") {
-    f.head(q, 200);
+  RouterFixture fixture;
+  fixture.receive("unsafe", {}, "same");
+  auto sent = fixture.one<SendToReplica>();
+  fixture.receive("unsafe", {}, "same");
+  CHECK(fixture.one<SendResponse>().status == 502);
+  CHECK(fixture.none<SendToReplica>());
+  SECTION("while the first one is at the replica") {
+    fixture.respond(sent, 200);
   }
-  SECTION("after the first one's answer") {
-    f.head(q, 200);
-    f.happen(ResponseCompleted{q.ask});
+  SECTION("after the first one's response") {
+    fixture.respond(sent, 200);
+    fixture.handle(ResponseCompleted{sent.attempt});
   }
-  SECTION("after the first one's answer was lost") {
-    f.happen(AttemptFailed{q.ask, true, "reset"});
-    CHECK(f.one<SendResponse>().status == 502);
+  SECTION("after the first one's response was lost") {
+    fixture.handle(AttemptFailed{sent.attempt, true, "reset"});
+    CHECK(fixture.one<SendResponse>().status == 502);
   }
-  SECTION("after its caller has gone") {
-    f.happen(CallerDisconnected{1});
+  SECTION("after its caller has disconnected") {
+    fixture.handle(CallerDisconnected{1});
   }
-  f.ask("unsafe", {}, "same");
-  CHECK(f.one<SendResponse>().status == 502);
-  CHECK(f.none<SendToReplica>());
+  fixture.receive("unsafe", {}, "same");
+  CHECK(fixture.one<SendResponse>().status == 502);
+  CHECK(fixture.none<SendToReplica>());
 }
 
 TEST_CASE("An attempt that is known not to have run may be sent again") {
-  Front f;
-  f.ask("unsafe", {}, "same");
-  for (int i = 0; i < 2; ++i)
-    f.head(f.one<SendToReplica>(), 503, {{"Mosskeel-Not-Run", "1"}}, false);
-  CHECK(f.one<SendResponse>().status == 503);
-  f.pass(2000);
-  f.ask("unsafe", {}, "same");
-  CHECK(f.all<SendToReplica>().size() == 1);
+  RouterFixture fixture;
+  fixture.receive("unsafe", {}, "same");
+  for (int attempt = 0; attempt < 2; ++attempt)
+    fixture.respond(fixture.one<SendToReplica>(), 503, {{"Mosskeel-Not-Run", "1"}}, false);
+  CHECK(fixture.one<SendResponse>().status == 503);
+  fixture.advance(2000);
+  fixture.receive("unsafe", {}, "same");
+  CHECK(fixture.all<SendToReplica>().size() == 1);
 }
 
 TEST_CASE("A configuration that changes between reservation and dispatch routes by the new one") {
-  Front f;
-  auto a = f.ask("turn");
-  f.m.revision = Revision{2};
+  RouterFixture fixture;
+  auto attempt_id = fixture.receive("turn");
+  fixture.metadata.revision = Revision{2};
   SECTION("to another service") {
-    f.m.configuration.paths[4].shares = {{"spare", 1}};
-    f.publish();
-    f.grant(a);
-    CHECK(f.one<SendToReplica>().to.starts_with("spare"));
+    fixture.metadata.configuration.paths[4].shares = {{"spare", 1}};
+    fixture.publish();
+    fixture.reply_to_reservation(attempt_id);
+    CHECK(fixture.one<SendToReplica>().to.starts_with("spare"));
   }
   SECTION("nowhere") {
-    f.m.configuration.paths.erase(f.m.configuration.paths.begin() + 4);
-    f.publish();
-    f.grant(a);
-    CHECK(f.one<SendResponse>().status == 404);
-    CHECK(f.told().status == 0);
+    fixture.metadata.configuration.paths.erase(fixture.metadata.configuration.paths.begin() + 4);
+    fixture.publish();
+    fixture.reply_to_reservation(attempt_id);
+    CHECK(fixture.one<SendResponse>().status == 404);
+    CHECK(fixture.outcome().status == 0);
   }
-  SECTION("to a path of another kind: it is there, so it may be asked again") {
-    f.m.configuration.paths[4].kept = false;
-    f.publish();
-    f.grant(a);
-    CHECK(f.one<SendResponse>().status == 503);
-    CHECK_FALSE(f.retry_after().empty());
-    CHECK(f.told().status == 0);
+  SECTION("to a path of another kind: it is there, so the caller may come back") {
+    fixture.metadata.configuration.paths[4].kept = false;
+    fixture.publish();
+    fixture.reply_to_reservation(attempt_id);
+    CHECK(fixture.one<SendResponse>().status == 503);
+    CHECK_FALSE(fixture.retry_after().empty());
+    CHECK(fixture.outcome().status == 0);
   }
 }
 
 TEST_CASE("Waiting requests are served by rank, then age, and rejected when their wait is over") {
-  Front f;
-  f.m.configuration.paths[0].rank = 2;
-  for (auto n : {"app2", "app3"})
-    f.m.replicas.erase(n);
-  f.m.replicas["app1"].capacity = 1;
-  f.m.revision = Revision{2};
-  f.publish();
-  auto first = f.offered("unsafe");
-  while (f.got.size())
-    f.ask("unsafe");
-  auto oldest = f.last;
-  f.now += 10;
-  f.ask("safe");
-  f.now += 10;
-  f.ask("unsafe");
-  f.head(first, 200);
-  f.happen(ResponseCompleted{first.ask});
-  auto next = f.one<SendToReplica>();
+  RouterFixture fixture;
+  fixture.metadata.configuration.paths[0].rank = 2;
+  for (auto* name : {"app2", "app3"})
+    fixture.metadata.replicas.erase(name);
+  fixture.metadata.replicas["app1"].capacity = 1;
+  fixture.metadata.revision = Revision{2};
+  fixture.publish();
+  auto first = fixture.receive_and_send("unsafe");
+  while (!fixture.actions.empty())
+    fixture.receive("unsafe");
+  auto oldest = fixture.last_request_id;
+  fixture.now += 10;
+  fixture.receive("safe");
+  fixture.now += 10;
+  fixture.receive("unsafe");
+  fixture.respond(first, 200);
+  fixture.handle(ResponseCompleted{first.attempt});
+  auto next = fixture.one<SendToReplica>();
   CHECK(header_value(next.fields, "Mosskeel-Attempt-Id") == "a" + std::to_string(oldest));
-  f.head(next, 200);
-  f.happen(ResponseCompleted{next.ask});
-  CHECK(header_value(f.one<SendToReplica>().fields, "Mosskeel-Attempt-Id") == "a" + std::to_string(f.last));
-  f.pass(189);
-  CHECK(f.got.empty());
-  f.pass(1);
-  CHECK(f.one<SendResponse>().id == oldest + 1);
-  CHECK(f.one<SendResponse>().status == 503);
-  CHECK_FALSE(f.retry_after().empty());
+  fixture.respond(next, 200);
+  fixture.handle(ResponseCompleted{next.attempt});
+  CHECK(header_value(fixture.one<SendToReplica>().fields, "Mosskeel-Attempt-Id") ==
+        "a" + std::to_string(fixture.last_request_id));
+  fixture.advance(189);
+  CHECK(fixture.actions.empty());
+  fixture.advance(1);
+  CHECK(fixture.one<SendResponse>().request_id == oldest + 1);
+  CHECK(fixture.one<SendResponse>().status == 503);
+  CHECK_FALSE(fixture.retry_after().empty());
 }
