--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -2,6 +2,8 @@
 
 #include <sstream>
 
+#include "runtime/constants.hpp"
+
 namespace mosskeel {
 
 namespace {
