--- a/tests/unit/net/wire_test.cpp
+++ b/tests/unit/net/wire_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 Envelope sample_envelope() {
-  AppendHistory append;
+  AppendHistory append{};
   append.history = {"news", "p"};
   append.partition = PartitionId{3};
   append.term = Epoch{4};
