--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr size_t kMaxEventsPerWait = 256;
-/// Keeps the wait within the int that epoll_wait takes; the loop then waits again.
-constexpr Millis kMaxWaitMs = 3600000;
+/// Milliseconds; keeps the wait within the int that epoll_wait takes; the loop then waits again.
+constexpr Millis kMaxWait = 3600000;
 /// Cancelled timers are cleaned out once they outnumber the others by this.
 constexpr size_t kCancelledTimersKept = 64;
 
@@ -139,7 +139,7 @@
   if (timer_heap_.empty()) {
     return -1;
   }
-  return static_cast<int>(std::clamp<Millis>(timer_heap_.front().due_at - monotonic_ms(), 0, kMaxWaitMs));
+  return static_cast<int>(std::clamp<Millis>(timer_heap_.front().due_at - monotonic_ms(), 0, kMaxWait));
 }
 
 void EventLoop::run_ready(int timeout) {
--- a/src/net/http_fetch.cpp
+++ b/src/net/http_fetch.cpp
@@ -5,7 +5,8 @@
 namespace mosskeel {
 namespace {
 
-constexpr long kFetchConnectTimeoutMs = 1000;
+/// Milliseconds.
+constexpr long kFetchConnectTimeout = 1000;
 
 /// What libcurl's callbacks get.
 struct FetchContext {
@@ -62,7 +63,7 @@
   curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(easy, CURLOPT_PROXY, "");
   curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request.method.c_str());
-  curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, kFetchConnectTimeoutMs);
+  curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, kFetchConnectTimeout);
   curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, request.timeout_ms);
   if (request.method != "GET") {
     curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, static_cast<long>(request.body.size()));
--- a/src/net/http_listener.cpp
+++ b/src/net/http_listener.cpp
@@ -15,7 +15,8 @@
 
 constexpr size_t kReadBufferBytes = 64 << 10;
 constexpr int kListenBacklog = 1024;
-constexpr Millis kAcceptRetryDelayMs = 100;
+/// Descriptors that others give back meanwhile let the listener accept again.
+constexpr Millis kAcceptRetryDelay = 100;
 
 /// Binds and listens; an empty descriptor, with errno, on failure.
 Fd listen_at(const Endpoint& endpoint) {
@@ -78,7 +79,7 @@
 
 void HttpListener::pause_accepting() {
   loop_.set_events(listening_socket_.get(), 0);
-  loop_.run_after(kAcceptRetryDelayMs, [this, alive = std::weak_ptr(self_)] {
+  loop_.run_after(kAcceptRetryDelay, [this, alive = std::weak_ptr(self_)] {
     if (alive.lock() && listening_socket_) {
       loop_.set_events(listening_socket_.get(), EPOLLIN);
     }
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// A caller that was told of the close has this long to close its own direction.
-constexpr Millis kLingerTimeoutMs = 1000;
+constexpr Millis kLingerTimeout = 1000;
 
 }  // namespace
 
@@ -231,7 +231,7 @@
 void HttpServerConnection::shut_down(Phase phase) {
   phase_ = phase;
   ::shutdown(socket_.get(), SHUT_WR);
-  deadline_.set(kLingerTimeoutMs);
+  deadline_.set(kLingerTimeout);
   update_watched_events();
 }
 
--- a/src/net/replica_client.cpp
+++ b/src/net/replica_client.cpp
@@ -14,11 +14,12 @@
 namespace mosskeel {
 namespace {
 
-constexpr long kReplicaConnectTimeoutMs = 1000;
+/// Milliseconds.
+constexpr long kReplicaConnectTimeout = 1000;
 /// A response may be larger than what callers may send.
 constexpr size_t kMaxReplicaResponseBytes = kMaxHttpBodyBytes * 8;
-/// Only bounds the time that a missed wake-up costs.
-constexpr int kPollTimeoutMs = 100;
+/// Milliseconds; only bounds the time that a missed wake-up costs.
+constexpr int kPollTimeout = 100;
 constexpr std::string_view kSealHeader = "x-seal:";
 constexpr const char* kModelKind = "model";
 
@@ -71,7 +72,7 @@
   curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(easy, CURLOPT_PROXY, "");
   curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request_.method.c_str());
-  curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, kReplicaConnectTimeoutMs);
+  curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, kReplicaConnectTimeout);
   curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(request_.deadline_ms));
   if (!request_.idempotent) {
     curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
@@ -288,7 +289,7 @@
     int running = 0;
     curl_multi_perform(multi_.get(), &running);
     report_finished();
-    curl_multi_poll(multi_.get(), nullptr, 0, kPollTimeoutMs, nullptr);
+    curl_multi_poll(multi_.get(), nullptr, 0, kPollTimeout, nullptr);
   }
   while (!calls_.empty()) {
     drop(calls_.begin()->first);
--- a/src/net/transport.cpp
+++ b/src/net/transport.cpp
@@ -11,12 +11,13 @@
 namespace mosskeel {
 namespace {
 
-/// How long the receiving thread takes to see that it shall stop.
-constexpr nng_duration kReceiveTimeoutMs = 200;
+/// Milliseconds, as all of nng's durations. How long the receiving thread takes to see that it shall stop.
+constexpr nng_duration kReceiveTimeout = 200;
 /// Larger than any message, small enough that a broken length costs little.
 constexpr size_t kMaxMessageBytes = 64u << 20;
-constexpr nng_duration kMinReconnectDelayMs = 50;
-constexpr nng_duration kMaxReconnectDelayMs = 200;
+/// Between two attempts to reach a peer; a daemon that restarts is found again at once.
+constexpr nng_duration kMinReconnectDelay = 50;
+constexpr nng_duration kMaxReconnectDelay = 200;
 /// Drops between two log lines about them.
 constexpr uint64_t kDropsPerLogLine = 1000;
 
@@ -39,7 +40,7 @@
   }
   NngSocket receiver(socket.id);
   nng_socket_set_int(socket, NNG_OPT_RECVBUF, kMaxQueuedMessagesPerPeer);
-  nng_socket_set_ms(socket, NNG_OPT_RECVTIMEO, kReceiveTimeoutMs);
+  nng_socket_set_ms(socket, NNG_OPT_RECVTIMEO, kReceiveTimeout);
   nng_socket_set_size(socket, NNG_OPT_RECVMAXSZ, kMaxMessageBytes);
   if (int error = nng_listen(socket, nng_url(address).c_str(), nullptr, 0)) {
     return Errors{{address, nng_strerror(error)}};
@@ -97,8 +98,8 @@
   }
   peers_.emplace(peer, NngSocket(socket.id));
   nng_socket_set_int(socket, NNG_OPT_SENDBUF, kMaxQueuedMessagesPerPeer);
-  nng_socket_set_ms(socket, NNG_OPT_RECONNMINT, kMinReconnectDelayMs);
-  nng_socket_set_ms(socket, NNG_OPT_RECONNMAXT, kMaxReconnectDelayMs);
+  nng_socket_set_ms(socket, NNG_OPT_RECONNMINT, kMinReconnectDelay);
+  nng_socket_set_ms(socket, NNG_OPT_RECONNMAXT, kMaxReconnectDelay);
   nng_dial(socket, nng_url(peer).c_str(), nullptr, NNG_FLAG_NONBLOCK);
   return socket.id;
 }
--- a/src/net/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -14,8 +14,8 @@
 
 /// Small, for a response whose reading is paused still brings this much.
 constexpr size_t kUpstreamReadBufferBytes = 16 << 10;
-/// A replica that acknowledges no byte for so long is taken for unreachable.
-constexpr int kUnacknowledgedTimeoutMs = 3000;
+/// Milliseconds; a replica that acknowledges no byte for so long is taken for unreachable.
+constexpr int kUnacknowledgedTimeout = 3000;
 
 bool is_printable(std::string_view text) {
   return !text.empty() &&
@@ -103,7 +103,7 @@
     return {nullptr, std::string("socket: ") + std::strerror(errno)};
   }
   set_socket_option(socket.get(), IPPROTO_TCP, TCP_NODELAY, 1);
-  set_socket_option(socket.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, kUnacknowledgedTimeoutMs);
+  set_socket_option(socket.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, kUnacknowledgedTimeout);
   ++connections_opened_;
   const auto* socket_address = reinterpret_cast<const sockaddr*>(&endpoint->storage);
   if (::connect(socket.get(), socket_address, endpoint->length) != 0 && errno != EINPROGRESS) {
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 /// A replica that does not say how long it keeps idle connections is assumed to keep them this long.
-constexpr Millis kDefaultKeepAliveMs = 4000;
+constexpr Millis kDefaultKeepAlive = 4000;
 /// A connection is given up this long before the replica would close it, so that no request crosses the close.
-constexpr Millis kKeepAliveMarginMs = 1000;
-constexpr Millis kMaxKeepAliveMs = 600000;
-/// Digits of a number of seconds below `kMaxKeepAliveMs` many times over, that surely fits.
+constexpr Millis kKeepAliveMargin = 1000;
+constexpr Millis kMaxKeepAlive = 600000;
+/// Digits of a number of seconds below `kMaxKeepAlive` many times over, that surely fits.
 constexpr size_t kMaxKeepAliveDigits = 6;
 
 Millis keep_alive_of(std::string_view seconds) {
@@ -24,9 +24,9 @@
     return 0;
   }
   if (digits.size() > kMaxKeepAliveDigits) {
-    return kMaxKeepAliveMs;
+    return kMaxKeepAlive;
   }
-  return std::min<Millis>(std::stoll(std::string(digits)) * 1000 - kKeepAliveMarginMs, kMaxKeepAliveMs);
+  return std::min<Millis>(std::stoll(std::string(digits)) * 1000 - kKeepAliveMargin, kMaxKeepAlive);
 }
 
 /// How long a connection may be idle after this response: by "Keep-Alive: timeout=SECONDS", else the default.
@@ -39,7 +39,7 @@
       return keep_alive_of(parameter.substr(equals_sign + 1));
     }
   }
-  return kDefaultKeepAliveMs;
+  return kDefaultKeepAlive;
 }
 
 /// Whether the socket is open and nothing has been received on it.
