--- /dev/null
+++ b/tests/unit/net/local_mailboxes_test.cpp
@@ -0,0 +1,41 @@
+#include "net/local_mailboxes.hpp"
+
+#include <catch2/catch.hpp>
+
+using namespace mosskeel;
+
+namespace {
+
+Envelope envelope_to(const Address& address, uint64_t id) {
+  Envelope envelope{};
+  envelope.to = address;
+  envelope.body = QuorumRead{id};
+  return envelope;
+}
+
+}  // namespace
+
+TEST_CASE("LocalMailboxes delivers each message to the mailbox of its receiver alone") {
+  LocalMailboxes mailboxes;
+  auto first = mailboxes.open();
+  auto second = mailboxes.open();
+  REQUIRE(first.address != second.address);
+
+  mailboxes.deliver(envelope_to(second.address, 7));
+
+  auto message = second.mailbox->pop(0);
+  REQUIRE(message);
+  CHECK(std::get<QuorumRead>(*message).id == 7);
+  CHECK_FALSE(first.mailbox->pop(0));
+}
+
+TEST_CASE("LocalMailboxes drops messages to a mailbox that is closed") {
+  LocalMailboxes mailboxes;
+  auto opened = mailboxes.open();
+
+  mailboxes.close(opened.address);
+  mailboxes.deliver(envelope_to(opened.address, 7));
+
+  CHECK(mailboxes.size() == 0);
+  CHECK_FALSE(opened.mailbox->pop(0));
+}
