--- a/src/runtime/constants.hpp
+++ b/src/runtime/constants.hpp
@@ -26,5 +26,7 @@
 constexpr size_t kCheckpointJournalBytes = 16u << 20;
 /// Milliseconds; when a rejected caller may try again, unless something better is known.
 constexpr uint32_t kDefaultRetryAfter = 500;
+/// Exit code of a daemon whose settings are wrong.
+constexpr int kExitBadSettings = 2;
 
 }  // namespace mosskeel
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -2,12 +2,13 @@
 
 #include <sstream>
 
+#include "runtime/constants.hpp"
+
 namespace mosskeel {
 
 namespace {
 
 constexpr int kExitStoppedByItself = 1;
-constexpr int kExitBadSettings = 2;
 constexpr int kExitDamagedData = 4;
 /// Milliseconds; how often a daemon's main thread looks whether the host has stopped.
 constexpr Millis kSignalPollInterval = 100;
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -14,7 +14,6 @@
 namespace mosskeel {
 namespace {
 
-constexpr int kExitBadSettings = 2;
 /// Bounds of the time-outs in the settings, in ms.
 constexpr Millis kMinCommitAttemptTimeout = 100;
 constexpr Millis kMaxCommitAttemptTimeout = 30000;
