--- /dev/null
+++ b/tests/unit/consensus/in_force_test.cpp
@@ -0,0 +1,105 @@
+// When an epoch is in force, by what daemons have reported to one controller.
+#include <catch2/catch.hpp>
+
+#include "consensus/in_force.hpp"
+
+using namespace mosskeel;
+
+namespace {
+
+constexpr Millis kStart = 1000;
+constexpr Epoch kEpoch{5};
+
+Candidate candidate(uint64_t number, Role role) {
+  std::string address = "daemon" + std::to_string(number);
+  return {Incarnation{number}, role, "zone", address, "", "", address};
+}
+
+/// Three controllers (1 to 3), three fronts (4 to 6) and one store (7), seen by controller 1, which knows the epoch.
+struct Fleet {
+  Metadata metadata;
+  FailureDetector detector{kStart};
+  Millis now = kStart;
+
+  Fleet() {
+    metadata.cluster = 7;
+    metadata.epoch = kEpoch;
+    for (uint64_t number = 1; number <= 7; ++number) {
+      Role role = number <= 3 ? Role::controller : number <= 6 ? Role::front : Role::store;
+      DaemonId id{number};
+      metadata.directory[id] = {id, candidate(number, role), DaemonState::up, Epoch{1}};
+      metadata.quorum_members.push_back(id);
+      if (role == Role::controller)
+        metadata.members.push_back(id);
+    }
+  }
+
+  void report(uint64_t number, Epoch known) {
+    Heartbeat heartbeat{};
+    heartbeat.self = metadata.directory.at(DaemonId{number}).self;
+    heartbeat.known = known;
+    detector.record(heartbeat, now);
+  }
+
+  std::string missing() { return missing_acknowledgements(metadata, Incarnation{1}, detector, kEpoch, now); }
+};
+
+}  // namespace
+
+TEST_CASE("An epoch is not in force without a majority of the core") {
+  Fleet fleet;
+  for (uint64_t number = 4; number <= 7; ++number)
+    fleet.report(number, kEpoch);
+
+  CHECK(fleet.missing() == "no majority of the core has it; missing: 2 3");
+}
+
+TEST_CASE("An epoch is not in force without a majority of the fleet") {
+  Fleet fleet;
+  fleet.report(2, kEpoch);
+  fleet.report(7, kEpoch);
+
+  CHECK(fleet.missing() == "no majority of the fleet has it; missing: 3 4 5 6");
+}
+
+TEST_CASE("An epoch is not in force while a reachable disk lacks it, and is once that is silent") {
+  Fleet fleet;
+  fleet.report(7, Epoch{kEpoch.value() - 1});
+  fleet.now += kHeartbeatTimeout - 1;
+  for (uint64_t number = 2; number <= 5; ++number)
+    fleet.report(number, kEpoch);
+
+  CHECK_FALSE(fleet.missing().empty());
+  fleet.now += 1;
+  CHECK(fleet.missing().empty());
+}
+
+TEST_CASE("An epoch stays in force when a late heartbeat reports an earlier epoch") {
+  Fleet fleet;
+  for (uint64_t number = 2; number <= 7; ++number)
+    fleet.report(number, kEpoch);
+  REQUIRE(fleet.missing().empty());
+
+  fleet.report(2, Epoch{1});
+
+  CHECK(fleet.missing().empty());
+}
+
+TEST_CASE("FailureDetector takes a daemon as superseded once another incarnation speaks at its address") {
+  Fleet fleet;
+  const Daemon& store = fleet.metadata.directory.at(DaemonId{7});
+  fleet.report(7, kEpoch);
+  CHECK_FALSE(fleet.detector.superseded(store, fleet.now));
+
+  fleet.now += 1;
+  Heartbeat successor{};
+  successor.self = store.self;
+  successor.self.incarnation = Incarnation{70};
+  fleet.detector.record(successor, fleet.now);
+
+  CHECK(fleet.detector.superseded(store, fleet.now));
+  CHECK_FALSE(fleet.detector.superseded(store, fleet.now + kHeartbeatTimeout));
+  fleet.now += 1;
+  fleet.report(7, kEpoch);
+  CHECK_FALSE(fleet.detector.superseded(store, fleet.now));
+}
