--- /dev/null
+++ b/src/metadata/daemon.hpp
@@ -0,0 +1,36 @@
+#pragma once
+// The daemons of a cluster, as the directory of the metadata keeps them.
+#include <boost/hana/define_struct.hpp>
+
+#include "mosskeel/common.hpp"
+
+namespace mosskeel {
+
+enum class Role : uint8_t { controller, front, store };
+
+/// `registered`: in the directory, without a share of the work yet. `up`: in service. `draining`: its partitions move
+/// away. `down`: a majority of the controllers misses its heartbeats. `left`: for good; it counts nowhere any more.
+enum class DaemonState : uint8_t { registered, up, draining, down, left };
+
+const char* name(Role role);
+const char* name(DaemonState state);
+
+/// How a daemon describes itself, before and after the log knows it.
+/// The order of the fields is the format on the wire and on disk.
+struct Candidate {
+  /// `agent_address` is set for a gateway only: its agent receives for it. `http_address` is empty without HTTP.
+  BOOST_HANA_DEFINE_STRUCT(Candidate, (Incarnation, incarnation), (Role, role), (std::string, zone), (Address, address),
+                           (Address, agent_address), (Address, http_address), (std::string, machine));
+  bool operator==(const Candidate&) const = default;
+};
+
+/// A directory entry; `since` is the epoch of the last change of `state`.
+struct Daemon {
+  BOOST_HANA_DEFINE_STRUCT(Daemon, (DaemonId, id), (Candidate, self), (DaemonState, state), (Epoch, since));
+  bool operator==(const Daemon&) const = default;
+};
+
+/// All daemons that have ever registered; who has left stays, so that a number is never given twice.
+using Directory = std::map<DaemonId, Daemon>;
+
+}  // namespace mosskeel
--- /dev/null
+++ b/src/metadata/daemon_transformations.cpp
@@ -0,0 +1,113 @@
+// Transformations of the directory: registration, failure and return of daemons.
+#include "metadata/transformation_steps.hpp"
+
+namespace mosskeel::transformations {
+namespace {
+
+/// Whether a daemon of the directory provably runs no more once another one registers at its address. A front holds no
+/// state on disk, and a controller's disk tells a restart from a new controller; only a store has to be down.
+bool ends_with_registration(const Daemon& earlier, const Candidate& registering) {
+  if (earlier.state == DaemonState::down || earlier.self.role == Role::front)
+    return true;
+  return registering.role == Role::controller && earlier.self.role == Role::controller;
+}
+
+/// Controllers at this address run no more: core members among them are down, the others have left.
+void supersede_controllers(Metadata& metadata, const Address& address, DaemonId successor) {
+  for (auto& [id, daemon] : metadata.directory) {
+    if (daemon.self.address != address || daemon.self.role != Role::controller || daemon.state == DaemonState::left)
+      continue;
+    bool is_member = metadata.is_core_member(daemon.self.incarnation);
+    set_state(metadata, daemon, is_member ? DaemonState::down : DaemonState::left);
+    metadata.replace_in_quorum(id, successor);
+  }
+}
+
+/// A front that starts again takes over the partitions of the one that ran at its address; the new term fences that.
+void supersede_fronts(Metadata& metadata, const Address& address, DaemonId successor) {
+  for (auto& [id, daemon] : metadata.directory) {
+    if (daemon.self.address != address || daemon.self.role != Role::front || daemon.state == DaemonState::left)
+      continue;
+    set_state(metadata, daemon, DaemonState::left);
+    end_sequence(metadata, id);
+    transfer_ownership(metadata, id, successor);
+  }
+}
+
+/// A controller that was taken out of the core while it was silent may come back as a spare.
+Result<Metadata> register_again(Metadata metadata, const Daemon& known, const Candidate& self) {
+  if (known.state != DaemonState::left || self.role != Role::controller || known.self != self)
+    return reject("register", "incarnation " + hex(self.incarnation.value()) + " is registered already");
+  auto* other = metadata.find_at(self.address);
+  if (other && other->state != DaemonState::down)
+    return reject("register", self.address + " belongs to " + to_text(other->id));
+  set_state(metadata, metadata.directory[known.id], DaemonState::up);
+  return metadata;
+}
+
+}  // namespace
+
+Result<Metadata> transform(Metadata metadata, const Register& change) {
+  auto& self = change.self;
+  if (auto* known = metadata.find(self.incarnation))
+    return register_again(metadata, *known, self);
+  for (auto& [id, daemon] : metadata.directory) {
+    if (daemon.self.address != self.address || daemon.state == DaemonState::left)
+      continue;
+    if (!ends_with_registration(daemon, self))
+      return reject("register", self.address + " belongs to " + to_text(id) + ", which is not known to be down");
+  }
+
+  DaemonId new_id{metadata.next_id++};
+  if (self.role == Role::controller)
+    supersede_controllers(metadata, self.address, new_id);
+  for (auto& [id, daemon] : metadata.directory)
+    if (daemon.self.address == self.address && (daemon.state == DaemonState::down || daemon.self.role == Role::front))
+      metadata.replace_in_quorum(id, new_id);
+  supersede_fronts(metadata, self.address, new_id);
+  auto state = self.role == Role::controller ? DaemonState::up : DaemonState::registered;
+  metadata.directory[new_id] = {new_id, self, state, metadata.epoch};
+  return metadata;
+}
+
+Result<Metadata> transform(Metadata metadata, const MarkDown& change) {
+  auto entry = metadata.directory.find(change.node);
+  if (entry == metadata.directory.end())
+    return reject(to_text(change.node), "is unknown");
+  auto& daemon = entry->second;
+  if (daemon.state == DaemonState::down || daemon.state == DaemonState::left)
+    return reject(to_text(change.node), std::string("is ") + name(daemon.state) + " already");
+  bool is_front = daemon.self.role == Role::front;
+  // A drained front stays until its last turns are over, and then falls silent.
+  bool has_drained = is_front && daemon.state == DaemonState::draining && !metadata.sequences.count(change.node);
+  set_state(metadata, daemon, has_drained ? DaemonState::left : DaemonState::down);
+  if (is_front) {
+    end_sequence(metadata, change.node);
+    scatter_ownership(metadata, change.node);
+  }
+  return metadata;
+}
+
+Result<Metadata> transform(Metadata metadata, const MarkUp& change) {
+  auto entry = metadata.directory.find(change.node);
+  if (entry == metadata.directory.end() || entry->second.state != DaemonState::down)
+    return reject(to_text(change.node), "is not down");
+  auto& daemon = entry->second;
+  bool joins_anew =
+      daemon.self.role == Role::front || (daemon.self.role == Role::store && !metadata.holds_partitions(change.node));
+  set_state(metadata, daemon, joins_anew ? DaemonState::registered : DaemonState::up);
+  return metadata;
+}
+
+Result<Metadata> transform(Metadata metadata, const ForgetStore& change) {
+  auto entry = metadata.directory.find(change.node);
+  if (entry == metadata.directory.end() || entry->second.self.role != Role::store ||
+      entry->second.state != DaemonState::down)
+    return reject(to_text(change.node), "is no store that is down");
+  if (metadata.holds_partitions(change.node) || metadata.sequences.count(change.node))
+    return reject(to_text(change.node), "still holds partitions");
+  set_state(metadata, entry->second, DaemonState::left);
+  return metadata;
+}
+
+}  // namespace mosskeel::transformations
--- a/src/metadata/front_placement.cpp
+++ b/src/metadata/front_placement.cpp
@@ -1,89 +1,135 @@
-// Placement: which front owns a partition. store_places.cpp has the stores that keep it.
+// Which front owns a partition. store_placement.cpp has the stores that keep its histories.
 #include <algorithm>
 
-#include "metadata/liveness.hpp"
-#include "metadata/transformation.hpp"
+#include "metadata/placement.hpp"
 
 namespace mosskeel::placement {
-
 namespace {
 
-std::vector<PartitionMove> join_front(const Metadata& m, const Daemon& d) {
-  std::vector<PartitionMove> v;
-  auto n = partitions_per_front(m);
-  n[d.id] = static_cast<int>(
-      std::count_if(m.partitions.begin(), m.partitions.end(), [&](auto& s) { return s.owner == d.id; }));
-  size_t share = m.partitions.size() / std::max<size_t>(n.size(), 1);
-  std::set<PartitionId> taken;
-  auto take = [&](uint32_t i) {
-    v.push_back({PartitionId{i}, d.id, m.partitions[i].stores});
-    taken.insert(PartitionId{i});
-    if (n.count(m.partitions[i].owner))
-      --n[m.partitions[i].owner];
-    ++n[d.id];
-  };
-  for (uint32_t i = 0; i < m.partitions.size(); ++i)
-    if (!alive(m, m.partitions[i].owner) && !m.locks.count(PartitionId{i}))
-      take(i);
-  while (static_cast<size_t>(n[d.id]) < share) {
-    uint32_t best = m.partitions.size();
-    for (uint32_t i = 0; i < m.partitions.size(); ++i) {
-      PartitionId s{i};
-      if (taken.count(s) || m.locks.count(s) || m.partitions[i].owner == d.id)
+/// Plans the moves of partitions to a joining front, until it owns its share.
+class FrontJoinPlan {
+ public:
+  FrontJoinPlan(const Metadata& metadata, const Daemon& joining)
+      : metadata_(metadata), joining_(joining.id), load_(partitions_per_front(metadata)) {
+    auto& partitions = metadata.partitions;
+    load_[joining_] = static_cast<int>(std::count_if(partitions.begin(), partitions.end(),
+                                                     [&](const Partition& each) { return each.owner == joining_; }));
+  }
+
+  std::vector<PartitionMove> make() {
+    take_unowned();
+    take_share();
+    return std::move(moves_);
+  }
+
+ private:
+  /// Partitions whose owner is gone are taken in any number.
+  void take_unowned() {
+    for (uint32_t i = 0; i < metadata_.partitions.size(); ++i)
+      if (!alive(metadata_, owner_of(i)) && !metadata_.locks.count(PartitionId{i}))
+        take(i);
+  }
+
+  /// Takes from the most loaded front, one partition at a time, while that makes the load more even.
+  void take_share() {
+    size_t share = metadata_.partitions.size() / std::max<size_t>(load_.size(), 1);
+    while (static_cast<size_t>(load_[joining_]) < share) {
+      auto best = partition_of_most_loaded();
+      if (!best || load_[owner_of(*best)] <= load_[joining_] + 1)
+        return;
+      take(*best);
+    }
+  }
+
+  std::optional<uint32_t> partition_of_most_loaded() {
+    std::optional<uint32_t> best;
+    for (uint32_t i = 0; i < metadata_.partitions.size(); ++i) {
+      PartitionId id{i};
+      if (taken_.count(id) || metadata_.locks.count(id) || owner_of(i) == joining_)
         continue;
-      if (best == m.partitions.size() || n[m.partitions[i].owner] > n[m.partitions[best].owner])
+      if (!best || load_[owner_of(i)] > load_[owner_of(*best)])
         best = i;
     }
-    if (best == m.partitions.size() || n[m.partitions[best].owner] <= n[d.id] + 1)
-      break;
-    take(best);
+    return best;
   }
-  return v;
-}
 
-Result<std::vector<PartitionMove>> drain_front(const Metadata& m, const Daemon& d) {
+  void take(uint32_t index) {
+    moves_.push_back({PartitionId{index}, joining_, metadata_.partitions[index].stores});
+    taken_.insert(PartitionId{index});
+    if (auto previous = load_.find(owner_of(index)); previous != load_.end())
+      --previous->second;
+    ++load_[joining_];
+  }
+
+  DaemonId owner_of(uint32_t index) const { return metadata_.partitions[index].owner; }
+
+  const Metadata& metadata_;
+  const DaemonId joining_;
+  LoadByDaemon load_;
+  std::set<PartitionId> taken_;
+  std::vector<PartitionMove> moves_;
+};
+
+Result<std::vector<PartitionMove>> plan_front_drain(const Metadata& metadata, const Daemon& leaving) {
   std::vector<PartitionMove> moves;
-  auto load = partitions_per_front(m);
-  for (uint32_t i = 0; i < m.partitions.size(); ++i) {
-    auto& partition = m.partitions[i];
-    if (partition.owner != d.id)
+  auto load = partitions_per_front(metadata);
+  for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
+    auto& partition = metadata.partitions[i];
+    if (partition.owner != leaving.id)
       continue;
-    auto to = least_loaded_front(m, load, d.id);
-    if (to.value() == 0)
-      return Errors{{"daemon " + std::to_string(d.id.value()), "no other front worker could take its partitions"}};
-    ++load[to];
-    moves.push_back({PartitionId{i}, to, partition.stores});
+    auto new_owner = least_loaded_front(load, leaving.id);
+    if (new_owner.value() == 0)
+      return Errors{{"daemon " + std::to_string(leaving.id.value()), "no other front worker could take its partitions",
+                     ErrorCode::rejected}};
+    ++load[new_owner];
+    moves.push_back({PartitionId{i}, new_owner, partition.stores});
   }
   return moves;
 }
 
 }  // namespace
 
-std::map<DaemonId, int> partitions_per_front(const Metadata& m) {
-  std::map<DaemonId, int> n;
-  for (auto& [id, d] : m.directory)
-    if (d.self.role == Role::front && d.state == DaemonState::up && !m.evacuated.count(d.self.zone))
-      n[id] = 0;
-  for (auto& s : m.partitions)
-    if (n.count(s.owner))
-      ++n[s.owner];
-  return n;
+bool alive(const Metadata& metadata, DaemonId id) {
+  auto* daemon = metadata.find(id);
+  return daemon && (daemon->state == DaemonState::up || daemon->state == DaemonState::registered);
+}
+
+bool lost(const Metadata& metadata, DaemonId id) {
+  auto* daemon = metadata.find(id);
+  return !daemon || daemon->state == DaemonState::down || daemon->state == DaemonState::left;
+}
+
+LoadByDaemon partitions_per_front(const Metadata& metadata) {
+  LoadByDaemon load;
+  for (auto& [id, daemon] : metadata.directory) {
+    bool may_own = daemon.self.role == Role::front && daemon.state == DaemonState::up;
+    if (may_own && !metadata.evacuated.count(daemon.self.zone))
+      load[id] = 0;
+  }
+  for (auto& partition : metadata.partitions)
+    if (auto owner = load.find(partition.owner); owner != load.end())
+      ++owner->second;
+  return load;
 }
 
-DaemonId least_loaded_front(const Metadata&, const std::map<DaemonId, int>& load, DaemonId except) {
+DaemonId least_loaded_front(const LoadByDaemon& load, DaemonId except) {
   DaemonId best{0};
-  for (auto& [id, k] : load)
-    if (id != except && (best.value() == 0 || k < load.at(best)))
+  for (auto& [id, count] : load)
+    if (id != except && (best.value() == 0 || count < load.at(best)))
       best = id;
   return best;
 }
 
-std::vector<PartitionMove> plan_join(const Metadata& m, const Daemon& d) {
-  return d.self.role == Role::front ? join_front(m, d) : plan_store_join(m, d);
+std::vector<PartitionMove> plan_join(const Metadata& metadata, const Daemon& joining) {
+  if (joining.self.role == Role::front)
+    return FrontJoinPlan(metadata, joining).make();
+  return plan_store_join(metadata, joining);
 }
 
-Result<std::vector<PartitionMove>> plan_drain(const Metadata& m, const Daemon& d) {
-  return d.self.role == Role::front ? drain_front(m, d) : plan_store_drain(m, d);
+Result<std::vector<PartitionMove>> plan_drain(const Metadata& metadata, const Daemon& leaving) {
+  if (leaving.self.role == Role::front)
+    return plan_front_drain(metadata, leaving);
+  return plan_store_drain(metadata, leaving);
 }
 
 }  // namespace mosskeel::placement
--- a/src/metadata/metadata.cpp
+++ b/src/metadata/metadata.cpp
@@ -1,111 +1,82 @@
 #include "metadata/metadata.hpp"
-#include "metadata/constants.hpp"
 
 #include <algorithm>
 
-namespace mosskeel {
-
-const char* name(Role r) {
-  static const char* const n[] = {"controller", "front", "store"};
-  return n[static_cast<int>(r)];
-}
-const char* name(DaemonState s) {
-  static const char* const n[] = {"registered", "up", "draining", "down", "left"};
-  return n[static_cast<int>(s)];
-}
-const char* name(ReplicaHealth f) {
-  static const char* const n[] = {"cold", "ready", "leaving"};
-  return n[static_cast<int>(f)];
-}
-const char* name(SequenceKind k) {
-  static const char* const n[] = {"join", "drain", "repair"};
-  return n[static_cast<int>(k)];
-}
-const char* name(SequenceStep s) {
-  static const char* const n[] = {"start", "mid", "finish"};
-  return n[static_cast<int>(s)];
-}
+#include "metadata/constants.hpp"
 
-const char* name(PathKind k) {
-  static const char* const n[] = {"safe", "unsafe", "streaming"};
-  return n[static_cast<int>(k)];
-}
+namespace mosskeel {
+namespace {
 
-const Cell* Configuration::cell(const std::string& n) const {
-  for (auto& c : cells)
-    if (c.name == n)
-      return &c;
-  return nullptr;
+bool contains(const std::vector<DaemonId>& ids, DaemonId id) {
+  return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-const Service* Configuration::service(const std::string& n) const {
-  for (auto& s : services)
-    if (s.name == n)
-      return &s;
-  return nullptr;
-}
+}  // namespace
 
 const Daemon* Metadata::find(DaemonId id) const {
-  auto i = directory.find(id);
-  return i == directory.end() ? nullptr : &i->second;
+  auto entry = directory.find(id);
+  return entry == directory.end() ? nullptr : &entry->second;
 }
 
 const Daemon* Metadata::find(Incarnation incarnation) const {
-  for (auto& [id, d] : directory)
-    if (d.self.incarnation == incarnation)
-      return &d;
+  for (auto& [id, daemon] : directory)
+    if (daemon.self.incarnation == incarnation)
+      return &daemon;
   return nullptr;
 }
 
-const Daemon* Metadata::find_at(const Address& a) const {
+const Daemon* Metadata::find_at(const Address& address) const {
   const Daemon* last = nullptr;
-  for (auto& [id, d] : directory)
-    if (d.self.address == a && d.state != DaemonState::left)
-      last = &d;
+  for (auto& [id, daemon] : directory)
+    if (daemon.self.address == address && daemon.state != DaemonState::left)
+      last = &daemon;
   return last;
 }
 
 bool Metadata::is_core_member(Incarnation incarnation) const {
-  for (auto id : members)
-    if (auto* d = find(id); d && d->self.incarnation == incarnation)
-      return true;
-  return false;
+  return std::any_of(members.begin(), members.end(), [&](DaemonId id) {
+    auto* member = find(id);
+    return member && member->self.incarnation == incarnation;
+  });
+}
+
+bool Metadata::replaces_member(const Candidate& candidate) const {
+  if (candidate.role != Role::controller)
+    return false;
+  return std::any_of(members.begin(), members.end(), [&](DaemonId id) {
+    auto* member = find(id);
+    return member && member->self.address == candidate.address && member->self.incarnation != candidate.incarnation;
+  });
 }
 
-void Metadata::replace_in_quorum(DaemonId old, DaemonId fresh) {
-  for (auto* v : {&quorum_members, &incoming_quorum_members}) {
-    std::replace(v->begin(), v->end(), old, fresh);
-    std::sort(v->begin(), v->end());
-    v->erase(std::unique(v->begin(), v->end()), v->end());
+void Metadata::replace_in_quorum(DaemonId old_id, DaemonId new_id) {
+  for (auto* set : {&quorum_members, &incoming_quorum_members}) {
+    std::replace(set->begin(), set->end(), old_id, new_id);
+    std::sort(set->begin(), set->end());
+    set->erase(std::unique(set->begin(), set->end()), set->end());
   }
 }
 
-bool Metadata::has_quorum(const std::function<bool(const Daemon&)>& has) const {
-  auto most = [&](const std::vector<DaemonId>& v) {
-    auto n = std::count_if(v.begin(), v.end(), [&](auto id) {
-      auto* d = find(id);
-      return d && has(*d);
+bool Metadata::has_quorum(const std::function<bool(const Daemon&)>& predicate) const {
+  auto is_majority = [&](const std::vector<DaemonId>& set) {
+    auto count = std::count_if(set.begin(), set.end(), [&](DaemonId id) {
+      auto* daemon = find(id);
+      return daemon && predicate(*daemon);
     });
-    return static_cast<size_t>(n) >= majority_of(v.size());
+    return static_cast<size_t>(count) >= majority_of(set.size());
   };
-  return most(quorum_members) && (incoming_quorum_members.empty() || most(incoming_quorum_members));
-}
-
-bool Metadata::replaces_member(const Candidate& c) const {
-  return c.role == Role::controller && std::any_of(members.begin(), members.end(), [&](auto id) {
-           auto* d = find(id);
-           return d && d->self.address == c.address && d->self.incarnation != c.incarnation;
-         });
-}
-
-std::optional<Epoch> Metadata::epoch_of_commit(const std::string& commit) const {
-  for (auto& r : applied_commits)
-    if (r.id == commit)
-      return r.epoch;
-  auto id = digest(commit);
-  for (auto& o : applied_configurations)
-    if (o.commit_digest == id)
-      return o.epoch;
+  return is_majority(quorum_members) && (incoming_quorum_members.empty() || is_majority(incoming_quorum_members));
+}
+
+std::optional<Epoch> Metadata::epoch_of_commit(const std::string& commit_id) const {
+  for (auto& commit : applied_commits)
+    if (commit.id == commit_id)
+      return commit.epoch;
+  // Configurations are remembered longer than other commits.
+  auto commit_digest = digest(commit_id);
+  for (auto& applied : applied_configurations)
+    if (applied.commit_digest == commit_digest)
+      return applied.epoch;
   return std::nullopt;
 }
 
@@ -117,21 +88,19 @@
   return std::max(configured_replication_factor, kDefaultHistoryReplicas);
 }
 
-/// Never fewer than a majority of the full number, however few stores there are.
-size_t Metadata::write_quorum(size_t set) const {
-  return majority_of(std::max(set, replication_factor()));
+size_t Metadata::write_quorum(size_t store_count) const {
+  return majority_of(std::max(store_count, replication_factor()));
 }
 
-/// Too few stores for any record to count are all asked.
-size_t Metadata::read_quorum(size_t set) const {
-  auto write = write_quorum(set);
-  return set < write ? set : set + 1 - write;
+size_t Metadata::read_quorum(size_t store_count) const {
+  auto write = write_quorum(store_count);
+  // With too few stores for any record to count, all of them are asked.
+  return store_count < write ? store_count : store_count + 1 - write;
 }
 
 bool Metadata::holds_partitions(DaemonId store) const {
-  return std::any_of(partitions.begin(), partitions.end(), [&](auto& s) {
-    return std::count(s.stores.begin(), s.stores.end(), store) ||
-           std::count(s.pending_stores.begin(), s.pending_stores.end(), store);
+  return std::any_of(partitions.begin(), partitions.end(), [&](const Partition& partition) {
+    return contains(partition.stores, store) || contains(partition.pending_stores, store);
   });
 }
 
@@ -139,11 +108,11 @@
   return digest(hex(cluster), generation);
 }
 
-bool is_successor_cluster(const Metadata& m, uint64_t later) {
-  auto c = m.cluster;
-  for (uint64_t k = 0; k < kMaxMissedGenerations; ++k) {
-    c = next_cluster_id(c, m.generation + k);
-    if (c == later)
+bool is_successor_cluster(const Metadata& metadata, uint64_t cluster) {
+  auto successor = metadata.cluster;
+  for (uint64_t i = 0; i < kMaxMissedGenerations; ++i) {
+    successor = next_cluster_id(successor, metadata.generation + i);
+    if (successor == cluster)
       return true;
   }
   return false;
@@ -153,12 +122,12 @@
   return PartitionId{static_cast<uint32_t>(digest(program, digest(cell)) % kPartitionCount)};
 }
 
-uint32_t replication_factor_for(uint32_t machines, uint32_t zones) {
-  return std::max(kDefaultHistoryReplicas, 2 * std::max(machines, zones) + 1);
+uint32_t replication_factor_for(uint32_t lost_machines, uint32_t lost_zones) {
+  return std::max(kDefaultHistoryReplicas, 2 * std::max(lost_machines, lost_zones) + 1);
 }
 
-size_t majority_of(size_t n) {
-  return n / 2 + 1;
+size_t majority_of(size_t set_size) {
+  return set_size / 2 + 1;
 }
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/metadata/partition.hpp
@@ -0,0 +1,51 @@
+#pragma once
+// Partitions of the programs, and the sequences that move them between daemons.
+#include <boost/hana/define_struct.hpp>
+
+#include "mosskeel/common.hpp"
+
+namespace mosskeel {
+
+/// The programs of one partition have one owner, a front, and their histories are kept by one set of stores.
+/// The order of the fields is the format on the wire and on disk.
+struct Partition {
+  /// - `term`: epoch since which `owner` owns it; fences what earlier owners write
+  /// - `pending_stores`: the next set while a sequence moves the partition between stores, else empty
+  /// - `stores_epoch`: epoch of the last change of either set
+  BOOST_HANA_DEFINE_STRUCT(Partition, (DaemonId, owner), (Epoch, term), (std::vector<DaemonId>, stores),
+                           (std::vector<DaemonId>, pending_stores), (Epoch, stores_epoch));
+  bool operator==(const Partition&) const = default;
+};
+
+/// Owner and stores that a partition is to have after a sequence.
+struct PartitionMove {
+  BOOST_HANA_DEFINE_STRUCT(PartitionMove, (PartitionId, partition), (DaemonId, owner), (std::vector<DaemonId>, stores));
+  bool operator==(const PartitionMove&) const = default;
+};
+
+/// A `repair` gives the partitions of a store that is down to others; the store may come back and join anew.
+enum class SequenceKind : uint8_t { join, drain, repair };
+
+/// `start` publishes the pending stores, `mid` follows once they hold the data, `finish` enacts the moves.
+enum class SequenceStep : uint8_t { start, mid, finish };
+
+const char* name(SequenceKind kind);
+const char* name(SequenceStep step);
+
+/// A multi-step change of placement under way. Its partitions are locked until it finishes or is cancelled.
+struct Sequence {
+  /// `last_step_epoch` is the epoch that enacted the step before `next_step`.
+  BOOST_HANA_DEFINE_STRUCT(Sequence, (DaemonId, node), (SequenceKind, kind), (SequenceStep, next_step),
+                           (Epoch, started_epoch), (Epoch, last_step_epoch), (std::vector<PartitionMove>, moves));
+  bool operator==(const Sequence&) const = default;
+};
+
+/// Locked partitions, by the node of the sequence that holds the lock.
+using Locks = std::map<PartitionId, DaemonId>;
+/// Sequences under way, by their node; a node has one at most.
+using Sequences = std::map<DaemonId, Sequence>;
+
+/// The partition of a program, by its root's id.
+PartitionId partition_of(const std::string& cell, const std::string& program);
+
+}  // namespace mosskeel
--- a/src/metadata/rejection.cpp
+++ b/src/metadata/rejection.cpp
@@ -2,50 +2,60 @@
 
 #include <algorithm>
 
+#include "metadata/placement.hpp"
+
 namespace mosskeel {
 namespace {
 
-Rejection why(const Metadata& m, const ApplyConfiguration& t) {
-  if (t.base == m.revision)
-    return Rejection::invalid;
-  return m.forgotten(t.base) ? Rejection::forgotten : Rejection::revision_conflict;
+/// Other than for `apply`, a zone whose daemons have all left is known: it was evacuated before and may be again.
+bool is_known_zone(const Metadata& metadata, const std::string& zone) {
+  auto in_zone = [&](auto& daemon) {
+    return daemon.second.self.zone == zone;
+  };
+  auto replica_in_zone = [&](auto& replica) {
+    return replica.second.zone == zone;
+  };
+  return std::any_of(metadata.directory.begin(), metadata.directory.end(), in_zone) ||
+         std::any_of(metadata.replicas.begin(), metadata.replicas.end(), replica_in_zone);
 }
 
-bool known_zone(const Metadata& m, const std::string& zone) {
-  return std::any_of(m.directory.begin(), m.directory.end(), [&](auto& d) { return d.second.self.zone == zone; }) ||
-         std::any_of(m.replicas.begin(), m.replicas.end(), [&](auto& r) { return r.second.zone == zone; });
+Rejection reason(const Metadata& metadata, const ApplyConfiguration& change) {
+  if (change.base == metadata.revision)
+    return Rejection::invalid;
+  return metadata.forgotten(change.base) ? Rejection::forgotten : Rejection::revision_conflict;
 }
 
-Rejection why(const Metadata& m, const EvacuateZone& t) {
-  if (m.evacuated.count(t.zone))
+Rejection reason(const Metadata& metadata, const EvacuateZone& change) {
+  if (metadata.evacuated.count(change.zone))
     return Rejection::already_in_effect;
-  return known_zone(m, t.zone) ? Rejection::refused : Rejection::unknown_target;
+  return is_known_zone(metadata, change.zone) ? Rejection::refused : Rejection::unknown_target;
 }
 
-Rejection why(const Metadata& m, const RestoreZone& t) {
-  return m.evacuated.count(t.zone) ? Rejection::refused : Rejection::already_in_effect;
+Rejection reason(const Metadata& metadata, const RestoreZone& change) {
+  return metadata.evacuated.count(change.zone) ? Rejection::refused : Rejection::already_in_effect;
 }
 
-Rejection why(const Metadata& m, const PrepareDrain& t) {
-  auto* d = m.find(t.node);
-  if (!d)
+Rejection reason(const Metadata& metadata, const PrepareDrain& change) {
+  auto* daemon = metadata.find(change.node);
+  if (!daemon)
     return Rejection::unknown_target;
-  auto q = m.sequences.find(t.node);
-  bool drains = q != m.sequences.end() && q->second.kind == SequenceKind::drain;
-  if (d->state == DaemonState::left || d->state == DaemonState::draining || drains)
+  auto sequence = metadata.sequences.find(change.node);
+  bool drains = sequence != metadata.sequences.end() && sequence->second.kind == SequenceKind::drain;
+  if (drains || daemon->state == DaemonState::left || daemon->state == DaemonState::draining)
     return Rejection::already_in_effect;
-  return placement::plan_drain(m, *d).ok() ? Rejection::busy : Rejection::refused;
+  return placement::plan_drain(metadata, *daemon).ok() ? Rejection::busy : Rejection::refused;
 }
 
-template <class T>
-Rejection why(const Metadata&, const T&) {
+/// Of all other transformations nobody needs to know more.
+template <class Change>
+Rejection reason(const Metadata&, const Change&) {
   return Rejection::refused;
 }
 
 }  // namespace
 
-Rejection rejection_reason(const Metadata& m, const Transformation& t) {
-  return std::visit([&](auto& x) { return why(m, x); }, t);
+Rejection rejection_reason(const Metadata& metadata, const Transformation& transformation) {
+  return std::visit([&](auto& change) { return reason(metadata, change); }, transformation);
 }
 
 }  // namespace mosskeel
--- a/src/metadata/rejection.hpp
+++ b/src/metadata/rejection.hpp
@@ -1,24 +1,22 @@
 #pragma once
-// Why a transformation does not apply, typed, so that no caller has to look at a later value to find out.
+// Why a transformation is rejected, typed, so that nobody has to look at a later value to find out.
 #include "metadata/transformation.hpp"
 
 namespace mosskeel {
 
-/// `revision_conflict`: a configuration built on a revision that is not in place, and that provably was not taken.
-/// `forgotten`: built on a revision so old that nobody can tell whether it was taken. `already_in_effect`: what is
-/// asked for is in place. `busy`: something else has to end first.
+/// The order of the values is the format on the wire.
 enum class Rejection : uint8_t {
   none,
-  revision_conflict,
-  forgotten,
-  invalid,
-  already_in_effect,
-  unknown_target,
-  refused,
-  busy
+  revision_conflict,  ///< a configuration built on another revision, which provably was not applied
+  forgotten,          ///< built on a revision so old that nobody can tell whether it was applied
+  invalid,            ///< can't be accepted as it is
+  already_in_effect,  ///< what is asked for is the case
+  unknown_target,     ///< names something that does not exist
+  refused,            ///< not allowed in the present state
+  busy,               ///< something else has to end first
 };
 
-/// Why `t`, which `apply` has refused on this very value, does not apply.
-Rejection rejection_reason(const Metadata& m, const Transformation& t);
+/// Why a transformation does not apply, which `apply` has rejected on this very value.
+Rejection rejection_reason(const Metadata& metadata, const Transformation& transformation);
 
 }  // namespace mosskeel
--- a/src/metadata/replica_list_reconciler.cpp
+++ b/src/metadata/replica_list_reconciler.cpp
@@ -1,53 +1,86 @@
 #include "metadata/replica_list_reconciler.hpp"
+
+#include <algorithm>
+
 #include "metadata/constants.hpp"
 
 namespace mosskeel {
 namespace {
 
-bool same_but_cold(const Replica& a, const Replica& b) {
-  return a.kind == b.kind && a.zone == b.zone && a.url == b.url && a.capacity == b.capacity && a.service == b.service;
+/// How many readings in a row must lack a replica before it is removed.
+constexpr uint32_t kMissingReadingsBeforeRemoval = 2;
+
+/// Whether two records differ in health and its times at most.
+bool same_apart_from_health(const Replica& left, const Replica& right) {
+  return left.kind == right.kind && left.zone == right.zone && left.url == right.url &&
+         left.capacity == right.capacity && left.service == right.service;
+}
+
+const Replica* find_logged(const Replicas& log, const Replica& listed) {
+  auto entry = log.find(listed.name);
+  bool known = entry != log.end() && same_apart_from_health(entry->second, listed);
+  return known ? &entry->second : nullptr;
+}
+
+/// Whether a restored zone left this replica warming up, while the list calls it ready.
+bool is_ready_after_restore(const Replica* logged, const Replica& listed) {
+  return logged && logged->health == ReplicaHealth::warming_up && logged->warm_up_ms == 0 &&
+         listed.health == ReplicaHealth::ready;
 }
 
 }  // namespace
 
+bool ReplicaListReconciler::needs_update(Seen& seen, bool first_seen, const Replica* logged, const Replica& listed,
+                                         Millis now) {
+  // The first time, the log's remaining warm-up may have run for a while already, so only a longer one is a change.
+  auto expected_ready_at = seen.expected_ready_at;
+  if (first_seen)
+    expected_ready_at = now + (logged ? std::min(logged->warm_up_ms, listed.warm_up_ms) : 0);
+
+  if (is_ready_after_restore(logged, listed)) {
+    if (!seen.ready_after_restore_since)
+      seen.ready_after_restore_since = now;
+    if (now - seen.ready_after_restore_since < kMaxReplicaListLag)
+      return false;
+  } else {
+    seen.ready_after_restore_since = 0;
+  }
+
+  bool longer = listed.warm_up_ms > std::max<Millis>(0, expected_ready_at - now) + kWarmUpTolerance;
+  bool not_committed = logged && seen.reported_against && logged->since == *seen.reported_against;
+  bool restarts_warm_up = listed.health == ReplicaHealth::warming_up && (longer || not_committed);
+  if (logged && logged->health == listed.health && !restarts_warm_up) {
+    seen.expected_ready_at = expected_ready_at;
+    seen.reported_against.reset();
+    return false;
+  }
+  seen.expected_ready_at = now + listed.warm_up_ms;
+  seen.reported_against.reset();
+  if (logged)
+    seen.reported_against = logged->since;
+  return true;
+}
+
 std::optional<UpdateReplicas> ReplicaListReconciler::reconcile(const Replicas& log, const std::vector<Replica>& listed,
                                                                Millis now) {
   UpdateReplicas change;
-  std::set<std::string> there;
-  for (auto& r : listed) {
-    if (!there.insert(r.name).second)
+  std::set<std::string> listed_names;
+  for (auto& replica : listed) {
+    if (!listed_names.insert(replica.name).second)
       continue;
-    auto i = log.find(r.name);
-    auto [at, fresh] = seen_.try_emplace(r.name);
-    auto& s = at->second;
-    s.missing = 0;
-    bool known = i != log.end() && same_but_cold(i->second, r);
-    auto* l = known ? &i->second : nullptr;
-    // Without a memory the log's time may have run for a while already, so only a longer one is news.
-    auto expected = fresh ? now + (l ? std::min(l->warm_up_ms, r.warm_up_ms) : 0) : s.warm;
-    bool longer = r.warm_up_ms > std::max<Millis>(0, expected - now) + kWarmUpTolerance;
-    bool unheard = l && s.told && l->since == *s.told;
-    if (l && l->health == ReplicaHealth::warming_up && l->warm_up_ms == 0 && r.health == ReplicaHealth::ready) {
-      if (!s.restored)
-        s.restored = now;
-      if (now - s.restored < kMaxReplicaListLag)
-        continue;
-    } else {
-      s.restored = 0;
-    }
-    if (l && l->health == r.health && !(r.health == ReplicaHealth::warming_up && (longer || unheard))) {
-      s.warm = expected;
-      s.told.reset();
+    auto [entry, first_seen] = seen_.try_emplace(replica.name);
+    entry->second.missing = 0;
+    if (needs_update(entry->second, first_seen, find_logged(log, replica), replica, now))
+      change.updated.push_back(replica);
+  }
+  for (auto& [name, replica] : log) {
+    // A cell's own replica is not listed.
+    if (replica.service.empty() || listed_names.count(name))
       continue;
-    }
-    s.warm = now + r.warm_up_ms;
-    s.told = l ? std::optional(l->since) : std::nullopt;
-    change.updated.push_back(r);
+    if (++seen_[name].missing >= kMissingReadingsBeforeRemoval)
+      change.removed.push_back(name);
   }
-  for (auto& [n, r] : log)
-    if (!r.service.empty() && !there.count(n) && ++seen_[n].missing >= 2)
-      change.removed.push_back(n);
-  std::erase_if(seen_, [&](auto& x) { return !there.count(x.first) && !log.count(x.first); });
+  std::erase_if(seen_, [&](auto& entry) { return !listed_names.count(entry.first) && !log.count(entry.first); });
   if (change.updated.empty() && change.removed.empty())
     return std::nullopt;
   return change;
--- a/src/metadata/replica_list_reconciler.hpp
+++ b/src/metadata/replica_list_reconciler.hpp
@@ -1,26 +1,35 @@
 #pragma once
-// What a list of replicas says beyond the log.
+// Compares the platform's list of replicas with the log.
 #include "metadata/transformation.hpp"
 
 namespace mosskeel {
 
-/// Compares whole readings of a list with the log; remembers of earlier readings what a single one cannot tell.
+/// Finds what readings of the replica list say beyond the log. Remembers of earlier readings what a single one can't
+/// tell. Owned by the poller, on its thread; nothing is on disk.
 class ReplicaListReconciler {
  public:
-  /// The change that the log lacks, or nothing. A replica goes once two readings in a row lack it, since a list may
-  /// shift between its pages. One that a restored zone left cold stays so until the list has had time to say it.
+  /// The change that the log lacks after a complete reading at `now`, or nothing.
+  ///
+  /// A replica is removed once two readings in a row lack it, since the list may shift between its pages. A replica
+  /// that a restored zone left warming up stays so for `kMaxReplicaListLag`, until the list has had time to report it.
   std::optional<UpdateReplicas> reconcile(const Replicas& log, const std::vector<Replica>& listed, Millis now);
-  /// For a reader that was not the one to read for a while.
+  /// Drops the memory: another reader has been active meanwhile.
   void reset() { seen_.clear(); }
 
  private:
   struct Seen {
-    /// When it is expected to be warm, and since when the log has it cold without a time.
-    Millis warm = 0, restored = 0;
-    /// The epoch of the log's state when it was last told a change; still the same means that it did not take it.
-    std::optional<Epoch> told;
+    /// When the replica's warm-up is expected to end.
+    Millis expected_ready_at = 0;
+    /// Since when the list calls ready what a restored zone left warming up; 0 where that is not so.
+    Millis ready_after_restore_since = 0;
+    /// `since` of the log's record when it was last told a change. Still the same: the change was not committed.
+    std::optional<Epoch> reported_against;
+    /// Readings in a row that lack it.
     uint32_t missing = 0;
   };
+  /// Whether the log lacks what the list says of one replica. `logged` is null where the log has it not, or otherwise.
+  bool needs_update(Seen& seen, bool first_seen, const Replica* logged, const Replica& listed, Millis now);
+
   std::map<std::string, Seen> seen_;
 };
 
--- a/src/metadata/store_placement.cpp
+++ b/src/metadata/store_placement.cpp
@@ -1,128 +1,151 @@
-// Placement of copies: which stores keep a partition, as many as the log says, spread over zones.
+// Which stores keep a partition's histories: as many as the replication factor says, spread over zones.
 #include <algorithm>
 
-#include "metadata/liveness.hpp"
-#include "metadata/transformation.hpp"
+#include "metadata/placement.hpp"
 
 namespace mosskeel::placement {
-
 namespace {
 
-using Stores = std::vector<DaemonId>;
+using StoreSet = std::vector<DaemonId>;
 
-std::string zone(const Metadata& metadata, DaemonId id) {
+std::string zone_of(const Metadata& metadata, DaemonId id) {
   auto* daemon = metadata.find(id);
   return daemon ? daemon->self.zone : "";
 }
 
-bool contains(const Stores& set, DaemonId id) {
+bool contains(const StoreSet& set, DaemonId id) {
   return std::find(set.begin(), set.end(), id) != set.end();
 }
 
-/// How many copies each store keeps.
-std::map<DaemonId, int> copies_kept(const Metadata& metadata) {
-  std::map<DaemonId, int> kept;
+/// How many partitions each store keeps; all stores that are up are there, also without any.
+LoadByDaemon partitions_per_store(const Metadata& metadata) {
+  LoadByDaemon load;
   for (auto& [id, daemon] : metadata.directory)
     if (daemon.self.role == Role::store && daemon.state == DaemonState::up)
-      kept[id] = 0;
+      load[id] = 0;
   for (auto& partition : metadata.partitions)
     for (auto id : partition.stores)
-      ++kept[id];
-  return kept;
+      ++load[id];
+  return load;
 }
 
-/// How many of a set, `except` left out, are in this zone.
-int in_zone(const Metadata& metadata, const Stores& set, const std::string& z, DaemonId except) {
-  return static_cast<int>(
-      std::count_if(set.begin(), set.end(), [&](auto id) { return id != except && zone(metadata, id) == z; }));
+/// How many stores of a set, `except` left out, are in this zone.
+int count_in_zone(const Metadata& metadata, const StoreSet& set, const std::string& zone, DaemonId except) {
+  return static_cast<int>(std::count_if(set.begin(), set.end(),
+                                        [&](DaemonId id) { return id != except && zone_of(metadata, id) == zone; }));
 }
 
-/// The store that should take the place of `leaver` in a set: where zones are spread best, then the least loaded.
-std::optional<DaemonId> substitute(const Metadata& metadata, const Stores& set, DaemonId leaver,
-                                   const std::map<DaemonId, int>& kept) {
-  std::optional<DaemonId> best;
-  auto key = [&](DaemonId id) {
-    return std::make_pair(in_zone(metadata, set, zone(metadata, id), leaver), kept.at(id));
+/// The store that should replace `leaving` in a set: from the zone with the fewest stores of the set, then the least
+/// loaded one.
+std::optional<DaemonId> find_substitute(const Metadata& metadata, const StoreSet& set, DaemonId leaving,
+                                        const LoadByDaemon& load) {
+  auto cost = [&](DaemonId id) {
+    return std::make_pair(count_in_zone(metadata, set, zone_of(metadata, id), leaving), load.at(id));
   };
-  for (auto& [id, copies] : kept) {
-    if (id == leaver || !alive(metadata, id) || contains(set, id))
+  std::optional<DaemonId> best;
+  for (auto& [id, count] : load) {
+    if (id == leaving || !alive(metadata, id) || contains(set, id))
       continue;
-    if (!best || key(id) < key(*best))
+    if (!best || cost(id) < cost(*best))
       best = id;
   }
   return best;
 }
 
-/// The member of a set whose place a joining store should take: the one whose leaving spreads zones best, then the
-/// most loaded; nobody if it would put more copies into one zone than before.
-DaemonId* most_replaceable(const Metadata& metadata, Stores& set, const Daemon& joining,
-                           const std::map<DaemonId, int>& kept) {
-  auto crowd = [&](DaemonId id) {
-    return in_zone(metadata, set, zone(metadata, id), id);
+/// The store of a set that a joining one should replace: the one whose leaving spreads zones best, then the most loaded
+/// one. Null if the change would put more stores into one zone than before.
+DaemonId* find_most_replaceable(const Metadata& metadata, StoreSet& set, const Daemon& joining,
+                                const LoadByDaemon& load) {
+  auto others_in_zone = [&](DaemonId id) {
+    return count_in_zone(metadata, set, zone_of(metadata, id), id);
   };
-  auto crowd_after = [&](DaemonId id) {
-    return in_zone(metadata, set, joining.self.zone, id);
+  auto others_in_joining_zone = [&](DaemonId id) {
+    return count_in_zone(metadata, set, joining.self.zone, id);
   };
-  auto key = [&](DaemonId id) {
-    return std::make_pair(crowd(id) - crowd_after(id), kept.at(id));
+  auto gain = [&](DaemonId id) {
+    return std::make_pair(others_in_zone(id) - others_in_joining_zone(id), load.at(id));
   };
-  auto best = std::max_element(set.begin(), set.end(), [&](auto a, auto b) { return key(a) < key(b); });
-  return crowd_after(*best) > crowd(*best) ? nullptr : &*best;
+  auto best =
+      std::max_element(set.begin(), set.end(), [&](DaemonId left, DaemonId right) { return gain(left) < gain(right); });
+  return others_in_joining_zone(*best) > others_in_zone(*best) ? nullptr : &*best;
 }
 
-/// Puts other stores into the places of all that are lost, and fills the set up; whether `must` lost its place.
-bool refill(const Metadata& metadata, Stores& set, DaemonId must, std::map<DaemonId, int>& kept) {
-  bool replaced = false;
+/// Replaces all lost stores of a set as far as there are others, and fills the set up to the replication factor.
+/// Returns whether `required` was among the replaced ones.
+bool replace_lost_stores(const Metadata& metadata, StoreSet& set, DaemonId required, LoadByDaemon& load) {
+  bool replaced_required = false;
   for (auto& id : set) {
     if (!lost(metadata, id))
       continue;
-    auto fresh = substitute(metadata, set, id, kept);
-    if (!fresh)
+    auto substitute = find_substitute(metadata, set, id, load);
+    if (!substitute)
       continue;
-    replaced = replaced || id == must;
-    ++kept[*fresh];
-    id = *fresh;
+    replaced_required = replaced_required || id == required;
+    ++load[*substitute];
+    id = *substitute;
   }
   while (set.size() < metadata.replication_factor()) {
-    auto fresh = substitute(metadata, set, DaemonId{}, kept);
-    if (!fresh)
+    auto substitute = find_substitute(metadata, set, DaemonId{}, load);
+    if (!substitute)
       break;
-    ++kept[*fresh];
-    set.push_back(*fresh);
+    ++load[*substitute];
+    set.push_back(*substitute);
   }
-  return replaced;
+  return replaced_required;
+}
+
+/// How many partitions a joining store should keep.
+int joining_share(const Metadata& metadata, const Daemon& joining, const LoadByDaemon& load) {
+  auto available = static_cast<size_t>(std::count_if(load.begin(), load.end(), [&](auto& entry) {
+    return entry.first == joining.id || alive(metadata, entry.first);
+  }));
+  auto replicas = std::min<size_t>(metadata.replication_factor(), available);
+  return static_cast<int>(metadata.partitions.size() * replicas / std::max<size_t>(available, 1));
+}
+
+/// Gives a joining store its place in a set: that of a lost store, a missing one, or, below its share, another store's.
+/// Returns whether it got one.
+bool insert_joining(const Metadata& metadata, StoreSet& set, const Daemon& joining, int share, LoadByDaemon& load) {
+  auto lost_store = std::find_if(set.begin(), set.end(), [&](DaemonId id) { return lost(metadata, id); });
+  if (lost_store != set.end()) {
+    *lost_store = joining.id;
+    return true;
+  }
+  if (set.size() < metadata.replication_factor()) {
+    set.push_back(joining.id);
+    return true;
+  }
+  if (load[joining.id] >= share)
+    return false;
+  auto* leaving = find_most_replaceable(metadata, set, joining, load);
+  if (!leaving)
+    return false;
+  --load[*leaving];
+  *leaving = joining.id;
+  return true;
+}
+
+Errors too_few_stores(const Metadata& metadata, uint32_t partition, size_t remaining) {
+  auto message = "retiring this store would leave " + std::to_string(remaining) + " of " +
+                 std::to_string(metadata.replication_factor()) + " copies and no other store can take its place";
+  return {{"slot " + std::to_string(partition), message, ErrorCode::rejected}};
 }
 
 }  // namespace
 
 std::vector<PartitionMove> plan_store_join(const Metadata& metadata, const Daemon& joining) {
   std::vector<PartitionMove> moves;
-  auto kept = copies_kept(metadata);
-  kept[joining.id];
-  auto live = std::count_if(kept.begin(), kept.end(),
-                            [&](auto& entry) { return entry.first == joining.id || alive(metadata, entry.first); });
-  auto copies = std::min<size_t>(metadata.replication_factor(), static_cast<size_t>(live));
-  auto share = static_cast<int>(metadata.partitions.size() * copies / std::max<size_t>(static_cast<size_t>(live), 1));
+  auto load = partitions_per_store(metadata);
+  load.try_emplace(joining.id, 0);
+  auto share = joining_share(metadata, joining, load);
   for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
     auto& partition = metadata.partitions[i];
     if (metadata.locks.count(PartitionId{i}) || contains(partition.stores, joining.id))
       continue;
     auto set = partition.stores;
-    auto dead = std::find_if(set.begin(), set.end(), [&](auto id) { return lost(metadata, id); });
-    if (dead != set.end()) {
-      *dead = joining.id;
-    } else if (set.size() < metadata.replication_factor()) {
-      set.push_back(joining.id);
-    } else if (kept[joining.id] < share) {
-      auto* leaver = most_replaceable(metadata, set, joining, kept);
-      if (!leaver)
-        continue;
-      --kept[*leaver];
-      *leaver = joining.id;
-    } else {
+    if (!insert_joining(metadata, set, joining, share, load))
       continue;
-    }
-    ++kept[joining.id];
+    ++load[joining.id];
     moves.push_back({PartitionId{i}, partition.owner, set});
   }
   return moves;
@@ -130,19 +153,17 @@
 
 Result<std::vector<PartitionMove>> plan_store_drain(const Metadata& metadata, const Daemon& leaving) {
   std::vector<PartitionMove> moves;
-  auto kept = copies_kept(metadata);
+  auto load = partitions_per_store(metadata);
   for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
     auto& partition = metadata.partitions[i];
     if (!contains(partition.stores, leaving.id))
       continue;
     auto set = partition.stores;
-    auto fresh = substitute(metadata, set, leaving.id, kept);
-    if (!fresh)
-      return Errors{{"slot " + std::to_string(i), "retiring this store would leave " + std::to_string(set.size() - 1) +
-                                                      " of " + std::to_string(metadata.replication_factor()) +
-                                                      " copies and no other store can take its place"}};
-    std::replace(set.begin(), set.end(), leaving.id, *fresh);
-    ++kept[*fresh];
+    auto substitute = find_substitute(metadata, set, leaving.id, load);
+    if (!substitute)
+      return too_few_stores(metadata, i, set.size() - 1);
+    std::replace(set.begin(), set.end(), leaving.id, *substitute);
+    ++load[*substitute];
     moves.push_back({PartitionId{i}, partition.owner, set});
   }
   return moves;
@@ -150,13 +171,13 @@
 
 std::vector<PartitionMove> plan_repair(const Metadata& metadata, const Daemon& lost_store) {
   std::vector<PartitionMove> moves;
-  auto kept = copies_kept(metadata);
+  auto load = partitions_per_store(metadata);
   for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
     auto& partition = metadata.partitions[i];
     if (metadata.locks.count(PartitionId{i}) || !contains(partition.stores, lost_store.id))
       continue;
     auto set = partition.stores;
-    if (refill(metadata, set, lost_store.id, kept))
+    if (replace_lost_stores(metadata, set, lost_store.id, load))
       moves.push_back({PartitionId{i}, partition.owner, set});
   }
   return moves;
--- a/src/metadata/transformation.hpp
+++ b/src/metadata/transformation.hpp
@@ -1,162 +1,182 @@
 #pragma once
-// Pure transformations: the only way from one metadata value to the next.
+// The changes that the metadata log can hold. Each is a pure function from one metadata value to the next; nothing else
+// makes a new value. The order of a struct's fields and of the variant's alternatives is the format on disk and on the
+// wire.
+#include "metadata/core_membership.hpp"
 #include "metadata/metadata.hpp"
+#include "metadata/placement.hpp"
 
 namespace mosskeel {
 
-/// `max_core_size` lets further controllers be admitted up to that number (0: core_size); `replication_factor` is how
-/// many stores keep a history (0: the default).
+/// The first entry of each log. `max_core_size` is how many members the core may grow to (0: `core_size`),
+/// `replication_factor` how many stores keep each history (0: `kDefaultHistoryReplicas`).
 struct FoundCluster {
   BOOST_HANA_DEFINE_STRUCT(FoundCluster, (uint64_t, cluster), (uint32_t, core_size), (std::vector<Candidate>, members),
                            (uint32_t, max_core_size), (uint32_t, replication_factor));
   bool operator==(const FoundCluster&) const = default;
 };
+
+/// Puts a daemon into the directory. Rejected while another daemon at its address may still run.
 struct Register {
   BOOST_HANA_DEFINE_STRUCT(Register, (Candidate, self));
   bool operator==(const Register&) const = default;
 };
+
+/// Adds a registered controller that is up to the core, as long as the core has fewer live members than it may have.
 struct AddCoreMember {
   BOOST_HANA_DEFINE_STRUCT(AddCoreMember, (DaemonId, node));
   bool operator==(const AddCoreMember&) const = default;
 };
+
+/// Swaps a member that is down for a spare controller in one step. Only operators use it: majorities of the core before
+/// and after need not meet where one more member is lost.
 struct ReplaceCoreMember {
   BOOST_HANA_DEFINE_STRUCT(ReplaceCoreMember, (DaemonId, removed), (DaemonId, added));
   bool operator==(const ReplaceCoreMember&) const = default;
 };
+
+/// A majority of the controllers misses the daemon's heartbeats. A front loses its partitions to other fronts at once.
 struct MarkDown {
   BOOST_HANA_DEFINE_STRUCT(MarkDown, (DaemonId, node));
   bool operator==(const MarkDown&) const = default;
 };
+
+/// The daemon is heard again. One without partitions joins anew.
 struct MarkUp {
   BOOST_HANA_DEFINE_STRUCT(MarkUp, (DaemonId, node));
   bool operator==(const MarkUp&) const = default;
 };
+
+/// Begins the sequence that gives a registered daemon its share of the partitions.
 struct PrepareJoin {
   BOOST_HANA_DEFINE_STRUCT(PrepareJoin, (DaemonId, node));
   bool operator==(const PrepareJoin&) const = default;
 };
+
+/// Begins the sequence that takes all partitions from a daemon that is to leave.
 struct PrepareDrain {
   BOOST_HANA_DEFINE_STRUCT(PrepareDrain, (DaemonId, node));
   bool operator==(const PrepareDrain&) const = default;
 };
-/// The next step of a node's sequence: StartJoin, MidJoin, FinishJoin and their drain kin.
+
+/// Enacts the next step of a node's sequence; `step` guards against a step that is enacted twice.
 struct AdvanceSequence {
   BOOST_HANA_DEFINE_STRUCT(AdvanceSequence, (DaemonId, node), (SequenceStep, step));
   bool operator==(const AdvanceSequence&) const = default;
 };
+
+/// Gives a node's sequence up: pending stores are dropped, its partitions unlocked.
 struct CancelSequence {
   BOOST_HANA_DEFINE_STRUCT(CancelSequence, (DaemonId, node), (std::string, reason));
   bool operator==(const CancelSequence&) const = default;
 };
-/// `revision` is the number that the operator gave; 0 stands for the next one.
+
+/// Compare-and-set of the configuration on revision `base`. `revision` is the number that the operator gave; 0 stands
+/// for the next one.
 struct ApplyConfiguration {
   BOOST_HANA_DEFINE_STRUCT(ApplyConfiguration, (Revision, base), (Configuration, configuration), (Revision, revision));
   bool operator==(const ApplyConfiguration&) const = default;
 };
+
+/// Adds a replica of a cell's own or changes it.
 struct SetReplica {
   BOOST_HANA_DEFINE_STRUCT(SetReplica, (Replica, replica));
   bool operator==(const SetReplica&) const = default;
 };
+
+/// Removes a replica by its name.
 struct RemoveReplica {
   BOOST_HANA_DEFINE_STRUCT(RemoveReplica, (std::string, name));
   bool operator==(const RemoveReplica&) const = default;
 };
+
+/// Takes all work from a zone: its fronts lose their partitions, its replicas get no requests.
 struct EvacuateZone {
   BOOST_HANA_DEFINE_STRUCT(EvacuateZone, (std::string, zone));
   bool operator==(const EvacuateZone&) const = default;
 };
+
+/// Ends an evacuation; the zone's replicas begin with a slow start.
 struct RestoreZone {
   BOOST_HANA_DEFINE_STRUCT(RestoreZone, (std::string, zone));
   bool operator==(const RestoreZone&) const = default;
 };
-/// Moves one partition's lease to another front at once: `move routes`.
+
+/// Moves one partition to another front at once (operators' `move slot`).
 struct MovePartition {
   BOOST_HANA_DEFINE_STRUCT(MovePartition, (PartitionId, partition), (DaemonId, owner));
   bool operator==(const MovePartition&) const = default;
 };
 
-/// Moves all of one front's leases to another.
+/// Moves all of one front's partitions to another front at once (operators' `move routes`).
 struct MoveAllPartitions {
   BOOST_HANA_DEFINE_STRUCT(MoveAllPartitions, (DaemonId, from), (DaemonId, to));
   bool operator==(const MoveAllPartitions&) const = default;
 };
 
-/// Founds the core anew from its survivors: the lost members never vote again, the cluster's id changes.
+/// Founds the core anew from its survivors and `fresh` controllers: the lost members never vote again, the cluster's id
+/// changes. `generation` guards against a second re-founding of the same loss.
 struct RefoundCluster {
   BOOST_HANA_DEFINE_STRUCT(RefoundCluster, (uint64_t, generation), (std::vector<DaemonId>, lost),
                            (std::vector<Candidate>, fresh));
   bool operator==(const RefoundCluster&) const = default;
 };
 
-/// Everybody in the directory is to count in touch and acknowledgements; until `FinishQuorumChange` both sets do.
+/// Begins to make everybody in the directory a quorum member. Until `FinishQuorumChange` majorities of the old and of
+/// the new set must acknowledge (joint consensus).
 struct BeginQuorumChange {
   bool operator==(const BeginQuorumChange&) const = default;
 };
-/// A majority of the old and of the new set know of the recount of that epoch: the old set counts no more.
+
+/// Majorities of both sets know of the quorum change of epoch `since`: the old set counts no more.
 struct FinishQuorumChange {
   BOOST_HANA_DEFINE_STRUCT(FinishQuorumChange, (Epoch, since));
   bool operator==(const FinishQuorumChange&) const = default;
 };
 
-/// What a list of replicas says that the log does not have yet, in one epoch; names in `removed` are dropped.
+/// What a replica list says beyond the log, in one epoch: replicas to add or change, and names to remove.
 struct UpdateReplicas {
   BOOST_HANA_DEFINE_STRUCT(UpdateReplicas, (std::vector<Replica>, updated), (std::vector<std::string>, removed));
   bool operator==(const UpdateReplicas&) const = default;
 };
+
 /// Takes a member that is down out of a core that keeps a majority without it.
 struct RemoveCoreMember {
   BOOST_HANA_DEFINE_STRUCT(RemoveCoreMember, (DaemonId, node));
   bool operator==(const RemoveCoreMember&) const = default;
 };
 
-/// Gives the unlocked places of a store that is down to other stores; it stays down, and may come back empty-handed.
+/// Begins the sequence that gives the unlocked partitions of a store that is down to other stores. The store stays down
+/// and may come back without partitions.
 struct PrepareRepair {
   BOOST_HANA_DEFINE_STRUCT(PrepareRepair, (DaemonId, node));
   bool operator==(const PrepareRepair&) const = default;
 };
-/// A store that is down and holds no places has left for good.
+
+/// A store that is down and holds no partitions has left for good.
 struct ForgetStore {
   BOOST_HANA_DEFINE_STRUCT(ForgetStore, (DaemonId, node));
   bool operator==(const ForgetStore&) const = default;
 };
 
-/// Append only: the index is what the log keeps.
+/// Append only: the index of an alternative is its number on disk and on the wire.
 using Transformation =
     std::variant<std::monostate, FoundCluster, Register, AddCoreMember, ReplaceCoreMember, MarkDown, MarkUp,
                  PrepareJoin, PrepareDrain, AdvanceSequence, CancelSequence, ApplyConfiguration, SetReplica,
                  RemoveReplica, EvacuateZone, RestoreZone, MovePartition, MoveAllPartitions, RefoundCluster,
                  BeginQuorumChange, FinishQuorumChange, UpdateReplicas, RemoveCoreMember, PrepareRepair, ForgetStore>;
 
+/// One entry of the metadata log. `commit_id` is unique to the commit that proposed it; empty where nobody retries it.
 struct Entry {
   BOOST_HANA_DEFINE_STRUCT(Entry, (Epoch, epoch), (std::string, commit_id), (Transformation, change));
   bool operator==(const Entry&) const = default;
 };
 
-/// The next value, or why there is none. Same input, same bytes out.
-Result<Metadata> apply(const Metadata& m, const Entry& e);
-
-/// Everybody in the directory that has not left nor lost its address to another, as a recount would have it.
-std::vector<DaemonId> eligible_quorum_members(const Metadata& m);
-
-/// A configuration's findings, each with its place.
-Errors validate(const Configuration& m);
-
-/// One line on what a transformation does, for logs and `explain`.
-std::string describe(const Transformation& t);
-
-namespace placement {
-/// Gives a joining node its share; empty findings where there is nothing to refuse.
-std::vector<PartitionMove> plan_join(const Metadata& m, const Daemon& d);
-Result<std::vector<PartitionMove>> plan_drain(const Metadata& m, const Daemon& d);
-/// The stores' part of the two above.
-std::vector<PartitionMove> plan_store_join(const Metadata& m, const Daemon& joining);
-Result<std::vector<PartitionMove>> plan_store_drain(const Metadata& m, const Daemon& leaving);
-/// New sets for the unlocked partitions of a store that is down, without it and without any other store that is down;
-/// a partition for which no other store could take a place is left out.
-std::vector<PartitionMove> plan_repair(const Metadata& m, const Daemon& lost);
-/// Fronts that may own partitions now, busiest last.
-DaemonId least_loaded_front(const Metadata& m, const std::map<DaemonId, int>& load, DaemonId except);
-std::map<DaemonId, int> partitions_per_front(const Metadata& m);
-}  // namespace placement
+/// The value that the entry makes of this one, or why the entry is rejected. Deterministic: the same input gives the
+/// same bytes on every daemon.
+Result<Metadata> apply(const Metadata& metadata, const Entry& entry);
+
+/// One line on what a transformation does, for logs and operators.
+std::string describe(const Transformation& transformation);
 
 }  // namespace mosskeel
--- a/src/metadata/transformation_steps.hpp
+++ b/src/metadata/transformation_steps.hpp
@@ -1,28 +1,70 @@
 #pragma once
-// What the transformations share; only src/metadata includes this.
+// One function for each transformation, and what several of them share. Only src/metadata includes this.
+//
+// `transform` gets a copy of the value whose epoch is already that of the entry, and returns it changed, or errors.
 #include "metadata/transformation.hpp"
 
-namespace mosskeel::steps {
+namespace mosskeel::transformations {
 
-using R = Result<Metadata>;
+Result<Metadata> transform(Metadata metadata, const std::monostate& change);
+// Core and quorum: core_transformations.cpp
+Result<Metadata> transform(Metadata metadata, const FoundCluster& change);
+Result<Metadata> transform(Metadata metadata, const RefoundCluster& change);
+Result<Metadata> transform(Metadata metadata, const AddCoreMember& change);
+Result<Metadata> transform(Metadata metadata, const ReplaceCoreMember& change);
+Result<Metadata> transform(Metadata metadata, const RemoveCoreMember& change);
+Result<Metadata> transform(Metadata metadata, const BeginQuorumChange& change);
+Result<Metadata> transform(Metadata metadata, const FinishQuorumChange& change);
+// Daemons of the directory: daemon_transformations.cpp
+Result<Metadata> transform(Metadata metadata, const Register& change);
+Result<Metadata> transform(Metadata metadata, const MarkDown& change);
+Result<Metadata> transform(Metadata metadata, const MarkUp& change);
+Result<Metadata> transform(Metadata metadata, const ForgetStore& change);
+// Sequences: sequence_transformations.cpp
+Result<Metadata> transform(Metadata metadata, const PrepareJoin& change);
+Result<Metadata> transform(Metadata metadata, const PrepareDrain& change);
+Result<Metadata> transform(Metadata metadata, const PrepareRepair& change);
+Result<Metadata> transform(Metadata metadata, const AdvanceSequence& change);
+Result<Metadata> transform(Metadata metadata, const CancelSequence& change);
+// Owners of partitions: partition_transformations.cpp
+Result<Metadata> transform(Metadata metadata, const MovePartition& change);
+Result<Metadata> transform(Metadata metadata, const MoveAllPartitions& change);
+// Configuration, replicas, zones: configuration_transformations.cpp
+Result<Metadata> transform(Metadata metadata, const ApplyConfiguration& change);
+Result<Metadata> transform(Metadata metadata, const SetReplica& change);
+Result<Metadata> transform(Metadata metadata, const RemoveReplica& change);
+Result<Metadata> transform(Metadata metadata, const UpdateReplicas& change);
+Result<Metadata> transform(Metadata metadata, const EvacuateZone& change);
+Result<Metadata> transform(Metadata metadata, const RestoreZone& change);
 
-inline Errors no(std::string place, std::string reason) {
-  return {{std::move(place), std::move(reason)}};
+/// The errors of a transformation that the present value does not allow.
+inline Errors reject(std::string location, std::string message) {
+  return {{std::move(location), std::move(message), ErrorCode::rejected}};
 }
-inline std::string who(DaemonId id) {
+
+/// A daemon, as errors and log texts call it.
+inline std::string to_text(DaemonId id) {
   return "daemon " + std::to_string(id.value());
 }
 
-R go(Metadata m, const FoundCluster& f);
-R go(Metadata m, const AddCoreMember& a);
-R go(Metadata m, const ReplaceCoreMember& r);
-R go(Metadata m, const RefoundCluster& t);
-R go(Metadata m, const ApplyConfiguration& t);
-R go(Metadata m, const SetReplica& t);
-R go(Metadata m, const RemoveReplica& t);
-R go(Metadata m, const BeginQuorumChange& t);
-R go(Metadata m, const FinishQuorumChange& t);
-R go(Metadata m, const UpdateReplicas& t);
-R go(Metadata m, const RemoveCoreMember& t);
-
-}  // namespace mosskeel::steps
+/// A partition, as errors, log texts and the operators' language call it.
+inline std::string to_text(PartitionId id) {
+  return "slot " + std::to_string(id.value());
+}
+
+/// Changes the state of a daemon of the directory.
+void set_state(Metadata& metadata, Daemon& daemon, DaemonState state);
+
+/// Gives a partition another owner; the new term fences the old one.
+void set_owner(const Metadata& metadata, Partition& partition, DaemonId owner);
+
+/// Gives all partitions of one owner to another.
+void transfer_ownership(Metadata& metadata, DaemonId from, DaemonId to);
+
+/// Spreads the partitions of a front over the others; with none left they have no owner.
+void scatter_ownership(Metadata& metadata, DaemonId front);
+
+/// Ends a node's sequence, if it has one, and unlocks its partitions.
+void end_sequence(Metadata& metadata, DaemonId node);
+
+}  // namespace mosskeel::transformations
