--- a/src/replication/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -1,55 +1,67 @@
 #include "replication/agent_machine.hpp"
+
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
 
 namespace mosskeel {
 
 AgentMachine::AgentMachine(const Identity& id, Millis now) : out_(id), follower_(out_, metadata_log_, now) {
-  follower_.on_entry = [this](const Entry& e) {
-    out_.send(out_.id().self.agent_address, Decided{e});
+  follower_.on_entry = [this](const Entry& entry) {
+    out_.send(out_.id().self.agent_address, Decided{entry});
   };
 }
 
-Actions AgentMachine::step(const Envelope& e, Millis now) {
-  if (follower_.is_foreign(e)) {
-    out_.note(Event::foreign, "from " + e.from);
+Actions AgentMachine::step(const Envelope& envelope, Millis now) {
+  if (follower_.is_foreign(envelope)) {
+    out_.note(Event::foreign, "from " + envelope.from);
     return out_.take();
   }
-  auto before = metadata_log_.epoch();
-  if (auto* h = std::get_if<Heartbeat>(&e.body); h && e.from == out_.id().self.agent_address) {
-    gateway_replaced_ = gateway_replaced_ || (leaving_ && mine_ && mine_->self.incarnation != h->self.incarnation);
-    mine_ = *h;
-    heard_ = now;
-  }
-  follower_.handle(e, now);
-  if (metadata_log_.epoch() != before) {
-    auto v = tick(now);
-    for (auto& s : v.now)
-      out_.act.now.push_back(std::move(s));
-    for (auto& n : v.notes)
-      out_.act.notes.push_back(std::move(n));
-  }
+  auto epoch_before = metadata_log_.epoch();
+  // In an agent's identity, `agent_address` is that of its gateway.
+  auto* heartbeat = std::get_if<Heartbeat>(&envelope.body);
+  if (heartbeat && envelope.from == out_.id().self.agent_address)
+    take_gateway_heartbeat(*heartbeat, now);
+  follower_.handle(envelope, now);
+  if (metadata_log_.epoch() != epoch_before)
+    follow(now);
   return out_.take();
 }
 
+void AgentMachine::take_gateway_heartbeat(const Heartbeat& heartbeat, Millis now) {
+  bool is_another = gateway_heartbeat_ && gateway_heartbeat_->self.incarnation != heartbeat.self.incarnation;
+  if (leaving_ && is_another)
+    gateway_replaced_ = true;
+  gateway_heartbeat_ = heartbeat;
+  gateway_heard_at_ = now;
+}
+
 Actions AgentMachine::tick(Millis now) {
-  if (leaving_ && (gateway_replaced_ || now - heard_ > kAgentShutdownDelay))
+  if (leaving_ && (gateway_replaced_ || now - gateway_heard_at_ > kAgentShutdownDelay))
     out_.act.stop = true;
-  bool fresh = mine_ && now - heard_ < kHeartbeatInterval * 3;
-  follower_.tick(now, fresh ? &*mine_ : nullptr);
-  auto& m = *metadata_log_.view();
-  auto* d = mine_ ? m.find(mine_->self.incarnation) : nullptr;
-  if (fresh && mine_->leaving && d && now >= next_leave_ &&
-      (d->state == DaemonState::up || d->state == DaemonState::registered)) {
-    next_leave_ = now + kCommitAttemptTimeout / 4;
-    for (auto id : m.members)
-      if (auto* c = m.find(id); c->state != DaemonState::down) {
-        out_.send(c->self.address,
-                  Commit{"leave-" + hex(d->self.incarnation.value()), PrepareDrain{d->id}, metadata_log_.epoch()});
-        break;
-      }
-  }
+  follow(now);
   return out_.take();
 }
 
+void AgentMachine::follow(Millis now) {
+  bool is_recent = gateway_heartbeat_ && now - gateway_heard_at_ < kHeartbeatInterval * 3;
+  follower_.tick(now, is_recent ? &*gateway_heartbeat_ : nullptr);
+  if (!is_recent || !gateway_heartbeat_->leaving || now < next_drain_request_at_)
+    return;
+  auto* gateway = metadata_log_.view()->find(gateway_heartbeat_->self.incarnation);
+  if (gateway && (gateway->state == DaemonState::up || gateway->state == DaemonState::registered))
+    request_drain(*gateway, now);
+}
+
+void AgentMachine::request_drain(const Daemon& gateway, Millis now) {
+  next_drain_request_at_ = now + kCommitAttemptTimeout / 4;
+  auto& metadata = *metadata_log_.view();
+  auto commit_id = "leave-" + hex(gateway.self.incarnation.value());
+  for (auto id : metadata.members) {
+    auto* member = metadata.find(id);
+    if (member->state == DaemonState::down)
+      continue;
+    return out_.send(member->self.address, Commit{commit_id, PrepareDrain{gateway.id}, metadata_log_.epoch(), {}});
+  }
+}
+
 }  // namespace mosskeel
--- a/src/replication/agent_machine.hpp
+++ b/src/replication/agent_machine.hpp
@@ -1,26 +1,37 @@
 #pragma once
-// The agent beside a gateway: its link to the core, its feed, its voice.
+// The agent beside a gateway: its link to the core.
 #include "replication/follower.hpp"
 
 namespace mosskeel {
 
+/// Follows the metadata log and passes each entry on to its gateway; speaks for the gateway with the heartbeats that
+/// this sends it. Nothing is on disk.
 class AgentMachine : public Machine {
  public:
   AgentMachine(const Identity& id, Millis now);
-  Actions step(const Envelope& e, Millis now) override;
+  Actions step(const Envelope& envelope, Millis now) override;
   Actions tick(Millis now) override;
   View view() const override { return metadata_log_.view(); }
-  /// Stops once the gateway beside it has been silent for a while: it goes first and needs its link until then.
+  /// Stops once the gateway beside it has been silent for `kAgentShutdownDelay`, or was replaced by a newer one: the
+  /// gateway goes first and needs its link until then.
   void leave() { leaving_ = true; }
 
  private:
+  void take_gateway_heartbeat(const Heartbeat& heartbeat, Millis now);
+  void follow(Millis now);
+  /// Asks the core to drain a gateway that leaves.
+  void request_drain(const Daemon& gateway, Millis now);
+
   Outbox out_;
   MetadataLog metadata_log_;
   Follower follower_;
-  std::optional<Heartbeat> mine_;
-  Millis heard_ = 0, next_leave_ = 0;
-  /// Told to leave; and since then a newer gateway has taken the place of the one that this agent waits for.
-  bool leaving_ = false, gateway_replaced_ = false;
+  /// The last heartbeat of the gateway, and when it came.
+  std::optional<Heartbeat> gateway_heartbeat_;
+  Millis gateway_heard_at_ = 0;
+  Millis next_drain_request_at_ = 0;
+  bool leaving_ = false;
+  /// Since `leaving_`, a newer gateway has taken the place of the one that this agent waits for.
+  bool gateway_replaced_ = false;
 };
 
 }  // namespace mosskeel
--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -1,238 +1,186 @@
 #include "replication/follower.hpp"
-#include "replication/constants.hpp"
-#include "runtime/constants.hpp"
 
 #include <algorithm>
 
+#include "replication/constants.hpp"
+
 namespace mosskeel {
-namespace {
 
-const Address& ear(const Daemon& d) {
-  return d.self.agent_address.empty() ? d.self.address : d.self.agent_address;
+bool Follower::is_foreign(const Envelope& envelope) const {
+  if (envelope.to_inc.value() && envelope.to_inc != out_.id().self.incarnation)
+    return true;
+  return envelope.cluster && out_.cluster && envelope.cluster != out_.cluster &&
+         !is_successor_cluster(*metadata_log_.view(), envelope.cluster);
 }
 
-}  // namespace
-
-/// The time by which a majority of these daemons, ourselves left out, had been heard.
-Millis Follower::majority_time(const Metadata& m, const std::vector<DaemonId>& v, const Voices& heard,
-                               const Candidate& but) {
-  std::vector<Millis> t;
-  for (auto id : v) {
-    auto* d = m.find(id);
-    if (!d || d->self.incarnation == but.incarnation || ear(*d) == but.address)
-      continue;
-    auto i = heard.find(ear(*d));
-    bool same = i != heard.end() && (d->self.role == Role::front || i->second.incarnation == d->self.incarnation);
-    t.push_back(same ? i->second.sent : INT64_MIN / 2);
+void Follower::apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot) {
+  if (snapshot && metadata_log_.install_snapshot(*snapshot)) {
+    out_.note(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
+    if (on_snapshot)
+      on_snapshot(*snapshot);
   }
-  if (t.empty())
-    return INT64_MIN / 2;
-  std::sort(t.rbegin(), t.rend());
-  return t[majority_of(t.size()) - 1];
+  for (auto& entry : entries)
+    for (auto& applied : metadata_log_.add(entry))
+      if (on_entry)
+        on_entry(applied);
+  out_.cluster = metadata_log_.view()->cluster;
+  out_.epoch = metadata_log_.epoch();
+  acknowledgements_.on_log_advanced();
 }
 
-void Follower::tell(const Address& to, Message m) {
-  if (durable_)
-    out_.send_synced(to, std::move(m));
+void Follower::request_catchup(const Address& from, Millis now) {
+  if (catchup_limiter_.may_request(metadata_log_.epoch(), now))
+    out_.send(from, Catchup{metadata_log_.epoch()});
+}
+
+void Follower::send_report(const Address& to, Message message) {
+  if (is_durable_)
+    out_.send_synced(to, std::move(message));
   else
-    out_.send(to, std::move(m));
+    out_.send(to, std::move(message));
 }
 
-bool Follower::is_foreign(const Envelope& e) const {
-  if (e.to_inc.value() && e.to_inc != out_.id().self.incarnation)
+bool Follower::handle(const Envelope& envelope, Millis now) {
+  auto update = [&](auto& reply) {
+    apply_updates(reply.entries, reply.checkpoint);
     return true;
-  return e.cluster && out_.cluster && e.cluster != out_.cluster &&
-         !is_successor_cluster(*metadata_log_.view(), e.cluster);
+  };
+  return std::visit(overload{
+                        [&](const Discover&) { return handle_discover(envelope); },
+                        [&](const DiscoverReply& reply) { return handle_discover_reply(envelope, reply); },
+                        [&](const Decided& decided) { return handle_decided(envelope, decided, now); },
+                        [&](const Catchup& request) { return handle_catchup(envelope, request); },
+                        [&](const CatchupReply& reply) { return update(reply); },
+                        [&](const CommitReply& reply) { return update(reply); },
+                        [&](const Heartbeat& heartbeat) { return handle_heartbeat(envelope, heartbeat, now); },
+                        [&](const HeartbeatReply& reply) { return handle_heartbeat_reply(envelope, reply, now); },
+                        // Everything else concerns the daemon itself.
+                        [&](const auto&) { return false; },
+                    },
+                    envelope.body);
 }
 
-void Follower::apply_updates(const Entries& v, const std::optional<Metadata>& c) {
-  if (c && metadata_log_.install_snapshot(*c)) {
-    out_.note(Event::caught_up, "checkpoint at " + std::to_string(c->epoch.value()));
-    if (on_snapshot)
-      on_snapshot(*c);
-  }
-  for (auto& e : v)
-    for (auto& x : metadata_log_.add(e))
-      if (on_entry)
-        on_entry(x);
-  out_.cluster = metadata_log_.view()->cluster;
-  out_.epoch = metadata_log_.epoch();
-  hear_early();
+bool Follower::handle_discover(const Envelope& envelope) {
+  auto& metadata = *metadata_log_.view();
+  DiscoverReply reply{out_.id().self, out_.cluster, metadata_log_.epoch(), {}, {}};
+  for (auto id : metadata.members)
+    reply.core.push_back(metadata.find(id)->self.address);
+  out_.send(envelope.from, reply);
+  return true;
+}
+
+bool Follower::handle_discover_reply(const Envelope& envelope, const DiscoverReply& reply) {
+  bool has_found_cluster = !out_.cluster && reply.cluster;
+  if (!has_found_cluster)
+    return true;
+  out_.send(envelope.from, Catchup{metadata_log_.epoch()});
+  for (auto& address : reply.core)
+    if (address != envelope.from)
+      out_.send(address, Catchup{metadata_log_.epoch()});
+  return true;
 }
 
-void Follower::hear(const Address& from, const Voice& v) {
-  if (auto& x = heard_[from]; x.sent < v.sent)
-    x = v;
-  if (!confirmed_ && metadata_log_.view()->cluster)
-    confirmed_ = majority_time(*metadata_log_.view(), metadata_log_.view()->members, heard_, out_.id().self) >= born_;
+bool Follower::handle_decided(const Envelope& envelope, const Decided& decided, Millis now) {
+  apply_updates({decided.entry}, std::nullopt);
+  if (metadata_log_.has_gap())
+    request_catchup(envelope.from, now);
+  return true;
 }
 
-void Follower::hear_early() {
-  for (auto i = early_.begin(); i != early_.end();) {
-    if (i->second.epoch > metadata_log_.epoch()) {
-      ++i;
-      continue;
-    }
-    hear(i->first, i->second.voice);
-    i = early_.erase(i);
-  }
+bool Follower::handle_catchup(const Envelope& envelope, const Catchup& request) {
+  auto updates = metadata_log_.updates_since(request.known);
+  if (updates.snapshot || !updates.entries.empty())
+    out_.send(envelope.from, CatchupReply{metadata_log_.epoch(), updates.snapshot, updates.entries});
+  return true;
 }
 
-bool Follower::handle(const Envelope& e, Millis now) {
-  return std::visit(overload{[&](const Discover&) {
-                               DiscoverReply r{out_.id().self, out_.cluster, metadata_log_.epoch(), {}, {}};
-                               for (auto id : metadata_log_.view()->members)
-                                 r.core.push_back(metadata_log_.view()->find(id)->self.address);
-                               out_.send(e.from, r);
-                               return true;
-                             },
-                             [&](const DiscoverReply& d) {
-                               if (out_.cluster || !d.cluster)
-                                 return true;
-                               out_.send(e.from, Catchup{metadata_log_.epoch()});
-                               for (auto& a : d.core)
-                                 if (a != e.from)
-                                   out_.send(a, Catchup{metadata_log_.epoch()});
-                               return true;
-                             },
-                             [&](const Decided& d) {
-                               apply_updates({d.entry}, std::nullopt);
-                               if (metadata_log_.has_gap() && pace_.may_request(metadata_log_.epoch(), now))
-                                 out_.send(e.from, Catchup{metadata_log_.epoch()});
-                               return true;
-                             },
-                             [&](const Catchup& c) {
-                               auto [m, v] = metadata_log_.updates_since(c.known);
-                               if (m || !v.empty())
-                                 out_.send(e.from, CatchupReply{metadata_log_.epoch(), m, v});
-                               return true;
-                             },
-                             [&](const CatchupReply& c) { return apply_updates(c.entries, c.checkpoint), true; },
-                             [&](const CommitReply& c) { return apply_updates(c.entries, c.checkpoint), true; },
-                             [&](const Heartbeat& h) {
-                               auto [c, v] = metadata_log_.small_updates_since(h.known);
-                               tell(e.from,
-                                    HeartbeatReply{metadata_log_.epoch(), c, v, now - last_majority_contact(now),
-                                                   reports_stable_epoch(), h.sent});
-                               if (h.known > metadata_log_.epoch() && pace_.may_request(metadata_log_.epoch(), now))
-                                 out_.send(e.from, Catchup{metadata_log_.epoch()});
-                               return true;
-                             },
-                             [&](const HeartbeatReply& h) {
-                               apply_updates(h.entries, h.checkpoint);
-                               if (h.epoch > metadata_log_.epoch() && pace_.may_request(metadata_log_.epoch(), now))
-                                 out_.send(e.from, Catchup{metadata_log_.epoch()});
-                               if (!h.confirmed)
-                                 return true;
-                               if (h.epoch <= metadata_log_.epoch())
-                                 hear(e.from, {h.sent, e.from_inc});
-                               else
-                                 // The first one stays: later ones, of ever later epochs, might never come true.
-                                 early_.try_emplace(e.from, EarlyVoice{{h.sent, e.from_inc}, h.epoch});
-                               return true;
-                             },
-                             [&](const auto&) {
-                               return false;
-                             }},
-                    e.body);
-}
-
-Millis Follower::last_majority_contact(Millis) const {
-  auto& m = *metadata_log_.view();
-  if (!m.cluster)
-    return INT64_MIN / 2;
-  auto at = [&](auto& v) {
-    return majority_time(m, v, heard_, out_.id().self);
-  };
-  auto fleet = at(m.quorum_members);
-  if (!m.incoming_quorum_members.empty())
-    fleet = std::min(fleet, at(m.incoming_quorum_members));
-  return std::max(at(m.members), fleet);
+bool Follower::handle_heartbeat(const Envelope& envelope, const Heartbeat& heartbeat, Millis now) {
+  auto updates = metadata_log_.small_updates_since(heartbeat.known);
+  auto since_contact = now - acknowledgements_.last_majority_contact();
+  send_report(envelope.from, HeartbeatReply{metadata_log_.epoch(), updates.snapshot, updates.entries, since_contact,
+                                            reports_stable_epoch(), heartbeat.sent});
+  if (heartbeat.known > metadata_log_.epoch())
+    request_catchup(envelope.from, now);
+  return true;
 }
 
-bool Follower::defer(const Envelope& e, Millis now) {
-  if (e.epoch <= metadata_log_.epoch() || !out_.cluster)
+bool Follower::handle_heartbeat_reply(const Envelope& envelope, const HeartbeatReply& reply, Millis now) {
+  apply_updates(reply.entries, reply.checkpoint);
+  if (reply.epoch > metadata_log_.epoch())
+    request_catchup(envelope.from, now);
+  if (reply.confirmed)
+    acknowledgements_.record(envelope.from, envelope.from_inc, reply.epoch, reply.sent);
+  return true;
+}
+
+bool Follower::defer(const Envelope& envelope, Millis now) {
+  if (envelope.epoch <= metadata_log_.epoch() || !out_.cluster)
     return false;
-  if (parked_.size() < kLogEntriesKept)
-    parked_.push_back(e);
-  if (pace_.may_request(metadata_log_.epoch(), now))
-    out_.send(e.from, Catchup{metadata_log_.epoch()});
+  if (deferred_.size() < kLogEntriesKept)
+    deferred_.push_back(envelope);
+  request_catchup(envelope.from, now);
   return true;
 }
 
 std::vector<Envelope> Follower::take_deferred() {
-  std::vector<Envelope> v;
-  std::erase_if(parked_, [&](auto& e) {
-    if (e.epoch > metadata_log_.epoch())
+  std::vector<Envelope> ready;
+  std::erase_if(deferred_, [&](auto& envelope) {
+    if (envelope.epoch > metadata_log_.epoch())
       return false;
-    v.push_back(e);
+    ready.push_back(envelope);
     return true;
   });
-  return v;
-}
-
-void Follower::discover(Millis now) {
-  next_discover_ = now + kDiscoveryInterval;
-  for (auto& a : out_.id().seeds)
-    if (a != out_.id().self.address)
-      out_.send(a, Discover{out_.id().self});
-}
-
-void Follower::enroll(Millis now, const Candidate& c) {
-  auto& m = *metadata_log_.view();
-  auto* d = m.find(c.incarnation);
-  auto state = d ? std::optional(d->state) : std::nullopt;
-  if (state && state != enrolled_ && (!enrolled_ || *state == DaemonState::left))
-    out_.note(*state == DaemonState::left ? Event::lost_identity : Event::registered,
-              c.address + " is daemon " + std::to_string(d->id.value()));
-  enrolled_ = state;
-  auto* before = m.find_at(c.address);
-  bool vacated = !d && before && before->state == DaemonState::down && before->since != vacated_;
-  if (vacated)
-    vacated_ = before->since, next_enroll_ = now;
-  if ((d && d->state != DaemonState::left) || now < next_enroll_ || m.members.empty())
-    return;
-  if (d)
-    return;
-  next_enroll_ = now + kCommitAttemptTimeout / 2;
-  for (size_t i = 0; i < m.members.size(); ++i) {
-    auto* x = m.find(m.members[turn_++ % m.members.size()]);
-    if (x->state == DaemonState::down)
-      continue;
-    return out_.send(x->self.address,
-                     Commit{"register-" + hex(c.incarnation.value()), Register{c}, metadata_log_.epoch()});
-  }
+  return ready;
 }
 
-void Follower::tick(Millis now, const Heartbeat* mine) {
-  auto& m = *metadata_log_.view();
-  if (now >= next_discover_ && (!m.cluster || now - last_majority_contact(now) > kIsolationTimeout))
-    discover(now);
-  if (!m.cluster)
+void Follower::tick(Millis now, const Heartbeat* own_heartbeat) {
+  auto& metadata = *metadata_log_.view();
+  bool is_isolated = !metadata.cluster || now - acknowledgements_.last_majority_contact() > kIsolationTimeout;
+  if (now >= next_discovery_at_ && is_isolated)
+    send_discovery(now);
+  if (!metadata.cluster)
     return;
-  if (mine)
-    enroll(now, mine->self);
-  if (now < next_beat_ && beaten_ == metadata_log_.epoch())
+  if (own_heartbeat)
+    registration_.tick(now, own_heartbeat->self);
+  if (now < next_heartbeat_at_ && last_heartbeat_epoch_ == metadata_log_.epoch())
     return;
-  next_beat_ = now + kHeartbeatInterval;
-  beaten_ = metadata_log_.epoch();
-  Heartbeat h{};
-  if (mine)
-    h = *mine;
+  Heartbeat heartbeat{};
+  if (own_heartbeat)
+    heartbeat = *own_heartbeat;
   else
-    h.self = out_.id().self;
-  h.known = metadata_log_.epoch();
-  h.sent = now;
-  for (auto id : m.members)
-    tell(m.find(id)->self.address, h);
-  auto core = std::max(born_, majority_time(m, m.members, heard_, out_.id().self));
-  if (now < next_peers_ || now - core < kCoreSilenceTimeout || !reports_stable_epoch())
+    heartbeat.self = out_.id().self;
+  send_heartbeats(heartbeat, now);
+}
+
+void Follower::send_discovery(Millis now) {
+  next_discovery_at_ = now + kDiscoveryInterval;
+  for (auto& seed : out_.id().seeds)
+    if (seed != out_.id().self.address)
+      out_.send(seed, Discover{out_.id().self});
+}
+
+void Follower::send_heartbeats(const Heartbeat& own_heartbeat, Millis now) {
+  auto& metadata = *metadata_log_.view();
+  next_heartbeat_at_ = now + kHeartbeatInterval;
+  last_heartbeat_epoch_ = metadata_log_.epoch();
+  auto heartbeat = own_heartbeat;
+  heartbeat.known = metadata_log_.epoch();
+  heartbeat.sent = now;
+  for (auto id : metadata.members)
+    send_report(metadata.find(id)->self.address, heartbeat);
+
+  // Without the core, the fleet's own majority keeps a daemon in service.
+  auto core_contact = std::max(started_at_, acknowledgements_.last_core_contact());
+  bool core_is_silent = now - core_contact >= kCoreSilenceTimeout;
+  if (now < next_fleet_heartbeat_at_ || !core_is_silent || !reports_stable_epoch())
     return;
-  next_peers_ = now + kHeartbeatInterval * 2;
-  for (auto& [id, d] : m.directory)
-    if (d.self.role != Role::controller && d.state != DaemonState::left && d.state != DaemonState::down &&
-        ear(d) != out_.id().self.address)
-      tell(ear(d), h);
+  next_fleet_heartbeat_at_ = now + kHeartbeatInterval * 2;
+  for (auto& [id, daemon] : metadata.directory) {
+    bool is_in_service = daemon.state != DaemonState::left && daemon.state != DaemonState::down;
+    bool is_self = heartbeat_address(daemon) == out_.id().self.address;
+    if (daemon.self.role != Role::controller && is_in_service && !is_self)
+      send_report(heartbeat_address(daemon), heartbeat);
+  }
 }
 
 }  // namespace mosskeel
--- a/src/replication/follower.hpp
+++ b/src/replication/follower.hpp
@@ -1,66 +1,75 @@
 #pragma once
-// How a daemon outside the core finds it, registers, keeps in touch and catches up.
-#include "replication/metadata_log.hpp"
+// How a daemon outside the core finds it, registers, keeps in contact and catches up.
+#include "replication/heartbeat_acknowledgements.hpp"
+#include "replication/registration.hpp"
 
 namespace mosskeel {
 
+/// The link of an agent, a gateway or a store to the core. It keeps the metadata log up to date and sends heartbeats;
+/// the daemon's state machine owns it, calls it from its own steps and passes on what it does not handle.
 class Follower {
  public:
-  Follower(Outbox& out, MetadataLog& metadata_log, Millis now) : out_(out), metadata_log_(metadata_log), born_(now) {}
+  /// Both references must outlive this.
+  Follower(Outbox& out, MetadataLog& metadata_log, Millis now)
+      : out_(out),
+        metadata_log_(metadata_log),
+        started_at_(now),
+        acknowledgements_(metadata_log, out.id().self, now),
+        registration_(out, metadata_log) {}
 
-  /// Handles what concerns following; false leaves the message to the caller.
-  bool handle(const Envelope& e, Millis now);
-  /// Speaks for this candidate, itself or the gateway beside it.
-  void tick(Millis now, const Heartbeat* mine);
-  /// Asks that everybody be told at once, because something they wait for is done.
-  void send_heartbeat_soon() { next_beat_ = 0; }
-  /// The latest time at which we are sure to have been in touch with a majority.
-  Millis last_majority_contact(Millis now) const;
-  /// True once a majority of the core has shown no later epoch than ours.
-  bool confirmed() const { return confirmed_; }
-  /// Whether what we say of our epoch outlives this process: on disk, or confirmed by the core since its start.
-  bool reports_stable_epoch() const { return durable_ ? out_.cluster != 0 : confirmed_; }
-  /// A daemon with a disk speaks of its epoch only once that is synced.
-  void report_durable_epochs_only() { durable_ = true; }
-  /// Parks a message stamped with an epoch we do not know yet; asks its sender for the entries, not too often.
-  bool defer(const Envelope& e, Millis now);
+  /// Handles messages of discovery, catch-up and heartbeats; false leaves the message to the caller.
+  bool handle(const Envelope& envelope, Millis now);
+  /// Sends what is due. `own_heartbeat` speaks for the daemon that is to be registered, this one or the gateway beside
+  /// it; null where there is none to speak for.
+  void tick(Millis now, const Heartbeat* own_heartbeat);
+  /// Makes the next tick send heartbeats, because something that others wait for is done.
+  void send_heartbeat_soon() { next_heartbeat_at_ = 0; }
+
+  /// Whether a message is meant for another incarnation or comes from another cluster.
+  bool is_foreign(const Envelope& envelope) const;
+  /// Keeps a message that is stamped with an epoch which the log does not have yet, and requests the entries from its
+  /// sender. False where there is nothing to wait for.
+  bool defer(const Envelope& envelope, Millis now);
+  /// The kept messages whose epochs the log has now.
   std::vector<Envelope> take_deferred();
-  bool is_foreign(const Envelope& e) const;
-  /// Entries and values newly taken, for those who keep copies.
+
+  /// Takes entries, and a snapshot where it is newer, into the log.
+  void apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot);
+  /// Called for each entry and snapshot that the log took.
   std::function<void(const Entry&)> on_entry;
   std::function<void(const Metadata&)> on_snapshot;
-  void apply_updates(const Entries& v, const std::optional<Metadata>& c);
+
+  /// A daemon that journals the log reports an epoch only once it is synced.
+  void report_durable_epochs_only() { is_durable_ = true; }
 
  private:
-  /// When a heartbeat was sent that somebody answered, and who it was.
-  struct Voice {
-    Millis sent = INT64_MIN / 2;
-    Incarnation incarnation{};
-  };
-  using Voices = std::map<Address, Voice>;
-  /// An answer that named an epoch which we did not have yet: it counts once we have it.
-  struct EarlyVoice {
-    Voice voice;
-    Epoch epoch;
-  };
-  void hear(const Address& from, const Voice& v);
-  void hear_early();
-  static Millis majority_time(const Metadata& m, const std::vector<DaemonId>& v, const Voices& heard,
-                              const Candidate& but);
-  void tell(const Address& to, Message m);
-  void discover(Millis now);
-  void enroll(Millis now, const Candidate& c);
+  bool handle_discover(const Envelope& envelope);
+  bool handle_discover_reply(const Envelope& envelope, const DiscoverReply& reply);
+  bool handle_decided(const Envelope& envelope, const Decided& decided, Millis now);
+  bool handle_catchup(const Envelope& envelope, const Catchup& request);
+  bool handle_heartbeat(const Envelope& envelope, const Heartbeat& heartbeat, Millis now);
+  bool handle_heartbeat_reply(const Envelope& envelope, const HeartbeatReply& reply, Millis now);
+
+  void send_discovery(Millis now);
+  void send_heartbeats(const Heartbeat& heartbeat, Millis now);
+  void request_catchup(const Address& from, Millis now);
+  void send_report(const Address& to, Message message);
+  /// Whether an epoch that we report outlives this process: on disk, or confirmed by the core since the start.
+  bool reports_stable_epoch() const { return is_durable_ ? out_.cluster != 0 : acknowledgements_.confirmed(); }
+
   Outbox& out_;
   MetadataLog& metadata_log_;
-  Millis born_, next_discover_ = 0, next_beat_ = 0, next_peers_ = 0, next_enroll_ = 0;
-  CatchupRateLimiter pace_;
-  Epoch beaten_{}, vacated_{};
-  size_t turn_ = 0;
-  bool confirmed_ = false, durable_ = false;
-  std::optional<DaemonState> enrolled_;
-  Voices heard_;
-  std::map<Address, EarlyVoice> early_;
-  std::vector<Envelope> parked_;
+  const Millis started_at_;
+  HeartbeatAcknowledgements acknowledgements_;
+  Registration registration_;
+  CatchupRateLimiter catchup_limiter_;
+  Millis next_discovery_at_ = 0;
+  Millis next_heartbeat_at_ = 0;
+  Millis next_fleet_heartbeat_at_ = 0;
+  /// The epoch of the last heartbeat; a new one is reported at once.
+  Epoch last_heartbeat_epoch_{};
+  bool is_durable_ = false;
+  std::vector<Envelope> deferred_;
 };
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/replication/heartbeat_acknowledgements.cpp
@@ -0,0 +1,70 @@
+#include "replication/heartbeat_acknowledgements.hpp"
+
+#include <algorithm>
+
+namespace mosskeel {
+
+const Address& heartbeat_address(const Daemon& daemon) {
+  return daemon.self.agent_address.empty() ? daemon.self.address : daemon.self.agent_address;
+}
+
+void HeartbeatAcknowledgements::record(const Address& from, Incarnation incarnation, Epoch epoch, Millis sent) {
+  Acknowledgement acknowledgement{sent, incarnation};
+  if (epoch <= metadata_log_.epoch())
+    return count(from, acknowledgement);
+  // The first one stays: later ones, of ever later epochs, might never be reached.
+  early_.try_emplace(from, EarlyAcknowledgement{acknowledgement, epoch});
+}
+
+void HeartbeatAcknowledgements::on_log_advanced() {
+  for (auto entry = early_.begin(); entry != early_.end();) {
+    if (entry->second.epoch > metadata_log_.epoch()) {
+      ++entry;
+      continue;
+    }
+    count(entry->first, entry->second.acknowledgement);
+    entry = early_.erase(entry);
+  }
+}
+
+void HeartbeatAcknowledgements::count(const Address& from, const Acknowledgement& acknowledgement) {
+  auto& last = acknowledgements_[from];
+  if (last.sent < acknowledgement.sent)
+    last = acknowledgement;
+  if (!confirmed_ && metadata_log_.view()->cluster)
+    confirmed_ = last_core_contact() >= started_at_;
+}
+
+Millis HeartbeatAcknowledgements::majority_time(const std::vector<DaemonId>& daemons) const {
+  std::vector<Millis> times;
+  for (auto id : daemons) {
+    auto* daemon = metadata_log_.view()->find(id);
+    if (!daemon || daemon->self.incarnation == self_.incarnation || heartbeat_address(*daemon) == self_.address)
+      continue;
+    auto entry = acknowledgements_.find(heartbeat_address(*daemon));
+    // A front's agent answers under an incarnation of its own.
+    bool is_from_it = entry != acknowledgements_.end() &&
+                      (daemon->self.role == Role::front || entry->second.incarnation == daemon->self.incarnation);
+    times.push_back(is_from_it ? entry->second.sent : kNeverAcknowledged);
+  }
+  if (times.empty())
+    return kNeverAcknowledged;
+  std::sort(times.rbegin(), times.rend());
+  return times[majority_of(times.size()) - 1];
+}
+
+Millis HeartbeatAcknowledgements::last_core_contact() const {
+  return majority_time(metadata_log_.view()->members);
+}
+
+Millis HeartbeatAcknowledgements::last_majority_contact() const {
+  auto& metadata = *metadata_log_.view();
+  if (!metadata.cluster)
+    return kNeverAcknowledged;
+  auto quorum_contact = majority_time(metadata.quorum_members);
+  if (!metadata.incoming_quorum_members.empty())
+    quorum_contact = std::min(quorum_contact, majority_time(metadata.incoming_quorum_members));
+  return std::max(last_core_contact(), quorum_contact);
+}
+
+}  // namespace mosskeel
--- /dev/null
+++ b/src/replication/registration.hpp
@@ -0,0 +1,30 @@
+#pragma once
+// How a daemon gets into the directory.
+#include "replication/metadata_log.hpp"
+
+namespace mosskeel {
+
+/// Asks one core member after the other to register a daemon until the directory has it, and logs when its own entry
+/// changes. Both references must outlive this.
+class Registration {
+ public:
+  Registration(Outbox& out, const MetadataLog& metadata_log) : out_(out), metadata_log_(metadata_log) {}
+
+  void tick(Millis now, const Candidate& self);
+
+ private:
+  void log_state_change(const Candidate& self, const Daemon* registered);
+  void send_request(const Candidate& self);
+
+  Outbox& out_;
+  const MetadataLog& metadata_log_;
+  Millis next_request_at_ = 0;
+  /// The daemon's state in the directory when it was last looked up.
+  std::optional<DaemonState> last_state_;
+  /// When the earlier daemon at the same address went down, for which a request was sent at once.
+  Epoch predecessor_down_since_{};
+  /// How many members were asked, so that each request goes to the next one.
+  size_t requests_ = 0;
+};
+
+}  // namespace mosskeel
