--- a/src/programs/constants.hpp
+++ b/src/programs/constants.hpp
@@ -18,25 +18,25 @@
 constexpr Millis kAgentHeartbeatInterval = 100;
 /// Weight of the newest interval in a queue's measured service interval.
 constexpr double kQueuePaceSmoothing = 0.05;
-/// Turns waiting for the one before them.
+/// Turns of a program that wait for the one before them.
 constexpr uint32_t kMaxQueuedTurnsPerThread = 8;
-/// Repeatable requests retried per first attempt.
+/// Retries earned by each success: so many more calls may reach the replicas than requests come.
 constexpr double kRetryBudgetPerSuccess = 0.1;
-/// Milliseconds; the owner must acknowledge a proxied request by then.
+/// Milliseconds; the owner must acknowledge a forwarded request by then.
 constexpr Millis kForwardAcknowledgementTimeout = 1000;
 /// Milliseconds; for a caller that names no deadline.
 constexpr Millis kDefaultRequestTimeout = 60000;
-/// Milliseconds; how long ids of settled attempts are remembered.
+/// Milliseconds; how long the ids of answered attempts are remembered.
 constexpr Millis kAttemptIdRetention = 600000;
-/// Model turns waiting on one gateway.
+/// Requests that wait on one gateway.
 constexpr size_t kMaxQueuedRequests = 256;
 /// Queue entries beyond that for urgent requests alone.
 constexpr size_t kUrgentQueueReserve = 64;
-/// Requests in flight on one gateway.
+/// Requests that replicas work on for one gateway.
 constexpr size_t kMaxRunningRequests = 512;
-/// Bulk requests that one gateway runs at once.
+/// Bulk requests that one gateway runs on one replica at once.
 constexpr uint32_t kMaxBulkRequestsPerReplica = 4;
-/// Gateways that may use a replica that just started.
+/// Gateways that may use a replica which is warming up.
 constexpr uint32_t kFrontsPerColdReplica = 1;
 
 }  // namespace mosskeel
