--- a/tests/unit/messages/golden_examples.cpp
+++ b/tests/unit/messages/golden_examples.cpp
@@ -340,12 +340,12 @@
            .history = history_name(300), .term = Epoch{301}, .granted = true, .gap = false, .length = 302})},
       {22, "slot-stream",
        message(StreamPartition{
-           .partition = PartitionId{301}, .sequence = Epoch{302}, .after = history_name(400), .tombstone = 303})},
+           .partition = PartitionId{301}, .sequence = Epoch{302}, .after = history_name(400), .after_tombstone = 303})},
       {23, "slot-stream-reply",
        message(StreamPartitionReply{.partition = PartitionId{301},
                                     .sequence = Epoch{302},
                                     .after = history_name(400),
-                                    .tombstone = 303,
+                                    .after_tombstone = 303,
                                     .fence = Epoch{304},
                                     .histories = history_copies(10000),
                                     .tombstones = {305, 306},
@@ -355,10 +355,10 @@
       {38, "line-bury",
        message(WriteTombstone{.history = history_name(300), .partition = PartitionId{301}, .term = Epoch{302}})},
       {39, "slot-check",
-       message(
-           PartitionChecksum{.partition = PartitionId{301}, .changed = Epoch{302}, .checksum = 0x1122334455667788})},
+       message(PartitionChecksum{
+           .partition = PartitionId{301}, .stores_epoch = Epoch{302}, .checksum = 0x1122334455667788})},
       {40, "slot-check-reply",
-       message(PartitionChecksumReply{.partition = PartitionId{301}, .changed = Epoch{302}, .equal = true})},
+       message(PartitionChecksumReply{.partition = PartitionId{301}, .stores_epoch = Epoch{302}, .equal = true})},
       {41, "slot-list", message(ListHistories{.partition = PartitionId{301}, .after = history_name(400)})},
       {42, "slot-list-reply",
        message(ListHistoriesReply{.partition = PartitionId{301},
@@ -553,7 +553,7 @@
 }
 
 History history(uint64_t base) {
-  return {.term = Epoch{base + 1}, .records = records(base), .touched = static_cast<Millis>(base + 2)};
+  return {.term = Epoch{base + 1}, .records = records(base), .written_at = static_cast<Millis>(base + 2)};
 }
 
 StoredPartition stored_partition(uint64_t base) {
@@ -636,7 +636,7 @@
 }
 
 SyncMark sync_mark_example() {
-  return {.magic = 0x6b72616d2d79ffff, .incarnation = Incarnation{301}, .seq = 302, .synced = 303};
+  return {.magic = 0x6b72616d2d79ffff, .incarnation = Incarnation{301}, .sequence = 302, .synced = 303};
 }
 
 }  // namespace mosskeel::golden
--- a/tests/unit/runtime/golden_folders.cpp
+++ b/tests/unit/runtime/golden_folders.cpp
@@ -413,7 +413,7 @@
       StreamPartitionReply reply{.partition = stream.partition,
                                  .sequence = stream.sequence,
                                  .after = stream.after,
-                                 .tombstone = stream.tombstone,
+                                 .after_tombstone = stream.after_tombstone,
                                  .fence = Epoch{31},
                                  .histories = {history},
                                  .tombstones = {5000 + stream.partition.value()},
@@ -495,7 +495,7 @@
     daemon.checkpoint();
     daemon.receive_decided(log.append_all(operating(Epoch{log.metadata().epoch.value() + 4})));
     daemon.receive_decided(log.append_all(repair_begun()));
-    answer_streams(daemon, daemon.let_time_pass(kTransferPageTimeout));
+    answer_streams(daemon, daemon.let_time_pass(kStreamPageTimeout));
     daemon.fail_checkpoint();
     log.append_all(repair_finished_and_join());
     daemon.receive(controller(2, "b"),
--- a/tools/scale/control.cpp
+++ b/tools/scale/control.cpp
@@ -152,12 +152,12 @@
   r.counts["bytes.memory"] = static_cast<double>(mallinfo2().uordblks - before) / times;
   r.times["apply.configuration.ms"] = millis_of([&] {
                                         for (int i = 0; i < times; ++i)
-                                          apply(m, entry);
+                                          static_cast<void>(apply(m, entry));
                                       }) /
                                       times;
   r.times["apply.small.ms"] = millis_of([&] {
                                 for (int i = 0; i < times; ++i)
-                                  apply(m, {next(m.epoch), "", BeginQuorumChange{}});
+                                  static_cast<void>(apply(m, {next(m.epoch), "", BeginQuorumChange{}}));
                               }) /
                               times;
   r.times["encode.ms"] = millis_of([&] {
