--- /dev/null
+++ b/tests/unit/routing/recent_attempts_test.cpp
@@ -0,0 +1,22 @@
+#include "routing/recent_attempts.hpp"
+
+#include <catch2/catch.hpp>
+
+using namespace mosskeel;
+
+TEST_CASE("RecentAttempts forgets the oldest id when it is full, and no other") {
+  RecentAttempts attempts;
+  for (size_t number = 0; number <= kRecentAttempts; ++number)
+    attempts.add("a" + std::to_string(number));
+  CHECK_FALSE(attempts.contains("a0"));
+  CHECK(attempts.contains("a1"));
+  CHECK(attempts.contains("a" + std::to_string(kRecentAttempts)));
+}
+
+TEST_CASE("RecentAttempts keeps an id that is added twice once") {
+  RecentAttempts attempts;
+  attempts.add("first");
+  for (size_t repetition = 0; repetition <= kRecentAttempts; ++repetition)
+    attempts.add("second");
+  CHECK(attempts.contains("first"));
+}
