--- a/tests/unit/messages/golden_data_test.cpp
+++ b/tests/unit/messages/golden_data_test.cpp
@@ -259,8 +259,8 @@
 TEST_CASE("a golden log frame and sync mark are read and written as the same bytes") {
   auto mark = golden::sync_mark_example();
   check_golden(sync_mark_file, mark);
-  CHECK(SyncMark::word == mark.magic);
-  CHECK(mark_of(golden::read_golden_bytes(sync_mark_file), mark.incarnation, mark.seq).has_value());
+  CHECK(SyncMark::kMagic == mark.magic);
+  CHECK(mark_of(golden::read_golden_bytes(sync_mark_file), mark.incarnation, mark.sequence).has_value());
   auto bytes = golden::read_golden_bytes(log_frame_file);
   CHECK(golden::to_hex_lines(frame(framed_record)) == golden::to_hex_lines(bytes));
   codec::Reader reader{bytes};
--- a/tests/unit/messages/golden_examples.cpp
+++ b/tests/unit/messages/golden_examples.cpp
@@ -636,7 +636,7 @@
 }
 
 SyncMark sync_mark_example() {
-  return {.magic = 0x6b72616d2d79ffff, .incarnation = Incarnation{301}, .seq = 302, .synced = 303};
+  return {.magic = 0x6b72616d2d79ffff, .incarnation = Incarnation{301}, .sequence = 302, .synced = 303};
 }
 
 }  // namespace mosskeel::golden
--- a/tests/unit/runtime/golden_folders_test.cpp
+++ b/tests/unit/runtime/golden_folders_test.cpp
@@ -135,7 +135,7 @@
 TEST_CASE("a golden controller folder is found whole: identity, checkpoint, segments and records of each kind") {
   StartedController controller;
   CHECK(controller.segments == 4);
-  CHECK(controller.disk->cut() == 0);
+  CHECK(controller.disk->truncated_bytes() == 0);
   CHECK(controller.recovered.incarnation == golden::controller_incarnation);
   CHECK(controller.recovered.checkpoint.has_value());
   CHECK(count_kinds<ControllerRecord>(controller.recovered.journal) == std::vector<size_t>{2, 1, 35, 1, 0});
@@ -200,7 +200,7 @@
 TEST_CASE("a golden store folder is found whole: identity, checkpoint, segments and records of each kind") {
   StartedStore store;
   CHECK(store.segments == 3);
-  CHECK(store.disk->cut() == 0);
+  CHECK(store.disk->truncated_bytes() == 0);
   CHECK(store.recovered.incarnation == golden::store_incarnation);
   CHECK(store.recovered.checkpoint.has_value());
   CHECK(count_kinds<StoreRecord>(store.recovered.journal) == std::vector<size_t>{1, 67, 48, 1, 35, 1, 45, 38});
