--- a/tests/unit/tools/capacity_test.cpp
+++ b/tests/unit/tools/capacity_test.cpp
@@ -4,77 +4,108 @@
 
 #include "replication/constants.hpp"
 #include "scale/experiments.hpp"
-#include "scale/field.hpp"
+#include "scale/simulated_fleet.hpp"
 
 using namespace mosskeel;
+using scale::ProcessKind;
+using scale::SimulatedFleet;
 
 namespace {
 
-scale::Plan small() {
-  scale::Plan p;
-  p.daemons = 10, p.replicas = 4, p.paths = 2, p.cells = 4;
-  return p;
+scale::Plan small_plan() {
+  scale::Plan plan;
+  plan.daemons = 10;
+  plan.replicas = 4;
+  plan.paths = 2;
+  plan.cells = 4;
+  return plan;
 }
 
-/// A ledger at epoch 1 and entries that each apply a configuration of so many cells.
-MetadataLog ledger(int changes, int cells) {
-  auto p = small();
-  MetadataLog l;
-  auto seats = scale::seats(p, 1);
-  l.install_snapshot(scale::rest(p, seats));
-  p.cells = cells;
-  for (int i = 0; i < changes; ++i)
-    l.add({next(l.epoch()), "", ApplyConfiguration{l.view()->revision, scale::configuration(p), {}}});
-  return l;
+/// The log of a fleet at rest, to which so many entries were added that each apply a configuration of so many cells.
+MetadataLog log_with_configurations(int entries, int cells) {
+  auto plan = small_plan();
+  MetadataLog log;
+  log.install_snapshot(scale::metadata_at_rest(plan, scale::fleet_processes(plan, 1)));
+  plan.cells = cells;
+  for (int number = 0; number < entries; ++number) {
+    ApplyConfiguration change{
+        .base = log.view()->revision, .configuration = scale::make_configuration(plan), .revision = Revision{}};
+    log.add({.epoch = next(log.epoch()), .commit_id = "", .change = change});
+  }
+  return log;
+}
+
+Epoch epochs_before(Epoch epoch, uint64_t count) {
+  return Epoch{epoch.value() - count};
+}
+
+std::string read_file(const std::string& path) {
+  std::ifstream file(path);
+  REQUIRE(file);
+  std::stringstream content;
+  content << file.rdbuf();
+  return content.str();
 }
 
 }  // namespace
 
-TEST_CASE("the capacity page's counts are what the simulated fleet counts") {
-  std::ifstream f(SOURCE_DIR "/docs/CAPACITY.md");
-  std::stringstream s;
-  s << f.rdbuf();
-  REQUIRE(f);
-  for (int n : {10, 40, 100}) {
-    auto row = scale::page_row(n, 1);
+TEST_CASE("The capacity page's counts are what the simulated fleet counts") {
+  auto page = read_file(SOURCE_DIR "/docs/CAPACITY.md");
+  for (int daemons : {10, 40, 100}) {
+    auto row = scale::capacity_page_row(daemons, 1);
     INFO(row);
-    CHECK(s.str().find(row) != std::string::npos);
+    CHECK(page.find(row) != std::string::npos);
   }
 }
 
-TEST_CASE("a daemon that hears the core asks no other daemon; without the core all are asked and go on serving") {
-  scale::Field f(small(), 1);
-  f.run(4000);
-  REQUIRE(f.fronts_in_touch());
-  f.forget();
-  f.run(3000);
-  CHECK(f.sum(scale::Part::agent).in["heartbeat"].count == 0);
-  CHECK(f.sum(scale::Part::store).in["heartbeat"].count == 0);
-  for (auto i : f.all(scale::Part::controller))
-    f.stop(i);
-  for (int k = 0; k < 40; ++k) {
-    f.run(100);
-    CHECK(f.fronts_in_touch());
+TEST_CASE("A daemon that hears the core sends no heartbeat to other daemons") {
+  SimulatedFleet fleet(small_plan(), 1);
+  fleet.run(scale::kSettlingTime);
+  REQUIRE(fleet.all_fronts_ready());
+  fleet.reset_counters();
+  fleet.run(3000);
+  CHECK(fleet.sum(ProcessKind::agent).received["heartbeat"].messages == 0);
+  CHECK(fleet.sum(ProcessKind::store).received["heartbeat"].messages == 0);
+  CHECK(fleet.failures.empty());
+}
+
+TEST_CASE("Without the core all daemons are sent heartbeats, and fronts go on serving") {
+  SimulatedFleet fleet(small_plan(), 1);
+  fleet.run(scale::kSettlingTime);
+  fleet.run(3000);
+  REQUIRE(fleet.all_fronts_ready());
+  fleet.reset_counters();
+  for (auto index : fleet.indices_of(ProcessKind::controller))
+    fleet.stop(index);
+  for (int look = 0; look < 40; ++look) {
+    fleet.run(100);
+    CHECK(fleet.all_fronts_ready());
   }
-  CHECK(f.sum(scale::Part::agent).in["heartbeat"].count > 0);
-  CHECK(f.failures.empty());
+  CHECK(fleet.sum(ProcessKind::agent).received["heartbeat"].messages > 0);
+  CHECK(fleet.failures.empty());
 }
 
-TEST_CASE("what a laggard lacks comes as entries while they are small, else as the whole value") {
-  auto few = ledger(100, 4);
-  auto [none, entries] = few.updates_since(Epoch{few.epoch().value() - 100});
-  CHECK_FALSE(none);
+TEST_CASE("A lagging daemon gets the entries that it lacks while they are small") {
+  auto log = log_with_configurations(100, 4);
+  auto [snapshot, entries] = log.updates_since(epochs_before(log.epoch(), 100));
+  CHECK_FALSE(snapshot);
   CHECK(entries.size() == 100);
-  const int cells = 8000, changes = 5;
-  auto many = ledger(changes, cells);
-  auto bytes = codec::pack(many.recent_entries().back()).size();
-  REQUIRE(bytes * changes > kLogBytesKept);
-  CHECK(bytes * many.recent_entries().size() <= kLogBytesKept);
-  auto [whole, rest] = many.updates_since(Epoch{many.epoch().value() - changes});
-  REQUIRE(whole);
-  CHECK(whole->epoch == many.epoch());
-  CHECK(rest.empty());
-  auto [again, last] = many.updates_since(Epoch{many.epoch().value() - 1});
-  CHECK_FALSE(again);
-  CHECK(last.size() == 1);
+}
+
+TEST_CASE("A lagging daemon gets a snapshot where the entries that it lacks are too large to be kept") {
+  constexpr int cells = 8000;
+  constexpr int changes = 5;
+  auto log = log_with_configurations(changes, cells);
+  auto entry_bytes = codec::pack(log.recent_entries().back()).size();
+  REQUIRE(entry_bytes * changes > kLogBytesKept);
+  CHECK(entry_bytes * log.recent_entries().size() <= kLogBytesKept);
+
+  auto [snapshot, entries] = log.updates_since(epochs_before(log.epoch(), changes));
+  REQUIRE(snapshot);
+  CHECK(snapshot->epoch == log.epoch());
+  CHECK(entries.empty());
+
+  auto [no_snapshot, last_entries] = log.updates_since(epochs_before(log.epoch(), 1));
+  CHECK_FALSE(no_snapshot);
+  CHECK(last_entries.size() == 1);
 }
--- a/tests/unit/tools/har_test.cpp
+++ b/tests/unit/tools/har_test.cpp
@@ -1,38 +1,39 @@
 #include <catch2/catch.hpp>
 
-#include "../tools/loadgen/har.hpp"
+#include "loadgen/har.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::loadgen;
 
-TEST_CASE("an archive's requests are read with what matters for a replay") {
-  auto r = read_har(R"({"log":{"entries":[
+TEST_CASE("An archive's requests are read with what matters for a replay") {
+  auto archive = read_har(R"({"log":{"entries":[
     {"request":{"method":"GET","url":"https://x.example/tallies/1?a=2#f","headers":[{"name":"Host","value":"x"},{"name":"X-Class","value":"bulk"}]},"response":{"status":200}},
     {"request":{"method":"POST","url":"http://x.example","postData":{"text":"body"}}}]}})");
-  REQUIRE(r.ok());
-  auto& v = r.value();
-  REQUIRE(v.size() == 2);
-  CHECK(v[0].path == "/tallies/1?a=2");
-  CHECK(v[0].headers == std::map<std::string, std::string>{{"X-Class", "bulk"}});
-  CHECK(v[0].expected == 200);
-  CHECK(v[1].path == "/");
-  CHECK(v[1].body == "body");
+  REQUIRE(archive.ok());
+  const auto& requests = archive.value();
+  REQUIRE(requests.size() == 2);
+  CHECK(requests[0].path == "/tallies/1?a=2");
+  CHECK(requests[0].headers == std::map<std::string, std::string>{{"X-Class", "bulk"}});
+  CHECK(requests[0].expected_status == 200);
+  CHECK(requests[1].path == "/");
+  CHECK(requests[1].body == "body");
 }
 
-TEST_CASE("a truncated or invalid archive gives findings with their places") {
-  struct Row {
-    const char *text, *findings;
+TEST_CASE("A truncated or invalid archive gives errors with their places") {
+  struct Example {
+    const char* text;
+    const char* errors;
   };
-  const Row rows[] = {
+  const Example examples[] = {
       {R"({"log":{"entries":[{"requ)", "byte 26: the file is no whole JSON"},
       {"[]", "log.entries: is missing or no list"},
       {R"({"log":{"entries":[{},{"request":{"method":1,"url":"ftp://x/","headers":[{"name":"a"}]}}]}})",
        "log.entries[0].request: is missing or no object; log.entries[1].request.method: is missing or no string; "
        "log.entries[1].request.url: is no http address; log.entries[1].request.headers[0]: lacks a name or a value"},
   };
-  for (auto& r : rows) {
-    auto x = read_har(r.text);
-    REQUIRE_FALSE(x.ok());
-    CHECK(to_string(x.errors()) == r.findings);
+  for (const auto& example : examples) {
+    auto archive = read_har(example.text);
+    REQUIRE_FALSE(archive.ok());
+    CHECK(to_string(archive.errors()) == example.errors);
   }
 }
--- a/tools/loadgen/checks.cpp
+++ b/tools/loadgen/checks.cpp
@@ -1,176 +1,98 @@
-#include <time.h>
-
+// What is checked when the load has ended: the histories that the fleet keeps, and what the replicas ran.
 #include <algorithm>
 #include <filesystem>
 #include <fstream>
 #include <nlohmann/json.hpp>
-#include <random>
-#include <sstream>
 
-#include "load.hpp"
+#include "clock.hpp"
+#include "load_generator.hpp"
 #include "net/http_fetch.hpp"
 
 namespace mosskeel::loadgen {
-using Json = nlohmann::json;
-
-uint64_t random() {
-  static thread_local std::mt19937_64 d{std::random_device{}() ^ (static_cast<uint64_t>(std::random_device{}()) << 32)};
-  return d();
-}
-double clock_ms() {
-  timespec t;
-  clock_gettime(CLOCK_MONOTONIC, &t);
-  return static_cast<double>(t.tv_sec) * 1000.0 + static_cast<double>(t.tv_nsec) / 1e6;
-}
-void nap(Millis ms) {
-  timespec t{ms / 1000, (ms % 1000) * 1000000};
-  nanosleep(&t, nullptr);
-}
+namespace {
 
-double Series::at(double share) const {
-  if (ms.empty())
-    return 0;
-  auto v = ms;
-  std::sort(v.begin(), v.end());
-  return v[std::min(v.size() - 1, static_cast<size_t>(share * static_cast<double>(v.size())))];
-}
+constexpr int kReadBackAttempts = 60;
+constexpr Millis kReadBackInterval = 250;
 
-void Book::violation(const std::string& what) {
-  std::lock_guard l(m_);
-  ++violation_count_;
-  if (violations_.size() < 50)
-    violations_.push_back(what);
-}
-void Book::count(const std::string& what, uint64_t n) {
-  std::lock_guard l(m_);
-  counts_[what] += n;
-}
-void Book::time(const std::string& what, double ms) {
-  std::lock_guard l(m_);
-  series_[what].ms.push_back(ms);
-}
-size_t Book::violations() const {
-  std::lock_guard l(m_);
-  return violation_count_;
-}
-uint64_t Book::counted(const std::string& what) const {
-  std::lock_guard l(m_);
-  auto i = counts_.find(what);
-  return i == counts_.end() ? 0 : i->second;
-}
-
-std::string Book::text() const {
-  std::lock_guard l(m_);
-  std::ostringstream o;
-  for (auto& [n, c] : counts_)
-    o << n << ": " << c << "\n";
-  o.precision(1);
-  o << std::fixed;
-  for (auto& [n, s] : series_)
-    o << n << ": " << s.ms.size() << " done, p50 " << s.at(0.5) << " ms, p99 " << s.at(0.99) << " ms, max " << s.at(1)
-      << " ms\n";
-  for (auto& v : violations_)
-    o << "VIOLATION " << v << "\n";
-  o << violation_count_ << " violations\n";
-  return o.str();
-}
-
-std::string Book::json() const {
-  std::lock_guard l(m_);
-  Json j{{"counts", counts_}, {"violations", violations_}, {"violation_count", violation_count_}};
-  for (auto& [n, s] : series_)
-    j["latency_ms"][n] = {{"n", s.ms.size()}, {"p50", s.at(0.5)}, {"p99", s.at(0.99)}, {"max", s.at(1)}};
-  return j.dump(2) + "\n";
-}
+}  // namespace
 
-Fronts::Fronts(const std::vector<Address>& m) : controllers_(m) {
-  refresh();
-  thread_ = std::thread([this] {
-    while (!stop_) {
-      nap(250);
-      refresh();
-    }
-  });
-}
-Fronts::~Fronts() {
-  stop_ = true;
-  thread_.join();
-}
-
-void Fronts::refresh() {
-  for (auto& m : controllers_) {
-    FetchRequest a;
-    a.url = "http://" + m + "/v1/fronts";
-    a.timeout_ms = 1000;
-    auto j = Json::parse(http_fetch(a).body, nullptr, false);
-    if (!j.is_object() || !j.contains("fronts"))
-      continue;
-    std::vector<Address> v;
-    for (auto& f : j["fronts"])
-      if (f["ready"] == true)
-        v.push_back(f["http"]);
-    std::lock_guard l(m_);
-    ready_ = std::move(v);
+void LoadGenerator::check_history(const std::string& program, const TurnResults& turns) {
+  auto succeeded = [](const TurnResult& turn) {
+    return turn.success;
+  };
+  if (std::none_of(turns.begin(), turns.end(), succeeded))
     return;
+  std::string reason;
+  for (int attempt = 0; attempt < kReadBackAttempts; ++attempt) {
+    if (check_history_once(program, turns, reason))
+      return;
+    sleep_for(kReadBackInterval);
   }
+  report_.add_violation("program " + program + " cannot be read back: " + reason);
 }
 
-Address Fronts::any() {
-  std::lock_guard l(m_);
-  return ready_.empty() ? "" : ready_[random() % ready_.size()];
+/// False, with the reason, if the history could not be read.
+bool LoadGenerator::check_history_once(const std::string& program, const TurnResults& turns, std::string& reason) {
+  FetchRequest request;
+  request.url = "http://" + fronts_.any() + "/v1/cells/" + plan_.cell + "/programs/" + program;
+  auto response = http_fetch(request);
+  if (response.status == 404) {
+    report_.add_violation("a kept program was reported missing: " + program);
+    return true;
+  }
+  auto history = nlohmann::json::parse(response.body, nullptr, false);
+  if (response.status != 200 || !history.is_object()) {
+    reason = response.error.empty() ? response.body : response.error;
+    return false;
+  }
+  std::map<std::string, std::string> kept_outputs;
+  for (const auto& turn : history["turns"]) {
+    if (turn["status"] == 200)
+      kept_outputs[turn["key"]] = turn["output"];
+  }
+  for (const auto& turn : turns) {
+    if (turn.success && kept_outputs[turn.key] != turn.output)
+      report_.add_violation("kept turn " + turn.key + " of " + program + " is gone or changed");
+  }
+  auto tokens = history["tokens"]["spent"].get<uint64_t>() + history["tokens"]["reserved"].get<uint64_t>();
+  if (tokens > plan_.budget + plan_.turn_limit)
+    report_.add_violation("program " + program + " spent " + std::to_string(tokens) + " tokens");
+  report_.count("programs read back");
+  return true;
 }
 
-void Load::check_history(const std::string& program, const std::vector<TurnSeen>& seen) {
-  if (std::none_of(seen.begin(), seen.end(), [](auto& t) { return t.success; }))
-    return;
-  std::string why;
-  for (int i = 0; i < 60; ++i, nap(250)) {
-    FetchRequest a;
-    a.url = "http://" + fronts_.any() + "/v1/cells/" + plan_.cell + "/programs/" + program;
-    auto r = http_fetch(a);
-    if (r.status == 404)
-      return book_.violation("a kept program was reported missing: " + program);
-    auto j = Json::parse(r.body, nullptr, false);
-    why = r.error.empty() ? r.body : r.error;
-    if (r.status != 200 || !j.is_object())
+/// How often each request ran, by what the replicas wrote: a line a run, which begins with the request's name.
+std::map<std::string, int> LoadGenerator::read_runs() const {
+  std::map<std::string, int> runs;
+  for (const auto& entry : std::filesystem::directory_iterator(plan_.runs_folder)) {
+    if (!entry.path().filename().string().starts_with("runs-"))
       continue;
-    std::map<std::string, std::string> kept;
-    for (auto& t : j["turns"])
-      if (t["status"] == 200)
-        kept[t["key"]] = t["output"];
-    for (auto& t : seen)
-      if (t.success && kept[t.key] != t.output)
-        book_.violation("kept turn " + t.key + " of " + program + " is gone or changed");
-    auto spent = j["tokens"]["spent"].get<uint64_t>() + j["tokens"]["reserved"].get<uint64_t>();
-    if (spent > plan_.budget + plan_.turn_limit)
-      book_.violation("program " + program + " spent " + std::to_string(spent) + " tokens");
-    return book_.count("programs read back");
+    std::ifstream file(entry.path());
+    for (std::string line; std::getline(file, line);)
+      ++runs[line.substr(0, line.find('\t'))];
   }
-  book_.violation("program " + program + " cannot be read back: " + why);
+  return runs;
 }
 
-void Load::check_runs() {
-  if (plan_.runs.empty())
+void LoadGenerator::check_runs() {
+  if (plan_.runs_folder.empty())
     return;
-  std::map<std::string, int> n;
-  for (auto& f : std::filesystem::directory_iterator(plan_.runs)) {
-    if (!f.path().filename().string().starts_with("runs-"))
-      continue;
-    std::ifstream s(f.path());
-    for (std::string l; std::getline(s, l);)
-      ++n[l.substr(0, l.find('\t'))];
+  auto runs = read_runs();
+  for (const auto& [request, count] : runs) {
+    if (count > 1)
+      report_.add_violation("ran " + std::to_string(count) + " times: " + request);
+  }
+  for (const auto& request : not_run_) {
+    if (runs.count(request))
+      report_.add_violation("refused as not run, yet ran: " + request);
+  }
+  for (const auto& [program, turns] : turns_by_program_) {
+    for (const auto& turn : turns) {
+      if (turn.success && !runs.count(plan_.cell + "/" + program + "/" + turn.key))
+        report_.add_violation("a success that no replica ran: " + turn.key);
+    }
   }
-  for (auto& [k, c] : n)
-    if (c > 1)
-      book_.violation("ran " + std::to_string(c) + " times: " + k);
-  for (auto& [k, x] : not_run_)
-    if (n.count(k))
-      book_.violation("refused as not run, yet ran: " + k);
-  for (auto& [p, seen] : programs_)
-    for (auto& t : seen)
-      if (t.success && !n.count(plan_.cell + "/" + p + "/" + t.key))
-        book_.violation("a success that no replica ran: " + t.key);
-  book_.count("runs checked", n.size());
+  report_.count("runs checked", runs.size());
 }
 
 }  // namespace mosskeel::loadgen
--- a/tools/loadgen/har.cpp
+++ b/tools/loadgen/har.cpp
@@ -1,122 +1,192 @@
 #include "har.hpp"
 
+#include <algorithm>
 #include <cstdio>
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "load.hpp"
+#include "clock.hpp"
+#include "load_report.hpp"
 #include "net/http_fetch.hpp"
 
 namespace mosskeel::loadgen {
+namespace {
+
 using Json = nlohmann::json;
 
-namespace {
+constexpr int kExitDiffers = 1;
+constexpr int kExitUnreadable = 2;
 
-bool hop(std::string n) {
-  for (auto& c : n)
-    c = static_cast<char>(tolower(c));
-  return n.empty() || n[0] == ':' || n == "host" || n == "connection" || n == "content-length" ||
-         n == "transfer-encoding" || n == "accept-encoding";
+/// Headers of the recorded connection, and pseudo-headers of HTTP/2, that a replay makes anew.
+bool is_connection_header(std::string name) {
+  static const std::set<std::string> names{"host", "connection", "content-length", "transfer-encoding",
+                                           "accept-encoding"};
+  std::transform(name.begin(), name.end(), name.begin(), [](unsigned char letter) { return tolower(letter); });
+  return name.empty() || name[0] == ':' || names.count(name) > 0;
 }
 
-void read_entry(const Json& e, const std::string& at, std::vector<HarRequest>& v, Errors& f) {
-  HarRequest x;
-  auto before = f.size();
-  auto r = e.is_object() && e.contains("request") ? e["request"] : Json();
-  if (!r.is_object())
-    return f.push_back({at + ".request", "is missing or no object"});
-  auto text = [&](const char* k) -> std::string {
-    if (r.contains(k) && r[k].is_string())
-      return r[k];
-    f.push_back({at + ".request." + k, "is missing or no string"});
+bool has_string(const Json& object, const char* field) {
+  return object.contains(field) && object[field].is_string();
+}
+
+/// Reads one entry of an archive and collects its errors.
+class EntryReader {
+ public:
+  EntryReader(const Json& entry, const std::string& location) : entry_(entry), location_(location) {}
+
+  Result<HarRequest> read() {
+    if (!entry_.is_object() || !entry_.contains("request") || !entry_["request"].is_object())
+      return Errors{{location_ + ".request", "is missing or no object"}};
+    const auto& request = entry_["request"];
+    HarRequest result;
+    result.method = read_string(request, "method");
+    result.path = read_path(read_string(request, "url"));
+    result.headers = read_headers(request);
+    if (request.contains("postData") && request["postData"].is_object() && has_string(request["postData"], "text"))
+      result.body = request["postData"]["text"];
+    result.expected_status = read_status();
+    if (!errors_.empty())
+      return errors_;
+    return result;
+  }
+
+ private:
+  void add_error(const std::string& field, const std::string& message) {
+    errors_.push_back({location_ + ".request." + field, message});
+  }
+
+  std::string read_string(const Json& request, const char* field) {
+    if (has_string(request, field))
+      return request[field];
+    add_error(field, "is missing or no string");
     return "";
-  };
-  x.method = text("method");
-  auto url = text("url");
-  auto host = url.find("://");
-  auto path = host == std::string::npos ? host : url.find('/', host + 3);
-  if (!url.empty() && !url.starts_with("http://") && !url.starts_with("https://"))
-    f.push_back({at + ".request.url", "is no http address"});
-  x.path = path == std::string::npos ? "/" : url.substr(path, url.find('#', path) - path);
-  if (r.contains("headers") && !r["headers"].is_array())
-    f.push_back({at + ".request.headers", "is no list"});
-  else if (r.contains("headers"))
-    for (size_t i = 0; i < r["headers"].size(); ++i) {
-      auto& h = r["headers"][i];
-      if (!h.is_object() || !h.contains("name") || !h.contains("value") || !h["name"].is_string() ||
-          !h["value"].is_string())
-        f.push_back({at + ".request.headers[" + std::to_string(i) + "]", "lacks a name or a value"});
-      else if (!hop(h["name"]))
-        x.headers[h["name"]] = h["value"];
+  }
+
+  std::string read_path(const std::string& url) {
+    if (!url.empty() && !url.starts_with("http://") && !url.starts_with("https://"))
+      add_error("url", "is no http address");
+    auto scheme_end = url.find("://");
+    if (scheme_end == std::string::npos)
+      return "/";
+    auto path = url.find('/', scheme_end + 3);
+    if (path == std::string::npos)
+      return "/";
+    return url.substr(path, url.find('#', path) - path);
+  }
+
+  std::map<std::string, std::string> read_headers(const Json& request) {
+    std::map<std::string, std::string> headers;
+    if (!request.contains("headers"))
+      return headers;
+    if (!request["headers"].is_array()) {
+      add_error("headers", "is no list");
+      return headers;
     }
-  if (r.contains("postData") && r["postData"].is_object() && r["postData"].contains("text") &&
-      r["postData"]["text"].is_string())
-    x.body = r["postData"]["text"];
-  if (e.contains("response") && e["response"].is_object() && e["response"].contains("status") &&
-      e["response"]["status"].is_number_integer())
-    x.expected = e["response"]["status"];
-  if (f.size() == before)
-    v.push_back(std::move(x));
+    size_t index = 0;
+    for (const auto& header : request["headers"]) {
+      if (!header.is_object() || !has_string(header, "name") || !has_string(header, "value"))
+        add_error("headers[" + std::to_string(index) + "]", "lacks a name or a value");
+      else if (!is_connection_header(header["name"]))
+        headers[header["name"]] = header["value"];
+      ++index;
+    }
+    return headers;
+  }
+
+  int read_status() {
+    if (!entry_.contains("response") || !entry_["response"].is_object())
+      return 0;
+    const auto& response = entry_["response"];
+    if (!response.contains("status") || !response["status"].is_number_integer())
+      return 0;
+    return response["status"];
+  }
+
+  const Json& entry_;
+  std::string location_;
+  Errors errors_;
+};
+
+Result<std::string> read_text(const std::string& file) {
+  std::ifstream stream(file);
+  std::stringstream text;
+  text << stream.rdbuf();
+  if (!stream)
+    return Errors{{file, "cannot be read"}};
+  return text.str();
+}
+
+/// Sends one request; whether the answer is as recorded.
+bool replay(const HarRequest& recorded, const Address& front, LoadReport& report) {
+  FetchRequest request;
+  request.method = recorded.method;
+  request.url = "http://" + front + recorded.path;
+  request.headers = recorded.headers;
+  request.body = recorded.body;
+  auto begun = clock_ms();
+  auto response = http_fetch(request);
+  report.add_latency("replayed", clock_ms() - begun);
+  report.count("status " + std::to_string(response.status));
+  if (response.complete && (!recorded.expected_status || response.status == recorded.expected_status))
+    return true;
+  printf("%s %s: status %ld, recorded %d%s%s\n", recorded.method.c_str(), recorded.path.c_str(), response.status,
+         recorded.expected_status, response.error.empty() ? "" : ", ", response.error.c_str());
+  return false;
+}
+
+int print_errors(const std::string& prefix, const Errors& errors) {
+  for (const auto& error : errors)
+    fprintf(stderr, "loadgen: %s%s: %s\n", prefix.c_str(), error.location.c_str(), error.message.c_str());
+  return kExitUnreadable;
 }
 
 }  // namespace
 
 Result<std::vector<HarRequest>> read_har(const std::string& text) {
-  Json j;
+  Json archive;
   try {
-    j = Json::parse(text);
-  } catch (const Json::parse_error& e) {
-    return Errors{{"byte " + std::to_string(e.byte), "the file is no whole JSON"}};
+    archive = Json::parse(text);
+  } catch (const Json::parse_error& error) {
+    return Errors{{"byte " + std::to_string(error.byte), "the file is no whole JSON"}};
   }
-  if (!j.is_object() || !j.contains("log") || !j["log"].is_object() || !j["log"].contains("entries") ||
-      !j["log"]["entries"].is_array())
+  if (!archive.is_object() || !archive.contains("log") || !archive["log"].is_object() ||
+      !archive["log"].contains("entries") || !archive["log"]["entries"].is_array())
     return Errors{{"log.entries", "is missing or no list"}};
-  std::vector<HarRequest> v;
-  Errors f;
-  for (size_t i = 0; i < j["log"]["entries"].size(); ++i)
-    read_entry(j["log"]["entries"][i], "log.entries[" + std::to_string(i) + "]", v, f);
-  if (!f.empty())
-    return f;
-  return v;
+  std::vector<HarRequest> requests;
+  Errors errors;
+  size_t index = 0;
+  for (const auto& entry : archive["log"]["entries"]) {
+    auto request = EntryReader(entry, "log.entries[" + std::to_string(index) + "]").read();
+    if (request.ok())
+      requests.push_back(std::move(request).value());
+    else
+      errors.insert(errors.end(), request.errors().begin(), request.errors().end());
+    ++index;
+  }
+  if (!errors.empty())
+    return errors;
+  return requests;
 }
 
-int replay_har(const std::string& file, const Address& to, bool all) {
-  std::ifstream s(file);
-  std::stringstream t;
-  t << s.rdbuf();
-  if (!s)
-    return fprintf(stderr, "loadgen: %s: cannot be read\n", file.c_str()), 2;
-  auto r = read_har(t.str());
-  if (!r.ok()) {
-    for (auto& f : r.errors())
-      fprintf(stderr, "loadgen: %s: %s: %s\n", file.c_str(), f.location.c_str(), f.message.c_str());
-    return 2;
-  }
-  Book book;
-  size_t other = 0;
-  for (auto& x : r.value()) {
-    if (!all && x.method != "GET" && x.method != "HEAD") {
-      book.count("left out, not repeatable");
-      continue;
-    }
-    FetchRequest a;
-    a.method = x.method;
-    a.url = "http://" + to + x.path;
-    a.headers = x.headers;
-    a.body = x.body;
-    auto begun = clock_ms();
-    auto w = http_fetch(a);
-    book.time("replayed", clock_ms() - begun);
-    book.count("status " + std::to_string(w.status));
-    if (!w.complete || (x.expected && w.status != x.expected)) {
-      ++other;
-      printf("%s %s: status %ld, recorded %d%s%s\n", x.method.c_str(), x.path.c_str(), w.status, x.expected,
-             w.error.empty() ? "" : ", ", w.error.c_str());
-    }
+int replay_har(const std::string& file, const Address& front, ReplayScope scope) {
+  auto text = read_text(file);
+  if (!text.ok())
+    return print_errors("", text.errors());
+  auto requests = read_har(text.value());
+  if (!requests.ok())
+    return print_errors(file + ": ", requests.errors());
+  LoadReport report;
+  bool differs = false;
+  for (const auto& request : requests.value()) {
+    bool is_safe = request.method == "GET" || request.method == "HEAD";
+    if (scope == ReplayScope::safe_methods && !is_safe)
+      report.count("left out, not repeatable");
+    else if (!replay(request, front, report))
+      differs = true;
   }
-  fputs(book.text().c_str(), stdout);
-  return other ? 1 : 0;
+  fputs(report.as_text().c_str(), stdout);
+  return differs ? kExitDiffers : 0;
 }
 
 }  // namespace mosskeel::loadgen
--- a/tools/loadgen/har.hpp
+++ b/tools/loadgen/har.hpp
@@ -1,18 +1,30 @@
 #pragma once
-// Replays an HTTP archive against a front worker: repeatable requests only, unless told otherwise.
+// Reads an HTTP archive (HAR 1.2) and replays it against a front worker.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel::loadgen {
 
+/// One recorded request.
 struct HarRequest {
-  std::string method, path, body;
+  std::string method;
+  /// With its query, without its fragment.
+  std::string path;
+  std::string body;
+  /// Without those that belong to the recorded connection.
   std::map<std::string, std::string> headers;
-  int expected = 0;
+  /// The recorded status; 0 where none was recorded.
+  int expected_status = 0;
 };
 
-/// The archive's requests, or every finding with its place.
+/// The archive's requests, or every error with its place.
 Result<std::vector<HarRequest>> read_har(const std::string& text);
-/// Replays them in order; the exit code.
-int replay_har(const std::string& file, const Address& to, bool all);
+
+enum class ReplayScope {
+  safe_methods,  ///< only GET and HEAD
+  everything,
+};
+/// Replays a file's requests in order and prints which answers differ. 0 if none does, 1 if any does, 2 if the file
+/// cannot be read.
+int replay_har(const std::string& file, const Address& front, ReplayScope scope);
 
 }  // namespace mosskeel::loadgen
--- /dev/null
+++ b/tools/loadgen/ready_fronts.cpp
@@ -0,0 +1,58 @@
+#include "ready_fronts.hpp"
+
+#include <nlohmann/json.hpp>
+
+#include "clock.hpp"
+#include "net/http_fetch.hpp"
+
+namespace mosskeel::loadgen {
+namespace {
+
+constexpr Millis kRefreshInterval = 250;
+constexpr long kRequestTimeoutMs = 1000;
+
+}  // namespace
+
+ReadyFronts::ReadyFronts(const std::vector<Address>& controllers) : controllers_(controllers) {
+  refresh();
+  thread_ = std::thread([this] {
+    while (!stop_) {
+      sleep_for(kRefreshInterval);
+      refresh();
+    }
+  });
+}
+
+ReadyFronts::~ReadyFronts() {
+  stop_ = true;
+  thread_.join();
+}
+
+/// Takes the list of the first controller that answers with one.
+void ReadyFronts::refresh() {
+  for (const auto& controller : controllers_) {
+    FetchRequest request;
+    request.url = "http://" + controller + "/v1/fronts";
+    request.timeout_ms = kRequestTimeoutMs;
+    auto answer = nlohmann::json::parse(http_fetch(request).body, nullptr, false);
+    if (!answer.is_object() || !answer.contains("fronts"))
+      continue;
+    std::vector<Address> ready;
+    for (const auto& front : answer["fronts"]) {
+      if (front["ready"] == true)
+        ready.push_back(front["http"]);
+    }
+    std::lock_guard lock(mutex_);
+    ready_ = std::move(ready);
+    return;
+  }
+}
+
+Address ReadyFronts::any() {
+  std::lock_guard lock(mutex_);
+  if (ready_.empty())
+    return "";
+  return ready_[random_number() % ready_.size()];
+}
+
+}  // namespace mosskeel::loadgen
--- /dev/null
+++ b/tools/loadgen/ready_fronts.hpp
@@ -0,0 +1,30 @@
+#pragma once
+// The front workers that the controllers call ready.
+#include <atomic>
+#include <mutex>
+#include <thread>
+
+#include "mosskeel/common.hpp"
+
+namespace mosskeel::loadgen {
+
+/// Keeps the list up to date on a thread of its own. Any thread may ask.
+class ReadyFronts {
+ public:
+  /// HTTP addresses of controllers.
+  explicit ReadyFronts(const std::vector<Address>& controllers);
+  ~ReadyFronts();
+  /// The HTTP address of a random one; empty if none is ready.
+  Address any();
+
+ private:
+  void refresh();
+
+  std::vector<Address> controllers_;
+  std::mutex mutex_;
+  std::vector<Address> ready_;
+  std::atomic<bool> stop_{false};
+  std::thread thread_;
+};
+
+}  // namespace mosskeel::loadgen
--- a/tools/local-cluster/fleet.cpp
+++ b/tools/local-cluster/fleet.cpp
@@ -8,6 +8,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <cstring>
 #include <filesystem>
 #include <nlohmann/json.hpp>
 #include <thread>
@@ -19,203 +20,293 @@
 extern char** environ;
 
 namespace mosskeel::local_cluster {
+namespace {
+
 namespace fs = std::filesystem;
 using Json = nlohmann::json;
 
-int free_base(int ports) {
-  for (int tries = 0; tries < 100; ++tries) {
-    int base = 10001 + static_cast<int>(dice() % 20000);
-    bool good = true;
-    for (int i = -1; good && i < ports; ++i) {
-      Fd s(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-      sockaddr_in a{};
-      a.sin_family = AF_INET;
-      a.sin_port = htons(static_cast<uint16_t>(base + i));
-      a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-      good = ::bind(s.get(), reinterpret_cast<sockaddr*>(&a), sizeof a) == 0;
+/// Seeds are the first controllers, so many.
+constexpr int kSeedCount = 3;
+/// Milliseconds; configuring a fleet that takes longer to found itself has failed.
+constexpr Millis kConfigureTimeout = 60000;
+constexpr auto kConfigureRetryDelay = std::chrono::milliseconds(100);
+/// Milliseconds between the chunks of an application's replica.
+constexpr const char* kAppChunkInterval = "5";
+constexpr int kDefaultFirstPort = 21000;
+constexpr int kLeastFirstPort = 10001;
+constexpr int kFirstPortRange = 20000;
+
+bool is_free(int port) {
+  Fd socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(static_cast<uint16_t>(port));
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  return ::bind(socket.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
+}
+
+bool are_free(int first, int end) {
+  for (int port = first; port < end; ++port) {
+    if (!is_free(port))
+      return false;
+  }
+  return true;
+}
+
+std::string numbered(const std::string& prefix, int index) {
+  return prefix + std::to_string(index + 1);
+}
+
+/// Whether the answer says that what the request wants is in effect, now or since an earlier attempt.
+bool is_in_effect(const FetchResponse& response) {
+  if (response.status == 200)
+    return true;
+  if (response.status != 409)
+    return false;
+  return response.body.find("is so already") != std::string::npos ||
+         response.body.find("built on") != std::string::npos;
+}
+
+/// Sends a PUT to one controller after the other until one has taken it.
+Errors put(const std::vector<Address>& controllers, const std::string& path, const Json& body) {
+  auto deadline = process_now() + kConfigureTimeout;
+  std::string reason;
+  while (process_now() < deadline) {
+    for (const auto& controller : controllers) {
+      FetchRequest request;
+      request.method = "PUT";
+      request.url = "http://" + controller + path;
+      request.body = body.dump();
+      request.headers["Idempotency-Key"] = "local-cluster-" + hex(digest(path + request.body));
+      auto response = http_fetch(request);
+      if (is_in_effect(response))
+        return {};
+      reason = response.error.empty() ? response.body : response.error;
+      std::this_thread::sleep_for(kConfigureRetryDelay);
     }
-    if (good)
-      return base;
   }
-  return 21000;
+  return {{path, "was not accepted: " + reason}};
+}
+
+Json first_configuration() {
+  auto routes = Json::array({{{"name", "chat"}, {"kind", "model"}}, {{"name", "app"}, {"kind", "app"}}});
+  Json cell{{"name", "news"}, {"budget", 400}, {"turn_limit", 40}, {"retention_ms", 3600000}, {"routes", routes}};
+  return {{"cells", Json::array({cell})}};
 }
 
-Fleet::Fleet(Plan p) : plan_(std::move(p)), next_(plan_.base) {
-  std::string seeds;
-  std::vector<std::pair<Address, Address>> core;
-  for (int i = 0; i < plan_.controllers; ++i) {
-    auto a = port(), b = port();
-    core.push_back({a, b});
-    if (i < 3)
-      seeds += (i ? "," : "") + a;
+}  // namespace
+
+int find_free_ports(int count) {
+  constexpr int attempts = 100;
+  for (int attempt = 0; attempt < attempts; ++attempt) {
+    auto first = kLeastFirstPort + static_cast<int>(dice() % kFirstPortRange);
+    if (are_free(first - 1, first + count))
+      return first;
   }
-  auto n = [](int i) {
-    return std::to_string(i + 1);
-  };
-  for (int i = 0; i < plan_.controllers; ++i) {
-    auto& x = add("controller" + n(i), "controller", i);
-    x.listen = core[i].first, x.http = core[i].second;
-    x.args = {"--listen", x.listen, "--http", x.http, "--zone",      x.zone,
-              "--seeds",  seeds,    "--data", x.data, "--core-size", std::to_string(plan_.controllers)};
+  return kDefaultFirstPort;
+}
+
+Fleet::Fleet(Plan plan) : plan_(std::move(plan)), next_port_(plan_.first_port) {
+  add_controllers();
+  add_stores();
+  add_fronts();
+  add_replicas("model", plan_.models, plan_.model_chunk_interval);
+  add_replicas("app", plan_.apps, kAppChunkInterval);
+}
+
+Fleet::~Fleet() {
+  std::lock_guard lock(mutex_);
+  for (auto& process : processes_) {
+    if (process.pid)
+      kill(process);
   }
-  for (int i = 0; i < plan_.stores; ++i) {
-    auto& x = add("store" + n(i), "store", i);
-    x.listen = port(), x.http = port();
-    x.args = {"--listen", x.listen, "--http", x.http, "--zone", x.zone, "--seeds", seeds, "--data", x.data};
+}
+
+Address Fleet::next_address() {
+  return "127.0.0.1:" + std::to_string(next_port_++);
+}
+
+Process& Fleet::add(const std::string& name, const std::string& program, int zone) {
+  Process process;
+  process.name = name;
+  process.program = program;
+  process.zone = std::string(1, static_cast<char>('a' + zone % plan_.zones));
+  process.data_folder = plan_.folder + "/" + name;
+  processes_.push_back(std::move(process));
+  return processes_.back();
+}
+
+void Fleet::add_controllers() {
+  for (int index = 0; index < plan_.controllers; ++index) {
+    auto& process = add(numbered("controller", index), "controller", index);
+    process.listen_address = next_address();
+    process.http_address = next_address();
+    if (index < kSeedCount)
+      seeds_ += (index ? "," : "") + process.listen_address;
   }
-  for (int i = 0; i < plan_.fronts; ++i) {
-    auto agent = port(), listen = port(), http = port();
-    auto& l = add("agent" + n(i), "agent", i);
-    l.listen = agent;
-    l.args = {"--listen", agent, "--agent", listen, "--zone", l.zone, "--seeds", seeds};
-    auto& x = add("gateway" + n(i), "gateway", i);
-    x.listen = listen, x.http = http;
-    x.args = {"--listen", listen, "--http", http, "--agent", agent, "--zone", x.zone};
+  for (auto& process : processes_) {
+    process.arguments = {"--listen", process.listen_address, "--http",      process.http_address,
+                         "--zone",   process.zone,           "--seeds",     seeds_,
+                         "--data",   process.data_folder,    "--core-size", std::to_string(plan_.controllers)};
   }
-  for (int k = 0; k < 2; ++k)
-    for (int i = 0; i < (k ? plan_.apps : plan_.models); ++i) {
-      auto& x = add((k ? "app" : "model") + n(i), "replica-sim", i);
-      x.http = port();
-      x.args = {"--http", x.http,
-                "--kind", k ? "app" : "model",
-                "--name", x.name,
-                "--runs", plan_.dir + "/runs-" + x.name,
-                "--pace", k ? "5" : plan_.pace};
-    }
 }
 
-Proc& Fleet::add(const std::string& name, const std::string& program, int zone) {
-  Proc p;
-  p.name = name;
-  p.program = program;
-  p.zone = std::string(1, static_cast<char>('a' + zone % plan_.zones));
-  p.data = plan_.dir + "/" + name;
-  procs_.push_back(std::move(p));
-  return procs_.back();
+void Fleet::add_stores() {
+  for (int index = 0; index < plan_.stores; ++index) {
+    auto& process = add(numbered("store", index), "store", index);
+    process.listen_address = next_address();
+    process.http_address = next_address();
+    process.arguments = {"--listen", process.listen_address, "--http",  process.http_address,
+                         "--zone",   process.zone,           "--seeds", seeds_,
+                         "--data",   process.data_folder};
+  }
 }
 
-Fleet::~Fleet() {
-  std::lock_guard l(m_);
-  for (auto& p : procs_)
-    if (p.pid)
-      ::kill(p.pid, SIGKILL), ::waitpid(p.pid, nullptr, 0);
-}
-
-Errors Fleet::spawn(Proc& p) {
-  std::vector<std::string> a{plan_.bin + "/" + p.program};
-  a.insert(a.end(), p.args.begin(), p.args.end());
-  std::vector<char*> v;
-  for (auto& s : a)
-    v.push_back(s.data());
-  v.push_back(nullptr);
-  posix_spawn_file_actions_t f;
-  posix_spawn_file_actions_init(&f);
-  auto log = plan_.dir + "/" + p.name + ".log";
-  posix_spawn_file_actions_addopen(&f, 0, "/dev/null", O_RDONLY, 0);
-  posix_spawn_file_actions_addopen(&f, 1, log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-  posix_spawn_file_actions_adddup2(&f, 1, 2);
-  int rc = posix_spawn(&p.pid, a[0].c_str(), &f, nullptr, v.data(), environ);
-  posix_spawn_file_actions_destroy(&f);
-  p.frozen = false;
-  if (rc)
-    return p.pid = 0, Errors{{a[0], strerror(rc)}};
+void Fleet::add_fronts() {
+  for (int index = 0; index < plan_.fronts; ++index) {
+    auto agent_address = next_address();
+    auto gateway_address = next_address();
+    auto& agent = add(numbered("agent", index), "agent", index);
+    agent.listen_address = agent_address;
+    agent.arguments = {"--listen", agent_address, "--agent", gateway_address, "--zone", agent.zone, "--seeds", seeds_};
+    auto& gateway = add(numbered("gateway", index), "gateway", index);
+    gateway.listen_address = gateway_address;
+    gateway.http_address = next_address();
+    gateway.arguments = {"--listen", gateway_address, "--http", gateway.http_address,
+                         "--agent",  agent_address,   "--zone", gateway.zone};
+  }
+}
+
+void Fleet::add_replicas(const std::string& kind, int count, const std::string& chunk_interval) {
+  for (int index = 0; index < count; ++index) {
+    auto& process = add(numbered(kind, index), "replica-sim", index);
+    process.http_address = next_address();
+    process.arguments = {"--http", process.http_address, "--kind", kind,
+                         "--name", process.name,         "--runs", plan_.folder + "/runs-" + process.name,
+                         "--pace", chunk_interval};
+  }
+}
+
+Errors Fleet::spawn(Process& process) {
+  std::vector<std::string> words{plan_.program_folder + "/" + process.program};
+  words.insert(words.end(), process.arguments.begin(), process.arguments.end());
+  std::vector<char*> arguments;
+  for (auto& word : words)
+    arguments.push_back(word.data());
+  arguments.push_back(nullptr);
+  auto log_file = plan_.folder + "/" + process.name + ".log";
+  posix_spawn_file_actions_t file_actions;
+  posix_spawn_file_actions_init(&file_actions);
+  posix_spawn_file_actions_addopen(&file_actions, STDIN_FILENO, "/dev/null", O_RDONLY, 0);
+  posix_spawn_file_actions_addopen(&file_actions, STDOUT_FILENO, log_file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+  posix_spawn_file_actions_adddup2(&file_actions, STDOUT_FILENO, STDERR_FILENO);
+  int error = posix_spawn(&process.pid, words[0].c_str(), &file_actions, nullptr, arguments.data(), environ);
+  posix_spawn_file_actions_destroy(&file_actions);
+  process.frozen = false;
+  if (error) {
+    process.pid = 0;
+    return {{words[0], strerror(error)}};
+  }
   return {};
 }
 
 Errors Fleet::start_all() {
-  std::error_code ec;
-  fs::create_directories(plan_.dir, ec);
-  std::lock_guard l(m_);
-  for (auto& p : procs_)
-    if (auto f = spawn(p); !f.empty())
-      return f;
+  std::error_code ignored;
+  fs::create_directories(plan_.folder, ignored);
+  std::lock_guard lock(mutex_);
+  for (auto& process : processes_) {
+    if (auto errors = spawn(process); !errors.empty())
+      return errors;
+  }
   return {};
 }
 
 void Fleet::reap() {
-  for (auto& p : procs_)
-    if (p.pid && ::waitpid(p.pid, nullptr, WNOHANG) == p.pid)
-      p.pid = 0;
+  for (auto& process : processes_) {
+    if (process.pid && ::waitpid(process.pid, nullptr, WNOHANG) == process.pid)
+      process.pid = 0;
+  }
 }
 
-Errors Fleet::act(const std::string& what, const std::string& name) {
-  std::lock_guard l(m_);
+void Fleet::kill(Process& process) {
+  ::kill(process.pid, SIGKILL);
+  ::waitpid(process.pid, nullptr, 0);
+  process.pid = 0;
+}
+
+Errors Fleet::start(Process& process) {
+  if (process.pid)
+    return {{process.name, "runs already"}};
+  return spawn(process);
+}
+
+Errors Fleet::wipe(Process& process) {
+  if (process.pid)
+    return {{process.name, "runs; kill it first"}};
+  std::error_code ignored;
+  fs::remove_all(process.data_folder, ignored);
+  return {};
+}
+
+Errors Fleet::act(const std::string& action, const std::string& name) {
+  std::lock_guard lock(mutex_);
   reap();
-  for (auto& p : procs_) {
-    if (p.name != name)
-      continue;
-    if (what == "start")
-      return p.pid ? Errors{{name, "runs already"}} : spawn(p);
-    if (what == "wipe") {
-      if (p.pid)
-        return {{name, "runs; kill it first"}};
-      std::error_code ec;
-      fs::remove_all(p.data, ec);
-      return {};
-    }
-    if (!p.pid)
-      return {{name, "does not run"}};
-    if (what == "kill")
-      return ::kill(p.pid, SIGKILL), ::waitpid(p.pid, nullptr, 0), p.pid = 0, Errors{};
-    if (what == "stop")
-      return ::kill(p.pid, SIGTERM), Errors{};
-    if (what == "freeze")
-      return ::kill(p.pid, SIGSTOP), p.frozen = true, Errors{};
-    if (what == "wake")
-      return ::kill(p.pid, SIGCONT), p.frozen = false, Errors{};
-    return {{what, "is none of kill, freeze, wake, stop, start, wipe"}};
+  auto has_name = [&](const Process& process) {
+    return process.name == name;
+  };
+  auto process = std::find_if(processes_.begin(), processes_.end(), has_name);
+  if (process == processes_.end())
+    return {{name, "is no process of this fleet"}};
+  if (action == "start")
+    return start(*process);
+  if (action == "wipe")
+    return wipe(*process);
+  if (!process->pid)
+    return {{name, "does not run"}};
+  if (action == "kill") {
+    kill(*process);
+  } else if (action == "stop") {
+    ::kill(process->pid, SIGTERM);
+  } else if (action == "freeze") {
+    ::kill(process->pid, SIGSTOP);
+    process->frozen = true;
+  } else if (action == "wake") {
+    ::kill(process->pid, SIGCONT);
+    process->frozen = false;
+  } else {
+    return {{action, "is none of kill, freeze, wake, stop, start, wipe"}};
   }
-  return {{name, "is no process of this fleet"}};
+  return {};
 }
 
-std::vector<Proc> Fleet::list() {
-  std::lock_guard l(m_);
+std::vector<Process> Fleet::list() {
+  std::lock_guard lock(mutex_);
   reap();
-  return procs_;
+  return processes_;
 }
 
 std::vector<Address> Fleet::controllers() {
-  std::vector<Address> v;
-  for (auto& p : list())
-    if (p.program == "controller")
-      v.push_back(p.http);
-  return v;
-}
-
-Errors Fleet::introduce() {
-  auto all = controllers();
-  auto put = [&](const std::string& path, const Json& j) -> Errors {
-    auto until = process_now() + 60000;
-    std::string why;
-    while (process_now() < until)
-      for (auto& m : all) {
-        FetchRequest a;
-        a.method = "PUT";
-        a.url = "http://" + m + path;
-        a.body = j.dump();
-        a.headers["Idempotency-Key"] = "local-cluster-" + hex(digest(path + j.dump()));
-        auto r = http_fetch(a);
-        if (r.status == 200 || (r.status == 409 && r.body.find("is so already") != std::string::npos))
-          return {};
-        if (r.status == 409 && r.body.find("built on") != std::string::npos)
-          return {};
-        why = r.error.empty() ? r.body : r.error;
-        std::this_thread::sleep_for(std::chrono::milliseconds(100));
-      }
-    return {{path, "was not accepted: " + why}};
-  };
-  for (auto& p : list()) {
-    if (p.program != "replica-sim")
+  std::vector<Address> addresses;
+  for (const auto& process : list()) {
+    if (process.program == "controller")
+      addresses.push_back(process.http_address);
+  }
+  return addresses;
+}
+
+Errors Fleet::configure() {
+  auto controller_addresses = controllers();
+  for (const auto& process : list()) {
+    if (process.program != "replica-sim")
       continue;
-    auto kind = p.name.starts_with("app") ? "app" : "model";
-    if (auto f = put("/v1/replicas/" + p.name,
-                     {{"kind", kind}, {"zone", p.zone}, {"url", "http://" + p.http}, {"health", "ready"}});
-        !f.empty())
-      return f;
+    Json replica{{"kind", process.name.starts_with("app") ? "app" : "model"},
+                 {"zone", process.zone},
+                 {"url", "http://" + process.http_address},
+                 {"health", "ready"}};
+    if (auto errors = put(controller_addresses, "/v1/replicas/" + process.name, replica); !errors.empty())
+      return errors;
   }
-  Json routes = Json::array({{{"name", "chat"}, {"kind", "model"}}, {{"name", "app"}, {"kind", "app"}}});
-  Json cell{{"name", "news"}, {"budget", 400}, {"turn_limit", 40}, {"retention_ms", 3600000}, {"routes", routes}};
-  return put("/v1/cluster/configuration?revision=0", {{"cells", Json::array({cell})}});
+  return put(controller_addresses, "/v1/cluster/configuration?revision=0", first_configuration());
 }
 
 }  // namespace mosskeel::local_cluster
--- a/tools/local-cluster/fleet.hpp
+++ b/tools/local-cluster/fleet.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A whole fleet on one machine: which processes there are, and their lives.
+// A whole fleet on one machine: which processes there are, their lives, and the faults that are done to them.
 #include <sys/types.h>
 
 #include <mutex>
@@ -8,45 +8,80 @@
 
 namespace mosskeel::local_cluster {
 
+/// How many processes of each kind there are, and where they live.
 struct Plan {
-  int controllers = 3, fronts = 6, stores = 3, models = 9, apps = 3, zones = 3;
-  std::string dir, bin, pace = "20";
-  int base = 21000;
+  int controllers = 3;
+  int fronts = 6;
+  int stores = 3;
+  /// Stand-in replicas of both kinds.
+  int models = 9;
+  int apps = 3;
+  int zones = 3;
+  /// For data and logs.
+  std::string folder;
+  /// Where the programs are.
+  std::string program_folder;
+  /// Milliseconds between a model's chunks.
+  std::string model_chunk_interval = "20";
+  int first_port = 21000;
 };
 
-/// A first port with this many free ones behind it.
-int free_base(int ports);
+/// A first port with this many free ones behind it, and one before it.
+int find_free_ports(int count);
 
-struct Proc {
-  std::string name, program;
-  std::vector<std::string> args;
-  Address listen, http;
-  std::string zone, data;
+/// One process of the fleet, running or not.
+struct Process {
+  std::string name;
+  std::string program;
+  std::vector<std::string> arguments;
+  Address listen_address;
+  Address http_address;
+  std::string zone;
+  std::string data_folder;
+  /// 0 while it does not run.
   pid_t pid = 0;
   bool frozen = false;
 };
 
+/// Owns the processes and kills them at its end. Any thread may call it.
 class Fleet {
  public:
-  explicit Fleet(Plan p);
+  explicit Fleet(Plan plan);
   ~Fleet();
+  Fleet(const Fleet&) = delete;
+  Fleet& operator=(const Fleet&) = delete;
+
   Errors start_all();
-  /// kill, freeze, wake, stop, start, wipe; the finding says why not.
-  Errors act(const std::string& what, const std::string& name);
-  std::vector<Proc> list();
+  /// Does "kill", "freeze", "wake", "stop", "start" or "wipe" to the process of this name.
+  Errors act(const std::string& action, const std::string& name);
+  std::vector<Process> list();
+  /// HTTP addresses.
   std::vector<Address> controllers();
-  /// Tells the platform side of the core about the replicas, and applies the first configuration.
-  Errors introduce();
+  /// Tells the controllers about the replicas and applies the first configuration.
+  Errors configure();
 
  private:
-  Errors spawn(Proc& p);
+  void add_controllers();
+  void add_stores();
+  void add_fronts();
+  void add_replicas(const std::string& kind, int count, const std::string& chunk_interval);
+  Process& add(const std::string& name, const std::string& program, int zone);
+  Address next_address();
+
+  Errors spawn(Process& process);
+  Errors start(Process& process);
+  Errors wipe(Process& process);
+  /// Kills a running process and waits for its end.
+  static void kill(Process& process);
+  /// Notes which processes have ended.
   void reap();
-  Proc& add(const std::string& name, const std::string& program, int zone);
-  Address port() { return "127.0.0.1:" + std::to_string(next_++); }
+
   Plan plan_;
-  int next_;
-  std::mutex m_;
-  std::vector<Proc> procs_;
+  int next_port_;
+  /// The addresses that all daemons are given to find the core.
+  std::string seeds_;
+  std::mutex mutex_;
+  std::vector<Process> processes_;
 };
 
 }  // namespace mosskeel::local_cluster
--- a/tools/local-cluster/main.cpp
+++ b/tools/local-cluster/main.cpp
@@ -1,11 +1,10 @@
-// Runs a fleet on this machine, and does harm to it when asked.
+// Runs a fleet on this machine, and does harm to it when asked over HTTP.
 #include <curl/curl.h>
 #include <popt.h>
 
 #include <cstdio>
 #include <filesystem>
 #include <nlohmann/json.hpp>
-#include <thread>
 
 #include "base/log.hpp"
 #include "fleet.hpp"
@@ -13,113 +12,192 @@
 #include "net/http_server.hpp"
 #include "runtime/host.hpp"
 #include "runtime/settings.hpp"
+#include "runtime/signals.hpp"
 
 using namespace mosskeel;
 using Json = nlohmann::json;
 
 namespace {
 
-int ready(local_cluster::Fleet& f) {
-  int n = 0;
-  for (auto& p : f.list())
-    if (p.program == "gateway" && p.pid) {
-      FetchRequest a;
-      a.url = "http://" + p.http + "/ready";
-      a.timeout_ms = 1000;
-      n += http_fetch(a).status == 200;
-    }
-  return n;
-}
+constexpr int kExitFailed = 1;
+constexpr int kExitUsage = 2;
+/// Milliseconds; fronts that are not ready by then are reported as they are.
+constexpr Millis kReadyTimeout = 60000;
+constexpr int kReadyProbeTimeoutMs = 1000;
+constexpr Millis kPollInterval = 100;
 
-ApiResponse answer(local_cluster::Fleet& f, const ApiRequest& a) {
-  ApiResponse r;
-  if (a.path == "/fleet") {
-    Json j = Json::array();
-    for (auto& p : f.list())
-      j.push_back({{"name", p.name},
-                   {"program", p.program},
-                   {"pid", p.pid},
-                   {"listen", p.listen},
-                   {"http", p.http},
-                   {"zone", p.zone},
-                   {"frozen", p.frozen}});
-    r.body = j.dump() + "\n";
-    return r;
+/// Sets the counts of a named fleet; false if there is none of this name.
+bool set_fleet_size(local_cluster::Plan& plan, const std::string& name) {
+  if (name == "kjortala") {
+    plan.controllers = 5;
+    plan.models = 18;
+    plan.apps = 8;
+  } else if (name == "small") {
+    plan.fronts = 2;
+    plan.models = 2;
+    plan.apps = 1;
+  } else if (name != "catania") {
+    return false;
   }
-  auto k = a.path.find('/', 1);
-  if (a.method != "POST" || k == std::string::npos)
-    return ApiResponse::error(404, "unknown_path", "try GET /fleet or POST /kill/NAME");
-  if (auto x = f.act(a.path.substr(1, k - 1), a.path.substr(k + 1)); !x.empty())
-    return ApiResponse::error(409, "refused", x);
-  r.body = "{}\n";
-  return r;
+  return true;
 }
 
-}  // namespace
+int port_count(const local_cluster::Plan& plan) {
+  return 2 * plan.controllers + 2 * plan.stores + 3 * plan.fronts + plan.models + plan.apps;
+}
 
-int main(int argc, const char** argv) {
-  local_cluster::Plan p;
-  char *fleet = nullptr, *dir = nullptr, *pace = nullptr;
-  int version = 0, quiet = 0;
+struct Options {
+  local_cluster::Plan plan;
+  bool print_version = false;
+  bool keep_folder = false;
+};
+
+/// Prints what is wrong with the command line and gives nothing.
+std::optional<Options> read_options(int argc, const char** argv) {
+  Options options;
+  auto& plan = options.plan;
+  char* fleet = nullptr;
+  char* folder = nullptr;
+  char* chunk_interval = nullptr;
+  int version = 0;
+  int keep = 0;
   poptOption table[] = {{"fleet", 'f', POPT_ARG_STRING, &fleet, 0,
                          "kjortala (5,6,3,18,8), catania (3,6,3,9,3) or small (3,2,3,2,1)", "NAME"},
-                        {"dir", 'd', POPT_ARG_STRING, &dir, 0, "folder for data and logs; emptied first", "DIR"},
-                        {"base", 'b', POPT_ARG_INT, &p.base, 0,
+                        {"dir", 'd', POPT_ARG_STRING, &folder, 0, "folder for data and logs; emptied first", "DIR"},
+                        {"base", 'b', POPT_ARG_INT, &plan.first_port, 0,
                          "first port; the control port is the one before; 0 finds free ones", "PORT"},
-                        {"controllers", 0, POPT_ARG_INT, &p.controllers, 0, "how many controllers", "N"},
-                        {"stores", 0, POPT_ARG_INT, &p.stores, 0, "how many stores", "N"},
-                        {"fronts", 0, POPT_ARG_INT, &p.fronts, 0, "how many gateways", "N"},
-                        {"pace", 0, POPT_ARG_STRING, &pace, 0, "milliseconds between a model's pieces", "MS"},
-                        {"keep", 'k', POPT_ARG_NONE, &quiet, 0, "keep the folder of an earlier run", nullptr},
+                        {"controllers", 0, POPT_ARG_INT, &plan.controllers, 0, "how many controllers", "N"},
+                        {"stores", 0, POPT_ARG_INT, &plan.stores, 0, "how many stores", "N"},
+                        {"fronts", 0, POPT_ARG_INT, &plan.fronts, 0, "how many gateways", "N"},
+                        {"pace", 0, POPT_ARG_STRING, &chunk_interval, 0, "milliseconds between a model's chunks", "MS"},
+                        {"keep", 'k', POPT_ARG_NONE, &keep, 0, "keep the folder of an earlier run", nullptr},
                         {"version", 'V', POPT_ARG_NONE, &version, 0, "print the version, then exit", nullptr},
                         POPT_AUTOHELP POPT_TABLEEND};
-  for (int i = 1; i + 1 < argc; ++i)
-    if (std::string(argv[i]) == "--fleet" || std::string(argv[i]) == "-f") {
-      std::string n = argv[i + 1];
-      if (n == "kjortala")
-        p.controllers = 5, p.models = 18, p.apps = 8;
-      else if (n == "small")
-        p.fronts = 2, p.models = 2, p.apps = 1;
-      else if (n != "catania")
-        return fprintf(stderr, "local-cluster: fleet: '%s' is unknown\n", n.c_str()), 2;
+  // The named fleet first, so that the options for single counts override it wherever they stand.
+  for (int i = 1; i + 1 < argc; ++i) {
+    std::string word = argv[i];
+    if ((word == "--fleet" || word == "-f") && !set_fleet_size(plan, argv[i + 1])) {
+      fprintf(stderr, "local-cluster: fleet: '%s' is unknown\n", argv[i + 1]);
+      return std::nullopt;
     }
-  poptContext c = poptGetContext("local-cluster", argc, argv, table, 0);
-  if (int rc = poptGetNextOpt(c); rc < -1)
-    return fprintf(stderr, "local-cluster: %s: %s\n", poptBadOption(c, 0), poptStrerror(rc)), 2;
-  if (version)
-    return printf("local-cluster (mosskeel) %s\n", MOSSKEEL_VERSION), 0;
-  if (!dir)
-    return fprintf(stderr, "local-cluster: dir: is missing\n"), 2;
-  p.dir = dir;
-  if (pace)
-    p.pace = pace;
-  if (p.base == 0)
-    p.base = local_cluster::free_base(2 * p.controllers + 2 * p.stores + 3 * p.fronts + p.models + p.apps);
-  p.bin = std::filesystem::read_symlink("/proc/self/exe").parent_path();
-  if (!quiet)
-    std::filesystem::remove_all(p.dir);
-  start_log("local-cluster");
-  hold_signals();
-  curl_global_init(CURL_GLOBAL_DEFAULT);
-  auto begun = process_now();
-  local_cluster::Fleet f(p);
-  if (auto x = f.start_all(); !x.empty())
-    return fprintf(stderr, "local-cluster: %s\n", to_string(x).c_str()), 2;
-  if (auto x = f.introduce(); !x.empty())
-    return fprintf(stderr, "local-cluster: %s\n", to_string(x).c_str()), 1;
-  while (ready(f) < p.fronts && process_now() - begun < 60000)
-    if (signalled(100))
-      return 1;
-  auto web =
-      HttpServer::open("127.0.0.1:" + std::to_string(p.base - 1), [&](const ApiRequest& a) { return answer(f, a); });
-  if (!web.ok())
-    return fprintf(stderr, "local-cluster: %s\n", to_string(web.errors()).c_str()), 2;
-  std::string m;
-  for (auto& a : f.controllers())
-    m += (m.empty() ? "" : ",") + a;
-  printf("local-cluster: %d of %d fronts ready after %lld ms; controllers %s; control 127.0.0.1:%d\n", ready(f),
-         p.fronts, static_cast<long long>(process_now() - begun), m.c_str(), p.base - 1);
+  }
+  poptContext context = poptGetContext("local-cluster", argc, argv, table, 0);
+  if (int status = poptGetNextOpt(context); status < -1) {
+    fprintf(stderr, "local-cluster: %s: %s\n", poptBadOption(context, 0), poptStrerror(status));
+    return std::nullopt;
+  }
+  options.print_version = version;
+  options.keep_folder = keep;
+  if (!folder && !version) {
+    fprintf(stderr, "local-cluster: dir: is missing\n");
+    return std::nullopt;
+  }
+  if (folder)
+    plan.folder = folder;
+  if (chunk_interval)
+    plan.model_chunk_interval = chunk_interval;
+  return options;
+}
+
+int count_ready_gateways(local_cluster::Fleet& fleet) {
+  int ready = 0;
+  for (const auto& process : fleet.list()) {
+    if (process.program != "gateway" || !process.pid)
+      continue;
+    FetchRequest request;
+    request.url = "http://" + process.http_address + "/ready";
+    request.timeout_ms = kReadyProbeTimeoutMs;
+    ready += http_fetch(request).status == 200;
+  }
+  return ready;
+}
+
+Json describe(const std::vector<local_cluster::Process>& processes) {
+  auto list = Json::array();
+  for (const auto& process : processes) {
+    list.push_back({{"name", process.name},
+                    {"program", process.program},
+                    {"pid", process.pid},
+                    {"listen", process.listen_address},
+                    {"http", process.http_address},
+                    {"zone", process.zone},
+                    {"frozen", process.frozen}});
+  }
+  return list;
+}
+
+/// GET /fleet lists the processes, POST /ACTION/NAME does something to one.
+ApiResponse handle_control_request(local_cluster::Fleet& fleet, const ApiRequest& request) {
+  ApiResponse response;
+  if (request.path == "/fleet") {
+    response.body = describe(fleet.list()).dump() + "\n";
+    return response;
+  }
+  auto slash = request.path.find('/', 1);
+  if (request.method != "POST" || slash == std::string::npos)
+    return ApiResponse::error(404, "unknown_path", "try GET /fleet or POST /kill/NAME");
+  auto action = request.path.substr(1, slash - 1);
+  auto name = request.path.substr(slash + 1);
+  if (auto errors = fleet.act(action, name); !errors.empty())
+    return ApiResponse::error(409, "refused", errors);
+  response.body = "{}\n";
+  return response;
+}
+
+void print_ready(local_cluster::Fleet& fleet, const local_cluster::Plan& plan, Millis duration) {
+  std::string controllers;
+  for (const auto& address : fleet.controllers())
+    controllers += (controllers.empty() ? "" : ",") + address;
+  printf("local-cluster: %d of %d fronts ready after %lld ms; controllers %s; control 127.0.0.1:%d\n",
+         count_ready_gateways(fleet), plan.fronts, static_cast<long long>(duration), controllers.c_str(),
+         plan.first_port - 1);
   fflush(stdout);
+}
+
+int fail(const Errors& errors, int exit_code) {
+  fprintf(stderr, "local-cluster: %s\n", to_string(errors).c_str());
+  return exit_code;
+}
+
+int run(const local_cluster::Plan& plan) {
+  auto begun = process_now();
+  local_cluster::Fleet fleet(plan);
+  if (auto errors = fleet.start_all(); !errors.empty())
+    return fail(errors, kExitUsage);
+  if (auto errors = fleet.configure(); !errors.empty())
+    return fail(errors, kExitFailed);
+  while (count_ready_gateways(fleet) < plan.fronts && process_now() - begun < kReadyTimeout) {
+    if (signalled(kPollInterval))
+      return kExitFailed;
+  }
+  auto control_address = "127.0.0.1:" + std::to_string(plan.first_port - 1);
+  auto server = HttpServer::open(control_address,
+                                 [&](const ApiRequest& request) { return handle_control_request(fleet, request); });
+  if (!server.ok())
+    return fail(server.errors(), kExitUsage);
+  print_ready(fleet, plan, process_now() - begun);
   while (!signalled(1000)) {}
   return 0;
 }
+
+}  // namespace
+
+int main(int argc, const char** argv) {
+  auto options = read_options(argc, argv);
+  if (!options)
+    return kExitUsage;
+  if (options->print_version) {
+    printf("local-cluster (mosskeel) %s\n", MOSSKEEL_VERSION);
+    return 0;
+  }
+  auto& plan = options->plan;
+  if (plan.first_port == 0)
+    plan.first_port = local_cluster::find_free_ports(port_count(plan));
+  plan.program_folder = std::filesystem::read_symlink("/proc/self/exe").parent_path();
+  if (!options->keep_folder)
+    std::filesystem::remove_all(plan.folder);
+  start_log("local-cluster");
+  hold_signals();
+  curl_global_init(CURL_GLOBAL_DEFAULT);
+  return run(plan);
+}
--- a/tools/scale/churn.cpp
+++ b/tools/scale/churn.cpp
@@ -1,227 +1,275 @@
-// What happens to a fleet: newcomers, restarts, a zone lost and back, a region cut off for a while.
+// Experiments of what happens to a fleet: new fronts, restarts, a zone that fails, regions that are cut off.
 #include <algorithm>
 
 #include "consensus/constants.hpp"
 #include "consensus/controller_machine.hpp"
 #include "replication/constants.hpp"
-#include "runtime/constants.hpp"
 #include "scale/experiments.hpp"
-#include "scale/field.hpp"
+#include "scale/simulated_fleet.hpp"
 
 namespace mosskeel::scale {
 namespace {
 
-constexpr Millis settle = 4000, deadline = 900000;
+/// Milliseconds of virtual time; a fleet that is not calm by then has failed.
+constexpr Millis kCalmTimeout = 900000;
+constexpr size_t kFailingZone = 1;
 
-struct Fronts {
-  Fronts(Field& f) : f(f) {
-    for (size_t i = 0; i < f.stations().size(); ++i)
-      if (f.stations()[i].seat.part == Part::agent)
-        v.push_back(i);
-  }
-  void stop(size_t agent) { f.stop(agent), f.stop(agent + 1); }
-  void start(size_t agent) { f.start(agent, true), f.start(agent + 1, true); }
-  Field& f;
-  std::vector<size_t> v;
-};
+View controller_view(SimulatedFleet& fleet) {
+  return fleet.process(ProcessKind::controller, 0).machine->view();
+}
+
+double encoded_bytes(const Metadata& metadata) {
+  return static_cast<double>(codec::pack(metadata).size());
+}
+
+/// An agent and its gateway, which `fleet_processes` puts next to each other.
+void stop_front(SimulatedFleet& fleet, size_t agent) {
+  fleet.stop(agent);
+  fleet.stop(agent + 1);
+}
 
-View core(Field& f) {
-  return f.of(Part::controller, 0).machine->view();
+void start_front(SimulatedFleet& fleet, size_t agent) {
+  fleet.start(agent, true);
+  fleet.start(agent + 1, true);
 }
 
-/// Everybody who runs is up, nothing is under way, and all fronts serve.
-bool calm(Field& f) {
-  auto v = core(f);
-  if (!v->sequences.empty() || !v->incoming_quorum_members.empty() || eligible_quorum_members(*v) != v->quorum_members)
+/// Whether all running daemons are up and know the newest epoch, nothing is under way, and all fronts serve.
+bool is_calm(SimulatedFleet& fleet) {
+  auto view = controller_view(fleet);
+  if (!view->sequences.empty() || !view->incoming_quorum_members.empty())
+    return false;
+  if (eligible_quorum_members(*view) != view->quorum_members)
     return false;
-  for (auto& [id, d] : v->directory)
-    if (d.state == DaemonState::registered || d.state == DaemonState::draining)
+  for (const auto& [id, daemon] : view->directory) {
+    if (daemon.state == DaemonState::registered || daemon.state == DaemonState::draining)
       return false;
-  for (auto& s : f.stations())
-    if (s.machine && s.seen != v->epoch)
+  }
+  for (const auto& process : fleet.processes()) {
+    if (process.machine && process.known_epoch != view->epoch)
       return false;
-  return f.fronts_in_touch();
-}
-
-void account(Row& r, Field& f, Epoch before, Millis begun) {
-  auto v = core(f);
-  r.counts["epochs"] = static_cast<double>(v->epoch.value() - before.value());
-  r.counts["seconds"] = static_cast<double>(f.now() - begun) / 1000;
-  auto seconds = r.counts["seconds"];
-  for (auto p : {Part::controller, Part::store, Part::agent}) {
-    auto s = f.sum(p);
-    auto n = static_cast<double>(f.all(p).size());
-    Tally out, in;
-    for (auto& [k, x] : s.out)
-      out += x;
-    for (auto& [k, x] : s.in)
-      in += x;
-    r.counts[std::string(name(p)) + ".out.byte"] = static_cast<double>(out.bytes) / n / seconds;
-    r.counts[std::string(name(p)) + ".in.byte"] = static_cast<double>(in.bytes) / n / seconds;
-    r.counts[std::string(name(p)) + ".msg"] = static_cast<double>(out.count + in.count) / n / seconds;
-    r.times[std::string(name(p)) + ".core_percent"] = static_cast<double>(s.nanos) / 1e7 / n / seconds;
   }
-  r.counts["value.byte"] = static_cast<double>(codec::pack(*v).size());
-  r.counts["directory"] = static_cast<double>(v->directory.size());
-  r.counts["failures"] = static_cast<double>(f.failures.size());
-  for (auto& x : f.failures)
-    fprintf(stderr, "%s: %s\n", r.what.c_str(), x.c_str());
-}
-
-bool commit(Field& f, size_t controller, Transformation t, const std::string& id) {
-  auto v = f.stations()[controller].machine->view();
-  bool yes = false;
-  f.local = [&](Station&, const Envelope& x) {
-    if (auto* c = std::get_if<CommitReply>(&x.body); c && c->id == id)
-      yes = yes || c->outcome == CommitOutcome::committed;
+  return fleet.all_fronts_ready();
+}
+
+bool run_until_calm(SimulatedFleet& fleet) {
+  return fleet.run_until(kCalmTimeout, [&] { return is_calm(fleet); });
+}
+
+/// The point from which the costs of what happened are counted.
+struct Start {
+  Epoch epoch;
+  Millis time;
+};
+
+Start begin(SimulatedFleet& fleet) {
+  return {.epoch = controller_view(fleet)->epoch, .time = fleet.now()};
+}
+
+/// What each process did in a second since the start.
+void add_costs(Measurement& measurement, SimulatedFleet& fleet, const Start& start) {
+  auto view = controller_view(fleet);
+  auto seconds = static_cast<double>(fleet.now() - start.time) / 1000;
+  measurement.counts["epochs"] = static_cast<double>(view->epoch.value() - start.epoch.value());
+  measurement.counts["seconds"] = seconds;
+  for (auto kind : {ProcessKind::controller, ProcessKind::store, ProcessKind::agent}) {
+    auto counters = fleet.sum(kind);
+    auto processes = static_cast<double>(fleet.indices_of(kind).size());
+    auto per_second = [&](auto amount) {
+      return static_cast<double>(amount) / processes / seconds;
+    };
+    std::string prefix = name(kind);
+    measurement.counts[prefix + ".out.byte"] = per_second(total(counters.sent).bytes);
+    measurement.counts[prefix + ".in.byte"] = per_second(total(counters.received).bytes);
+    measurement.counts[prefix + ".msg"] = per_second(counters.network().messages);
+    measurement.times[prefix + ".core_percent"] = per_second(counters.cpu_nanoseconds) / 1e7;
+  }
+  measurement.counts["value.byte"] = encoded_bytes(*view);
+  measurement.counts["directory"] = static_cast<double>(view->directory.size());
+  add_failures(measurement, fleet);
+}
+
+/// Commits a change at one controller; whether it was acknowledged in time.
+bool commit(SimulatedFleet& fleet, size_t controller, Transformation change, const std::string& id) {
+  auto view = fleet.processes()[controller].machine->view();
+  bool committed = false;
+  fleet.on_local_message = [&](SimulatedProcess&, const Envelope& message) {
+    auto* reply = std::get_if<CommitReply>(&message.body);
+    if (reply && reply->id == id && reply->outcome == CommitOutcome::committed)
+      committed = true;
   };
-  Envelope e{};
-  e.from = "local:" + id;
-  e.cluster = v->cluster;
-  e.epoch = v->epoch;
-  e.body = Commit{id, std::move(t), v->epoch};
-  f.post(controller, std::move(e));
-  f.until(kCommitAttemptTimeout * 2, [&] { return yes; });
-  f.local = nullptr;
-  return yes;
+  Envelope message{};
+  message.from = "local:" + id;
+  message.cluster = view->cluster;
+  message.epoch = view->epoch;
+  message.body = Commit{.id = id, .change = std::move(change), .known_epoch = view->epoch};
+  fleet.deliver_locally(controller, std::move(message));
+  fleet.run_until(kCommitAttemptTimeout * 2, [&] { return committed; });
+  fleet.on_local_message = nullptr;
+  return committed;
 }
 
-}  // namespace
+/// Commits so many changes of the first cell's budget; how many were acknowledged.
+int commit_budget_changes(SimulatedFleet& fleet, size_t controller, int count) {
+  int acknowledged = 0;
+  for (int number = 0; number < count; ++number) {
+    auto view = fleet.processes()[controller].machine->view();
+    auto configuration = view->configuration;
+    configuration.cells[0].budget += 1;
+    ApplyConfiguration change{.base = view->revision, .configuration = configuration, .revision = Revision{}};
+    if (commit(fleet, controller, change, "cut-" + std::to_string(number)))
+      ++acknowledged;
+  }
+  return acknowledged;
+}
 
-Row newcomer(const Plan& p, uint64_t seed, double size) {
-  Row r{"newcomer", size, seed, {}, {}};
-  Field f(p, seed);
-  f.run(settle);
-  Fronts v(f);
-  v.stop(v.v.front());
-  f.until(deadline, [&] { return calm(f); });
-  f.forget();
-  auto before = core(f)->epoch;
-  auto begun = f.now();
-  v.start(v.v.front());
-  f.until(deadline, [&] { return f.stations()[v.v.front()].seen.value() > 0; });
-  r.counts["value_after.ms"] = static_cast<double>(f.now() - begun);
-  f.until(deadline, [&] { return calm(f); });
-  Tally in;
-  double whole = 0, value = static_cast<double>(codec::pack(*core(f)).size());
-  for (auto& [k, x] : f.stations()[v.v.front()].t.in) {
-    in += x;
-    r.counts["in." + k + ".msg"] = static_cast<double>(x.count);
-    r.counts["in." + k + ".byte"] = static_cast<double>(x.bytes);
+/// The index of the controller that supervises; the first one where none does.
+size_t supervisor(SimulatedFleet& fleet) {
+  for (auto index : fleet.indices_of(ProcessKind::controller)) {
+    if (static_cast<ControllerMachine&>(*fleet.processes()[index].machine).is_supervisor(fleet.now()))
+      return index;
   }
-  whole = static_cast<double>(in.bytes) / value;
-  account(r, f, before, begun);
-  r.counts["in.byte"] = static_cast<double>(in.bytes);
-  r.counts["values_received"] = whole;
-  return r;
-}
-
-Row restarts(const Plan& p, int count, uint64_t seed, double size) {
-  Row r{"restarts", size, seed, {}, {}};
-  Field f(p, seed);
-  f.run(settle);
-  f.forget();
-  Fronts v(f);
-  auto before = core(f)->epoch;
-  auto begun = f.now();
-  auto bytes = static_cast<double>(codec::pack(*core(f)).size());
-  std::vector<Millis> took;
-  bool good = true;
-  for (int i = 0; i < count && good; ++i) {
-    auto k = v.v[static_cast<size_t>(i) % v.v.size()];
-    v.stop(k);
-    f.run(kHeartbeatInterval);
-    auto at = f.now();
-    v.start(k);
-    good = f.until(deadline, [&] { return calm(f); });
-    took.push_back(f.now() - at);
+  return 0;
+}
+
+std::vector<size_t> processes_in_zone(SimulatedFleet& fleet, size_t zone) {
+  std::vector<size_t> indices;
+  for (size_t index = 0; index < fleet.processes().size(); ++index) {
+    if (fleet.processes()[index].spec.zone == zone)
+      indices.push_back(index);
   }
-  std::sort(took.begin(), took.end());
-  account(r, f, before, begun);
-  r.counts["done"] = static_cast<double>(took.size());
-  r.counts["one.ms.p50"] = static_cast<double>(took[took.size() / 2]);
-  r.counts["one.ms.max"] = static_cast<double>(took.back());
-  r.counts["epochs.one"] = r.counts["epochs"] / static_cast<double>(took.size());
-  r.counts["value.byte.one"] = (r.counts["value.byte"] - bytes) / static_cast<double>(took.size());
-  return r;
-}
-
-Row zone_lost(const Plan& p, uint64_t seed, double size) {
-  Row r{"zone", size, seed, {}, {}};
-  Field f(p, seed);
-  f.run(settle);
-  f.forget();
-  std::vector<size_t> gone;
-  for (size_t i = 0; i < f.stations().size(); ++i)
-    if (f.stations()[i].seat.zone == 1)
-      gone.push_back(i);
-  auto begun = f.now();
-  auto before = core(f)->epoch;
-  for (auto i : gone)
-    f.stop(i);
-  auto down = [&] {
-    auto m = core(f);
-    size_t n = 0, all = 0;
-    for (auto i : gone)
-      if (f.stations()[i].seat.part != Part::agent) {
-        auto* d = m->find(f.stations()[i].seat.id.self.incarnation);
-        ++all, n += d && (d->state == DaemonState::down || d->state == DaemonState::left);
-      }
-    return n == all;
-  };
-  r.counts["all_down"] = f.until(deadline, down);
-  r.counts["down.ms"] = static_cast<double>(f.now() - begun);
-  f.until(deadline, [&] { return calm(f); });
-  auto back = f.now();
-  r.counts["daemons"] = static_cast<double>(gone.size());
-  r.counts["epochs.down"] = static_cast<double>(core(f)->epoch.value() - before.value());
-  for (auto i : gone)
-    f.start(i, true);
-  r.counts["back"] = f.until(deadline, [&] { return calm(f); });
-  r.counts["back.ms"] = static_cast<double>(f.now() - back);
-  account(r, f, before, begun);
-  return r;
-}
-
-Row region_cut(const Plan& p, int changes, uint64_t seed, double size) {
-  Row r{"region", size, seed, {}, {}};
-  Field f(p, seed);
-  f.run(settle);
-  f.forget();
-  auto begun = f.now();
-  auto before = core(f)->epoch;
-  f.cut = [](const Station& a, const Station& b) {
-    return a.seat.region != b.seat.region;
-  };
-  f.run(kIsolatedHeartbeatTimeout * 2);
-  size_t serving = 0, cut_off = 0;
-  for (auto& s : f.stations()) {
-    if (s.seat.part != Part::gateway)
+  return indices;
+}
+
+/// Whether the controllers know that all these processes are gone. Agents are not in the directory.
+bool all_down(SimulatedFleet& fleet, const std::vector<size_t>& indices) {
+  auto view = controller_view(fleet);
+  for (auto index : indices) {
+    const auto& spec = fleet.processes()[index].spec;
+    if (spec.kind == ProcessKind::agent)
       continue;
-    bool good = static_cast<GatewayMachine&>(*s.machine).ready(f.now());
-    serving += good, cut_off += !good;
+    auto* daemon = view->find(spec.identity.self.incarnation);
+    if (!daemon || (daemon->state != DaemonState::down && daemon->state != DaemonState::left))
+      return false;
+  }
+  return true;
+}
+
+size_t count_ready_gateways(SimulatedFleet& fleet) {
+  size_t ready = 0;
+  for (auto index : fleet.indices_of(ProcessKind::gateway)) {
+    if (static_cast<GatewayMachine&>(*fleet.processes()[index].machine).ready(fleet.now()))
+      ++ready;
+  }
+  return ready;
+}
+
+}  // namespace
+
+Measurement new_front(const Plan& plan, uint64_t seed, double size) {
+  Measurement measurement{.experiment = "newcomer", .size = size, .seed = seed, .counts = {}, .times = {}};
+  SimulatedFleet fleet(plan, seed);
+  fleet.run(kSettlingTime);
+  auto agent = fleet.indices_of(ProcessKind::agent).front();
+  stop_front(fleet, agent);
+  run_until_calm(fleet);
+  fleet.reset_counters();
+  auto start = begin(fleet);
+  start_front(fleet, agent);
+  const auto& process = fleet.processes()[agent];
+  fleet.run_until(kCalmTimeout, [&] { return process.known_epoch.value() > 0; });
+  measurement.counts["value_after.ms"] = static_cast<double>(fleet.now() - start.time);
+  run_until_calm(fleet);
+  for (const auto& [kind, traffic] : process.counters.received) {
+    measurement.counts["in." + kind + ".msg"] = static_cast<double>(traffic.messages);
+    measurement.counts["in." + kind + ".byte"] = static_cast<double>(traffic.bytes);
   }
-  r.counts["serving"] = static_cast<double>(serving), r.counts["not_serving"] = static_cast<double>(cut_off);
-  size_t majority = 0;
-  for (auto i : f.all(Part::controller))
-    if (static_cast<ControllerMachine&>(*f.stations()[i].machine).is_supervisor(f.now()))
-      majority = i;
-  int yes = 0;
-  for (int i = 0; i < changes; ++i) {
-    auto v = f.stations()[majority].machine->view();
-    auto m = v->configuration;
-    m.cells[0].budget += 1;
-    yes += commit(f, majority, ApplyConfiguration{v->revision, m, {}}, "cut-" + std::to_string(i));
+  auto received = static_cast<double>(total(process.counters.received).bytes);
+  add_costs(measurement, fleet, start);
+  measurement.counts["in.byte"] = received;
+  measurement.counts["values_received"] = received / encoded_bytes(*controller_view(fleet));
+  return measurement;
+}
+
+Measurement front_restarts(const Plan& plan, int count, uint64_t seed, double size) {
+  Measurement measurement{.experiment = "restarts", .size = size, .seed = seed, .counts = {}, .times = {}};
+  SimulatedFleet fleet(plan, seed);
+  fleet.run(kSettlingTime);
+  fleet.reset_counters();
+  auto agents = fleet.indices_of(ProcessKind::agent);
+  auto start = begin(fleet);
+  auto bytes_before = encoded_bytes(*controller_view(fleet));
+  std::vector<Millis> durations;
+  bool calm = true;
+  for (int number = 0; number < count && calm; ++number) {
+    auto agent = agents[static_cast<size_t>(number) % agents.size()];
+    stop_front(fleet, agent);
+    fleet.run(kHeartbeatInterval);
+    auto started = fleet.now();
+    start_front(fleet, agent);
+    calm = run_until_calm(fleet);
+    durations.push_back(fleet.now() - started);
   }
-  r.counts["acknowledged"] = yes;
-  r.counts["changes"] = changes;
-  r.counts["cut.epochs"] = static_cast<double>(f.stations()[majority].machine->view()->epoch.value() - before.value());
-  auto healed = f.now();
-  f.cut = nullptr;
-  r.counts["back"] = f.until(deadline, [&] { return calm(f); });
-  r.counts["back.ms"] = static_cast<double>(f.now() - healed);
-  account(r, f, before, begun);
-  return r;
+  std::sort(durations.begin(), durations.end());
+  add_costs(measurement, fleet, start);
+  auto done = static_cast<double>(durations.size());
+  auto& counts = measurement.counts;
+  counts["done"] = done;
+  counts["one.ms.p50"] = static_cast<double>(durations[durations.size() / 2]);
+  counts["one.ms.max"] = static_cast<double>(durations.back());
+  counts["epochs.one"] = counts["epochs"] / done;
+  counts["value.byte.one"] = (counts["value.byte"] - bytes_before) / done;
+  return measurement;
+}
+
+Measurement zone_failure(const Plan& plan, uint64_t seed, double size) {
+  Measurement measurement{.experiment = "zone", .size = size, .seed = seed, .counts = {}, .times = {}};
+  SimulatedFleet fleet(plan, seed);
+  fleet.run(kSettlingTime);
+  fleet.reset_counters();
+  auto failing = processes_in_zone(fleet, kFailingZone);
+  auto start = begin(fleet);
+  for (auto index : failing)
+    fleet.stop(index);
+  auto& counts = measurement.counts;
+  counts["all_down"] = fleet.run_until(kCalmTimeout, [&] { return all_down(fleet, failing); });
+  counts["down.ms"] = static_cast<double>(fleet.now() - start.time);
+  run_until_calm(fleet);
+  auto restarted = begin(fleet);
+  counts["daemons"] = static_cast<double>(failing.size());
+  counts["epochs.down"] = static_cast<double>(restarted.epoch.value() - start.epoch.value());
+  for (auto index : failing)
+    fleet.start(index, true);
+  counts["back"] = run_until_calm(fleet);
+  counts["back.ms"] = static_cast<double>(fleet.now() - restarted.time);
+  add_costs(measurement, fleet, start);
+  return measurement;
+}
+
+Measurement region_partition(const Plan& plan, int changes, uint64_t seed, double size) {
+  Measurement measurement{.experiment = "region", .size = size, .seed = seed, .counts = {}, .times = {}};
+  SimulatedFleet fleet(plan, seed);
+  fleet.run(kSettlingTime);
+  fleet.reset_counters();
+  auto start = begin(fleet);
+  fleet.is_cut = [](const SimulatedProcess& sender, const SimulatedProcess& receiver) {
+    return sender.spec.region != receiver.spec.region;
+  };
+  fleet.run(kIsolatedHeartbeatTimeout * 2);
+  auto& counts = measurement.counts;
+  auto ready = count_ready_gateways(fleet);
+  counts["serving"] = static_cast<double>(ready);
+  counts["not_serving"] = static_cast<double>(fleet.indices_of(ProcessKind::gateway).size() - ready);
+  auto controller = supervisor(fleet);
+  counts["acknowledged"] = commit_budget_changes(fleet, controller, changes);
+  counts["changes"] = changes;
+  auto epoch = fleet.processes()[controller].machine->view()->epoch;
+  counts["cut.epochs"] = static_cast<double>(epoch.value() - start.epoch.value());
+  auto healed = fleet.now();
+  fleet.is_cut = nullptr;
+  counts["back"] = run_until_calm(fleet);
+  counts["back.ms"] = static_cast<double>(fleet.now() - healed);
+  add_costs(measurement, fleet, start);
+  return measurement;
 }
 
 }  // namespace mosskeel::scale
--- a/tools/scale/experiments.hpp
+++ b/tools/scale/experiments.hpp
@@ -1,40 +1,57 @@
 #pragma once
-// What `scale slopes` measures: each experiment gives a row of figures for one size and one seed.
+// The experiments of `scale slopes`: each gives the figures of one size and one seed.
 #include "scale/plan.hpp"
 
 namespace mosskeel::scale {
 
-struct Row {
-  std::string what;
+class SimulatedFleet;
+
+/// The figures of one run of one experiment.
+struct Measurement {
+  std::string experiment;
   double size = 0;
   uint64_t seed = 0;
-  std::map<std::string, double> counts, times;
+  /// Figures that are the same in every run with the same seed, by name.
+  std::map<std::string, double> counts;
+  /// Processor times, which differ from run to run, by name.
+  std::map<std::string, double> times;
 };
 
+/// Milliseconds after its start until a simulated fleet is calm: heartbeats, leases and repairs take turns.
+constexpr Millis kSettlingTime = 4000;
+/// Milliseconds; holds whole numbers of the periods of all that repeats.
+constexpr Millis kMeasuringWindow = 3000;
+/// Bytes of the text of a turn. In and out together are 1440 tokens of four bytes, a 250th of 360,000 tokens.
+constexpr size_t kTurnInputBytes = 1200;
+constexpr size_t kTurnOutputBytes = 4560;
+/// Tokens of a turn's output.
+constexpr uint64_t kTurnOutputTokens = 1140;
+
 /// A fleet at rest, per process and second.
-Row at_rest(const Plan& p, uint64_t seed, double size);
-/// One configuration more, from its commit to everywhere.
-Row change(const Plan& p, uint64_t seed, double size);
-/// The value itself: bytes by table, processor time to apply an entry, to encode and to decode it, memory.
-Row whole_value(const Plan& p, uint64_t seed, double size);
+Measurement fleet_at_rest(const Plan& plan, uint64_t seed, double size);
+/// One change of the configuration, from its commit until it is in force everywhere.
+Measurement configuration_change(const Plan& plan, uint64_t seed, double size);
+/// The metadata value itself: bytes of each field, memory, processor time to apply, encode, decode and search it.
+Measurement metadata_value(const Plan& plan, uint64_t seed, double size);
 /// Choosing a replica for one request.
-Row selection(const Plan& p, uint64_t seed, double size);
-/// `programs` conversations at once, each of `turns` turns; the figures are of the last five turns of each.
-Row conversation(int programs, int turns, uint64_t seed, double size);
+Measurement replica_selection(const Plan& plan, uint64_t seed, double size);
+/// `programs` conversations at once, each of `turns` turns; the figures are those of the last five turns of each.
+Measurement conversations(int programs, int turns, uint64_t seed, double size);
 /// Stores at rest that hold so many histories of so many turns.
-Row stored_histories(int histories, int turns, uint64_t seed, double size);
-/// A front that comes new, and one that is started again: what it takes until it is in touch and joined.
-Row newcomer(const Plan& p, uint64_t seed, double size);
-Row restarts(const Plan& p, int count, uint64_t seed, double size);
-Row zone_lost(const Plan& p, uint64_t seed, double size);
-/// `changes` changes are made while the second region is cut off.
-Row region_cut(const Plan& p, int changes, uint64_t seed, double size);
-
-/// Bytes of text of a turn, in and out: 1440 tokens of four bytes, a 250th of 360,000 tokens.
-constexpr size_t turn_in = 1200, turn_out = 4560;
-constexpr uint64_t turn_tokens = 1140;
-
-/// The line of the page's table of counts for a fleet of so many daemons.
-std::string page_row(int daemons, uint64_t seed);
+Measurement stored_histories(int histories, int turns, uint64_t seed, double size);
+/// A front that comes new, until it has joined.
+Measurement new_front(const Plan& plan, uint64_t seed, double size);
+/// So many fronts restarted one after the other.
+Measurement front_restarts(const Plan& plan, int count, uint64_t seed, double size);
+/// A zone that fails as a whole and comes back.
+Measurement zone_failure(const Plan& plan, uint64_t seed, double size);
+/// `changes` changes are committed while the network between the regions is cut.
+Measurement region_partition(const Plan& plan, int changes, uint64_t seed, double size);
+
+/// The row of the capacity page's table of counts for a fleet of so many daemons.
+std::string capacity_page_row(int daemons, uint64_t seed);
+
+/// Counts the invariants that the fleet broke, and prints them to standard error.
+void add_failures(Measurement& measurement, const SimulatedFleet& fleet);
 
 }  // namespace mosskeel::scale
--- a/tools/scale/plan.cpp
+++ b/tools/scale/plan.cpp
@@ -7,163 +7,263 @@
 namespace mosskeel::scale {
 namespace {
 
-/// Addresses have the length that they have in a cluster.
-Address address(size_t zone, size_t n, int port) {
-  auto part = [](size_t x) {
-    return std::to_string(100 + x) + ".";
+constexpr size_t kRegionCount = 2;
+constexpr int kFirstDaemonPort = 7000;
+constexpr int kPortsBetweenKinds = 10;
+constexpr int kHttpPort = 8080;
+constexpr int kReplicaPort = 9000;
+/// Seeds that each daemon is given; so many controllers, or all if there are fewer.
+constexpr size_t kSeedCount = 3;
+
+/// Addresses have the length that they have in a cluster, since messages that carry them are counted in bytes.
+Address address(size_t zone, size_t machine, int port) {
+  auto octet = [](size_t number) {
+    return std::to_string(100 + number);
   };
-  auto last = part(n % 100);
-  last.back() = ':';
-  return "10." + part(zone) + part(n / 100) + last + std::to_string(port);
+  return "10." + octet(zone) + "." + octet(machine / 100) + "." + octet(machine % 100) + ":" + std::to_string(port);
+}
+
+std::string zone_name(size_t zone) {
+  auto region = zone % kRegionCount + 1;
+  auto letter = static_cast<char>('a' + zone / kRegionCount);
+  return "region-" + std::to_string(region) + "-" + std::string(1, letter);
+}
+
+int daemon_port(ProcessKind kind) {
+  return kFirstDaemonPort + kPortsBetweenKinds * static_cast<int>(kind);
+}
+
+Role role_of(ProcessKind kind) {
+  switch (kind) {
+    case ProcessKind::controller:
+      return Role::controller;
+    case ProcessKind::store:
+      return Role::store;
+    case ProcessKind::agent:
+    case ProcessKind::gateway:
+      return Role::front;
+  }
+  return Role::front;
+}
+
+Address companion_address(ProcessKind kind, size_t zone, size_t machine) {
+  if (kind == ProcessKind::agent)
+    return address(zone, machine, daemon_port(ProcessKind::gateway));
+  if (kind == ProcessKind::gateway)
+    return address(zone, machine, daemon_port(ProcessKind::agent));
+  return "";
 }
 
-std::string zone_name(size_t z) {
-  return "region-" + std::to_string(z % 2 + 1) + "-" + std::string(1, static_cast<char>('a' + z / 2));
+ProcessSpec make_process(const Plan& plan, ProcessKind kind, size_t machine, uint64_t incarnation) {
+  ProcessSpec process;
+  process.kind = kind;
+  process.zone = machine % static_cast<size_t>(plan.zones);
+  process.region = process.zone % kRegionCount;
+  process.companion = companion_address(kind, process.zone, machine);
+  process.identity.self = {.incarnation = Incarnation{incarnation},
+                           .role = role_of(kind),
+                           .zone = zone_name(process.zone),
+                           .address = address(process.zone, machine, daemon_port(kind)),
+                           .agent_address = process.companion,
+                           .http_address = address(process.zone, machine, kHttpPort),
+                           .machine = "machine-" + std::to_string(1000 + machine)};
+  process.identity.core_size = static_cast<uint32_t>(plan.controllers);
+  process.identity.dice = digest("dice", incarnation);
+  return process;
 }
 
-Seat seat(const Plan& p, Part part, size_t n, uint64_t incarnation) {
-  Seat s;
-  s.part = part;
-  s.zone = n % static_cast<size_t>(p.zones);
-  s.region = s.zone % 2;
-  auto role = part == Part::controller ? Role::controller : part == Part::store ? Role::store : Role::front;
-  auto port = 7000 + 10 * static_cast<int>(part);
-  auto listen_address = address(s.zone, n, port);
-  if (part == Part::agent)
-    s.beside = address(s.zone, n, 7000 + 10 * static_cast<int>(Part::gateway));
-  if (part == Part::gateway)
-    s.beside = address(s.zone, n, 7000 + 10 * static_cast<int>(Part::agent));
-  s.id.self = {Incarnation{incarnation},
-               role,
-               zone_name(s.zone),
-               listen_address,
-               s.beside,
-               address(s.zone, n, 8080),
-               "machine-" + std::to_string(1000 + n)};
-  s.id.core_size = static_cast<uint32_t>(p.controllers);
-  s.id.dice = digest("dice", incarnation);
-  return s;
+/// A name with a number of five digits, so that all names of one kind are equally long.
+std::string numbered(const char* prefix, int number) {
+  return prefix + std::to_string(10000 + number);
 }
 
+/// Applies transformations to a metadata value.
+class MetadataBuilder {
+ public:
+  Metadata metadata{};
+
+  void apply(Transformation change) {
+    auto applied =
+        mosskeel::apply(metadata, {.epoch = next(metadata.epoch), .commit_id = "", .change = std::move(change)});
+    if (!applied.ok())
+      throw std::runtime_error(to_string(applied.errors()));
+    metadata = applied.value();
+  }
+
+  void found(const Plan& plan, const std::vector<ProcessSpec>& processes) {
+    FoundCluster founding{.cluster = digest("cluster"),
+                          .core_size = static_cast<uint32_t>(plan.controllers),
+                          .members = {},
+                          .max_core_size = 0,
+                          .replication_factor = 0};
+    for (const auto& process : processes) {
+      if (process.kind == ProcessKind::controller)
+        founding.members.push_back(process.identity.self);
+    }
+    apply(founding);
+    if (plan.partitions)
+      metadata.partitions.resize(static_cast<size_t>(plan.partitions));
+  }
+
+  /// Agents are not in the directory: their gateways speak for them.
+  void register_daemons(const std::vector<ProcessSpec>& processes) {
+    for (const auto& process : processes) {
+      if (process.kind == ProcessKind::store || process.kind == ProcessKind::gateway)
+        apply(Register{.self = process.identity.self});
+    }
+  }
+
+  void join_daemons() {
+    for (const auto& [id, daemon] : Directory(metadata.directory)) {
+      if (daemon.self.role == Role::controller)
+        continue;
+      apply(PrepareJoin{.node = id});
+      for (auto step : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish})
+        apply(AdvanceSequence{.node = id, .step = step});
+    }
+  }
+
+  void change_quorum() {
+    apply(BeginQuorumChange{});
+    apply(FinishQuorumChange{.since = metadata.epoch});
+  }
+
+  void configure(const Plan& plan) {
+    apply(ApplyConfiguration{
+        .base = metadata.revision, .configuration = make_configuration(plan), .revision = Revision{}});
+    if (plan.replicas)
+      apply(UpdateReplicas{.updated = make_replicas(plan), .removed = {}});
+  }
+
+  /// What a fleet that is not new remembers.
+  void add_past(const Plan& plan) {
+    for (int number = 0; number < plan.remembered_commits; ++number) {
+      auto id = "op-" + hex(digest("id", static_cast<uint64_t>(number)));
+      metadata.applied_commits.push_back({.id = id, .epoch = metadata.epoch});
+    }
+    for (int number = 0; number < plan.departed_daemons; ++number) {
+      auto machine = static_cast<size_t>(number % plan.daemons);
+      auto process = make_process(plan, ProcessKind::gateway, machine, digest("left", static_cast<uint64_t>(number)));
+      DaemonId id{metadata.next_id++};
+      metadata.directory[id] = {
+          .id = id, .self = process.identity.self, .state = DaemonState::left, .since = metadata.epoch};
+    }
+  }
+};
+
 }  // namespace
 
-const char* name(Part p) {
-  static const char* const n[] = {"controller", "store", "agent", "gateway"};
-  return n[static_cast<int>(p)];
+const char* name(ProcessKind kind) {
+  static constexpr const char* names[] = {"controller", "store", "agent", "gateway"};
+  return names[static_cast<int>(kind)];
 }
 
-std::vector<Seat> seats(const Plan& p, uint64_t seed) {
-  std::vector<Seat> v;
-  auto incarnation = [&] {
-    return digest("seat", seed * 1000003 + v.size());
+std::vector<ProcessSpec> fleet_processes(const Plan& plan, uint64_t seed) {
+  std::vector<ProcessSpec> processes;
+  auto add = [&](ProcessKind kind, int machine) {
+    auto incarnation = digest("seat", seed * 1000003 + processes.size());
+    processes.push_back(make_process(plan, kind, static_cast<size_t>(machine), incarnation));
   };
-  for (int i = 0; i < p.controllers; ++i)
-    v.push_back(seat(p, Part::controller, static_cast<size_t>(i), incarnation()));
+  for (int machine = 0; machine < plan.controllers; ++machine)
+    add(ProcessKind::controller, machine);
   Addresses seeds;
-  for (auto& s : v)
-    if (seeds.size() < 3)
-      seeds.push_back(s.id.self.address);
-  for (int i = 0; i < p.stores(); ++i)
-    v.push_back(seat(p, Part::store, static_cast<size_t>(i), incarnation()));
-  for (int i = 0; i < p.fronts(); ++i)
-    for (auto part : {Part::agent, Part::gateway})
-      v.push_back(seat(p, part, static_cast<size_t>(i), incarnation()));
-  for (auto& s : v)
-    s.id.seeds = seeds;
-  return v;
+  for (size_t i = 0; i < std::min(kSeedCount, processes.size()); ++i)
+    seeds.push_back(processes[i].identity.self.address);
+  for (int machine = 0; machine < plan.stores(); ++machine)
+    add(ProcessKind::store, machine);
+  for (int machine = 0; machine < plan.fronts(); ++machine) {
+    add(ProcessKind::agent, machine);
+    add(ProcessKind::gateway, machine);
+  }
+  for (auto& process : processes)
+    process.identity.seeds = seeds;
+  return processes;
 }
 
-std::pair<Seat, Seat> front(const Plan& p, size_t n, uint64_t seed) {
-  return {seat(p, Part::agent, n, digest("newcomer", seed)), seat(p, Part::gateway, n, digest("beside", seed))};
+FrontSpec additional_front(const Plan& plan, size_t machine, uint64_t seed) {
+  return {.agent = make_process(plan, ProcessKind::agent, machine, digest("newcomer", seed)),
+          .gateway = make_process(plan, ProcessKind::gateway, machine, digest("beside", seed))};
 }
 
-Configuration configuration(const Plan& p) {
-  Configuration m;
-  auto n = [](const char* s, int i) {
-    return s + std::to_string(10000 + i);
-  };
-  for (int i = 0; i < p.cells; ++i)
-    m.cells.push_back({n("tenant-", i), 360000, 8192, 3600000, {{"chat", "model", {}}}});
-  for (int i = 0; i < p.services; ++i)
-    m.services.push_back({n("model-", i), "/health", 64, 10000, 2.0, 32, 4000000, 16});
-  for (int i = 0; i < p.paths; ++i)
-    m.paths.push_back({n("path-", i),
-                       "api.example.com",
-                       "/v1/" + n("p", i) + "/",
-                       "streaming",
-                       60000,
-                       1100,
-                       1,
-                       2,
-                       true,
-                       3600000,
-                       true,
-                       false,
-                       30,
-                       {{n("model-", i % p.services), 100}}});
-  return m;
+Configuration make_configuration(const Plan& plan) {
+  Configuration configuration;
+  for (int number = 0; number < plan.cells; ++number) {
+    configuration.cells.push_back({.name = numbered("tenant-", number),
+                                   .budget = 360000,
+                                   .turn_limit = 8192,
+                                   .retention_ms = 3600000,
+                                   .routes = {{.name = "chat", .kind = "model", .replicas = {}}}});
+  }
+  for (int number = 0; number < plan.services; ++number) {
+    configuration.services.push_back({.name = numbered("model-", number),
+                                      .health_path = "/health",
+                                      .sessions = 64,
+                                      .cold_ms = 10000,
+                                      .cold_per_s = 2.0,
+                                      .slots = 32,
+                                      .cache_tokens = 4000000,
+                                      .event_tokens = 16});
+  }
+  for (int number = 0; number < plan.paths; ++number) {
+    configuration.paths.push_back({.name = numbered("path-", number),
+                                   .host = "api.example.com",
+                                   .prefix = "/v1/" + numbered("p", number) + "/",
+                                   .kind = "streaming",
+                                   .timeout_ms = 60000,
+                                   .target_ms = 1100,
+                                   .rank = 1,
+                                   .attempts = 2,
+                                   .kept = true,
+                                   .retention_ms = 3600000,
+                                   .sticky = true,
+                                   .resumable = false,
+                                   .gap_ms = 30,
+                                   .shares = {{.service = numbered("model-", number % plan.services), .weight = 100}}});
+  }
+  return configuration;
 }
 
-std::vector<Replica> replicas(const Plan& p) {
-  std::vector<Replica> v;
-  for (int i = 0; i < p.replicas; ++i) {
-    auto z = static_cast<size_t>(i % p.zones);
-    v.push_back({"replica-" + std::to_string(10000 + i), "model", zone_name(z),
-                 "http://" + address(z, static_cast<size_t>(i), 9000), ReplicaHealth::ready, Epoch{}, 32,
-                 "model-" + std::to_string(10000 + i % p.services), 0});
+std::vector<Replica> make_replicas(const Plan& plan) {
+  std::vector<Replica> replicas;
+  for (int number = 0; number < plan.replicas; ++number) {
+    auto zone = static_cast<size_t>(number % plan.zones);
+    replicas.push_back({.name = numbered("replica-", number),
+                        .kind = "model",
+                        .zone = zone_name(zone),
+                        .url = "http://" + address(zone, static_cast<size_t>(number), kReplicaPort),
+                        .health = ReplicaHealth::ready,
+                        .since = Epoch{},
+                        .capacity = 32,
+                        .service = numbered("model-", number % plan.services),
+                        .warm_up_ms = 0});
   }
-  return v;
+  return replicas;
 }
 
-Metadata rest(const Plan& p, const std::vector<Seat>& all) {
-  Metadata m{};
-  auto step = [&](Transformation t) {
-    auto r = apply(m, {next(m.epoch), "", std::move(t)});
-    if (!r.ok())
-      throw std::runtime_error(to_string(r.errors()));
-    m = r.value();
-  };
-  FoundCluster f{digest("cluster"), static_cast<uint32_t>(p.controllers), {}, 0, 0};
-  for (auto& s : all)
-    if (s.part == Part::controller)
-      f.members.push_back(s.id.self);
-  step(f);
-  if (p.slots)
-    m.partitions.resize(static_cast<size_t>(p.slots));
-  for (auto& s : all)
-    if (s.part == Part::store || s.part == Part::gateway)
-      step(Register{s.id.self});
-  for (auto& [id, d] : Directory(m.directory))
-    if (d.self.role != Role::controller) {
-      step(PrepareJoin{id});
-      for (auto x : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish})
-        step(AdvanceSequence{id, x});
-    }
-  step(BeginQuorumChange{});
-  step(FinishQuorumChange{m.epoch});
-  step(ApplyConfiguration{m.revision, configuration(p), {}});
-  if (p.replicas)
-    step(UpdateReplicas{replicas(p), {}});
-  for (int i = 0; i < p.remembered; ++i)
-    m.applied_commits.push_back({"op-" + hex(digest("id", i)), m.epoch});
-  for (int i = 0; i < p.left; ++i) {
-    Seat s = seat(p, Part::gateway, static_cast<size_t>(i % p.daemons), digest("left", i));
-    DaemonId id{m.next_id++};
-    m.directory[id] = {id, s.id.self, DaemonState::left, m.epoch};
-  }
-  return m;
+Metadata metadata_at_rest(const Plan& plan, const std::vector<ProcessSpec>& processes) {
+  MetadataBuilder builder;
+  builder.found(plan, processes);
+  builder.register_daemons(processes);
+  builder.join_daemons();
+  builder.change_quorum();
+  builder.configure(plan);
+  builder.add_past(plan);
+  return std::move(builder.metadata);
 }
 
-std::map<std::string, size_t> tables(const Metadata& m) {
-  std::map<std::string, size_t> v;
-  boost::hana::for_each(boost::hana::accessors<Metadata>(), [&](auto a) {
-    v[boost::hana::to<const char*>(boost::hana::first(a))] = codec::pack(boost::hana::second(a)(m)).size();
-  });
-  v["configuration.cells"] = codec::pack(m.configuration.cells).size();
-  v["configuration.paths"] = codec::pack(m.configuration.paths).size();
-  v["configuration.services"] = codec::pack(m.configuration.services).size();
-  v["whole"] = codec::pack(m).size();
-  return v;
+std::map<std::string, size_t> encoded_sizes(const Metadata& metadata) {
+  namespace hana = boost::hana;
+  std::map<std::string, size_t> sizes;
+  auto add_field = [&](auto field) {
+    auto field_name = hana::to<const char*>(hana::first(field));
+    sizes[field_name] = codec::pack(hana::second(field)(metadata)).size();
+  };
+  hana::for_each(hana::accessors<Metadata>(), add_field);
+  sizes["configuration.cells"] = codec::pack(metadata.configuration.cells).size();
+  sizes["configuration.paths"] = codec::pack(metadata.configuration.paths).size();
+  sizes["configuration.services"] = codec::pack(metadata.configuration.services).size();
+  sizes["whole"] = codec::pack(metadata).size();
+  return sizes;
 }
 
 }  // namespace mosskeel::scale
--- a/tools/scale/report.hpp
+++ b/tools/scale/report.hpp
@@ -1,26 +1,44 @@
 #pragma once
-// Writes rows as CSV, a plot as SVG, and fits a line through points.
+// Writes measurements as CSV and curves as SVG, and fits a straight line through points.
 #include "scale/experiments.hpp"
 
 namespace mosskeel::scale {
 
+struct Point {
+  double x = 0;
+  double y = 0;
+  auto operator<=>(const Point&) const = default;
+};
+using Points = std::vector<Point>;
+
 struct Curve {
   std::string label;
-  std::vector<std::pair<double, double>> points;
+  Points points;
+};
+
+/// The line `y = base + slope * x` by least squares.
+struct LinearFit {
+  double base = 0;
+  double slope = 0;
+  /// The largest distance of a point from the line, in y.
+  double largest_distance = 0;
 };
+LinearFit fit_line(const Points& points);
+
+/// One line a figure and size, with the smallest and the largest value of all seeds. Figures that are always 0 are
+/// left out.
+enum class FigureKind { counts, times };
+void write_csv(const std::string& file, const std::vector<Measurement>& measurements, FigureKind kind);
 
-/// `y = base + slope * x` by least squares, and the largest distance from it.
-struct Fit {
-  double base = 0, slope = 0, off = 0;
+struct ChartLabels {
+  std::string title;
+  std::string x_axis;
+  std::string y_axis;
 };
-Fit fit(const std::vector<std::pair<double, double>>& v);
-
-/// One line a figure and size, with the least and the most of all seeds; what is 0 is left out.
-void write_csv(const std::string& file, const std::vector<Row>& rows, bool times);
-void write_svg(const std::string& file, const std::string& title, const std::string& x, const std::string& y,
-               const std::vector<Curve>& curves);
-/// The points (size, figure) of one experiment, all seeds.
-std::vector<std::pair<double, double>> points(const std::vector<Row>& rows, const std::string& what,
-                                              const std::string& figure);
+void write_svg(const std::string& file, const ChartLabels& labels, const std::vector<Curve>& curves);
+
+/// The points (size, figure) of one experiment, all seeds, sorted.
+Points points_of(const std::vector<Measurement>& measurements, const std::string& experiment,
+                 const std::string& figure);
 
 }  // namespace mosskeel::scale
--- /dev/null
+++ b/tools/scale/simulated_fleet.hpp
@@ -0,0 +1,159 @@
+#pragma once
+// A fleet of the daemons' own state machines on virtual time, which counts every message and the processor time of
+// each step.
+#include <unordered_map>
+
+#include "history/store_machine.hpp"
+#include "programs/gateway_machine.hpp"
+#include "runtime/constants.hpp"
+#include "scale/plan.hpp"
+
+namespace mosskeel::scale {
+
+/// Milliseconds from process to process within a zone.
+constexpr Millis kZoneInternalDelay = 1;
+/// Milliseconds between zones of one region.
+constexpr Millis kZoneDelay = 2;
+/// Milliseconds between regions.
+constexpr Millis kRegionDelay = 30;
+/// Milliseconds that a disk takes to sync.
+constexpr Millis kSyncDuration = 2;
+
+/// Messages and their encoded bytes.
+struct Traffic {
+  uint64_t messages = 0;
+  uint64_t bytes = 0;
+
+  Traffic& operator+=(const Traffic& other) {
+    messages += other.messages;
+    bytes += other.bytes;
+    return *this;
+  }
+};
+/// By the name of the message kind.
+using TrafficByKind = std::map<std::string, Traffic>;
+
+/// All kinds together.
+Traffic total(const TrafficByKind& traffic);
+
+/// What one process, or all processes of a kind, have done since the counters were reset.
+struct Counters {
+  TrafficByKind sent;
+  TrafficByKind received;
+  /// What stays on its machine: between an agent and its gateway, and from a process to itself.
+  TrafficByKind machine_local;
+  int64_t cpu_nanoseconds = 0;
+  uint64_t journal_bytes = 0;
+  uint64_t syncs = 0;
+  uint64_t checkpoints = 0;
+  uint64_t checkpoint_bytes = 0;
+
+  Counters& operator+=(const Counters& other);
+  /// Sent and received over the network.
+  Traffic network() const;
+};
+
+/// A process of the simulated fleet, with its disk.
+struct SimulatedProcess {
+  ProcessSpec spec;
+  /// Nothing while the process is stopped.
+  std::unique_ptr<Machine> machine;
+  /// Changes with each start and stop, so that events of an earlier life are dropped.
+  uint64_t life = 0;
+  /// The newest epoch that the machine has shown.
+  Epoch known_epoch{};
+  /// What is on disk: the newest checkpoint and the synced journal records after it.
+  std::optional<std::string> checkpoint;
+  std::vector<std::string> synced_records;
+
+  struct DiskWrite {
+    std::vector<std::string> journal;
+    std::optional<std::string> checkpoint;
+    /// May leave once the write is synced.
+    std::vector<Envelope> messages;
+  };
+  std::deque<DiskWrite> pending_writes;
+  /// The first so many of `pending_writes` belong to the sync under way.
+  size_t writes_in_sync = 0;
+
+  Counters counters;
+};
+
+class SimulatedFleet {
+ public:
+  using ProcessMessage = std::function<void(SimulatedProcess&, const Envelope&)>;
+
+  /// The fleet of the plan, founded, joined and at rest; each store holds these histories already.
+  SimulatedFleet(const Plan& plan, uint64_t seed, const StoredPartitions& histories = {});
+
+  /// Lets so many milliseconds pass.
+  void run(Millis duration);
+  /// Lets time pass until the condition holds; false if it does not within the duration (ms).
+  bool run_until(Millis duration, const std::function<bool()>& condition);
+  void schedule(Millis when, std::function<void()> action);
+  Millis now() const { return now_; }
+
+  std::vector<SimulatedProcess>& processes() { return processes_; }
+  /// The process of this kind and number among those of its kind.
+  SimulatedProcess& process(ProcessKind kind, size_t number);
+  /// Indices in `processes()`.
+  std::vector<size_t> indices_of(ProcessKind kind) const;
+
+  /// Starts a process that is stopped. With `new_incarnation` one without a disk comes as another than before.
+  void start(size_t index, bool new_incarnation = false);
+  /// Stops a process; what it had not synced is lost.
+  void stop(size_t index);
+  /// Puts a message from inside the process before its machine.
+  void deliver_locally(size_t index, Envelope message);
+
+  void reset_counters();
+  Counters sum(ProcessKind kind) const;
+  bool all_fronts_ready();
+
+  /// Called with messages to addresses "local:...": answers to what `deliver_locally` brought.
+  ProcessMessage on_local_message;
+  /// Called with messages to addresses "replica:...".
+  ProcessMessage on_replica_message;
+  /// Called when a gateway knows a new epoch.
+  std::function<void(SimulatedProcess&, Epoch)> on_gateway_epoch;
+  /// Whether the network between two processes is cut.
+  std::function<bool(const SimulatedProcess&, const SimulatedProcess&)> is_cut;
+  /// Invariants that were broken.
+  std::vector<std::string> failures;
+
+ private:
+  struct Event {
+    /// An action, or a message for the process of this index.
+    std::function<void()> action;
+    size_t receiver = 0;
+    std::shared_ptr<const Envelope> message;
+  };
+
+  void execute(const Event& event);
+  void tick(size_t index, uint64_t life);
+  template <class Step>
+  Actions timed(SimulatedProcess& process, Step step);
+  void perform(SimulatedProcess& process, Actions actions);
+  void note_epoch(SimulatedProcess& process);
+  void check_value(const SimulatedProcess& process, const Metadata& metadata);
+  void write(SimulatedProcess& process, Actions& actions);
+  void begin_sync(SimulatedProcess& process);
+  void finish_sync(SimulatedProcess& process);
+  void send(SimulatedProcess& sender, Envelope message);
+  void send_over_network(SimulatedProcess& sender, Envelope message);
+  size_t encoded_size(const Envelope& message);
+  size_t index_of(const SimulatedProcess& process) const { return static_cast<size_t>(&process - processes_.data()); }
+
+  std::mt19937_64 random_;
+  Millis now_ = kProcessClockStart;
+  uint64_t last_life_ = 0;
+  std::map<Millis, std::vector<Event>> events_;
+  std::vector<SimulatedProcess> processes_;
+  std::unordered_map<Address, size_t> index_by_address_;
+  /// Encoded sizes, without addresses, of messages that go to many.
+  std::unordered_map<uint64_t, size_t> shared_message_sizes_;
+  /// The digest of the metadata at each epoch: the same everywhere.
+  std::map<Epoch, uint64_t> digest_by_epoch_;
+};
+
+}  // namespace mosskeel::scale
--- a/tools/scale/slopes.cpp
+++ b/tools/scale/slopes.cpp
@@ -9,221 +9,238 @@
 namespace mosskeel::scale {
 namespace {
 
+/// The fleet of the capacity target, whatever else is measured.
+constexpr int kTargetDaemons = 340;
+constexpr int kTargetReplicas = 600;
+constexpr int kRestartsOfARollout = 130;
+
 /// A fleet in which only what is measured is large.
-Plan base() {
-  Plan p;
-  p.daemons = 40, p.replicas = 20, p.paths = 10, p.cells = 10;
-  return p;
+Plan base_plan() {
+  Plan plan;
+  plan.daemons = 40;
+  plan.replicas = 20;
+  plan.paths = 10;
+  plan.cells = 10;
+  return plan;
+}
+
+/// The base plan with one of its numbers replaced.
+Plan plan_with(int Plan::*number, double value) {
+  auto plan = base_plan();
+  plan.*number = static_cast<int>(value);
+  return plan;
 }
 
 struct Experiment {
   std::string name;
   std::vector<double> sizes;
-  std::function<Row(double, uint64_t)> run;
+  std::function<Measurement(double size, uint64_t seed)> run;
 };
+using Experiments = std::vector<Experiment>;
+using PlanExperiment = Measurement (*)(const Plan& plan, uint64_t seed, double size);
+
+/// An experiment on the base plan in which `number` takes the sizes.
+Experiment experiment_over(const std::string& name, PlanExperiment measure, int Plan::*number,
+                           std::vector<double> sizes) {
+  auto run = [measure, number](double size, uint64_t seed) {
+    return measure(plan_with(number, size), seed, size);
+  };
+  return {.name = name, .sizes = std::move(sizes), .run = run};
+}
+
+std::vector<double> fleet_sizes(int largest) {
+  std::vector<double> sizes;
+  for (auto size : {10.0, 40.0, 100.0, 200.0, 340.0}) {
+    if (size <= largest)
+      sizes.push_back(size);
+  }
+  return sizes;
+}
+
+const std::vector<double> kReplicaCounts{20, 200, 600};
+const std::vector<double> kCellCounts{100, 1000, 18000};
+const std::vector<double> kPathCounts{10, 200, 2000};
+
+Experiments control_plane_experiments(int largest) {
+  Experiment target{.name = "value.target", .sizes = {1}, .run = [](double size, uint64_t seed) {
+                      Plan plan;
+                      plan.remembered_commits = 4096;
+                      return metadata_value(plan, seed, size);
+                    }};
+  return {
+      experiment_over("rest.daemons", fleet_at_rest, &Plan::daemons, fleet_sizes(largest)),
+      experiment_over("rest.replicas", fleet_at_rest, &Plan::replicas, kReplicaCounts),
+      experiment_over("rest.cells", fleet_at_rest, &Plan::cells, kCellCounts),
+      experiment_over("change.daemons", configuration_change, &Plan::daemons, fleet_sizes(largest)),
+      experiment_over("change.cells", configuration_change, &Plan::cells, kCellCounts),
+      experiment_over("change.paths", configuration_change, &Plan::paths, kPathCounts),
+      experiment_over("value.daemons", metadata_value, &Plan::daemons, {10, 40, 100, 340}),
+      experiment_over("value.replicas", metadata_value, &Plan::replicas, kReplicaCounts),
+      experiment_over("value.cells", metadata_value, &Plan::cells, kCellCounts),
+      experiment_over("value.paths", metadata_value, &Plan::paths, kPathCounts),
+      experiment_over("value.slots", metadata_value, &Plan::partitions, {64, 256, 1024}),
+      experiment_over("value.left", metadata_value, &Plan::departed_daemons, {0, 1000, 10000}),
+      target,
+  };
+}
 
-std::vector<Experiment> experiments(int largest) {
-  std::vector<double> fleet;
-  for (auto n : {10.0, 40.0, 100.0, 200.0, 340.0})
-    if (n <= largest)
-      fleet.push_back(n);
-  auto of = [](auto set) {
-    return [set](double x) {
-      auto p = base();
-      set(p, static_cast<int>(x));
-      return p;
-    };
+Experiments data_plane_experiments() {
+  return {
+      {.name = "selection.fronts",
+       .sizes = {10, 100, 340},
+       .run =
+           [](double size, uint64_t seed) {
+             auto plan = plan_with(&Plan::daemons, size);
+             plan.replicas = kTargetReplicas;
+             return replica_selection(plan, seed, size);
+           }},
+      {.name = "selection.replicas",
+       .sizes = kReplicaCounts,
+       .run =
+           [](double size, uint64_t seed) {
+             auto plan = plan_with(&Plan::replicas, size);
+             plan.daemons = kTargetDaemons;
+             return replica_selection(plan, seed, size);
+           }},
+      {.name = "turns.turns",
+       .sizes = {1, 10, 50, 250},
+       .run =
+           [](double size, uint64_t seed) {
+             return conversations(4, static_cast<int>(size), seed, size);
+           }},
+      {.name = "turns.programs",
+       .sizes = {4, 40, 400},
+       .run =
+           [](double size, uint64_t seed) {
+             return conversations(static_cast<int>(size), 10, seed, size);
+           }},
+      {.name = "histories.histories",
+       .sizes = {100, 1000, 4000},
+       .run =
+           [](double size, uint64_t seed) {
+             return stored_histories(static_cast<int>(size), 4, seed, size);
+           }},
+      {.name = "histories.turns",
+       .sizes = {1, 10, 50},
+       .run =
+           [](double size, uint64_t seed) {
+             return stored_histories(200, static_cast<int>(size), seed, size);
+           }},
   };
-  auto daemons = of([](Plan& p, int n) { p.daemons = n; });
-  auto replicas = of([](Plan& p, int n) { p.replicas = n; });
-  auto paths = of([](Plan& p, int n) { p.paths = n; });
-  auto cells = of([](Plan& p, int n) { p.cells = n; });
-  auto slots = of([](Plan& p, int n) { p.slots = n; });
-  auto left = of([](Plan& p, int n) { p.left = n; });
-  std::vector<Experiment> v{
-      {"rest.daemons", fleet,
-       [=](double x, uint64_t s) {
-         return at_rest(daemons(x), s, x);
-       }},
-      {"rest.replicas",
-       {20, 200, 600},
-       [=](double x, uint64_t s) {
-         return at_rest(replicas(x), s, x);
-       }},
-      {"rest.cells",
-       {100, 1000, 18000},
-       [=](double x, uint64_t s) {
-         return at_rest(cells(x), s, x);
-       }},
-      {"change.daemons", fleet,
-       [=](double x, uint64_t s) {
-         return change(daemons(x), s, x);
-       }},
-      {"change.cells",
-       {100, 1000, 18000},
-       [=](double x, uint64_t s) {
-         return change(cells(x), s, x);
-       }},
-      {"change.paths",
-       {10, 200, 2000},
-       [=](double x, uint64_t s) {
-         return change(paths(x), s, x);
-       }},
-      {"value.daemons",
-       {10, 40, 100, 340},
-       [=](double x, uint64_t s) {
-         return whole_value(daemons(x), s, x);
-       }},
-      {"value.replicas",
-       {20, 200, 600},
-       [=](double x, uint64_t s) {
-         return whole_value(replicas(x), s, x);
-       }},
-      {"value.cells",
-       {100, 1000, 18000},
-       [=](double x, uint64_t s) {
-         return whole_value(cells(x), s, x);
-       }},
-      {"value.paths",
-       {10, 200, 2000},
-       [=](double x, uint64_t s) {
-         return whole_value(paths(x), s, x);
-       }},
-      {"value.slots",
-       {64, 256, 1024},
-       [=](double x, uint64_t s) {
-         return whole_value(slots(x), s, x);
-       }},
-      {"value.left",
-       {0, 1000, 10000},
-       [=](double x, uint64_t s) {
-         return whole_value(left(x), s, x);
-       }},
-      {"value.target",
-       {1},
-       [](double x, uint64_t s) {
-         Plan p;
-         p.remembered = 4096;
-         return whole_value(p, s, x);
-       }},
-      {"selection.fronts",
-       {10, 100, 340},
-       [=](double x, uint64_t s) {
-         auto p = daemons(x);
-         p.replicas = 600;
-         return selection(p, s, x);
-       }},
-      {"selection.replicas",
-       {20, 200, 600},
-       [=](double x, uint64_t s) {
-         auto p = replicas(x);
-         p.daemons = 340;
-         return selection(p, s, x);
-       }},
-      {"turns.turns",
-       {1, 10, 50, 250},
-       [](double x, uint64_t s) {
-         return conversation(4, static_cast<int>(x), s, x);
-       }},
-      {"turns.programs",
-       {4, 40, 400},
-       [](double x, uint64_t s) {
-         return conversation(static_cast<int>(x), 10, s, x);
-       }},
-      {"histories.histories",
-       {100, 1000, 4000},
-       [](double x, uint64_t s) {
-         return stored_histories(static_cast<int>(x), 4, s, x);
-       }},
-      {"histories.turns",
-       {1, 10, 50},
-       [](double x, uint64_t s) {
-         return stored_histories(200, static_cast<int>(x), s, x);
-       }},
-      {"newcomer.daemons", fleet,
-       [=](double x, uint64_t s) {
-         return newcomer(daemons(x), s, x);
-       }},
-      {"newcomer.cells",
-       {100, 1000, 18000},
-       [=](double x, uint64_t s) {
-         return newcomer(cells(x), s, x);
-       }},
-      {"restarts.daemons", fleet,
-       [=](double x, uint64_t s) {
-         return restarts(daemons(x), 5, s, x);
-       }},
-      {"row_of_130_restarts",
-       {static_cast<double>(std::min(largest, 340))},
-       [=](double x, uint64_t s) {
-         auto p = daemons(x);
-         p.replicas = 600;
-         return restarts(p, 130, s, x);
-       }},
-      {"zone.daemons", fleet,
-       [=](double x, uint64_t s) {
-         return zone_lost(daemons(x), s, x);
-       }},
-      {"region.daemons", fleet,
-       [=](double x, uint64_t s) {
-         return region_cut(daemons(x), 5, s, x);
-       }},
+}
+
+Experiments churn_experiments(int largest) {
+  auto rollout_size = static_cast<double>(std::min(largest, kTargetDaemons));
+  return {
+      experiment_over("newcomer.daemons", new_front, &Plan::daemons, fleet_sizes(largest)),
+      experiment_over("newcomer.cells", new_front, &Plan::cells, kCellCounts),
+      {.name = "restarts.daemons",
+       .sizes = fleet_sizes(largest),
+       .run =
+           [](double size, uint64_t seed) {
+             return front_restarts(plan_with(&Plan::daemons, size), 5, seed, size);
+           }},
+      {.name = "row_of_130_restarts",
+       .sizes = {rollout_size},
+       .run =
+           [](double size, uint64_t seed) {
+             auto plan = plan_with(&Plan::daemons, size);
+             plan.replicas = kTargetReplicas;
+             return front_restarts(plan, kRestartsOfARollout, seed, size);
+           }},
+      experiment_over("zone.daemons", zone_failure, &Plan::daemons, fleet_sizes(largest)),
+      {.name = "region.daemons",
+       .sizes = fleet_sizes(largest),
+       .run =
+           [](double size, uint64_t seed) {
+             return region_partition(plan_with(&Plan::daemons, size), 5, seed, size);
+           }},
   };
-  return v;
 }
 
-void plots(const std::string& out, const std::vector<Row>& rows) {
-  auto curve = [&](const char* what, const char* figure, const char* label) {
-    return Curve{label, points(rows, what, figure)};
+Experiments all_experiments(int largest) {
+  auto all = control_plane_experiments(largest);
+  for (auto& more : {data_plane_experiments(), churn_experiments(largest)})
+    all.insert(all.end(), more.begin(), more.end());
+  return all;
+}
+
+void write_charts(const std::string& folder, const std::vector<Measurement>& measurements) {
+  auto curve = [&](const char* experiment, const char* figure, const char* label) {
+    return Curve{.label = label, .points = points_of(measurements, experiment, figure)};
   };
-  write_svg(out + "/rest.svg", "A fleet at rest: bytes over the wire", "daemons", "bytes a second",
+  write_svg(folder + "/rest.svg",
+            {.title = "A fleet at rest: bytes over the wire", .x_axis = "daemons", .y_axis = "bytes a second"},
             {curve("rest.daemons", "agent.out.byte", "front out"), curve("rest.daemons", "agent.in.byte", "front in"),
              curve("rest.daemons", "controller.out.byte", "controller out"),
              curve("rest.daemons", "controller.in.byte", "controller in")});
-  write_svg(out + "/change.svg", "One change of the configuration", "tenants in it", "bytes at one front",
+  write_svg(folder + "/change.svg",
+            {.title = "One change of the configuration", .x_axis = "tenants in it", .y_axis = "bytes at one front"},
             {curve("change.cells", "agent.more.byte", "front, in and out")});
   write_svg(
-      out + "/turns.svg", "A turn late in its conversation", "turns before it", "bytes",
-      {curve("turns.turns", "replica.ask.byte", "asked of the replica"),
+      folder + "/turns.svg",
+      {.title = "A turn late in its conversation", .x_axis = "turns before it", .y_axis = "bytes"},
+      {curve("turns.turns", "replica.ask.byte", "sent to the replica"),
        curve("turns.turns", "store.journal.byte", "journals"), curve("turns.turns", "gateway.out.byte", "fronts out")});
-  write_svg(out + "/zone.svg", "A zone lost and back", "daemons in the fleet", "ms",
+  write_svg(folder + "/zone.svg", {.title = "A zone lost and back", .x_axis = "daemons in the fleet", .y_axis = "ms"},
             {curve("zone.daemons", "down.ms", "all marked down"), curve("zone.daemons", "back.ms", "all back")});
 }
 
+/// A straight line through each figure of each experiment.
+void write_slopes(const std::string& folder, const std::vector<Measurement>& measurements) {
+  std::ofstream out(folder + "/slopes.csv");
+  out << "experiment,figure,base,slope,largest_distance\n";
+  std::set<std::pair<std::string, std::string>> written;
+  for (const auto& measurement : measurements) {
+    for (auto* figures : {&measurement.counts, &measurement.times}) {
+      for (const auto& [figure, value] : *figures) {
+        if (!written.insert({measurement.experiment, figure}).second)
+          continue;
+        auto fit = fit_line(points_of(measurements, measurement.experiment, figure));
+        out << measurement.experiment << "," << figure << "," << fit.base << "," << fit.slope << ","
+            << fit.largest_distance << "\n";
+      }
+    }
+  }
+}
+
+Measurement run_experiment(const Experiment& experiment, double size, int seed) {
+  auto begun = time(nullptr);
+  auto measurement = experiment.run(size, static_cast<uint64_t>(seed));
+  measurement.experiment = experiment.name;
+  auto seconds = static_cast<long long>(time(nullptr) - begun);
+  printf("%-20s %6.0f seed %d: %lld s\n", experiment.name.c_str(), size, seed, seconds);
+  fflush(stdout);
+  return measurement;
+}
+
+bool has_failures(const Measurement& measurement) {
+  auto failures = measurement.counts.find("failures");
+  return failures != measurement.counts.end() && failures->second > 0;
+}
+
 }  // namespace
 
-int slopes(const SlopesAsk& a) {
-  std::vector<Row> rows;
-  int bad = 0;
-  for (auto& e : experiments(a.largest)) {
-    if (!e.name.starts_with(a.only))
+int run_slopes(const SlopesOptions& options) {
+  std::vector<Measurement> measurements;
+  int failed = 0;
+  for (const auto& experiment : all_experiments(options.largest_fleet)) {
+    if (!experiment.name.starts_with(options.name_prefix))
       continue;
-    for (auto x : e.sizes)
-      for (int s = 1; s <= a.seeds; ++s) {
-        auto begun = time(nullptr);
-        auto r = e.run(x, static_cast<uint64_t>(s));
-        r.what = e.name;
-        bad += r.counts.count("failures") && r.counts["failures"] > 0;
-        printf("%-20s %6.0f seed %d: %lld s\n", e.name.c_str(), x, s, static_cast<long long>(time(nullptr) - begun));
-        fflush(stdout);
-        rows.push_back(std::move(r));
-        write_csv(a.out + "/counts.csv", rows, false);
-        write_csv(a.out + "/times.csv", rows, true);
+    for (auto size : experiment.sizes) {
+      for (int seed = 1; seed <= options.seeds; ++seed) {
+        measurements.push_back(run_experiment(experiment, size, seed));
+        failed += has_failures(measurements.back());
+        // After each, so that a run that is broken off leaves what it has measured.
+        write_csv(options.output_folder + "/counts.csv", measurements, FigureKind::counts);
+        write_csv(options.output_folder + "/times.csv", measurements, FigureKind::times);
       }
+    }
   }
-  plots(a.out, rows);
-  std::ofstream o(a.out + "/slopes.csv");
-  o << "experiment,figure,base,slope,largest_distance\n";
-  std::set<std::pair<std::string, std::string>> seen;
-  for (auto& r : rows)
-    for (auto* m : {&r.counts, &r.times})
-      for (auto& [k, x] : *m)
-        if (seen.insert({r.what, k}).second) {
-          auto f = fit(points(rows, r.what, k));
-          o << r.what << "," << k << "," << f.base << "," << f.slope << "," << f.off << "\n";
-        }
-  printf("%zu rows, %d with broken invariants\n", rows.size(), bad);
-  return bad ? 1 : 0;
+  write_charts(options.output_folder, measurements);
+  write_slopes(options.output_folder, measurements);
+  printf("%zu rows, %d with broken invariants\n", measurements.size(), failed);
+  return failed ? 1 : 0;
 }
 
 }  // namespace mosskeel::scale
--- a/tools/simulate/main.cpp
+++ b/tools/simulate/main.cpp
@@ -11,77 +11,162 @@
 
 using namespace mosskeel;
 
-int main(int argc, const char** argv) {
-  int seeds = 0, jobs = 4, notes = 0, reasons = 0;
-  long from = 1;
-  char* only = nullptr;
-  poptOption table[] = {{"seeds", 'n', POPT_ARG_INT, &seeds, 0, "how many seeds each; 0 runs until stopped", "N"},
-                        {"from", 'f', POPT_ARG_LONG, &from, 0, "the first seed", "SEED"},
-                        {"scenario", 's', POPT_ARG_STRING, &only, 0, "only this scenario", "NAME"},
-                        {"jobs", 'j', POPT_ARG_INT, &jobs, 0, "threads", "N"},
-                        {"notes", 0, POPT_ARG_NONE, &notes, 0, "print every message and event (one seed)", nullptr},
-                        {"reasons", 0, POPT_ARG_NONE, &reasons, 0, "print why outcomes were unknown", nullptr},
-                        POPT_AUTOHELP POPT_TABLEEND};
-  poptContext c = poptGetContext("simulate", argc, argv, table, 0);
-  if (int rc = poptGetNextOpt(c); rc < -1)
-    return fprintf(stderr, "simulate: %s: %s\n", poptBadOption(c, 0), poptStrerror(rc)), 2;
-  auto all = sim::scenarios();
-  if (only)
-    all = {only};
-  std::atomic<long> next{0}, failed{0}, played{0};
-  std::mutex m;
-  std::map<std::string, sim::Verdict> sum;
-  auto work = [&] {
+namespace {
+
+constexpr int kExitUsage = 2;
+
+struct Options {
+  std::vector<std::string> scenarios = sim::scenarios();
+  /// 0: until stopped.
+  int seeds = 0;
+  long first_seed = 1;
+  int threads = 4;
+  bool print_notes = false;
+  bool print_reasons = false;
+};
+
+/// Prints what is wrong with the command line and gives nothing.
+std::optional<Options> read_options(int argc, const char** argv) {
+  Options options;
+  char* scenario = nullptr;
+  int notes = 0;
+  int reasons = 0;
+  poptOption table[] = {
+      {"seeds", 'n', POPT_ARG_INT, &options.seeds, 0, "how many seeds each; 0 runs until stopped", "N"},
+      {"from", 'f', POPT_ARG_LONG, &options.first_seed, 0, "the first seed", "SEED"},
+      {"scenario", 's', POPT_ARG_STRING, &scenario, 0, "only this scenario", "NAME"},
+      {"jobs", 'j', POPT_ARG_INT, &options.threads, 0, "threads", "N"},
+      {"notes", 0, POPT_ARG_NONE, &notes, 0, "print every message and event (one seed)", nullptr},
+      {"reasons", 0, POPT_ARG_NONE, &reasons, 0, "print why outcomes were unknown", nullptr},
+      POPT_AUTOHELP POPT_TABLEEND};
+  poptContext context = poptGetContext("simulate", argc, argv, table, 0);
+  if (int status = poptGetNextOpt(context); status < -1) {
+    fprintf(stderr, "simulate: %s: %s\n", poptBadOption(context, 0), poptStrerror(status));
+    return std::nullopt;
+  }
+  options.print_notes = notes;
+  options.print_reasons = reasons;
+  if (scenario)
+    options.scenarios = {scenario};
+  return options;
+}
+
+void add(sim::Verdict& sum, const sim::Verdict& verdict) {
+  sum.successes += verdict.successes;
+  sum.refusals += verdict.refusals;
+  sum.unknowns += verdict.unknowns;
+  sum.resumed += verdict.resumed;
+  sum.messages += verdict.messages;
+  sum.syncs += verdict.syncs;
+  for (const auto& [reason, count] : verdict.reasons)
+    sum.reasons[reason] += count;
+  sum.exposed.insert(sum.exposed.end(), verdict.exposed.begin(), verdict.exposed.end());
+}
+
+void print_failure(const std::string& scenario, long seed, const sim::Verdict& verdict) {
+  auto* name = scenario.c_str();
+  printf("FAILED %s seed %ld; replay: simulate -s %s -f %ld -n 1 --notes\n", name, seed, name, seed);
+  for (const auto& failure : verdict.failures)
+    printf("  %s\n", failure.c_str());
+  fflush(stdout);
+}
+
+void print_sum(const std::string& scenario, const sim::Verdict& sum) {
+  auto number = [](uint64_t count) {
+    return static_cast<unsigned long long>(count);
+  };
+  printf("%-10s successes %llu refusals %llu unknown %llu read back %llu messages %llu syncs %llu\n", scenario.c_str(),
+         number(sum.successes), number(sum.refusals), number(sum.unknowns), number(sum.resumed), number(sum.messages),
+         number(sum.syncs));
+}
+
+void print_exposure(const std::string& scenario, std::vector<Millis> durations) {
+  if (durations.empty())
+    return;
+  std::sort(durations.begin(), durations.end());
+  auto percentile = [&](size_t percent) {
+    return static_cast<long long>(durations[(durations.size() - 1) * percent / 100]);
+  };
+  printf("%-10s ms on too few copies: %zu losses, half %lld, nine tenths %lld, 99 of 100 %lld, most %lld\n",
+         scenario.c_str(), durations.size(), percentile(50), percentile(90), percentile(99), percentile(100));
+}
+
+void print_reasons(const std::string& scenario, const sim::Verdict& sum) {
+  for (const auto& [reason, count] : sum.reasons)
+    printf("%-10s %6llu %s\n", scenario.c_str(), static_cast<unsigned long long>(count), reason.c_str());
+}
+
+/// Plays scenarios and seeds on several threads; scenarios take turns, so that all are played with the first seeds.
+class Player {
+ public:
+  explicit Player(const Options& options) : options_(options) {}
+
+  void play_all() {
+    std::vector<std::thread> threads;
+    for (int number = 0; number < options_.threads; ++number)
+      threads.emplace_back([this] { work(); });
+    for (auto& thread : threads)
+      thread.join();
+  }
+
+  void print() const {
+    for (const auto& [scenario, sum] : sums_)
+      print_sum(scenario, sum);
+    for (const auto& [scenario, sum] : sums_)
+      print_exposure(scenario, sum.exposed);
+    if (options_.print_reasons) {
+      for (const auto& [scenario, sum] : sums_)
+        print_reasons(scenario, sum);
+    }
+    printf("%ld played, %ld failed\n", played_, failed_);
+  }
+
+  long failed() const { return failed_; }
+
+ private:
+  void work() {
+    auto scenario_count = static_cast<long>(options_.scenarios.size());
     while (true) {
-      auto k = next++;
-      auto seed = from + k / static_cast<long>(all.size());
-      if (seeds && seed >= from + seeds)
+      auto number = next_++;
+      auto seed = options_.first_seed + number / scenario_count;
+      if (options_.seeds && seed >= options_.first_seed + options_.seeds)
         return;
-      auto& s = all[static_cast<size_t>(k) % all.size()];
-      auto v = sim::play(s, static_cast<uint64_t>(seed), notes);
-      std::lock_guard l(m);
-      ++played;
-      if (notes)
-        for (auto& x : v.notes)
-          printf("%s\n", x.c_str());
-      auto& t = sum[s];
-      t.successes += v.successes, t.refusals += v.refusals, t.unknowns += v.unknowns, t.resumed += v.resumed;
-      for (auto& [r, n] : v.reasons)
-        t.reasons[r] += n;
-      t.exposed.insert(t.exposed.end(), v.exposed.begin(), v.exposed.end());
-      t.messages += v.messages, t.syncs += v.syncs;
-      if (v.failures.empty())
-        continue;
-      ++failed;
-      printf("FAILED %s seed %ld; replay: simulate -s %s -f %ld -n 1 --notes\n", s.c_str(), seed, s.c_str(), seed);
-      for (auto& f : v.failures)
-        printf("  %s\n", f.c_str());
-      fflush(stdout);
+      const auto& scenario = options_.scenarios[static_cast<size_t>(number % scenario_count)];
+      auto verdict = sim::play(scenario, static_cast<uint64_t>(seed), options_.print_notes);
+      note(scenario, seed, verdict);
     }
-  };
-  std::vector<std::thread> v;
-  for (int i = 0; i < jobs; ++i)
-    v.emplace_back(work);
-  for (auto& t : v)
-    t.join();
-  for (auto& [s, t] : sum)
-    printf("%-10s successes %llu refusals %llu unknown %llu read back %llu messages %llu syncs %llu\n", s.c_str(),
-           (unsigned long long)t.successes, (unsigned long long)t.refusals, (unsigned long long)t.unknowns,
-           (unsigned long long)t.resumed, (unsigned long long)t.messages, (unsigned long long)t.syncs);
-  for (auto& [s, t] : sum) {
-    if (t.exposed.empty())
-      continue;
-    std::sort(t.exposed.begin(), t.exposed.end());
-    auto at = [&](size_t percent) {
-      return static_cast<long long>(t.exposed[(t.exposed.size() - 1) * percent / 100]);
-    };
-    printf("%-10s ms on too few copies: %zu losses, half %lld, nine tenths %lld, 99 of 100 %lld, most %lld\n",
-           s.c_str(), t.exposed.size(), at(50), at(90), at(99), at(100));
   }
-  if (reasons)
-    for (auto& [s, t] : sum)
-      for (auto& [r, n] : t.reasons)
-        printf("%-10s %6llu %s\n", s.c_str(), (unsigned long long)n, r.c_str());
-  printf("%ld played, %ld failed\n", played.load(), failed.load());
-  return failed ? 1 : 0;
+
+  void note(const std::string& scenario, long seed, const sim::Verdict& verdict) {
+    std::lock_guard lock(mutex_);
+    ++played_;
+    if (options_.print_notes) {
+      for (const auto& line : verdict.notes)
+        printf("%s\n", line.c_str());
+    }
+    add(sums_[scenario], verdict);
+    if (verdict.failures.empty())
+      return;
+    ++failed_;
+    print_failure(scenario, seed, verdict);
+  }
+
+  const Options& options_;
+  std::atomic<long> next_{0};
+  std::mutex mutex_;
+  long played_ = 0;
+  long failed_ = 0;
+  std::map<std::string, sim::Verdict> sums_;
+};
+
+}  // namespace
+
+int main(int argc, const char** argv) {
+  auto options = read_options(argc, argv);
+  if (!options)
+    return kExitUsage;
+  Player player(*options);
+  player.play_all();
+  player.print();
+  return player.failed() ? 1 : 0;
 }
