--- a/tests/unit/tools/capacity_test.cpp
+++ b/tests/unit/tools/capacity_test.cpp
@@ -1,13 +1,14 @@
-// What the simulated fleet of tools/scale counts, against the capacity page and the bounds that it rests on.
 #include <catch2/catch.hpp>
 #include <fstream>
 #include <sstream>
 
 #include "replication/constants.hpp"
 #include "scale/experiments.hpp"
-#include "scale/field.hpp"
+#include "scale/simulated_fleet.hpp"
 
 using namespace mosskeel;
+using scale::ProcessKind;
+using scale::SimulatedFleet;
 
 namespace {
 
@@ -20,80 +21,91 @@
   return plan;
 }
 
-/// A log at epoch 1 with entries that each apply a configuration of so many cells.
-MetadataLog log_with_changes(int changes, int cells) {
+/// The log of a fleet at rest, to which so many entries were added that each apply a configuration of so many cells.
+MetadataLog log_with_configurations(int entries, int cells) {
   auto plan = small_plan();
   MetadataLog log;
-  log.install_snapshot(scale::rest(plan, scale::seats(plan, 1)));
+  log.install_snapshot(scale::metadata_at_rest(plan, scale::fleet_processes(plan, 1)));
   plan.cells = cells;
-  for (int i = 0; i < changes; ++i) {
-    ApplyConfiguration change{log.view()->revision, scale::configuration(plan), {}};
-    log.add({next(log.epoch()), "", change});
+  for (int number = 0; number < entries; ++number) {
+    ApplyConfiguration change{
+        .base = log.view()->revision, .configuration = scale::make_configuration(plan), .revision = Revision{}};
+    log.add({.epoch = next(log.epoch()), .commit_id = "", .change = change});
   }
   return log;
 }
 
+Epoch epochs_before(Epoch epoch, uint64_t count) {
+  return Epoch{epoch.value() - count};
+}
+
 std::string read_file(const std::string& path) {
   std::ifstream file(path);
   REQUIRE(file);
-  std::stringstream text;
-  text << file.rdbuf();
-  return text.str();
+  std::stringstream content;
+  content << file.rdbuf();
+  return content.str();
 }
 
 }  // namespace
 
-TEST_CASE("The capacity page's counts are those of the simulated fleet") {
+TEST_CASE("The capacity page's counts are what the simulated fleet counts") {
   auto page = read_file(SOURCE_DIR "/docs/CAPACITY.md");
-
   for (int daemons : {10, 40, 100}) {
-    auto row = scale::page_row(daemons, 1);
+    auto row = scale::capacity_page_row(daemons, 1);
     INFO(row);
     CHECK(page.find(row) != std::string::npos);
   }
 }
 
-TEST_CASE("A daemon in contact with the core sends heartbeats to no other; without the core all stay in contact") {
-  scale::Field fleet(small_plan(), 1);
-  auto heartbeats_received = [&](scale::Part part) {
-    return fleet.sum(part).in["heartbeat"].count;
-  };
-  fleet.run(4000);
-  REQUIRE(fleet.fronts_in_touch());
-  fleet.forget();
-
+TEST_CASE("A daemon that hears the core sends no heartbeat to other daemons") {
+  SimulatedFleet fleet(small_plan(), 1);
+  fleet.run(scale::kSettlingTime);
+  REQUIRE(fleet.all_fronts_ready());
+  fleet.reset_counters();
   fleet.run(3000);
-  CHECK(heartbeats_received(scale::Part::agent) == 0);
-  CHECK(heartbeats_received(scale::Part::store) == 0);
+  CHECK(fleet.sum(ProcessKind::agent).received["heartbeat"].messages == 0);
+  CHECK(fleet.sum(ProcessKind::store).received["heartbeat"].messages == 0);
+  CHECK(fleet.failures.empty());
+}
 
-  for (auto controller : fleet.all(scale::Part::controller))
-    fleet.stop(controller);
-  for (int step = 0; step < 40; ++step) {
+TEST_CASE("Without the core all daemons are sent heartbeats, and fronts go on serving") {
+  SimulatedFleet fleet(small_plan(), 1);
+  fleet.run(scale::kSettlingTime);
+  fleet.run(3000);
+  REQUIRE(fleet.all_fronts_ready());
+  fleet.reset_counters();
+  for (auto index : fleet.indices_of(ProcessKind::controller))
+    fleet.stop(index);
+  for (int look = 0; look < 40; ++look) {
     fleet.run(100);
-    CHECK(fleet.fronts_in_touch());
+    CHECK(fleet.all_fronts_ready());
   }
-  CHECK(heartbeats_received(scale::Part::agent) > 0);
+  CHECK(fleet.sum(ProcessKind::agent).received["heartbeat"].messages > 0);
   CHECK(fleet.failures.empty());
 }
 
-TEST_CASE("A lagging daemon gets entries while they are small, and a snapshot beyond that") {
-  auto small_log = log_with_changes(100, 4);
-  auto [no_snapshot, entries] = small_log.updates_since(Epoch{small_log.epoch().value() - 100});
-  CHECK_FALSE(no_snapshot);
+TEST_CASE("A lagging daemon gets the entries that it lacks while they are small") {
+  auto log = log_with_configurations(100, 4);
+  auto [snapshot, entries] = log.updates_since(epochs_before(log.epoch(), 100));
+  CHECK_FALSE(snapshot);
   CHECK(entries.size() == 100);
+}
 
-  constexpr int kCells = 8000;
-  constexpr int kChanges = 5;
-  auto large_log = log_with_changes(kChanges, kCells);
-  auto& recent = large_log.recent_entries();
-  auto entry_bytes = codec::pack(recent.back()).size();
-  REQUIRE(entry_bytes * kChanges > kLogBytesKept);
-  CHECK(entry_bytes * recent.size() <= kLogBytesKept);
-  auto [snapshot, no_entries] = large_log.updates_since(Epoch{large_log.epoch().value() - kChanges});
+TEST_CASE("A lagging daemon gets a snapshot where the entries that it lacks are too large to be kept") {
+  constexpr int cells = 8000;
+  constexpr int changes = 5;
+  auto log = log_with_configurations(changes, cells);
+  auto entry_bytes = codec::pack(log.recent_entries().back()).size();
+  REQUIRE(entry_bytes * changes > kLogBytesKept);
+  CHECK(entry_bytes * log.recent_entries().size() <= kLogBytesKept);
+
+  auto [snapshot, entries] = log.updates_since(epochs_before(log.epoch(), changes));
   REQUIRE(snapshot);
-  CHECK(snapshot->epoch == large_log.epoch());
-  CHECK(no_entries.empty());
-  auto [none, last_entry] = large_log.updates_since(Epoch{large_log.epoch().value() - 1});
-  CHECK_FALSE(none);
-  CHECK(last_entry.size() == 1);
+  CHECK(snapshot->epoch == log.epoch());
+  CHECK(entries.empty());
+
+  auto [no_snapshot, last_entries] = log.updates_since(epochs_before(log.epoch(), 1));
+  CHECK_FALSE(no_snapshot);
+  CHECK(last_entries.size() == 1);
 }
