--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,3 +1,4 @@
+// The operators' command line: sends a sentence of the command language to a controller, and prints the answer.
 #include <curl/curl.h>
 #include <popt.h>
 
@@ -11,84 +12,147 @@
 
 namespace {
 
-int code_of(const std::string& s) {
-  return s.starts_with("yes") ? 0 : s.starts_with("no") ? 1 : 3;
+constexpr const char* kDefaultControllers = "127.0.0.1:8101";
+
+enum ExitCode { kExitYes = 0, kExitNo = 1, kExitUsage = 2, kExitUnknown = 3 };
+
+/// What the command line says.
+struct Options {
+  /// HTTP addresses, in the order in which they are tried.
+  std::vector<std::string> controllers;
+  /// The id of a change whose outcome was unknown; empty for a new one.
+  std::string commit_id;
+  /// The words of the sentence with single blanks between.
+  std::string sentence;
+};
+
+struct PoptContextDeleter {
+  void operator()(poptContext context) const { poptFreeContext(context); }
+};
+
+ExitCode usage_error(const std::string& reason) {
+  fprintf(stderr, "mosskeelctl: %s; see mosskeelctl --help\n", reason.c_str());
+  return kExitUsage;
 }
 
-int usage(const char* why) {
-  fprintf(stderr, "mosskeelctl: %s; see mosskeelctl --help\n", why);
-  return 2;
+std::vector<std::string> split_at_commas(const std::string& text) {
+  std::vector<std::string> parts;
+  std::stringstream stream(text);
+  for (std::string part; std::getline(stream, part, ',');)
+    parts.push_back(part);
+  return parts;
 }
 
-std::optional<FetchResponse> ask(const std::vector<std::string>& controllers, const FetchRequest& a,
-                                 const std::string& path) {
-  for (auto& m : controllers) {
-    auto x = a;
-    x.url = "http://" + m + path;
-    if (auto r = http_fetch(x); r.status && r.status != 503)
-      return r;
+/// The options, or the exit code where they are wrong or ask for nothing more.
+std::variant<Options, ExitCode> parse_options(int argc, const char** argv) {
+  char* controllers = nullptr;
+  char* commit_id = nullptr;
+  int print_version = 0;
+  poptOption table[] = {
+      {"controllers", 'm', POPT_ARG_STRING, &controllers, 0,
+       "HTTP addresses of controllers, tried in turn (default 127.0.0.1:8101)", "A,B,C"},
+      {"id", 'i', POPT_ARG_STRING, &commit_id, 0, "the id of a change whose outcome was unknown", "ID"},
+      {"version", 'V', POPT_ARG_NONE, &print_version, 0, "print the version, then exit", nullptr},
+      POPT_AUTOHELP POPT_TABLEEND};
+  std::unique_ptr<std::remove_pointer_t<poptContext>, PoptContextDeleter> context(
+      poptGetContext("mosskeelctl", argc, argv, table, 0));
+  poptSetOtherOptionHelp(context.get(),
+                         "[OPTIONS] SENTENCE...\nAsks or commands the fleet. Exit: 0 yes, 1 no, 2 usage, 3 unknown.");
+  int error = poptGetNextOpt(context.get());
+  if (error < -1)
+    return usage_error(poptStrerror(error));
+  if (print_version) {
+    printf("mosskeelctl (mosskeel) %s\n", MOSSKEEL_VERSION);
+    return kExitYes;
   }
-  return std::nullopt;
+  Options options;
+  while (const char* word = poptGetArg(context.get())) {
+    if (!options.sentence.empty())
+      options.sentence += " ";
+    options.sentence += word;
+  }
+  if (options.sentence.empty())
+    return usage_error("a sentence is missing");
+  options.controllers = split_at_commas(controllers ? controllers : kDefaultControllers);
+  if (commit_id)
+    options.commit_id = commit_id;
+  return options;
 }
 
-/// `apply FILE at REVISION` carries the file itself.
-std::optional<std::pair<std::string, std::string>> applying(const std::string& s) {
-  std::istringstream i(s);
-  std::string a, f, at, rev, more;
-  if (i >> a >> f >> at >> rev && !(i >> more) && a == "apply" && at == "at")
-    return std::make_pair(f, rev);
+/// Asks the controllers in turn; nothing where none of them gives an answer.
+std::optional<FetchResponse> ask_controllers(const Options& options, const std::string& method, const std::string& path,
+                                             const std::string& body) {
+  FetchRequest request;
+  request.method = method;
+  request.body = body;
+  if (!options.commit_id.empty())
+    request.headers["Idempotency-Key"] = options.commit_id;
+  for (const auto& controller : options.controllers) {
+    request.url = "http://" + controller + path;
+    auto response = http_fetch(request);
+    if (response.status && response.status != 503)
+      return response;
+  }
   return std::nullopt;
 }
 
+/// The sentence `apply FILE at REVISION`, which carries the file itself.
+struct ApplyCommand {
+  std::string file;
+  std::string revision;
+};
+
+std::optional<ApplyCommand> parse_apply(const std::string& sentence) {
+  std::istringstream words(sentence);
+  std::string verb;
+  std::string file;
+  std::string preposition;
+  std::string revision;
+  std::string surplus;
+  if (!(words >> verb >> file >> preposition >> revision) || words >> surplus)
+    return std::nullopt;
+  if (verb != "apply" || preposition != "at")
+    return std::nullopt;
+  return ApplyCommand{file, revision};
+}
+
+ExitCode apply_configuration(const Options& options, const ApplyCommand& command) {
+  std::ifstream file(command.file);
+  std::stringstream configuration;
+  configuration << file.rdbuf();
+  if (!file)
+    return usage_error("file " + command.file + " cannot be read");
+  auto path = "/v1/cluster/configuration?revision=" + command.revision;
+  auto response = ask_controllers(options, "PUT", path, configuration.str());
+  if (!response) {
+    puts("unknown: no controller gave an answer; ask again with the same --id or show the revision");
+    return kExitUnknown;
+  }
+  bool applied = response->status == 200;
+  printf("%s: %s", applied ? "yes" : "no", response->body.c_str());
+  return applied ? kExitYes : kExitNo;
+}
+
+ExitCode run_sentence(const Options& options) {
+  auto response = ask_controllers(options, "POST", "/v1/say", options.sentence);
+  if (!response) {
+    puts("unknown: no controller gave an answer");
+    return kExitUnknown;
+  }
+  fputs(response->body.c_str(), stdout);
+  if (response->body.starts_with("yes"))
+    return kExitYes;
+  return response->body.starts_with("no") ? kExitNo : kExitUnknown;
+}
+
 }  // namespace
 
 int main(int argc, const char** argv) {
-  char *controllers = nullptr, *id = nullptr;
-  int version = 0;
-  poptOption table[] = {{"controllers", 'm', POPT_ARG_STRING, &controllers, 0,
-                         "HTTP addresses of controllers, tried in turn (default 127.0.0.1:8101)", "A,B,C"},
-                        {"id", 'i', POPT_ARG_STRING, &id, 0, "the id of a change whose outcome was unknown", "ID"},
-                        {"version", 'V', POPT_ARG_NONE, &version, 0, "print the version, then exit", nullptr},
-                        POPT_AUTOHELP POPT_TABLEEND};
-  poptContext c = poptGetContext("mosskeelctl", argc, argv, table, 0);
-  poptSetOtherOptionHelp(c,
-                         "[OPTIONS] SENTENCE...\nAsks or commands the fleet. Exit: 0 yes, 1 no, 2 usage, 3 unknown.");
-  if (int rc = poptGetNextOpt(c); rc < -1)
-    return usage(poptStrerror(rc));
-  if (version)
-    return printf("mosskeelctl (mosskeel) %s\n", MOSSKEEL_VERSION), 0;
-  std::string s;
-  for (const char* w; (w = poptGetArg(c));)
-    s += (s.empty() ? "" : " ") + std::string(w);
-  if (s.empty())
-    return usage("a sentence is missing");
-  std::vector<std::string> v;
-  std::stringstream l(controllers ? controllers : "127.0.0.1:8101");
-  for (std::string x; std::getline(l, x, ',');)
-    v.push_back(x);
+  auto parsed = parse_options(argc, argv);
+  if (auto* exit_code = std::get_if<ExitCode>(&parsed))
+    return *exit_code;
+  const auto& options = std::get<Options>(parsed);
   curl_global_init(CURL_GLOBAL_DEFAULT);
-  FetchRequest a;
-  if (id)
-    a.headers["Idempotency-Key"] = id;
-  if (auto f = applying(s)) {
-    std::ifstream in(f->first);
-    std::stringstream t;
-    t << in.rdbuf();
-    if (!in)
-      return usage(("file " + f->first + " cannot be read").c_str());
-    a.method = "PUT";
-    a.body = t.str();
-    auto r = ask(v, a, "/v1/cluster/configuration?revision=" + f->second);
-    if (!r)
-      return puts("unknown: no controller gave an answer; ask again with the same --id or show the revision"), 3;
-    printf("%s: %s", r->status == 200 ? "yes" : "no", r->body.c_str());
-    return r->status == 200 ? 0 : 1;
-  }
-  a.method = "POST";
-  a.body = s;
-  auto r = ask(v, a, "/v1/say");
-  if (!r)
-    return puts("unknown: no controller gave an answer"), 3;
-  fputs(r->body.c_str(), stdout);
-  return code_of(r->body);
+  auto apply = parse_apply(options.sentence);
+  return apply ? apply_configuration(options, *apply) : run_sentence(options);
 }
