--- a/src/control/admin_api.hpp
+++ b/src/control/admin_api.hpp
@@ -1,42 +1,50 @@
 #pragma once
-// The operators' and the platform's HTTP; the one place to change its shape.
-#include "consensus/controller_machine.hpp"
+// The HTTP API of a controller for operators and platforms; docs/http.md describes it.
 #include "control/command_language.hpp"
-#include "control/control_session.hpp"
-#include "runtime/host.hpp"
+#include "control/control_protocol.hpp"
+#include "control/host_controller_access.hpp"
 
 namespace mosskeel {
 
-class AdminApi : public ControllerAccess {
+/// Answers the requests that reach a controller's HTTP address: first those of a platform's protocol, then those of
+/// the product's own interface. Thread-safe: each request is handled on its connection's thread.
+class AdminApi {
  public:
-  /// `dialect` is a platform's way of ordering, null for the product's own interface alone.
-  AdminApi(Host& h, LocalMailboxes& s, Millis await, Millis rpc, const ControlProtocol* dialect = nullptr)
-      : host_(h), sessions_(s), await_(await), rpc_(rpc), dialect_(dialect) {}
-  ApiResponse answer(const ApiRequest& a);
-  CommitReply commit(const Transformation& t, const std::string& id, Millis patience) override;
-  void inspect(const std::function<void(ControllerMachine&, Millis)>& look) override;
-  Millis now() override;
-  void pause(Millis ms) override;
-  bool stopped() override { return host_.stopped(); }
+  /// `commit_timeout` (ms) is how long a request of the product's own interface waits for its commit's outcome.
+  /// `protocol` is null where no platform's requests are taken.
+  AdminApi(Host& host, HostControllerAccess& controller, Millis commit_timeout, const ControlProtocol* protocol)
+      : host_(host), controller_(controller), commit_timeout_(commit_timeout), protocol_(protocol) {}
+
+  ApiResponse handle(const ApiRequest& request);
 
  private:
-  /// Commits what is safe; what is not is refused once a majority has confirmed that it is not done already.
-  CommitReply commit_safely(const Transformation& t, const std::string& id);
-  /// The answer to a read of the metadata, from a value that a majority has confirmed since it came.
-  ApiResponse read(const std::function<ApiResponse(const Metadata&)>& show);
-  CommitReply rebuild(const std::vector<DaemonId>& lost);
-  ApiResponse say(const ApiRequest& a);
-  ApiResponse change(const Transformation& t, const ApiRequest& a);
-  ApiResponse put_configuration(const ApiRequest& a);
-  ApiResponse put_replica(const ApiRequest& a, const std::string& name);
-  ApiResponse replicas(const Metadata& m);
-  ApiResponse fronts(const Metadata& m);
+  std::optional<ApiResponse> handle_platform_request(const ApiRequest& request);
+  ApiResponse handle_own_request(const ApiRequest& request);
+  ApiResponse handle_command(const ApiRequest& request);
+  ApiResponse put_configuration(const ApiRequest& request);
+  ApiResponse put_replica(const ApiRequest& request, const std::string& name);
+  ApiResponse list_gateways(const Metadata& metadata);
   ApiResponse metrics();
+  ApiResponse readiness();
+
+  /// Carries out a sentence of the operators' language; the text that answers it.
+  std::string execute(const ApiRequest& request);
+  std::string execute(const command_language::Command& command, const Metadata& metadata, const ApiRequest& request);
+
+  /// Commits a change and answers with its outcome.
+  ApiResponse commit_and_respond(const Transformation& change, const ApiRequest& request);
+  /// Commits a change unless it is an unsafe drain; that is rejected once a majority has confirmed that it is not done
+  /// already.
+  CommitReply commit_if_safe(const Transformation& change, const std::string& commit_id);
+  /// Answers from metadata that a majority has confirmed since the request came.
+  ApiResponse respond_with_metadata(const std::function<ApiResponse(const Metadata&)>& render);
   std::vector<Entry> recent_entries();
+  bool removed_by_refounding();
+
   Host& host_;
-  LocalMailboxes& sessions_;
-  Millis await_, rpc_;
-  const ControlProtocol* dialect_;
+  HostControllerAccess& controller_;
+  const Millis commit_timeout_;
+  const ControlProtocol* protocol_;
 };
 
 }  // namespace mosskeel
--- a/src/control/cluster_control.hpp
+++ b/src/control/cluster_control.hpp
@@ -1,75 +1,71 @@
 #pragma once
-// What a platform may order of the core, in the product's words, and how its way of asking plugs in.
-#include "control/constants.hpp"
-#include "net/http_server.hpp"
+// What an operator can ask of the cluster, whatever the protocol in which the request came.
+#include "metadata/metadata.hpp"
 
 namespace mosskeel {
 
-/// What became of a command. `outcome_unknown`: neither done nor refused yet; asking again under the same words finds
-/// out.
+/// What became of a command.
 struct CommandResult {
   enum class Code {
+    /// Committed, and in force everywhere it has to be.
     done,
+    /// Built on a revision that is not the current one.
     revision_mismatch,
+    /// The command itself is wrong.
     invalid,
+    /// Well formed, but it does not apply to the cluster's present state.
     rejected,
+    /// What it names does not exist.
     not_found,
-    outcome_unknown
-  } code = Code::outcome_unknown;
+    /// Neither done nor rejected yet; the same command with the same commit id finds out.
+    outcome_unknown,
+  };
+  Code code = Code::outcome_unknown;
+  /// For the operator to read; empty where the command is done.
   std::string reason;
 };
 
-/// `unconfirmed`: no majority of the core has confirmed any state.
+/// How far the retirement of a machine's store has come. `unconfirmed`: no majority of the core confirmed any state.
 enum class RetirementState { unconfirmed, unknown_machine, serving, finished };
 
-/// All calls for one request together end within `kOperatorRequestTimeout`.
+/// The commands and reads that one request of an operator may consist of. All calls for one request together end
+/// within `kOperatorRequestTimeout`.
 class ClusterControl {
  public:
-  virtual ~ClusterControl() = default;
-  /// Why this controller takes no orders now, or nothing; `redirect_to` is where a controller that does may be asked.
+  /// Why this controller takes no commands now.
   struct Unavailable {
+    /// The HTTP address of a controller that takes them; empty where none is known.
     Address redirect_to;
     std::string reason;
   };
+
+  virtual ~ClusterControl() = default;
+
+  /// Nothing where this controller takes commands.
   virtual std::optional<Unavailable> unavailability() = 0;
-  /// The metadata, confirmed by a majority of the core as the newest; nothing where none answered.
+
+  /// A linearizable read: the metadata as a majority of the core has confirmed it since the call; null where no
+  /// majority answered in time.
   virtual View read_metadata() = 0;
-  /// Done once everything that this controller knows is in force.
+
+  /// Waits until all that this controller knows is in force.
   virtual CommandResult wait_until_in_force() = 0;
-  /// Applies a configuration under its own revision on top of `base`; a repeated `commit` is never applied twice.
-  virtual CommandResult apply_configuration(const std::string& commit, Revision base, Revision own,
-                                            const Configuration& m) = 0;
-  virtual CommandResult evacuate(const std::string& zone) = 0;
-  virtual CommandResult restore(const std::string& zone) = 0;
-  /// Empties the store on this machine; refused where too few copies would remain.
-  virtual CommandResult retire(const std::string& machine) = 0;
-  virtual RetirementState retirement_state(const std::string& machine) = 0;
-};
 
-/// One page of a list of replicas; `next_page_token` is empty on the last.
-struct ReplicaListPage {
-  std::vector<Replica> replicas;
-  std::string next_page_token;
-};
+  /// Replaces the configuration of revision `base` by this one, of revision `revision`. A repeated `commit_id` is
+  /// never applied twice.
+  virtual CommandResult apply_configuration(const std::string& commit_id, Revision base, Revision revision,
+                                            const Configuration& configuration) = 0;
 
-/// A platform's way of ordering and of listing replicas: a plug-in that registers itself.
-class ControlProtocol {
- public:
-  virtual ~ControlProtocol() = default;
-  virtual const char* name() const = 0;
-  /// The answer to what the platform's operator asks, or nothing where it is no such ask.
-  virtual std::optional<ApiResponse> answer(const ApiRequest& a, ClusterControl& c) const = 0;
-  /// Path and query of the page that `next_page_token` of the page before names; empty for the first.
-  virtual std::string replica_list_path(const std::string& next_page_token) const = 0;
-  virtual Result<ReplicaListPage> parse_replica_list_page(const std::string& text) const = 0;
-};
+  /// Takes the traffic off a zone.
+  virtual CommandResult evacuate(const std::string& zone) = 0;
 
-/// The registered one of that name, or nothing.
-const ControlProtocol* find_control_protocol(const std::string& name);
+  /// Takes an evacuated zone back into service.
+  virtual CommandResult restore(const std::string& zone) = 0;
 
-/// A static object of this type puts one into the registry.
-struct ControlProtocolRegistration {
-  explicit ControlProtocolRegistration(const ControlProtocol* d);
+  /// Drains the store on this machine; rejected where too few replicas would remain.
+  virtual CommandResult retire(const std::string& machine) = 0;
+
+  virtual RetirementState retirement_state(const std::string& machine) = 0;
 };
 
 }  // namespace mosskeel
--- a/src/control/command_queries.cpp
+++ b/src/control/command_queries.cpp
@@ -1,147 +1,235 @@
+// The answers to the operators' queries. A message that refuses a number repeats it as the operator typed it.
 #include <algorithm>
 #include <sstream>
 
 #include "base/json.hpp"
 #include "control/command_language.hpp"
+#include "control/constants.hpp"
 
 namespace mosskeel::command_language {
 namespace {
 
-std::string ids(const std::vector<DaemonId>& v) {
-  std::string s;
-  for (auto id : v)
-    s += (s.empty() ? "" : ",") + std::to_string(id.value());
-  return s.empty() ? "-" : s;
+std::string join_ids(const std::vector<DaemonId>& ids) {
+  if (ids.empty())
+    return "-";
+  std::string joined;
+  for (auto id : ids)
+    joined += (joined.empty() ? "" : ",") + std::to_string(id.value());
+  return joined;
 }
 
-void fleet(std::ostream& o, const Metadata& m) {
-  std::map<DaemonId, int> own, keep;
-  for (auto& s : m.partitions) {
-    ++own[s.owner];
-    for (auto r : s.stores)
-      ++keep[r];
+void print_fleet(std::ostream& out, const Metadata& metadata) {
+  std::map<DaemonId, int> owned_slots;
+  std::map<DaemonId, int> stored_slots;
+  for (const auto& slot : metadata.partitions) {
+    ++owned_slots[slot.owner];
+    for (auto store : slot.stores)
+      ++stored_slots[store];
   }
-  for (auto& [id, d] : m.directory) {
-    o << id.value() << " " << name(d.self.role) << " " << name(d.state) << " zone " << d.self.zone << " at "
-      << d.self.address;
-    if (!d.self.http_address.empty())
-      o << " http " << d.self.http_address;
-    if (m.is_core_member(d.self.incarnation))
-      o << " core";
-    if (own.count(id))
-      o << " owns " << own[id];
-    if (keep.count(id))
-      o << " keeps " << keep[id];
-    o << "\n";
+  for (const auto& [id, daemon] : metadata.directory) {
+    const auto& self = daemon.self;
+    out << id.value() << " " << name(self.role) << " " << name(daemon.state) << " zone " << self.zone << " at "
+        << self.address;
+    if (!self.http_address.empty())
+      out << " http " << self.http_address;
+    if (metadata.is_core_member(self.incarnation))
+      out << " core";
+    if (owned_slots.count(id))
+      out << " owns " << owned_slots[id];
+    if (stored_slots.count(id))
+      out << " keeps " << stored_slots[id];
+    out << "\n";
   }
-  for (auto& z : m.evacuated)
-    o << "zone " << z << " evacuated\n";
+  for (const auto& zone : metadata.evacuated)
+    out << "zone " << zone << " evacuated\n";
 }
 
-bool about(const Transformation& t, DaemonId id) {
+void print_slot(std::ostream& out, const Metadata& metadata, PartitionId id) {
+  const auto& slot = metadata.partitions[id.value()];
+  out << "slot " << id.value() << ": owned by daemon " << slot.owner.value() << " since epoch " << slot.term.value()
+      << ", kept by " << join_ids(slot.stores) << " since epoch " << slot.stores_epoch.value();
+  if (!slot.pending_stores.empty())
+    out << ", moving to " << join_ids(slot.pending_stores);
+  auto lock = metadata.locks.find(id);
+  if (lock != metadata.locks.end())
+    out << ", locked by the sequence of daemon " << lock->second.value();
+  out << "\n";
+}
+
+void print_slots(std::ostream& out, const Metadata& metadata) {
+  for (uint32_t i = 0; i < metadata.partitions.size(); ++i)
+    print_slot(out, metadata, PartitionId{i});
+}
+
+void print_replicas(std::ostream& out, const Metadata& metadata) {
+  for (const auto& [replica_name, replica] : metadata.replicas) {
+    out << replica_name << " " << replica.kind << " " << name(replica.health) << " zone " << replica.zone << " places "
+        << replica.capacity << " at " << replica.url << "\n";
+  }
+}
+
+void print_sequences(std::ostream& out, const Metadata& metadata) {
+  for (const auto& [id, sequence] : metadata.sequences) {
+    out << name(sequence.kind) << " of daemon " << id.value() << " since epoch " << sequence.started_epoch.value()
+        << ", next step " << name(sequence.next_step) << ", " << sequence.moves.size() << " slots\n";
+  }
+}
+
+void print_entry(std::ostream& out, const Entry& entry) {
+  out << "epoch " << entry.epoch.value() << ": " << describe(entry.change) << "\n";
+}
+
+/// Whether a change names this daemon as its subject.
+bool concerns(const Transformation& change, DaemonId id) {
   return std::visit(
-      overload{[&](const MarkDown& x) { return x.node == id; }, [&](const MarkUp& x) { return x.node == id; },
-               [&](const PrepareJoin& x) { return x.node == id; }, [&](const PrepareDrain& x) { return x.node == id; },
-               [&](const PrepareRepair& x) { return x.node == id; }, [&](const ForgetStore& x) { return x.node == id; },
-               [&](const AdvanceSequence& x) { return x.node == id; },
-               [&](const CancelSequence& x) { return x.node == id; },
-               [&](const AddCoreMember& x) { return x.node == id; },
-               [&](const ReplaceCoreMember& x) { return x.removed == id || x.added == id; },
-               [&](const MovePartition& x) { return x.owner == id; },
-               [&](const MoveAllPartitions& x) { return x.from == id || x.to == id; },
+      overload{[&](const MarkDown& mark) { return mark.node == id; },
+               [&](const MarkUp& mark) { return mark.node == id; },
+               [&](const PrepareJoin& join) { return join.node == id; },
+               [&](const PrepareDrain& drain) { return drain.node == id; },
+               [&](const PrepareRepair& repair) { return repair.node == id; },
+               [&](const ForgetStore& forget) { return forget.node == id; },
+               [&](const AdvanceSequence& advance) { return advance.node == id; },
+               [&](const CancelSequence& cancel) { return cancel.node == id; },
+               [&](const AddCoreMember& admit) { return admit.node == id; },
+               [&](const ReplaceCoreMember& replace) { return replace.removed == id || replace.added == id; },
+               [&](const MovePartition& move) { return move.owner == id; },
+               [&](const MoveAllPartitions& move) { return move.from == id || move.to == id; },
+               // All others concern the whole cluster, its configuration or its replicas.
                [](const auto&) {
                  return false;
                }},
-      t);
+      change);
 }
 
-void slot_line(std::ostream& o, const Metadata& m, uint32_t i) {
-  auto& s = m.partitions[i];
-  o << "slot " << i << ": owned by daemon " << s.owner.value() << " since epoch " << s.term.value() << ", kept by "
-    << ids(s.stores) << " since epoch " << s.stores_epoch.value();
-  if (!s.pending_stores.empty())
-    o << ", moving to " << ids(s.pending_stores);
-  if (auto l = m.locks.find(PartitionId{i}); l != m.locks.end())
-    o << ", locked by the sequence of daemon " << l->second.value();
-  o << "\n";
+std::string accepted(const std::ostringstream& out) {
+  return "yes\n" + out.str();
 }
 
-}  // namespace
+std::string refused(const std::string& reason) {
+  return "no: " + reason;
+}
 
-std::string show(const ShowQuery& s, const Metadata& m) {
-  std::ostringstream o;
-  if (s.what == "epoch")
-    o << "epoch " << m.epoch.value() << " revision " << m.revision.value() << " cluster " << hex(m.cluster) << "\n";
-  if (s.what == "fleet")
-    fleet(o, m);
-  if (s.what == "cells")
-    for (auto& c : m.configuration.cells)
-      o << c.name << "\n";
-  if (s.what == "configuration")
-    o << "revision " << m.revision.value() << "\n" << json::write(m.configuration).dump(2) << "\n";
-  if (s.what == "replicas")
-    for (auto& [n, r] : m.replicas)
-      o << n << " " << r.kind << " " << name(r.health) << " zone " << r.zone << " places " << r.capacity << " at "
-        << r.url << "\n";
-  if (s.what == "slots")
-    for (uint32_t i = 0; i < m.partitions.size(); ++i)
-      slot_line(o, m, i);
-  if (s.what == "sequences")
-    for (auto& [id, q] : m.sequences)
-      o << name(q.kind) << " of daemon " << id.value() << " since epoch " << q.started_epoch.value() << ", next step "
-        << name(q.next_step) << ", " << q.moves.size() << " slots\n";
-  if (s.what == "cell") {
-    auto* c = m.configuration.cell(s.name);
-    if (!c)
-      return "no: cell " + s.name + " is unknown";
-    o << "revision " << m.revision.value() << "\n" << json::write(*c).dump(2) << "\n";
+/// The number that an operator typed, or nothing.
+std::optional<uint64_t> parse_number(const std::string& text) {
+  if (text.empty() || text.size() > kMaxDecimalDigits)
+    return std::nullopt;
+  if (text.find_first_not_of("0123456789") != std::string::npos)
+    return std::nullopt;
+  return std::stoull(text);
+}
+
+std::string explain_program(const std::string& program, const Metadata& metadata) {
+  auto separator = program.find('/');
+  if (separator == std::string::npos || metadata.partitions.empty())
+    return refused("a program is named CELL/PROGRAM");
+  std::ostringstream out;
+  print_slot(out, metadata, partition_of(program.substr(0, separator), program.substr(separator + 1)));
+  return accepted(out);
+}
+
+std::string explain_daemon(const std::string& typed, DaemonId id, const Metadata& metadata,
+                           const std::vector<Entry>& recent_entries) {
+  const auto* daemon = metadata.find(id);
+  if (!daemon)
+    return refused("daemon " + typed + " is unknown");
+  std::ostringstream out;
+  out << name(daemon->self.role) << " " << name(daemon->state) << " since epoch " << daemon->since.value() << " at "
+      << daemon->self.address << " zone " << daemon->self.zone << "\n";
+  auto sequence = metadata.sequences.find(id);
+  if (sequence != metadata.sequences.end())
+    out << "its " << name(sequence->second.kind) << " waits for step " << name(sequence->second.next_step) << "\n";
+  for (const auto& entry : recent_entries) {
+    if (concerns(entry.change, id))
+      print_entry(out, entry);
   }
-  return "yes\n" + o.str();
-}
-
-std::string explain(const ExplainQuery& x, const Metadata& m, const std::vector<Entry>& recent) {
-  std::ostringstream o;
-  auto line = [&](const Entry& e) {
-    o << "epoch " << e.epoch.value() << ": " << describe(e.change) << "\n";
-  };
-  if (x.what == "program") {
-    auto k = x.name.find('/');
-    if (k == std::string::npos || m.partitions.empty())
-      return "no: a program is named CELL/PROGRAM";
-    auto s = partition_of(x.name.substr(0, k), x.name.substr(k + 1));
-    slot_line(o, m, s.value());
-    return "yes\n" + o.str();
+  return accepted(out);
+}
+
+std::string explain_slot(const std::string& typed, uint64_t number, const Metadata& metadata,
+                         const std::vector<Entry>& recent_entries) {
+  if (number >= metadata.partitions.size())
+    return refused("slot " + typed + " is unknown");
+  std::ostringstream out;
+  const auto& slot = metadata.partitions[number];
+  print_slot(out, metadata, PartitionId{static_cast<uint32_t>(number)});
+  for (const auto& entry : recent_entries) {
+    if (entry.epoch == slot.term || entry.epoch == slot.stores_epoch)
+      print_entry(out, entry);
   }
-  if (x.name.empty() || x.name.size() > 18 || x.name.find_first_not_of("0123456789") != std::string::npos)
-    return "no: '" + x.name + "' is no number";
-  auto n = std::stoull(x.name);
-  if (x.what == "node") {
-    auto* d = m.find(DaemonId{n});
-    if (!d)
-      return "no: daemon " + x.name + " is unknown";
-    o << name(d->self.role) << " " << name(d->state) << " since epoch " << d->since.value() << " at " << d->self.address
-      << " zone " << d->self.zone << "\n";
-    if (auto q = m.sequences.find(d->id); q != m.sequences.end())
-      o << "its " << name(q->second.kind) << " waits for step " << name(q->second.next_step) << "\n";
-    for (auto& e : recent)
-      if (about(e.change, d->id))
-        line(e);
+  return accepted(out);
+}
+
+std::string explain_epoch(const std::string& typed, Epoch epoch, const Metadata& metadata,
+                          const std::vector<Entry>& recent_entries) {
+  auto entry = std::find_if(recent_entries.begin(), recent_entries.end(),
+                            [&](const Entry& candidate) { return candidate.epoch == epoch; });
+  if (entry == recent_entries.end()) {
+    bool reached = epoch <= metadata.epoch;
+    return refused("epoch " + typed + (reached ? " lies behind the checkpoint" : " is not reached yet"));
   }
-  if (x.what == "slot") {
-    if (n >= m.partitions.size())
-      return "no: slot " + x.name + " is unknown";
-    slot_line(o, m, static_cast<uint32_t>(n));
-    for (auto& e : recent)
-      if (e.epoch == m.partitions[n].term || e.epoch == m.partitions[n].stores_epoch)
-        line(e);
+  std::ostringstream out;
+  print_entry(out, *entry);
+  return accepted(out);
+}
+
+}  // namespace
+
+std::string show(const ShowQuery& query, const Metadata& metadata) {
+  using Subject = ShowQuery::Subject;
+  std::ostringstream out;
+  switch (query.subject) {
+    case Subject::fleet:
+      print_fleet(out, metadata);
+      break;
+    case Subject::epoch:
+      out << "epoch " << metadata.epoch.value() << " revision " << metadata.revision.value() << " cluster "
+          << hex(metadata.cluster) << "\n";
+      break;
+    case Subject::cells:
+      for (const auto& cell : metadata.configuration.cells)
+        out << cell.name << "\n";
+      break;
+    case Subject::replicas:
+      print_replicas(out, metadata);
+      break;
+    case Subject::slots:
+      print_slots(out, metadata);
+      break;
+    case Subject::sequences:
+      print_sequences(out, metadata);
+      break;
+    case Subject::configuration:
+      out << "revision " << metadata.revision.value() << "\n" << json::write(metadata.configuration).dump(2) << "\n";
+      break;
+    case Subject::cell: {
+      const auto* cell = metadata.configuration.cell(query.name);
+      if (!cell)
+        return refused("cell " + query.name + " is unknown");
+      out << "revision " << metadata.revision.value() << "\n" << json::write(*cell).dump(2) << "\n";
+      break;
+    }
   }
-  if (x.what == "epoch") {
-    auto i = std::find_if(recent.begin(), recent.end(), [&](auto& e) { return e.epoch.value() == n; });
-    if (i == recent.end())
-      return "no: epoch " + x.name + (n > m.epoch.value() ? " is not reached yet" : " lies behind the checkpoint");
-    line(*i);
+  return accepted(out);
+}
+
+std::string explain(const ExplainQuery& query, const Metadata& metadata, const std::vector<Entry>& recent_entries) {
+  using Subject = ExplainQuery::Subject;
+  if (query.subject == Subject::program)
+    return explain_program(query.name, metadata);
+  auto number = parse_number(query.name);
+  if (!number)
+    return refused("'" + query.name + "' is no number");
+  switch (query.subject) {
+    case Subject::node:
+      return explain_daemon(query.name, DaemonId{*number}, metadata, recent_entries);
+    case Subject::slot:
+      return explain_slot(query.name, *number, metadata, recent_entries);
+    case Subject::epoch:
+      return explain_epoch(query.name, Epoch{*number}, metadata, recent_entries);
+    case Subject::program:
+      break;  // answered above
   }
-  return "yes\n" + o.str();
+  return refused("'" + query.name + "' is no number");
 }
 
 }  // namespace mosskeel::command_language
--- a/src/control/control_protocol.cpp
+++ b/src/control/control_protocol.cpp
@@ -1,24 +1,26 @@
-#include "control/cluster_control.hpp"
+#include "control/control_protocol.hpp"
 
 namespace mosskeel {
 namespace {
 
-std::vector<const ControlProtocol*>& control_dialects() {
-  static std::vector<const ControlProtocol*> v;
-  return v;
+/// A function's static, since registrations run before `main` in no fixed order.
+std::vector<const ControlProtocol*>& registered_control_protocols() {
+  static std::vector<const ControlProtocol*> protocols;
+  return protocols;
 }
 
 }  // namespace
 
 const ControlProtocol* find_control_protocol(const std::string& name) {
-  for (auto* d : control_dialects())
-    if (name == d->name())
-      return d;
+  for (const auto* protocol : registered_control_protocols()) {
+    if (name == protocol->name())
+      return protocol;
+  }
   return nullptr;
 }
 
-ControlProtocolRegistration::ControlProtocolRegistration(const ControlProtocol* d) {
-  control_dialects().push_back(d);
+ControlProtocolRegistration::ControlProtocolRegistration(const ControlProtocol* protocol) {
+  registered_control_protocols().push_back(protocol);
 }
 
 }  // namespace mosskeel
--- a/src/control/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -12,37 +12,46 @@
 
 using Code = CommandResult::Code;
 
-constexpr const char* unconfirmed = "no majority of the core answered in time";
+/// The store that came up last on this machine.
+const Daemon* find_store(const Metadata& metadata, const std::string& machine) {
+  if (machine.empty())
+    return nullptr;
+  const Daemon* latest = nullptr;
+  for (const auto& [id, daemon] : metadata.directory) {
+    if (daemon.self.role == Role::store && daemon.self.machine == machine)
+      latest = &daemon;
+  }
+  return latest;
+}
 
-/// The last store that came up on this machine.
-const Daemon* store_on(const Metadata& m, const std::string& machine) {
-  const Daemon* last = nullptr;
-  for (auto& [id, d] : m.directory)
-    if (d.self.role == Role::store && !machine.empty() && d.self.machine == machine)
-      last = &d;
-  return last;
+bool contains(const std::vector<DaemonId>& ids, DaemonId id) {
+  return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-bool emptied(const Metadata& m, const Daemon& d) {
-  if (d.state != DaemonState::left || m.sequences.count(d.id))
+/// Whether a store has left, and no partition keeps histories on it or is about to.
+bool is_emptied(const Metadata& metadata, const Daemon& store) {
+  if (store.state != DaemonState::left || metadata.sequences.count(store.id))
     return false;
-  return std::none_of(m.partitions.begin(), m.partitions.end(), [&](auto& s) {
-    return std::count(s.stores.begin(), s.stores.end(), d.id) ||
-           std::count(s.pending_stores.begin(), s.pending_stores.end(), d.id);
+  return std::none_of(metadata.partitions.begin(), metadata.partitions.end(), [&](const Partition& partition) {
+    return contains(partition.stores, store.id) || contains(partition.pending_stores, store.id);
   });
 }
 
-/// A controller that is a member of the core and may be asked instead.
-Address other_member(const Metadata& m) {
-  std::vector<Address> others;
-  for (auto id : m.members)
-    if (auto* d = m.find(id); d && d->state == DaemonState::up && !d->self.http_address.empty())
-      others.push_back(d->self.http_address);
-  return others.empty() ? "" : others[dice() % others.size()];
+/// The HTTP address of a core member that may be asked instead, chosen at random; empty where there is none.
+Address random_member_address(const Metadata& metadata) {
+  std::vector<Address> addresses;
+  for (auto id : metadata.members) {
+    const auto* daemon = metadata.find(id);
+    if (daemon && daemon->state == DaemonState::up && !daemon->self.http_address.empty())
+      addresses.push_back(daemon->self.http_address);
+  }
+  if (addresses.empty())
+    return "";
+  return addresses[dice() % addresses.size()];
 }
 
-Code code_of(Rejection r) {
-  switch (r) {
+Code result_code(Rejection rejection) {
+  switch (rejection) {
     case Rejection::revision_conflict:
       return Code::revision_mismatch;
     case Rejection::invalid:
@@ -51,147 +60,181 @@
       return Code::rejected;
     case Rejection::unknown_target:
       return Code::not_found;
-    default:
+    case Rejection::none:
+    case Rejection::forgotten:
+    case Rejection::already_in_effect:
+    case Rejection::busy:
       return Code::outcome_unknown;
   }
+  return Code::outcome_unknown;
+}
+
+bool majority_heard(const ControllerMachine& controller, const Metadata& metadata, Millis now) {
+  auto heard_lately = [&](DaemonId id) {
+    const auto* daemon = metadata.find(id);
+    return daemon &&
+           controller.failure_detector().heartbeat_age(*daemon, now) < kHeartbeatInterval * kMaxMissedHeartbeats;
+  };
+  auto heard = std::count_if(metadata.members.begin(), metadata.members.end(), heard_lately);
+  return static_cast<size_t>(heard) >= majority_of(metadata.members.size());
+}
+
+/// A member that hears no majority can do nothing, and a controller that is no member yet names one. Checking this
+/// first only spares the wait: whoever passes has still to be confirmed by a majority before any result.
+std::optional<ClusterControl::Unavailable> find_unavailability(const ControllerMachine& controller, Millis now) {
+  const auto view = controller.view();
+  if (controller.removed_by_refounding())
+    return {{"", "the core was founded anew without this controller"}};
+  if (!view->cluster)
+    return {{"", "the cluster is not founded yet"}};
+  if (!view->is_core_member(controller.self().incarnation))
+    return {{random_member_address(*view), "this controller is no core member yet"}};
+  if (!majority_heard(controller, *view, now))
+    return {{"", "cut off from a majority of the core"}};
+  return std::nullopt;
+}
+
+/// Why this store's copies cannot be relied on, or nothing.
+std::optional<std::string> store_fault(const ControllerMachine& controller, const Daemon& store, Millis now) {
+  const auto* status = controller.failure_detector().status_of(store.self.incarnation);
+  auto daemon = " daemon " + std::to_string(store.id.value());
+  if (!status || now - status->last_heartbeat_at > kHeartbeatTimeout)
+    return daemon + " is silent;";
+  if (status->incomplete_comparisons)
+    return daemon + " lacks copies in " + std::to_string(status->incomplete_comparisons) + " comparisons;";
+  return std::nullopt;
 }
 
 }  // namespace
 
-/// A rejection is confirmed by a majority at the highest epoch, and nothing is logged: so asking for what is never
-/// granted, to forget a replica without a name, reads the newest metadata.
-View linearizable_read(ControllerAccess& controller, Millis patience) {
-  auto r = controller.commit(RemoveReplica{""}, "read-" + hex(dice()), patience);
-  View v;
-  if (r.outcome == CommitOutcome::rejected)
-    controller.inspect([&](ControllerMachine& m, Millis) { v = m.view(); });
-  return v;
+/// A rejection is confirmed by a majority at the highest epoch, and nothing is logged. So asking for what is always
+/// rejected, to forget a replica without a name, reads the newest metadata.
+View linearizable_read(ControllerAccess& controller, Millis timeout) {
+  auto reply = controller.commit(RemoveReplica{""}, "read-" + hex(dice()), timeout);
+  if (reply.outcome != CommitOutcome::rejected)
+    return nullptr;
+  View view;
+  controller.inspect([&](ControllerMachine& machine, Millis) { view = machine.view(); });
+  return view;
 }
 
 /// A store is not retired while another one lacks copies: the one that goes might be the last to hold a history.
-std::string drain_hazard(ControllerMachine& m, const Transformation& t, Millis now) {
-  auto* p = std::get_if<PrepareDrain>(&t);
-  auto v = m.view();
-  auto* d = p ? v->find(p->node) : nullptr;
-  if (!d || d->self.role != Role::store)
-    return "";
-  std::string s;
-  for (auto& [id, x] : v->directory) {
-    if (x.self.role != Role::store || x.state != DaemonState::up)
+std::optional<std::string> drain_hazard(const ControllerMachine& controller, const Transformation& change, Millis now) {
+  const auto* drain = std::get_if<PrepareDrain>(&change);
+  if (!drain)
+    return std::nullopt;
+  const auto view = controller.view();
+  const auto* leaving = view->find(drain->node);
+  if (!leaving || leaving->self.role != Role::store)
+    return std::nullopt;
+  std::string faults;
+  for (const auto& [id, daemon] : view->directory) {
+    if (daemon.self.role != Role::store || daemon.state != DaemonState::up)
       continue;
-    auto* o = m.failure_detector().status_of(x.self.incarnation);
-    if (!o || now - o->last_heartbeat_at > kHeartbeatTimeout)
-      s += " daemon " + std::to_string(id.value()) + " is silent;";
-    else if (o->incomplete_comparisons)
-      s += " daemon " + std::to_string(id.value()) + " lacks copies in " + std::to_string(o->incomplete_comparisons) +
-           " comparisons;";
+    faults += store_fault(controller, daemon, now).value_or("");
   }
-  return s.empty() ? "" : "copies are lacking:" + s + " wait for the repair (metric incomplete_comparisons must be 0)";
+  if (faults.empty())
+    return std::nullopt;
+  return "copies are lacking:" + faults + " wait for the repair (metric incomplete_comparisons must be 0)";
 }
 
-ControlSession::ControlSession(ControllerAccess& controller, Millis arrived)
-    : controller_(controller), until_(arrived + kOperatorRequestTimeout) {}
+ControlSession::ControlSession(ControllerAccess& controller, Millis arrived_at)
+    : controller_(controller), deadline_(arrived_at + kOperatorRequestTimeout) {}
 
-Millis ControlSession::left() {
-  return std::max<Millis>(0, until_ - controller_.now());
+Millis ControlSession::time_left() {
+  return std::max<Millis>(0, deadline_ - controller_.now());
 }
 
-/// A member that hears no majority can do nothing; a controller that is no member yet names one. This only spares the
-/// wait: whoever passes has still to be confirmed by a majority before any verdict.
 std::optional<ClusterControl::Unavailable> ControlSession::unavailability() {
-  std::optional<Unavailable> x;
-  controller_.inspect([&](ControllerMachine& k, Millis now) {
-    auto& m = *k.view();
-    auto near = [&](DaemonId id) {
-      auto* d = m.find(id);
-      return d && k.failure_detector().heartbeat_age(*d, now) < kHeartbeatInterval * 4;
-    };
-    if (k.removed_by_refounding())
-      return void(x = {"", "the core was founded anew without this controller"});
-    if (!m.cluster)
-      return void(x = {"", "the cluster is not founded yet"});
-    if (!m.is_core_member(k.self().incarnation))
-      return void(x = {other_member(m), "this controller is no core member yet"});
-    auto heard = std::count_if(m.members.begin(), m.members.end(), near);
-    if (static_cast<size_t>(heard) < majority_of(m.members.size()))
-      x = {"", "cut off from a majority of the core"};
-  });
-  return x;
+  std::optional<Unavailable> found;
+  controller_.inspect([&](ControllerMachine& machine, Millis now) { found = find_unavailability(machine, now); });
+  return found;
 }
 
 View ControlSession::read_metadata() {
-  return linearizable_read(controller_, left());
+  return linearizable_read(controller_, time_left());
 }
 
 CommandResult ControlSession::wait_until_in_force() {
-  Epoch at{};
-  controller_.inspect([&](ControllerMachine& m, Millis) { at = m.view()->epoch; });
-  return in_force(at);
+  Epoch epoch{};
+  controller_.inspect([&](ControllerMachine& machine, Millis) { epoch = machine.view()->epoch; });
+  return wait_until_in_force(epoch);
 }
 
-CommandResult ControlSession::in_force(Epoch at) {
-  std::string why = "the machine has stopped";
+CommandResult ControlSession::wait_until_in_force(Epoch epoch) {
+  std::string missing = "the machine has stopped";
   while (!controller_.stopped()) {
-    controller_.inspect([&](ControllerMachine& m, Millis now) { why = m.missing_acknowledgements(at, now); });
-    if (why.empty())
+    controller_.inspect(
+        [&](ControllerMachine& machine, Millis now) { missing = machine.missing_acknowledgements(epoch, now); });
+    if (missing.empty())
       return {Code::done, ""};
-    if (left() <= kInForcePollInterval)
+    if (time_left() <= kInForcePollInterval)
       break;
     controller_.pause(kInForcePollInterval);
   }
-  return {Code::outcome_unknown, "epoch " + std::to_string(at.value()) + " is not yet in force: " + why};
+  return {Code::outcome_unknown, "epoch " + std::to_string(epoch.value()) + " is not yet in force: " + missing};
 }
 
-/// The verdict comes out of the reply alone: a later look at the value may see another state than was decided on.
-CommandResult ControlSession::order(const Transformation& t, const std::string& id) {
-  auto r = controller_.commit(t, id, left());
-  if (r.outcome == CommitOutcome::committed)
-    return {Code::done, ""};
-  if (r.outcome == CommitOutcome::unknown)
-    return {Code::outcome_unknown, r.reason};
-  if (r.rejection == Rejection::already_in_effect)
-    return in_force(r.epoch);
-  return {code_of(r.rejection), r.reason};
+/// The result comes out of the reply alone: a later look at the metadata may see another state than was decided on.
+CommandResult ControlSession::execute(const Transformation& change, const std::string& commit_id) {
+  auto reply = controller_.commit(change, commit_id, time_left());
+  switch (reply.outcome) {
+    case CommitOutcome::committed:
+      return {Code::done, ""};
+    case CommitOutcome::unknown:
+      return {Code::outcome_unknown, reply.reason};
+    case CommitOutcome::rejected:
+      break;
+  }
+  if (reply.rejection == Rejection::already_in_effect)
+    return wait_until_in_force(reply.epoch);
+  return {result_code(reply.rejection), reply.reason};
 }
 
-CommandResult ControlSession::apply_configuration(const std::string& id, Revision base, Revision own,
-                                                  const Configuration& m) {
-  return order(ApplyConfiguration{base, m, own}, id);
+CommandResult ControlSession::apply_configuration(const std::string& commit_id, Revision base, Revision revision,
+                                                  const Configuration& configuration) {
+  return execute(ApplyConfiguration{base, configuration, revision}, commit_id);
 }
 
 CommandResult ControlSession::evacuate(const std::string& zone) {
-  return order(EvacuateZone{zone}, "evacuate-" + hex(dice()));
+  return execute(EvacuateZone{zone}, "evacuate-" + hex(dice()));
 }
 
 CommandResult ControlSession::restore(const std::string& zone) {
-  return order(RestoreZone{zone}, "restore-" + hex(dice()));
+  return execute(RestoreZone{zone}, "restore-" + hex(dice()));
 }
 
 CommandResult ControlSession::retire(const std::string& machine) {
-  auto v = read_metadata();
-  if (!v)
-    return {Code::outcome_unknown, unconfirmed};
-  auto* d = store_on(*v, machine);
-  if (!d)
+  auto view = read_metadata();
+  if (!view)
+    return {Code::outcome_unknown, kNoMajorityReason};
+  const auto* store = find_store(*view, machine);
+  if (!store)
     return {Code::not_found, "no store has come up on machine " + machine};
-  PrepareDrain drain{d->id};
-  std::string why;
-  controller_.inspect([&](ControllerMachine& m, Millis now) { why = drain_hazard(m, drain, now); });
-  if (!why.empty() && mosskeel::apply(*v, {next(v->epoch), "", drain}).ok())
-    return {Code::outcome_unknown, why};
-  return order(drain, "retire-" + hex(dice()));
+  const PrepareDrain drain{store->id};
+  std::optional<std::string> hazard;
+  controller_.inspect(
+      [&](ControllerMachine& controller, Millis now) { hazard = drain_hazard(controller, drain, now); });
+  // A drain that would be rejected anyway goes on, for its typed reason.
+  bool applicable = apply(*view, {next(view->epoch), "", drain}).ok();
+  if (hazard && applicable)
+    return {Code::outcome_unknown, *hazard};
+  return execute(drain, "retire-" + hex(dice()));
 }
 
 RetirementState ControlSession::retirement_state(const std::string& machine) {
-  auto v = read_metadata();
-  if (!v)
+  auto view = read_metadata();
+  if (!view)
     return RetirementState::unconfirmed;
-  auto* d = store_on(*v, machine);
-  if (!d)
+  const auto* store = find_store(*view, machine);
+  if (!store)
     return RetirementState::unknown_machine;
-  std::string lacking;
-  controller_.inspect([&](ControllerMachine& m, Millis now) { lacking = m.missing_acknowledgements(d->since, now); });
-  return emptied(*v, *d) && lacking.empty() ? RetirementState::finished : RetirementState::serving;
+  std::string missing;
+  controller_.inspect([&](ControllerMachine& controller, Millis now) {
+    missing = controller.missing_acknowledgements(store->since, now);
+  });
+  bool finished = is_emptied(*view, *store) && missing.empty();
+  return finished ? RetirementState::finished : RetirementState::serving;
 }
 
 }  // namespace mosskeel
--- a/src/control/control_session.hpp
+++ b/src/control/control_session.hpp
@@ -1,50 +1,58 @@
 #pragma once
-// One operator's request on one controller: every step of it shares one deadline.
+// One operator's request on one controller.
 #include "consensus/controller_machine.hpp"
 #include "control/cluster_control.hpp"
-#include "control/constants.hpp"
 
 namespace mosskeel {
 
-/// What a request needs of the controller that it reached.
+/// What a request needs of the controller that it reached. `HostControllerAccess` is the daemon's; tests and the
+/// simulator have their own.
 class ControllerAccess {
  public:
   virtual ~ControllerAccess() = default;
-  /// Commits under this id until there is an outcome or the patience is over.
-  virtual CommitReply commit(const Transformation& t, const std::string& id, Millis patience) = 0;
-  /// Runs in the machine's own thread.
-  virtual void inspect(const std::function<void(ControllerMachine&, Millis)>& look) = 0;
+  /// Commits a change under this id; returns at a known outcome or after `timeout` (ms), then with an unknown one.
+  virtual CommitReply commit(const Transformation& change, const std::string& commit_id, Millis timeout) = 0;
+  /// Calls `look` on the state machine, on its own thread, and waits for it to return.
+  virtual void inspect(const std::function<void(ControllerMachine&, Millis now)>& look) = 0;
+  /// The state machine's clock, in ms.
   virtual Millis now() = 0;
-  virtual void pause(Millis ms) = 0;
+  virtual void pause(Millis duration) = 0;
+  /// Whether the state machine has stopped: it answers nothing more.
   virtual bool stopped() = 0;
 };
 
-/// The metadata, at least as new as what a majority of the core confirmed since the call; nothing where none did.
-View linearizable_read(ControllerAccess& controller, Millis patience);
+/// A linearizable read: metadata at least as new as what a majority of the core confirmed since the call; null where
+/// no majority answered within `timeout` (ms).
+View linearizable_read(ControllerAccess& controller, Millis timeout);
 
-/// Why an order is not safe by what this controller has observed, or nothing.
-std::string drain_hazard(ControllerMachine& m, const Transformation& t, Millis now);
+/// Why it is not safe to drain a store now, by what this controller has observed. Nothing for a safe drain and for
+/// every other change.
+std::optional<std::string> drain_hazard(const ControllerMachine& controller, const Transformation& change, Millis now);
 
+/// Carries out the steps of one operator's request; all of them share one deadline. Used on the request's own thread.
 class ControlSession : public ClusterControl {
  public:
-  /// A request that came at `arrived` has its answer within `kOperatorRequestTimeout` of that.
-  ControlSession(ControllerAccess& controller, Millis arrived);
+  /// The request is answered within `kOperatorRequestTimeout` of `arrived_at`.
+  ControlSession(ControllerAccess& controller, Millis arrived_at);
+
   std::optional<Unavailable> unavailability() override;
   View read_metadata() override;
   CommandResult wait_until_in_force() override;
-  CommandResult apply_configuration(const std::string& commit, Revision base, Revision own,
-                                    const Configuration& m) override;
+  CommandResult apply_configuration(const std::string& commit_id, Revision base, Revision revision,
+                                    const Configuration& configuration) override;
   CommandResult evacuate(const std::string& zone) override;
   CommandResult restore(const std::string& zone) override;
   CommandResult retire(const std::string& machine) override;
   RetirementState retirement_state(const std::string& machine) override;
 
  private:
-  Millis left();
-  CommandResult order(const Transformation& t, const std::string& id);
-  CommandResult in_force(Epoch at);
+  Millis time_left();
+  /// Commits a change and waits until it is in force.
+  CommandResult execute(const Transformation& change, const std::string& commit_id);
+  CommandResult wait_until_in_force(Epoch epoch);
+
   ControllerAccess& controller_;
-  Millis until_;
+  Millis deadline_;
 };
 
 }  // namespace mosskeel
--- a/src/control/host_controller_access.cpp
+++ b/src/control/host_controller_access.cpp
@@ -1,78 +1,96 @@
-// How the admin API reaches the machine: commits through a session, and looks in the machine's own thread.
+#include "control/host_controller_access.hpp"
+
 #include <thread>
 
-#include "control/admin_api.hpp"
-#include "control/constants.hpp"
 #include "replication/constants.hpp"
-#include "runtime/daemon.hpp"
 
 namespace mosskeel {
+namespace {
 
-CommitReply AdminApi::commit(const Transformation& t, const std::string& id, Millis patience) {
-  auto [address, words] = sessions_.open();
-  auto until = process_now() + patience;
-  CommitReply last{};
-  last.id = id;
-  last.outcome = CommitOutcome::unknown;
-  while (process_now() < until && !host_.stopped()) {
-    auto v = host_.view();
-    Envelope e{};
-    e.from = address;
-    e.cluster = v->cluster;
-    e.epoch = v->epoch;
-    e.body = Commit{id, t, v->epoch, until - process_now()};
-    host_.post(std::move(e));
-    auto m = words->pop(std::min<Millis>(rpc_ + kHeartbeatInterval, until - process_now()));
-    if (!m)
-      continue;
-    if (auto* r = std::get_if<CommitReply>(&*m)) {
-      last = *r;
-      if (r->outcome != CommitOutcome::unknown)
-        break;
-    }
+/// A mailbox that is open as long as this object lives.
+class OpenMailbox {
+ public:
+  explicit OpenMailbox(LocalMailboxes& mailboxes) : mailboxes_(mailboxes) {
+    std::tie(address_, mailbox_) = mailboxes_.open();
+  }
+  ~OpenMailbox() { mailboxes_.close(address_); }
+  OpenMailbox(const OpenMailbox&) = delete;
+  OpenMailbox& operator=(const OpenMailbox&) = delete;
+
+  const Address& address() const { return address_; }
+
+  /// The next message if it is a commit's reply; nothing where it is none, or none came within `timeout` (ms).
+  std::optional<CommitReply> receive_reply(Millis timeout) {
+    auto message = mailbox_->pop(timeout);
+    if (!message)
+      return std::nullopt;
+    auto* reply = std::get_if<CommitReply>(&*message);
+    if (!reply)
+      return std::nullopt;
+    return std::move(*reply);
   }
-  sessions_.close(address);
-  return last;
+
+ private:
+  LocalMailboxes& mailboxes_;
+  Address address_;
+  std::shared_ptr<LocalMailboxes::Mailbox> mailbox_;
+};
+
+CommitReply unknown_outcome(const std::string& commit_id) {
+  CommitReply reply{};
+  reply.id = commit_id;
+  reply.outcome = CommitOutcome::unknown;
+  return reply;
 }
 
-CommitReply AdminApi::commit_safely(const Transformation& t, const std::string& id) {
-  std::string why;
-  inspect([&](ControllerMachine& m, Millis now) { why = drain_hazard(m, t, now); });
-  if (why.empty())
-    return commit(t, id, await_);
-  auto v = linearizable_read(*this, kOperatorRequestTimeout);
-  if (!v)
-    return {id, CommitOutcome::unknown, "no majority of the core answered in time", host_.view()->epoch, {}, {}};
-  return {id, CommitOutcome::rejected, why, v->epoch, {}, {}, Rejection::busy};
+}  // namespace
+
+CommitReply HostControllerAccess::commit(const Transformation& change, const std::string& commit_id, Millis timeout) {
+  OpenMailbox mailbox(mailboxes_);
+  const auto deadline = process_now() + timeout;
+  auto latest = unknown_outcome(commit_id);
+  while (process_now() < deadline && !host_.stopped()) {
+    auto view = host_.view();
+    Envelope envelope{};
+    envelope.from = mailbox.address();
+    envelope.cluster = view->cluster;
+    envelope.epoch = view->epoch;
+    envelope.body = Commit{commit_id, change, view->epoch, deadline - process_now()};
+    host_.post(std::move(envelope));
+    // One heartbeat more than the controller's own patience, so that its reply is not missed by a hair.
+    auto wait = std::min<Millis>(attempt_timeout_ + kHeartbeatInterval, deadline - process_now());
+    auto reply = mailbox.receive_reply(wait);
+    if (!reply)
+      continue;
+    latest = std::move(*reply);
+    if (latest.outcome != CommitOutcome::unknown)
+      break;
+  }
+  return latest;
 }
 
-CommitReply AdminApi::rebuild(const std::vector<DaemonId>& lost) {
-  auto [address, words] = sessions_.open();
-  CommitReply r{};
-  r.id = "the same sentence";
-  r.outcome = CommitOutcome::unknown;
-  Envelope e{};
-  e.from = address;
-  e.cluster = host_.view()->cluster;
-  e.body = RefoundRequest{r.id, lost};
-  host_.post(std::move(e));
-  if (auto m = words->pop(rpc_))
-    if (auto* x = std::get_if<CommitReply>(&*m))
-      r = *x;
-  sessions_.close(address);
-  return r;
+CommitReply HostControllerAccess::refound(const std::vector<DaemonId>& lost) {
+  OpenMailbox mailbox(mailboxes_);
+  // There is no id to repeat: the operator gives the same command again.
+  const std::string id = "the same sentence";
+  Envelope envelope{};
+  envelope.from = mailbox.address();
+  envelope.cluster = host_.view()->cluster;
+  envelope.body = RefoundRequest{id, lost};
+  host_.post(std::move(envelope));
+  return mailbox.receive_reply(attempt_timeout_).value_or(unknown_outcome(id));
 }
 
-void AdminApi::inspect(const std::function<void(ControllerMachine&, Millis)>& look) {
-  host_.ask([&](Machine& m, Millis now) { look(static_cast<ControllerMachine&>(m), now); });
+void HostControllerAccess::inspect(const std::function<void(ControllerMachine&, Millis)>& look) {
+  host_.ask([&](Machine& machine, Millis now) { look(static_cast<ControllerMachine&>(machine), now); });
 }
 
-Millis AdminApi::now() {
+Millis HostControllerAccess::now() {
   return process_now();
 }
 
-void AdminApi::pause(Millis ms) {
-  std::this_thread::sleep_for(std::chrono::milliseconds(ms));
+void HostControllerAccess::pause(Millis duration) {
+  std::this_thread::sleep_for(std::chrono::milliseconds(duration));
 }
 
 }  // namespace mosskeel
--- /dev/null
+++ b/src/control/host_controller_access.hpp
@@ -0,0 +1,32 @@
+#pragma once
+// How the admin API of a controller daemon reaches its state machine.
+#include "control/control_session.hpp"
+#include "net/http_server.hpp"
+#include "runtime/host.hpp"
+
+namespace mosskeel {
+
+/// Commits by messages to the state machine, each request with a mailbox of its own; reads on the machine's thread.
+/// Thread-safe: each HTTP request calls it from its own thread.
+class HostControllerAccess : public ControllerAccess {
+ public:
+  /// `attempt_timeout` (ms) is how long the controller itself tries a commit before it answers "unknown".
+  HostControllerAccess(Host& host, LocalMailboxes& mailboxes, Millis attempt_timeout)
+      : host_(host), mailboxes_(mailboxes), attempt_timeout_(attempt_timeout) {}
+
+  CommitReply commit(const Transformation& change, const std::string& commit_id, Millis timeout) override;
+  void inspect(const std::function<void(ControllerMachine&, Millis now)>& look) override;
+  Millis now() override;
+  void pause(Millis duration) override;
+  bool stopped() override { return host_.stopped(); }
+
+  /// Asks the controller to found the core anew without these lost members.
+  CommitReply refound(const std::vector<DaemonId>& lost);
+
+ private:
+  Host& host_;
+  LocalMailboxes& mailboxes_;
+  const Millis attempt_timeout_;
+};
+
+}  // namespace mosskeel
--- a/src/control/replica_poller.hpp
+++ b/src/control/replica_poller.hpp
@@ -1,33 +1,33 @@
 #pragma once
-// Reads the list of replicas while this controller holds the supervisor lease, and brings the log up to it.
+// Service discovery: brings the replicas in the metadata log up to a platform's list of them.
 #include <thread>
 
-#include "control/admin_api.hpp"
+#include "control/control_session.hpp"
+#include "control/replica_list_client.hpp"
 #include "metadata/replica_list_reconciler.hpp"
 
 namespace mosskeel {
 
+/// Reads the replica list on a thread of its own while this controller holds the supervisor lease, and commits what
+/// the log lacks of it, each reading in one epoch.
 class ReplicaPoller {
  public:
-  /// Reads at `address` in the way that `dialect` tells, with one thread.
-  ReplicaPoller(Host& h, AdminApi& admin_api, const ControlProtocol& dialect, Address address);
-  ~ReplicaPoller();
+  /// Polls at `address` (IP:port) until it is destroyed.
+  ReplicaPoller(ControllerAccess& controller, const ControlProtocol& protocol, Address address);
 
  private:
-  void run();
-  void beat();
-  /// The whole list, or nothing where any page failed.
-  std::optional<std::vector<Replica>> read();
-  std::optional<std::string> page(const std::string& path);
-  Host& host_;
-  AdminApi& desk_;
-  const ControlProtocol& dialect_;
-  Address address_;
-  ReplicaListReconciler listing_;
-  std::unique_ptr<void, void (*)(void*)> web_;
-  Queue<bool> halt_;
-  std::string failed_;
-  std::thread thread_;
+  void run(const std::stop_token& stop);
+  void poll(const std::stop_token& stop);
+  bool holds_supervisor_lease();
+  /// Null where the state machine has stopped.
+  View view();
+
+  ControllerAccess& controller_;
+  ReplicaListClient client_;
+  /// What earlier readings said; used by the poller's thread alone.
+  ReplicaListReconciler reconciler_;
+  /// The last member: its destructor stops and joins the thread before the others go.
+  std::jthread thread_;
 };
 
 }  // namespace mosskeel
--- a/src/daemons/controller/main.cpp
+++ b/src/daemons/controller/main.cpp
@@ -1,52 +1,90 @@
+// The controller daemon: a member of the core. Wires the state machine, its host, the admin API and service discovery.
 #include <curl/curl.h>
 
+#include "control/admin_api.hpp"
 #include "control/replica_poller.hpp"
 #include "runtime/daemon.hpp"
 
 using namespace mosskeel;
 
+namespace {
+
+constexpr const char* kProgram = "controller";
+
+Needs needs() {
+  Needs needs{};
+  needs.program = kProgram;
+  needs.purpose = "A core daemon: keeps the metadata log, answers operators and platform.";
+  needs.listen = true;
+  needs.http = true;
+  needs.zone = true;
+  needs.seeds = true;
+  needs.data = true;
+  needs.core_size = true;
+  return needs;
+}
+
+Identity make_identity(const Settings& settings, Incarnation incarnation) {
+  Identity identity{};
+  identity.self.incarnation = incarnation;
+  identity.self.role = Role::controller;
+  identity.self.zone = settings.zone;
+  identity.self.address = settings.listen;
+  identity.self.http_address = settings.http;
+  identity.self.machine = settings.machine;
+  identity.seeds = settings.seeds;
+  identity.core_size = settings.core_size;
+  identity.dice = dice();
+  identity.commit_attempt_timeout = settings.tcm_rpc_ms;
+  identity.later_start = settings.later_start;
+  identity.max_core_size = settings.core_most;
+  identity.replication_factor =
+      settings.copies ? settings.copies : replication_factor_for(settings.tolerated_machines, settings.tolerated_zones);
+  return identity;
+}
+
+}  // namespace
+
 int main(int argc, const char** argv) {
-  auto r = read_settings(argc, argv,
-                         {"controller", "A core daemon: keeps the metadata log, answers operators and platform.", true,
-                          true, false, true, true, true, true});
-  if (auto* rc = std::get_if<int>(&r))
-    return *rc;
-  auto& p = std::get<Settings>(r);
-  start_log("controller");
+  auto parsed = read_settings(argc, argv, needs());
+  if (auto* exit_code = std::get_if<int>(&parsed))
+    return *exit_code;
+  const auto& settings = std::get<Settings>(parsed);
+  start_log(kProgram);
   hold_signals();
   curl_global_init(CURL_GLOBAL_DEFAULT);
-  auto d = open_disk(p.data);
-  if (auto* rc = std::get_if<int>(&d))
-    return *rc;
-  auto disk = std::get<0>(d);
-  Identity id{{disk->recovered().incarnation, Role::controller, p.zone, p.listen, "", p.http, p.machine},
-              p.seeds,
-              p.core_size,
-              dice(),
-              p.tcm_rpc_ms,
-              p.later_start,
-              p.core_most,
-              p.copies ? p.copies : replication_factor_for(p.tolerated_machines, p.tolerated_zones)};
-  Host host(disk, p.listen);
-  LocalMailboxes sessions;
-  host.route("local", [&](const Envelope& e) { sessions.deliver(e); });
-  if (auto f =
-          host.start([&](const Recovered& r, Millis now) { return std::make_unique<ControllerMachine>(id, r, now); });
-      !f.empty())
-    return cannot_start("controller", f);
-  auto* dialect = find_control_protocol(p.dialect);
-  AdminApi admin_api(host, sessions, p.tcm_await_ms, p.tcm_rpc_ms, dialect);
-  auto web = HttpServer::open(p.http, [&](const ApiRequest& a) { return admin_api.answer(a); });
-  if (!web.ok())
-    return cannot_start("controller", web.errors());
-  std::unique_ptr<ReplicaPoller> poller;
-  if (dialect && !p.list.empty())
-    poller = std::make_unique<ReplicaPoller>(host, admin_api, *dialect, p.list);
-  auto rc = run_until_stopped(host, "controller", [&] {
-    host.ask([](Machine& m, Millis now) { static_cast<ControllerMachine&>(m).begin_shutdown(now); });
-    return false;
+
+  auto opened_disk = open_disk(settings.data);
+  if (auto* exit_code = std::get_if<int>(&opened_disk))
+    return *exit_code;
+  auto disk = std::get<std::shared_ptr<Disk>>(opened_disk);
+  const auto identity = make_identity(settings, disk->recovered().incarnation);
+
+  Host host(disk, settings.listen);
+  LocalMailboxes mailboxes;
+  host.route("local", [&](const Envelope& envelope) { mailboxes.deliver(envelope); });
+  auto start_errors = host.start([&](const Recovered& recovered, Millis now) {
+    return std::make_unique<ControllerMachine>(identity, recovered, now);
   });
-  poller.reset();
-  web.value().reset();
-  return rc;
+  if (!start_errors.empty())
+    return cannot_start(kProgram, start_errors);
+
+  const auto* protocol = find_control_protocol(settings.dialect);
+  HostControllerAccess controller(host, mailboxes, settings.tcm_rpc_ms);
+  AdminApi admin_api(host, controller, settings.tcm_await_ms, protocol);
+  auto server = HttpServer::open(settings.http, [&](const ApiRequest& request) { return admin_api.handle(request); });
+  if (!server.ok())
+    return cannot_start(kProgram, server.errors());
+  std::unique_ptr<ReplicaPoller> replica_poller;
+  if (protocol && !settings.list.empty())
+    replica_poller = std::make_unique<ReplicaPoller>(controller, *protocol, settings.list);
+
+  auto begin_shutdown = [&] {
+    host.ask([](Machine& machine, Millis now) { static_cast<ControllerMachine&>(machine).begin_shutdown(now); });
+    return false;
+  };
+  auto exit_code = run_until_stopped(host, kProgram, begin_shutdown);
+  replica_poller.reset();
+  server.value().reset();
+  return exit_code;
 }
--- a/tests/simulation/operator_request.hpp
+++ b/tests/simulation/operator_request.hpp
@@ -4,6 +4,7 @@
 #include <mutex>
 #include <thread>
 
+#include "control/control_protocol.hpp"
 #include "control/control_session.hpp"
 #include "simulation/day.hpp"
 
--- a/tests/unit/control/control_session_test.cpp
+++ b/tests/unit/control/control_session_test.cpp
@@ -1,7 +1,8 @@
-// Verdicts on orders come out of the commit's own reply, and one deadline covers a whole request.
+// Results of commands come out of the commit's own reply, and one deadline covers a whole request.
 #include <catch2/catch.hpp>
 
 #include "control/constants.hpp"
+#include "control/control_protocol.hpp"
 #include "control/control_session.hpp"
 
 using namespace mosskeel;
@@ -9,33 +10,38 @@
 
 namespace {
 
-const char* const text = R"({"Revision":7,"Routes":[],"Services":[{"Name":"s"}]})";
+constexpr Millis kStart = 1000;
+const char* const kDocument = R"({"Revision":7,"Routes":[],"Services":[{"Name":"s"}]})";
 
-CommitReply reply(CommitOutcome o, Rejection why = Rejection::none) {
-  CommitReply r{};
-  r.outcome = o;
-  r.rejection = why;
-  r.reason = "so it is";
-  return r;
+CommitReply make_reply(CommitOutcome outcome, Rejection rejection = Rejection::none) {
+  CommitReply reply{};
+  reply.outcome = outcome;
+  reply.rejection = rejection;
+  reply.reason = "so it is";
+  return reply;
 }
 
-/// A controller whose own value is empty, so that no verdict can be read off it; each commit takes `delay`.
-struct Controller : ControllerAccess {
-  ControllerMachine machine{Identity{{Incarnation{1}, Role::controller, "z", "c1", "", ""}, {}, 3, 1}, {}, 1000};
-  Millis clock = 1000, delay = 0;
+/// Gives the scripted replies in order, then unknown outcomes. Its state machine's metadata is empty, so that no
+/// result can be read off it.
+struct ScriptedController : ControllerAccess {
+  ControllerMachine machine{Identity{{Incarnation{1}, Role::controller, "z", "c1", "", ""}, {}, 3, 1}, {}, kStart};
+  Millis clock = kStart;
+  /// How long each commit takes.
+  Millis delay = 0;
   std::vector<CommitReply> replies;
-  std::vector<Transformation> asked;
-  CommitReply commit(const Transformation& t, const std::string&, Millis patience) override {
-    asked.push_back(t);
-    clock += std::min(delay, patience);
-    auto next = replies.empty() ? reply(CommitOutcome::unknown) : replies.front();
-    if (!replies.empty())
+
+  CommitReply commit(const Transformation&, const std::string&, Millis timeout) override {
+    clock += std::min(delay, timeout);
+    auto reply = make_reply(CommitOutcome::unknown);
+    if (!replies.empty()) {
+      reply = replies.front();
       replies.erase(replies.begin());
-    return delay > patience ? reply(CommitOutcome::unknown) : next;
+    }
+    return delay > timeout ? make_reply(CommitOutcome::unknown) : reply;
   }
   void inspect(const std::function<void(ControllerMachine&, Millis)>& look) override { look(machine, clock); }
   Millis now() override { return clock; }
-  void pause(Millis ms) override { clock += ms; }
+  void pause(Millis duration) override { clock += duration; }
   bool stopped() override { return false; }
 };
 
@@ -49,53 +55,59 @@
                                               {Rejection::refused, Code::rejected},
                                               {Rejection::busy, Code::outcome_unknown},
                                               {Rejection::none, Code::outcome_unknown}};
-  for (auto [why, kind] : table) {
-    Controller c;
-    c.replies = {reply(CommitOutcome::rejected, why), reply(CommitOutcome::rejected, why),
-                 reply(CommitOutcome::rejected, why)};
-    ControlSession s(c, c.clock);
-    // The machine's own revision is 0, the base of this very order: a later look would call it invalid.
-    CHECK(s.apply_configuration("id", Revision{0}, Revision{1}, {}).code == kind);
-    CHECK(s.evacuate("z").code == kind);
-    CHECK(s.restore("z").code == kind);
+  for (const auto& [rejection, code] : table) {
+    ScriptedController controller;
+    controller.replies.assign(3, make_reply(CommitOutcome::rejected, rejection));
+    ControlSession session(controller, controller.clock);
+
+    // The machine's own revision is 0, the base of this very command: a later look would call it invalid.
+    CHECK(session.apply_configuration("id", Revision{0}, Revision{1}, {}).code == code);
+    CHECK(session.evacuate("z").code == code);
+    CHECK(session.restore("z").code == code);
   }
 }
 
 TEST_CASE("ControlSession reports an unknown outcome when no majority answers") {
-  Controller c;
-  ControlSession s(c, c.clock);
-  CHECK(s.apply_configuration("id", Revision{0}, Revision{1}, {}).code == Code::outcome_unknown);
-  CHECK(s.evacuate("z").code == Code::outcome_unknown);
-  CHECK(s.restore("z").code == Code::outcome_unknown);
-  CHECK(s.retire("m").code == Code::outcome_unknown);
-  CHECK(s.retirement_state("m") == RetirementState::unconfirmed);
-  CHECK_FALSE(s.read_metadata());
+  ScriptedController controller;
+  ControlSession session(controller, controller.clock);
+
+  CHECK(session.apply_configuration("id", Revision{0}, Revision{1}, {}).code == Code::outcome_unknown);
+  CHECK(session.evacuate("z").code == Code::outcome_unknown);
+  CHECK(session.restore("z").code == Code::outcome_unknown);
+  CHECK(session.retire("m").code == Code::outcome_unknown);
+  CHECK(session.retirement_state("m") == RetirementState::unconfirmed);
+  CHECK_FALSE(session.read_metadata());
 }
 
 TEST_CASE("ControlSession reads a retirement state only from a linearizable read") {
-  Controller c;
-  c.replies = {reply(CommitOutcome::rejected, Rejection::refused)};
-  ControlSession s(c, c.clock);
-  CHECK(s.retirement_state("m") == RetirementState::unknown_machine);
-  CHECK(s.retirement_state("m") == RetirementState::unconfirmed);
+  ScriptedController controller;
+  controller.replies = {make_reply(CommitOutcome::rejected, Rejection::refused)};
+  ControlSession session(controller, controller.clock);
+
+  auto confirmed = session.retirement_state("m");
+  auto unconfirmed = session.retirement_state("m");
+
+  CHECK(confirmed == RetirementState::unknown_machine);
+  CHECK(unconfirmed == RetirementState::unconfirmed);
 }
 
 TEST_CASE("ControlSession ends a request of several commits within one deadline") {
-  auto* platform = find_control_protocol("platform");
-  REQUIRE(platform);
+  const auto* protocol = find_control_protocol("platform");
+  REQUIRE(protocol);
   for (Millis delay : {100, 300, 500, 800, 1000, 5000}) {
-    for (auto* method : {"PUT", "PATCH", "GET"}) {
-      Controller c;
-      c.delay = delay;
-      for (int i = 0; i < 4; ++i)
-        c.replies.push_back(reply(CommitOutcome::rejected, Rejection::revision_conflict));
-      ControlSession s(c, c.clock);
-      auto a = platform->answer({method, "/v1/config", text, {{"if-match", "5"}}, {}}, s);
-      REQUIRE(a);
+    for (const auto* method : {"PUT", "PATCH", "GET"}) {
       INFO(method << " with commits of " << delay << " ms");
-      CHECK(c.clock - 1000 <= kOperatorRequestTimeout);
+      ScriptedController controller;
+      controller.delay = delay;
+      controller.replies.assign(4, make_reply(CommitOutcome::rejected, Rejection::revision_conflict));
+      ControlSession session(controller, controller.clock);
+
+      auto response = protocol->answer({method, "/v1/config", kDocument, {{"if-match", "5"}}, {}}, session);
+
+      REQUIRE(response);
+      CHECK(controller.clock - kStart <= kOperatorRequestTimeout);
       if (delay > kOperatorRequestTimeout)
-        CHECK(a->status == 503);
+        CHECK(response->status == 503);
     }
   }
 }
--- /dev/null
+++ b/tests/unit/metadata/replica_list_reconciler_test.cpp
@@ -0,0 +1,102 @@
+// What a platform's list of replicas says beyond the log.
+#include <catch2/catch.hpp>
+
+#include "metadata/constants.hpp"
+#include "metadata/replica_list_reconciler.hpp"
+#include "runtime/constants.hpp"
+
+using namespace mosskeel;
+
+namespace {
+
+constexpr Millis kStart = kProcessClockStart;
+
+Replica listed(const std::string& name, ReplicaHealth health, Millis cold_ms = 0) {
+  return {name, "listed", "z", "http://10.0.0.1:80", health, {}, 8, "s", cold_ms};
+}
+
+/// A log that takes every change.
+struct Log {
+  Metadata metadata{};
+  ReplicaListReconciler reconciler;
+
+  /// Compares a reading with the log and commits the difference.
+  std::optional<UpdateReplicas> read(const std::vector<Replica>& replicas, Millis now) {
+    auto change = reconciler.reconcile(metadata.replicas, replicas, now);
+    if (change)
+      metadata = apply(metadata, {next(metadata.epoch), "", *change}).value();
+    return change;
+  }
+};
+
+}  // namespace
+
+TEST_CASE("Replica list comparison commits only what the log lacks") {
+  Log log;
+  auto first = log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 3000)}, kStart);
+  REQUIRE(first);
+  CHECK(first->updated.size() == 2);
+
+  // The cold time runs down as expected.
+  CHECK_FALSE(
+      log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 2500)}, kStart + 500));
+  CHECK_FALSE(
+      log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 2400)}, kStart + 1000));
+
+  auto longer =
+      log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 3000)}, kStart + 1500);
+  REQUIRE(longer);
+  CHECK(longer->updated == std::vector<Replica>{listed("b", ReplicaHealth::warming_up, 3000)});
+
+  auto changed_health =
+      log.read({listed("a", ReplicaHealth::draining), listed("b", ReplicaHealth::ready)}, kStart + 2000);
+  REQUIRE(changed_health);
+  CHECK(changed_health->updated.size() == 2);
+  CHECK_FALSE(log.read({listed("a", ReplicaHealth::draining), listed("b", ReplicaHealth::ready)}, kStart + 2500));
+
+  auto moved = listed("b", ReplicaHealth::ready);
+  moved.service = "other";
+  auto changed_service = log.read({listed("a", ReplicaHealth::draining), moved}, kStart + 3000);
+  REQUIRE(changed_service);
+  CHECK(changed_service->updated == std::vector<Replica>{moved});
+}
+
+TEST_CASE("A listed replica is removed after two readings without it, a configured one never") {
+  Log log;
+  log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::ready)}, kStart);
+  log.metadata.replicas["own"] = {"own", "model", "z", "http://x", ReplicaHealth::ready, {}, 8, "", 0};
+
+  CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready)}, kStart + 500));
+  CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::ready)}, kStart + 1000));
+  CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready)}, kStart + 1500));
+  auto second_in_a_row = log.read({listed("a", ReplicaHealth::ready)}, kStart + 2000);
+
+  REQUIRE(second_in_a_row);
+  CHECK(second_in_a_row->removed == std::vector<std::string>{"b"});
+  CHECK(log.metadata.replicas.count("own"));
+}
+
+TEST_CASE("Replica list comparison recovers after a change of reader and a lost commit") {
+  Log log;
+  log.read({listed("b", ReplicaHealth::warming_up, 3000)}, kStart);
+
+  log.reconciler.reset();
+  CHECK_FALSE(log.read({listed("b", ReplicaHealth::warming_up, 1000)}, kStart + 2000));
+
+  auto before_the_commit = log.metadata;
+  REQUIRE(log.read({listed("b", ReplicaHealth::warming_up, 3000)}, kStart + 2500));
+  log.metadata = before_the_commit;
+  CHECK(log.read({listed("b", ReplicaHealth::warming_up, 2500)}, kStart + 3000));
+  CHECK_FALSE(log.read({listed("b", ReplicaHealth::warming_up, 2000)}, kStart + 3500));
+}
+
+TEST_CASE("A replica of a restored zone stays cold until the list can have caught up") {
+  Log log;
+  log.read({listed("a", ReplicaHealth::ready)}, kStart);
+  log.metadata.replicas["a"].health = ReplicaHealth::warming_up;
+
+  CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready)}, kStart + 500));
+  CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready)}, kStart + 500 + kMaxReplicaListLag - 1));
+  REQUIRE(log.read({listed("a", ReplicaHealth::ready)}, kStart + 500 + kMaxReplicaListLag));
+  CHECK(log.metadata.replicas["a"].health == ReplicaHealth::ready);
+}
--- a/tests/unit/platform/configuration_test.cpp
+++ b/tests/unit/platform/configuration_test.cpp
@@ -1,4 +1,4 @@
-// The operator's configurations: whole, changed, and wrong.
+// The operator's configurations: complete, patched, and wrong.
 #include <catch2/catch.hpp>
 
 #include <nlohmann/json.hpp>
@@ -12,7 +12,7 @@
 
 namespace {
 
-const char* const whole = R"({"Revision":7,"Routes":[
+const char* const kDocument = R"({"Revision":7,"Routes":[
  {"Name":"r-a","Host":"ficu95.example","PathPrefix":"/pufi791/","RouteKind":"streaming","TimeoutMs":4000,
   "TargetLatencyMs":250,"Priority":2,"Service":"huvo11a","MaxAttempts":2,"Retained":true,"RetentionS":60.5,
   "StickySessions":true,"Resumable":false,"GapTargetMs":400,"Later":{"deep":[1.0]}},
@@ -24,65 +24,78 @@
  {"Name":"wuno96b","HealthPath":"/health","MaxConnections":96}],
  "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000},"Extra":1})";
 
-Json doc() {
-  return Json::parse(whole);
+Json document_json() {
+  return Json::parse(kDocument);
 }
 
-std::string refused(const Result<platform::ConfigurationDocument>& r) {
-  REQUIRE_FALSE(r.ok());
-  return to_string(r.errors());
+/// The errors of a document that must be rejected.
+std::string rejection_of(const Result<platform::ConfigurationDocument>& result) {
+  REQUIRE_FALSE(result.ok());
+  return to_string(result.errors());
+}
+
+platform::ConfigurationDocument accepted(const Result<platform::ConfigurationDocument>& result) {
+  INFO((result.ok() ? "" : to_string(result.errors())));
+  REQUIRE(result.ok());
+  return result.value();
+}
+
+Path streaming_path() {
+  Path path{};
+  path.name = "r-a";
+  path.host = "ficu95.example";
+  path.prefix = "/pufi791/";
+  path.kind = "streaming";
+  path.timeout_ms = 4000;
+  path.target_ms = 250;
+  path.rank = 2;
+  path.attempts = 2;
+  path.kept = true;
+  path.retention_ms = 60500;
+  path.sticky = true;
+  path.resumable = false;
+  path.gap_ms = 400;
+  path.shares = {{"huvo11a", 1}};
+  return path;
+}
+
+Path split_path() {
+  Path path{};
+  path.name = "r-b";
+  path.host = "ficu95.example";
+  path.prefix = "/lohu930/";
+  path.kind = "safe";
+  path.timeout_ms = 1000;
+  path.attempts = 1;
+  path.shares = {{"huvo11a", 90}, {"wuno96b", 10}};
+  return path;
 }
 
 }  // namespace
 
 TEST_CASE("A configuration document parses into routes and services and is kept verbatim") {
-  auto r = parse_configuration(whole);
-  INFO((r.ok() ? "" : to_string(r.errors())));
-  REQUIRE(r.ok());
-  auto& m = r.value().configuration;
-  CHECK(r.value().revision == Revision{7});
-  CHECK(m.document == whole);
-  CHECK(m.cells.empty());
-  REQUIRE(m.paths.size() == 2);
-  CHECK(m.paths[0] == Path{"r-a",
-                           "ficu95.example",
-                           "/pufi791/",
-                           "streaming",
-                           4000,
-                           250,
-                           2,
-                           2,
-                           true,
-                           60500,
-                           true,
-                           false,
-                           400,
-                           {{"huvo11a", 1}}});
-  CHECK(m.paths[1] == Path{"r-b",
-                           "ficu95.example",
-                           "/lohu930/",
-                           "safe",
-                           1000,
-                           0,
-                           0,
-                           1,
-                           false,
-                           0,
-                           false,
-                           false,
-                           0,
-                           {{"huvo11a", 90}, {"wuno96b", 10}}});
-  REQUIRE(m.services.size() == 2);
-  CHECK(m.services[0] == Service{"huvo11a", "/health", 230, 3250, 19.5, 32, 197627, 4});
-  CHECK(m.services[1] == Service{"wuno96b", "/health", 96, 0, 0, 0, 0, 0});
-  CHECK(m.callers == CallerLimits{16384, 4194304, 3000, 15000});
+  auto parsed = accepted(parse_configuration(kDocument));
+
+  const auto& configuration = parsed.configuration;
+  CHECK(parsed.revision == Revision{7});
+  CHECK(configuration.document == kDocument);
+  CHECK(configuration.cells.empty());
+  REQUIRE(configuration.paths.size() == 2);
+  CHECK(configuration.paths[0] == streaming_path());
+  CHECK(configuration.paths[1] == split_path());
+  REQUIRE(configuration.services.size() == 2);
+  CHECK(configuration.services[0] == Service{"huvo11a", "/health", 230, 3250, 19.5, 32, 197627, 4});
+  CHECK(configuration.services[1] == Service{"wuno96b", "/health", 96, 0, 0, 0, 0, 0});
+  CHECK(configuration.callers == CallerLimits{16384, 4194304, 3000, 15000});
 }
 
 TEST_CASE("Each invalid configuration is rejected with the place of the error") {
-  std::string text = whole;
-  CHECK(refused(parse_configuration(text.substr(0, text.size() / 2))).starts_with("body"));
-  CHECK(refused(parse_configuration(text + "}")).starts_with("body"));
-  CHECK(refused(parse_configuration("[]")).starts_with("body"));
+  const std::string document = kDocument;
+  CHECK(rejection_of(parse_configuration(document.substr(0, document.size() / 2))).starts_with("body"));
+  CHECK(rejection_of(parse_configuration(document + "}")).starts_with("body"));
+  CHECK(rejection_of(parse_configuration("[]")).starts_with("body"));
+
+  // Each row damages the document by a JSON patch.
   const std::pair<const char*, const char*> table[] = {
       {R"([{"op":"replace","path":"/Routes/0/Service","value":"nowhere"}])", "service 'nowhere' is unknown"},
       {R"([{"op":"replace","path":"/Routes/1/PathPrefix","value":"/pufi791/"}])", "host and prefix"},
@@ -105,48 +118,71 @@
       {R"([{"op":"replace","path":"/Revision","value":0}])", "Revision: must be"},
       {R"([{"op":"replace","path":"/Revision","value":"8"}])", "Revision: must be"},
       {R"([{"op":"replace","path":"/Limits","value":7}])", "Limits: must be an object"}};
-  for (auto& [patch, reason] : table) {
-    INFO(patch);
-    CHECK_THAT(refused(parse_configuration(doc().patch(Json::parse(patch)).dump())), Catch::Contains(reason));
+  for (const auto& [damage, reason] : table) {
+    INFO(damage);
+    auto damaged = document_json().patch(Json::parse(damage)).dump();
+
+    CHECK_THAT(rejection_of(parse_configuration(damaged)), Catch::Contains(reason));
   }
 }
 
+TEST_CASE("Errors of a configuration come in the order of the document") {
+  auto result = parse_configuration(
+      R"({"Revision":7,"Routes":[{"Name":"a"},3,{"Name":"b","TimeoutMs":"x"}],"Services":[4,{"Runtime":5}],"Limits":6})");
+
+  std::vector<std::string> places;
+  REQUIRE_FALSE(result.ok());
+  for (const auto& finding : result.errors())
+    places.push_back(finding.location);
+  CHECK(places == std::vector<std::string>{"Routes[0].Host", "Routes[0].PathPrefix", "Routes[0].RouteKind",
+                                           "Routes[0].TimeoutMs", "Routes[0].Service", "Routes[1]", "Routes[2].Host",
+                                           "Routes[2].PathPrefix", "Routes[2].RouteKind", "Routes[2].TimeoutMs",
+                                           "Routes[2].Service", "Services[0]", "Services[1].Name",
+                                           "Services[1].Runtime", "Limits"});
+}
+
 TEST_CASE("A configuration revision not above the current one is rejected") {
-  auto r = parse_configuration(whole).value();
-  Metadata m{};
-  m.revision = Revision{7};
-  for (uint64_t own : {uint64_t{6}, uint64_t{7}})
-    CHECK_FALSE(apply(m, {Epoch{1}, "", ApplyConfiguration{Revision{7}, r.configuration, Revision{own}}}).ok());
-  auto up = apply(m, {Epoch{1}, "", ApplyConfiguration{Revision{7}, r.configuration, Revision{12}}});
-  REQUIRE(up.ok());
-  CHECK(up.value().revision == Revision{12});
+  auto parsed = accepted(parse_configuration(kDocument));
+  Metadata metadata{};
+  metadata.revision = Revision{7};
+  auto apply_as = [&](Revision revision) {
+    return apply(metadata, {Epoch{1}, "", ApplyConfiguration{Revision{7}, parsed.configuration, revision}});
+  };
+
+  CHECK_FALSE(apply_as(Revision{6}).ok());
+  CHECK_FALSE(apply_as(Revision{7}).ok());
+  auto next = apply_as(Revision{12});
+  REQUIRE(next.ok());
+  CHECK(next.value().revision == Revision{12});
 }
 
 TEST_CASE("A configuration patch keeps all items that it does not name") {
-  auto r = patch_configuration(whole, R"({"Revision":9,"Remove":{"Routes":["r-a","r-unknown"]},"Upsert":{
+  auto patched = accepted(patch_configuration(kDocument, R"({"Revision":9,"Remove":{"Routes":["r-a","r-unknown"]},
+    "Upsert":{
     "Routes":[{"Name":"r-b","Host":"ficu95.example","PathPrefix":"/lohu930/","RouteKind":"safe","TimeoutMs":50,
                "Service":"wuno96b","New":true},
-              {"Name":"r-c","Host":"h","PathPrefix":"/","RouteKind":"unsafe","TimeoutMs":7,"Service":"huvo11a"}]}})");
-  INFO((r.ok() ? "" : to_string(r.errors())));
-  REQUIRE(r.ok());
-  auto j = Json::parse(r.value().configuration.document);
-  CHECK(r.value().revision == Revision{9});
-  CHECK(j["Revision"] == 9);
-  CHECK(j["Extra"] == 1);
-  CHECK(j["Services"] == doc()["Services"]);
-  CHECK(j["Limits"] == doc()["Limits"]);
-  REQUIRE(j["Routes"].size() == 2);
-  CHECK(j["Routes"][0]["New"] == true);
-  CHECK(j["Routes"][1]["Name"] == "r-c");
-  CHECK(r.value().configuration.paths[0].timeout_ms == 50);
-  auto kept = patch_configuration(whole, R"({"Revision":8,"Upsert":{"Services":[{"Name":"third"}]}})");
-  REQUIRE(kept.ok());
-  CHECK(Json::parse(kept.value().configuration.document)["Routes"] == doc()["Routes"]);
-  CHECK(kept.value().configuration.services.size() == 3);
+              {"Name":"r-c","Host":"h","PathPrefix":"/","RouteKind":"unsafe","TimeoutMs":7,"Service":"huvo11a"}]}})"));
+
+  auto document = Json::parse(patched.configuration.document);
+  CHECK(patched.revision == Revision{9});
+  CHECK(document["Revision"] == 9);
+  CHECK(document["Extra"] == 1);
+  CHECK(document["Services"] == document_json()["Services"]);
+  CHECK(document["Limits"] == document_json()["Limits"]);
+  REQUIRE(document["Routes"].size() == 2);
+  CHECK(document["Routes"][0]["New"] == true);
+  CHECK(document["Routes"][1]["Name"] == "r-c");
+  CHECK(patched.configuration.paths[0].timeout_ms == 50);
+
+  auto extended =
+      accepted(patch_configuration(kDocument, R"({"Revision":8,"Upsert":{"Services":[{"Name":"third"}]}})"));
+  CHECK(Json::parse(extended.configuration.document)["Routes"] == document_json()["Routes"]);
+  CHECK(extended.configuration.services.size() == 3);
 }
 
 TEST_CASE("A configuration patch creates a missing document, and an invalid patch is rejected") {
   CHECK(patch_configuration("", R"({"Revision":1,"Upsert":{"Services":[{"Name":"s"}]}})").ok());
+
   const std::pair<const char*, const char*> table[] = {
       {R"({"Revision":9,"Ups)", "body"},
       {R"({"Upsert":{}})", "Revision: is missing"},
@@ -156,14 +192,14 @@
       {R"({"Revision":9,"Upsert":{"Services":[{"Name":"x"},{"Name":"x"}]}})", "is there twice"},
       {R"({"Revision":9,"Remove":{"Routes":[3]}})", "Remove.Routes[0]"},
       {R"({"Revision":9,"Remove":{"Services":["wuno96b"]}})", "service 'wuno96b' is unknown"}};
-  for (auto& [text, reason] : table) {
-    INFO(text);
-    CHECK_THAT(refused(patch_configuration(whole, text)), Catch::Contains(reason));
+  for (const auto& [patch, reason] : table) {
+    INFO(patch);
+    CHECK_THAT(rejection_of(patch_configuration(kDocument, patch)), Catch::Contains(reason));
   }
 }
 
 TEST_CASE("Documents that differ only in white space are equal") {
-  CHECK(platform::same_document(whole, doc().dump()));
-  CHECK_FALSE(platform::same_document(whole, "{}"));
+  CHECK(platform::same_document(kDocument, document_json().dump()));
+  CHECK_FALSE(platform::same_document(kDocument, "{}"));
   CHECK_FALSE(platform::same_document("{", "{"));
 }
