--- a/src/control/host_controller_access.cpp
+++ b/src/control/host_controller_access.cpp
@@ -10,18 +10,16 @@
 /// A mailbox that is open as long as this object lives.
 class OpenMailbox {
  public:
-  explicit OpenMailbox(LocalMailboxes& mailboxes) : mailboxes_(mailboxes) {
-    std::tie(address_, mailbox_) = mailboxes_.open();
-  }
-  ~OpenMailbox() { mailboxes_.close(address_); }
+  explicit OpenMailbox(LocalMailboxes& mailboxes) : mailboxes_(mailboxes), opened_(mailboxes.open()) {}
+  ~OpenMailbox() { mailboxes_.close(opened_.address); }
   OpenMailbox(const OpenMailbox&) = delete;
   OpenMailbox& operator=(const OpenMailbox&) = delete;
 
-  const Address& address() const { return address_; }
+  const Address& address() const { return opened_.address; }
 
   /// The next message if it is a commit's reply; nothing where it is none, or none came within `timeout` (ms).
   std::optional<CommitReply> receive_reply(Millis timeout) {
-    auto message = mailbox_->pop(timeout);
+    auto message = opened_.mailbox->pop(timeout);
     if (!message)
       return std::nullopt;
     auto* reply = std::get_if<CommitReply>(&*message);
@@ -32,8 +30,7 @@
 
  private:
   LocalMailboxes& mailboxes_;
-  Address address_;
-  std::shared_ptr<LocalMailboxes::Mailbox> mailbox_;
+  LocalMailboxes::Opened opened_;
 };
 
 CommitReply unknown_outcome(const std::string& commit_id) {
--- a/src/control/host_controller_access.hpp
+++ b/src/control/host_controller_access.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // How the admin API of a controller daemon reaches its state machine.
 #include "control/control_session.hpp"
-#include "net/http_server.hpp"
+#include "net/local_mailboxes.hpp"
 #include "runtime/host.hpp"
 
 namespace mosskeel {
