--- /dev/null
+++ b/tests/unit/control/admin_json_test.cpp
@@ -0,0 +1,72 @@
+#include <catch2/catch.hpp>
+
+#include "control/admin_json.hpp"
+#include "metadata/constants.hpp"
+
+using namespace mosskeel;
+using json::Json;
+
+namespace {
+
+CommitReply make_reply(CommitOutcome outcome, const std::string& reason) {
+  CommitReply reply{};
+  reply.id = "op-1";
+  reply.outcome = outcome;
+  reply.reason = reason;
+  reply.epoch = Epoch{9};
+  return reply;
+}
+
+}  // namespace
+
+TEST_CASE("A commit's outcome becomes a sentence of the operators' language") {
+  CHECK(describe_outcome(make_reply(CommitOutcome::committed, "")) == "yes epoch 9");
+  CHECK(describe_outcome(make_reply(CommitOutcome::rejected, "too few stores")) == "no: too few stores");
+  CHECK(describe_outcome(make_reply(CommitOutcome::unknown, "")) == "unknown: retry with op-1");
+  CHECK(describe_outcome(make_reply(CommitOutcome::unknown, "cut off")) == "unknown: retry with op-1 (cut off)");
+}
+
+TEST_CASE("A commit's outcome becomes a status and a JSON body") {
+  auto committed = commit_response(make_reply(CommitOutcome::committed, ""), Revision{4});
+  CHECK(committed.status == 200);
+  CHECK(Json::parse(committed.body) == Json{{"id", "op-1"}, {"outcome", "yes"}, {"epoch", 9}, {"revision", 4}});
+
+  auto rejected = commit_response(make_reply(CommitOutcome::rejected, "too few stores"), Revision{4});
+  CHECK(rejected.status == 409);
+  CHECK(Json::parse(rejected.body) == Json{{"id", "op-1"}, {"outcome", "no"}, {"reason", "too few stores"}});
+
+  auto unknown = commit_response(make_reply(CommitOutcome::unknown, "cut off"), Revision{4});
+  CHECK(unknown.status == 503);
+  CHECK(unknown.headers.at("Retry-After") == "1");
+  CHECK(Json::parse(unknown.body) ==
+        Json{{"id", "op-1"}, {"outcome", "unknown"}, {"reason", "retry with the same id: cut off"}});
+}
+
+TEST_CASE("A replica's JSON has defaults for its capacity and health") {
+  auto replica = parse_replica("model1", R"({"kind":"model","zone":"a","url":"http://10.0.0.1:80"})");
+
+  REQUIRE(replica.ok());
+  CHECK(replica.value().name == "model1");
+  CHECK(replica.value().capacity == kDefaultReplicaCapacity);
+  CHECK(replica.value().health == ReplicaHealth::warming_up);
+}
+
+TEST_CASE("Each wrong field of a replica's JSON is a finding") {
+  const std::string fields = R"("kind":"model","zone":"a","url":"u")";
+  const std::pair<std::string, const char*> table[] = {
+      {"[]", "body: is no JSON object"},
+      {R"({"zone":"a","url":"u"})", "kind: is missing or no string"},
+      {R"({"kind":"model","zone":7,"url":"u"})", "zone: is missing or no string"},
+      {"{" + fields + R"(,"places":0})", "places: must be a whole number from 1 to 4096"},
+      {"{" + fields + R"(,"places":4097})", "places: must be a whole number from 1 to 4096"},
+      {"{" + fields + R"(,"places":1.5})", "places: must be a whole number from 1 to 4096"},
+      {"{" + fields + R"(,"health":"odd"})", "health: is none of cold, ready, leaving"}};
+  for (const auto& [text, finding] : table) {
+    INFO(text);
+
+    auto replica = parse_replica("model1", text);
+
+    REQUIRE_FALSE(replica.ok());
+    CHECK(to_string(replica.errors()) == finding);
+  }
+}
