--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -14,7 +14,11 @@
 
 constexpr const char* kDefaultControllers = "127.0.0.1:8101";
 
-enum ExitCode { kExitYes = 0, kExitNo = 1, kExitUsage = 2, kExitUnknown = 3 };
+/// Exit codes, as docs/operators.md tells them.
+constexpr int kExitYes = 0;
+constexpr int kExitNo = 1;
+constexpr int kExitUsage = 2;
+constexpr int kExitUnknown = 3;
 
 /// What the command line says.
 struct Options {
@@ -30,7 +34,7 @@
   void operator()(poptContext context) const { poptFreeContext(context); }
 };
 
-ExitCode usage_error(const std::string& reason) {
+int usage_error(const std::string& reason) {
   fprintf(stderr, "mosskeelctl: %s; see mosskeelctl --help\n", reason.c_str());
   return kExitUsage;
 }
@@ -44,7 +48,7 @@
 }
 
 /// The options, or the exit code where they are wrong or ask for nothing more.
-std::variant<Options, ExitCode> parse_options(int argc, const char** argv) {
+std::variant<Options, int> parse_options(int argc, const char** argv) {
   char* controllers = nullptr;
   char* commit_id = nullptr;
   int print_version = 0;
@@ -116,7 +120,7 @@
   return ApplyCommand{file, revision};
 }
 
-ExitCode apply_configuration(const Options& options, const ApplyCommand& command) {
+int apply_configuration(const Options& options, const ApplyCommand& command) {
   std::ifstream file(command.file);
   std::stringstream configuration;
   configuration << file.rdbuf();
@@ -133,7 +137,7 @@
   return applied ? kExitYes : kExitNo;
 }
 
-ExitCode run_sentence(const Options& options) {
+int run_sentence(const Options& options) {
   auto response = ask_controllers(options, "POST", "/v1/say", options.sentence);
   if (!response) {
     puts("unknown: no controller gave an answer");
@@ -149,7 +153,7 @@
 
 int main(int argc, const char** argv) {
   auto parsed = parse_options(argc, argv);
-  if (auto* exit_code = std::get_if<ExitCode>(&parsed))
+  if (auto* exit_code = std::get_if<int>(&parsed))
     return *exit_code;
   const auto& options = std::get<Options>(parsed);
   curl_global_init(CURL_GLOBAL_DEFAULT);
--- a/src/control/command_language.cpp
+++ b/src/control/command_language.cpp
@@ -10,14 +10,14 @@
 
 ParsedCommand parse_show(SentenceReader& reader) {
   using Subject = ShowQuery::Subject;
-  constexpr std::pair<const char*, Subject> kSubjects[] = {{"fleet", Subject::fleet},
-                                                           {"epoch", Subject::epoch},
-                                                           {"cells", Subject::cells},
-                                                           {"replicas", Subject::replicas},
-                                                           {"slots", Subject::slots},
-                                                           {"sequences", Subject::sequences},
-                                                           {"configuration", Subject::configuration}};
-  for (const auto& [keyword, subject] : kSubjects) {
+  constexpr std::pair<const char*, Subject> subjects[] = {{"fleet", Subject::fleet},
+                                                          {"epoch", Subject::epoch},
+                                                          {"cells", Subject::cells},
+                                                          {"replicas", Subject::replicas},
+                                                          {"slots", Subject::slots},
+                                                          {"sequences", Subject::sequences},
+                                                          {"configuration", Subject::configuration}};
+  for (const auto& [keyword, subject] : subjects) {
     if (reader.accept(keyword))
       return ShowQuery{subject, ""};
   }
@@ -31,9 +31,9 @@
 
 ParsedCommand parse_explain(SentenceReader& reader) {
   using Subject = ExplainQuery::Subject;
-  constexpr std::pair<const char*, Subject> kSubjects[] = {
+  constexpr std::pair<const char*, Subject> subjects[] = {
       {"node", Subject::node}, {"slot", Subject::slot}, {"epoch", Subject::epoch}, {"program", Subject::program}};
-  for (const auto& [keyword, subject] : kSubjects) {
+  for (const auto& [keyword, subject] : subjects) {
     if (!reader.accept(keyword))
       continue;
     auto name = reader.word(subject == Subject::program ? "CELL/PROGRAM" : "a number");
@@ -79,14 +79,14 @@
 
 ParsedCommand parse_set(SentenceReader& reader) {
   using Property = UpdateCell::Property;
-  constexpr std::pair<const char*, Property> kProperties[] = {
+  constexpr std::pair<const char*, Property> properties[] = {
       {"budget", Property::budget}, {"turn", Property::turn_limit}, {"retention", Property::retention}};
   if (!reader.accept("cell"))
     return std::nullopt;
   auto name = reader.word("a cell's name");
   if (!name)
     return std::nullopt;
-  for (const auto& [keyword, property] : kProperties) {
+  for (const auto& [keyword, property] : properties) {
     if (!reader.accept(keyword))
       continue;
     auto value = reader.number("a number");
