--- a/src/consensus/controller_machine.hpp
+++ b/src/consensus/controller_machine.hpp
@@ -5,7 +5,7 @@
 #include "consensus/graceful_shutdown.hpp"
 #include "consensus/proposer.hpp"
 #include "consensus/refounding.hpp"
-#include "consensus/registration.hpp"
+#include "consensus/controller_registration.hpp"
 #include "consensus/supervisor.hpp"
 
 namespace mosskeel {
@@ -87,7 +87,7 @@
   DiscoveredControllers discovered_;
   Founding founding_;
   Refounding refounding_;
-  Registration registration_;
+  ControllerRegistration registration_;
   GracefulShutdown shutdown_;
   Millis next_heartbeat_at_ = 0;
   /// Since when, at the log's present epoch, the acceptor has an accepted proposal that nobody has finished.
--- a/src/consensus/registration.cpp
+++ b/src/consensus/controller_registration.cpp
@@ -1,10 +1,10 @@
-#include "consensus/registration.hpp"
+#include "consensus/controller_registration.hpp"
 
 #include "consensus/constants.hpp"
 
 namespace mosskeel {
 
-void Registration::request_if_needed(Millis now) {
+void ControllerRegistration::request_if_needed(Millis now) {
   const Metadata& metadata = *metadata_log_.view();
   const Candidate& self = outbox_.id().self;
   const Daemon* registered = metadata.find(self.incarnation);
--- a/src/consensus/registration.hpp
+++ b/src/consensus/controller_registration.hpp
@@ -6,9 +6,10 @@
 
 /// Asks one member of the core after the other to register this controller, again if it was taken out of the directory.
 /// Owned by `ControllerMachine`.
-class Registration {
+class ControllerRegistration {
  public:
-  Registration(Outbox& outbox, const MetadataLog& metadata_log) : outbox_(outbox), metadata_log_(metadata_log) {}
+  ControllerRegistration(Outbox& outbox, const MetadataLog& metadata_log)
+      : outbox_(outbox), metadata_log_(metadata_log) {}
   /// Requests the registration if it is missing, and the last request was long enough ago.
   void request_if_needed(Millis now);
 
--- a/src/programs/replica_selector.cpp
+++ b/src/programs/replica_selector.cpp
@@ -73,9 +73,9 @@
   return static_cast<uint32_t>(std::clamp<Millis>(ramped, 1, replica.capacity));
 }
 
-ReplicaChoice ReplicaSelector::select(const ProgramRequest& request, const Metadata& metadata, const Daemon& self,
-                                      Millis now) {
-  ReplicaChoice choice;
+ReplicaSelection ReplicaSelector::select(const ProgramRequest& request, const Metadata& metadata, const Daemon& self,
+                                         Millis now) {
+  ReplicaSelection choice;
   const auto* cell = metadata.configuration.cell(request.cell);
   const auto* route = cell ? find_route(*cell, request) : nullptr;
   if (!route)
--- a/src/programs/replica_selector.hpp
+++ b/src/programs/replica_selector.hpp
@@ -5,7 +5,7 @@
 namespace mosskeel {
 
 /// The outcome of a selection.
-struct ReplicaChoice {
+struct ReplicaSelection {
   /// The best replica with free capacity, or null. Points into the metadata that was given.
   const Replica* replica = nullptr;
   /// Whether any replica serves the route here; without a free one the request may wait for it.
@@ -17,7 +17,7 @@
  public:
   /// Prefers replicas that are not backed off, then less than half loaded, then (for application requests) in the own
   /// zone, then by rendezvous hashing of the prefix, so that turns with a common prefix meet the same prefix cache.
-  ReplicaChoice select(const ProgramRequest& request, const Metadata& metadata, const Daemon& self, Millis now);
+  ReplicaSelection select(const ProgramRequest& request, const Metadata& metadata, const Daemon& self, Millis now);
   /// Holds capacity of the replica for the request.
   void assign(OpenRequest& open, const Replica& replica);
   /// Frees the capacity that the request holds, if any.
--- a/src/programs/request_pipeline.cpp
+++ b/src/programs/request_pipeline.cpp
@@ -233,7 +233,7 @@
 }
 
 bool RequestPipeline::try_dispatch(OpenRequest& open, const Daemon& self, Millis now) {
-  ReplicaChoice choice;
+  ReplicaSelection choice;
   if (majority_contact_.is_valid(now))
     choice = replica_selector_.select(open.request, context_.metadata(), self, now);
   if (!choice.replica && choice.any_eligible)
