--- a/tools/scale/control_plane.cpp
+++ b/tools/scale/control_plane.cpp
@@ -253,12 +253,12 @@
   request.cell = metadata.configuration.cells.at(0).name;
   request.route = "chat";
   request.kind = "model";
-  bool any = false;
+  ReplicaSelection selection;
   measurement.times["select_replica.ms"] = cpu_milliseconds_each(repetitions, [&](int number) {
     request.program = "p" + std::to_string(number);
-    selector.select_replica(request, metadata, front->second, 1, any);
+    selection = selector.select(request, metadata, front->second, 1);
   });
-  measurement.counts["found"] = any;
+  measurement.counts["found"] = selection.any_eligible;
   return measurement;
 }
 
