--- a/src/programs/admission_policy.cpp
+++ b/src/programs/admission_policy.cpp
@@ -107,10 +107,10 @@
   }
 };
 
-const AdmissionPolicyRegistration serving_policy{std::make_unique<ServingPolicy>()};
-const AdmissionPolicyRegistration route_policy{std::make_unique<RoutePolicy>()};
-const AdmissionPolicyRegistration defaults_policy{std::make_unique<DefaultsPolicy>()};
-const AdmissionPolicyRegistration load_policy{std::make_unique<LoadPolicy>()};
+const AdmissionPolicyRegistration kServingPolicy{std::make_unique<ServingPolicy>()};
+const AdmissionPolicyRegistration kRoutePolicy{std::make_unique<RoutePolicy>()};
+const AdmissionPolicyRegistration kDefaultsPolicy{std::make_unique<DefaultsPolicy>()};
+const AdmissionPolicyRegistration kLoadPolicy{std::make_unique<LoadPolicy>()};
 
 }  // namespace
 
