--- a/src/net/replica_client.cpp
+++ b/src/net/replica_client.cpp
@@ -55,7 +55,7 @@
   std::string body_;
   /// Why the response can't be used; empty where nothing is wrong with it.
   std::string error_;
-  ReplicaCallResponse outcome_;
+  ReplicaCallResponse outcome_{};
 };
 
 PendingCall::PendingCall(const ReplicaCall& request, const ReplicaClient::MessageCallback& on_message)
--- a/tests/unit/programs/admission_policy_test.cpp
+++ b/tests/unit/programs/admission_policy_test.cpp
@@ -32,8 +32,8 @@
     return evaluate_admission(request, context);
   }
 
-  Metadata metadata;
-  Daemon self;
+  Metadata metadata{};
+  Daemon self{};
   ProgramRequest request{};
 };
 
