--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -1,7 +1,8 @@
-// Conformance tables taken from the design page, on the metadata value and its transformations.
-#include <catch2/catch.hpp>
+// Conformance of the metadata value and its transformations with the design: what each changes, and what is rejected.
+#include "metadata/transformation.hpp"
 
 #include <algorithm>
+#include <catch2/catch.hpp>
 
 #include "base/codec.hpp"
 #include "metadata/constants.hpp"
@@ -11,184 +12,251 @@
 
 namespace {
 
-Candidate who(uint64_t n, Role r, const std::string& zone) {
-  auto a = std::string(name(r)) + std::to_string(n);
-  return {Incarnation{n}, r, zone, a, "", "http-" + a};
+constexpr SequenceStep kAllSteps[] = {SequenceStep::start, SequenceStep::mid, SequenceStep::finish};
+
+/// A daemon whose address is its role and number, "front21".
+Candidate candidate(uint64_t number, Role role, const std::string& zone) {
+  auto address = std::string(name(role)) + std::to_string(number);
+  return {Incarnation{number}, role, zone, address, "", "http-" + address, ""};
+}
+
+/// A front with another incarnation at the address of "front21".
+Candidate restarted_front21() {
+  return {Incarnation{99}, Role::front, "a", "front21", "", "", ""};
+}
+
+std::vector<Candidate> three_controllers() {
+  return {candidate(1, Role::controller, "a"), candidate(2, Role::controller, "b"),
+          candidate(3, Role::controller, "c")};
 }
 
+/// Three controllers, stores 11 to 13 and fronts 21 and 22, all joined; a daemon of each role in zones a, b and c.
 struct Fleet {
-  Metadata m{};
-  Result<Metadata> go(const Transformation& t, const std::string& id = "") {
-    auto r = apply(m, {next(m.epoch), id, t});
-    if (r.ok())
-      m = r.value();
-    return r;
+  Metadata metadata{};
+
+  Fleet() {
+    must(FoundCluster{7, 3, three_controllers(), 0, 0});
+    must(Register{candidate(11, Role::store, "a")});
+    must(Register{candidate(12, Role::store, "b")});
+    must(Register{candidate(13, Role::store, "c")});
+    for (auto* store : {"store11", "store12", "store13"})
+      join(store);
+    must(Register{candidate(21, Role::front, "a")});
+    join("front21");
+    must(Register{candidate(22, Role::front, "b")});
+    join("front22");
+  }
+
+  /// Applies a change; a rejected one leaves the value as it is.
+  Result<Metadata> commit(const Transformation& change, const std::string& commit_id = "") {
+    auto result = apply(metadata, {next(metadata.epoch), commit_id, change});
+    if (result.ok())
+      metadata = result.value();
+    return result;
+  }
+  void must(const Transformation& change) {
+    auto result = commit(change);
+    INFO(describe(change) << (result.ok() ? "" : ": " + to_string(result.errors())));
+    REQUIRE(result.ok());
   }
-  void must(const Transformation& t) {
-    auto r = go(t);
-    INFO(describe(t) << (r.ok() ? "" : ": " + to_string(r.errors())));
-    REQUIRE(r.ok());
+  /// The errors of a change that must be rejected.
+  std::string rejected(const Transformation& change) {
+    auto before = metadata;
+    auto result = commit(change);
+    REQUIRE_FALSE(result.ok());
+    CHECK(metadata == before);
+    return to_string(result.errors());
   }
-  std::string refused(const Transformation& t) {
-    auto before = m;
-    auto r = go(t);
-    REQUIRE_FALSE(r.ok());
-    CHECK(m == before);
-    return to_string(r.errors());
+  bool rejected_with(const Transformation& change, const std::string& reason) {
+    return rejected(change).find(reason) != std::string::npos;
+  }
+
+  DaemonId id(const std::string& address) { return metadata.find_at(address)->id; }
+  DaemonState state(DaemonId daemon) { return metadata.find(daemon)->state; }
+  void run_all_steps(DaemonId node) {
+    for (auto step : kAllSteps)
+      must(AdvanceSequence{node, step});
   }
-  DaemonId id(const std::string& address) { return m.find_at(address)->id; }
   void join(const std::string& address) {
     must(PrepareJoin{id(address)});
-    for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish})
-      must(AdvanceSequence{id(address), s});
+    run_all_steps(id(address));
   }
-  Fleet() {
-    must(FoundCluster{
-        7, 3, {who(1, Role::controller, "a"), who(2, Role::controller, "b"), who(3, Role::controller, "c")}});
-    for (uint64_t n = 11; n <= 13; ++n)
-      must(Register{who(n, Role::store, std::string(1, static_cast<char>('a' + n - 11)))});
-    for (uint64_t n = 11; n <= 13; ++n)
-      join("store" + std::to_string(n));
-    for (uint64_t n = 21; n <= 22; ++n)
-      must(Register{who(n, Role::front, n == 21 ? "a" : "b")}), join("front" + std::to_string(n));
+  /// How many zones the stores of a partition are in.
+  size_t zones_of(const Partition& partition) {
+    std::set<std::string> zones;
+    for (auto store : partition.stores)
+      zones.insert(metadata.find(store)->self.zone);
+    return zones.size();
   }
 };
 
 }  // namespace
 
-TEST_CASE("a front that starts again at its address owns at once what it owned, under a new term") {
-  Fleet f;
-  auto old = f.id("front21");
-  auto terms = f.m.partitions;
-  f.must(Register{{Incarnation{99}, Role::front, "a", "front21", "", ""}});
-  auto now = f.id("front21");
-  REQUIRE(now != old);
-  size_t n = 0;
-  for (size_t i = 0; i < f.m.partitions.size(); ++i) {
-    CHECK(f.m.partitions[i].owner != old);
-    if (terms[i].owner != old) {
-      CHECK(f.m.partitions[i] == terms[i]);
+TEST_CASE("Register gives a front that restarts at its address the partitions it owned, under a new term") {
+  Fleet fleet;
+  auto old_id = fleet.id("front21");
+  auto before = fleet.metadata.partitions;
+
+  fleet.must(Register{restarted_front21()});
+
+  auto new_id = fleet.id("front21");
+  REQUIRE(new_id != old_id);
+  size_t taken_over = 0;
+  for (size_t i = 0; i < fleet.metadata.partitions.size(); ++i) {
+    auto& partition = fleet.metadata.partitions[i];
+    CHECK(partition.owner != old_id);
+    if (before[i].owner != old_id) {
+      CHECK(partition == before[i]);
       continue;
     }
-    ++n;
-    CHECK(f.m.partitions[i].owner == now);
-    CHECK(f.m.partitions[i].term == f.m.epoch);
+    ++taken_over;
+    CHECK(partition.owner == new_id);
+    CHECK(partition.term == fleet.metadata.epoch);
   }
-  CHECK(n > 0);
-  f.must(PrepareJoin{now});
-  CHECK(f.m.sequences.at(now).moves.size() <= 1);
+  CHECK(taken_over > 0);
+  fleet.must(PrepareJoin{new_id});
+  CHECK(fleet.metadata.sequences.at(new_id).moves.size() <= 1);
 }
 
-TEST_CASE("each change raises the epoch by one, and only the strictly next epoch is taken") {
-  Fleet f;
-  auto e = f.m.epoch;
-  f.must(EvacuateZone{"a"});
-  CHECK(f.m.epoch == next(e));
-  for (uint64_t at : {e.value(), e.value() + 1, e.value() + 3, uint64_t{0}})
-    CHECK_FALSE(apply(f.m, {Epoch{at}, "", RestoreZone{"a"}}).ok());
+TEST_CASE("apply takes only the strictly next epoch, and each change raises the epoch by one") {
+  Fleet fleet;
+  auto epoch = fleet.metadata.epoch;
+
+  fleet.must(EvacuateZone{"a"});
+
+  CHECK(fleet.metadata.epoch == next(epoch));
+  for (uint64_t other : {epoch.value(), epoch.value() + 1, epoch.value() + 3, uint64_t{0}})
+    CHECK_FALSE(apply(fleet.metadata, {Epoch{other}, "", RestoreZone{"a"}}).ok());
 }
 
-TEST_CASE("who counts changes by two steps, and between them both sets must agree") {
-  Fleet f;
-  CHECK(f.m.quorum_members.size() == 3);
-  auto core = [](const Daemon& d) {
-    return d.self.role == Role::controller;
+TEST_CASE("A change of the quorum members needs majorities of the old and the new set until it is finished") {
+  Fleet fleet;
+  auto is_controller = [](const Daemon& daemon) {
+    return daemon.self.role == Role::controller;
+  };
+  auto is_no_controller = [&](const Daemon& daemon) {
+    return !is_controller(daemon);
   };
-  auto most = [](const Daemon& d) {
-    return d.self.role != Role::front;
+  auto is_no_front = [](const Daemon& daemon) {
+    return daemon.self.role != Role::front;
   };
-  CHECK(f.m.has_quorum(core));
-  f.must(BeginQuorumChange{});
-  CHECK(f.m.incoming_quorum_members.size() == 8);
-  CHECK_FALSE(f.m.has_quorum(core));
-  CHECK(f.m.has_quorum(most));
-  CHECK_FALSE(f.m.has_quorum([&](const Daemon& d) { return !core(d); }));
-  CHECK(f.refused(BeginQuorumChange{}).find("is not over") != std::string::npos);
-  auto since = f.m.quorum_change_epoch;
-  f.must(FinishQuorumChange{since});
-  CHECK(f.m.quorum_members.size() == 8);
-  f.must(MarkDown{f.id("front21")});
-  CHECK(f.refused(BeginQuorumChange{}).find("nobody came or left") != std::string::npos);
-  auto old = f.id("front21");
-  f.must(Register{{Incarnation{99}, Role::front, "a", "front21", "", ""}});
-  auto fresh = f.id("front21");
-  CHECK(std::count(f.m.quorum_members.begin(), f.m.quorum_members.end(), old) == 0);
-  CHECK(std::count(f.m.quorum_members.begin(), f.m.quorum_members.end(), fresh) == 1);
+  CHECK(fleet.metadata.quorum_members.size() == 3);
+  CHECK(fleet.metadata.has_quorum(is_controller));
+
+  fleet.must(BeginQuorumChange{});
+
+  CHECK(fleet.metadata.incoming_quorum_members.size() == 8);
+  CHECK_FALSE(fleet.metadata.has_quorum(is_controller));
+  CHECK(fleet.metadata.has_quorum(is_no_front));
+  CHECK_FALSE(fleet.metadata.has_quorum(is_no_controller));
+  CHECK(fleet.rejected_with(BeginQuorumChange{}, "is not over"));
+
+  fleet.must(FinishQuorumChange{fleet.metadata.quorum_change_epoch});
+
+  CHECK(fleet.metadata.quorum_members.size() == 8);
+  fleet.must(MarkDown{fleet.id("front21")});
+  CHECK(fleet.rejected_with(BeginQuorumChange{}, "nobody came or left"));
+
+  auto old_id = fleet.id("front21");
+  fleet.must(Register{restarted_front21()});
+
+  auto new_id = fleet.id("front21");
+  auto& members = fleet.metadata.quorum_members;
+  CHECK(std::count(members.begin(), members.end(), old_id) == 0);
+  CHECK(std::count(members.begin(), members.end(), new_id) == 1);
 }
 
-TEST_CASE("transformations are pure: the same input gives the same bytes") {
-  Fleet a, b;
-  for (auto& t : std::vector<Transformation>{EvacuateZone{"a"}, RestoreZone{"a"}, MarkDown{a.id("front21")}}) {
-    a.must(t);
-    b.must(t);
-    CHECK(codec::pack(a.m) == codec::pack(b.m));
+TEST_CASE("Transformations are pure: the same input gives the same bytes") {
+  Fleet one, other;
+  std::vector<Transformation> changes{EvacuateZone{"a"}, RestoreZone{"a"}, MarkDown{one.id("front21")}};
+
+  for (auto& change : changes) {
+    one.must(change);
+    other.must(change);
+    CHECK(codec::pack(one.metadata) == codec::pack(other.metadata));
   }
 }
 
-TEST_CASE("a join locks its places, then runs start, mid and finish in this order") {
-  Fleet f;
-  f.must(Register{who(23, Role::front, "c")});
-  auto n = f.id("front23");
-  f.must(PrepareJoin{n});
-  CHECK(f.m.locks.size() == f.m.sequences.at(n).moves.size());
-  CHECK(f.m.locks.size() >= kPartitionCount / 3 - 1);
-  CHECK(f.refused(AdvanceSequence{n, SequenceStep::mid}) ==
-        "daemon " + std::to_string(n.value()) + ": its next step is start, not mid");
-  CHECK(f.refused(PrepareJoin{n}).find("has a sequence in progress") != std::string::npos);
-  f.must(AdvanceSequence{n, SequenceStep::start});
-  f.refused(AdvanceSequence{n, SequenceStep::start});
-  f.must(AdvanceSequence{n, SequenceStep::mid});
-  for (auto& s : f.m.partitions)
-    CHECK(s.owner != n);
-  f.must(AdvanceSequence{n, SequenceStep::finish});
-  CHECK(f.m.locks.empty());
-  CHECK(f.m.sequences.empty());
-  CHECK(std::count_if(f.m.partitions.begin(), f.m.partitions.end(),
-                      [&](auto& s) { return s.owner == n && s.term == f.m.epoch; }) >= kPartitionCount / 3 - 1);
+TEST_CASE("A join locks its partitions and runs start, mid and finish only in this order") {
+  Fleet fleet;
+  fleet.must(Register{candidate(23, Role::front, "c")});
+  auto node = fleet.id("front23");
+
+  fleet.must(PrepareJoin{node});
+
+  CHECK(fleet.metadata.locks.size() == fleet.metadata.sequences.at(node).moves.size());
+  CHECK(fleet.metadata.locks.size() >= kPartitionCount / 3 - 1);
+  CHECK(fleet.rejected(AdvanceSequence{node, SequenceStep::mid}) ==
+        "daemon " + std::to_string(node.value()) + ": its next step is start, not mid");
+  CHECK(fleet.rejected_with(PrepareJoin{node}, "has a sequence in progress"));
+  fleet.must(AdvanceSequence{node, SequenceStep::start});
+  fleet.rejected(AdvanceSequence{node, SequenceStep::start});
+  fleet.must(AdvanceSequence{node, SequenceStep::mid});
+  for (auto& partition : fleet.metadata.partitions)
+    CHECK(partition.owner != node);
+
+  fleet.must(AdvanceSequence{node, SequenceStep::finish});
+
+  CHECK(fleet.metadata.locks.empty());
+  CHECK(fleet.metadata.sequences.empty());
+  auto owned_in_new_term = [&](const Partition& partition) {
+    return partition.owner == node && partition.term == fleet.metadata.epoch;
+  };
+  CHECK(std::count_if(fleet.metadata.partitions.begin(), fleet.metadata.partitions.end(), owned_in_new_term) >=
+        kPartitionCount / 3 - 1);
 }
 
-TEST_CASE("a sequence whose places overlap locked ones is refused") {
-  Fleet f;
-  f.must(Register{who(23, Role::front, "c")});
-  auto n = f.id("front23"), other = f.id("front21");
-  f.must(PrepareJoin{n});
-  CHECK(f.refused(PrepareDrain{other}).find("is locked by the sequence of daemon " + std::to_string(n.value())) !=
-        std::string::npos);
-  CHECK(f.refused(MoveAllPartitions{other, f.id("front22")}).find("is locked by") != std::string::npos);
-  f.must(CancelSequence{n, "test"});
-  f.must(PrepareDrain{other});
+TEST_CASE("A sequence whose partitions overlap locked ones is rejected") {
+  Fleet fleet;
+  fleet.must(Register{candidate(23, Role::front, "c")});
+  auto joining = fleet.id("front23");
+  auto other = fleet.id("front21");
+
+  fleet.must(PrepareJoin{joining});
+
+  CHECK(fleet.rejected_with(PrepareDrain{other},
+                            "is locked by the sequence of daemon " + std::to_string(joining.value())));
+  CHECK(fleet.rejected_with(MoveAllPartitions{other, fleet.id("front22")}, "is locked by"));
+  fleet.must(CancelSequence{joining, "test"});
+  fleet.must(PrepareDrain{other});
 }
 
-TEST_CASE("between start and finish a history's writes need both sets; cancel gives back the old one") {
-  Fleet f;
-  f.must(Register{who(14, Role::store, "a")});
-  auto n = f.id("store14");
-  auto before = f.m.partitions;
-  f.must(PrepareJoin{n});
-  f.must(AdvanceSequence{n, SequenceStep::start});
-  auto moving =
-      std::count_if(f.m.partitions.begin(), f.m.partitions.end(), [](auto& s) { return !s.pending_stores.empty(); });
-  CHECK(moving == static_cast<long>(f.m.sequences.at(n).moves.size()));
-  f.must(CancelSequence{n, "test"});
+TEST_CASE("Stores of a moving partition are pending from start on, and a cancelled sequence gives back the old ones") {
+  Fleet fleet;
+  fleet.must(Register{candidate(14, Role::store, "a")});
+  auto node = fleet.id("store14");
+  auto before = fleet.metadata.partitions;
+  fleet.must(PrepareJoin{node});
+
+  fleet.must(AdvanceSequence{node, SequenceStep::start});
+
+  auto moving = std::count_if(fleet.metadata.partitions.begin(), fleet.metadata.partitions.end(),
+                              [](const Partition& partition) { return !partition.pending_stores.empty(); });
+  CHECK(moving == static_cast<long>(fleet.metadata.sequences.at(node).moves.size()));
+
+  fleet.must(CancelSequence{node, "test"});
+
   for (size_t i = 0; i < before.size(); ++i) {
-    CHECK(f.m.partitions[i].pending_stores.empty());
-    CHECK(f.m.partitions[i].stores == before[i].stores);
+    CHECK(fleet.metadata.partitions[i].pending_stores.empty());
+    CHECK(fleet.metadata.partitions[i].stores == before[i].stores);
   }
 }
 
-TEST_CASE("misuse is refused with its reason and changes nothing") {
-  Fleet f;
+TEST_CASE("Misuse is rejected with its reason and changes nothing") {
+  Fleet fleet;
   struct Row {
-    Transformation t;
-    const char* why;
+    Transformation change;
+    const char* reason;
   };
-  auto store = f.id("store11"), front = f.id("front21"), core = f.id("controller1");
+  auto store = fleet.id("store11");
+  auto front = fleet.id("front21");
+  auto controller = fleet.id("controller1");
   const Row rows[] = {
       {PrepareDrain{store}, "would leave 2 of 3 copies"},
-      {ReplaceCoreMember{core, front}, "is not a spare controller"},
+      {ReplaceCoreMember{controller, front}, "is not a spare controller"},
       {AddCoreMember{front}, "is not a registered controller"},
-      {AddCoreMember{core}, "is a core member already"},
-      {PrepareDrain{core}, "is no front worker or store"},
+      {AddCoreMember{controller}, "is a core member already"},
+      {PrepareDrain{controller}, "is no front worker or store"},
       {MarkDown{DaemonId{99}}, "is unknown"},
       {MarkUp{front}, "is not down"},
       {AdvanceSequence{front, SequenceStep::start}, "has no sequence in progress"},
@@ -198,251 +266,298 @@
       {MovePartition{PartitionId{1}, store}, "is no front worker"},
       {MoveAllPartitions{front, front}, "is the same node"},
       {RemoveReplica{"m"}, "is no replica"},
-      {SetReplica{{"m", "modal", "a", "ftp://x", ReplicaHealth::ready, {}, 0}},
+      {SetReplica{{"m", "modal", "a", "ftp://x", ReplicaHealth::ready, {}, 0, "", 0}},
        "kind: is neither model nor app; url: does not begin with http://"},
-      {SetReplica{{"m", "model", "a", "http://x", ReplicaHealth::ready, {}, 5000}}, "places: must be from 1 to 4096"},
+      {SetReplica{{"m", "model", "a", "http://x", ReplicaHealth::ready, {}, 5000, "", 0}},
+       "places: must be from 1 to 4096"},
       {FinishQuorumChange{Epoch{3}}, "none of epoch 3 is under way"},
-      {ApplyConfiguration{Revision{3}, {}}, "built on 3, in force is 0"},
-      {FoundCluster{8, 3, {}}, "is founded already"},
-      {Register{who(21, Role::front, "a")}, "is registered already"},
+      {ApplyConfiguration{Revision{3}, {}, {}}, "built on 3, in force is 0"},
+      {FoundCluster{8, 3, {}, 0, 0}, "is founded already"},
+      {Register{candidate(21, Role::front, "a")}, "is registered already"},
   };
-  for (auto& r : rows) {
-    INFO(describe(r.t));
-    CHECK(f.refused(r.t).find(r.why) != std::string::npos);
+
+  for (auto& row : rows) {
+    INFO(describe(row.change));
+    CHECK(fleet.rejected_with(row.change, row.reason));
   }
-  auto fresh = who(31, Role::store, "a");
-  fresh.address = "store11";
-  CHECK(f.refused(Register{fresh}).find("not known to be down") != std::string::npos);
-  f.must(Register{who(4, Role::controller, "a")});
-  CHECK(f.refused(ReplaceCoreMember{core, f.id("controller4")}).find("is a live member") != std::string::npos);
-  f.must(MarkDown{core});
-  f.must(ReplaceCoreMember{core, f.id("controller4")});
-  CHECK(f.m.members.front() == f.id("controller4"));
 }
 
-TEST_CASE("of two configurations on one revision only one is taken, with every finding") {
-  Fleet f;
-  Cell c{"news", 400, 40, 60000, {{"chat", "model", {}}}};
-  f.must(ApplyConfiguration{Revision{0}, {{c}}});
-  CHECK(f.refused(ApplyConfiguration{Revision{0}, {{c}}}) == "revision: built on 0, in force is 1");
-  Cell bad{"", 0, 50, 10, {{"", "x", {}}, {"", "app", {}}}};
-  auto why = f.refused(ApplyConfiguration{Revision{1}, {{c, c, bad}}});
-  for (auto* s : {"cells[1].name: 'news' is there twice", "cells[2].name: must be", "cells[2].budget: must be above",
-                  "cells[2].turn_limit: exceeds", "cells[2].retention_ms: must", "cells[2].routes[0].kind: is neither",
-                  "cells[2].routes[1].name: '' is there twice"})
-    CHECK(why.find(s) != std::string::npos);
+TEST_CASE("Register rejects a store at the address of one that may still run") {
+  Fleet fleet;
+  auto newcomer = candidate(31, Role::store, "a");
+  newcomer.address = "store11";
+
+  CHECK(fleet.rejected_with(Register{newcomer}, "not known to be down"));
 }
 
-TEST_CASE("a front that goes down loses its slots to the others under a later term") {
-  Fleet f;
-  auto n = f.id("front21");
-  f.must(MarkDown{n});
-  for (auto& s : f.m.partitions) {
-    CHECK(s.owner == f.id("front22"));
-  }
-  f.must(MarkUp{n});
-  CHECK(f.m.find(n)->state == DaemonState::registered);
-  f.join("front21");
-  CHECK(placement::partitions_per_front(f.m).at(n) == kPartitionCount / 2);
+TEST_CASE("ReplaceCoreMember swaps only a member that is down") {
+  Fleet fleet;
+  auto member = fleet.id("controller1");
+  fleet.must(Register{candidate(4, Role::controller, "a")});
+  auto spare = fleet.id("controller4");
+
+  CHECK(fleet.rejected_with(ReplaceCoreMember{member, spare}, "is a live member"));
+  fleet.must(MarkDown{member});
+  fleet.must(ReplaceCoreMember{member, spare});
+
+  CHECK(fleet.metadata.members.front() == spare);
 }
 
-TEST_CASE("a drained front stays in the directory while its turns end, and leaves once it is silent") {
-  Fleet f;
-  auto n = f.id("front21");
-  f.must(PrepareDrain{n});
-  for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish})
-    f.must(AdvanceSequence{n, s});
-  CHECK(f.m.find(n)->state == DaemonState::draining);
-  f.must(MarkDown{n});
-  CHECK(f.m.find(n)->state == DaemonState::left);
+TEST_CASE("Of two configurations on one revision only one is applied") {
+  Fleet fleet;
+  Cell cell{"news", 400, 40, 60000, {{"chat", "model", {}}}};
+  Configuration configuration{{cell}, {}, {}, {}, ""};
+
+  fleet.must(ApplyConfiguration{Revision{0}, configuration, {}});
+
+  CHECK(fleet.rejected(ApplyConfiguration{Revision{0}, configuration, {}}) == "revision: built on 0, in force is 1");
+}
+
+TEST_CASE("A rejected configuration reports all of its errors") {
+  Fleet fleet;
+  Cell cell{"news", 400, 40, 60000, {{"chat", "model", {}}}};
+  Cell invalid{"", 0, 50, 10, {{"", "x", {}}, {"", "app", {}}}};
+  Configuration configuration{{cell, cell, invalid}, {}, {}, {}, ""};
+
+  auto errors = fleet.rejected(ApplyConfiguration{Revision{0}, configuration, {}});
+
+  for (auto* error : {"cells[1].name: 'news' is there twice", "cells[2].name: must be",
+                      "cells[2].budget: must be above", "cells[2].turn_limit: exceeds", "cells[2].retention_ms: must",
+                      "cells[2].routes[0].kind: is neither", "cells[2].routes[1].name: '' is there twice"})
+    CHECK(errors.find(error) != std::string::npos);
+}
+
+TEST_CASE("A front that goes down loses its partitions to the others, and joins anew when it is back") {
+  Fleet fleet;
+  auto front = fleet.id("front21");
+
+  fleet.must(MarkDown{front});
+
+  for (auto& partition : fleet.metadata.partitions)
+    CHECK(partition.owner == fleet.id("front22"));
+  fleet.must(MarkUp{front});
+  CHECK(fleet.state(front) == DaemonState::registered);
+  fleet.join("front21");
+  CHECK(placement::partitions_per_front(fleet.metadata).at(front) == kPartitionCount / 2);
+}
+
+TEST_CASE("A drained front stays in the directory while its turns end, and leaves once it is silent") {
+  Fleet fleet;
+  auto front = fleet.id("front21");
+
+  fleet.must(PrepareDrain{front});
+  fleet.run_all_steps(front);
+
+  CHECK(fleet.state(front) == DaemonState::draining);
+  fleet.must(MarkDown{front});
+  CHECK(fleet.state(front) == DaemonState::left);
 }
 
 TEST_CASE("Histories are spread over as many zones as there are") {
-  Fleet f;
-  for (auto& s : f.m.partitions) {
-    std::set<std::string> z;
-    for (auto r : s.stores)
-      z.insert(f.m.find(r)->self.zone);
-    CHECK(z.size() == 3);
-  }
-  f.must(Register{who(14, Role::store, "a")});
-  f.join("store14");
-  f.must(PrepareDrain{f.id("store11")});
-  for (auto s : {SequenceStep::start, SequenceStep::mid, SequenceStep::finish})
-    f.must(AdvanceSequence{f.id("store11"), s});
-  for (auto& s : f.m.partitions) {
-    std::set<std::string> z;
-    for (auto r : s.stores)
-      z.insert(f.m.find(r)->self.zone);
-    CHECK(z.size() == 3);
-  }
+  Fleet fleet;
+  for (auto& partition : fleet.metadata.partitions)
+    CHECK(fleet.zones_of(partition) == 3);
+
+  fleet.must(Register{candidate(14, Role::store, "a")});
+  fleet.join("store14");
+  auto leaving = fleet.id("store11");
+  fleet.must(PrepareDrain{leaving});
+  fleet.run_all_steps(leaving);
+
+  for (auto& partition : fleet.metadata.partitions)
+    CHECK(fleet.zones_of(partition) == 3);
 }
 
-TEST_CASE("the log remembers commit ids, so that a retry finds its first outcome") {
-  Fleet f;
-  REQUIRE(f.go(EvacuateZone{"a"}, "once").ok());
-  auto e = f.m.epoch;
-  f.must(RestoreZone{"a"});
-  CHECK(f.m.epoch_of_commit("once") == e);
-  CHECK_FALSE(f.m.epoch_of_commit("twice"));
+TEST_CASE("The log remembers commit ids, so that a retry finds its first outcome") {
+  Fleet fleet;
+  REQUIRE(fleet.commit(EvacuateZone{"a"}, "once").ok());
+  auto epoch = fleet.metadata.epoch;
+
+  fleet.must(RestoreZone{"a"});
+
+  CHECK(fleet.metadata.epoch_of_commit("once") == epoch);
+  CHECK_FALSE(fleet.metadata.epoch_of_commit("twice"));
 }
 
 namespace {
 
-std::vector<uint64_t> ids(const std::vector<DaemonId>& v) {
-  std::vector<uint64_t> ids;
-  for (auto id : v)
-    ids.push_back(id.value());
-  std::sort(ids.begin(), ids.end());
-  return ids;
+std::vector<uint64_t> sorted_numbers(const std::vector<DaemonId>& ids) {
+  std::vector<uint64_t> numbers;
+  for (auto id : ids)
+    numbers.push_back(id.value());
+  std::sort(numbers.begin(), numbers.end());
+  return numbers;
 }
 
-/// Whether each majority of one set shares a member with each majority of the other, by trying all of them.
-bool majorities_meet(const std::vector<DaemonId>& a, const std::vector<DaemonId>& b) {
-  auto one = ids(a), other = ids(b);
-  auto mask_of = [&](const std::vector<uint64_t>& v, size_t chosen) {
+/// All majorities of a set, each as a bit mask of its members' numbers.
+std::vector<uint64_t> majorities_of(const std::vector<DaemonId>& ids) {
+  auto numbers = sorted_numbers(ids);
+  std::vector<uint64_t> majorities;
+  for (size_t subset = 0; subset < size_t{1} << numbers.size(); ++subset) {
+    if (static_cast<size_t>(__builtin_popcountll(subset)) < majority_of(numbers.size()))
+      continue;
     uint64_t mask = 0;
-    for (size_t i = 0; i < v.size(); ++i)
-      if (chosen >> i & 1)
-        mask |= uint64_t{1} << v[i] % 64;
-    return mask;
-  };
-  auto majorities = [&](const std::vector<uint64_t>& v) {
-    std::vector<uint64_t> masks;
-    for (size_t chosen = 0; chosen < size_t{1} << v.size(); ++chosen)
-      if (static_cast<size_t>(__builtin_popcountll(chosen)) >= majority_of(v.size()))
-        masks.push_back(mask_of(v, chosen));
-    return masks;
-  };
-  for (auto p : majorities(one))
-    for (auto q : majorities(other))
-      if ((p & q) == 0)
+    for (size_t i = 0; i < numbers.size(); ++i)
+      if (subset >> i & 1)
+        mask |= uint64_t{1} << numbers[i] % 64;
+    majorities.push_back(mask);
+  }
+  return majorities;
+}
+
+/// Whether each majority of one set shares a member with each majority of the other, by trying all of them.
+bool majorities_meet(const std::vector<DaemonId>& one, const std::vector<DaemonId>& other) {
+  for (auto left : majorities_of(one))
+    for (auto right : majorities_of(other))
+      if ((left & right) == 0)
         return false;
   return true;
 }
 
 }  // namespace
 
-TEST_CASE("two replacements in a row: the majorities of each epoch and the next one meet") {
-  Fleet f;
-  auto step = [&](const Transformation& t) {
-    auto before = f.m.members;
-    f.must(t);
-    INFO(describe(t));
-    CHECK(majorities_meet(before, f.m.members));
+TEST_CASE("Two replacements in a row: the majorities of each epoch and the next one meet") {
+  Fleet fleet;
+  auto must_keep_majorities = [&](const Transformation& change) {
+    auto before = fleet.metadata.members;
+    fleet.must(change);
+    INFO(describe(change));
+    CHECK(majorities_meet(before, fleet.metadata.members));
   };
-  for (uint64_t n : {1, 2}) {
-    auto old = f.id("controller" + std::to_string(n));
-    f.must(Register{who(n + 3, Role::controller, "a")});
-    auto fresh = f.id("controller" + std::to_string(n + 3));
-    CHECK(f.refused(AddCoreMember{fresh}).find("full number") != std::string::npos);
-    step(MarkDown{old});
-    step(AddCoreMember{fresh});
-    CHECK(f.m.members.size() == 4);
-    CHECK(f.refused(RemoveCoreMember{fresh}).find("is a live member") != std::string::npos);
-    step(RemoveCoreMember{old});
-    CHECK(f.m.members.size() == 3);
-    CHECK(f.m.core_size == 3);
-    CHECK(f.m.find(old)->state == DaemonState::left);
+
+  for (uint64_t number : {1, 2}) {
+    auto old_member = fleet.id("controller" + std::to_string(number));
+    fleet.must(Register{candidate(number + 3, Role::controller, "a")});
+    auto new_member = fleet.id("controller" + std::to_string(number + 3));
+    CHECK(fleet.rejected_with(AddCoreMember{new_member}, "full number"));
+    must_keep_majorities(MarkDown{old_member});
+    must_keep_majorities(AddCoreMember{new_member});
+    CHECK(fleet.metadata.members.size() == 4);
+    CHECK(fleet.rejected_with(RemoveCoreMember{new_member}, "is a live member"));
+    must_keep_majorities(RemoveCoreMember{old_member});
+    CHECK(fleet.metadata.members.size() == 3);
+    CHECK(fleet.metadata.core_size == 3);
+    CHECK(fleet.state(old_member) == DaemonState::left);
   }
-  CHECK(f.refused(RemoveCoreMember{f.m.members[0]}).find("is a live member") != std::string::npos);
-  step(MarkDown{f.m.members[0]});
-  CHECK(f.refused(RemoveCoreMember{f.m.members[0]}).find("too small") != std::string::npos);
+
+  auto first = fleet.metadata.members[0];
+  CHECK(fleet.rejected_with(RemoveCoreMember{first}, "is a live member"));
+  must_keep_majorities(MarkDown{first});
+  CHECK(fleet.rejected_with(RemoveCoreMember{first}, "too small"));
 }
 
-TEST_CASE("no admission or removal that the log takes parts the majorities of the two cores") {
-  uint64_t dice = 7;
-  auto roll = [&](size_t n) {
-    return (dice = digest("roll", dice)) % n;
+TEST_CASE("No addition or removal that the log takes parts the majorities of the two cores") {
+  uint64_t state = 7;
+  auto random_below = [&](size_t bound) {
+    state = digest("roll", state);
+    return state % bound;
   };
-  Fleet f;
-  f.m.max_core_size = 7;
+  Fleet fleet;
+  fleet.metadata.max_core_size = 7;
   uint64_t next_controller = 4;
-  size_t changes = 0;
-  for (int i = 0; i < 300; ++i) {
-    auto before = f.m.members;
-    auto one = f.m.members[roll(f.m.members.size())];
-    auto spare = before.front();
-    for (auto& [id, d] : f.m.directory)
-      if (d.self.role == Role::controller && !f.m.is_core_member(d.self.incarnation))
+  auto random_change = [&]() -> Transformation {
+    auto& members = fleet.metadata.members;
+    auto member = members[random_below(members.size())];
+    auto spare = members.front();
+    for (auto& [id, daemon] : fleet.metadata.directory)
+      if (daemon.self.role == Role::controller && !fleet.metadata.is_core_member(daemon.self.incarnation))
         spare = id;
-    switch (roll(6)) {
+    switch (random_below(6)) {
       case 0:
-        f.go(Register{who(next_controller++, Role::controller, "b")});
-        break;
+        return Register{candidate(next_controller++, Role::controller, "b")};
       case 1:
-        f.go(MarkDown{one});
-        break;
+        return MarkDown{member};
       case 2:
-        f.go(MarkUp{one});
-        break;
+        return MarkUp{member};
       case 3:
-        f.go(RemoveCoreMember{one});
-        break;
+        return RemoveCoreMember{member};
       default:
-        f.go(AddCoreMember{spare});
+        return AddCoreMember{spare};
     }
-    changes += before != f.m.members;
-    if (before != f.m.members)
-      CHECK(majorities_meet(before, f.m.members));
+  };
+
+  size_t changes = 0;
+  for (int i = 0; i < 300; ++i) {
+    auto before = fleet.metadata.members;
+    std::ignore = fleet.commit(random_change());
+    if (before == fleet.metadata.members)
+      continue;
+    ++changes;
+    CHECK(majorities_meet(before, fleet.metadata.members));
   }
   CHECK(changes > 30);
 }
 
-TEST_CASE("a controller that starts at a member's address replaces it, and one taken out may come back") {
-  Fleet f;
-  auto old = f.id("controller1");
-  auto again = who(1, Role::controller, "a");
-  CHECK(f.refused(Register{again}).find("is registered already") != std::string::npos);
-  auto fresh = again;
-  fresh.incarnation = Incarnation{91};
-  f.must(Register{fresh});
-  CHECK(f.m.find(old)->state == DaemonState::down);
-  f.must(AddCoreMember{f.id("controller1")});
-  f.must(RemoveCoreMember{old});
-  CHECK(f.refused(Register{again}).find("belongs to") != std::string::npos);
-  f.must(MarkDown{f.m.find(fresh.incarnation)->id});
-  f.must(Register{again});
-  CHECK(f.m.find(old)->state == DaemonState::up);
-  CHECK_FALSE(f.m.is_core_member(again.incarnation));
+TEST_CASE("A controller that starts at a member's address replaces it, and one taken out may come back") {
+  Fleet fleet;
+  auto old_member = fleet.id("controller1");
+  auto original = candidate(1, Role::controller, "a");
+  CHECK(fleet.rejected_with(Register{original}, "is registered already"));
+  auto replacement = original;
+  replacement.incarnation = Incarnation{91};
+
+  fleet.must(Register{replacement});
+
+  CHECK(fleet.state(old_member) == DaemonState::down);
+  fleet.must(AddCoreMember{fleet.id("controller1")});
+  fleet.must(RemoveCoreMember{old_member});
+  CHECK(fleet.rejected_with(Register{original}, "belongs to"));
+
+  fleet.must(MarkDown{fleet.metadata.find(replacement.incarnation)->id});
+  fleet.must(Register{original});
+
+  CHECK(fleet.state(old_member) == DaemonState::up);
+  CHECK_FALSE(fleet.metadata.is_core_member(original.incarnation));
 }
 
-TEST_CASE("a taken configuration is known again after the memory of all commits has rolled over") {
-  Fleet f;
-  REQUIRE(f.go(ApplyConfiguration{f.m.revision, {}, {}}, "first").ok());
-  auto at = f.m.epoch;
-  for (size_t i = 0; i <= kRememberedCommits; ++i)
-    f.go(MarkDown{f.id("store11")}, "m" + std::to_string(i)), f.go(MarkUp{f.id("store11")}, "u" + std::to_string(i));
-  CHECK(f.m.applied_commits.front().id != "first");
-  CHECK(f.m.epoch_of_commit("first") == at);
-  CHECK_FALSE(f.m.epoch_of_commit("rival"));
+TEST_CASE("An applied configuration is found after all other commits of its time are forgotten") {
+  Fleet fleet;
+  REQUIRE(fleet.commit(ApplyConfiguration{fleet.metadata.revision, {}, {}}, "first").ok());
+  auto epoch = fleet.metadata.epoch;
+  auto store = fleet.id("store11");
+
+  for (size_t i = 0; i <= kRememberedCommits; ++i) {
+    std::ignore = fleet.commit(MarkDown{store}, "m" + std::to_string(i));
+    std::ignore = fleet.commit(MarkUp{store}, "u" + std::to_string(i));
+  }
+
+  CHECK(fleet.metadata.applied_commits.front().id != "first");
+  CHECK(fleet.metadata.epoch_of_commit("first") == epoch);
+  CHECK_FALSE(fleet.metadata.epoch_of_commit("rival"));
 }
 
-TEST_CASE("an order on a revision older than all that is remembered cannot be told from a taken one") {
-  Fleet f;
-  auto order = [](uint64_t base) {
+TEST_CASE("A configuration on a revision older than all that are remembered is rejected as forgotten") {
+  Fleet fleet;
+  auto on_revision = [](uint64_t base) {
     return ApplyConfiguration{Revision{base}, {}, {}};
   };
-  for (uint64_t r = 0; r < kRememberedConfigurationChanges; ++r)
-    REQUIRE(f.go(order(r), "o" + std::to_string(r)).ok());
-  CHECK(f.m.epoch_of_commit("o0"));
-  CHECK(rejection_reason(f.m, order(0)) == Rejection::revision_conflict);
-  REQUIRE(f.go(order(kRememberedConfigurationChanges), "last").ok());
-  CHECK(f.m.applied_configurations.size() == kRememberedConfigurationChanges);
-  CHECK(rejection_reason(f.m, order(0)) == Rejection::forgotten);
-  CHECK(rejection_reason(f.m, order(1)) == Rejection::revision_conflict);
-  CHECK(rejection_reason(f.m, order(kRememberedConfigurationChanges + 9)) == Rejection::revision_conflict);
+  for (uint64_t revision = 0; revision < kRememberedConfigurationChanges; ++revision)
+    REQUIRE(fleet.commit(on_revision(revision), "o" + std::to_string(revision)).ok());
+  CHECK(fleet.metadata.epoch_of_commit("o0"));
+  CHECK(rejection_reason(fleet.metadata, on_revision(0)) == Rejection::revision_conflict);
+
+  REQUIRE(fleet.commit(on_revision(kRememberedConfigurationChanges), "last").ok());
+
+  CHECK(fleet.metadata.applied_configurations.size() == kRememberedConfigurationChanges);
+  CHECK(rejection_reason(fleet.metadata, on_revision(0)) == Rejection::forgotten);
+  CHECK(rejection_reason(fleet.metadata, on_revision(1)) == Rejection::revision_conflict);
+  CHECK(rejection_reason(fleet.metadata, on_revision(kRememberedConfigurationChanges + 9)) ==
+        Rejection::revision_conflict);
 }
 
-TEST_CASE("a rejection says which of its reasons it has") {
-  Fleet f;
-  REQUIRE(f.go(ApplyConfiguration{f.m.revision, {}, Revision{7}}, "first").ok());
-  CHECK(rejection_reason(f.m, ApplyConfiguration{Revision{7}, {}, Revision{7}}) == Rejection::invalid);
-  CHECK(rejection_reason(f.m, ApplyConfiguration{Revision{5}, {}, Revision{8}}) == Rejection::revision_conflict);
-  CHECK(rejection_reason(f.m, ApplyConfiguration{Revision{9}, {}, Revision{10}}) == Rejection::revision_conflict);
-  CHECK(rejection_reason(f.m, EvacuateZone{"nowhere"}) == Rejection::unknown_target);
-  CHECK(rejection_reason(f.m, RestoreZone{"a"}) == Rejection::already_in_effect);
-  f.must(EvacuateZone{"a"});
-  CHECK(rejection_reason(f.m, EvacuateZone{"a"}) == Rejection::already_in_effect);
-  CHECK(rejection_reason(f.m, PrepareDrain{DaemonId{999}}) == Rejection::unknown_target);
+TEST_CASE("rejection_reason tells why a change is rejected") {
+  Fleet fleet;
+  auto configuration = [](uint64_t base, uint64_t revision) {
+    return ApplyConfiguration{Revision{base}, {}, Revision{revision}};
+  };
+  REQUIRE(fleet.commit(ApplyConfiguration{fleet.metadata.revision, {}, Revision{7}}, "first").ok());
+
+  CHECK(rejection_reason(fleet.metadata, configuration(7, 7)) == Rejection::invalid);
+  CHECK(rejection_reason(fleet.metadata, configuration(5, 8)) == Rejection::revision_conflict);
+  CHECK(rejection_reason(fleet.metadata, configuration(9, 10)) == Rejection::revision_conflict);
+  CHECK(rejection_reason(fleet.metadata, EvacuateZone{"nowhere"}) == Rejection::unknown_target);
+  CHECK(rejection_reason(fleet.metadata, RestoreZone{"a"}) == Rejection::already_in_effect);
+  fleet.must(EvacuateZone{"a"});
+  CHECK(rejection_reason(fleet.metadata, EvacuateZone{"a"}) == Rejection::already_in_effect);
+  CHECK(rejection_reason(fleet.metadata, PrepareDrain{DaemonId{999}}) == Rejection::unknown_target);
 }
