--- a/tools/scale/control_plane.cpp
+++ b/tools/scale/control_plane.cpp
@@ -6,6 +6,7 @@
 #include <cstdio>
 
 #include "base/json.hpp"
+#include "programs/replica_selector.hpp"
 #include "scale/experiments.hpp"
 #include "scale/simulated_fleet.hpp"
 
