--- a/src/history/constants.hpp
+++ b/src/history/constants.hpp
@@ -11,7 +11,7 @@
 /// Milliseconds; an answer may reach its caller this long after its record was kept.
 constexpr Millis kRetentionMargin = 30000;
 /// Retention is stretched by 1/64, for clocks that run fast.
-constexpr int64_t kRetentionStretchDivisor = 64;
+constexpr int64_t kRetentionDriftDivisor = 64;
 /// Milliseconds; a store scans one partition for expired histories each time.
 constexpr Millis kExpiryScanInterval = 100;
 /// Expired histories reported by one scan.
--- a/src/history/history_expiry.cpp
+++ b/src/history/history_expiry.cpp
@@ -45,7 +45,7 @@
   Millis retention = 0;
   for (auto& record : history.records)
     retention = std::max(retention, record.retention_ms);
-  auto stretched = retention + retention / kRetentionStretchDivisor + kRetentionMargin;
+  auto stretched = retention + retention / kRetentionDriftDivisor + kRetentionMargin;
   return clock_.uptime() - history.written_at > stretched;
 }
 
--- a/tools/loadgen/ready_fronts.cpp
+++ b/tools/loadgen/ready_fronts.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Millis kRefreshInterval = 250;
-constexpr long kRequestTimeoutMs = 1000;
+constexpr long kRequestTimeout = 1000;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
   for (const auto& controller : controllers_) {
     FetchRequest request;
     request.url = "http://" + controller + "/v1/fronts";
-    request.timeout_ms = kRequestTimeoutMs;
+    request.timeout_ms = kRequestTimeout;
     auto answer = nlohmann::json::parse(http_fetch(request).body, nullptr, false);
     if (!answer.is_object() || !answer.contains("fronts"))
       continue;
--- a/tools/local-cluster/main.cpp
+++ b/tools/local-cluster/main.cpp
@@ -23,7 +23,7 @@
 constexpr int kExitUsage = 2;
 /// Milliseconds; fronts that are not ready by then are reported as they are.
 constexpr Millis kReadyTimeout = 60000;
-constexpr int kReadyProbeTimeoutMs = 1000;
+constexpr int kReadyProbeTimeout = 1000;
 constexpr Millis kPollInterval = 100;
 
 /// Sets the counts of a named fleet; false if there is none of this name.
@@ -106,7 +106,7 @@
       continue;
     FetchRequest request;
     request.url = "http://" + process.http_address + "/ready";
-    request.timeout_ms = kReadyProbeTimeoutMs;
+    request.timeout_ms = kReadyProbeTimeout;
     ready += http_fetch(request).status == 200;
   }
   return ready;
