--- a/tests/unit/replication/catchup_test.cpp
+++ b/tests/unit/replication/catchup_test.cpp
@@ -10,25 +10,37 @@
 
 namespace {
 
-constexpr Millis change_pace = 120;        // ms; as many changes as an operator makes in a storm of them
-constexpr Millis change_patience = 10000;  // ms; elections included
-constexpr Millis catchup_bound = 1500;     // ms; a heartbeat, a lost ask and the answer
-constexpr Millis new_member_bound = 4000;  // ms; discovery and registration come before
-constexpr int reference_changes = 8;       // count; changes that go on while a member catches up
+/// Milliseconds; between changes, as in a storm of an operator's.
+constexpr Millis kChangeInterval = 120;
+/// Milliseconds; for one change, elections included.
+constexpr Millis kChangeTimeout = 10000;
+/// Milliseconds; a heartbeat, a lost request and the reply.
+constexpr Millis kMaxCatchUpTime = 1500;
+/// Milliseconds; discovery and registration come before.
+constexpr Millis kMaxNewMemberCatchUpTime = 4000;
+/// Changes that go on while a member catches up.
+constexpr int kChangesMeanwhile = 8;
+/// Changes after which a member that has not caught up is given up.
+constexpr int kMaxChangesMeanwhile = 60;
 
 enum class Absence { killed, frozen, wiped, cut_off, not_there_yet };
 
-struct Catchup {
+/// What it took a member to catch up.
+struct CatchUpCost {
+  /// Milliseconds from its return; -1 while it has not caught up.
   Millis time = -1;
-  /// Of all messages that brought entries or a value, and of one entry and one value at the end.
-  size_t bytes = 0, entry = 0, snapshot = 0;
+  /// Bytes of all entries and snapshots that were sent to it.
+  size_t bytes = 0;
+  /// Bytes of one entry and of one snapshot at the end.
+  size_t entry_bytes = 0;
+  size_t snapshot_bytes = 0;
 };
 
 class Fleet {
  public:
   explicit Fleet(size_t paths) : world_(1, {3, 3, 2}) {
     world_.local = [this](sim::Node&, const Envelope& e) {
-      if (auto* r = std::get_if<CommitReply>(&e.body); r && r->id == commit_)
+      if (auto* r = std::get_if<CommitReply>(&e.body); r && r->id == commit_id_)
         outcome_ = r->outcome;
     };
     configuration_.cells = {{"cell", 1000, 1000, 60000, {}}};
@@ -55,89 +67,89 @@
   sim::World& world() { return world_; }
   View newest() {
     View best = std::make_shared<Metadata>();
-    for (auto k : {Kind::controller, Kind::store, Kind::agent})
-      for (auto& s : world_.names(k))
-        if (auto* m = world_.node(s).machine.get(); m && m->view()->epoch > best->epoch)
-          best = m->view();
+    for (auto kind : {Kind::controller, Kind::store, Kind::agent})
+      for (auto& name : world_.names(kind))
+        if (auto* machine = world_.node(name).machine.get(); machine && machine->view()->epoch > best->epoch)
+          best = machine->view();
     return best;
   }
 
   /// One acknowledged change, asked of the controllers in turn as an operator does.
-  void change() {
+  void commit_change() {
     configuration_.cells[0].budget += 1;
-    commit_ = "change-" + std::to_string(configuration_.cells[0].budget);
+    commit_id_ = "change-" + std::to_string(configuration_.cells[0].budget);
     auto base = newest()->revision;
     outcome_.reset();
     auto controllers = world_.names(Kind::controller);
     for (size_t i = 0; i < controllers.size() * 4 && outcome_ != CommitOutcome::committed; ++i) {
-      auto& s = controllers[i % controllers.size()];
-      if (!world_.alive(s) || away_ == s)
+      auto& controller = controllers[i % controllers.size()];
+      if (!world_.alive(controller) || absent_ == controller)
         continue;
-      Envelope e{kProtocolRevision, 0, {}, world_.roll(), "local:operator", {}, s, {}, {}};
-      e.body = Commit{commit_, ApplyConfiguration{base, configuration_, {}}, {}};
+      Envelope envelope{kProtocolRevision, 0, {}, world_.roll(), "local:operator", {}, controller, {}, {}};
+      envelope.body = Commit{commit_id_, ApplyConfiguration{base, configuration_, {}}, {}};
       outcome_.reset();
-      world_.post(s, std::move(e));
-      world_.until(change_patience, [this] { return outcome_.has_value(); });
+      world_.post(controller, std::move(envelope));
+      world_.until(kChangeTimeout, [this] { return outcome_.has_value(); });
     }
     REQUIRE(outcome_ == CommitOutcome::committed);
   }
 
-  void changes(int n) {
-    for (int i = 0; i < n; ++i) {
-      auto next = world_.now() + change_pace;
-      change();
-      if (world_.now() < next)
-        world_.run(next - world_.now());
+  void commit_changes(int count) {
+    for (int i = 0; i < count; ++i) {
+      auto next_change_at = world_.now() + kChangeInterval;
+      commit_change();
+      if (world_.now() < next_change_at)
+        world_.run(next_change_at - world_.now());
     }
   }
 
   /// Takes a member away, makes that many changes, brings it back and follows it while further changes go on.
-  Catchup absent(const std::string& name, Absence how, int lacking) {
-    leave(name, how);
-    changes(lacking);
-    Catchup c;
+  CatchUpCost measure_absence(const std::string& name, Absence how, int missed_changes) {
+    begin_absence(name, how);
+    commit_changes(missed_changes);
+    CatchUpCost cost;
     world_.arriving = [&](const Envelope& e) {
-      if (e.to == name && c.time < 0)
-        c.bytes += payload(e.body);
+      if (e.to == name && cost.time < 0)
+        cost.bytes += payload(e.body);
     };
     auto since = world_.now();
     auto goal = newest()->epoch;
-    come_back(name, how);
-    for (int i = 0; i < reference_changes || (c.time < 0 && i < 60); ++i) {
-      auto has = [&] {
+    end_absence(name, how);
+    for (int i = 0; i < kChangesMeanwhile || (cost.time < 0 && i < kMaxChangesMeanwhile); ++i) {
+      auto has_caught_up = [&] {
         return world_.node(name).machine->view()->epoch >= goal;
       };
-      if (c.time < 0 && world_.until(change_pace, has))
-        c.time = world_.now() - since;
-      change();
+      if (cost.time < 0 && world_.until(kChangeInterval, has_caught_up))
+        cost.time = world_.now() - since;
+      commit_change();
     }
     world_.arriving = nullptr;
-    c.entry = codec::pack(Entry{goal, commit_, ApplyConfiguration{{}, configuration_, {}}}).size();
-    c.snapshot = codec::pack(*newest()).size();
-    CHECK(world_.until(catchup_bound, [&] { return world_.node(name).machine->view()->epoch == newest()->epoch; }));
-    for (auto& f : world_.failures)
-      FAIL_CHECK(f);
-    return c;
+    cost.entry_bytes = codec::pack(Entry{goal, commit_id_, ApplyConfiguration{{}, configuration_, {}}}).size();
+    cost.snapshot_bytes = codec::pack(*newest()).size();
+    CHECK(world_.until(kMaxCatchUpTime, [&] { return world_.node(name).machine->view()->epoch == newest()->epoch; }));
+    for (auto& failure : world_.failures)
+      FAIL_CHECK(failure);
+    return cost;
   }
 
  private:
   /// Bytes of entries and whole values in a message.
   static size_t payload(const Message& m) {
-    auto both = [](auto& x) {
+    auto payload_of = [](auto& x) {
       return codec::pack(x.entries).size() + (x.checkpoint ? codec::pack(*x.checkpoint).size() : 0);
     };
     if (auto* x = std::get_if<CatchupReply>(&m))
-      return both(*x);
+      return payload_of(*x);
     if (auto* x = std::get_if<HeartbeatReply>(&m))
-      return both(*x);
+      return payload_of(*x);
     if (auto* x = std::get_if<CommitReply>(&m))
-      return both(*x);
+      return payload_of(*x);
     if (auto* x = std::get_if<Decided>(&m))
       return codec::pack(*x).size();
     return 0;
   }
-  void leave(const std::string& name, Absence how) {
-    away_ = name;
+  void begin_absence(const std::string& name, Absence how) {
+    absent_ = name;
     if (how == Absence::killed)
       world_.kill(name);
     if (how == Absence::frozen)
@@ -147,8 +159,8 @@
     if (how == Absence::cut_off)
       world_.isolate(name);
   }
-  void come_back(const std::string& name, Absence how) {
-    away_.clear();
+  void end_absence(const std::string& name, Absence how) {
+    absent_.clear();
     if (how == Absence::not_there_yet)
       world_.add(name, kind_of(name), "a", "");
     if (how == Absence::killed || how == Absence::wiped)
@@ -164,42 +176,45 @@
 
   sim::World world_;
   Configuration configuration_;
-  std::string commit_, away_;
+  std::string commit_id_;
+  /// The member that is away, or empty.
+  std::string absent_;
   std::optional<CommitOutcome> outcome_;
 };
 
-void check(size_t paths, const std::string& name, Absence how, int lacking) {
-  INFO(name << ", absence " << static_cast<int>(how) << ", " << lacking << " changes, " << paths << " paths");
+void check_catch_up(size_t paths, const std::string& name, Absence how, int missed_changes) {
+  INFO(name << ", absence " << static_cast<int>(how) << ", " << missed_changes << " changes, " << paths << " paths");
   Fleet fleet(paths);
-  auto c = fleet.absent(name, how, lacking);
-  bool fresh = how == Absence::wiped || how == Absence::not_there_yet;
-  REQUIRE(c.time >= 0);
-  CHECK(c.time <= (fresh ? new_member_bound : catchup_bound));
+  auto cost = fleet.measure_absence(name, how, missed_changes);
+  bool is_new = how == Absence::wiped || how == Absence::not_there_yet;
+  REQUIRE(cost.time >= 0);
+  CHECK(cost.time <= (is_new ? kMaxNewMemberCatchUpTime : kMaxCatchUpTime));
   // Whoever answers it may send what it lacks once each; the changes that go on meanwhile come besides.
-  constexpr size_t answers = 4;
-  auto lack = std::min(c.entry * static_cast<size_t>(lacking), c.snapshot);
-  auto meanwhile = c.entry * static_cast<size_t>(c.time / change_pace + 3) * 2;
-  WARN(name << " absence " << static_cast<int>(how) << " after " << lacking << " changes of " << paths << " paths: "
-            << c.time << " ms, " << c.bytes << " bytes; entry " << c.entry << ", snapshot " << c.snapshot);
-  CHECK(c.bytes <= answers * std::max(lack, c.entry) + meanwhile);
+  constexpr size_t kMaxAnswers = 4;
+  auto lack = std::min(cost.entry_bytes * static_cast<size_t>(missed_changes), cost.snapshot_bytes);
+  auto meanwhile = cost.entry_bytes * static_cast<size_t>(cost.time / kChangeInterval + 3) * 2;
+  WARN(name << " absence " << static_cast<int>(how) << " after " << missed_changes << " changes of " << paths
+            << " paths: " << cost.time << " ms, " << cost.bytes << " bytes; entry " << cost.entry_bytes << ", snapshot "
+            << cost.snapshot_bytes);
+  CHECK(cost.bytes <= kMaxAnswers * std::max(lack, cost.entry_bytes) + meanwhile);
 }
 
 }  // namespace
 
-TEST_CASE("members of each role come back after 10, 300 and 1,000 changes while changes go on") {
-  for (int lacking : {10, 300, 1000}) {
-    check(20, "controller2", Absence::killed, lacking);
-    check(20, "store2", Absence::frozen, lacking);
-    check(20, "agent2", Absence::cut_off, lacking);
+TEST_CASE("Members of each role come back after 10, 300 and 1,000 changes while changes go on") {
+  for (int missed_changes : {10, 300, 1000}) {
+    check_catch_up(20, "controller2", Absence::killed, missed_changes);
+    check_catch_up(20, "store2", Absence::frozen, missed_changes);
+    check_catch_up(20, "agent2", Absence::cut_off, missed_changes);
   }
   for (auto how : {Absence::frozen, Absence::wiped, Absence::cut_off, Absence::not_there_yet}) {
-    check(20, how == Absence::not_there_yet ? "controller9" : "controller2", how, 10);
-    check(20, how == Absence::not_there_yet ? "store9" : "store2", how, 300);
+    check_catch_up(20, how == Absence::not_there_yet ? "controller9" : "controller2", how, 10);
+    check_catch_up(20, how == Absence::not_there_yet ? "store9" : "store2", how, 300);
   }
-  check(20, "gateway2", Absence::killed, 300);
+  check_catch_up(20, "gateway2", Absence::killed, 300);
 }
 
-TEST_CASE("members come back after changes of a large configuration") {
+TEST_CASE("Members come back after changes of a large configuration") {
   for (auto* name : {"controller2", "store2", "agent2"})
-    check(2000, name, Absence::cut_off, 20);
+    check_catch_up(2000, name, Absence::cut_off, 20);
 }
