--- a/src/routing/attempt_dispatcher.hpp
+++ b/src/routing/attempt_dispatcher.hpp
@@ -1,5 +1,6 @@
 #pragma once
 // Sends requests to replicas, or lets them wait for one.
+#include <tuple>
 #include <unordered_map>
 
 #include "routing/active_request.hpp"
@@ -23,13 +24,14 @@
   };
 
   explicit AttemptDispatcher(const ProtocolCodec& codec) : codec_(codec) {}
-  /// Adopts a snapshot; the first one must come before anything else.
+  /// Adopts a snapshot. Before the first one there is no majority contact, and nothing may be dispatched.
   void update(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now);
   bool has_majority_contact(Millis now) const { return snapshot_ && now < snapshot_->dispatch_until; }
+  /// Only after the first snapshot.
   const RouteTable& routes() const { return *routes_; }
 
   /// Routes the request by the newest configuration and sends it, with the action added to `actions`, or queues it. On
-  /// the other results the request is as it was before.
+  /// any other result it was neither sent nor queued, and should be rejected.
   Result dispatch(ActiveRequest& request, Millis now, Actions& actions);
   /// The request of an attempt under way; 0 for any other.
   RequestId request_of(AttemptNumber attempt) const;
@@ -48,7 +50,9 @@
     uint32_t rank;
     Millis received_at;
     RequestId id;
-    auto operator<=>(const QueueKey&) const = default;
+    bool operator<(const QueueKey& other) const {
+      return std::tie(rank, received_at, id) < std::tie(other.rank, other.received_at, other.id);
+    }
   };
   static QueueKey queue_key(const ActiveRequest& request);
   /// Follows a configuration that is newer than the request's route.
