--- a/tools/loadgen/load_generator.hpp
+++ b/tools/loadgen/load_generator.hpp
@@ -60,6 +60,7 @@
                      const TurnAttempt& attempt);
   void check_failure(const std::string& program, const TurnResult& turn, const TurnResults& earlier,
                      const TurnAttempt& attempt, const Failure& failure);
+  void count_given_up(const TurnResult& turn);
 
   // Calls of the application's tools between turns (tool_calls.cpp).
   void run_tool_calls(uint64_t number);
--- a/tools/loadgen/turns.cpp
+++ b/tools/loadgen/turns.cpp
@@ -17,6 +17,8 @@
 constexpr uint64_t kUrgentEvery = 20;
 constexpr uint64_t kSharedPrefixes = 12;
 constexpr size_t kQuestionBytes = 200;
+/// The status with which a program's turn is refused once its budget is spent.
+constexpr long kBudgetSpentStatus = 429;
 /// Milliseconds between a thread's turns, at most.
 constexpr uint64_t kLongestPause = 300;
 
@@ -118,6 +120,14 @@
   FetchResponse response;
 
   bool succeeded() const { return response.status == 200 && stream.done; }
+  /// "ok", the status, or that there was none.
+  std::string outcome() const {
+    if (succeeded())
+      return "ok";
+    return response.status ? std::to_string(response.status) : "no session";
+  }
+  /// What the answer says of its failure: in a stream's last line, else in its body.
+  Failure failure() const { return read_failure(stream.failed ? stream.last_line.dump() : response.body); }
 };
 
 void LoadGenerator::send_attempt(const std::string& program, const TurnResult& turn, const TurnResults& earlier,
@@ -189,23 +199,20 @@
     if (attempt.front.empty())
       continue;
     send_attempt(program, turn, earlier, attempt);
-    auto status = attempt.response.status;
-    if (number == 0) {
-      std::string outcome = status ? std::to_string(status) : "no session";
-      report_.count("turn first try " + (attempt.succeeded() ? "ok" : outcome));
-    }
+    if (number == 0)
+      report_.count("turn first try " + attempt.outcome());
     if (attempt.succeeded()) {
       check_success(program, turn, earlier, attempt);
       turn.success = true;
       turn.output = attempt.stream.text;
       return turn;
     }
-    auto failure = read_failure(attempt.stream.failed ? attempt.stream.last_line.dump() : attempt.response.body);
+    auto failure = attempt.failure();
     if (failure.ran != "no" && attempt.response.request_sent)
       may_have_run = true;
-    count_attempt("turn", status, failure.ran);
+    count_attempt("turn", attempt.response.status, failure.ran);
     check_failure(program, turn, earlier, attempt, failure);
-    if (status == 429) {
+    if (attempt.response.status == kBudgetSpentStatus) {
       turn.budget_spent = true;
       break;
     }
@@ -216,11 +223,15 @@
     sleep_for(failure.retry_after);
   }
   turn.not_run = !may_have_run;
+  count_given_up(turn);
+  return turn;
+}
+
+void LoadGenerator::count_given_up(const TurnResult& turn) {
   if (turn.budget_spent)
     report_.count("turn budget spent");
   else
     report_.count(turn.not_run ? "turn given up, not run" : "turn given up, unknown");
-  return turn;
 }
 
 void LoadGenerator::run_turns(const std::string& program, const std::string& thread, int count,
--- a/tools/local-cluster/fleet.cpp
+++ b/tools/local-cluster/fleet.cpp
@@ -191,6 +191,7 @@
   std::vector<std::string> words{plan_.program_folder + "/" + process.program};
   words.insert(words.end(), process.arguments.begin(), process.arguments.end());
   std::vector<char*> arguments;
+  arguments.reserve(words.size() + 1);
   for (auto& word : words)
     arguments.push_back(word.data());
   arguments.push_back(nullptr);
--- a/tools/scale/fleet_run.cpp
+++ b/tools/scale/fleet_run.cpp
@@ -123,7 +123,7 @@
 }
 
 void FleetRun::found_and_grow() {
-  auto daemons = static_cast<size_t>(options_.plan.controllers + kRealStores + kRealFronts);
+  auto daemons = static_cast<size_t>(options_.plan.controllers) + kRealStores + kRealFronts;
   auto begun = machine_now();
   record("founding", "real.ms", static_cast<double>(wait_until_calm("founding", daemons)));
   for (auto& process : hollow_processes_) {
@@ -196,7 +196,7 @@
     bool all_know = true;
     for (auto& process : hollow_processes_) {
       std::istringstream times(process->execute("known " + std::to_string(epoch.value())));
-      for (Millis time; times >> time;) {
+      for (Millis time = 0; times >> time;) {
         all_know = all_know && time >= 0;
         durations.push_back(static_cast<double>(time - begun));
       }
--- a/tools/scale/fleet_run.hpp
+++ b/tools/scale/fleet_run.hpp
@@ -51,7 +51,9 @@
   void record_distribution(const std::string& step, std::vector<double> durations);
   void fail(const std::string& reason);
 
-  size_t all_daemons() const { return static_cast<size_t>(options_.plan.controllers + options_.plan.daemons); }
+  size_t all_daemons() const {
+    return static_cast<size_t>(options_.plan.controllers) + static_cast<size_t>(options_.plan.daemons);
+  }
   int hollow_daemons() const { return options_.plan.daemons - kRealStores - kRealFronts; }
   /// Whether so many daemons are up and nothing is under way.
   bool is_calm(size_t daemons);
--- a/tools/scale/hollow_process.cpp
+++ b/tools/scale/hollow_process.cpp
@@ -66,6 +66,7 @@
                                  "--daemons",
                                  std::to_string(options.plan.daemons)};
   std::vector<char*> arguments;
+  arguments.reserve(words.size() + 1);
   for (auto& word : words)
     arguments.push_back(word.data());
   arguments.push_back(nullptr);
