--- a/tests/unit/history/history_writer_test.cpp
+++ b/tests/unit/history/history_writer_test.cpp
@@ -63,10 +63,10 @@
   auto& writer = owner.history_writer;
   auto name = turn_history_name("p");
   writer.open(name, owner.now);
-  owner.settle_writes();
+  owner.complete_writes();
   REQUIRE(writer.open(name, owner.now) == HistoryWriter::State::open);
   auto acknowledge = [&](uint64_t store) {
-    owner.hear(store, AppendHistoryReply{name, writer.term(name), true, false, 1});
+    owner.receive(store, AppendHistoryReply{name, writer.term(name), true, false, 1});
   };
   Record record{};
   record.key = "turn";
--- a/tools/scale/data_plane.cpp
+++ b/tools/scale/data_plane.cpp
@@ -169,7 +169,7 @@
 
 /// A history of so many turns, each with its reservation and its outcome.
 History make_history(int number, int turns) {
-  History history{.term = Epoch{1}, .records = {}, .touched = 0};
+  History history{.term = Epoch{1}, .records = {}, .written_at = 0};
   for (int turn = 0; turn < turns; ++turn) {
     Record reservation{.kind = RecordKind::reservation,
                        .key = std::to_string(number) + "-" + std::to_string(turn),
