--- a/src/base/codec.hpp
+++ b/src/base/codec.hpp
@@ -227,7 +227,7 @@
 
 /// The encoding of a value.
 template <class T>
-std::string pack(const T& value) {
+std::string encode(const T& value) {
   std::string out;
   put(out, value);
   return out;
@@ -235,7 +235,7 @@
 
 /// The value that `bytes` encode; nothing unless they are exactly one T.
 template <class T>
-std::optional<T> unpack(std::string_view bytes) {
+std::optional<T> decode(std::string_view bytes) {
   Reader reader{bytes};
   T value{};
   if (!get(reader, value) || !reader.s.empty())
--- a/src/base/fd.hpp
+++ b/src/base/fd.hpp
@@ -27,7 +27,7 @@
   explicit operator bool() const { return fd_ >= 0; }
 
  private:
-  int fd_;
+  int fd_{};
 };
 
 }  // namespace mosskeel
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -29,7 +29,7 @@
   return "";
 }
 
-void note(Event event, const std::string& text) {
+void log_event(Event event, const std::string& text) {
   auto number = static_cast<int>(event);
   if (needs_operator(event))
     LOG(ERROR) << "event=" << number << " " << meaning(event) << ": " << text;
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -6,7 +6,7 @@
 namespace mosskeel {
 
 /// An event with its particulars, to be logged.
-struct Note {
+struct LogEntry {
   Event event;
   std::string text;
 };
@@ -16,7 +16,7 @@
 
 /// Writes one line, "event=NUMBER meaning: text"; thread-safe. Events that call for an operator are errors, all others
 /// information.
-void note(Event event, const std::string& text);
+void log_event(Event event, const std::string& text);
 
 /// What an event means, as in docs/events.md.
 const char* meaning(Event event);
--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -25,10 +25,10 @@
   bool granted = prepare.ballot >= promised_;
   if (prepare.ballot > promised_) {
     promised_ = prepare.ballot;
-    outbox_.write(codec::pack(ControllerRecord{PromiseRecord{prepare.epoch, prepare.ballot}}));
+    outbox_.write(codec::encode(ControllerRecord{PromiseRecord{prepare.epoch, prepare.ballot}}));
   }
   outbox_.send_synced(envelope.from, Promise{prepare.epoch, prepare.ballot, granted, promised_, accepted_},
-                      envelope.from_inc);
+                      envelope.from_incarnation);
 }
 
 void Acceptor::handle(const Envelope& envelope, const Accept& accept) {
@@ -38,10 +38,10 @@
   if (granted) {
     promised_ = accept.ballot;
     accepted_ = {accept.ballot, accept.entry};
-    outbox_.write(codec::pack(ControllerRecord{AcceptRecord{accept.ballot, accept.entry}}));
+    outbox_.write(codec::encode(ControllerRecord{AcceptRecord{accept.ballot, accept.entry}}));
   }
   outbox_.send_synced(envelope.from, Accepted{accept.entry.epoch, accept.ballot, granted, promised_},
-                      envelope.from_inc);
+                      envelope.from_incarnation);
 }
 
 void Acceptor::recover(const ControllerCheckpoint& checkpoint) {
--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -28,14 +28,14 @@
 
 void ControllerMachine::recover(const Recovered& recovered) {
   if (recovered.checkpoint) {
-    if (auto checkpoint = codec::unpack<ControllerCheckpoint>(*recovered.checkpoint)) {
+    if (auto checkpoint = codec::decode<ControllerCheckpoint>(*recovered.checkpoint)) {
       metadata_log_.install_snapshot(checkpoint->metadata);
       acceptor_.recover(*checkpoint);
     }
   }
   founding_.initialize(recovered);
   for (const std::string& bytes : recovered.journal)
-    if (auto record = codec::unpack<ControllerRecord>(bytes))
+    if (auto record = codec::decode<ControllerRecord>(bytes))
       recover(*record);
   stamp_messages();
 }
@@ -61,7 +61,7 @@
   ControllerCheckpoint checkpoint{};
   checkpoint.metadata = *metadata_log_.view();
   acceptor_.save(checkpoint);
-  return codec::pack(checkpoint);
+  return codec::encode(checkpoint);
 }
 
 Actions ControllerMachine::take_actions() {
@@ -137,13 +137,13 @@
 /// those messages are taken by which a daemon finds its way to the present one.
 bool ControllerMachine::is_acceptable(const Envelope& envelope) const {
   const Metadata& metadata = *metadata_log_.view();
-  if (envelope.to_inc.value() && envelope.to_inc != self().incarnation)
+  if (envelope.to_incarnation.value() && envelope.to_incarnation != self().incarnation)
     return false;
   if (envelope.cluster == 0 || outbox_.cluster == 0 || envelope.cluster == outbox_.cluster ||
       is_successor_cluster(metadata, envelope.cluster))
     return true;
   const auto& former = metadata.former_clusters;
-  const Daemon* sender = metadata.find(envelope.from_inc);
+  const Daemon* sender = metadata.find(envelope.from_incarnation);
   bool of_former_cluster = std::find(former.begin(), former.end(), envelope.cluster) != former.end();
   bool may_return = !sender || sender->state != DaemonState::left;
   bool finds_cluster = std::holds_alternative<Heartbeat>(envelope.body) ||
@@ -158,9 +158,9 @@
   const Metadata& metadata = *metadata_log_.view();
   const auto& former = metadata.former_clusters;
   if (std::find(former.begin(), former.end(), envelope.cluster) == former.end())
-    return outbox_.note(Event::foreign, "from " + envelope.from);
+    return outbox_.log_event(Event::foreign, "from " + envelope.from);
   outbox_.send(envelope.from, DiscoverReply{self(), outbox_.cluster, metadata_log_.epoch(), {}, {}});
-  const Daemon* sender = metadata.find(envelope.from_inc);
+  const Daemon* sender = metadata.find(envelope.from_incarnation);
   bool catches_up = std::holds_alternative<Heartbeat>(envelope.body) || std::holds_alternative<Catchup>(envelope.body);
   if (sender && sender->self.role == Role::controller && catches_up)
     outbox_.send(envelope.from, CatchupReply{metadata_log_.epoch(), metadata, {}});
@@ -199,7 +199,7 @@
   bool from_successor = reply.cluster != outbox_.cluster && is_successor_cluster(*metadata_log_.view(), reply.cluster);
   if (from_successor && !removed_by_refounding_) {
     removed_by_refounding_ = true;
-    outbox_.note(Event::lost_identity, "the core was founded anew without this controller; empty its folder");
+    outbox_.log_event(Event::lost_identity, "the core was founded anew without this controller; empty its folder");
   }
   discovered_.record(reply.self, now);
 }
@@ -245,7 +245,7 @@
 void ControllerMachine::handle(const Envelope& envelope, const QuorumRead& read, Millis) {
   if (metadata_log_.view()->is_core_member(self().incarnation))
     outbox_.send_synced(envelope.from, QuorumReadReply{read.id, metadata_log_.epoch(), acceptor_.has_accepted()},
-                        envelope.from_inc);
+                        envelope.from_incarnation);
 }
 
 void ControllerMachine::handle(const Envelope& envelope, const QuorumReadReply& reply, Millis now) {
@@ -274,7 +274,7 @@
   if (heartbeat.leaving)
     lease_.on_shutdown_of(heartbeat.self.incarnation, now);
   proposer_.acknowledge_in_force(now);
-  if (envelope.from_inc == self().incarnation)
+  if (envelope.from_incarnation == self().incarnation)
     return;
   auto [snapshot, entries] = metadata_log_.small_updates_since(heartbeat.known);
   HeartbeatReply reply{metadata_log_.epoch(), snapshot, entries, 0, metadata_log_.view()->cluster != 0, heartbeat.sent};
@@ -306,7 +306,7 @@
 /// Keeps an entry that the metadata log has applied; the acceptor's next instance opens.
 void ControllerMachine::append(const Entry& entry) {
   acceptor_.reset();
-  outbox_.write(codec::pack(ControllerRecord{DecidedRecord{entry}}));
+  outbox_.write(codec::encode(ControllerRecord{DecidedRecord{entry}}));
 }
 
 /// An entry of this controller's own proposal is decided: sends it to every daemon once; who misses it catches up.
@@ -314,7 +314,7 @@
   for (const Entry& applied : metadata_log_.add(entry)) {
     append(applied);
     stamp_messages();
-    outbox_.note(applied.epoch.value() == 1 ? Event::founded : Event::decided,
+    outbox_.log_event(applied.epoch.value() == 1 ? Event::founded : Event::decided,
                  std::to_string(applied.epoch.value()) + ": " + describe(applied.change));
     for (const auto& [id, daemon] : metadata_log_.view()->directory) {
       if (daemon.state == DaemonState::left || daemon.self.incarnation == self().incarnation)
@@ -329,8 +329,8 @@
 void ControllerMachine::apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot) {
   if (snapshot && metadata_log_.install_snapshot(*snapshot)) {
     acceptor_.reset();
-    outbox_.write(codec::pack(ControllerRecord{JumpRecord{*snapshot}}));
-    outbox_.note(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
+    outbox_.write(codec::encode(ControllerRecord{JumpRecord{*snapshot}}));
+    outbox_.log_event(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
   }
   for (const Entry& entry : entries)
     for (const Entry& applied : metadata_log_.add(entry))
--- a/src/consensus/controller_machine.hpp
+++ b/src/consensus/controller_machine.hpp
@@ -1,11 +1,11 @@
 #pragma once
 // The controller daemon as a state machine: wires its parts and dispatches messages to them.
+#include "consensus/controller_registration.hpp"
 #include "consensus/failure_detector.hpp"
 #include "consensus/founding.hpp"
 #include "consensus/graceful_shutdown.hpp"
 #include "consensus/proposer.hpp"
 #include "consensus/refounding.hpp"
-#include "consensus/controller_registration.hpp"
 #include "consensus/supervisor.hpp"
 
 namespace mosskeel {
@@ -15,14 +15,14 @@
 ///
 /// On disk are the metadata log, the acceptor's promise and acceptance, and the founders (`ControllerRecord`). Whatever
 /// depends on a record leaves only once that is synced. Not thread-safe: its host calls it on one thread.
-class ControllerMachine : public Machine {
+class ControllerMachine : public StateMachine {
  public:
   /// Takes up what an earlier process kept on disk; records that cannot be read were refused by the storage before.
   ControllerMachine(const Identity& id, const Recovered& recovered, Millis now);
 
   Actions step(const Envelope& envelope, Millis now) override;
   Actions tick(Millis now) override;
-  View view() const override { return metadata_log_.view(); }
+  MetadataSnapshot view() const override { return metadata_log_.view(); }
   std::string checkpoint() const override;
   /// Begins to stop in order: hands the lease over, lets the core go on without this member, then asks to be stopped.
   /// What it sends goes out with the next tick.
--- a/src/consensus/discovered_controllers.hpp
+++ b/src/consensus/discovered_controllers.hpp
@@ -9,7 +9,7 @@
 class DiscoveredControllers {
  public:
   struct Sighting {
-    Candidate candidate;
+    Candidate candidate{};
     Millis heard_at = 0;
   };
 
--- a/src/consensus/failure_detector.hpp
+++ b/src/consensus/failure_detector.hpp
@@ -38,7 +38,7 @@
   bool superseded(const Daemon& daemon, Millis now) const;
 
  private:
-  Millis start_;
+  Millis start_{};
   std::map<Incarnation, PeerStatus> peers_;
 };
 
--- a/src/consensus/founding.cpp
+++ b/src/consensus/founding.cpp
@@ -15,7 +15,7 @@
   founders_ = id.seeds;
   if (founders_.empty())
     founders_ = {id.self.address};
-  outbox_.write(codec::pack(ControllerRecord{FoundersRecord{founders_}}));
+  outbox_.write(codec::encode(ControllerRecord{FoundersRecord{founders_}}));
 }
 
 bool Founding::is_founder(const Address& address) const {
@@ -87,7 +87,7 @@
   Candidates members = electors;
   if (members.size() > id.core_size)
     members.resize(id.core_size);
-  outbox_.note(Event::founding,
+  outbox_.log_event(Event::founding,
                std::to_string(electors.size()) + " of " + std::to_string(founders_.size()) + " candidates");
   uint64_t cluster = digest(hex(id.self.incarnation.value()));
   proposer_.found(FoundCluster{cluster, id.core_size, members, id.max_core_size, id.replication_factor}, electors,
--- a/src/consensus/founding.hpp
+++ b/src/consensus/founding.hpp
@@ -39,7 +39,7 @@
   MetadataLog& metadata_log_;
   Proposer& proposer_;
   DiscoveredControllers& discovered_;
-  Millis started_at_;
+  Millis started_at_{};
   Millis next_discovery_at_ = 0;
   /// When a message of a founded cluster came last, while this controller had no log.
   Millis last_evidence_at_ = INT64_MIN / 2;
--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -10,7 +10,7 @@
 /// Marks the ballots of this process alone. The ballots of an earlier process of the same incarnation may not have been
 /// synced, and a vote for one of them must never count for another value.
 uint64_t ballot_owner(const Identity& id) {
-  return digest(hex(id.self.incarnation.value()), id.dice);
+  return digest(hex(id.self.incarnation.value()), id.random_seed);
 }
 
 /// Whether somebody outside the cluster relies on a change once it is acknowledged, so that it must be in force then.
@@ -77,9 +77,9 @@
   auto [snapshot, entries] = metadata_log_.updates_since(request.known_epoch);
   outbox_.send_synced(request.requester, CommitReply{request.id, outcome, reason, epoch, snapshot, entries, rejection});
   if (outcome == CommitOutcome::rejected)
-    outbox_.note(Event::rejected, describe(request.change) + ": " + reason);
+    outbox_.log_event(Event::rejected, describe(request.change) + ": " + reason);
   if (outcome == CommitOutcome::unknown)
-    outbox_.note(Event::unknown_outcome, describe(request.change) + " id " + request.id);
+    outbox_.log_event(Event::unknown_outcome, describe(request.change) + " id " + request.id);
 }
 
 /// Whoever was told that the outcome of a commit is unknown may have gone to another controller with a different one:
@@ -169,14 +169,14 @@
 
 void Proposer::handle(const Envelope& envelope, const Promise& promise, Millis now) {
   if (!proposal_ || proposal_->phase != Phase::preparing || promise.epoch != proposal_->epoch ||
-      promise.ballot != proposal_->ballot || !proposal_->acceptors.count(envelope.from_inc))
+      promise.ballot != proposal_->ballot || !proposal_->acceptors.count(envelope.from_incarnation))
     return;
   if (!promise.granted)
     return abandon(now, promise.promised);
   std::optional<AcceptedProposal>& highest = proposal_->highest_accepted;
   if (promise.accepted && (!highest || highest->ballot < promise.accepted->ballot))
     highest = promise.accepted;
-  proposal_->votes.insert(envelope.from_inc);
+  proposal_->votes.insert(envelope.from_incarnation);
   if (proposal_->votes.size() < proposal_->quorum_size)
     return;
   // A proposal that an acceptor reports may be decided already: only that one may be proposed again.
@@ -194,11 +194,11 @@
 
 void Proposer::handle(const Envelope& envelope, const Accepted& accepted, Millis now) {
   if (!proposal_ || proposal_->phase != Phase::accepting || accepted.epoch != proposal_->epoch ||
-      accepted.ballot != proposal_->ballot || !proposal_->acceptors.count(envelope.from_inc))
+      accepted.ballot != proposal_->ballot || !proposal_->acceptors.count(envelope.from_incarnation))
     return;
   if (!accepted.granted)
     return abandon(now, accepted.promised);
-  proposal_->votes.insert(envelope.from_inc);
+  proposal_->votes.insert(envelope.from_incarnation);
   if (proposal_->votes.size() < proposal_->quorum_size)
     return;
   Entry decided = *proposal_->entry;
@@ -218,7 +218,7 @@
 /// Asks the core whether this epoch is the newest; the commits that wait now may then be answered by its value.
 void Proposer::begin_read(Millis now) {
   QuorumReadState read{};
-  read.id = outbox_.roll();
+  read.id = outbox_.next_random();
   read.epoch = metadata_log_.epoch();
   read.last_ticket = requests_.back().ticket;
   read.members = acceptors();
@@ -230,7 +230,7 @@
 }
 
 void Proposer::handle(const Envelope& envelope, const QuorumReadReply& reply, Millis now) {
-  if (!read_ || reply.id != read_->id || !read_->members.count(envelope.from_inc))
+  if (!read_ || reply.id != read_->id || !read_->members.count(envelope.from_incarnation))
     return;
   if (reply.epoch > metadata_log_.epoch()) {
     outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
@@ -238,7 +238,7 @@
   }
   if (reply.epoch == metadata_log_.epoch())
     read_->instance_open |= reply.open;
-  read_->replies.insert(envelope.from_inc);
+  read_->replies.insert(envelope.from_incarnation);
   if (read_->replies.size() < read_->quorum_size)
     return;
   QuorumReadState read = std::move(*read_);
--- a/src/consensus/proposer.hpp
+++ b/src/consensus/proposer.hpp
@@ -53,10 +53,10 @@
     /// The requester's own epoch: the reply brings what it lacks since.
     Epoch known_epoch;
     /// Milliseconds from the request, and from each repetition of it, to `deadline`.
-    Millis timeout;
-    Millis deadline;
+    Millis timeout{};
+    Millis deadline{};
     /// Order of arrival.
-    uint64_t ticket;
+    uint64_t ticket{};
     /// Whether this process has proposed it.
     bool proposed = false;
   };
@@ -74,42 +74,42 @@
     Phase phase = Phase::preparing;
     /// Names the Paxos instance.
     Epoch epoch;
-    Ballot ballot;
+    Ballot ballot{};
     /// What is proposed unless an accepted proposal is reported; nothing where an open instance is only to be finished.
     std::optional<Entry> entry;
     /// The accepted proposal with the highest ballot among the promises.
     std::optional<AcceptedProposal> highest_accepted;
     std::map<Incarnation, Address> acceptors;
-    size_t quorum_size;
+    size_t quorum_size{};
     /// Acceptors that have granted the present phase.
     std::set<Incarnation> votes;
     /// Without a quorum by then, another ballot is tried.
-    Millis deadline;
+    Millis deadline{};
   };
 
   /// The quorum read in flight: is `epoch`, this controller's newest, the newest of all?
   struct QuorumReadState {
-    uint64_t id;
+    uint64_t id{};
     Epoch epoch;
     std::map<Incarnation, Address> members;
-    size_t quorum_size;
+    size_t quorum_size{};
     std::set<Incarnation> replies;
-    Millis deadline;
+    Millis deadline{};
     /// Whether a member has accepted a proposal for the next epoch, which may be decided already.
     bool instance_open = false;
     /// The last commit request that had come when the read began; the read says nothing for later ones.
-    uint64_t last_ticket;
+    uint64_t last_ticket{};
   };
 
   /// The founding to be proposed until the cluster is founded.
   struct Founding {
-    Entry entry;
+    Entry entry{};
     Candidates electors;
-    size_t quorum_size;
+    size_t quorum_size{};
   };
 
   struct Refounding {
-    RefoundCluster change;
+    RefoundCluster change{};
     std::map<Incarnation, Address> survivors;
   };
 
--- a/src/consensus/sequence_coordinator.cpp
+++ b/src/consensus/sequence_coordinator.cpp
@@ -54,13 +54,13 @@
     std::string reason = blocking_reason(sequence, now);
     if (!reason.empty()) {
       retry_at_[id] = now + kSequenceRetryDelay;
-      outbox_.note(Event::sequence_blocked,
+      outbox_.log_event(Event::sequence_blocked,
                    std::string(name(sequence.kind)) + of_daemon + " at step " + name(sequence.next_step));
       return CancelSequence{id, reason};
     }
     if (!barrier_reached(sequence, now))
       continue;
-    outbox_.note(Event::sequence_step,
+    outbox_.log_event(Event::sequence_step,
                  std::string(name(sequence.next_step)) + " of the " + name(sequence.kind) + of_daemon);
     return AdvanceSequence{id, sequence.next_step};
   }
--- a/src/consensus/supervisor.cpp
+++ b/src/consensus/supervisor.cpp
@@ -21,7 +21,7 @@
   auto change = next_change(now);
   if (!change)
     return;
-  pending_commit_ = "supervisor-" + hex(outbox_.roll());
+  pending_commit_ = "supervisor-" + hex(outbox_.next_random());
   pending_until_ = now + kCommitAttemptTimeout;
   outbox_.send(outbox_.id().self.address, Commit{pending_commit_, *change, metadata_log_.epoch()});
 }
@@ -51,7 +51,7 @@
       continue;
     bool superseded = daemon.self.role == Role::store && detector_.superseded(daemon, now);
     if (daemon.state != DaemonState::down && (superseded || majority_.is_silent(daemon, timeout, now))) {
-      outbox_.note(Event::heartbeats_missed,
+      outbox_.log_event(Event::heartbeats_missed,
                    std::string(name(daemon.self.role)) + " daemon " + std::to_string(id.value()));
       return MarkDown{id};
     }
--- a/src/consensus/supervisor_lease.cpp
+++ b/src/consensus/supervisor_lease.cpp
@@ -8,27 +8,27 @@
 
 void SupervisorLease::handle(const Envelope& envelope, const LeaseRequest& request, Millis now) {
   const Metadata& metadata = *metadata_log_.view();
-  if (!metadata.is_core_member(envelope.from_inc) || !metadata.is_core_member(outbox_.id().self.incarnation))
+  if (!metadata.is_core_member(envelope.from_incarnation) || !metadata.is_core_member(outbox_.id().self.incarnation))
     return;
-  bool granted = now >= granted_until_ || granted_to_ == envelope.from_inc;
+  bool granted = now >= granted_until_ || granted_to_ == envelope.from_incarnation;
   if (granted) {
-    granted_to_ = envelope.from_inc;
+    granted_to_ = envelope.from_incarnation;
     granted_until_ = now + kSupervisorLeaseDuration;
   }
   outbox_.send(envelope.from, LeaseGrant{request.request_id, granted, detector_.heartbeat_ages(metadata, now)},
-               envelope.from_inc);
+               envelope.from_incarnation);
 }
 
 void SupervisorLease::handle(const Envelope& envelope, const LeaseGrant& grant, Millis now) {
   const Metadata& metadata = *metadata_log_.view();
-  if (grant.request_id != request_id_ || !metadata.is_core_member(envelope.from_inc))
+  if (grant.request_id != request_id_ || !metadata.is_core_member(envelope.from_incarnation))
     return;
-  observations_[envelope.from_inc] = {now, grant.heartbeat_ages};
+  observations_[envelope.from_incarnation] = {now, grant.heartbeat_ages};
   denied_ = denied_ || !grant.granted;
   // A member that knows a later epoch shows that our log is old: nothing may be decided by it.
   if (!grant.granted || envelope.epoch > metadata_log_.epoch())
     return;
-  grants_.insert(envelope.from_inc);
+  grants_.insert(envelope.from_incarnation);
   if (grants_.size() >= majority_of(metadata.members.size()))
     held_until_ = requested_at_ + kSupervisorLeaseDuration - kSupervisorLeaseMargin;
 }
@@ -59,7 +59,7 @@
   Incarnation self = outbox_.id().self.incarnation;
   if (is_held(now) != noted_as_held_) {
     noted_as_held_ = !noted_as_held_;
-    outbox_.note(noted_as_held_ ? Event::lease_taken : Event::lease_lost, "number " + std::to_string(request_id_));
+    outbox_.log_event(noted_as_held_ ? Event::lease_taken : Event::lease_lost, "number " + std::to_string(request_id_));
   }
   if (resigned_ || !metadata_log_.view()->is_core_member(self) || now < next_request_at_)
     return;
@@ -85,7 +85,7 @@
 void SupervisorLease::request_lease(Millis now) {
   next_request_at_ = now + kSupervisorLeaseRenewInterval;
   requested_at_ = now;
-  request_id_ = outbox_.roll();
+  request_id_ = outbox_.next_random();
   grants_.clear();
   denied_ = false;
   const Metadata& metadata = *metadata_log_.view();
--- a/src/consensus/supervisor_lease.hpp
+++ b/src/consensus/supervisor_lease.hpp
@@ -46,7 +46,7 @@
   const FailureDetector& detector_;
   /// The grant that this member has given: to whom, and until when it gives none to another.
   Incarnation granted_to_{};
-  Millis granted_until_;
+  Millis granted_until_{};
   /// The request under way: its id, zero for none; when it was sent; who granted it, and whether a member denied it.
   uint64_t request_id_ = 0;
   Millis requested_at_ = 0;
--- a/src/control/admin_api.cpp
+++ b/src/control/admin_api.cpp
@@ -23,7 +23,7 @@
   auto header = request.headers.find("idempotency-key");
   if (header != request.headers.end() && !header->second.empty())
     return header->second;
-  return "op-" + hex(dice());
+  return "op-" + hex(random_number());
 }
 
 std::optional<Revision> base_revision_of(const ApiRequest& request) {
@@ -52,7 +52,7 @@
   ControlSession session(controller_, controller_.now());
   auto response = protocol_->answer(request, session);
   if (response)
-    note(Event::platform_request, request.method + " " + request.path + ": " + std::to_string(response->status));
+    log_event(Event::platform_request, request.method + " " + request.path + ": " + std::to_string(response->status));
   return response;
 }
 
@@ -90,7 +90,7 @@
 ApiResponse AdminApi::handle_command(const ApiRequest& request) {
   auto answer = execute(request);
   auto first_line = answer.substr(0, answer.find('\n'));
-  note(Event::operator_command, "'" + request.body.substr(0, kMaxLoggedCommandBytes) + "': " + first_line);
+  log_event(Event::operator_command, "'" + request.body.substr(0, kMaxLoggedCommandBytes) + "': " + first_line);
   return text_response(answer);
 }
 
@@ -173,7 +173,7 @@
 ApiResponse AdminApi::commit_and_respond(const Transformation& change, const ApiRequest& request) {
   auto reply = commit_if_safe(change, commit_id_of(request));
   auto response = commit_response(reply, host_.view()->revision);
-  note(Event::platform_request, describe(change) + ": " + describe_outcome(reply));
+  log_event(Event::platform_request, describe(change) + ": " + describe_outcome(reply));
   return response;
 }
 
--- a/src/control/cluster_control.hpp
+++ b/src/control/cluster_control.hpp
@@ -46,7 +46,7 @@
 
   /// A linearizable read: the metadata as a majority of the core has confirmed it since the call; null where no
   /// majority answered in time.
-  virtual View read_metadata() = 0;
+  virtual MetadataSnapshot read_metadata() = 0;
 
   /// Waits until all that this controller knows is in force.
   virtual CommandResult wait_until_in_force() = 0;
--- a/src/control/command_language.hpp
+++ b/src/control/command_language.hpp
@@ -23,7 +23,7 @@
 
 /// `create cell`: adds a cell to the configuration.
 struct CreateCell {
-  Cell cell;
+  Cell cell{};
 };
 
 /// `drop cell`: removes a cell from the configuration.
--- a/src/control/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -47,7 +47,7 @@
   }
   if (addresses.empty())
     return "";
-  return addresses[dice() % addresses.size()];
+  return addresses[random_number() % addresses.size()];
 }
 
 Code result_code(Rejection rejection) {
@@ -109,11 +109,11 @@
 
 /// A rejection is confirmed by a majority at the highest epoch, and nothing is logged. So asking for what is always
 /// rejected, to forget a replica without a name, reads the newest metadata.
-View linearizable_read(ControllerAccess& controller, Millis timeout) {
-  auto reply = controller.commit(RemoveReplica{""}, "read-" + hex(dice()), timeout);
+MetadataSnapshot linearizable_read(ControllerAccess& controller, Millis timeout) {
+  auto reply = controller.commit(RemoveReplica{""}, "read-" + hex(random_number()), timeout);
   if (reply.outcome != CommitOutcome::rejected)
     return nullptr;
-  View view;
+  MetadataSnapshot view;
   controller.inspect([&](ControllerMachine& machine, Millis) { view = machine.view(); });
   return view;
 }
@@ -151,7 +151,7 @@
   return found;
 }
 
-View ControlSession::read_metadata() {
+MetadataSnapshot ControlSession::read_metadata() {
   return linearizable_read(controller_, time_left());
 }
 
@@ -197,11 +197,11 @@
 }
 
 CommandResult ControlSession::evacuate(const std::string& zone) {
-  return execute(EvacuateZone{zone}, "evacuate-" + hex(dice()));
+  return execute(EvacuateZone{zone}, "evacuate-" + hex(random_number()));
 }
 
 CommandResult ControlSession::restore(const std::string& zone) {
-  return execute(RestoreZone{zone}, "restore-" + hex(dice()));
+  return execute(RestoreZone{zone}, "restore-" + hex(random_number()));
 }
 
 CommandResult ControlSession::retire(const std::string& machine) {
@@ -219,7 +219,7 @@
   bool applicable = apply(*view, {next(view->epoch), "", drain}).ok();
   if (hazard && applicable)
     return {Code::outcome_unknown, *hazard};
-  return execute(drain, "retire-" + hex(dice()));
+  return execute(drain, "retire-" + hex(random_number()));
 }
 
 RetirementState ControlSession::retirement_state(const std::string& machine) {
--- a/src/control/control_session.hpp
+++ b/src/control/control_session.hpp
@@ -23,7 +23,7 @@
 
 /// A linearizable read: metadata at least as new as what a majority of the core confirmed since the call; null where
 /// no majority answered within `timeout` (ms).
-View linearizable_read(ControllerAccess& controller, Millis timeout);
+MetadataSnapshot linearizable_read(ControllerAccess& controller, Millis timeout);
 
 /// Why it is not safe to drain a store now, by what this controller has observed. Nothing for a safe drain and for
 /// every other change.
@@ -36,7 +36,7 @@
   ControlSession(ControllerAccess& controller, Millis arrived_at);
 
   std::optional<Unavailable> unavailability() override;
-  View read_metadata() override;
+  MetadataSnapshot read_metadata() override;
   CommandResult wait_until_in_force() override;
   CommandResult apply_configuration(const std::string& commit_id, Revision base, Revision revision,
                                     const Configuration& configuration) override;
@@ -52,7 +52,7 @@
   CommandResult wait_until_in_force(Epoch epoch);
 
   ControllerAccess& controller_;
-  Millis deadline_;
+  Millis deadline_{};
 };
 
 }  // namespace mosskeel
--- a/src/control/host_controller_access.cpp
+++ b/src/control/host_controller_access.cpp
@@ -79,7 +79,7 @@
 }
 
 void HostControllerAccess::inspect(const std::function<void(ControllerMachine&, Millis)>& look) {
-  host_.ask([&](Machine& machine, Millis now) { look(static_cast<ControllerMachine&>(machine), now); });
+  host_.ask([&](StateMachine& machine, Millis now) { look(static_cast<ControllerMachine&>(machine), now); });
 }
 
 Millis HostControllerAccess::now() {
--- a/src/control/replica_poller.cpp
+++ b/src/control/replica_poller.cpp
@@ -45,7 +45,7 @@
   }
   auto replicas = client_.read(stop);
   if (!replicas.ok()) {
-    note(Event::replica_list_unreadable, to_string(replicas.errors()));
+    log_event(Event::replica_list_unreadable, to_string(replicas.errors()));
     return;
   }
   auto metadata = view();
@@ -54,9 +54,9 @@
   auto change = reconciler_.reconcile(metadata->replicas, replicas.value(), controller_.now());
   if (!change)
     return;
-  auto reply = controller_.commit(*change, "list-" + hex(dice()), kCommitAttemptTimeout);
+  auto reply = controller_.commit(*change, "list-" + hex(random_number()), kCommitAttemptTimeout);
   if (reply.outcome != CommitOutcome::committed)
-    note(Event::platform_request, describe(*change) + ": " + reply.reason);
+    log_event(Event::platform_request, describe(*change) + ": " + reply.reason);
 }
 
 bool ReplicaPoller::holds_supervisor_lease() {
@@ -65,8 +65,8 @@
   return held;
 }
 
-View ReplicaPoller::view() {
-  View view;
+MetadataSnapshot ReplicaPoller::view() {
+  MetadataSnapshot view;
   controller_.inspect([&](ControllerMachine& machine, Millis) { view = machine.view(); });
   return view;
 }
--- a/src/control/replica_poller.hpp
+++ b/src/control/replica_poller.hpp
@@ -20,7 +20,7 @@
   void poll(const std::stop_token& stop);
   bool holds_supervisor_lease();
   /// Null where the state machine has stopped.
-  View view();
+  MetadataSnapshot view();
 
   ControllerAccess& controller_;
   ReplicaListClient client_;
--- a/src/control/sentence_reader.hpp
+++ b/src/control/sentence_reader.hpp
@@ -26,7 +26,7 @@
   struct Word {
     std::string text;
     /// Counted from 1.
-    size_t position;
+    size_t position{};
   };
 
   static std::vector<Word> split(const std::string& sentence);
@@ -38,7 +38,7 @@
   /// The index of the next word to consume.
   size_t next_ = 0;
   /// One past the last character, counted from 1.
-  size_t end_position_;
+  size_t end_position_{};
   /// All that would have been accepted at the word `expected_at_`.
   std::vector<std::string> expectations_;
   size_t expected_at_ = 0;
--- a/src/daemons/agent/main.cpp
+++ b/src/daemons/agent/main.cpp
@@ -11,15 +11,18 @@
     return *rc;
   auto& p = std::get<Settings>(r);
   start_log("agent");
-  hold_signals();
-  Identity id{
-      {Incarnation{dice()}, Role::front, p.zone, p.listen, p.agent, "", p.machine}, p.seeds, 0, dice(), p.tcm_rpc_ms};
+  block_signals();
+  Identity id{{Incarnation{random_number()}, Role::front, p.zone, p.listen, p.agent, "", p.machine},
+              p.seeds,
+              0,
+              random_number(),
+              p.tcm_rpc_ms};
   Host host(nullptr, p.listen);
   if (auto f = host.start([&](const Recovered&, Millis now) { return std::make_unique<AgentMachine>(id, now); });
       !f.empty())
     return cannot_start("agent", f);
   return run_until_stopped(host, "agent", [&] {
-    host.ask([](Machine& m, Millis) { static_cast<AgentMachine&>(m).leave(); });
+    host.ask([](StateMachine& m, Millis) { static_cast<AgentMachine&>(m).leave(); });
     return false;
   });
 }
--- a/src/daemons/controller/main.cpp
+++ b/src/daemons/controller/main.cpp
@@ -11,8 +11,8 @@
 
 constexpr const char* kProgram = "controller";
 
-Needs needs() {
-  Needs needs{};
+RequiredSettings needs() {
+  RequiredSettings needs{};
   needs.program = kProgram;
   needs.purpose = "A core daemon: keeps the metadata log, answers operators and platform.";
   needs.listen = true;
@@ -34,7 +34,7 @@
   identity.self.machine = settings.machine;
   identity.seeds = settings.seeds;
   identity.core_size = settings.core_size;
-  identity.dice = dice();
+  identity.random_seed = random_number();
   identity.commit_attempt_timeout = settings.tcm_rpc_ms;
   identity.later_start = settings.later_start;
   identity.max_core_size = settings.core_most;
@@ -51,7 +51,7 @@
     return *exit_code;
   const auto& settings = std::get<Settings>(parsed);
   start_log(kProgram);
-  hold_signals();
+  block_signals();
   curl_global_init(CURL_GLOBAL_DEFAULT);
 
   auto opened_disk = open_disk(settings.data);
@@ -80,7 +80,7 @@
     replica_poller = std::make_unique<ReplicaPoller>(controller, *protocol, settings.list);
 
   auto begin_shutdown = [&] {
-    host.ask([](Machine& machine, Millis now) { static_cast<ControllerMachine&>(machine).begin_shutdown(now); });
+    host.ask([](StateMachine& machine, Millis now) { static_cast<ControllerMachine&>(machine).begin_shutdown(now); });
     return false;
   };
   auto exit_code = run_until_stopped(host, kProgram, begin_shutdown);
--- a/src/daemons/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -16,10 +16,15 @@
 
 Identity identity_from(const Settings& settings) {
   Identity identity{};
-  identity.self = {Incarnation{dice()}, Role::front,   settings.zone,   settings.listen,
-                   settings.agent,      settings.http, settings.machine};
+  identity.self = {Incarnation{random_number()},
+                   Role::front,
+                   settings.zone,
+                   settings.listen,
+                   settings.agent,
+                   settings.http,
+                   settings.machine};
   identity.core_size = 0;
-  identity.dice = dice();
+  identity.random_seed = random_number();
   identity.commit_attempt_timeout = settings.tcm_rpc_ms;
   return identity;
 }
@@ -54,7 +59,7 @@
     return *exit_code;
   auto& settings = std::get<Settings>(parsed);
   start_log("gateway");
-  hold_signals();
+  block_signals();
   curl_global_init(CURL_GLOBAL_DEFAULT);
 
   auto identity = identity_from(settings);
@@ -95,7 +100,7 @@
   }
 
   auto exit_code = run_until_stopped(host, "gateway", [&] {
-    host.ask([](Machine& machine, Millis) { static_cast<GatewayMachine&>(machine).begin_shutdown(); });
+    host.ask([](StateMachine& machine, Millis) { static_cast<GatewayMachine&>(machine).begin_shutdown(); });
     if (routing_thread)
       routing_thread->begin_draining();
     return false;
--- a/src/daemons/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -11,7 +11,7 @@
 
 constexpr const char* kProgram = "store";
 
-StoreMachine& store_of(Machine& machine) {
+StoreMachine& store_of(StateMachine& machine) {
   return static_cast<StoreMachine&>(machine);
 }
 
@@ -20,7 +20,7 @@
   identity.self = {incarnation, Role::store, settings.zone, settings.listen, "", settings.http, settings.machine};
   identity.seeds = settings.seeds;
   identity.core_size = 0;
-  identity.dice = dice();
+  identity.random_seed = random_number();
   identity.commit_attempt_timeout = settings.tcm_rpc_ms;
   return identity;
 }
@@ -30,7 +30,7 @@
  public:
   explicit LoadMonitor(const Host& host) : host_(host) {}
 
-  void operator()(Machine& machine, Millis now) {
+  void operator()(StateMachine& machine, Millis now) {
     if (now < next_look_at_)
       return;
     next_look_at_ = now + kStoreLoadInterval;
@@ -48,7 +48,7 @@
 
 ApiResponse metrics_response(Host& host) {
   std::map<std::string, double> metrics;
-  host.ask([&](Machine& machine, Millis) {
+  host.ask([&](StateMachine& machine, Millis) {
     auto& store = store_of(machine);
     metrics["histories"] = static_cast<double>(store.history_count());
     metrics["tombstones"] = static_cast<double>(store.tombstone_count());
@@ -108,13 +108,13 @@
 }  // namespace
 
 int main(int argc, const char** argv) {
-  Needs needs{kProgram, "A storage daemon: keeps the replicas of histories.", true, true, false, true, true, true,
-              false};
+  RequiredSettings needs{
+      kProgram, "A storage daemon: keeps the replicas of histories.", true, true, false, true, true, true, false};
   auto settings = read_settings(argc, argv, needs);
   if (auto* exit_code = std::get_if<int>(&settings))
     return *exit_code;
   start_log(kProgram);
-  hold_signals();
+  block_signals();
   auto disk = open_disk(std::get<Settings>(settings).data);
   if (auto* exit_code = std::get_if<int>(&disk))
     return *exit_code;
--- a/src/gateway/caller_session.hpp
+++ b/src/gateway/caller_session.hpp
@@ -23,7 +23,7 @@
 
  private:
   LocalMailboxes& mailboxes_;
-  Millis deadline_;
+  Millis deadline_{};
   LocalMailboxes::Opened opened_;
 };
 
@@ -40,7 +40,7 @@
  private:
   std::shared_ptr<CallerSession> session_;
   std::optional<ProgramResponseChunk> first_;
-  ProgramResponse timeout_;
+  ProgramResponse timeout_{};
   /// How the stream ended, once its last line is written.
   std::optional<ApiResponse::StreamState> end_;
 };
--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -54,7 +54,7 @@
   read_key(http, request, errors);
   read_deadline(http, request, errors);
   read_class(http, request, errors);
-  request.attempt = "a" + hex(dice());
+  request.attempt = "a" + hex(random_number());
   return request;
 }
 
@@ -211,7 +211,7 @@
 
 ApiResponse ProgramApi::answer_readiness() {
   bool is_ready = false;
-  host_.ask([&](Machine& machine, Millis now) { is_ready = static_cast<GatewayMachine&>(machine).ready(now); });
+  host_.ask([&](StateMachine& machine, Millis now) { is_ready = static_cast<GatewayMachine&>(machine).ready(now); });
   if (!is_ready)
     return ApiResponse::error(503, "not_ready", "this worker is not ready", kDefaultRetryAfter);
   ApiResponse response;
--- a/src/gateway/routing_thread.hpp
+++ b/src/gateway/routing_thread.hpp
@@ -32,7 +32,7 @@
   void on_owner_reply(Message&& message);
   void send_to_owner(Message message);
   /// On the control thread, after each of its steps.
-  void publish_snapshot(Machine& machine, Millis now);
+  void publish_snapshot(StateMachine& machine, Millis now);
   void tick();
   void continue_draining(Millis now);
   uint32_t readiness_status(const HttpRequest& request) const;
--- a/src/history/history_table.hpp
+++ b/src/history/history_table.hpp
@@ -46,7 +46,7 @@
   /// What a write changed here, and so what the journal must say.
   enum class Change { none, term, records };
   struct AppendResult {
-    AppendHistoryReply reply;
+    AppendHistoryReply reply{};
     Change change = Change::none;
   };
   AppendResult apply(const AppendHistory& request);
--- a/src/history/history_writer.cpp
+++ b/src/history/history_writer.cpp
@@ -181,7 +181,7 @@
 
 void HistoryWriter::handle(const ReadHistoryReply& reply, const Envelope& envelope, Millis now) {
   auto* history = awaiting(reply.history, reply.term);
-  auto* store = metadata_log_.view()->find(envelope.from_inc);
+  auto* store = metadata_log_.view()->find(envelope.from_incarnation);
   if (!history || !store || !reply.granted || !history->reading)
     return;
   auto& progress = history->stores[store->id];
@@ -198,7 +198,7 @@
 
 void HistoryWriter::handle(const AppendHistoryReply& reply, const Envelope& envelope, Millis now) {
   auto* history = awaiting(reply.history, reply.term);
-  auto* store = metadata_log_.view()->find(envelope.from_inc);
+  auto* store = metadata_log_.view()->find(envelope.from_incarnation);
   if (!history || !store)
     return;
   auto& progress = history->stores[store->id];
--- a/src/history/load_shedder.cpp
+++ b/src/history/load_shedder.cpp
@@ -9,7 +9,8 @@
     return false;
   ++shed_messages_;
   if (auto* request = std::get_if<AppendHistory>(&envelope.body))
-    out_.send(envelope.from, AppendHistoryReply{request->history, request->term, false, false, 0}, envelope.from_inc);
+    out_.send(envelope.from, AppendHistoryReply{request->history, request->term, false, false, 0},
+              envelope.from_incarnation);
   return true;
 }
 
--- a/src/history/partition_repair.cpp
+++ b/src/history/partition_repair.cpp
@@ -60,7 +60,7 @@
     return sum;
   for (auto& [name, history] : stored->histories)
     if (is_comparable(history))
-      sum += digest(codec::pack(std::make_pair(history.term, history.records.size())), tombstone_of(name));
+      sum += digest(codec::encode(std::make_pair(history.term, history.records.size())), tombstone_of(name));
   return sum;
 }
 
@@ -127,7 +127,7 @@
 }
 
 bool PartitionRepair::is_awaited(const Envelope& envelope, PartitionId partition) const {
-  auto* sender = metadata_log_.view()->find(envelope.from_inc);
+  auto* sender = metadata_log_.view()->find(envelope.from_incarnation);
   return job_ && sender && job_->comparison == Comparison{partition, sender->id} && !job_->answered;
 }
 
@@ -152,7 +152,8 @@
   auto* partition = find_partition(*metadata_log_.view(), request.partition);
   bool equal =
       partition && partition->stores_epoch == request.stores_epoch && checksum(request.partition) == request.checksum;
-  out_.send(envelope.from, PartitionChecksumReply{request.partition, request.stores_epoch, equal}, envelope.from_inc);
+  out_.send(envelope.from, PartitionChecksumReply{request.partition, request.stores_epoch, equal},
+            envelope.from_incarnation);
 }
 
 void PartitionRepair::handle(const PartitionChecksumReply& reply, const Envelope& envelope) {
@@ -179,7 +180,7 @@
       page.summaries.push_back({name, history.term, history.records.size()});
     }
   }
-  out_.send(envelope.from, page, envelope.from_inc);
+  out_.send(envelope.from, page, envelope.from_incarnation);
 }
 
 void PartitionRepair::handle(const ListHistoriesReply& reply, const Envelope& envelope) {
@@ -215,7 +216,7 @@
     bytes += memory_size(history->records);
     reply.histories.push_back({name, history->term, history->records});
   }
-  out_.send(envelope.from, reply, envelope.from_inc);
+  out_.send(envelope.from, reply, envelope.from_incarnation);
 }
 
 /// Where nothing came, the peer has none of what was asked for any more.
--- a/src/history/partition_streams.cpp
+++ b/src/history/partition_streams.cpp
@@ -152,12 +152,12 @@
     add_histories(page, stored->histories);
     add_tombstones(page, stored->tombstones);
   }
-  out_.send(envelope.from, page, envelope.from_inc);
+  out_.send(envelope.from, page, envelope.from_incarnation);
 }
 
 bool PartitionStreams::handle(const StreamPartitionReply& page, const Envelope& envelope, Millis now) {
   auto found = streams_.find(page.partition);
-  auto* sender = metadata_log_.view()->find(envelope.from_inc);
+  auto* sender = metadata_log_.view()->find(envelope.from_incarnation);
   if (found == streams_.end() || !sender)
     return false;
   auto& stream = found->second;
--- a/src/history/partition_streams.hpp
+++ b/src/history/partition_streams.hpp
@@ -27,7 +27,7 @@
  private:
   /// One of the stores that hold a partition, and how far its replica has been read.
   struct Source {
-    HistoryName last_history;
+    HistoryName last_history{};
     uint64_t last_tombstone = 0;
     Millis requested_at = 0;
     bool awaits_page = false;
--- a/src/history/store_journal.cpp
+++ b/src/history/store_journal.cpp
@@ -9,7 +9,7 @@
 namespace mosskeel {
 
 void StoreJournal::append(const StoreRecord& record) {
-  auto bytes = codec::pack(record);
+  auto bytes = codec::encode(record);
   bytes_since_checkpoint_ += bytes.size();
   out_.write(std::move(bytes));
 }
--- a/src/history/store_machine.cpp
+++ b/src/history/store_machine.cpp
@@ -36,7 +36,7 @@
 /// A damaged one changes nothing.
 void StoreMachine::restore_checkpoint(std::string checkpoint) {
   codec::Reader reader{checkpoint};
-  Metadata metadata;
+  Metadata metadata{};
   StoredPartitions partitions;
   uint32_t count = 0;
   bool readable = codec::get(reader, metadata) && codec::get(reader, count);
@@ -58,7 +58,7 @@
 void StoreMachine::replay_journal(std::vector<std::string> journal) {
   for (auto& bytes : journal) {
     journal_.count_recovered(bytes.size());
-    if (auto record = codec::unpack<StoreRecord>(bytes))
+    if (auto record = codec::decode<StoreRecord>(bytes))
       replay(*record);
     bytes = {};
   }
@@ -86,7 +86,7 @@
 Actions StoreMachine::step(const Envelope& envelope, Millis now) {
   clock_.advance_to(now);
   if (follower_.is_foreign(envelope)) {
-    out_.note(Event::foreign, "from " + envelope.from);
+    out_.log_event(Event::foreign, "from " + envelope.from);
     return finish_step();
   }
   auto epoch_before = metadata_log_.epoch();
@@ -148,7 +148,7 @@
 bool StoreMachine::is_from_owner(const Envelope& envelope, PartitionId id) const {
   auto& metadata = *metadata_log_.view();
   auto* self = metadata.find(out_.id().self.incarnation);
-  auto* sender = metadata.find(envelope.from_inc);
+  auto* sender = metadata.find(envelope.from_incarnation);
   auto* partition = find_partition(metadata, id);
   if (!self || !sender || !partition)
     return false;
@@ -167,16 +167,17 @@
     reply.history_term = history->term;
     reply.records = history->records;
   }
-  out_.send_synced(envelope.from, std::move(reply), envelope.from_inc);
+  out_.send_synced(envelope.from, std::move(reply), envelope.from_incarnation);
 }
 
 void StoreMachine::handle(const AppendHistory& request, const Envelope& envelope) {
   if (!is_from_owner(envelope, request.partition) || table_.fence(request.partition) > request.term) {
-    out_.send(envelope.from, AppendHistoryReply{request.history, request.term, false, false, 0}, envelope.from_inc);
+    out_.send(envelope.from, AppendHistoryReply{request.history, request.term, false, false, 0},
+              envelope.from_incarnation);
     return;
   }
   auto reply = table_.append(request);
-  out_.send_synced(envelope.from, reply, envelope.from_inc);
+  out_.send_synced(envelope.from, reply, envelope.from_incarnation);
 }
 
 void StoreMachine::handle(const WriteTombstone& request, const Envelope& envelope) {
@@ -192,7 +193,7 @@
   bool completed_partition = streams_.handle(page, envelope, now);
   if (!completed_partition || streams_.completed_sequence() < page.sequence)
     return;
-  out_.note(Event::streamed, "sequence of epoch " + std::to_string(page.sequence.value()));
+  out_.log_event(Event::streamed, "sequence of epoch " + std::to_string(page.sequence.value()));
   follower_.send_heartbeat_soon();
 }
 
@@ -202,7 +203,7 @@
     reply.found = true;
     reply.text = std::move(*text);
   }
-  out_.send_synced(envelope.from, std::move(reply), envelope.from_inc);
+  out_.send_synced(envelope.from, std::move(reply), envelope.from_incarnation);
 }
 
 }  // namespace mosskeel
--- a/src/history/store_machine.hpp
+++ b/src/history/store_machine.hpp
@@ -12,13 +12,13 @@
 /// The state machine of a storage daemon. It follows the metadata log, serves the owners of the partitions that lie
 /// here, and in the background streams new partitions, compares old ones with other stores, reports expired histories
 /// and drops what moved away. Invariant: whatever it answers for is synced before the answer leaves.
-class StoreMachine : public Machine {
+class StoreMachine : public StateMachine {
  public:
   /// Takes what was recovered from the disk, and frees it piece by piece as the state grows.
   StoreMachine(const Identity& id, Recovered recovered, Millis now);
   Actions step(const Envelope& envelope, Millis now) override;
   Actions tick(Millis now) override;
-  View view() const override { return metadata_log_.view(); }
+  MetadataSnapshot view() const override { return metadata_log_.view(); }
   /// Encodes a `StoreCheckpoint`.
   std::string checkpoint() const override;
 
--- a/src/history/uptime_clock.hpp
+++ b/src/history/uptime_clock.hpp
@@ -18,8 +18,8 @@
 
  private:
   /// On the state machine's clock.
-  Millis started_at_;
-  Millis now_;
+  Millis started_at_{};
+  Millis now_{};
   Millis earlier_uptime_ = 0;
 };
 
--- a/src/messages/message.hpp
+++ b/src/messages/message.hpp
@@ -26,8 +26,8 @@
 /// sender knows, `id` random, `from_inc` and `to_inc` the incarnations of both ends (0: whoever has the address).
 struct Envelope {
   BOOST_HANA_DEFINE_STRUCT(Envelope, (uint16_t, protocol), (uint64_t, cluster), (Epoch, epoch), (uint64_t, id),
-                           (Address, from), (Incarnation, from_inc), (Address, to), (Incarnation, to_inc),
-                           (Message, body));
+                           (Address, from), (Incarnation, from_incarnation), (Address, to),
+                           (Incarnation, to_incarnation), (Message, body));
 };
 
 }  // namespace mosskeel
--- a/src/metadata/metadata.hpp
+++ b/src/metadata/metadata.hpp
@@ -74,7 +74,7 @@
   /// Whether a store is in the set of any partition, or in a pending one.
   bool holds_partitions(DaemonId store) const;
 };
-using View = std::shared_ptr<const Metadata>;
+using MetadataSnapshot = std::shared_ptr<const Metadata>;
 
 /// The cluster's id after its next re-founding; messages under the old one are fenced off.
 uint64_t next_cluster_id(uint64_t cluster, uint64_t generation);
--- a/src/metadata/replica_list_reconciler.cpp
+++ b/src/metadata/replica_list_reconciler.cpp
@@ -63,7 +63,7 @@
 
 std::optional<UpdateReplicas> ReplicaListReconciler::reconcile(const Replicas& log, const std::vector<Replica>& listed,
                                                                Millis now) {
-  UpdateReplicas change;
+  UpdateReplicas change{};
   std::set<std::string> listed_names;
   for (auto& replica : listed) {
     if (!listed_names.insert(replica.name).second)
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -43,14 +43,14 @@
  private:
   struct WatchedDescriptor {
     /// Tells events of this descriptor from those of an earlier one with the same number.
-    uint32_t generation;
+    uint32_t generation{};
     /// Shared, so that it outlives an unwatch from within.
     std::shared_ptr<ReadyCallback> on_ready;
   };
   /// An entry of the heap; timers that were cancelled stay in it until it is cleaned.
   struct ScheduledTimer {
-    Millis due_at;
-    uint64_t timer;
+    Millis due_at{};
+    uint64_t timer{};
     /// The earliest is on top of the heap.
     bool operator<(const ScheduledTimer& other) const {
       return std::pair(due_at, timer) > std::pair(other.due_at, other.timer);
--- a/src/net/replica_client.cpp
+++ b/src/net/replica_client.cpp
@@ -45,7 +45,7 @@
   void set_options();
   void set_headers();
 
-  ReplicaCall request_;
+  ReplicaCall request_{};
   const ReplicaClient::MessageCallback& on_message_;
   CurlEasyHandle handle_;
   CurlHeaderList headers_;
--- a/src/net/transport.cpp
+++ b/src/net/transport.cpp
@@ -83,7 +83,7 @@
     return;
   }
   ++foreign_;
-  note(Event::foreign, std::to_string(bytes) + " bytes that are no message of ours");
+  log_event(Event::foreign, std::to_string(bytes) + " bytes that are no message of ours");
 }
 
 std::optional<uint32_t> Transport::peer_socket(const Address& peer) {
@@ -112,7 +112,7 @@
   auto bytes = encode(envelope);
   if (nng_send(nng_socket{*socket}, bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK)) {
     if (dropped_++ % kDropsPerLogLine == 0) {
-      note(Event::unsent, "to " + envelope.to);
+      log_event(Event::unsent, "to " + envelope.to);
     }
     return false;
   }
--- a/src/net/transport.hpp
+++ b/src/net/transport.hpp
@@ -18,7 +18,7 @@
   uint32_t id() const { return id_; }
 
  private:
-  uint32_t id_;
+  uint32_t id_{};
 };
 
 /// Sends and receives messages without any promise: they may be lost, doubled or reordered, and nothing is sent again.
--- a/src/net/wire.cpp
+++ b/src/net/wire.cpp
@@ -5,7 +5,7 @@
 namespace mosskeel {
 
 std::string encode(const Envelope& envelope) {
-  auto bytes = codec::pack(envelope);
+  auto bytes = codec::encode(envelope);
   codec::put(bytes, digest(bytes));
   return bytes;
 }
@@ -20,7 +20,7 @@
   if (!codec::get(trailer, checksum) || checksum != digest(bytes)) {
     return std::nullopt;
   }
-  auto envelope = codec::unpack<Envelope>(bytes);
+  auto envelope = codec::decode<Envelope>(bytes);
   if (!envelope || envelope->protocol != kProtocolRevision) {
     return std::nullopt;
   }
--- a/src/programs/gateway_machine.cpp
+++ b/src/programs/gateway_machine.cpp
@@ -17,7 +17,7 @@
   bool is_from_this_process =
       envelope.from.starts_with(kLocalAddressPrefix) || envelope.from.starts_with(kReplicaAddressPrefix);
   if (!is_from_this_process && follower_.is_foreign(envelope)) {
-    context_.outbox.note(Event::foreign, "from " + envelope.from);
+    context_.outbox.log_event(Event::foreign, "from " + envelope.from);
     return context_.outbox.take();
   }
   auto epoch_before = context_.metadata_log.epoch();
@@ -109,7 +109,7 @@
     return;
   had_majority_contact_ = has_contact;
   auto event = has_contact ? Event::majority_contact_restored : Event::majority_contact_lost;
-  context_.outbox.note(event, "epoch " + std::to_string(context_.metadata_log.epoch().value()));
+  context_.outbox.log_event(event, "epoch " + std::to_string(context_.metadata_log.epoch().value()));
 }
 
 void GatewayMachine::stop_if_drained(Millis now) {
--- a/src/programs/gateway_machine.hpp
+++ b/src/programs/gateway_machine.hpp
@@ -13,13 +13,13 @@
 ///
 /// Runs on one thread, its host's; other threads see it by RoutingSnapshot only. Nothing of it is on disk: what must
 /// survive it lies on the stores of its programs' histories.
-class GatewayMachine : public Machine {
+class GatewayMachine : public StateMachine {
  public:
   /// `id.self.agent_address` is where the agent listens.
   GatewayMachine(const Identity& id, Millis now);
   Actions step(const Envelope& envelope, Millis now) override;
   Actions tick(Millis now) override;
-  View view() const override { return context_.metadata_log.view(); }
+  MetadataSnapshot view() const override { return context_.metadata_log.view(); }
 
   /// Begins a graceful shutdown: the partitions are handed over and running turns end, then the machine stops.
   void begin_shutdown() { context_.shutting_down = true; }
--- a/src/programs/history_closer.cpp
+++ b/src/programs/history_closer.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 void HistoryCloser::handle(const Envelope& envelope, const HistoryExpired& report, Millis now) {
-  const auto* store = context_.metadata().find(envelope.from_inc);
+  const auto* store = context_.metadata().find(envelope.from_incarnation);
   const auto& history = report.history;
   if (!store || report.partition != partition_of(history.cell, history.program))
     return;
@@ -23,7 +23,7 @@
     bool is_committed = history_writer_.committed_length(history) >= history_writer_.records(history).size();
     if (is_committed)
       context_.outbox.send(envelope.from, WriteTombstone{history, report.partition, history_writer_.term(history)},
-                           envelope.from_inc);
+                           envelope.from_incarnation);
     return;
   }
   reported_lengths_[history][store->id] = report.length;
--- a/src/programs/open_request.hpp
+++ b/src/programs/open_request.hpp
@@ -58,7 +58,7 @@
   bool is_stateless = false;
 
   /// The turn on the program's history; unused by stateless requests.
-  HistoryName history;
+  HistoryName history{};
   PartitionId partition{};
   /// The term under which this gateway admitted the turn; a later one means that the partition has moved.
   Epoch owner_term{};
--- a/src/programs/outcome_transfer.cpp
+++ b/src/programs/outcome_transfer.cpp
@@ -50,7 +50,7 @@
     return open;
   }
   if (is_recorded) {
-    context_.outbox.note(Event::turn_outcome_transferred, reply.attempt);
+    context_.outbox.log_event(Event::turn_outcome_transferred, reply.attempt);
   } else {
     ProgramResponse response{};
     response.status = 502;
@@ -68,7 +68,7 @@
                               [&](const Transfer& pending) { return pending.message.attempt == transfer.attempt; });
   if (is_known)
     return;
-  Transfer pending{transfer, envelope.from, envelope.from_inc, now, 0, {}};
+  Transfer pending{transfer, envelope.from, envelope.from_incarnation, now, 0, {}};
   if (!try_complete(pending, now))
     transfers_.push_back(std::move(pending));
 }
--- a/src/programs/outcome_transfer.hpp
+++ b/src/programs/outcome_transfer.hpp
@@ -37,7 +37,7 @@
 
  private:
   struct Transfer {
-    TransferTurnOutcome message;
+    TransferTurnOutcome message{};
     Address reply_to;
     Incarnation reply_to_incarnation{};
     Millis arrived_at = 0;
--- a/src/programs/replica_dispatcher.cpp
+++ b/src/programs/replica_dispatcher.cpp
@@ -61,7 +61,7 @@
 }
 
 void ReplicaDispatcher::abort_stream(OpenRequest& open, const std::string& reason, Millis now) {
-  context_.outbox.note(Event::replica_fault, open.replica + ": " + reason);
+  context_.outbox.log_event(Event::replica_fault, open.replica + ": " + reason);
   context_.count("replica_faults");
   cancel_call(open);
   turn_owner_.finish(open, {502, Outcome::unknown, reason, open.reserved_tokens}, now);
@@ -93,7 +93,7 @@
 void ReplicaDispatcher::handle_failure(OpenRequest& open, const ReplicaCallResponse& response, Millis now) {
   context_.count("replica_faults");
   auto fault = response.reason.empty() ? "status " + std::to_string(response.status) : response.reason;
-  context_.outbox.note(Event::replica_fault, open.replica + ": " + fault);
+  context_.outbox.log_event(Event::replica_fault, open.replica + ": " + fault);
   if (!response.request_sent || open.request.idempotent) {
     replica_selector_.back_off(open.replica, now);
     if (retry(open, now))
--- a/src/programs/request_forwarder.cpp
+++ b/src/programs/request_forwarder.cpp
@@ -53,7 +53,7 @@
   if (!open || open->stage != RequestStage::forwarded)
     return nullptr;
   const auto* owner = context_.metadata().find(open->forwarded_to);
-  bool is_from_owner = owner && owner->self.incarnation == envelope.from_inc;
+  bool is_from_owner = owner && owner->self.incarnation == envelope.from_incarnation;
   return is_from_owner ? open : nullptr;
 }
 
--- a/src/programs/request_intake.cpp
+++ b/src/programs/request_intake.cpp
@@ -7,12 +7,12 @@
 OpenRequest* RequestIntake::admit(const Envelope& envelope, const ProgramRequest& request, Millis now) {
   ProgramRequestAcknowledgement acknowledgement{request.attempt};
   if (requests_.find(request.attempt)) {
-    context_.outbox.send(envelope.from, acknowledgement, envelope.from_inc);
+    context_.outbox.send(envelope.from, acknowledgement, envelope.from_incarnation);
     return nullptr;
   }
   if (recent_responses_.contains(request.attempt)) {
     if (const auto* response = recent_responses_.find(request.attempt))
-      context_.outbox.send(envelope.from, *response, envelope.from_inc);
+      context_.outbox.send(envelope.from, *response, envelope.from_incarnation);
     return nullptr;
   }
   auto& open = add(envelope, request, now);
@@ -20,13 +20,13 @@
   context_.count(is_forwarded ? "requests_forwarded_in" : "requests_received");
   if (is_forwarded && is_stamped_before_term(envelope, request)) {
     auto epoch = std::to_string(envelope.epoch.value());
-    context_.outbox.note(Event::stale_epoch_rejected, request.attempt + " placed at " + epoch);
+    context_.outbox.log_event(Event::stale_epoch_rejected, request.attempt + " placed at " + epoch);
     open.response.wrong_owner = true;
     responder_.reject(open, {503, "placed at an epoch too old for its slot"}, now);
     return nullptr;
   }
   if (is_forwarded)
-    context_.outbox.send(envelope.from, acknowledgement, envelope.from_inc);
+    context_.outbox.send(envelope.from, acknowledgement, envelope.from_incarnation);
   auto rejection = evaluate_admission(open.request, admission_context(open.request, is_forwarded, now));
   if (!rejection)
     return &open;
@@ -39,7 +39,7 @@
   open.request = request;
   open.reply_to = envelope.from;
   if (!open.is_from_local_caller())
-    open.reply_to_incarnation = envelope.from_inc;
+    open.reply_to_incarnation = envelope.from_incarnation;
   open.arrived_at = now;
   open.arrival_number = ++arrivals_;
   open.response.attempt = request.attempt;
--- a/src/programs/turn_owner.cpp
+++ b/src/programs/turn_owner.cpp
@@ -73,7 +73,7 @@
   if (turn_runners_.runs_here(open.history, open.request.key) ||
       turn_runners_.may_run_elsewhere(open.history, latest, now))
     return turn_is_running();
-  context_.outbox.note(Event::reservation_without_outcome, open.history.program + " key " + open.request.key);
+  context_.outbox.log_event(Event::reservation_without_outcome, open.history.program + " key " + open.request.key);
   return RequestRejection{502, "the outcome of this turn is unknown; it will not be run again", 0, Outcome::unknown};
 }
 
--- a/src/programs/turn_runners.cpp
+++ b/src/programs/turn_runners.cpp
@@ -26,11 +26,11 @@
 void TurnRunners::handle(const Envelope& envelope, const QueryTurnRunner& query) {
   bool running = runs_here(query.history, query.key) || turn_client_.is_in_flight(query.key);
   QueryTurnRunnerReply reply{query.history, query.key, running};
-  context_.outbox.send(envelope.from, std::move(reply), envelope.from_inc);
+  context_.outbox.send(envelope.from, std::move(reply), envelope.from_incarnation);
 }
 
 void TurnRunners::handle(const Envelope& envelope, const QueryTurnRunnerReply& reply) {
-  const auto* runner = context_.metadata().find(envelope.from_inc);
+  const auto* runner = context_.metadata().find(envelope.from_incarnation);
   if (!runner)
     return;
   auto query = queries_.find({reply.history, reply.key, runner->id});
--- a/src/replication/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -13,7 +13,7 @@
 
 Actions AgentMachine::step(const Envelope& envelope, Millis now) {
   if (follower_.is_foreign(envelope)) {
-    out_.note(Event::foreign, "from " + envelope.from);
+    out_.log_event(Event::foreign, "from " + envelope.from);
     return out_.take();
   }
   auto epoch_before = metadata_log_.epoch();
--- a/src/replication/agent_machine.hpp
+++ b/src/replication/agent_machine.hpp
@@ -6,12 +6,12 @@
 
 /// Follows the metadata log and passes each entry on to its gateway; speaks for the gateway with the heartbeats that
 /// this sends it. Nothing is on disk.
-class AgentMachine : public Machine {
+class AgentMachine : public StateMachine {
  public:
   AgentMachine(const Identity& id, Millis now);
   Actions step(const Envelope& envelope, Millis now) override;
   Actions tick(Millis now) override;
-  View view() const override { return metadata_log_.view(); }
+  MetadataSnapshot view() const override { return metadata_log_.view(); }
   /// Stops once the gateway beside it has been silent for `kAgentShutdownDelay`, or was replaced by a newer one: the
   /// gateway goes first and needs its link until then.
   void leave() { leaving_ = true; }
--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -7,7 +7,7 @@
 namespace mosskeel {
 
 bool Follower::is_foreign(const Envelope& envelope) const {
-  if (envelope.to_inc.value() && envelope.to_inc != out_.id().self.incarnation)
+  if (envelope.to_incarnation.value() && envelope.to_incarnation != out_.id().self.incarnation)
     return true;
   return envelope.cluster && out_.cluster && envelope.cluster != out_.cluster &&
          !is_successor_cluster(*metadata_log_.view(), envelope.cluster);
@@ -15,7 +15,7 @@
 
 void Follower::apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot) {
   if (snapshot && metadata_log_.install_snapshot(*snapshot)) {
-    out_.note(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
+    out_.log_event(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
     if (on_snapshot)
       on_snapshot(*snapshot);
   }
@@ -109,7 +109,7 @@
   if (reply.epoch > metadata_log_.epoch())
     request_catchup(envelope.from, now);
   if (reply.confirmed)
-    acknowledgements_.record(envelope.from, envelope.from_inc, reply.epoch, reply.sent);
+    acknowledgements_.record(envelope.from, envelope.from_incarnation, reply.epoch, reply.sent);
   return true;
 }
 
--- a/src/replication/metadata_log.cpp
+++ b/src/replication/metadata_log.cpp
@@ -31,7 +31,7 @@
 
 void MetadataLog::keep_recent(const Entry& entry) {
   recent_.push_back(entry);
-  recent_sizes_.push_back(codec::pack(entry).size());
+  recent_sizes_.push_back(codec::encode(entry).size());
   recent_bytes_ += recent_sizes_.back();
   while (recent_.size() > kLogEntriesKept || recent_bytes_ > kLogBytesKept) {
     recent_bytes_ -= recent_sizes_.front();
--- a/src/replication/metadata_log.hpp
+++ b/src/replication/metadata_log.hpp
@@ -19,7 +19,7 @@
 class MetadataLog {
  public:
   /// The value at the newest epoch; a value of epoch 0 before the founding is known.
-  const View& view() const { return view_; }
+  const MetadataSnapshot& view() const { return view_; }
   Epoch epoch() const { return view_->epoch; }
 
   /// Takes one decided entry and returns the entries that could be applied: none while one before it is missing, else
@@ -43,7 +43,7 @@
   bool apply_next(const Entry& entry);
   void keep_recent(const Entry& entry);
 
-  View view_ = std::make_shared<Metadata>();
+  MetadataSnapshot view_ = std::make_shared<Metadata>();
   /// Within the bounds `kLogEntriesKept` and `kLogBytesKept`.
   std::deque<Entry> recent_;
   /// Encoded size of each of `recent_`, in bytes, and their sum.
--- a/src/routing/active_request.cpp
+++ b/src/routing/active_request.cpp
@@ -11,7 +11,7 @@
   return turn || !is_idempotent(*path);
 }
 
-void ActiveRequest::route_to(const Path& new_path, const View& new_view) {
+void ActiveRequest::route_to(const Path& new_path, const MetadataSnapshot& new_view) {
   view = new_view;
   path = &new_path;
   // All turns of a program go to one service, and so do all sendings of one attempt.
@@ -27,7 +27,7 @@
 }
 
 ActiveRequest make_active_request(RequestReceived&& event, const RequestHeaders& headers, const Path& path,
-                                  const View& view, Millis now) {
+                                  const MetadataSnapshot& view, Millis now) {
   ActiveRequest request;
   request.id = event.request_id;
   request.request = std::move(event.request);
--- a/src/routing/active_request.hpp
+++ b/src/routing/active_request.hpp
@@ -41,7 +41,7 @@
   HttpRequest request;
   RequestHeaders headers;
   /// The configuration that `path` lies in.
-  View view;
+  MetadataSnapshot view;
   const Path* path = nullptr;
   std::string service;
   /// Keeps requests that belong together on one replica; 0 for none.
@@ -63,14 +63,14 @@
   /// Whether a replica may have run it without its response having ended.
   bool may_have_run() const { return retry.outcome_unknown() || attempt; }
   /// Takes the path, and the service that takes this request there.
-  void route_to(const Path& new_path, const View& new_view);
+  void route_to(const Path& new_path, const MetadataSnapshot& new_view);
   /// Tokens of the turn that were passed on to the caller.
   uint64_t streamed_tokens() const;
 };
 
 /// A request as it arrives: routed, with its deadlines, and not sent yet.
 ActiveRequest make_active_request(RequestReceived&& event, const RequestHeaders& headers, const Path& path,
-                                  const View& view, Millis now);
+                                  const MetadataSnapshot& view, Millis now);
 /// The reservation that a turn begins with.
 ReserveTurn make_reservation(const ActiveRequest& request, Millis now);
 /// The outcome that a turn ends with: 200 complete, 0 not run, 502 unknown or broken off, else the replica's error.
--- a/src/routing/attempt_dispatcher.hpp
+++ b/src/routing/attempt_dispatcher.hpp
@@ -47,8 +47,8 @@
  private:
   struct QueueKey {
     /// 0 is the most urgent.
-    uint32_t rank;
-    Millis received_at;
+    uint32_t rank{};
+    Millis received_at{};
     RequestId id;
     bool operator<(const QueueKey& other) const {
       return std::tie(rank, received_at, id) < std::tie(other.rank, other.received_at, other.id);
--- a/src/routing/event_reader.hpp
+++ b/src/routing/event_reader.hpp
@@ -22,7 +22,7 @@
   void read_line(std::string_view line);
   void finish_event();
 
-  bool collect_data_;
+  bool collect_data_{};
   uint64_t events_ = 0;
   std::string data_;
   std::string last_id_;
--- a/src/routing/load_balancer.hpp
+++ b/src/routing/load_balancer.hpp
@@ -69,7 +69,7 @@
   void update_replica(ReplicaState& state, const Replica& replica, const Gateways& gateways, Millis now);
   static bool has_capacity(ReplicaState& state, Millis now);
 
-  View view_;
+  MetadataSnapshot view_;
   DaemonId self_id_{};
   std::unordered_map<std::string, ReplicaState> replicas_;
   /// Points into `replicas_`, whose elements stay in place while they are listed.
--- a/src/routing/request_router.hpp
+++ b/src/routing/request_router.hpp
@@ -35,7 +35,7 @@
  private:
   /// An error response of this gateway's own.
   struct ErrorResponse {
-    uint32_t status;
+    uint32_t status{};
     std::string reason;
     /// Milliseconds until the caller may come back; 0 says nothing.
     Millis retry_after = 0;
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -2,7 +2,7 @@
 
 namespace mosskeel {
 
-RouteTable::RouteTable(View view) : view_(std::move(view)) {
+RouteTable::RouteTable(MetadataSnapshot view) : view_(std::move(view)) {
   for (auto& path : view_->configuration.paths) {
     path_by_key_[key(path.host, path.prefix)] = &path;
     auto& longest = longest_prefix_[path.host];
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -9,15 +9,15 @@
 /// Immutable index of one configuration revision; keeps the metadata alive that its paths lie in.
 class RouteTable {
  public:
-  explicit RouteTable(View view);
+  explicit RouteTable(MetadataSnapshot view);
   /// The path of this host with the longest prefix of `target`, whose query does not count; nullptr where none matches.
   const Path* find(const std::string& host, std::string_view target) const;
-  const View& view() const { return view_; }
+  const MetadataSnapshot& view() const { return view_; }
 
  private:
   static std::string key(const std::string& host, std::string_view prefix);
 
-  View view_;
+  MetadataSnapshot view_;
   std::unordered_map<std::string, const Path*> path_by_key_;
   /// Length in bytes of the longest prefix of each host.
   std::unordered_map<std::string, size_t> longest_prefix_;
--- a/src/routing/router_messages.hpp
+++ b/src/routing/router_messages.hpp
@@ -22,7 +22,7 @@
 /// The head of a replica's response.
 struct ResponseHeadersReceived {
   AttemptNumber attempt;
-  uint32_t status;
+  uint32_t status{};
   HeaderFields fields;
   /// The caller's attempt that used the connection before; empty on a new one.
   std::string previous_attempt_id;
@@ -40,7 +40,7 @@
 struct AttemptFailed {
   AttemptNumber attempt;
   /// Whether any byte of the request may have reached the replica.
-  bool possibly_sent;
+  bool possibly_sent{};
   std::string reason;
 };
 using Event = std::variant<RequestReceived, CallerDisconnected, ResponseHeadersReceived, ResponseDataReceived,
@@ -49,14 +49,14 @@
 /// A complete response to the caller.
 struct SendResponse {
   RequestId request_id;
-  uint32_t status;
+  uint32_t status{};
   HeaderFields fields;
   std::string body;
 };
 /// The head of a response whose body follows.
 struct SendResponseHeaders {
   RequestId request_id;
-  uint32_t status;
+  uint32_t status{};
   HeaderFields fields;
 };
 struct SendResponseData {
--- a/src/routing/routing_snapshot.hpp
+++ b/src/routing/routing_snapshot.hpp
@@ -7,7 +7,7 @@
 /// Immutable; replaced as a whole after each step of the control state.
 struct RoutingSnapshot {
   /// Never null. Empty metadata before the gateway has heard of the cluster.
-  View view;
+  MetadataSnapshot view;
   /// This gateway's number in the directory; 0 before it is registered.
   DaemonId self_id{};
   /// Milliseconds on the process's clock: when majority contact expires, after which nothing may be dispatched.
--- a/src/routing/turn_client.hpp
+++ b/src/routing/turn_client.hpp
@@ -35,7 +35,7 @@
   };
   /// An outcome whose owner knew no reservation.
   struct UnmatchedCommit {
-    CommitTurn body;
+    CommitTurn body{};
     Millis acknowledged_at = 0;
   };
 
--- a/src/routing/turn_coordinator.cpp
+++ b/src/routing/turn_coordinator.cpp
@@ -87,7 +87,7 @@
 }
 
 void TurnCoordinator::handle(const FindChainReply& reply, const Envelope& envelope, Millis now) {
-  auto* store = metadata_log_.view()->find(envelope.from_inc);
+  auto* store = metadata_log_.view()->find(envelope.from_incarnation);
   if (!store)
     return;
   auto awaits_reply = [&](const PendingReservation& pending) {
--- a/src/routing/turn_coordinator.hpp
+++ b/src/routing/turn_coordinator.hpp
@@ -34,7 +34,7 @@
     Body body;
     Address from;
     Incarnation incarnation;
-    HistoryName history;
+    HistoryName history{};
     Millis received_at = 0;
     /// How long the history must be committed before the request is answered; 0 before its record was appended.
     uint64_t required_length = 0;
@@ -47,7 +47,7 @@
 
   template <class Body>
   static Pending<Body> pending(const Body& body, const Envelope& envelope, Millis now) {
-    return {body, envelope.from, envelope.from_inc, turn_history_name(body.program), now, 0, {}};
+    return {body, envelope.from, envelope.from_incarnation, turn_history_name(body.program), now, 0, {}};
   }
   void handle(const ReserveTurn& request, const Envelope& envelope, Millis now);
   void handle(const CommitTurn& request, const Envelope& envelope, Millis now);
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -16,15 +16,15 @@
 }  // namespace
 
 std::variant<std::shared_ptr<Disk>, int> open_disk(const std::string& folder) {
-  auto opened = Disk::open(folder, dice());
+  auto opened = Disk::open(folder, random_number());
   if (!opened.ok()) {
     for (const auto& error : opened.errors())
-      note(Event::corrupt, error.location + ": " + error.message);
+      log_event(Event::corrupt, error.location + ": " + error.message);
     return kExitDamagedData;
   }
   auto disk = opened.value();
   if (disk->truncated_bytes())
-    note(Event::torn_tail, std::to_string(disk->truncated_bytes()) + " bytes in " + folder);
+    log_event(Event::torn_tail, std::to_string(disk->truncated_bytes()) + " bytes in " + folder);
   return disk;
 }
 
@@ -53,19 +53,19 @@
 }
 
 int run_until_stopped(Host& host, const char* program, const std::function<bool()>& leave) {
-  note(Event::started, std::string(program) + " " MOSSKEEL_VERSION);
+  log_event(Event::started, std::string(program) + " " MOSSKEEL_VERSION);
   bool was_signalled = false;
   while (!host.stopped()) {
-    if (!signalled(kSignalPollInterval))
+    if (!wait_for_signal(kSignalPollInterval))
       continue;
-    note(Event::stopping, program);
+    log_event(Event::stopping, program);
     if (leave() || was_signalled)
       break;
     was_signalled = true;
   }
   bool stopped_by_itself = host.stopped() && !was_signalled;
   host.stop();
-  note(Event::stopped, program);
+  log_event(Event::stopped, program);
   return stopped_by_itself ? kExitStoppedByItself : 0;
 }
 
--- a/src/runtime/host.cpp
+++ b/src/runtime/host.cpp
@@ -72,10 +72,10 @@
   watch_ = std::move(watch);
 }
 
-void Host::ask(const std::function<void(Machine&, Millis)>& function) {
+void Host::ask(const std::function<void(StateMachine&, Millis)>& function) {
   auto done = std::make_shared<std::promise<void>>();
   auto finished = done->get_future();
-  inbox_.call([function, done](Machine& machine, Millis now) {
+  inbox_.call([function, done](StateMachine& machine, Millis now) {
     function(machine, now);
     done->set_value();
   });
@@ -104,7 +104,7 @@
 
 void Host::perform(Actions actions) {
   for (const auto& entry : actions.notes)
-    note(entry.event, entry.text);
+    log_event(entry.event, entry.text);
   for (auto& message : actions.now)
     send(std::move(message));
   if (!disk_) {
@@ -153,7 +153,7 @@
 
 /// Made in the state machine's thread, so that it stands for all that was enqueued before it.
 void Host::request_checkpoint() {
-  inbox_.call([this](Machine& machine, Millis) {
+  inbox_.call([this](StateMachine& machine, Millis) {
     if (auto checkpoint = machine.checkpoint(); !checkpoint.empty())
       enqueue({{}, std::move(checkpoint), {}});
   });
@@ -166,9 +166,9 @@
     bytes += batch.bytes;
   auto written = journal_->write(std::move(batches));
   for (const auto& entry : written.notes)
-    note(entry.event, entry.text);
+    log_event(entry.event, entry.text);
   if (written.result.kind == DiskResult::failed) {
-    note(Event::disk_failed, "nothing unsynced was answered");
+    log_event(Event::disk_failed, "nothing unsynced was answered");
     stopped_ = true;
     return false;
   }
--- a/src/runtime/host.hpp
+++ b/src/runtime/host.hpp
@@ -18,12 +18,12 @@
 class Host {
  public:
   /// Makes the state machine from what the disk held, at the time given.
-  using Make = std::function<std::unique_ptr<Machine>(Recovered, Millis)>;
+  using Make = std::function<std::unique_ptr<StateMachine>(Recovered, Millis)>;
   /// Takes a message that is not for another daemon ("local:7", "replica:m1"); called by the state machine's thread or
   /// the disk's.
   using Deliver = std::function<void(const Envelope&)>;
   /// Looks at the state machine in its own thread.
-  using Watch = std::function<void(Machine&, Millis)>;
+  using Watch = std::function<void(StateMachine&, Millis)>;
 
   /// `disk` may be null for a daemon that keeps no journal. Beyond `max_inbox_bytes` of messages that wait for the
   /// state machine, larger ones are dropped as if lost on the way.
@@ -44,9 +44,9 @@
   /// Hands the state machine a message from inside the process.
   void post(Envelope message) { inbox_.post(std::move(message)); }
   /// Runs `function` in the state machine's thread and waits for its end, or for the host's.
-  void ask(const std::function<void(Machine&, Millis)>& function);
+  void ask(const std::function<void(StateMachine&, Millis)>& function);
   /// The metadata that the state machine knew after its last batch of steps.
-  View view() const { return std::atomic_load(&view_); }
+  MetadataSnapshot view() const { return std::atomic_load(&view_); }
 
   /// Null where no journal is kept.
   const JournalWriter* journal() const { return journal_.get(); }
@@ -74,13 +74,13 @@
   std::unique_ptr<JournalWriter> journal_;
   Address self_;
   /// Touched by its own thread alone once that runs.
-  std::unique_ptr<Machine> machine_;
+  std::unique_ptr<StateMachine> machine_;
   std::unique_ptr<Transport> transport_;
   std::map<std::string, Deliver> local_routes_;
   Inbox inbox_;
   Queue<Batch> disk_queue_;
   /// Read and written as an atomic shared pointer.
-  View view_ = std::make_shared<Metadata>();
+  MetadataSnapshot view_ = std::make_shared<Metadata>();
   std::thread machine_thread_, disk_thread_;
   std::atomic<bool> stopped_{false};
   /// The threads are to end.
--- a/src/runtime/inbox.hpp
+++ b/src/runtime/inbox.hpp
@@ -11,7 +11,7 @@
 /// Messages and calls in the order in which they came. Any thread may add; the state machine's thread takes.
 class Inbox {
  public:
-  using Call = std::function<void(Machine&, Millis)>;
+  using Call = std::function<void(StateMachine&, Millis)>;
   struct Item {
     std::variant<Envelope, Call> content;
     /// The size of a message as it came; 0 for what comes from inside the process.
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -36,7 +36,7 @@
   return nullptr;
 }
 
-int report(const Needs& needs, const Errors& errors) {
+int report(const RequiredSettings& needs, const Errors& errors) {
   for (const auto& error : errors)
     fprintf(stderr, "%s: event=%d %s: %s: %s\n", needs.program, static_cast<int>(Event::bad_settings),
             meaning(Event::bad_settings), error.location.c_str(), error.message.c_str());
@@ -65,7 +65,7 @@
   }
 };
 
-Errors parse_flags(int argc, const char** argv, const Needs& needs, Flags& flags) {
+Errors parse_flags(int argc, const char** argv, const RequiredSettings& needs, Flags& flags) {
   poptOption table[] = {
       {"settings", 's', POPT_ARG_STRING, &flags.file, 0, "JSON file with any of the settings below", "FILE"},
       {"listen", 'l', POPT_ARG_STRING, &flags.listen, 0, "address for other daemons", "IP:PORT"},
@@ -152,7 +152,7 @@
     errors.push_back({location, "'" + address + "' is no IP:port"});
 }
 
-void check_addresses(const Settings& settings, const Needs& needs, bool from_source, Errors& errors) {
+void check_addresses(const Settings& settings, const RequiredSettings& needs, bool from_source, Errors& errors) {
   bool may_lack_http = from_source && settings.http.empty();
   if (needs.listen)
     check_address("listen", settings.listen, errors);
@@ -166,7 +166,7 @@
     check_address("agent", settings.agent, errors);
 }
 
-Errors check(const Settings& settings, const Needs& needs, bool from_source) {
+Errors check(const Settings& settings, const RequiredSettings& needs, bool from_source) {
   Errors errors;
   check_addresses(settings, needs, from_source, errors);
   if (needs.zone && settings.zone.empty())
@@ -194,7 +194,7 @@
 
 }  // namespace
 
-SettingsEnrolled::SettingsEnrolled(const SettingsSource* source) {
+SettingsSourceRegistration::SettingsSourceRegistration(const SettingsSource* source) {
   registered_sources().push_back(source);
 }
 
@@ -208,13 +208,13 @@
   return kControllerPortOffset;
 }
 
-uint64_t dice() {
+uint64_t random_number() {
   std::random_device device;
   uint64_t high = device();
   return (high << 32) ^ device();
 }
 
-std::variant<Settings, int> read_settings(int argc, const char** argv, const Needs& needs) {
+std::variant<Settings, int> read_settings(int argc, const char** argv, const RequiredSettings& needs) {
   Flags flags;
   auto errors = parse_flags(argc, argv, needs, flags);
   if (flags.version) {
--- a/src/runtime/settings.hpp
+++ b/src/runtime/settings.hpp
@@ -44,7 +44,7 @@
 };
 
 /// What a program needs of the settings.
-struct Needs {
+struct RequiredSettings {
   const char* program;
   const char* purpose;
   bool listen, http, agent, zone, seeds, data, core_size;
@@ -60,8 +60,8 @@
 };
 
 /// A static object of this type puts a source into the registry.
-struct SettingsEnrolled {
-  explicit SettingsEnrolled(const SettingsSource* source);
+struct SettingsSourceRegistration {
+  explicit SettingsSourceRegistration(const SettingsSource* source);
 };
 
 /// Which of a machine's ports for daemons a program listens on, counted from the first of them.
@@ -69,9 +69,9 @@
 
 /// Reads flags and file, or a source that applies where no flag gives settings; prints help, version or errors
 /// itself and then gives an exit code. Settings of a source may leave out HTTP, and their core may have an even size.
-std::variant<Settings, int> read_settings(int argc, const char** argv, const Needs& needs);
+std::variant<Settings, int> read_settings(int argc, const char** argv, const RequiredSettings& needs);
 
-/// A random seed from the operating system.
-uint64_t dice();
+/// A random number from the operating system, for ids and seeds.
+uint64_t random_number();
 
 }  // namespace mosskeel
--- a/src/runtime/signals.cpp
+++ b/src/runtime/signals.cpp
@@ -5,7 +5,7 @@
 
 namespace mosskeel {
 
-void hold_signals() {
+void block_signals() {
   sigset_t blocked;
   sigemptyset(&blocked);
   sigaddset(&blocked, SIGTERM);
@@ -15,7 +15,7 @@
   signal(SIGPIPE, SIG_IGN);
 }
 
-bool signalled(Millis timeout) {
+bool wait_for_signal(Millis timeout) {
   constexpr Millis kMillisPerSecond = 1000;
   constexpr long kNanosPerMilli = 1000000;
   sigset_t awaited;
--- a/src/runtime/signals.hpp
+++ b/src/runtime/signals.hpp
@@ -6,9 +6,9 @@
 
 /// Blocks SIGTERM, SIGINT and SIGHUP for all threads started later, and ignores SIGPIPE. SIGHUP changes nothing here:
 /// a daemon follows the directory and not its settings file once it has started.
-void hold_signals();
+void block_signals();
 
 /// Waits up to `timeout` (ms) for SIGTERM or SIGINT; true once one came.
-bool signalled(Millis timeout);
+bool wait_for_signal(Millis timeout);
 
 }  // namespace mosskeel
--- a/src/runtime/state_machine.hpp
+++ b/src/runtime/state_machine.hpp
@@ -19,19 +19,19 @@
   std::optional<std::string> checkpoint;
   /// Messages that may leave at once, and those that leave only when the journal so far is durable.
   std::vector<Envelope> now, synced;
-  std::vector<Note> notes;
+  std::vector<LogEntry> notes;
   /// The daemon is to end.
   bool stop = false;
 };
 
 /// The settings of a daemon: who it is and where others are.
 struct Identity {
-  Candidate self;
+  Candidate self{};
   /// Addresses of controllers to find the cluster by.
   Addresses seeds;
   uint32_t core_size = 3;
   /// Seed of the state machine's random numbers.
-  uint64_t dice = 1;
+  uint64_t random_seed = 1;
   Millis commit_attempt_timeout = kCommitAttemptTimeout;
   /// Forbids founding: an empty disk at a later start joins or waits.
   bool later_start = false;
@@ -40,15 +40,15 @@
 };
 
 /// The interface of all daemons. One thread at a time; `now` never decreases from call to call.
-class Machine {
+class StateMachine {
  public:
-  virtual ~Machine() = default;
+  virtual ~StateMachine() = default;
   /// Handles one message.
   virtual Actions step(const Envelope& message, Millis now) = 0;
   /// Looks at timers; called each kTickInterval.
   virtual Actions tick(Millis now) = 0;
   /// The metadata as this daemon knows it; never null.
-  virtual View view() const = 0;
+  virtual MetadataSnapshot view() const = 0;
   /// The encoded state that the journal so far adds up to; empty where no journal is kept.
   virtual std::string checkpoint() const { return {}; }
 };
@@ -57,13 +57,13 @@
 /// envelope. Owned by the state machine, referenced by its parts.
 class Outbox {
  public:
-  explicit Outbox(const Identity& id) : id_(id), dice_(id.dice) {}
+  explicit Outbox(const Identity& id) : id_(id), random_(id.random_seed) {}
 
   const Identity& id() const { return id_; }
-  /// The next random number; deterministic by `Identity::dice`.
-  uint64_t roll() { return dice_(); }
+  /// The next random number; deterministic by `Identity::random_seed`.
+  uint64_t next_random() { return random_(); }
   /// A random delay (ms) below `limit`.
-  Millis jitter(Millis limit) { return static_cast<Millis>(dice_() % static_cast<uint64_t>(limit)); }
+  Millis jitter(Millis limit) { return static_cast<Millis>(random_() % static_cast<uint64_t>(limit)); }
 
   /// Sends at once. `to_incarnation` 0 means whoever has the address.
   void send(const Address& to, Message message, Incarnation to_incarnation = {}) {
@@ -75,7 +75,7 @@
   }
   /// Appends a record to the journal.
   void write(std::string record) { act.journal.push_back(std::move(record)); }
-  void note(Event event, std::string text) { act.notes.push_back({event, std::move(text)}); }
+  void log_event(Event event, std::string text) { act.notes.push_back({event, std::move(text)}); }
 
   /// The actions of this step; the next one starts empty.
   Actions take() { return std::exchange(act, {}); }
@@ -87,21 +87,21 @@
 
  private:
   Envelope wrap(const Address& to, Message message, Incarnation to_incarnation) {
-    Envelope envelope;
+    Envelope envelope{};
     envelope.protocol = kProtocolRevision;
     envelope.cluster = cluster;
     envelope.epoch = epoch;
-    envelope.id = dice_();
+    envelope.id = random_();
     envelope.from = id_.self.address;
-    envelope.from_inc = id_.self.incarnation;
+    envelope.from_incarnation = id_.self.incarnation;
     envelope.to = to;
-    envelope.to_inc = to_incarnation;
+    envelope.to_incarnation = to_incarnation;
     envelope.body = std::move(message);
     return envelope;
   }
 
   Identity id_;
-  std::mt19937_64 dice_;
+  std::mt19937_64 random_;
 };
 
 }  // namespace mosskeel
--- a/src/storage/disk.cpp
+++ b/src/storage/disk.cpp
@@ -118,7 +118,7 @@
 
 DiskResult Disk::append_sync_mark() {
   SyncMark mark{SyncMark::kMagic, recovered_.incarnation, segment_sequence_, synced_size_};
-  return append_bytes(frame(codec::pack(mark)));
+  return append_bytes(frame(codec::encode(mark)));
 }
 
 DiskResult Disk::sync_segment() {
--- a/src/storage/journal_writer.hpp
+++ b/src/storage/journal_writer.hpp
@@ -29,7 +29,7 @@
     DiskResult result;
     /// What may leave now; empty on a full disk.
     std::vector<Envelope> sends;
-    std::vector<Note> notes;
+    std::vector<LogEntry> notes;
   };
 
   /// `max_pending_bytes`: records kept in memory beyond this stop the daemon.
--- a/src/storage/log_frame.hpp
+++ b/src/storage/log_frame.hpp
@@ -51,7 +51,7 @@
 inline std::optional<SyncMark> mark_of(const std::string& record, Incarnation incarnation, uint64_t sequence) {
   if (record.size() != SyncMark::kBytes)
     return std::nullopt;
-  auto mark = codec::unpack<SyncMark>(record);
+  auto mark = codec::decode<SyncMark>(record);
   bool matches =
       mark && mark->magic == SyncMark::kMagic && mark->incarnation == incarnation && mark->sequence == sequence;
   return matches ? mark : std::nullopt;
--- a/tests/model/actions.cpp
+++ b/tests/model/actions.cpp
@@ -61,7 +61,7 @@
   };
   std::set<std::pair<Incarnation, size_t>> links;
   for (size_t i = 0; i < network_.size(); ++i)
-    if (links.insert({network_[i].envelope->from_inc, network_[i].to}).second)
+    if (links.insert({network_[i].envelope->from_incarnation, network_[i].to}).second)
       offer({Kind::deliver, network_[i].to, i, 0});
   if (network_.empty())
     offer({Kind::tick_all, 0, 0, options_.quiet_step});
--- a/tests/model/bytes.cpp
+++ b/tests/model/bytes.cpp
@@ -11,12 +11,12 @@
 }
 
 bool is_vote(const std::string& record) {
-  auto r = codec::unpack<ControllerRecord>(record);
+  auto r = codec::decode<ControllerRecord>(record);
   return r && (std::holds_alternative<PromiseRecord>(*r) || std::holds_alternative<AcceptRecord>(*r));
 }
 
 Durable durable(const ControllerMachine& m) {
-  auto c = codec::unpack<ControllerCheckpoint>(m.checkpoint());
+  auto c = codec::decode<ControllerCheckpoint>(m.checkpoint());
   if (!c)
     return {};
   return {c->metadata.generation, c->metadata.epoch, c->open, c->promised, c->accepted};
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -72,7 +72,7 @@
   auto& n = nodes_[node];
   n.found = {n.identity.self.incarnation, n.checkpoint, n.journal};
   n.started = n.clock;
-  ++n.identity.dice;
+  ++n.identity.random_seed;
   n.inputs = nullptr;
   n.unsynced.clear();
   n.unordered = 0;
@@ -207,9 +207,9 @@
   answer.cluster = e.cluster;
   answer.epoch = e.epoch;
   answer.from = e.to;
-  answer.from_inc = e.to_inc;
+  answer.from_incarnation = e.to_incarnation;
   answer.to = e.from;
-  answer.to_inc = e.from_inc;
+  answer.to_incarnation = e.from_incarnation;
   if (auto* p = std::get_if<Prepare>(&e.body))
     answer.body = Promise{p->epoch, p->ballot, true, p->ballot, std::nullopt};
   else if (auto* a = std::get_if<Accept>(&e.body))
@@ -241,7 +241,7 @@
   if (options_.fault == Fault::clusters_not_compared)
     e.cluster = nodes_[*to].view->cluster;
   std::erase_if(network_, [&](auto& f) {
-    return f.to == *to && f.envelope->from_inc == e.from_inc && supersedes(f.envelope->body, e.body);
+    return f.to == *to && f.envelope->from_incarnation == e.from_incarnation && supersedes(f.envelope->body, e.body);
   });
   auto hash = hash_of(e);
   network_.push_back({std::make_shared<Envelope>(std::move(e)), *to, hash});
@@ -275,7 +275,7 @@
   }
   std::map<std::pair<Incarnation, size_t>, uint64_t> links;
   for (auto& f : network_) {
-    auto& link = links[{f.envelope->from_inc, f.to}];
+    auto& link = links[{f.envelope->from_incarnation, f.to}];
     link = mix(link, f.hash);
   }
   for (auto& [link, hash] : links)
--- a/tests/model/cluster.hpp
+++ b/tests/model/cluster.hpp
@@ -83,7 +83,7 @@
   void submit(Order o) { orders_.push_back(std::move(o)); }
   /// Puts a message of somebody outside the model before a node.
   void inject(size_t node, Envelope e);
-  View view(size_t node) const { return nodes_[node].view; }
+  MetadataSnapshot view(size_t node) const { return nodes_[node].view; }
   size_t size() const { return nodes_.size(); }
   Millis clock(size_t node) const { return nodes_[node].clock; }
   size_t in_flight() const { return network_.size(); }
@@ -126,7 +126,7 @@
     Millis started = 0, clock = 0;
     std::shared_ptr<const Input> inputs;
     Running running;
-    View view;
+    MetadataSnapshot view;
     std::optional<std::string> checkpoint;
     std::vector<std::string> journal;
     std::vector<Batch> unsynced;
--- a/tests/model/fault_test.cpp
+++ b/tests/model/fault_test.cpp
@@ -42,7 +42,8 @@
 bool deliver(Cluster& c, size_t from, size_t to) {
   for (size_t i = 0; i < c.in_flight(); ++i) {
     auto& m = c.message(i);
-    if (std::holds_alternative<T>(m.body) && m.from_inc == c.incarnation(from) && m.to == c.candidate(to).address)
+    if (std::holds_alternative<T>(m.body) && m.from_incarnation == c.incarnation(from) &&
+        m.to == c.candidate(to).address)
       return c.apply({Kind::deliver, to, i, 0}), true;
   }
   return false;
--- a/tests/model/observer.cpp
+++ b/tests/model/observer.cpp
@@ -22,7 +22,7 @@
     broken_ = std::move(what);
 }
 
-void Observer::saw(Incarnation incarnation, const View& v) {
+void Observer::saw(Incarnation incarnation, const MetadataSnapshot& v) {
   if (!v->cluster)
     return;
   auto& t = told_[incarnation];
@@ -35,7 +35,7 @@
     newest_ = v;
 }
 
-void Observer::agreement(const View& v) {
+void Observer::agreement(const MetadataSnapshot& v) {
   if (v->generation == 1 && founded_.insert(v->cluster).second && founded_.size() > 1)
     fail("two clusters were founded");
   auto [i, fresh] = decided_.try_emplace({v->cluster, v->epoch}, v);
@@ -80,7 +80,7 @@
 }
 
 void Observer::sent(const Envelope& e) {
-  auto& t = told_[e.from_inc];
+  auto& t = told_[e.from_incarnation];
   if (auto* h = std::get_if<Heartbeat>(&e.body))
     t.epoch = std::max(t.epoch, h->known);
   if (auto* h = std::get_if<HeartbeatReply>(&e.body))
--- a/tests/model/observer.hpp
+++ b/tests/model/observer.hpp
@@ -16,7 +16,7 @@
 class Observer {
  public:
   /// A node shows another value than before.
-  void saw(Incarnation incarnation, const View& v);
+  void saw(Incarnation incarnation, const MetadataSnapshot& v);
   /// A message leaves a node; what it promises must outlive the process.
   void sent(const Envelope& e);
   /// A node has started with this on its disk.
@@ -28,7 +28,7 @@
   /// The first broken invariant, empty while all hold.
   const std::string& broken() const { return broken_; }
   /// The newest value of the newest generation.
-  const View& newest() const { return newest_; }
+  const MetadataSnapshot& newest() const { return newest_; }
   size_t acknowledged() const { return acknowledged_.size(); }
   size_t rejected() const { return rejected_.size(); }
 
@@ -47,21 +47,21 @@
   };
   void fail(std::string what);
   void majority_holds_acknowledged();
-  void agreement(const View& v);
+  void agreement(const MetadataSnapshot& v);
   void newcomers_hold_log(const Metadata& before, const Metadata& after);
   void majorities_meet(const Metadata& before, const Metadata& after);
   void contains_acknowledged(const Metadata& m);
   void one_for_each_base(const std::string& id, const Transformation& t);
 
   std::string broken_;
-  std::map<std::pair<uint64_t, Epoch>, View> decided_;
+  std::map<std::pair<uint64_t, Epoch>, MetadataSnapshot> decided_;
   std::set<uint64_t> founded_;
   std::map<Revision, std::string> by_base_;
   std::vector<Acknowledged> acknowledged_;
   std::set<std::string> rejected_;
   std::map<Incarnation, Told> told_;
   std::map<Incarnation, Durable> disks_;
-  View newest_ = std::make_shared<Metadata>();
+  MetadataSnapshot newest_ = std::make_shared<Metadata>();
 };
 
 }  // namespace mosskeel::model
--- a/tests/simulation/callers.cpp
+++ b/tests/simulation/callers.cpp
@@ -58,7 +58,7 @@
   for (auto& s : w_.names(Kind::gateway))
     if (only_ready ? w_.alive(s) && w_.ready(s) : w_.node(s).machine != nullptr)
       v.push_back(s);
-  return v.empty() ? "" : v[w_.roll() % v.size()];
+  return v.empty() ? "" : v[w_.next_random() % v.size()];
 }
 
 Millis Callers::patience(const std::string& front) {
@@ -86,7 +86,7 @@
     fetch();
   if (w_.chance(0.5))
     count();
-  bool dive = dives && w_.roll() % dives == 0;
+  bool dive = dives && w_.next_random() % dives == 0;
   program("p" + std::to_string(++next_), dive ? 10 : 2 + static_cast<int>(w_.below(4)), 0);
   w_.at(w_.now() + 1 + w_.below(gap * 2), [=, this] { traffic(gap, end); });
 }
@@ -132,7 +132,7 @@
     return again(1000);
   auto settled = std::make_shared<bool>(false);
   auto begun = w_.now();
-  bool urgent = urgent_share && w_.roll() % urgent_share == 0;
+  bool urgent = urgent_share && w_.next_random() % urgent_share == 0;
   if (urgent)
     ++urgent_asked;
   t->pieces = 0;
@@ -205,7 +205,7 @@
       },
       [=] { finish(nullptr); });
   ProgramRequest e{};
-  e.attempt = "a" + std::to_string(w_.roll());
+  e.attempt = "a" + std::to_string(w_.next_random());
   e.cell = "news";
   e.route = "chat";
   e.kind = "model";
@@ -248,7 +248,7 @@
       },
       [] {});
   ProgramRequest e{};
-  e.attempt = "f" + std::to_string(w_.roll());
+  e.attempt = "f" + std::to_string(w_.next_random());
   e.cell = "news";
   e.route = e.kind = "app";
   e.method = "GET";
@@ -272,7 +272,7 @@
       },
       [=] { then(0, ""); });
   ProgramRequest e{};
-  e.attempt = "h" + std::to_string(w_.roll());
+  e.attempt = "h" + std::to_string(w_.next_random());
   e.cell = "news";
   e.kind = "history";
   e.program = program;
--- a/tests/simulation/cores.cpp
+++ b/tests/simulation/cores.cpp
@@ -16,7 +16,7 @@
     if (w.chance(0.5))
       w.power_off(d.any(Kind::store));
     if (i == 2)
-      w.wipe(all[w.roll() % all.size()]);
+      w.wipe(all[w.next_random() % all.size()]);
     w.run(500 + w.below(1500));
     for (auto& s : all)
       w.start(s), w.node(s).disk.slow = w.chance(0.5) ? w.below(200) : 0;
@@ -37,7 +37,7 @@
   if (!r)
     w.fail("the change was not acknowledged");
   auto v = w.names(Kind::controller);
-  auto stay = w.roll() % v.size();
+  auto stay = w.next_random() % v.size();
   for (size_t i = 0; i < v.size(); ++i)
     if (i != stay)
       w.wipe(v[i]);
@@ -66,7 +66,7 @@
   w.run(2000);
   auto r = change(d, 10000);
   auto v = w.names(Kind::controller);
-  auto stay = v[w.roll() % v.size()];
+  auto stay = v[w.next_random() % v.size()];
   auto ask = [&](std::vector<DaemonId> lost) {
     CommitReply got{};
     got.outcome = CommitOutcome::unknown;
@@ -125,7 +125,7 @@
   auto disks = w.names(Kind::controller);
   for (auto& s : w.names(Kind::store))
     disks.push_back(s);
-  auto stay = disks[w.roll() % disks.size()];
+  auto stay = disks[w.next_random() % disks.size()];
   auto other = d.any(Kind::store);
   if (w.chance(0.4))
     w.node(d.any(Kind::store)).disk.slow = 100 + w.below(400);
--- a/tests/simulation/counts.cpp
+++ b/tests/simulation/counts.cpp
@@ -54,7 +54,7 @@
     });
   };
   ProgramRequest e{};
-  e.attempt = "n" + std::to_string(w_.roll());
+  e.attempt = "n" + std::to_string(w_.next_random());
   e.cell = "news";
   e.route = e.kind = "app";
   e.method = "POST";
--- a/tests/simulation/cuts.cpp
+++ b/tests/simulation/cuts.cpp
@@ -34,7 +34,7 @@
   for (int i = 0; i < 4; ++i) {
     w.run(1000 + w.below(1000));
     std::set<std::string> one;
-    auto how = w.roll() % 5;
+    auto how = w.next_random() % 5;
     if (how < 4)
       for (auto& s : w.names(Kind::controller))
         one.insert(s);
--- a/tests/simulation/day.cpp
+++ b/tests/simulation/day.cpp
@@ -17,7 +17,7 @@
   bool served = false;
   auto once = std::make_shared<std::function<void()>>();
   *once = [this, once, &served] {
-    c.turn("closing" + std::to_string(w.roll()), "main", [&served, once](const Turn& x) {
+    c.turn("closing" + std::to_string(w.next_random()), "main", [&served, once](const Turn& x) {
       if (x.success)
         served = true;
       else
@@ -41,8 +41,8 @@
     d.w.fail(std::string("hardly served during ") + during + ": " + std::to_string(d.c.successes - before));
 }
 
-View latest(World& w) {
-  View v;
+MetadataSnapshot latest(World& w) {
+  MetadataSnapshot v;
   for (auto& s : w.names(Kind::controller))
     if (w.node(s).machine && (!v || w.node(s).machine->view()->epoch > v->epoch))
       v = w.node(s).machine->view();
@@ -84,7 +84,7 @@
 
 ProgramResponse ask(Day& d, ProgramRequest e, const std::string& front) {
   auto got = std::make_shared<std::optional<ProgramResponse>>();
-  e.attempt = "t" + std::to_string(d.w.roll());
+  e.attempt = "t" + std::to_string(d.w.next_random());
   d.c.send(front, std::move(e), [got](const Message& m) {
     if (auto* x = std::get_if<ProgramResponse>(&m))
       *got = *x;
--- a/tests/simulation/day.hpp
+++ b/tests/simulation/day.hpp
@@ -14,7 +14,7 @@
   Day(uint64_t seed, Size z, uint64_t budget) : w(seed, z), c(w, z.models, z.apps, budget, 10) {}
   std::string any(Kind k) {
     auto v = w.names(k);
-    return v[w.roll() % v.size()];
+    return v[w.next_random() % v.size()];
   }
   /// Everything healed: we serve within 12 s, old conversations are resumed, every promise is checked.
   void close();
@@ -23,7 +23,7 @@
 /// Serving must go on between two moments of a trouble.
 void must_serve(Day& d, Millis ms, const char* during);
 /// The newest value that any living controller holds.
-View latest(World& w);
+MetadataSnapshot latest(World& w);
 /// One acknowledged change of the configuration; its revision, or 0.
 uint64_t change(Day& d, Millis patience);
 void in_force(Day& d, uint64_t revision, Millis within);
--- a/tests/simulation/losses.cpp
+++ b/tests/simulation/losses.cpp
@@ -54,7 +54,7 @@
 std::string lose_after_ack(Day& d, const std::function<void(const std::string&)>& loss) {
   auto& w = d.w;
   for (int i = 0; i < 10; ++i) {
-    auto program = "acked" + std::to_string(w.roll());
+    auto program = "acked" + std::to_string(w.next_random());
     auto over = std::make_shared<bool>(false), served = std::make_shared<bool>(false);
     d.c.turn(program, "main", [=](const Turn& t) {
       *over = true;
@@ -83,7 +83,7 @@
     lose_after_ack(d, [&](const std::string& program) {
       auto v = holders(d, program);
       while (v.size() > 2)
-        v.erase(v.begin() + static_cast<ptrdiff_t>(w.roll() % v.size()));
+        v.erase(v.begin() + static_cast<ptrdiff_t>(w.next_random() % v.size()));
       for (auto& s : v)
         w.wipe(s);
       lost = v;
@@ -110,7 +110,7 @@
     lose_after_ack(d, [&](const std::string& program) {
       auto v = holders(d, program);
       while (v.size() > 2)
-        v.erase(v.begin() + static_cast<ptrdiff_t>(w.roll() % v.size()));
+        v.erase(v.begin() + static_cast<ptrdiff_t>(w.next_random() % v.size()));
       for (auto& s : v)
         w.wipe(s);
       forget_owners(d);
@@ -139,7 +139,7 @@
     return w.fail("the drain did not begin");
   w.run(w.below(400));
   std::string other;
-  switch (w.roll() % 3) {
+  switch (w.next_random() % 3) {
     case 0:
       while (other.empty() || other == leaver)
         other = d.any(Kind::store);
--- a/tests/simulation/operator_request.cpp
+++ b/tests/simulation/operator_request.cpp
@@ -11,7 +11,7 @@
       then_(std::move(then)),
       life_(w.node(controller_).life),
       began_(w.now()),
-      session_("local:operator" + std::to_string(w.roll())) {}
+      session_("local:operator" + std::to_string(w.next_random())) {}
 
 OperatorRequest::~OperatorRequest() {
   abandoned_ = true;
--- a/tests/simulation/operators.cpp
+++ b/tests/simulation/operators.cpp
@@ -6,7 +6,7 @@
 
 void Callers::commit(Transformation t, std::function<void(const CommitReply&)> then, std::string id, Millis patience) {
   if (id.empty())
-    id = "sim-" + std::to_string(w_.roll());
+    id = "sim-" + std::to_string(w_.next_random());
   auto until = w_.now() + patience;
   asked(t);
   auto over = std::make_shared<bool>(false);
@@ -27,7 +27,7 @@
         v.push_back(s);
     auto mine = std::make_shared<bool>(false);
     if (!v.empty()) {
-      auto m = v[w_.roll() % v.size()];
+      auto m = v[w_.next_random() % v.size()];
       auto a = session(
           m,
           [=, this](const Message& x) {
--- a/tests/simulation/orders.cpp
+++ b/tests/simulation/orders.cpp
@@ -66,7 +66,7 @@
   o->base = base;
   o->valid = valid;
   o->number = ++numbers_;
-  auto own = std::to_string(base.value() + 1 + w_.roll() % 3);
+  auto own = std::to_string(base.value() + 1 + w_.next_random() % 3);
   auto service = R"({"Name":"s)" + std::to_string(o->number) + R"("})";
   auto routes = valid ? std::string("[]")
                       : R"([{"Name":"r","Host":"h","PathPrefix":"/","RouteKind":"safe","TimeoutMs":0,"Service":"x"}])";
@@ -203,7 +203,7 @@
     w.at(w.now() + ms, [&w] { w.heal(); });
   };
   auto others = w.names(Kind::controller);
-  switch (w.roll() % 7) {
+  switch (w.next_random() % 7) {
     case 0:
       w.isolate(n);
       return heal(100 + w.below(6000));
@@ -262,12 +262,12 @@
       continue;
     }
     auto base = newest->revision;
-    auto rivals = 1 + w.roll() % 8;
+    auto rivals = 1 + w.next_random() % 8;
     for (uint64_t i = 0; i < rivals; ++i)
       w.at(w.now() + w.below(700),
            [&ops, base, patch = w.chance(0.5), valid = !w.chance(0.05)] { ops.send(ops.change(base, patch, valid)); });
     if (w.chance(0.2)) {
-      auto o = ops.change(Revision{base.value() + 1 + w.roll() % 3}, false);
+      auto o = ops.change(Revision{base.value() + 1 + w.next_random() % 3}, false);
       o->early = true;
       ops.send(o);
     }
--- a/tests/simulation/replicas.cpp
+++ b/tests/simulation/replicas.cpp
@@ -99,7 +99,7 @@
   if (!r.cold_since && r.now > static_cast<int>(kDefaultReplicaCapacity) * 3 / 2)
     w_.fail(name + " runs " + std::to_string(r.now) + " turns on " + std::to_string(kDefaultReplicaCapacity) +
             " places");
-  std::string fault = r.every && w_.roll() % static_cast<uint64_t>(r.every) == 0 ? r.fault : "";
+  std::string fault = r.every && w_.next_random() % static_cast<uint64_t>(r.every) == 0 ? r.fault : "";
   piece(front, life, name, *a, 0, 3 + static_cast<uint32_t>(w_.below(5)), fault, "");
 }
 
--- a/tests/simulation/retention.cpp
+++ b/tests/simulation/retention.cpp
@@ -190,9 +190,9 @@
     w.fail("the store that was away fetched hardly anything: " + std::to_string(machine(away).repair().fetched()));
   for (auto& f : w.names(Kind::gateway))
     w.kill(f), w.run(100), w.start(f);
-  auto lost = stores[w.roll() % stores.size()];
+  auto lost = stores[w.next_random() % stores.size()];
   while (lost == away)
-    lost = stores[w.roll() % stores.size()];
+    lost = stores[w.next_random() % stores.size()];
   w.wipe(lost);
   w.run(500);
   w.start(lost);
--- a/tests/simulation/scenarios.cpp
+++ b/tests/simulation/scenarios.cpp
@@ -22,8 +22,8 @@
   auto end = w.now() + 30000;
   while (w.now() < end) {
     w.run(500 + w.below(2500));
-    auto n = d.any(kinds[w.roll() % kinds.size()]);
-    switch (w.roll() % 6) {
+    auto n = d.any(kinds[w.next_random() % kinds.size()]);
+    switch (w.next_random() % 6) {
       case 0:
         w.kill(n);
         w.at(w.now() + w.below(4000), [&w, n] { w.start(n); });
@@ -41,7 +41,7 @@
         w.at(w.now() + 200 + w.below(6000), [&w] { w.heal(); });
         break;
       case 4:
-        w.cut(n, d.any(kinds[w.roll() % kinds.size()]));
+        w.cut(n, d.any(kinds[w.next_random() % kinds.size()]));
         w.at(w.now() + w.below(5000), [&w] { w.heal(); });
         break;
       case 5:
--- a/tests/simulation/sizes.cpp
+++ b/tests/simulation/sizes.cpp
@@ -146,7 +146,7 @@
       ask.push_back(n);
   auto old = d.c.programs();
   for (size_t i = 0; i < old.size() && i < 120; ++i)
-    ask.push_back(old[w.roll() % old.size()]);
+    ask.push_back(old[w.next_random() % old.size()]);
   auto left = std::make_shared<std::map<std::string, int>>();
   for (auto& p : ask) {
     ++(*left)[p];
@@ -261,14 +261,14 @@
   d.c.dives = election ? 6 : 12;
   d.c.traffic(election ? 38 : 83, w.now() + 80000);
   w.run(2000);
-  auto first = w.roll(), second = w.roll();
+  auto first = w.next_random(), second = w.next_random();
   trouble(d, first);
   w.run(1000);
   trouble(d, second % 9 == first % 9 ? second + 1 : second);
   if (!w.until(20000, [&] { return latest(w)->sequences.empty(); }))
     w.fail("sequences are stuck before the closing fault");
   w.run(3000);
-  auto what = closing_fault(d, w.roll());
+  auto what = closing_fault(d, w.next_random());
   w.run(12000);
   d.c.only_ready = true;
   must_resume(d, what);
--- a/tests/simulation/troubles.cpp
+++ b/tests/simulation/troubles.cpp
@@ -11,7 +11,7 @@
   for (int i = 0; i < 4; ++i) {
     w.run(1500);
     auto v = w.names(Kind::controller);
-    auto k = 1 + w.roll() % 4;
+    auto k = 1 + w.next_random() % 4;
     bool one_way = w.chance(0.4);
     for (size_t a = 0; a < k; ++a)
       for (size_t b = k; b < v.size(); ++b) {
--- a/tests/simulation/watch.cpp
+++ b/tests/simulation/watch.cpp
@@ -53,7 +53,7 @@
     fail(n.name + " slid back from revision " + std::to_string(n.revision.value()));
   n.seen = v->epoch;
   n.revision = v->revision;
-  auto d = digest(codec::pack(*v));
+  auto d = digest(codec::encode(*v));
   auto [value, fresh] = truth_.emplace(std::make_pair(v->epoch, v->cluster), d);
   if (!fresh && value->second != d)
     fail(n.name + " holds another value at epoch " + std::to_string(v->epoch.value()));
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -65,7 +65,7 @@
   bool diskless = n.kind == Kind::agent || n.kind == Kind::gateway;
   if (diskless && n.life)
     n.id.self.incarnation = Incarnation{dice_()};
-  n.id.dice = dice_();
+  n.id.random_seed = dice_();
   n.id.seeds = seeds;
   if (configure)
     configure(n.id);
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -31,7 +31,7 @@
   Kind kind;
   Identity id;
   Address beside;
-  std::unique_ptr<Machine> machine;
+  std::unique_ptr<StateMachine> machine;
   SimDisk disk;
   bool frozen = false, stopped = false;
   uint64_t life = 0;
@@ -68,7 +68,7 @@
   /// What the clock of one process shows now; no two agree.
   Millis clock(const Node& n) const;
   bool ready(const std::string& front);
-  uint64_t roll() { return dice_(); }
+  uint64_t next_random() { return dice_(); }
   Millis below(Millis n) { return static_cast<Millis>(dice_() % static_cast<uint64_t>(n)); }
   bool chance(double p) { return static_cast<double>(dice_() % 1000000) < p * 1e6; }
 
--- a/tests/unit/consensus/acceptor_test.cpp
+++ b/tests/unit/consensus/acceptor_test.cpp
@@ -27,7 +27,7 @@
     FoundCluster founding{7, 3, {controller(1), controller(2), controller(3)}, 3, 0};
     REQUIRE(metadata_log.add({Epoch{1}, "found", founding}).size() == 1);
     from_2.from = "controller2";
-    from_2.from_inc = Incarnation{2};
+    from_2.from_incarnation = Incarnation{2};
   }
 
   /// The reply to a prepare or accept request; it must wait for the journal.
@@ -81,7 +81,7 @@
 
   FoundedAcceptor restarted;
   for (const std::string& bytes : founded.journal) {
-    auto record = codec::unpack<ControllerRecord>(bytes);
+    auto record = codec::decode<ControllerRecord>(bytes);
     REQUIRE(record);
     if (const auto* promise = std::get_if<PromiseRecord>(&*record))
       restarted.acceptor.recover(*promise);
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -39,7 +39,7 @@
   }
 
   std::vector<std::string> names() { return world.names(Kind::controller); }
-  View metadata() { return sim::latest(world); }
+  MetadataSnapshot metadata() { return sim::latest(world); }
 
   /// Whoever starts from now on may not found a cluster with an empty disk.
   void forbid_founding_on_empty_disks() {
@@ -72,7 +72,7 @@
 
   /// The addresses of the core's members.
   std::set<std::string> members() {
-    View latest = metadata();
+    MetadataSnapshot latest = metadata();
     std::set<std::string> addresses;
     for (DaemonId id : latest->members)
       addresses.insert(latest->find(id)->self.address);
@@ -132,7 +132,8 @@
     cluster.world.net.loss = seed % 3 ? 0 : 0.2;
     for (int i = 0; i < 4; ++i) {
       auto names = cluster.names();
-      cluster.world.cut(names[cluster.world.roll() % names.size()], names[cluster.world.roll() % names.size()]);
+      cluster.world.cut(names[cluster.world.next_random() % names.size()],
+                        names[cluster.world.next_random() % names.size()]);
     }
     cluster.world.run(15000);
     cluster.world.heal();
@@ -191,7 +192,7 @@
     all.insert(name);
   size_t members_before = 0;
   auto grows_by_one_to_five = [&] {
-    View metadata = cluster.metadata();
+    MetadataSnapshot metadata = cluster.metadata();
     if (!metadata)
       return false;
     size_t members = metadata->members.size();
@@ -360,7 +361,7 @@
         envelope.protocol = kProtocolRevision;
         envelope.cluster = cluster.metadata()->cluster;
         envelope.from = old.address;
-        envelope.from_inc = old.incarnation;
+        envelope.from_incarnation = old.incarnation;
         envelope.to = "controller1";
         envelope.body = Discover{old};
         cluster.world.post("controller1", envelope);
--- a/tests/unit/consensus/proposer_test.cpp
+++ b/tests/unit/consensus/proposer_test.cpp
@@ -37,7 +37,7 @@
     world.post(controller, envelope);
   }
 
-  View view(const std::string& controller) { return world.node(controller).machine->view(); }
+  MetadataSnapshot view(const std::string& controller) { return world.node(controller).machine->view(); }
 
   size_t count_replies(const Address& requester, CommitOutcome outcome) {
     size_t count = 0;
--- a/tests/unit/consensus/stale_log_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -21,7 +21,7 @@
 
 std::unique_ptr<ControllerMachine> start_controller_1(const ControllerCheckpoint& checkpoint,
                                                       std::vector<std::string> journal = {}) {
-  Recovered recovered{Incarnation{1}, codec::pack(checkpoint), std::move(journal)};
+  Recovered recovered{Incarnation{1}, codec::encode(checkpoint), std::move(journal)};
   return std::make_unique<ControllerMachine>(Identity{controller(1), {}}, recovered, kStart);
 }
 
@@ -60,9 +60,9 @@
     envelope.epoch = epoch;
     envelope.id = 1;
     envelope.from = "controller" + std::to_string(sender);
-    envelope.from_inc = Incarnation{sender};
+    envelope.from_incarnation = Incarnation{sender};
     envelope.to = "controller1";
-    envelope.to_inc = Incarnation{1};
+    envelope.to_incarnation = Incarnation{1};
     envelope.body = std::move(body);
     return machine->step(envelope, now);
   }
@@ -83,7 +83,7 @@
       const auto* request = std::get_if<LeaseRequest>(&envelope.body);
       if (!request)
         continue;
-      uint64_t member = envelope.to_inc.value();
+      uint64_t member = envelope.to_incarnation.value();
       Epoch stamp = member == 1 ? machine->view()->epoch : epoch;
       receive(member, stamp, LeaseGrant{request->request_id, true, {}});
     }
@@ -190,7 +190,7 @@
   CHECK(*before_sync->view() == controller.old_metadata);
   CHECK(*after_sync->view() == newest);
   // The instance that was open at the old epoch is over with the snapshot: its promise and acceptance count no more.
-  auto kept = codec::unpack<ControllerCheckpoint>(after_sync->checkpoint());
+  auto kept = codec::decode<ControllerCheckpoint>(after_sync->checkpoint());
   REQUIRE(kept);
   CHECK(kept->open == next(newest.epoch));
   CHECK_FALSE(kept->accepted);
--- a/tests/unit/consensus/supervisor_lease_test.cpp
+++ b/tests/unit/consensus/supervisor_lease_test.cpp
@@ -29,7 +29,7 @@
   Envelope from(uint64_t member) {
     Envelope envelope{};
     envelope.from = "controller" + std::to_string(member);
-    envelope.from_inc = Incarnation{member};
+    envelope.from_incarnation = Incarnation{member};
     envelope.epoch = metadata_log.epoch();
     return envelope;
   }
--- a/tests/unit/history/store_fixture.hpp
+++ b/tests/unit/history/store_fixture.hpp
@@ -103,10 +103,10 @@
 /// The disk of a store whose histories have `turns` outcomes of `output_bytes` each, all of it in its journal.
 inline Recovered recovered_store(uint64_t store, const Metadata& metadata, size_t histories, size_t turns,
                                  size_t output_bytes) {
-  Recovered recovered{Incarnation{store}, {}, {codec::pack(StoreRecord{metadata})}};
+  Recovered recovered{Incarnation{store}, {}, {codec::encode(StoreRecord{metadata})}};
   for (size_t i = 0; i < histories; ++i) {
     StoreRecord record = replacement(history_name(i), kFirstTerm, outcomes(turns, output_bytes));
-    recovered.journal.push_back(codec::pack(record));
+    recovered.journal.push_back(codec::encode(record));
   }
   return recovered;
 }
--- a/tests/unit/history/store_machine_test.cpp
+++ b/tests/unit/history/store_machine_test.cpp
@@ -114,9 +114,9 @@
   StoreMachine restarted(identity_of(2), Recovered{Incarnation{2}, checkpoint, {}}, kStart);
   StoreMachine damaged(identity_of(2), Recovered{Incarnation{2}, torn, {}}, kStart);
 
-  auto decoded = codec::unpack<StoreCheckpoint>(checkpoint);
+  auto decoded = codec::decode<StoreCheckpoint>(checkpoint);
   REQUIRE(decoded);
-  CHECK(codec::pack(restarted.partitions()) == codec::pack(decoded->partitions));
+  CHECK(codec::encode(restarted.partitions()) == codec::encode(decoded->partitions));
   CHECK(restarted.view()->epoch == kCurrentEpoch);
   CHECK(damaged.history_count() == 0);
 }
--- a/tests/unit/messages/golden_data_test.cpp
+++ b/tests/unit/messages/golden_data_test.cpp
@@ -22,7 +22,7 @@
 
 template <class Value>
 std::string encoded(const Value& value) {
-  return codec::pack(value);
+  return codec::encode(value);
 }
 std::string encoded(const Envelope& envelope) {
   return encode(envelope);
@@ -33,7 +33,7 @@
   if constexpr (std::is_same_v<Value, Envelope>)
     return decode(bytes);
   else
-    return codec::unpack<Value>(bytes);
+    return codec::decode<Value>(bytes);
 }
 
 size_t kind_of(const Envelope& envelope) {
--- a/tests/unit/messages/golden_examples.cpp
+++ b/tests/unit/messages/golden_examples.cpp
@@ -222,9 +222,9 @@
           .epoch = Epoch{900001},
           .id = 900002,
           .from = "sender-address",
-          .from_inc = Incarnation{900003},
+          .from_incarnation = Incarnation{900003},
           .to = "receiver-address",
-          .to_inc = Incarnation{900004},
+          .to_incarnation = Incarnation{900004},
           .body = std::move(body)};
 }
 
--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -173,7 +173,7 @@
   for (auto& change : changes) {
     one.must(change);
     other.must(change);
-    CHECK(codec::pack(one.metadata) == codec::pack(other.metadata));
+    CHECK(codec::encode(one.metadata) == codec::encode(other.metadata));
   }
 }
 
--- a/tests/unit/net/wire_test.cpp
+++ b/tests/unit/net/wire_test.cpp
@@ -28,8 +28,8 @@
 
 /// The packed envelope, its message's kind replaced by one that no build knows.
 std::string with_unknown_kind(const Envelope& envelope) {
-  auto bytes = codec::pack(envelope);
-  auto body = codec::pack(envelope.body);
+  auto bytes = codec::encode(envelope);
+  auto body = codec::encode(envelope.body);
   std::string unknown_kind;
   codec::put(unknown_kind, static_cast<uint16_t>(std::variant_size_v<Message>));
   auto kind = body.substr(0, unknown_kind.size());
@@ -78,7 +78,7 @@
 
 TEST_CASE("decode refuses a message of an unknown kind") {
   auto envelope = sample_envelope();
-  REQUIRE(decode(with_checksum(codec::pack(envelope))));
+  REQUIRE(decode(with_checksum(codec::encode(envelope))));
 
   CHECK_FALSE(decode(with_checksum(with_unknown_kind(envelope))));
 }
--- a/tests/unit/platform/admin_api_test.cpp
+++ b/tests/unit/platform/admin_api_test.cpp
@@ -32,7 +32,7 @@
   Configuration configuration{};
 
   std::optional<Unavailable> unavailability() override { return unavailable; }
-  View read_metadata() override { return cut_off ? nullptr : std::make_shared<Metadata>(metadata); }
+  MetadataSnapshot read_metadata() override { return cut_off ? nullptr : std::make_shared<Metadata>(metadata); }
   CommandResult wait_until_in_force() override {
     commands.push_back("wait");
     return {Code::done, ""};
--- a/tests/unit/platform/settings_test.cpp
+++ b/tests/unit/platform/settings_test.cpp
@@ -65,7 +65,7 @@
 class NamedSettingsFile {
  public:
   NamedSettingsFile()
-      : path_((std::filesystem::temp_directory_path() / ("mosskeel-settings-" + hex(dice()))).string()) {
+      : path_((std::filesystem::temp_directory_path() / ("mosskeel-settings-" + hex(random_number()))).string()) {
     setenv(kVariable, path_.c_str(), 1);
   }
   ~NamedSettingsFile() {
@@ -138,7 +138,7 @@
 }
 
 TEST_CASE("The platform's settings file applies only without command-line flags") {
-  const Needs store{"store", "", true, true, false, true, true, true, false};
+  const RequiredSettings store{"store", "", true, true, false, true, true, true, false};
   const char* no_flags[] = {"store", nullptr};
   const char* zone_flag[] = {"store", "--zone", "b", nullptr};
   {
@@ -158,7 +158,7 @@
 }
 
 TEST_CASE("The platform's settings file may name an even number of seeds") {
-  const Needs controller{"controller", "", true, true, false, true, true, true, true};
+  const RequiredSettings controller{"controller", "", true, true, false, true, true, true, true};
   const char* no_flags[] = {"controller", nullptr};
   NamedSettingsFile file;
   file.write(file_with("SeedNodes = [\"10.1.0.33:8144\",", "SeedNodes = ["));
--- a/tests/unit/programs/program_requests_test.cpp
+++ b/tests/unit/programs/program_requests_test.cpp
@@ -67,7 +67,7 @@
       if (const auto* received = std::get_if<ProgramResponse>(&envelope.body))
         response = *received;
     };
-    request.attempt = "t" + std::to_string(world.roll());
+    request.attempt = "t" + std::to_string(world.next_random());
     request.cell = "news";
     Envelope envelope{};
     envelope.from = kTestSession;
--- a/tests/unit/replication/agent_shutdown_test.cpp
+++ b/tests/unit/replication/agent_shutdown_test.cpp
@@ -19,7 +19,7 @@
 Identity agent_identity() {
   Identity identity{};
   identity.self = {Incarnation{1}, Role::front, "z1", kAgentAddress, kGatewayAddress, "", "machine-1"};
-  identity.dice = 99;
+  identity.random_seed = 99;
   return identity;
 }
 
--- a/tests/unit/replication/catchup_test.cpp
+++ b/tests/unit/replication/catchup_test.cpp
@@ -65,8 +65,8 @@
   }
 
   sim::World& world() { return world_; }
-  View newest() {
-    View best = std::make_shared<Metadata>();
+  MetadataSnapshot newest() {
+    MetadataSnapshot best = std::make_shared<Metadata>();
     for (auto kind : {Kind::controller, Kind::store, Kind::agent})
       for (auto& name : world_.names(kind))
         if (auto* machine = world_.node(name).machine.get(); machine && machine->view()->epoch > best->epoch)
@@ -85,7 +85,7 @@
       auto& controller = controllers[i % controllers.size()];
       if (!world_.alive(controller) || absent_ == controller)
         continue;
-      Envelope envelope{kProtocolRevision, 0, {}, world_.roll(), "local:operator", {}, controller, {}, {}};
+      Envelope envelope{kProtocolRevision, 0, {}, world_.next_random(), "local:operator", {}, controller, {}, {}};
       envelope.body = Commit{commit_id_, ApplyConfiguration{base, configuration_, {}}, {}};
       outcome_.reset();
       world_.post(controller, std::move(envelope));
@@ -124,8 +124,8 @@
       commit_change();
     }
     world_.arriving = nullptr;
-    cost.entry_bytes = codec::pack(Entry{goal, commit_id_, ApplyConfiguration{{}, configuration_, {}}}).size();
-    cost.snapshot_bytes = codec::pack(*newest()).size();
+    cost.entry_bytes = codec::encode(Entry{goal, commit_id_, ApplyConfiguration{{}, configuration_, {}}}).size();
+    cost.snapshot_bytes = codec::encode(*newest()).size();
     CHECK(world_.until(kMaxCatchUpTime, [&] { return world_.node(name).machine->view()->epoch == newest()->epoch; }));
     for (auto& failure : world_.failures)
       FAIL_CHECK(failure);
@@ -136,7 +136,7 @@
   /// Bytes of entries and whole values in a message.
   static size_t payload(const Message& m) {
     auto payload_of = [](auto& x) {
-      return codec::pack(x.entries).size() + (x.checkpoint ? codec::pack(*x.checkpoint).size() : 0);
+      return codec::encode(x.entries).size() + (x.checkpoint ? codec::encode(*x.checkpoint).size() : 0);
     };
     if (auto* x = std::get_if<CatchupReply>(&m))
       return payload_of(*x);
@@ -145,7 +145,7 @@
     if (auto* x = std::get_if<CommitReply>(&m))
       return payload_of(*x);
     if (auto* x = std::get_if<Decided>(&m))
-      return codec::pack(*x).size();
+      return codec::encode(*x).size();
     return 0;
   }
   void begin_absence(const std::string& name, Absence how) {
--- a/tests/unit/routing/turn_owner_fixture.hpp
+++ b/tests/unit/routing/turn_owner_fixture.hpp
@@ -61,7 +61,7 @@
     envelope.cluster = 7;
     envelope.epoch = Epoch{5};
     envelope.from = address_of(sender);
-    envelope.from_inc = Incarnation{sender};
+    envelope.from_incarnation = Incarnation{sender};
     envelope.body = std::move(body);
     return envelope;
   }
--- a/tests/unit/runtime/golden_folders.cpp
+++ b/tests/unit/runtime/golden_folders.cpp
@@ -243,9 +243,9 @@
                       .epoch = machine_->view()->epoch,
                       .id = 1,
                       .from = sender.address,
-                      .from_inc = sender.incarnation,
+                      .from_incarnation = sender.incarnation,
                       .to = identity_.self.address,
-                      .to_inc = identity_.self.incarnation,
+                      .to_incarnation = identity_.self.incarnation,
                       .body = std::move(body)};
     return write_journal(machine_->step(envelope, now_));
   }
--- a/tests/unit/runtime/golden_folders_test.cpp
+++ b/tests/unit/runtime/golden_folders_test.cpp
@@ -48,7 +48,7 @@
 std::vector<size_t> count_kinds(const std::vector<std::string>& journal) {
   std::vector<size_t> counts(std::variant_size_v<JournalRecord>);
   for (const auto& bytes : journal) {
-    auto record = codec::unpack<JournalRecord>(bytes);
+    auto record = codec::decode<JournalRecord>(bytes);
     REQUIRE(record);
     ++counts[record->index()];
   }
@@ -58,8 +58,8 @@
 template <class Checkpoint>
 void check_recovered(const std::string& file, const std::string& actual) {
   auto expected = golden::read_golden_bytes(file);
-  auto actual_value = codec::unpack<Checkpoint>(actual);
-  auto expected_value = codec::unpack<Checkpoint>(expected);
+  auto actual_value = codec::decode<Checkpoint>(actual);
+  auto expected_value = codec::decode<Checkpoint>(expected);
   REQUIRE(actual_value);
   REQUIRE(expected_value);
   golden::check_fields(golden::fields_of(*actual_value), golden::fields_of(*expected_value));
@@ -151,7 +151,7 @@
 
 TEST_CASE("a controller started on its golden folder keeps its promise and what it accepted") {
   StartedController controller;
-  auto state = codec::unpack<ControllerCheckpoint>(controller.machine.checkpoint());
+  auto state = codec::decode<ControllerCheckpoint>(controller.machine.checkpoint());
   REQUIRE(state);
   CHECK(state->open == Epoch{80});
   CHECK(state->promised == Ballot{.round = 6, .proposer = 106});
--- a/tests/unit/storage/disk_test.cpp
+++ b/tests/unit/storage/disk_test.cpp
@@ -128,10 +128,10 @@
 }
 
 TEST_CASE("daemons that do not know marks pass over them") {
-  auto m = codec::pack(SyncMark{SyncMark::kMagic, Incarnation{1}, 2, 3});
+  auto m = codec::encode(SyncMark{SyncMark::kMagic, Incarnation{1}, 2, 3});
   CHECK(m.size() == SyncMark::kBytes);
-  CHECK_FALSE(codec::unpack<StoreRecord>(m));
-  CHECK_FALSE(codec::unpack<ControllerRecord>(m));
+  CHECK_FALSE(codec::decode<StoreRecord>(m));
+  CHECK_FALSE(codec::decode<ControllerRecord>(m));
   CHECK(mark_of(m, Incarnation{1}, 2)->synced == 3);
   CHECK_FALSE(mark_of(m, Incarnation{1}, 3));
 }
--- a/tests/unit/tools/capacity_test.cpp
+++ b/tests/unit/tools/capacity_test.cpp
@@ -96,7 +96,7 @@
   constexpr int cells = 8000;
   constexpr int changes = 5;
   auto log = log_with_configurations(changes, cells);
-  auto entry_bytes = codec::pack(log.recent_entries().back()).size();
+  auto entry_bytes = codec::encode(log.recent_entries().back()).size();
   REQUIRE(entry_bytes * changes > kLogBytesKept);
   CHECK(entry_bytes * log.recent_entries().size() <= kLogBytesKept);
 
--- a/tools/local-cluster/fleet.cpp
+++ b/tools/local-cluster/fleet.cpp
@@ -99,7 +99,7 @@
 int find_free_ports(int count) {
   constexpr int attempts = 100;
   for (int attempt = 0; attempt < attempts; ++attempt) {
-    auto first = kLeastFirstPort + static_cast<int>(dice() % kFirstPortRange);
+    auto first = kLeastFirstPort + static_cast<int>(random_number() % kFirstPortRange);
     if (are_free(first - 1, first + count))
       return first;
   }
--- a/tools/local-cluster/main.cpp
+++ b/tools/local-cluster/main.cpp
@@ -167,7 +167,7 @@
   if (auto errors = fleet.configure(); !errors.empty())
     return fail(errors, kExitFailed);
   while (count_ready_gateways(fleet) < plan.fronts && process_now() - begun < kReadyTimeout) {
-    if (signalled(kPollInterval))
+    if (wait_for_signal(kPollInterval))
       return kExitFailed;
   }
   auto control_address = "127.0.0.1:" + std::to_string(plan.first_port - 1);
@@ -176,7 +176,7 @@
   if (!server.ok())
     return fail(server.errors(), kExitUsage);
   print_ready(fleet, plan, process_now() - begun);
-  while (!signalled(1000)) {}
+  while (!wait_for_signal(1000)) {}
   return 0;
 }
 
@@ -197,7 +197,7 @@
   if (!options->keep_folder)
     std::filesystem::remove_all(plan.folder);
   start_log("local-cluster");
-  hold_signals();
+  block_signals();
   curl_global_init(CURL_GLOBAL_DEFAULT);
   return run(plan);
 }
--- a/tools/replica-sim/main.cpp
+++ b/tools/replica-sim/main.cpp
@@ -67,13 +67,13 @@
     return 0;
   }
   start_log("replica-sim");
-  hold_signals();
+  block_signals();
   replica_sim::StandInReplica replica(options->replica);
   auto server = HttpServer::open(options->address, [&](const ApiRequest& request) { return replica.handle(request); });
   if (!server.ok()) {
     fprintf(stderr, "replica-sim: %s\n", to_string(server.errors()).c_str());
     return kExitUsage;
   }
-  while (!signalled(1000)) {}
+  while (!wait_for_signal(1000)) {}
   return 0;
 }
--- a/tools/scale/churn.cpp
+++ b/tools/scale/churn.cpp
@@ -14,12 +14,12 @@
 constexpr Millis kCalmTimeout = 900000;
 constexpr size_t kFailingZone = 1;
 
-View controller_view(SimulatedFleet& fleet) {
+MetadataSnapshot controller_view(SimulatedFleet& fleet) {
   return fleet.process(ProcessKind::controller, 0).machine->view();
 }
 
 double encoded_bytes(const Metadata& metadata) {
-  return static_cast<double>(codec::pack(metadata).size());
+  return static_cast<double>(codec::encode(metadata).size());
 }
 
 /// An agent and its gateway, which `fleet_processes` puts next to each other.
--- a/tools/scale/control_plane.cpp
+++ b/tools/scale/control_plane.cpp
@@ -162,8 +162,8 @@
 
 void measure_encoding(Measurement& measurement, const Metadata& metadata, int repetitions) {
   std::string bytes;
-  measurement.times["encode.ms"] = cpu_milliseconds_each(repetitions, [&](int) { bytes = codec::pack(metadata); });
-  measurement.times["decode.ms"] = cpu_milliseconds_each(repetitions, [&](int) { codec::unpack<Metadata>(bytes); });
+  measurement.times["encode.ms"] = cpu_milliseconds_each(repetitions, [&](int) { bytes = codec::encode(metadata); });
+  measurement.times["decode.ms"] = cpu_milliseconds_each(repetitions, [&](int) { codec::decode<Metadata>(bytes); });
   measurement.times["digest.ms"] = cpu_milliseconds_each(repetitions, [&](int) { digest(bytes); });
 }
 
@@ -226,7 +226,7 @@
       .base = metadata.revision, .configuration = metadata.configuration, .revision = Revision{}};
   Entry large_entry{.epoch = next(metadata.epoch), .commit_id = "op-1", .change = same_configuration};
   Entry small_entry{.epoch = next(metadata.epoch), .commit_id = "", .change = BeginQuorumChange{}};
-  measurement.counts["bytes.entry"] = static_cast<double>(codec::pack(large_entry).size());
+  measurement.counts["bytes.entry"] = static_cast<double>(codec::encode(large_entry).size());
   measurement.counts["bytes.json"] = static_cast<double>(json::write(metadata.configuration).dump().size());
   measure_copies(measurement, metadata, repetitions);
   measurement.times["apply.configuration.ms"] =
--- a/tools/scale/controller_client.cpp
+++ b/tools/scale/controller_client.cpp
@@ -26,9 +26,9 @@
                     .epoch = metadata_log_.epoch(),
                     .id = ++last_id_,
                     .from = address_,
-                    .from_inc = Incarnation{},
+                    .from_incarnation = Incarnation{},
                     .to = controller,
-                    .to_inc = Incarnation{},
+                    .to_incarnation = Incarnation{},
                     .body = std::move(body)});
 }
 
@@ -58,7 +58,7 @@
   }
 }
 
-View ControllerClient::view() {
+MetadataSnapshot ControllerClient::view() {
   for (const auto& controller : controllers)
     catch_up(controller);
   return metadata_log_.view();
--- a/tools/scale/controller_client.hpp
+++ b/tools/scale/controller_client.hpp
@@ -26,7 +26,7 @@
   /// Begins to listen; must be called first.
   Errors open();
   /// The metadata as the controllers have it now.
-  View view();
+  MetadataSnapshot view();
   /// Tries the controllers one after the other until one knows the outcome.
   CommitResult commit(Transformation change);
 
--- a/tools/scale/fleet_faults.cpp
+++ b/tools/scale/fleet_faults.cpp
@@ -99,7 +99,7 @@
   record("restarts", "one.ms.max", durations.back());
   auto after = client_.view();
   auto epochs = static_cast<double>(after->epoch.value() - before->epoch.value());
-  auto bytes = static_cast<double>(codec::pack(*after).size()) - static_cast<double>(codec::pack(*before).size());
+  auto bytes = static_cast<double>(codec::encode(*after).size()) - static_cast<double>(codec::encode(*before).size());
   record("restarts", "epochs.one", epochs / count);
   record("restarts", "value_bytes.one", bytes / count);
 }
--- a/tools/scale/fleet_options.cpp
+++ b/tools/scale/fleet_options.cpp
@@ -13,7 +13,7 @@
 }
 
 std::string fingerprint(const Metadata& metadata) {
-  return hex(digest(codec::pack(metadata)));
+  return hex(digest(codec::encode(metadata)));
 }
 
 }  // namespace mosskeel::scale
--- a/tools/scale/hollow_daemons.cpp
+++ b/tools/scale/hollow_daemons.cpp
@@ -119,7 +119,7 @@
                      .machine = ""};
     identity.seeds = seeds_;
     identity.core_size = 0;
-    identity.dice = random_();
+    identity.random_seed = random_();
     daemon.gateway = {.incarnation = Incarnation{random_()},
                       .role = Role::front,
                       .zone = daemon.zone,
@@ -150,7 +150,7 @@
     message.cluster = view->cluster;
     message.epoch = view->epoch;
     message.from = daemon.gateway_address;
-    message.from_inc = daemon.gateway.incarnation;
+    message.from_incarnation = daemon.gateway.incarnation;
     message.to = daemon.address;
     message.body = Heartbeat{.self = daemon.gateway,
                              .known = view->epoch,
--- a/tools/scale/plan.cpp
+++ b/tools/scale/plan.cpp
@@ -68,7 +68,7 @@
                            .http_address = address(process.zone, machine, kHttpPort),
                            .machine = "machine-" + std::to_string(1000 + machine)};
   process.identity.core_size = static_cast<uint32_t>(plan.controllers);
-  process.identity.dice = digest("dice", incarnation);
+  process.identity.random_seed = digest("dice", incarnation);
   return process;
 }
 
@@ -256,13 +256,13 @@
   std::map<std::string, size_t> sizes;
   auto add_field = [&](auto field) {
     auto field_name = hana::to<const char*>(hana::first(field));
-    sizes[field_name] = codec::pack(hana::second(field)(metadata)).size();
+    sizes[field_name] = codec::encode(hana::second(field)(metadata)).size();
   };
   hana::for_each(hana::accessors<Metadata>(), add_field);
-  sizes["configuration.cells"] = codec::pack(metadata.configuration.cells).size();
-  sizes["configuration.paths"] = codec::pack(metadata.configuration.paths).size();
-  sizes["configuration.services"] = codec::pack(metadata.configuration.services).size();
-  sizes["whole"] = codec::pack(metadata).size();
+  sizes["configuration.cells"] = codec::encode(metadata.configuration.cells).size();
+  sizes["configuration.paths"] = codec::encode(metadata.configuration.paths).size();
+  sizes["configuration.services"] = codec::encode(metadata.configuration.services).size();
+  sizes["whole"] = codec::encode(metadata).size();
   return sizes;
 }
 
--- a/tools/scale/simulated_fleet.cpp
+++ b/tools/scale/simulated_fleet.cpp
@@ -22,7 +22,7 @@
   return kind == ProcessKind::controller || kind == ProcessKind::store;
 }
 
-std::unique_ptr<Machine> make_machine(const ProcessSpec& spec, const Recovered& recovered, Millis now) {
+std::unique_ptr<StateMachine> make_machine(const ProcessSpec& spec, const Recovered& recovered, Millis now) {
   switch (spec.kind) {
     case ProcessKind::controller:
       return std::make_unique<ControllerMachine>(spec.identity, recovered, now);
@@ -92,8 +92,8 @@
   ControllerCheckpoint controller_checkpoint{
       .metadata = metadata, .recent = {}, .open = next(metadata.epoch), .promised = {}, .accepted = std::nullopt};
   StoreCheckpoint store_checkpoint{.metadata = metadata, .partitions = histories, .uptime = 2 * kRepairMinimumAge};
-  auto controller_bytes = codec::pack(controller_checkpoint);
-  auto store_bytes = codec::pack(store_checkpoint);
+  auto controller_bytes = codec::encode(controller_checkpoint);
+  auto store_bytes = codec::encode(store_checkpoint);
   processes_.resize(specs.size());
   for (size_t index = 0; index < specs.size(); ++index) {
     auto& process = processes_[index];
@@ -104,7 +104,7 @@
       process.checkpoint = store_bytes;
     index_by_address_[process.spec.identity.self.address] = index;
   }
-  digest_by_epoch_[metadata.epoch] = digest(codec::pack(metadata));
+  digest_by_epoch_[metadata.epoch] = digest(codec::encode(metadata));
   for (size_t index = 0; index < specs.size(); ++index)
     start(index);
 }
@@ -129,7 +129,7 @@
   auto& identity = process.spec.identity;
   if (new_incarnation && !has_disk(process.spec.kind))
     identity.self.incarnation = Incarnation{random_()};
-  identity.dice = random_();
+  identity.random_seed = random_();
   process.life = ++last_life_;
   process.known_epoch = {};
   Recovered recovered{identity.self.incarnation, process.checkpoint, process.synced_records};
@@ -238,7 +238,7 @@
 }
 
 void SimulatedFleet::check_value(const SimulatedProcess& process, const Metadata& metadata) {
-  auto value_digest = digest(codec::pack(metadata));
+  auto value_digest = digest(codec::encode(metadata));
   auto [known, is_first] = digest_by_epoch_.emplace(metadata.epoch, value_digest);
   if (!is_first && known->second != value_digest) {
     failures.push_back(process.spec.identity.self.address + " holds another value at epoch " +
--- a/tools/scale/simulated_fleet.hpp
+++ b/tools/scale/simulated_fleet.hpp
@@ -57,7 +57,7 @@
 struct SimulatedProcess {
   ProcessSpec spec;
   /// Nothing while the process is stopped.
-  std::unique_ptr<Machine> machine;
+  std::unique_ptr<StateMachine> machine;
   /// Changes with each start and stop, so that events of an earlier life are dropped.
   uint64_t life = 0;
   /// The newest epoch that the machine has shown.
