--- a/tools/loadgen/clock.cpp
+++ b/tools/loadgen/clock.cpp
@@ -7,7 +7,7 @@
 namespace mosskeel::loadgen {
 namespace {
 
-uint64_t random_number() {
+uint64_t random_seed() {
   std::random_device device;
   uint64_t low = device();
   uint64_t high = device();
@@ -17,7 +17,7 @@
 }  // namespace
 
 uint64_t random_number() {
-  static thread_local std::mt19937_64 engine{random_number()};
+  static thread_local std::mt19937_64 engine{random_seed()};
   return engine();
 }
 
