--- a/tests/model/explorer.cpp
+++ b/tests/model/explorer.cpp
@@ -82,10 +82,10 @@
 };
 
 /// Mostly what happens without trouble, at times anything else.
-size_t choose(std::mt19937_64& random_seed, size_t count) {
-  if (count == 1 || random_number() % 10 < 6)
+size_t choose(std::mt19937_64& random, size_t count) {
+  if (count == 1 || random() % 10 < 6)
     return 0;
-  return random_number() % count;
+  return random() % count;
 }
 
 }  // namespace
@@ -106,12 +106,12 @@
       report.complete = false;
       break;
     }
-    std::mt19937_64 random_seed(seed);
+    std::mt19937_64 random(seed);
     auto state = start;
     Trace trace;
     for (int i = 0; i < steps && state.observer().broken().empty(); ++i) {
       auto actions = state.enabled();
-      trace.push_back(actions[choose(random_seed, actions.size())]);
+      trace.push_back(actions[choose(random, actions.size())]);
       state.apply(trace.back());
       seen.insert(state.fingerprint());
       ++report.steps;
--- a/tests/unit/storage/disk_crash_test.cpp
+++ b/tests/unit/storage/disk_crash_test.cpp
@@ -69,7 +69,7 @@
 }
 
 /// Every subset of the unsynced names (or many), each with no, all and some of the unsynced writes.
-size_t lose_power(const CrashDisk& disk, Progress p, std::mt19937_64& random_seed) {
+size_t lose_power(const CrashDisk& disk, Progress p, std::mt19937_64& random) {
   auto none = [](size_t) {
     return size_t{0};
   };
@@ -77,14 +77,14 @@
     return n;
   };
   auto some = [&](size_t n) {
-    return random_number() % 3 == 0 ? 0 : random_number() % 2 ? n : random_number() % (n + 1);
+    return random() % 3 == 0 ? 0 : random() % 2 ? n : random() % (n + 1);
   };
   auto names = disk.unsynced_names();
   bool few = names <= subset_bits;
   uint64_t subsets = few ? uint64_t{1} << names : random_subsets;
   size_t played = 0;
   for (uint64_t i = 0; i < subsets; ++i) {
-    auto kept = few ? i : random_number();
+    auto kept = few ? i : random();
     start_after(disk.after_power_loss(kept, none), p);
     start_after(disk.after_power_loss(kept, all), p);
     start_after(disk.after_power_loss(kept, some), p);
@@ -110,7 +110,7 @@
 }  // namespace
 
 TEST_CASE("power lost between any two changes on disk loses no synced record, whichever names are kept") {
-  std::mt19937_64 random_seed(1);
+  std::mt19937_64 random(1);
   auto last = changes_of_a_whole_run();
   size_t played = 0;
   for (long at = 0; at <= last; ++at) {
@@ -118,13 +118,13 @@
     Progress p;
     run_until(disk, p);
     INFO("after change " << at << " of " << last);
-    played += lose_power(disk, p, random_seed);
+    played += lose_power(disk, p, random);
   }
   CHECK(played > 500);
 }
 
 TEST_CASE("a process killed between any two changes starts again, and power lost after that loses nothing") {
-  std::mt19937_64 random_seed(2);
+  std::mt19937_64 random(2);
   auto last = changes_of_a_whole_run();
   for (long at = 0; at <= last; ++at) {
     CrashDisk disk(at);
@@ -140,12 +140,12 @@
       // What a start found is answered for from then on.
       p.acknowledged = have;
     }
-    lose_power(disk, p, random_seed);
+    lose_power(disk, p, random);
   }
 }
 
 TEST_CASE("the identity that a daemon has used outlives a loss of power after a kill") {
-  std::mt19937_64 random_seed(3);
+  std::mt19937_64 random(3);
   auto last = changes_of_a_whole_run();
   for (long at = 0; at <= last; ++at) {
     CrashDisk disk(at);
