--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -315,7 +315,7 @@
     append(applied);
     stamp_messages();
     outbox_.log_event(applied.epoch.value() == 1 ? Event::founded : Event::decided,
-                 std::to_string(applied.epoch.value()) + ": " + describe(applied.change));
+                      std::to_string(applied.epoch.value()) + ": " + describe(applied.change));
     for (const auto& [id, daemon] : metadata_log_.view()->directory) {
       if (daemon.state == DaemonState::left || daemon.self.incarnation == self().incarnation)
         continue;
--- a/src/consensus/founding.cpp
+++ b/src/consensus/founding.cpp
@@ -88,7 +88,7 @@
   if (members.size() > id.core_size)
     members.resize(id.core_size);
   outbox_.log_event(Event::founding,
-               std::to_string(electors.size()) + " of " + std::to_string(founders_.size()) + " candidates");
+                    std::to_string(electors.size()) + " of " + std::to_string(founders_.size()) + " candidates");
   uint64_t cluster = digest(hex(id.self.incarnation.value()));
   proposer_.found(FoundCluster{cluster, id.core_size, members, id.max_core_size, id.replication_factor}, electors,
                   quorum_size, now);
--- a/src/consensus/refounding.cpp
+++ b/src/consensus/refounding.cpp
@@ -133,7 +133,7 @@
     if (!metadata.is_core_member(incarnation))
       add_fresh(sighting.candidate);
   outbox_.log_event(Event::refounding, std::to_string(lost.size()) + " of " + std::to_string(metadata.members.size()) +
-                                      " members are lost at epoch " + std::to_string(metadata.epoch.value()));
+                                           " members are lost at epoch " + std::to_string(metadata.epoch.value()));
   proposer_.refound(change, survivors, now);
 }
 
--- a/src/consensus/sequence_coordinator.cpp
+++ b/src/consensus/sequence_coordinator.cpp
@@ -55,13 +55,13 @@
     if (!reason.empty()) {
       retry_at_[id] = now + kSequenceRetryDelay;
       outbox_.log_event(Event::sequence_blocked,
-                   std::string(name(sequence.kind)) + of_daemon + " at step " + name(sequence.next_step));
+                        std::string(name(sequence.kind)) + of_daemon + " at step " + name(sequence.next_step));
       return CancelSequence{id, reason};
     }
     if (!barrier_reached(sequence, now))
       continue;
     outbox_.log_event(Event::sequence_step,
-                 std::string(name(sequence.next_step)) + " of the " + name(sequence.kind) + of_daemon);
+                      std::string(name(sequence.next_step)) + " of the " + name(sequence.kind) + of_daemon);
     return AdvanceSequence{id, sequence.next_step};
   }
   return std::nullopt;
--- a/src/consensus/supervisor.cpp
+++ b/src/consensus/supervisor.cpp
@@ -52,7 +52,7 @@
     bool superseded = daemon.self.role == Role::store && detector_.superseded(daemon, now);
     if (daemon.state != DaemonState::down && (superseded || majority_.is_silent(daemon, timeout, now))) {
       outbox_.log_event(Event::heartbeats_missed,
-                   std::string(name(daemon.self.role)) + " daemon " + std::to_string(id.value()));
+                        std::string(name(daemon.self.role)) + " daemon " + std::to_string(id.value()));
       return MarkDown{id};
     }
     if (daemon.state == DaemonState::down && !superseded && core_membership_.has_returned(daemon, now))
--- a/src/programs/request_responder.cpp
+++ b/src/programs/request_responder.cpp
@@ -24,7 +24,7 @@
     const auto& text = open.response.body;
     if (!text.starts_with(open.streamed_text)) {
       context_.outbox.log_event(Event::forwarded_response_lost,
-                           open.request.attempt + " streamed a text that differs from the recorded one");
+                                open.request.attempt + " streamed a text that differs from the recorded one");
       RequestRejection rejection{502, "the stream broke; the answer is kept under the key", kDefaultRetryAfter,
                                  Outcome::unknown};
       return reject(open, std::move(rejection), now);
--- a/src/replication/registration.cpp
+++ b/src/replication/registration.cpp
@@ -28,7 +28,7 @@
   bool has_left = state == DaemonState::left;
   if (state && state != last_state_ && (!last_state_ || has_left))
     out_.log_event(has_left ? Event::lost_identity : Event::registered,
-              self.address + " is daemon " + std::to_string(registered->id.value()));
+                   self.address + " is daemon " + std::to_string(registered->id.value()));
   last_state_ = state;
 }
 
--- a/src/routing/turn_client.cpp
+++ b/src/routing/turn_client.cpp
@@ -85,7 +85,8 @@
   if (granted)
     granted_.insert(reply.attempt);
   else
-    outbox_.log_event(Event::turn_refused, reply.attempt + " with " + std::to_string(reply.status) + ": " + reply.reason);
+    outbox_.log_event(Event::turn_refused,
+                      reply.attempt + " with " + std::to_string(reply.status) + ": " + reply.reason);
   reservations_.erase(reservation);
   outbox_.send(kRoutingAddress, reply);
 }
