--- a/tools/loadgen/load_generator.hpp
+++ b/tools/loadgen/load_generator.hpp
@@ -94,7 +94,7 @@
 Failure read_failure(const std::string& body);
 
 /// A caller comes back so often before it gives up.
-constexpr int kMaxAttempts = 40;
+constexpr int kAttemptLimit = 40;
 /// Milliseconds, where the answer names no other time.
 constexpr Millis kDefaultRetryDelay = 300;
 
--- a/tools/loadgen/tool_calls.cpp
+++ b/tools/loadgen/tool_calls.cpp
@@ -47,7 +47,7 @@
 }
 
 void LoadGenerator::get(const std::string& path, const std::string& what, const std::string& request_class) {
-  for (int number = 0; number < kMaxAttempts; ++number) {
+  for (int number = 0; number < kAttemptLimit; ++number) {
     auto front = ready_front();
     if (front.empty())
       continue;
@@ -71,7 +71,7 @@
 void LoadGenerator::post_count(uint64_t number) {
   auto id = "count-" + std::to_string(number) + "-" + hex(random_number());
   bool may_have_run = false;
-  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+  for (int attempt = 0; attempt < kAttemptLimit; ++attempt) {
     auto front = ready_front();
     if (front.empty())
       continue;
--- a/tools/loadgen/turns.cpp
+++ b/tools/loadgen/turns.cpp
@@ -194,7 +194,7 @@
   turn.key = "k" + hex(random_number());
   turn.input = "question " + turn.key + " " + std::string(kQuestionBytes, 'x');
   bool may_have_run = false;
-  for (int number = 0; number < kMaxAttempts; ++number) {
+  for (int number = 0; number < kAttemptLimit; ++number) {
     TurnAttempt attempt{.front = ready_front()};
     if (attempt.front.empty())
       continue;
