--- a/include/mosskeel/result.hpp
+++ b/include/mosskeel/result.hpp
@@ -38,7 +38,7 @@
  public:
   template <class U>
   requires(!std::same_as<std::remove_cvref_t<U>, Result> && std::constructible_from<std::variant<T, Errors>, U&&>)
-      Result(U&& outcome)
+      Result(U&& outcome)  // NOLINT(bugprone-forwarding-reference-overload): the constraint keeps copies out
       : outcome_(std::forward<U>(outcome)) {}
 
   bool operator==(const Result&) const = default;
--- a/src/base/events.hpp
+++ b/src/base/events.hpp
@@ -45,7 +45,7 @@
   X(replica_list_unreadable, 402, "the list of replicas could not be read in full; the last known list stays")
 
 enum class Event : uint16_t {
-#define X(name, number, text) name = number,
+#define X(name, number, text) name = number,  // NOLINT(bugprone-macro-parentheses): an enumerator
   MOSSKEEL_EVENTS(X)
 #undef X
 };
--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -19,7 +19,7 @@
           outbox_, metadata_log_, acceptor_, [this](const Entry& entry) { on_decided(entry); },
           [this](Epoch epoch, Millis at) { return missing_acknowledgements(epoch, at); }),
       discovered_(id.self.incarnation),
-      founding_(outbox_, metadata_log_, proposer_, discovered_, now),
+      founding_(outbox_, proposer_, discovered_, now),
       refounding_(outbox_, metadata_log_, detector_, proposer_, discovered_),
       registration_(outbox_, metadata_log_),
       shutdown_(outbox_, metadata_log_) {
--- a/src/consensus/founding.hpp
+++ b/src/consensus/founding.hpp
@@ -13,8 +13,8 @@
 /// `ControllerMachine` and used on its thread only.
 class Founding {
  public:
-  Founding(Outbox& outbox, MetadataLog& metadata_log, Proposer& proposer, DiscoveredControllers& discovered, Millis now)
-      : outbox_(outbox), metadata_log_(metadata_log), proposer_(proposer), discovered_(discovered), started_at_(now) {}
+  Founding(Outbox& outbox, Proposer& proposer, DiscoveredControllers& discovered, Millis now)
+      : outbox_(outbox), proposer_(proposer), discovered_(discovered), started_at_(now) {}
 
   /// Fixes the candidates if this is a controller's first start.
   void initialize(const Recovered& recovered);
@@ -36,7 +36,6 @@
   void propose_if_due(Millis now);
 
   Outbox& outbox_;
-  MetadataLog& metadata_log_;
   Proposer& proposer_;
   DiscoveredControllers& discovered_;
   Millis started_at_{};
