--- a/src/messages/request_messages.hpp
+++ b/src/messages/request_messages.hpp
@@ -15,7 +15,7 @@
                            (bool, bulk), (bool, idempotent), (int64_t, deadline_ms));
 };
 
-/// The owner has a forwarded request; it is not sent again.
+/// The owner has a forwarded request and will answer it.
 struct ProgramRequestAcknowledgement {
   BOOST_HANA_DEFINE_STRUCT(ProgramRequestAcknowledgement, (std::string, attempt));
 };
