--- a/src/base/codec.hpp
+++ b/src/base/codec.hpp
@@ -32,6 +32,10 @@
 struct is_strong : std::false_type {};
 template <class Tag, class T>
 struct is_strong<Strong<Tag, T>> : std::true_type {};
+template <class T>
+struct is_duration : std::false_type {};
+template <class Rep, class Period>
+struct is_duration<std::chrono::duration<Rep, Period>> : std::true_type {};
 
 // `put` appends the encoding of a value; `get` reads one and returns false where the bytes are not one.
 template <class T>
@@ -194,6 +198,8 @@
     out.append(reinterpret_cast<const char*>(&value), sizeof value);
   } else if constexpr (is_strong<T>::value) {
     put(out, value.value());
+  } else if constexpr (is_duration<T>::value) {
+    put(out, value.count());
   } else if constexpr (!std::is_empty_v<T>) {
     hana::for_each(hana::accessors<T>(), [&](auto field) { put(out, hana::second(field)(value)); });
   }
--- a/src/base/queue.hpp
+++ b/src/base/queue.hpp
@@ -20,14 +20,14 @@
   }
 
   /// Everything that is there; waits up to `timeout` (ms) for the first item. Empty after a time-out or once closed.
-  std::deque<T> take(Millis timeout) {
+  std::deque<T> take(Duration timeout) {
     std::unique_lock lock(mutex_);
     wait_for_item(lock, timeout);
     return std::exchange(items_, {});
   }
 
   /// The first item; waits up to `timeout` (ms) for it. Nothing after a time-out or once closed and empty.
-  std::optional<T> pop(Millis timeout) {
+  std::optional<T> pop(Duration timeout) {
     std::unique_lock lock(mutex_);
     wait_for_item(lock, timeout);
     if (items_.empty())
@@ -50,7 +50,7 @@
   }
 
  private:
-  void wait_for_item(std::unique_lock<std::mutex>& lock, Millis timeout) {
+  void wait_for_item(std::unique_lock<std::mutex>& lock, Duration timeout) {
     changed_.wait_for(lock, std::chrono::milliseconds(timeout), [this] { return !items_.empty() || closed_; });
   }
 
--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -9,7 +9,7 @@
 
 namespace mosskeel {
 
-ControllerMachine::ControllerMachine(const Identity& id, const Recovered& recovered, Millis now)
+ControllerMachine::ControllerMachine(const Identity& id, const Recovered& recovered, TimePoint now)
     : outbox_(id),
       acceptor_(outbox_, metadata_log_),
       detector_(now),
@@ -17,7 +17,7 @@
       supervisor_(outbox_, metadata_log_, detector_, lease_),
       proposer_(
           outbox_, metadata_log_, acceptor_, [this](const Entry& entry) { on_decided(entry); },
-          [this](Epoch epoch, Millis at) { return missing_acknowledgements(epoch, at); }),
+          [this](Epoch epoch, TimePoint at) { return missing_acknowledgements(epoch, at); }),
       discovered_(id.self.incarnation),
       founding_(outbox_, proposer_, discovered_, now),
       refounding_(outbox_, metadata_log_, detector_, proposer_, discovered_),
@@ -74,11 +74,11 @@
   return outbox_.take();
 }
 
-std::string ControllerMachine::missing_acknowledgements(Epoch epoch, Millis now) const {
+std::string ControllerMachine::missing_acknowledgements(Epoch epoch, TimePoint now) const {
   return mosskeel::missing_acknowledgements(*metadata_log_.view(), self().incarnation, detector_, epoch, now);
 }
 
-Actions ControllerMachine::step(const Envelope& envelope, Millis now) {
+Actions ControllerMachine::step(const Envelope& envelope, TimePoint now) {
   if (!is_acceptable(envelope)) {
     answer_former_cluster(envelope);
     return take_actions();
@@ -95,7 +95,7 @@
   return take_actions();
 }
 
-Actions ControllerMachine::tick(Millis now) {
+Actions ControllerMachine::tick(TimePoint now) {
   Epoch before = metadata_log_.epoch();
   if (!outbox_.cluster)
     founding_.tick(now);
@@ -114,7 +114,7 @@
 }
 
 /// What waits for a new epoch need not wait for the next tick, and the others are to know of it at once.
-void ControllerMachine::react_to_new_epoch(Epoch before, Millis now) {
+void ControllerMachine::react_to_new_epoch(Epoch before, TimePoint now) {
   if (metadata_log_.epoch() == before)
     return;
   proposer_.tick(now);
@@ -122,7 +122,7 @@
 }
 
 /// A proposal whose proposer gave up or stopped may be decided already without anybody knowing it.
-void ControllerMachine::finish_abandoned_instance(Millis now) {
+void ControllerMachine::finish_abandoned_instance(TimePoint now) {
   if (!acceptor_.has_accepted() || unfinished_after_ != metadata_log_.epoch()) {
     unfinished_since_ = now;
     unfinished_after_ = metadata_log_.epoch();
@@ -167,7 +167,7 @@
 }
 
 /// Asks a sender that knows a later epoch for what is missing here, unless its message brings that.
-void ControllerMachine::request_missing_entries(const Envelope& envelope, Millis now) {
+void ControllerMachine::request_missing_entries(const Envelope& envelope, TimePoint now) {
   bool brings_entries = std::holds_alternative<Decided>(envelope.body) ||
                         std::holds_alternative<CatchupReply>(envelope.body) ||
                         std::holds_alternative<HeartbeatReply>(envelope.body);
@@ -176,7 +176,7 @@
     outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const Discover& discover, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const Discover& discover, TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   DiscoverReply reply{self(), outbox_.cluster, metadata_log_.epoch(), {}, {}};
   if (outbox_.cluster) {
@@ -190,7 +190,7 @@
   outbox_.send(envelope.from, reply);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const DiscoverReply& reply, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const DiscoverReply& reply, TimePoint now) {
   if (!outbox_.cluster) {
     if (reply.cluster)
       return outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
@@ -205,54 +205,54 @@
 }
 
 /// One that the core was founded anew without has no vote until it has caught up with the new generation.
-bool ControllerMachine::may_vote(Millis now) const {
+bool ControllerMachine::may_vote(TimePoint now) const {
   return outbox_.cluster ? !removed_by_refounding_ : founding_.may_vote(now);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const Prepare& prepare, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const Prepare& prepare, TimePoint now) {
   if (may_vote(now))
     acceptor_.handle(envelope, prepare);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const Accept& accept, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const Accept& accept, TimePoint now) {
   if (may_vote(now))
     acceptor_.handle(envelope, accept);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const Promise& promise, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const Promise& promise, TimePoint now) {
   proposer_.handle(envelope, promise, now);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const Accepted& accepted, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const Accepted& accepted, TimePoint now) {
   proposer_.handle(envelope, accepted, now);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const Decided& decided, Millis) {
+void ControllerMachine::handle(const Envelope& envelope, const Decided& decided, TimePoint) {
   apply_updates({decided.entry}, std::nullopt);
   if (metadata_log_.has_gap())
     outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const Catchup& request, Millis) {
+void ControllerMachine::handle(const Envelope& envelope, const Catchup& request, TimePoint) {
   auto [snapshot, entries] = metadata_log_.updates_since(request.known);
   outbox_.send(envelope.from, CatchupReply{metadata_log_.epoch(), snapshot, entries});
 }
 
-void ControllerMachine::handle(const Envelope&, const CatchupReply& reply, Millis) {
+void ControllerMachine::handle(const Envelope&, const CatchupReply& reply, TimePoint) {
   apply_updates(reply.entries, reply.checkpoint);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const QuorumRead& read, Millis) {
+void ControllerMachine::handle(const Envelope& envelope, const QuorumRead& read, TimePoint) {
   if (metadata_log_.view()->is_core_member(self().incarnation))
     outbox_.send_synced(envelope.from, QuorumReadReply{read.id, metadata_log_.epoch(), acceptor_.has_accepted()},
                         envelope.from_incarnation);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const QuorumReadReply& reply, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const QuorumReadReply& reply, TimePoint now) {
   proposer_.handle(envelope, reply, now);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const Commit& commit, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const Commit& commit, TimePoint now) {
   if (!removed_by_refounding_)
     return proposer_.handle(envelope, commit, now);
   outbox_.send(envelope.from, CommitReply{commit.id,
@@ -264,12 +264,12 @@
                                           Rejection::none});
 }
 
-void ControllerMachine::handle(const Envelope&, const CommitReply& reply, Millis) {
+void ControllerMachine::handle(const Envelope&, const CommitReply& reply, TimePoint) {
   supervisor_.handle(reply);
   apply_updates(reply.entries, reply.checkpoint);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const Heartbeat& heartbeat, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const Heartbeat& heartbeat, TimePoint now) {
   detector_.record(heartbeat, now);
   if (heartbeat.leaving)
     lease_.on_shutdown_of(heartbeat.self.incarnation, now);
@@ -281,19 +281,19 @@
   outbox_.send_synced(envelope.from, reply);
 }
 
-void ControllerMachine::handle(const Envelope&, const HeartbeatReply& reply, Millis) {
+void ControllerMachine::handle(const Envelope&, const HeartbeatReply& reply, TimePoint) {
   apply_updates(reply.entries, reply.checkpoint);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const LeaseRequest& request, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const LeaseRequest& request, TimePoint now) {
   lease_.handle(envelope, request, now);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const LeaseGrant& grant, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const LeaseGrant& grant, TimePoint now) {
   lease_.handle(envelope, grant, now);
 }
 
-void ControllerMachine::handle(const Envelope& envelope, const RefoundRequest& request, Millis now) {
+void ControllerMachine::handle(const Envelope& envelope, const RefoundRequest& request, TimePoint now) {
   refounding_.handle(envelope, request, now);
 }
 
@@ -340,7 +340,7 @@
   stamp_messages();
 }
 
-void ControllerMachine::send_heartbeats(Millis now) {
+void ControllerMachine::send_heartbeats(TimePoint now) {
   next_heartbeat_at_ = now + kHeartbeatInterval;
   Heartbeat heartbeat{};
   heartbeat.self = self();
@@ -359,7 +359,7 @@
 }
 
 /// The other members hear at once that this one stops: they take the lease over and need not wait for its silence.
-void ControllerMachine::begin_shutdown(Millis now) {
+void ControllerMachine::begin_shutdown(TimePoint now) {
   if (shutdown_.in_progress())
     return;
   shutdown_.begin(now);
--- a/src/consensus/controller_machine.hpp
+++ b/src/consensus/controller_machine.hpp
@@ -18,62 +18,62 @@
 class ControllerMachine : public StateMachine {
  public:
   /// Takes up what an earlier process kept on disk; records that cannot be read were refused by the storage before.
-  ControllerMachine(const Identity& id, const Recovered& recovered, Millis now);
+  ControllerMachine(const Identity& id, const Recovered& recovered, TimePoint now);
 
-  Actions step(const Envelope& envelope, Millis now) override;
-  Actions tick(Millis now) override;
+  Actions step(const Envelope& envelope, TimePoint now) override;
+  Actions tick(TimePoint now) override;
   MetadataSnapshot view() const override { return metadata_log_.view(); }
   std::string checkpoint() const override;
   /// Begins to stop in order: hands the lease over, lets the core go on without this member, then asks to be stopped.
   /// What it sends goes out with the next tick.
-  void begin_shutdown(Millis now);
+  void begin_shutdown(TimePoint now);
 
   const std::deque<Entry>& recent_entries() const { return metadata_log_.recent_entries(); }
   const FailureDetector& failure_detector() const { return detector_; }
   const Candidate& self() const { return outbox_.id().self; }
-  bool is_supervisor(Millis now) const { return lease_.is_held(now); }
+  bool is_supervisor(TimePoint now) const { return lease_.is_held(now); }
   /// The core was founded anew without this controller: it takes part in nothing any more, its folder must be emptied.
   bool removed_by_refounding() const { return removed_by_refounding_; }
   /// Which acknowledgements an epoch lacks to be in force, as text; empty once it is in force.
-  std::string missing_acknowledgements(Epoch epoch, Millis now) const;
+  std::string missing_acknowledgements(Epoch epoch, TimePoint now) const;
 
  private:
   // One handler for each kind of message that concerns a controller.
-  void handle(const Envelope& envelope, const Discover& discover, Millis now);
-  void handle(const Envelope& envelope, const DiscoverReply& reply, Millis now);
-  void handle(const Envelope& envelope, const Prepare& prepare, Millis now);
-  void handle(const Envelope& envelope, const Promise& promise, Millis now);
-  void handle(const Envelope& envelope, const Accept& accept, Millis now);
-  void handle(const Envelope& envelope, const Accepted& accepted, Millis now);
-  void handle(const Envelope& envelope, const Decided& decided, Millis now);
-  void handle(const Envelope& envelope, const Catchup& request, Millis now);
-  void handle(const Envelope& envelope, const CatchupReply& reply, Millis now);
-  void handle(const Envelope& envelope, const QuorumRead& read, Millis now);
-  void handle(const Envelope& envelope, const QuorumReadReply& reply, Millis now);
-  void handle(const Envelope& envelope, const Commit& commit, Millis now);
-  void handle(const Envelope& envelope, const CommitReply& reply, Millis now);
-  void handle(const Envelope& envelope, const Heartbeat& heartbeat, Millis now);
-  void handle(const Envelope& envelope, const HeartbeatReply& reply, Millis now);
-  void handle(const Envelope& envelope, const LeaseRequest& request, Millis now);
-  void handle(const Envelope& envelope, const LeaseGrant& grant, Millis now);
-  void handle(const Envelope& envelope, const RefoundRequest& request, Millis now);
+  void handle(const Envelope& envelope, const Discover& discover, TimePoint now);
+  void handle(const Envelope& envelope, const DiscoverReply& reply, TimePoint now);
+  void handle(const Envelope& envelope, const Prepare& prepare, TimePoint now);
+  void handle(const Envelope& envelope, const Promise& promise, TimePoint now);
+  void handle(const Envelope& envelope, const Accept& accept, TimePoint now);
+  void handle(const Envelope& envelope, const Accepted& accepted, TimePoint now);
+  void handle(const Envelope& envelope, const Decided& decided, TimePoint now);
+  void handle(const Envelope& envelope, const Catchup& request, TimePoint now);
+  void handle(const Envelope& envelope, const CatchupReply& reply, TimePoint now);
+  void handle(const Envelope& envelope, const QuorumRead& read, TimePoint now);
+  void handle(const Envelope& envelope, const QuorumReadReply& reply, TimePoint now);
+  void handle(const Envelope& envelope, const Commit& commit, TimePoint now);
+  void handle(const Envelope& envelope, const CommitReply& reply, TimePoint now);
+  void handle(const Envelope& envelope, const Heartbeat& heartbeat, TimePoint now);
+  void handle(const Envelope& envelope, const HeartbeatReply& reply, TimePoint now);
+  void handle(const Envelope& envelope, const LeaseRequest& request, TimePoint now);
+  void handle(const Envelope& envelope, const LeaseGrant& grant, TimePoint now);
+  void handle(const Envelope& envelope, const RefoundRequest& request, TimePoint now);
   /// The messages of histories, programs and turns are none of a controller's.
   template <class Ignored>
-  void handle(const Envelope&, const Ignored&, Millis) {}
+  void handle(const Envelope&, const Ignored&, TimePoint) {}
 
   void recover(const Recovered& recovered);
   void recover(const ControllerRecord& record);
   bool is_acceptable(const Envelope& envelope) const;
   void answer_former_cluster(const Envelope& envelope);
-  void request_missing_entries(const Envelope& envelope, Millis now);
+  void request_missing_entries(const Envelope& envelope, TimePoint now);
   void on_decided(const Entry& entry);
   void apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot);
   void append(const Entry& entry);
   void stamp_messages();
-  bool may_vote(Millis now) const;
-  void send_heartbeats(Millis now);
-  void finish_abandoned_instance(Millis now);
-  void react_to_new_epoch(Epoch before, Millis now);
+  bool may_vote(TimePoint now) const;
+  void send_heartbeats(TimePoint now);
+  void finish_abandoned_instance(TimePoint now);
+  void react_to_new_epoch(Epoch before, TimePoint now);
   Actions take_actions();
 
   Outbox outbox_;
@@ -89,9 +89,9 @@
   Refounding refounding_;
   ControllerRegistration registration_;
   GracefulShutdown shutdown_;
-  Millis next_heartbeat_at_ = 0;
+  TimePoint next_heartbeat_at_{};
   /// Since when, at the log's present epoch, the acceptor has an accepted proposal that nobody has finished.
-  Millis unfinished_since_ = 0;
+  TimePoint unfinished_since_{};
   Epoch unfinished_after_{};
   /// Bytes of the journal since the last checkpoint.
   size_t journal_bytes_ = 0;
--- a/src/consensus/controller_registration.cpp
+++ b/src/consensus/controller_registration.cpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-void ControllerRegistration::request_if_needed(Millis now) {
+void ControllerRegistration::request_if_needed(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   const Candidate& self = outbox_.id().self;
   const Daemon* registered = metadata.find(self.incarnation);
--- a/src/consensus/controller_registration.hpp
+++ b/src/consensus/controller_registration.hpp
@@ -11,12 +11,12 @@
   ControllerRegistration(Outbox& outbox, const MetadataLog& metadata_log)
       : outbox_(outbox), metadata_log_(metadata_log) {}
   /// Requests the registration if it is missing, and the last request was long enough ago.
-  void request_if_needed(Millis now);
+  void request_if_needed(TimePoint now);
 
  private:
   Outbox& outbox_;
   const MetadataLog& metadata_log_;
-  Millis next_request_at_ = 0;
+  TimePoint next_request_at_{};
   /// Counts the members that were asked or passed over.
   size_t next_member_ = 0;
 };
--- a/src/consensus/core_membership_policy.cpp
+++ b/src/consensus/core_membership_policy.cpp
@@ -16,7 +16,7 @@
 }
 
 /// A controller outside the core that a majority of the members hears and that holds the whole log.
-const Daemon* CoreMembershipPolicy::find_newcomer(Millis now) const {
+const Daemon* CoreMembershipPolicy::find_newcomer(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   for (const auto& [id, daemon] : metadata.directory) {
     bool spare = daemon.self.role == Role::controller && daemon.state == DaemonState::up &&
@@ -29,14 +29,14 @@
 
 /// Whether a member that is marked down is no longer at work: a majority does not hear it, it announced its shutdown,
 /// or another controller runs at its address.
-bool CoreMembershipPolicy::is_gone(const Daemon& member, Millis now) const {
+bool CoreMembershipPolicy::is_gone(const Daemon& member, TimePoint now) const {
   const PeerStatus* status = detector_.status_of(member.self.incarnation);
   bool announced = status && status->leaving;
   bool replaced = metadata_log_.view()->find_at(member.self.address) != &member;
   return announced || replaced || !majority_.is_heard(member, now);
 }
 
-const Daemon* CoreMembershipPolicy::find_lost_member(Millis now) const {
+const Daemon* CoreMembershipPolicy::find_lost_member(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   for (DaemonId id : metadata.members) {
     const Daemon* member = metadata.find(id);
@@ -46,14 +46,14 @@
   return nullptr;
 }
 
-bool CoreMembershipPolicy::all_members_heard(Millis now) const {
+bool CoreMembershipPolicy::all_members_heard(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   return std::all_of(metadata.members.begin(), metadata.members.end(),
                      [&](DaemonId id) { return majority_.is_heard(*metadata.find(id), now); });
 }
 
 /// What a controller sent before it was marked down proves nothing.
-bool CoreMembershipPolicy::has_returned(const Daemon& daemon, Millis now) const {
+bool CoreMembershipPolicy::has_returned(const Daemon& daemon, TimePoint now) const {
   if (!majority_.is_heard(daemon, now))
     return false;
   if (daemon.self.role != Role::controller)
@@ -63,7 +63,7 @@
          metadata_log_.view()->find_at(daemon.self.address) == &daemon;
 }
 
-std::optional<Transformation> CoreMembershipPolicy::next_change(Millis now) {
+std::optional<Transformation> CoreMembershipPolicy::next_change(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   const Daemon* lost = find_lost_member(now);
   size_t members = metadata.members.size();
@@ -78,7 +78,7 @@
     return std::nullopt;
   if (!lost) {
     // A loss before the newcomer came is marked by then; and a lease granted by a smaller core has ended.
-    Millis not_before =
+    TimePoint not_before =
         growth_not_before_.try_emplace(newcomer->id, now + kHeartbeatTimeout + kHeartbeatInterval).first->second;
     if (now < not_before || !all_members_heard(now))
       return std::nullopt;
--- a/src/consensus/core_membership_policy.hpp
+++ b/src/consensus/core_membership_policy.hpp
@@ -16,22 +16,22 @@
                        const MajorityObservation& majority)
       : metadata_log_(metadata_log), detector_(detector), majority_(majority) {}
 
-  std::optional<Transformation> next_change(Millis now);
+  std::optional<Transformation> next_change(TimePoint now);
   /// Whether a daemon that is marked down runs again.
-  bool has_returned(const Daemon& daemon, Millis now) const;
+  bool has_returned(const Daemon& daemon, TimePoint now) const;
 
  private:
   bool holds_log(const Daemon& daemon) const;
-  const Daemon* find_newcomer(Millis now) const;
-  bool is_gone(const Daemon& member, Millis now) const;
-  const Daemon* find_lost_member(Millis now) const;
-  bool all_members_heard(Millis now) const;
+  const Daemon* find_newcomer(TimePoint now) const;
+  bool is_gone(const Daemon& member, TimePoint now) const;
+  const Daemon* find_lost_member(TimePoint now) const;
+  bool all_members_heard(TimePoint now) const;
 
   const MetadataLog& metadata_log_;
   const FailureDetector& detector_;
   const MajorityObservation& majority_;
   /// Before this time a spare controller makes the core no larger.
-  std::map<DaemonId, Millis> growth_not_before_;
+  std::map<DaemonId, Duration> growth_not_before_;
 };
 
 }  // namespace mosskeel
--- a/src/consensus/discovered_controllers.cpp
+++ b/src/consensus/discovered_controllers.cpp
@@ -5,12 +5,12 @@
 
 namespace mosskeel {
 
-void DiscoveredControllers::record(const Candidate& candidate, Millis now) {
+void DiscoveredControllers::record(const Candidate& candidate, TimePoint now) {
   if (candidate.role == Role::controller && candidate.incarnation != self_)
     sightings_[candidate.incarnation] = {candidate, now};
 }
 
-void DiscoveredControllers::expire(Millis now) {
+void DiscoveredControllers::expire(TimePoint now) {
   std::erase_if(sightings_, [&](const auto& sighting) {
     return now - sighting.second.heard_at > kDiscoveryInterval * kDiscoveryMemoryIntervals;
   });
--- a/src/consensus/discovered_controllers.hpp
+++ b/src/consensus/discovered_controllers.hpp
@@ -10,15 +10,15 @@
  public:
   struct Sighting {
     Candidate candidate{};
-    Millis heard_at = 0;
+    TimePoint heard_at{};
   };
 
   explicit DiscoveredControllers(Incarnation self) : self_(self) {}
 
   /// Records a daemon's discovery message; other roles and this controller itself are passed over.
-  void record(const Candidate& candidate, Millis now);
+  void record(const Candidate& candidate, TimePoint now);
   /// Forgets controllers that were not heard for eight discovery intervals.
-  void expire(Millis now);
+  void expire(TimePoint now);
   bool contains(Incarnation incarnation) const { return sightings_.count(incarnation) > 0; }
   const std::map<Incarnation, Sighting>& all() const { return sightings_; }
 
--- a/src/consensus/failure_detector.cpp
+++ b/src/consensus/failure_detector.cpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-void FailureDetector::record(const Heartbeat& heartbeat, Millis now) {
+void FailureDetector::record(const Heartbeat& heartbeat, TimePoint now) {
   PeerStatus& status = peers_[heartbeat.self.incarnation];
   status.last_heartbeat_at = now;
   status.known_epoch = std::max(status.known_epoch, heartbeat.known);
@@ -21,12 +21,12 @@
   return peer == peers_.end() ? nullptr : &peer->second;
 }
 
-Millis FailureDetector::heartbeat_age(const Daemon& daemon, Millis now) const {
+Duration FailureDetector::heartbeat_age(const Daemon& daemon, TimePoint now) const {
   const PeerStatus* status = status_of(daemon.self.incarnation);
   return now - (status ? status->last_heartbeat_at : start_);
 }
 
-HeartbeatAges FailureDetector::heartbeat_ages(const Metadata& metadata, Millis now) const {
+HeartbeatAges FailureDetector::heartbeat_ages(const Metadata& metadata, TimePoint now) const {
   HeartbeatAges ages;
   for (const auto& [id, daemon] : metadata.directory)
     if (daemon.state != DaemonState::left)
@@ -34,7 +34,7 @@
   return ages;
 }
 
-bool FailureDetector::superseded(const Daemon& daemon, Millis now) const {
+bool FailureDetector::superseded(const Daemon& daemon, TimePoint now) const {
   const PeerStatus* own = status_of(daemon.self.incarnation);
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
     const PeerStatus& status = peer.second;
--- a/src/consensus/failure_detector.hpp
+++ b/src/consensus/failure_detector.hpp
@@ -7,7 +7,7 @@
 
 /// What the heartbeats of one incarnation of a daemon have said, the latest first.
 struct PeerStatus {
-  Millis last_heartbeat_at = 0;
+  TimePoint last_heartbeat_at{};
   /// The highest epoch that it has reported; a daemon with a disk has synced the log up to it.
   Epoch known_epoch{};
   uint32_t load = 0;
@@ -26,19 +26,19 @@
 class FailureDetector {
  public:
   /// A daemon without any heartbeat counts as heard at `start`.
-  explicit FailureDetector(Millis start) : start_(start) {}
+  explicit FailureDetector(TimePoint start) : start_(start) {}
 
-  void record(const Heartbeat& heartbeat, Millis now);
+  void record(const Heartbeat& heartbeat, TimePoint now);
   /// Nothing for an incarnation that has sent no heartbeat.
   const PeerStatus* status_of(Incarnation incarnation) const;
   /// Milliseconds since the daemon's last heartbeat.
-  Millis heartbeat_age(const Daemon& daemon, Millis now) const;
-  HeartbeatAges heartbeat_ages(const Metadata& metadata, Millis now) const;
+  Duration heartbeat_age(const Daemon& daemon, TimePoint now) const;
+  HeartbeatAges heartbeat_ages(const Metadata& metadata, TimePoint now) const;
   /// Whether another incarnation speaks at a daemon's address since the daemon's own last heartbeat: it runs no more.
-  bool superseded(const Daemon& daemon, Millis now) const;
+  bool superseded(const Daemon& daemon, TimePoint now) const;
 
  private:
-  Millis start_{};
+  TimePoint start_{};
   std::map<Incarnation, PeerStatus> peers_;
 };
 
--- a/src/consensus/founding.cpp
+++ b/src/consensus/founding.cpp
@@ -22,11 +22,11 @@
   return std::find(founders_.begin(), founders_.end(), address) != founders_.end();
 }
 
-bool Founding::may_vote(Millis now) const {
+bool Founding::may_vote(TimePoint now) const {
   return is_founder(outbox_.id().self.address) && now - last_evidence_at_ > kFoundingHoldOff;
 }
 
-void Founding::tick(Millis now) {
+void Founding::tick(TimePoint now) {
   if (now < next_discovery_at_)
     return;
   next_discovery_at_ = now + kDiscoveryInterval;
@@ -41,7 +41,7 @@
     propose_if_due(now);
 }
 
-void Founding::handle_reply(const DiscoverReply& reply, Millis now) {
+void Founding::handle_reply(const DiscoverReply& reply, TimePoint now) {
   discovered_.record(reply.self, now);
   const Candidate& self = outbox_.id().self;
   for (const Candidate& candidate : reply.candidates)
@@ -70,7 +70,7 @@
 }
 
 /// The lowest candidate proposes once it sees all others, or a majority after a while; anybody if that one fails.
-Millis Founding::proposal_delay(const Candidates& candidates) const {
+Duration Founding::proposal_delay(const Candidates& candidates) const {
   bool lowest = candidates.front().incarnation == outbox_.id().self.incarnation;
   if (!lowest)
     return kFoundingStragglerTimeout * 3;
@@ -78,7 +78,7 @@
   return complete ? kFoundingDelay : kFoundingStragglerTimeout;
 }
 
-void Founding::propose_if_due(Millis now) {
+void Founding::propose_if_due(TimePoint now) {
   const Identity& id = outbox_.id();
   Candidates electors = candidates();
   size_t quorum_size = majority_of(founders_.size());
--- a/src/consensus/founding.hpp
+++ b/src/consensus/founding.hpp
@@ -13,7 +13,7 @@
 /// `ControllerMachine` and used on its thread only.
 class Founding {
  public:
-  Founding(Outbox& outbox, Proposer& proposer, DiscoveredControllers& discovered, Millis now)
+  Founding(Outbox& outbox, Proposer& proposer, DiscoveredControllers& discovered, TimePoint now)
       : outbox_(outbox), proposer_(proposer), discovered_(discovered), started_at_(now) {}
 
   /// Fixes the candidates if this is a controller's first start.
@@ -21,27 +21,27 @@
   void recover(const FoundersRecord& record) { founders_ = record.addresses; }
 
   /// While there is no log: looks for others each interval, and proposes the founding when it is this one's turn.
-  void tick(Millis now);
+  void tick(TimePoint now);
   /// Adds what a controller without a log tells those who look for others.
-  void handle_reply(const DiscoverReply& reply, Millis now);
+  void handle_reply(const DiscoverReply& reply, TimePoint now);
   /// A founded cluster was heard of: nothing is founded beside it.
-  void record_founded_cluster(Millis now) { last_evidence_at_ = now; }
+  void record_founded_cluster(TimePoint now) { last_evidence_at_ = now; }
   /// Whether this controller may vote for or propose a founding now.
-  bool may_vote(Millis now) const;
+  bool may_vote(TimePoint now) const;
 
  private:
   bool is_founder(const Address& address) const;
   Candidates candidates() const;
-  Millis proposal_delay(const Candidates& candidates) const;
-  void propose_if_due(Millis now);
+  Duration proposal_delay(const Candidates& candidates) const;
+  void propose_if_due(TimePoint now);
 
   Outbox& outbox_;
   Proposer& proposer_;
   DiscoveredControllers& discovered_;
-  Millis started_at_{};
-  Millis next_discovery_at_ = 0;
+  TimePoint started_at_{};
+  TimePoint next_discovery_at_{};
   /// When a message of a founded cluster came last, while this controller had no log.
-  Millis last_evidence_at_ = INT64_MIN / 2;
+  TimePoint last_evidence_at_ = kLongAgo;
   /// Whose controllers may found the cluster; empty for one that has no vote in it.
   Addresses founders_;
 };
--- a/src/consensus/graceful_shutdown.cpp
+++ b/src/consensus/graceful_shutdown.cpp
@@ -26,7 +26,7 @@
   return marked_down && (!metadata.is_core_member(self) || !has_successor);
 }
 
-bool GracefulShutdown::is_complete(Millis now) const {
+bool GracefulShutdown::is_complete(TimePoint now) const {
   return is_handed_over() || now - *begun_at_ >= kControllerShutdownTimeout;
 }
 
--- a/src/consensus/graceful_shutdown.hpp
+++ b/src/consensus/graceful_shutdown.hpp
@@ -11,19 +11,19 @@
  public:
   GracefulShutdown(Outbox& outbox, const MetadataLog& metadata_log) : outbox_(outbox), metadata_log_(metadata_log) {}
 
-  void begin(Millis now) { begun_at_ = now; }
+  void begin(TimePoint now) { begun_at_ = now; }
   bool in_progress() const { return begun_at_.has_value(); }
   /// Commits the mark; there must be a log that has this controller in its directory.
   void request_mark_down();
   /// Whether the process may end now.
-  bool is_complete(Millis now) const;
+  bool is_complete(TimePoint now) const;
 
  private:
   bool is_handed_over() const;
 
   Outbox& outbox_;
   const MetadataLog& metadata_log_;
-  std::optional<Millis> begun_at_;
+  std::optional<TimePoint> begun_at_;
 };
 
 }  // namespace mosskeel
--- a/src/consensus/in_force.cpp
+++ b/src/consensus/in_force.cpp
@@ -7,7 +7,7 @@
 namespace mosskeel {
 
 std::string missing_acknowledgements(const Metadata& metadata, Incarnation self, const FailureDetector& detector,
-                                     Epoch epoch, Millis now) {
+                                     Epoch epoch, TimePoint now) {
   auto knows = [&](const Daemon& daemon) {
     if (daemon.self.incarnation == self)
       return metadata.epoch >= epoch;
--- a/src/consensus/in_force.hpp
+++ b/src/consensus/in_force.hpp
@@ -10,6 +10,6 @@
 /// has it. A front in touch has asked one of these majorities within the last 2 s, so it has met one that knows the
 /// epoch. `self` is the controller that asks, which holds `metadata`.
 std::string missing_acknowledgements(const Metadata& metadata, Incarnation self, const FailureDetector& detector,
-                                     Epoch epoch, Millis now);
+                                     Epoch epoch, TimePoint now);
 
 }  // namespace mosskeel
--- a/src/consensus/majority_observation.cpp
+++ b/src/consensus/majority_observation.cpp
@@ -5,8 +5,8 @@
 
 namespace mosskeel {
 
-bool MajorityObservation::majority_agrees(const Daemon& daemon, Millis now,
-                                          const std::function<bool(Millis heartbeat_age)>& agrees) const {
+bool MajorityObservation::majority_agrees(const Daemon& daemon, TimePoint now,
+                                          const std::function<bool(Duration heartbeat_age)>& agrees) const {
   const Metadata& metadata = *metadata_log_.view();
   size_t agreeing = 0;
   for (const auto& [member, observation] : lease_.observations()) {
@@ -20,12 +20,12 @@
   return agreeing >= majority_of(metadata.members.size());
 }
 
-bool MajorityObservation::is_silent(const Daemon& daemon, Millis timeout, Millis now) const {
-  return majority_agrees(daemon, now, [&](Millis heartbeat_age) { return heartbeat_age >= timeout; });
+bool MajorityObservation::is_silent(const Daemon& daemon, Duration timeout, TimePoint now) const {
+  return majority_agrees(daemon, now, [&](Duration heartbeat_age) { return heartbeat_age >= timeout; });
 }
 
-bool MajorityObservation::is_heard(const Daemon& daemon, Millis now) const {
-  return majority_agrees(daemon, now, [](Millis heartbeat_age) { return heartbeat_age < kHeartbeatInterval * 3; });
+bool MajorityObservation::is_heard(const Daemon& daemon, TimePoint now) const {
+  return majority_agrees(daemon, now, [](Duration heartbeat_age) { return heartbeat_age < kHeartbeatInterval * 3; });
 }
 
 }  // namespace mosskeel
--- a/src/consensus/majority_observation.hpp
+++ b/src/consensus/majority_observation.hpp
@@ -12,12 +12,13 @@
       : metadata_log_(metadata_log), lease_(lease) {}
 
   /// Whether a majority has had no heartbeat of the daemon for `timeout` milliseconds.
-  bool is_silent(const Daemon& daemon, Millis timeout, Millis now) const;
+  bool is_silent(const Daemon& daemon, Duration timeout, TimePoint now) const;
   /// Whether a majority has had one within the last three intervals.
-  bool is_heard(const Daemon& daemon, Millis now) const;
+  bool is_heard(const Daemon& daemon, TimePoint now) const;
 
  private:
-  bool majority_agrees(const Daemon& daemon, Millis now, const std::function<bool(Millis heartbeat_age)>& agrees) const;
+  bool majority_agrees(const Daemon& daemon, TimePoint now,
+                       const std::function<bool(Duration heartbeat_age)>& agrees) const;
 
   const MetadataLog& metadata_log_;
   const SupervisorLease& lease_;
--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -49,7 +49,7 @@
   return metadata_log_.view()->epoch_of_commit(request.id).has_value();
 }
 
-void Proposer::handle(const Envelope& envelope, const Commit& commit, Millis now) {
+void Proposer::handle(const Envelope& envelope, const Commit& commit, TimePoint now) {
   auto extend_if_repeated = [&](CommitRequest& request) {
     if (request.id != commit.id || request.requester != envelope.from)
       return false;
@@ -61,9 +61,9 @@
   if (std::any_of(appended_.begin(), appended_.end(),
                   [&](AppendedCommit& appended) { return extend_if_repeated(appended.request); }))
     return;
-  Millis timeout = outbox_.id().commit_attempt_timeout;
+  Duration timeout = outbox_.id().commit_attempt_timeout;
   if (commit.timeout_ms > 0)
-    timeout = std::min<Millis>(commit.timeout_ms, timeout);
+    timeout = std::min<Duration>(commit.timeout_ms, timeout);
   requests_.push_back(
       {commit.id, commit.change, envelope.from, commit.known_epoch, timeout, now + timeout, ++last_ticket_});
   advance(now);
@@ -84,7 +84,7 @@
 
 /// Whoever was told that the outcome of a commit is unknown may have gone to another controller with a different one:
 /// it is not proposed any more.
-void Proposer::expire_requests(Millis now) {
+void Proposer::expire_requests(TimePoint now) {
   std::vector<CommitRequest> expired;
   std::erase_if(requests_, [&](CommitRequest& request) {
     if (now < request.deadline || (request.proposed && is_appended(request)))
@@ -102,7 +102,7 @@
 }
 
 /// Starts what is next, as far as nothing is in flight.
-void Proposer::advance(Millis now) {
+void Proposer::advance(TimePoint now) {
   expire_requests(now);
   while (idle() && now >= retry_at_) {
     if (propose_founding(now) || propose_refounding(now))
@@ -117,7 +117,7 @@
   }
 }
 
-bool Proposer::propose_founding(Millis now) {
+bool Proposer::propose_founding(TimePoint now) {
   if (!founding_ || metadata_log_.view()->cluster != 0) {
     founding_.reset();
     return false;
@@ -126,7 +126,7 @@
   return true;
 }
 
-bool Proposer::propose_refounding(Millis now) {
+bool Proposer::propose_refounding(TimePoint now) {
   if (!refounding_)
     return false;
   Entry entry{next(metadata_log_.epoch()), "", refounding_->change};
@@ -144,7 +144,7 @@
 }
 
 /// What doesn't apply, or was appended for another request, is answered only after a quorum read.
-void Proposer::propose_or_read(CommitRequest& request, Millis now) {
+void Proposer::propose_or_read(CommitRequest& request, TimePoint now) {
   Entry entry{next(metadata_log_.epoch()), request.id, request.change};
   if (is_appended(request) || !apply(*metadata_log_.view(), entry).ok())
     return begin_read(now);
@@ -153,7 +153,7 @@
 }
 
 /// Phase 1 of Paxos in the instance of `epoch`, with a ballot above all that were seen here.
-void Proposer::prepare(Epoch epoch, std::optional<Entry> entry, Millis now) {
+void Proposer::prepare(Epoch epoch, std::optional<Entry> entry, TimePoint now) {
   Proposal proposal{};
   proposal.epoch = epoch;
   highest_round_ = std::max(highest_round_, acceptor_.promised().round) + 1;
@@ -167,7 +167,7 @@
   proposal_ = std::move(proposal);
 }
 
-void Proposer::handle(const Envelope& envelope, const Promise& promise, Millis now) {
+void Proposer::handle(const Envelope& envelope, const Promise& promise, TimePoint now) {
   if (!proposal_ || proposal_->phase != Phase::preparing || promise.epoch != proposal_->epoch ||
       promise.ballot != proposal_->ballot || !proposal_->acceptors.count(envelope.from_incarnation))
     return;
@@ -192,7 +192,7 @@
     outbox_.send(address, Accept{proposal_->ballot, *proposal_->entry}, incarnation);
 }
 
-void Proposer::handle(const Envelope& envelope, const Accepted& accepted, Millis now) {
+void Proposer::handle(const Envelope& envelope, const Accepted& accepted, TimePoint now) {
   if (!proposal_ || proposal_->phase != Phase::accepting || accepted.epoch != proposal_->epoch ||
       accepted.ballot != proposal_->ballot || !proposal_->acceptors.count(envelope.from_incarnation))
     return;
@@ -208,7 +208,7 @@
 }
 
 /// Gives up what is in flight; the next attempt takes a ballot above `seen`, after a random pause.
-void Proposer::abandon(Millis now, Ballot seen) {
+void Proposer::abandon(TimePoint now, Ballot seen) {
   highest_round_ = std::max(highest_round_, seen.round);
   proposal_.reset();
   read_.reset();
@@ -216,7 +216,7 @@
 }
 
 /// Asks the core whether this epoch is the newest; the commits that wait now may then be answered by its value.
-void Proposer::begin_read(Millis now) {
+void Proposer::begin_read(TimePoint now) {
   QuorumReadState read{};
   read.id = outbox_.next_random();
   read.epoch = metadata_log_.epoch();
@@ -229,7 +229,7 @@
   read_ = std::move(read);
 }
 
-void Proposer::handle(const Envelope& envelope, const QuorumReadReply& reply, Millis now) {
+void Proposer::handle(const Envelope& envelope, const QuorumReadReply& reply, TimePoint now) {
   if (!read_ || reply.id != read_->id || !read_->members.count(envelope.from_incarnation))
     return;
   if (reply.epoch > metadata_log_.epoch()) {
@@ -246,7 +246,7 @@
   finish_read(read, now);
 }
 
-void Proposer::finish_read(const QuorumReadState& read, Millis now) {
+void Proposer::finish_read(const QuorumReadState& read, TimePoint now) {
   if (metadata_log_.epoch() != read.epoch)
     return advance(now);
   if (read.instance_open)
@@ -256,7 +256,7 @@
 }
 
 /// Answers the requests that had come before a quorum read began, up to the first that can be proposed.
-void Proposer::answer_requests_up_to(uint64_t last_ticket, Millis now) {
+void Proposer::answer_requests_up_to(uint64_t last_ticket, TimePoint now) {
   while (!requests_.empty() && requests_.front().ticket <= last_ticket) {
     const CommitRequest& first = requests_.front();
     if (is_appended(first)) {
@@ -278,7 +278,7 @@
   return first;
 }
 
-void Proposer::await_in_force(CommitRequest request, Millis now) {
+void Proposer::await_in_force(CommitRequest request, TimePoint now) {
   Epoch epoch = *metadata_log_.view()->epoch_of_commit(request.id);
   AppendedCommit commit{std::move(request), epoch};
   if (!try_acknowledge(commit, now))
@@ -286,7 +286,7 @@
 }
 
 /// Answers once the change is in force, or at its deadline; false if it has still to wait.
-bool Proposer::try_acknowledge(const AppendedCommit& commit, Millis now) {
+bool Proposer::try_acknowledge(const AppendedCommit& commit, TimePoint now) {
   std::string missing;
   if (must_be_in_force(commit.request.change))
     missing = missing_acknowledgements_(commit.epoch, now);
@@ -301,16 +301,16 @@
   return true;
 }
 
-void Proposer::acknowledge_in_force(Millis now) {
+void Proposer::acknowledge_in_force(TimePoint now) {
   std::erase_if(appended_, [&](const AppendedCommit& commit) { return try_acknowledge(commit, now); });
 }
 
-void Proposer::found(const FoundCluster& founding, const Candidates& electors, size_t quorum_size, Millis now) {
+void Proposer::found(const FoundCluster& founding, const Candidates& electors, size_t quorum_size, TimePoint now) {
   founding_ = {Entry{Epoch{1}, "found", founding}, electors, quorum_size};
   advance(now);
 }
 
-void Proposer::refound(const RefoundCluster& refounding, std::map<Incarnation, Address> survivors, Millis now) {
+void Proposer::refound(const RefoundCluster& refounding, std::map<Incarnation, Address> survivors, TimePoint now) {
   proposal_.reset();
   read_.reset();
   retry_at_ = 0;
@@ -318,12 +318,12 @@
   advance(now);
 }
 
-void Proposer::finish_open_instance(Millis now) {
+void Proposer::finish_open_instance(TimePoint now) {
   if (idle())
     prepare(next(metadata_log_.epoch()), std::nullopt, now);
 }
 
-void Proposer::tick(Millis now) {
+void Proposer::tick(TimePoint now) {
   if (proposal_ && proposal_->epoch < next(metadata_log_.epoch()))
     proposal_.reset();
   if (read_ && read_->epoch < metadata_log_.epoch())
--- a/src/consensus/proposer.hpp
+++ b/src/consensus/proposer.hpp
@@ -15,7 +15,7 @@
   /// Called for each entry that a majority has accepted under this proposer's ballot.
   using DecidedCallback = std::function<void(const Entry&)>;
   /// Which acknowledgements an epoch lacks at a time to be in force, as text; empty if none.
-  using MissingAcknowledgements = std::function<std::string(Epoch, Millis)>;
+  using MissingAcknowledgements = std::function<std::string(Epoch, TimePoint)>;
 
   Proposer(Outbox& outbox, MetadataLog& metadata_log, Acceptor& acceptor, DecidedCallback on_decided,
            MissingAcknowledgements missing_acknowledgements)
@@ -25,21 +25,21 @@
         on_decided_(std::move(on_decided)),
         missing_acknowledgements_(std::move(missing_acknowledgements)) {}
 
-  void handle(const Envelope& envelope, const Commit& commit, Millis now);
-  void handle(const Envelope& envelope, const Promise& promise, Millis now);
-  void handle(const Envelope& envelope, const Accepted& accepted, Millis now);
-  void handle(const Envelope& envelope, const QuorumReadReply& reply, Millis now);
-  void tick(Millis now);
+  void handle(const Envelope& envelope, const Commit& commit, TimePoint now);
+  void handle(const Envelope& envelope, const Promise& promise, TimePoint now);
+  void handle(const Envelope& envelope, const Accepted& accepted, TimePoint now);
+  void handle(const Envelope& envelope, const QuorumReadReply& reply, TimePoint now);
+  void tick(TimePoint now);
   /// Acknowledges the appended commits that are in force by now; called when a daemon has reported its epoch.
-  void acknowledge_in_force(Millis now);
+  void acknowledge_in_force(TimePoint now);
 
   /// Proposes the founding entry to these candidates, of whom `quorum_size` must accept it.
-  void found(const FoundCluster& founding, const Candidates& electors, size_t quorum_size, Millis now);
+  void found(const FoundCluster& founding, const Candidates& electors, size_t quorum_size, TimePoint now);
   /// Proposes to found the core anew; every one of `survivors` must accept it, the lost members cannot.
-  void refound(const RefoundCluster& refounding, std::map<Incarnation, Address> survivors, Millis now);
+  void refound(const RefoundCluster& refounding, std::map<Incarnation, Address> survivors, TimePoint now);
   bool refounding() const { return refounding_.has_value(); }
   /// Decides the open instance, whose own proposer gave up, with the proposal that was accepted in it, if any.
-  void finish_open_instance(Millis now);
+  void finish_open_instance(TimePoint now);
   /// Whether neither a proposal nor a quorum read is in flight.
   bool idle() const { return !proposal_ && !read_; }
 
@@ -53,8 +53,8 @@
     /// The requester's own epoch: the reply brings what it lacks since.
     Epoch known_epoch;
     /// Milliseconds from the request, and from each repetition of it, to `deadline`.
-    Millis timeout{};
-    Millis deadline{};
+    Duration timeout{};
+    TimePoint deadline{};
     /// Order of arrival.
     uint64_t ticket{};
     /// Whether this process has proposed it.
@@ -84,7 +84,7 @@
     /// Acceptors that have granted the present phase.
     std::set<Incarnation> votes;
     /// Without a quorum by then, another ballot is tried.
-    Millis deadline{};
+    TimePoint deadline{};
   };
 
   /// The quorum read in flight: is `epoch`, this controller's newest, the newest of all?
@@ -94,7 +94,7 @@
     std::map<Incarnation, Address> members;
     size_t quorum_size{};
     std::set<Incarnation> replies;
-    Millis deadline{};
+    TimePoint deadline{};
     /// Whether a member has accepted a proposal for the next epoch, which may be decided already.
     bool instance_open = false;
     /// The last commit request that had come when the read began; the read says nothing for later ones.
@@ -113,19 +113,19 @@
     std::map<Incarnation, Address> survivors;
   };
 
-  void advance(Millis now);
-  bool propose_founding(Millis now);
-  bool propose_refounding(Millis now);
-  void propose_or_read(CommitRequest& request, Millis now);
-  void prepare(Epoch epoch, std::optional<Entry> entry, Millis now);
-  void begin_read(Millis now);
-  void finish_read(const QuorumReadState& read, Millis now);
-  void answer_requests_up_to(uint64_t last_ticket, Millis now);
-  void expire_requests(Millis now);
-  void abandon(Millis now, Ballot seen);
+  void advance(TimePoint now);
+  bool propose_founding(TimePoint now);
+  bool propose_refounding(TimePoint now);
+  void propose_or_read(CommitRequest& request, TimePoint now);
+  void prepare(Epoch epoch, std::optional<Entry> entry, TimePoint now);
+  void begin_read(TimePoint now);
+  void finish_read(const QuorumReadState& read, TimePoint now);
+  void answer_requests_up_to(uint64_t last_ticket, TimePoint now);
+  void expire_requests(TimePoint now);
+  void abandon(TimePoint now, Ballot seen);
   CommitRequest take_first_request();
-  void await_in_force(CommitRequest request, Millis now);
-  bool try_acknowledge(const AppendedCommit& commit, Millis now);
+  void await_in_force(CommitRequest request, TimePoint now);
+  bool try_acknowledge(const AppendedCommit& commit, TimePoint now);
   void reply(const CommitRequest& request, CommitOutcome outcome, const std::string& reason,
              Rejection rejection = Rejection::none);
   std::map<Incarnation, Address> acceptors() const;
@@ -148,7 +148,7 @@
   uint64_t highest_round_ = 0;
   uint64_t last_ticket_ = 0;
   /// No proposal before this time: duelling proposers separate.
-  Millis retry_at_ = 0;
+  TimePoint retry_at_{};
 };
 
 }  // namespace mosskeel
--- a/src/consensus/refounding.cpp
+++ b/src/consensus/refounding.cpp
@@ -18,11 +18,11 @@
 
 }  // namespace
 
-bool Refounding::is_silent(DaemonId member, Millis now) const {
+bool Refounding::is_silent(DaemonId member, TimePoint now) const {
   return detector_.heartbeat_age(*metadata_log_.view()->find(member), now) >= kCoreLossTimeout;
 }
 
-bool Refounding::majority_lives(Millis now) const {
+bool Refounding::majority_lives(TimePoint now) const {
   const std::vector<DaemonId>& members = metadata_log_.view()->members;
   auto living = std::count_if(members.begin(), members.end(), [&](DaemonId id) { return !is_silent(id, now); });
   return static_cast<size_t>(living) >= majority_of(members.size());
@@ -45,7 +45,7 @@
   return std::nullopt;
 }
 
-void Refounding::tick(Millis now) {
+void Refounding::tick(TimePoint now) {
   if (now < next_survey_at_)
     return;
   next_survey_at_ = now + kDiscoveryInterval;
@@ -71,7 +71,7 @@
 }
 
 /// Also looks for successors at the addresses of the silent members.
-Refounding::CoreSurvey Refounding::survey_core(Millis now) {
+Refounding::CoreSurvey Refounding::survey_core(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   const Candidate& self = outbox_.id().self;
   CoreSurvey survey;
@@ -112,7 +112,7 @@
   }
 }
 
-void Refounding::propose(const std::vector<DaemonId>& lost, Millis now) {
+void Refounding::propose(const std::vector<DaemonId>& lost, TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   const Candidate& self = outbox_.id().self;
   std::map<Incarnation, Address> survivors;
@@ -137,7 +137,7 @@
   proposer_.refound(change, survivors, now);
 }
 
-void Refounding::handle(const Envelope& envelope, const RefoundRequest& request, Millis now) {
+void Refounding::handle(const Envelope& envelope, const RefoundRequest& request, TimePoint now) {
   std::string reason = refusal(request, now);
   CommitOutcome outcome = reason.empty() ? CommitOutcome::committed : CommitOutcome::rejected;
   if (reason.empty())
@@ -147,7 +147,7 @@
 }
 
 /// Why the members that an operator named are not given up; empty if they are.
-std::string Refounding::refusal(const RefoundRequest& request, Millis now) const {
+std::string Refounding::refusal(const RefoundRequest& request, TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   if (!metadata.cluster)
     return "this controller holds no log";
--- a/src/consensus/refounding.hpp
+++ b/src/consensus/refounding.hpp
@@ -23,9 +23,9 @@
         discovered_(discovered) {}
 
   /// Looks at the core each discovery interval.
-  void tick(Millis now);
+  void tick(TimePoint now);
   /// An operator declares members as lost for good; refused while a majority of the core lives.
-  void handle(const Envelope& envelope, const RefoundRequest& request, Millis now);
+  void handle(const Envelope& envelope, const RefoundRequest& request, TimePoint now);
 
  private:
   struct CoreSurvey {
@@ -37,23 +37,23 @@
     Incarnation proposer{};
   };
 
-  bool is_silent(DaemonId member, Millis now) const;
-  bool majority_lives(Millis now) const;
+  bool is_silent(DaemonId member, TimePoint now) const;
+  bool majority_lives(TimePoint now) const;
   std::optional<Incarnation> successor_of(const Daemon& member) const;
-  CoreSurvey survey_core(Millis now);
+  CoreSurvey survey_core(TimePoint now);
   bool must_propose(const CoreSurvey& survey) const;
   void request_longer_logs();
-  std::string refusal(const RefoundRequest& request, Millis now) const;
-  void propose(const std::vector<DaemonId>& lost, Millis now);
+  std::string refusal(const RefoundRequest& request, TimePoint now) const;
+  void propose(const std::vector<DaemonId>& lost, TimePoint now);
 
   Outbox& outbox_;
   MetadataLog& metadata_log_;
   const FailureDetector& detector_;
   Proposer& proposer_;
   DiscoveredControllers& discovered_;
-  Millis next_survey_at_ = 0;
+  TimePoint next_survey_at_{};
   /// Since when this controller gathers logs to propose a re-founding.
-  std::optional<Millis> gathering_since_;
+  std::optional<TimePoint> gathering_since_;
 };
 
 }  // namespace mosskeel
--- a/src/consensus/sequence_barrier.cpp
+++ b/src/consensus/sequence_barrier.cpp
@@ -12,7 +12,7 @@
 }
 
 /// What a daemon has reported, if lately; what it reported before a silence proves nothing about what it holds now.
-const PeerStatus* recent_status(const Daemon* daemon, const FailureDetector& detector, Millis now) {
+const PeerStatus* recent_status(const Daemon* daemon, const FailureDetector& detector, TimePoint now) {
   const PeerStatus* status = daemon ? detector.status_of(daemon->self.incarnation) : nullptr;
   bool recent = status && now - status->last_heartbeat_at < kHeartbeatTimeout;
   return recent ? status : nullptr;
@@ -55,7 +55,7 @@
   return ids;
 }
 
-bool is_known(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector, Millis now) {
+bool is_known(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector, TimePoint now) {
   size_t running = 0;
   size_t informed = 0;
   for (DaemonId id : concerned(metadata, sequence)) {
@@ -70,7 +70,7 @@
   return informed >= majority_of(running);
 }
 
-bool is_streamed(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector, Millis now) {
+bool is_streamed(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector, TimePoint now) {
   std::set<DaemonId> ids = newcomers(metadata, sequence);
   Epoch required = move_epoch(metadata, sequence);
   return std::all_of(ids.begin(), ids.end(), [&](DaemonId id) {
--- a/src/consensus/sequence_coordinator.cpp
+++ b/src/consensus/sequence_coordinator.cpp
@@ -7,7 +7,7 @@
 
 namespace mosskeel {
 
-std::optional<Transformation> SequenceCoordinator::next_change(Millis now) {
+std::optional<Transformation> SequenceCoordinator::next_change(TimePoint now) {
   if (auto step = advance_sequence(now))
     return step;
   if (auto join = begin_join(now))
@@ -21,7 +21,7 @@
 
 /// Each step waits until those concerned know the one before; the last two also until the newcomers have reported that
 /// they hold the histories.
-bool SequenceCoordinator::barrier_reached(const Sequence& sequence, Millis now) const {
+bool SequenceCoordinator::barrier_reached(const Sequence& sequence, TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   if (!sequence_barrier::is_known(metadata, sequence, detector_, now))
     return false;
@@ -29,7 +29,7 @@
 }
 
 /// Why a sequence can't go on and must be cancelled; empty if it can.
-std::string SequenceCoordinator::blocking_reason(const Sequence& sequence, Millis now) {
+std::string SequenceCoordinator::blocking_reason(const Sequence& sequence, TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   Barrier& barrier = barriers_[sequence.node];
   if (barrier.last_step_epoch != sequence.last_step_epoch)
@@ -46,7 +46,7 @@
   return "";
 }
 
-std::optional<Transformation> SequenceCoordinator::advance_sequence(Millis now) {
+std::optional<Transformation> SequenceCoordinator::advance_sequence(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   std::erase_if(barriers_, [&](const auto& barrier) { return !metadata.sequences.count(barrier.first); });
   for (const auto& [id, sequence] : metadata.sequences) {
@@ -67,14 +67,14 @@
   return std::nullopt;
 }
 
-bool SequenceCoordinator::is_backing_off(DaemonId id, Millis now) const {
+bool SequenceCoordinator::is_backing_off(DaemonId id, TimePoint now) const {
   auto retry = retry_at_.find(id);
   return retry != retry_at_.end() && now < retry->second;
 }
 
 /// Whether a store is silent and not yet marked down: a joining one should take its partitions, and not those of
 /// others.
-bool SequenceCoordinator::any_store_suspected(Millis now) const {
+bool SequenceCoordinator::any_store_suspected(TimePoint now) const {
   const auto& directory = metadata_log_.view()->directory;
   return std::any_of(directory.begin(), directory.end(), [&](const auto& entry) {
     const Daemon& daemon = entry.second;
@@ -84,7 +84,7 @@
 }
 
 /// A join takes its share of all partitions, so it waits for every other sequence but repairs.
-std::optional<Transformation> SequenceCoordinator::begin_join(Millis now) const {
+std::optional<Transformation> SequenceCoordinator::begin_join(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   for (const auto& [id, sequence] : metadata.sequences)
     if (sequence.kind != SequenceKind::repair)
@@ -113,7 +113,7 @@
 }
 
 /// A store that an operator drains stays draining when its sequence was cancelled: it begins anew, with other targets.
-std::optional<Transformation> SequenceCoordinator::resume_drain(Millis now) const {
+std::optional<Transformation> SequenceCoordinator::resume_drain(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   for (const auto& [id, daemon] : metadata.directory) {
     if (daemon.self.role != Role::store || daemon.state != DaemonState::draining)
@@ -127,13 +127,13 @@
 }
 
 /// How long a store may be silent before its partitions go to others; the longer, the more often it came back before.
-Millis SequenceCoordinator::repair_delay(DaemonId id) const {
+Duration SequenceCoordinator::repair_delay(DaemonId id) const {
   auto begun = repairs_begun_.find(id);
   uint32_t doublings = begun == repairs_begun_.end() ? 0 : std::min(begun->second, kMaxRepairDelayDoublings);
   return kRepairDelay << doublings;
 }
 
-bool SequenceCoordinator::repair_is_due(const Daemon& store, Millis now) const {
+bool SequenceCoordinator::repair_is_due(const Daemon& store, TimePoint now) const {
   if (store.self.role != Role::store || store.state != DaemonState::down)
     return false;
   if (metadata_log_.view()->sequences.count(store.id) || is_backing_off(store.id, now))
@@ -152,7 +152,7 @@
 
 /// The partitions of stores that stay down go to others, several stores' beside each other; first come those of the
 /// store with the partition that has lost most replicas. Where a successor is registered, its join is the repair.
-std::optional<Transformation> SequenceCoordinator::begin_repair(Millis now) {
+std::optional<Transformation> SequenceCoordinator::begin_repair(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   std::optional<DaemonId> worst;
   size_t most_lost = 0;
@@ -175,7 +175,7 @@
 
 /// A store that stays down without partitions leaves the directory once another daemon has its address or it has been
 /// silent for long.
-std::optional<Transformation> SequenceCoordinator::forget_store(Millis now) const {
+std::optional<Transformation> SequenceCoordinator::forget_store(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   for (const auto& [id, daemon] : metadata.directory) {
     if (daemon.self.role != Role::store || daemon.state != DaemonState::down)
--- a/src/consensus/sequence_coordinator.hpp
+++ b/src/consensus/sequence_coordinator.hpp
@@ -12,7 +12,7 @@
                       const MajorityObservation& majority)
       : outbox_(outbox), metadata_log_(metadata_log), detector_(detector), majority_(majority) {}
 
-  std::optional<Transformation> next_change(Millis now);
+  std::optional<Transformation> next_change(TimePoint now);
   /// Another controller may have taken steps meanwhile: waiting times count anew.
   void on_lease_lost() { barriers_.clear(); }
 
@@ -20,21 +20,21 @@
   /// Since when the step after this epoch waits.
   struct Barrier {
     Epoch last_step_epoch{};
-    Millis since = 0;
+    TimePoint since{};
   };
 
-  std::optional<Transformation> advance_sequence(Millis now);
-  std::optional<Transformation> begin_join(Millis now) const;
-  std::optional<Transformation> resume_drain(Millis now) const;
-  std::optional<Transformation> begin_repair(Millis now);
-  std::optional<Transformation> forget_store(Millis now) const;
-  bool barrier_reached(const Sequence& sequence, Millis now) const;
-  std::string blocking_reason(const Sequence& sequence, Millis now);
-  bool is_backing_off(DaemonId id, Millis now) const;
-  bool any_store_suspected(Millis now) const;
+  std::optional<Transformation> advance_sequence(TimePoint now);
+  std::optional<Transformation> begin_join(TimePoint now) const;
+  std::optional<Transformation> resume_drain(TimePoint now) const;
+  std::optional<Transformation> begin_repair(TimePoint now);
+  std::optional<Transformation> forget_store(TimePoint now) const;
+  bool barrier_reached(const Sequence& sequence, TimePoint now) const;
+  std::string blocking_reason(const Sequence& sequence, TimePoint now);
+  bool is_backing_off(DaemonId id, TimePoint now) const;
+  bool any_store_suspected(TimePoint now) const;
   bool drain_is_possible(const Daemon& store) const;
-  bool repair_is_due(const Daemon& store, Millis now) const;
-  Millis repair_delay(DaemonId id) const;
+  bool repair_is_due(const Daemon& store, TimePoint now) const;
+  Duration repair_delay(DaemonId id) const;
   size_t count_lost_replicas(const Partition& partition) const;
 
   Outbox& outbox_;
@@ -43,7 +43,7 @@
   const MajorityObservation& majority_;
   std::map<DaemonId, Barrier> barriers_;
   /// Before this time a daemon whose sequence was cancelled begins no other.
-  std::map<DaemonId, Millis> retry_at_;
+  std::map<DaemonId, TimePoint> retry_at_;
   /// How many repairs of a store's partitions have begun, so that one that comes and goes causes fewer and fewer.
   std::map<DaemonId, uint32_t> repairs_begun_;
 };
--- a/src/consensus/supervisor.cpp
+++ b/src/consensus/supervisor.cpp
@@ -9,7 +9,7 @@
 
 namespace mosskeel {
 
-void Supervisor::tick(Millis now) {
+void Supervisor::tick(TimePoint now) {
   if (!lease_.is_held(now)) {
     pending_commit_.clear();
     sequences_.on_lease_lost();
@@ -26,7 +26,7 @@
   outbox_.send(outbox_.id().self.address, Commit{pending_commit_, *change, metadata_log_.epoch()});
 }
 
-std::optional<Transformation> Supervisor::next_change(Millis now) {
+std::optional<Transformation> Supervisor::next_change(TimePoint now) {
   if (auto change = update_daemon_states(now))
     return change;
   if (auto change = core_membership_.next_change(now))
@@ -39,12 +39,12 @@
 }
 
 /// Marks daemons down that a majority misses, and up again when a majority hears them.
-std::optional<Transformation> Supervisor::update_daemon_states(Millis now) {
+std::optional<Transformation> Supervisor::update_daemon_states(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   // Where this controller itself misses most of the fleet, it may be the one that is cut off.
   bool isolated = !metadata.has_quorum(
       [&](const Daemon& daemon) { return detector_.heartbeat_age(daemon, now) < kHeartbeatTimeout; });
-  Millis timeout = isolated ? kIsolatedHeartbeatTimeout : kHeartbeatTimeout;
+  Duration timeout = isolated ? kIsolatedHeartbeatTimeout : kHeartbeatTimeout;
   for (const auto& [id, daemon] : metadata.directory) {
     bool spare_controller = daemon.state == DaemonState::registered && daemon.self.role == Role::controller;
     if (daemon.state == DaemonState::left || spare_controller)
@@ -62,7 +62,7 @@
 }
 
 /// A replica that belongs to no service is ready once every front must have seen it warm up for long enough.
-std::optional<Transformation> Supervisor::finish_warm_up(Millis now) {
+std::optional<Transformation> Supervisor::finish_warm_up(TimePoint now) {
   for (const auto& [replica_name, replica] : metadata_log_.view()->replicas) {
     if (replica.health != ReplicaHealth::warming_up || !replica.service.empty())
       continue;
--- a/src/consensus/supervisor.hpp
+++ b/src/consensus/supervisor.hpp
@@ -20,7 +20,7 @@
         core_membership_(metadata_log, detector, majority_),
         sequences_(outbox, metadata_log, detector, majority_) {}
 
-  void tick(Millis now);
+  void tick(TimePoint now);
   /// The next change may be committed once the one before is answered.
   void handle(const CommitReply& reply) {
     if (reply.id == pending_commit_)
@@ -31,12 +31,12 @@
   /// Since when a replica, in its state of this epoch, is known to be warming up.
   struct WarmUp {
     Epoch state_epoch{};
-    Millis since = 0;
+    TimePoint since{};
   };
 
-  std::optional<Transformation> next_change(Millis now);
-  std::optional<Transformation> update_daemon_states(Millis now);
-  std::optional<Transformation> finish_warm_up(Millis now);
+  std::optional<Transformation> next_change(TimePoint now);
+  std::optional<Transformation> update_daemon_states(TimePoint now);
+  std::optional<Transformation> finish_warm_up(TimePoint now);
   std::optional<Transformation> update_quorum_membership() const;
 
   Outbox& outbox_;
@@ -48,7 +48,7 @@
   SequenceCoordinator sequences_;
   /// The id of the commit under way, empty if none, and until when its reply is awaited.
   std::string pending_commit_;
-  Millis pending_until_ = 0;
+  TimePoint pending_until_{};
   /// By the replica's name; of replicas that belong to no service.
   std::map<std::string, WarmUp> warm_ups_;
 };
--- a/src/consensus/supervisor_lease.cpp
+++ b/src/consensus/supervisor_lease.cpp
@@ -6,7 +6,7 @@
 
 namespace mosskeel {
 
-void SupervisorLease::handle(const Envelope& envelope, const LeaseRequest& request, Millis now) {
+void SupervisorLease::handle(const Envelope& envelope, const LeaseRequest& request, TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   if (!metadata.is_core_member(envelope.from_incarnation) || !metadata.is_core_member(outbox_.id().self.incarnation))
     return;
@@ -19,7 +19,7 @@
                envelope.from_incarnation);
 }
 
-void SupervisorLease::handle(const Envelope& envelope, const LeaseGrant& grant, Millis now) {
+void SupervisorLease::handle(const Envelope& envelope, const LeaseGrant& grant, TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   if (grant.request_id != request_id_ || !metadata.is_core_member(envelope.from_incarnation))
     return;
@@ -39,7 +39,7 @@
   request_id_ = 0;
 }
 
-void SupervisorLease::on_shutdown_of(Incarnation holder, Millis now) {
+void SupervisorLease::on_shutdown_of(Incarnation holder, TimePoint now) {
   if (granted_to_ != holder)
     return;
   granted_to_ = {};
@@ -47,7 +47,7 @@
   next_request_at_ = now + request_delay();
 }
 
-Millis SupervisorLease::request_delay() const {
+Duration SupervisorLease::request_delay() const {
   const Metadata& metadata = *metadata_log_.view();
   auto self = std::find_if(metadata.members.begin(), metadata.members.end(), [&](DaemonId id) {
     return metadata.find(id)->self.incarnation == outbox_.id().self.incarnation;
@@ -55,7 +55,7 @@
   return 1 + (self - metadata.members.begin()) * kSupervisorLeaseMargin / 2;
 }
 
-void SupervisorLease::tick(Millis now) {
+void SupervisorLease::tick(TimePoint now) {
   Incarnation self = outbox_.id().self.incarnation;
   if (is_held(now) != noted_as_held_) {
     noted_as_held_ = !noted_as_held_;
@@ -72,7 +72,7 @@
 }
 
 /// Two controllers that each grant themselves would deny each other for ever: let whoever asks first have the lease.
-void SupervisorLease::step_back(Millis now) {
+void SupervisorLease::step_back(TimePoint now) {
   denied_ = false;
   if (granted_to_ == outbox_.id().self.incarnation) {
     granted_to_ = {};
@@ -82,7 +82,7 @@
   next_request_at_ = now + 1 + outbox_.jitter(kSupervisorLeaseRenewInterval);
 }
 
-void SupervisorLease::request_lease(Millis now) {
+void SupervisorLease::request_lease(TimePoint now) {
   next_request_at_ = now + kSupervisorLeaseRenewInterval;
   requested_at_ = now;
   request_id_ = outbox_.next_random();
--- a/src/consensus/supervisor_lease.hpp
+++ b/src/consensus/supervisor_lease.hpp
@@ -14,47 +14,47 @@
  public:
   /// A member's heartbeat ages, as its last reply to a lease request brought them.
   struct Observation {
-    Millis received_at = 0;
+    TimePoint received_at{};
     HeartbeatAges heartbeat_ages;
   };
 
-  SupervisorLease(Outbox& outbox, MetadataLog& metadata_log, const FailureDetector& detector, Millis start)
+  SupervisorLease(Outbox& outbox, MetadataLog& metadata_log, const FailureDetector& detector, TimePoint start)
       : outbox_(outbox),
         metadata_log_(metadata_log),
         detector_(detector),
         granted_until_(start + kSupervisorLeaseDuration) {}
 
-  void handle(const Envelope& envelope, const LeaseRequest& request, Millis now);
-  void handle(const Envelope& envelope, const LeaseGrant& grant, Millis now);
+  void handle(const Envelope& envelope, const LeaseRequest& request, TimePoint now);
+  void handle(const Envelope& envelope, const LeaseGrant& grant, TimePoint now);
   /// Requests or renews the lease when it is time.
-  void tick(Millis now);
+  void tick(TimePoint now);
   /// Gives the lease back for good: this controller is shutting down.
   void resign();
   /// A controller announced that it shuts down: the lease that was granted to it may go to another at once.
-  void on_shutdown_of(Incarnation holder, Millis now);
-  bool is_held(Millis now) const { return now < held_until_; }
+  void on_shutdown_of(Incarnation holder, TimePoint now);
+  bool is_held(TimePoint now) const { return now < held_until_; }
   const std::map<Incarnation, Observation>& observations() const { return observations_; }
 
  private:
-  void request_lease(Millis now);
-  void step_back(Millis now);
+  void request_lease(TimePoint now);
+  void step_back(TimePoint now);
   /// Lets the members ask one after the other: this one's delay after the lease has become free.
-  Millis request_delay() const;
+  Duration request_delay() const;
 
   Outbox& outbox_;
   MetadataLog& metadata_log_;
   const FailureDetector& detector_;
   /// The grant that this member has given: to whom, and until when it gives none to another.
   Incarnation granted_to_{};
-  Millis granted_until_{};
+  TimePoint granted_until_{};
   /// The request under way: its id, zero for none; when it was sent; who granted it, and whether a member denied it.
   uint64_t request_id_ = 0;
-  Millis requested_at_ = 0;
+  TimePoint requested_at_{};
   std::set<Incarnation> grants_;
   bool denied_ = false;
-  Millis next_request_at_ = 0;
+  TimePoint next_request_at_{};
   /// Until when this controller is the supervisor.
-  Millis held_until_ = 0;
+  TimePoint held_until_{};
   std::map<Incarnation, Observation> observations_;
   /// Whether the log's last note on the lease was that it is held.
   bool noted_as_held_ = false;
--- a/src/control/admin_api.cpp
+++ b/src/control/admin_api.cpp
@@ -142,7 +142,7 @@
 
 ApiResponse AdminApi::list_gateways(const Metadata& metadata) {
   auto gateways = json::Json::array();
-  controller_.inspect([&](ControllerMachine& machine, Millis now) {
+  controller_.inspect([&](ControllerMachine& machine, TimePoint now) {
     for (const auto& [id, daemon] : metadata.directory) {
       if (daemon.self.role != Role::front || daemon.state == DaemonState::left)
         continue;
@@ -155,7 +155,7 @@
 
 ApiResponse AdminApi::metrics() {
   bool holds_lease = false;
-  controller_.inspect([&](ControllerMachine& machine, Millis now) { holds_lease = machine.is_supervisor(now); });
+  controller_.inspect([&](ControllerMachine& machine, TimePoint now) { holds_lease = machine.is_supervisor(now); });
   auto view = host_.view();
   return text_response(metrics_of(host_, "controller",
                                   {{"supervisor_lease_held", holds_lease ? 1.0 : 0.0},
@@ -179,7 +179,7 @@
 
 CommitReply AdminApi::commit_if_safe(const Transformation& change, const std::string& commit_id) {
   std::optional<std::string> hazard;
-  controller_.inspect([&](ControllerMachine& machine, Millis now) { hazard = drain_hazard(machine, change, now); });
+  controller_.inspect([&](ControllerMachine& machine, TimePoint now) { hazard = drain_hazard(machine, change, now); });
   if (!hazard)
     return controller_.commit(change, commit_id, commit_timeout_);
   auto view = linearizable_read(controller_, kOperatorRequestTimeout);
@@ -197,7 +197,7 @@
 
 std::vector<Entry> AdminApi::recent_entries() {
   std::vector<Entry> entries;
-  controller_.inspect([&](ControllerMachine& machine, Millis) {
+  controller_.inspect([&](ControllerMachine& machine, TimePoint) {
     entries.assign(machine.recent_entries().begin(), machine.recent_entries().end());
   });
   return entries;
@@ -205,7 +205,7 @@
 
 bool AdminApi::removed_by_refounding() {
   bool removed = false;
-  controller_.inspect([&](ControllerMachine& machine, Millis) { removed = machine.removed_by_refounding(); });
+  controller_.inspect([&](ControllerMachine& machine, TimePoint) { removed = machine.removed_by_refounding(); });
   return removed;
 }
 
--- a/src/control/admin_api.hpp
+++ b/src/control/admin_api.hpp
@@ -12,7 +12,7 @@
  public:
   /// `commit_timeout` (ms) is how long a request of the product's own interface waits for its commit's outcome.
   /// `protocol` is null where no platform's requests are taken.
-  AdminApi(Host& host, HostControllerAccess& controller, Millis commit_timeout, const ControlProtocol* protocol)
+  AdminApi(Host& host, HostControllerAccess& controller, Duration commit_timeout, const ControlProtocol* protocol)
       : host_(host), controller_(controller), commit_timeout_(commit_timeout), protocol_(protocol) {}
 
   ApiResponse handle(const ApiRequest& request);
@@ -43,7 +43,7 @@
 
   Host& host_;
   HostControllerAccess& controller_;
-  const Millis commit_timeout_;
+  const Duration commit_timeout_;
   const ControlProtocol* protocol_;
 };
 
--- a/src/control/admin_json.cpp
+++ b/src/control/admin_json.cpp
@@ -133,7 +133,7 @@
   return json_response({{"epoch", metadata.epoch.value()}, {"replicas", replicas}});
 }
 
-Json gateway_json(const Daemon& daemon, const Metadata& metadata, const PeerStatus* status, Millis now) {
+Json gateway_json(const Daemon& daemon, const Metadata& metadata, const PeerStatus* status, TimePoint now) {
   bool heard_lately = status && now - status->last_heartbeat_at < kHeartbeatInterval * kMaxMissedHeartbeats;
   bool evacuated = metadata.evacuated.count(daemon.self.zone) > 0;
   return {{"id", daemon.id.value()},
--- a/src/control/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -69,7 +69,7 @@
   return Code::outcome_unknown;
 }
 
-bool majority_heard(const ControllerMachine& controller, const Metadata& metadata, Millis now) {
+bool majority_heard(const ControllerMachine& controller, const Metadata& metadata, TimePoint now) {
   auto heard_lately = [&](DaemonId id) {
     const auto* daemon = metadata.find(id);
     return daemon &&
@@ -81,7 +81,7 @@
 
 /// A member that hears no majority can do nothing, and a controller that is no member yet names one. Checking this
 /// first only spares the wait: whoever passes has still to be confirmed by a majority before any result.
-std::optional<ClusterControl::Unavailable> find_unavailability(const ControllerMachine& controller, Millis now) {
+std::optional<ClusterControl::Unavailable> find_unavailability(const ControllerMachine& controller, TimePoint now) {
   const auto view = controller.view();
   if (controller.removed_by_refounding())
     return {{"", "the core was founded anew without this controller"}};
@@ -95,7 +95,7 @@
 }
 
 /// Why this store's copies cannot be relied on, or nothing.
-std::optional<std::string> store_fault(const ControllerMachine& controller, const Daemon& store, Millis now) {
+std::optional<std::string> store_fault(const ControllerMachine& controller, const Daemon& store, TimePoint now) {
   const auto* status = controller.failure_detector().status_of(store.self.incarnation);
   auto daemon = " daemon " + std::to_string(store.id.value());
   if (!status || now - status->last_heartbeat_at > kHeartbeatTimeout)
@@ -109,17 +109,18 @@
 
 /// A rejection is confirmed by a majority at the highest epoch, and nothing is logged. So asking for what is always
 /// rejected, to forget a replica without a name, reads the newest metadata.
-MetadataSnapshot linearizable_read(ControllerAccess& controller, Millis timeout) {
+MetadataSnapshot linearizable_read(ControllerAccess& controller, Duration timeout) {
   auto reply = controller.commit(RemoveReplica{""}, "read-" + hex(random_number()), timeout);
   if (reply.outcome != CommitOutcome::rejected)
     return nullptr;
   MetadataSnapshot view;
-  controller.inspect([&](ControllerMachine& machine, Millis) { view = machine.view(); });
+  controller.inspect([&](ControllerMachine& machine, TimePoint) { view = machine.view(); });
   return view;
 }
 
 /// A store is not retired while another one lacks copies: the one that goes might be the last to hold a history.
-std::optional<std::string> drain_hazard(const ControllerMachine& controller, const Transformation& change, Millis now) {
+std::optional<std::string> drain_hazard(const ControllerMachine& controller, const Transformation& change,
+                                        TimePoint now) {
   const auto* drain = std::get_if<PrepareDrain>(&change);
   if (!drain)
     return std::nullopt;
@@ -138,16 +139,16 @@
   return "copies are lacking:" + faults + " wait for the repair (metric incomplete_comparisons must be 0)";
 }
 
-ControlSession::ControlSession(ControllerAccess& controller, Millis arrived_at)
+ControlSession::ControlSession(ControllerAccess& controller, TimePoint arrived_at)
     : controller_(controller), deadline_(arrived_at + kOperatorRequestTimeout) {}
 
-Millis ControlSession::time_left() {
-  return std::max<Millis>(0, deadline_ - controller_.now());
+Duration ControlSession::time_left() {
+  return std::max(Duration::zero(), deadline_ - controller_.now());
 }
 
 std::optional<ClusterControl::Unavailable> ControlSession::unavailability() {
   std::optional<Unavailable> found;
-  controller_.inspect([&](ControllerMachine& machine, Millis now) { found = find_unavailability(machine, now); });
+  controller_.inspect([&](ControllerMachine& machine, TimePoint now) { found = find_unavailability(machine, now); });
   return found;
 }
 
@@ -157,7 +158,7 @@
 
 CommandResult ControlSession::wait_until_in_force() {
   Epoch epoch{};
-  controller_.inspect([&](ControllerMachine& machine, Millis) { epoch = machine.view()->epoch; });
+  controller_.inspect([&](ControllerMachine& machine, TimePoint) { epoch = machine.view()->epoch; });
   return wait_until_in_force(epoch);
 }
 
@@ -165,7 +166,7 @@
   std::string missing = "the machine has stopped";
   while (!controller_.stopped()) {
     controller_.inspect(
-        [&](ControllerMachine& machine, Millis now) { missing = machine.missing_acknowledgements(epoch, now); });
+        [&](ControllerMachine& machine, TimePoint now) { missing = machine.missing_acknowledgements(epoch, now); });
     if (missing.empty())
       return {Code::done, ""};
     if (time_left() <= kInForcePollInterval)
@@ -214,7 +215,7 @@
   const PrepareDrain drain{store->id};
   std::optional<std::string> hazard;
   controller_.inspect(
-      [&](ControllerMachine& controller, Millis now) { hazard = drain_hazard(controller, drain, now); });
+      [&](ControllerMachine& controller, TimePoint now) { hazard = drain_hazard(controller, drain, now); });
   // A drain that would be rejected anyway goes on, for its typed reason.
   bool applicable = apply(*view, {next(view->epoch), "", drain}).ok();
   if (hazard && applicable)
@@ -230,7 +231,7 @@
   if (!store)
     return RetirementState::unknown_machine;
   std::string missing;
-  controller_.inspect([&](ControllerMachine& controller, Millis now) {
+  controller_.inspect([&](ControllerMachine& controller, TimePoint now) {
     missing = controller.missing_acknowledgements(store->since, now);
   });
   bool finished = is_emptied(*view, *store) && missing.empty();
--- a/src/control/control_session.hpp
+++ b/src/control/control_session.hpp
@@ -11,29 +11,30 @@
  public:
   virtual ~ControllerAccess() = default;
   /// Commits a change under this id; returns at a known outcome or after `timeout` (ms), then with an unknown one.
-  virtual CommitReply commit(const Transformation& change, const std::string& commit_id, Millis timeout) = 0;
+  virtual CommitReply commit(const Transformation& change, const std::string& commit_id, Duration timeout) = 0;
   /// Calls `look` on the state machine, on its own thread, and waits for it to return.
-  virtual void inspect(const std::function<void(ControllerMachine&, Millis now)>& look) = 0;
+  virtual void inspect(const std::function<void(ControllerMachine&, TimePoint now)>& look) = 0;
   /// The state machine's clock, in ms.
-  virtual Millis now() = 0;
-  virtual void pause(Millis duration) = 0;
+  virtual TimePoint now() = 0;
+  virtual void pause(Duration duration) = 0;
   /// Whether the state machine has stopped: it answers nothing more.
   virtual bool stopped() = 0;
 };
 
 /// A linearizable read: metadata at least as new as what a majority of the core confirmed since the call; null where
 /// no majority answered within `timeout` (ms).
-MetadataSnapshot linearizable_read(ControllerAccess& controller, Millis timeout);
+MetadataSnapshot linearizable_read(ControllerAccess& controller, Duration timeout);
 
 /// Why it is not safe to drain a store now, by what this controller has observed. Nothing for a safe drain and for
 /// every other change.
-std::optional<std::string> drain_hazard(const ControllerMachine& controller, const Transformation& change, Millis now);
+std::optional<std::string> drain_hazard(const ControllerMachine& controller, const Transformation& change,
+                                        TimePoint now);
 
 /// Carries out the steps of one operator's request; all of them share one deadline. Used on the request's own thread.
 class ControlSession : public ClusterControl {
  public:
   /// The request is answered within `kOperatorRequestTimeout` of `arrived_at`.
-  ControlSession(ControllerAccess& controller, Millis arrived_at);
+  ControlSession(ControllerAccess& controller, TimePoint arrived_at);
 
   std::optional<Unavailable> unavailability() override;
   MetadataSnapshot read_metadata() override;
@@ -46,13 +47,13 @@
   RetirementState retirement_state(const std::string& machine) override;
 
  private:
-  Millis time_left();
+  Duration time_left();
   /// Commits a change and waits until it is in force.
   CommandResult execute(const Transformation& change, const std::string& commit_id);
   CommandResult wait_until_in_force(Epoch epoch);
 
   ControllerAccess& controller_;
-  Millis deadline_{};
+  TimePoint deadline_{};
 };
 
 }  // namespace mosskeel
--- a/src/control/host_controller_access.cpp
+++ b/src/control/host_controller_access.cpp
@@ -18,7 +18,7 @@
   const Address& address() const { return opened_.address; }
 
   /// The next message if it is a commit's reply; nothing where it is none, or none came within `timeout` (ms).
-  std::optional<CommitReply> receive_reply(Millis timeout) {
+  std::optional<CommitReply> receive_reply(Duration timeout) {
     auto message = opened_.mailbox->pop(timeout);
     if (!message)
       return std::nullopt;
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-CommitReply HostControllerAccess::commit(const Transformation& change, const std::string& commit_id, Millis timeout) {
+CommitReply HostControllerAccess::commit(const Transformation& change, const std::string& commit_id, Duration timeout) {
   OpenMailbox mailbox(mailboxes_);
   const auto deadline = process_now() + timeout;
   auto latest = unknown_outcome(commit_id);
@@ -55,7 +55,7 @@
     envelope.body = Commit{commit_id, change, view->epoch, deadline - process_now()};
     host_.post(std::move(envelope));
     // One heartbeat more than the controller's own patience, so that its reply is not missed by a hair.
-    auto wait = std::min<Millis>(attempt_timeout_ + kHeartbeatInterval, deadline - process_now());
+    auto wait = std::min<Duration>(attempt_timeout_ + kHeartbeatInterval, deadline - process_now());
     auto reply = mailbox.receive_reply(wait);
     if (!reply)
       continue;
@@ -78,15 +78,15 @@
   return mailbox.receive_reply(attempt_timeout_).value_or(unknown_outcome(id));
 }
 
-void HostControllerAccess::inspect(const std::function<void(ControllerMachine&, Millis)>& look) {
-  host_.ask([&](StateMachine& machine, Millis now) { look(static_cast<ControllerMachine&>(machine), now); });
+void HostControllerAccess::inspect(const std::function<void(ControllerMachine&, TimePoint)>& look) {
+  host_.ask([&](StateMachine& machine, TimePoint now) { look(static_cast<ControllerMachine&>(machine), now); });
 }
 
-Millis HostControllerAccess::now() {
+TimePoint HostControllerAccess::now() {
   return process_now();
 }
 
-void HostControllerAccess::pause(Millis duration) {
+void HostControllerAccess::pause(Duration duration) {
   std::this_thread::sleep_for(std::chrono::milliseconds(duration));
 }
 
--- a/src/control/host_controller_access.hpp
+++ b/src/control/host_controller_access.hpp
@@ -11,13 +11,13 @@
 class HostControllerAccess : public ControllerAccess {
  public:
   /// `attempt_timeout` (ms) is how long the controller itself tries a commit before it answers "unknown".
-  HostControllerAccess(Host& host, LocalMailboxes& mailboxes, Millis attempt_timeout)
+  HostControllerAccess(Host& host, LocalMailboxes& mailboxes, Duration attempt_timeout)
       : host_(host), mailboxes_(mailboxes), attempt_timeout_(attempt_timeout) {}
 
-  CommitReply commit(const Transformation& change, const std::string& commit_id, Millis timeout) override;
-  void inspect(const std::function<void(ControllerMachine&, Millis now)>& look) override;
-  Millis now() override;
-  void pause(Millis duration) override;
+  CommitReply commit(const Transformation& change, const std::string& commit_id, Duration timeout) override;
+  void inspect(const std::function<void(ControllerMachine&, TimePoint now)>& look) override;
+  TimePoint now() override;
+  void pause(Duration duration) override;
   bool stopped() override { return host_.stopped(); }
 
   /// Asks the controller to found the core anew without these lost members.
@@ -26,7 +26,7 @@
  private:
   Host& host_;
   LocalMailboxes& mailboxes_;
-  const Millis attempt_timeout_;
+  const Duration attempt_timeout_;
 };
 
 }  // namespace mosskeel
--- a/src/control/replica_poller.cpp
+++ b/src/control/replica_poller.cpp
@@ -61,13 +61,13 @@
 
 bool ReplicaPoller::holds_supervisor_lease() {
   bool held = false;
-  controller_.inspect([&](ControllerMachine& machine, Millis now) { held = machine.is_supervisor(now); });
+  controller_.inspect([&](ControllerMachine& machine, TimePoint now) { held = machine.is_supervisor(now); });
   return held;
 }
 
 MetadataSnapshot ReplicaPoller::view() {
   MetadataSnapshot view;
-  controller_.inspect([&](ControllerMachine& machine, Millis) { view = machine.view(); });
+  controller_.inspect([&](ControllerMachine& machine, TimePoint) { view = machine.view(); });
   return view;
 }
 
--- a/src/daemons/agent/main.cpp
+++ b/src/daemons/agent/main.cpp
@@ -18,11 +18,11 @@
               random_number(),
               p.tcm_rpc_ms};
   Host host(nullptr, p.listen);
-  if (auto f = host.start([&](const Recovered&, Millis now) { return std::make_unique<AgentMachine>(id, now); });
+  if (auto f = host.start([&](const Recovered&, TimePoint now) { return std::make_unique<AgentMachine>(id, now); });
       !f.empty())
     return cannot_start("agent", f);
   return run_until_stopped(host, "agent", [&] {
-    host.ask([](StateMachine& m, Millis) { static_cast<AgentMachine&>(m).leave(); });
+    host.ask([](StateMachine& m, TimePoint) { static_cast<AgentMachine&>(m).leave(); });
     return false;
   });
 }
--- a/src/daemons/controller/main.cpp
+++ b/src/daemons/controller/main.cpp
@@ -63,7 +63,7 @@
   Host host(disk, settings.listen);
   LocalMailboxes mailboxes;
   host.route("local", [&](const Envelope& envelope) { mailboxes.deliver(envelope); });
-  auto start_errors = host.start([&](const Recovered& recovered, Millis now) {
+  auto start_errors = host.start([&](const Recovered& recovered, TimePoint now) {
     return std::make_unique<ControllerMachine>(identity, recovered, now);
   });
   if (!start_errors.empty())
@@ -80,7 +80,8 @@
     replica_poller = std::make_unique<ReplicaPoller>(controller, *protocol, settings.list);
 
   auto begin_shutdown = [&] {
-    host.ask([](StateMachine& machine, Millis now) { static_cast<ControllerMachine&>(machine).begin_shutdown(now); });
+    host.ask(
+        [](StateMachine& machine, TimePoint now) { static_cast<ControllerMachine&>(machine).begin_shutdown(now); });
     return false;
   };
   auto exit_code = run_until_stopped(host, kProgram, begin_shutdown);
--- a/src/daemons/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -81,7 +81,7 @@
 
   host.route("local", [&](const Envelope& envelope) { mailboxes.deliver(envelope); });
   host.route("replica", [&](const Envelope& envelope) { send_to_replica(replicas, envelope.body); });
-  auto make_machine = [&](const Recovered&, Millis now) {
+  auto make_machine = [&](const Recovered&, TimePoint now) {
     return std::make_unique<GatewayMachine>(identity, now);
   };
   if (auto errors = host.start(make_machine); !errors.empty())
@@ -100,7 +100,7 @@
   }
 
   auto exit_code = run_until_stopped(host, "gateway", [&] {
-    host.ask([](StateMachine& machine, Millis) { static_cast<GatewayMachine&>(machine).begin_shutdown(); });
+    host.ask([](StateMachine& machine, TimePoint) { static_cast<GatewayMachine&>(machine).begin_shutdown(); });
     if (routing_thread)
       routing_thread->begin_draining();
     return false;
--- a/src/daemons/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -30,7 +30,7 @@
  public:
   explicit LoadMonitor(const Host& host) : host_(host) {}
 
-  void operator()(StateMachine& machine, Millis now) {
+  void operator()(StateMachine& machine, TimePoint now) {
     if (now < next_look_at_)
       return;
     next_look_at_ = now + kStoreLoadInterval;
@@ -43,12 +43,12 @@
 
  private:
   const Host& host_;
-  Millis next_look_at_ = 0;
+  TimePoint next_look_at_{};
 };
 
 ApiResponse metrics_response(Host& host) {
   std::map<std::string, double> metrics;
-  host.ask([&](StateMachine& machine, Millis) {
+  host.ask([&](StateMachine& machine, TimePoint) {
     auto& store = store_of(machine);
     metrics["histories"] = static_cast<double>(store.history_count());
     metrics["tombstones"] = static_cast<double>(store.tombstone_count());
@@ -88,7 +88,7 @@
   return_large_blocks();
   Host host(disk, settings.listen, kStoreInboxBytes);
   host.watch(LoadMonitor(host));
-  auto errors = host.start([&](Recovered recovered, Millis now) {
+  auto errors = host.start([&](Recovered recovered, TimePoint now) {
     return std::make_unique<StoreMachine>(identity, std::move(recovered), now);
   });
   if (!errors.empty())
--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -7,11 +7,11 @@
 
 namespace mosskeel {
 
-CallerSession::CallerSession(LocalMailboxes& mailboxes, Millis deadline)
+CallerSession::CallerSession(LocalMailboxes& mailboxes, TimePoint deadline)
     : mailboxes_(mailboxes), deadline_(deadline), opened_(mailboxes.open()) {}
 
 std::optional<Message> CallerSession::receive() {
-  return opened_.mailbox->pop(std::max<Millis>(1, deadline_ - process_now()));
+  return opened_.mailbox->pop(std::max<Duration>(1ms, deadline_ - process_now()));
 }
 
 ApiResponse::StreamState ProgramResponseStream::next(std::string& bytes) {
--- a/src/gateway/caller_session.hpp
+++ b/src/gateway/caller_session.hpp
@@ -12,7 +12,7 @@
 class CallerSession {
  public:
   /// `deadline` is a point in time by process_now(), milliseconds.
-  CallerSession(LocalMailboxes& mailboxes, Millis deadline);
+  CallerSession(LocalMailboxes& mailboxes, TimePoint deadline);
   ~CallerSession() { mailboxes_.close(opened_.address); }
   CallerSession(const CallerSession&) = delete;
   CallerSession& operator=(const CallerSession&) = delete;
@@ -23,7 +23,7 @@
 
  private:
   LocalMailboxes& mailboxes_;
-  Millis deadline_{};
+  TimePoint deadline_{};
   LocalMailboxes::Opened opened_;
 };
 
--- a/src/gateway/constants.hpp
+++ b/src/gateway/constants.hpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-/// Milliseconds; a platform that asks each second has seen "not ready" twice by then.
-constexpr Millis kReadinessPropagation = 3200;
+/// A platform that asks each second has seen "not ready" twice by then.
+constexpr Duration kReadinessPropagation = 3200ms;
 
 }  // namespace mosskeel
--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -211,7 +211,7 @@
 
 ApiResponse ProgramApi::answer_readiness() {
   bool is_ready = false;
-  host_.ask([&](StateMachine& machine, Millis now) { is_ready = static_cast<GatewayMachine&>(machine).ready(now); });
+  host_.ask([&](StateMachine& machine, TimePoint now) { is_ready = static_cast<GatewayMachine&>(machine).ready(now); });
   if (!is_ready)
     return ApiResponse::error(503, "not_ready", "this worker is not ready", kDefaultRetryAfter);
   ApiResponse response;
--- a/src/gateway/program_api_metrics.cpp
+++ b/src/gateway/program_api_metrics.cpp
@@ -6,7 +6,7 @@
 
 ApiResponse ProgramApi::answer_metrics() {
   std::map<std::string, double> values;
-  host_.ask([&](StateMachine& machine, Millis now) {
+  host_.ask([&](StateMachine& machine, TimePoint now) {
     auto& gateway = static_cast<GatewayMachine&>(machine);
     for (const auto& [name, value] : gateway.metrics())
       values[name] = static_cast<double>(value);
--- a/src/gateway/routing_thread.cpp
+++ b/src/gateway/routing_thread.cpp
@@ -16,7 +16,7 @@
   host.route(kRoutingAddress, [self](const Envelope& envelope) {
     self->loop_.post([self, message = envelope.body]() mutable { self->on_owner_reply(std::move(message)); });
   });
-  host.watch([self](StateMachine& machine, Millis now) { self->publish_snapshot(machine, now); });
+  host.watch([self](StateMachine& machine, TimePoint now) { self->publish_snapshot(machine, now); });
   self->thread_ = std::thread([self] {
     self->tick();
     self->loop_.run();
@@ -87,14 +87,14 @@
   });
 }
 
-void RoutingThread::continue_draining(Millis now) {
+void RoutingThread::continue_draining(TimePoint now) {
   if (!draining_since_ || now - draining_since_ < kReadinessPropagation)
     return;
   frontend_->drain();
   has_active_callers_ = frontend_->has_active_callers();
 }
 
-void RoutingThread::publish_snapshot(StateMachine& machine, Millis now) {
+void RoutingThread::publish_snapshot(StateMachine& machine, TimePoint now) {
   auto& gateway = static_cast<GatewayMachine&>(machine);
   gateway.set_open_routing_sessions(has_active_callers_ ? 1 : 0);
   std::shared_ptr<const RoutingSnapshot> next = std::make_shared<RoutingSnapshot>(gateway.routing_snapshot(now));
--- a/src/gateway/routing_thread.hpp
+++ b/src/gateway/routing_thread.hpp
@@ -32,9 +32,9 @@
   void on_owner_reply(Message&& message);
   void send_to_owner(Message message);
   /// On the control thread, after each of its steps.
-  void publish_snapshot(StateMachine& machine, Millis now);
+  void publish_snapshot(StateMachine& machine, TimePoint now);
   void tick();
-  void continue_draining(Millis now);
+  void continue_draining(TimePoint now);
   uint32_t readiness_status(const HttpRequest& request) const;
   std::shared_ptr<const RoutingSnapshot> snapshot() const { return std::atomic_load(&snapshot_); }
 
@@ -45,9 +45,9 @@
   std::unique_ptr<HttpListener> readiness_listener_;
   /// Written by the control thread, read by this one; only through `std::atomic_load` and `std::atomic_store`.
   std::shared_ptr<const RoutingSnapshot> snapshot_ =
-      std::make_shared<RoutingSnapshot>(RoutingSnapshot{std::make_shared<Metadata>(), {}, 0, false, false});
-  /// When draining began, in milliseconds on the process's clock; 0 before. Used on the routing thread.
-  Millis draining_since_ = 0;
+      std::make_shared<RoutingSnapshot>(RoutingSnapshot{std::make_shared<Metadata>(), {}, {}, false, false});
+  /// When draining began, on the process's clock; the zero point before. Used on the routing thread.
+  TimePoint draining_since_{};
   /// Whether callers may still have something under way here. Written by this thread, read by the control thread.
   std::atomic<bool> has_active_callers_{true};
   std::thread thread_;
--- a/src/history/history_expiry.cpp
+++ b/src/history/history_expiry.cpp
@@ -6,7 +6,7 @@
 
 namespace mosskeel {
 
-void HistoryExpiry::tick(Millis now) {
+void HistoryExpiry::tick(TimePoint now) {
   if (now < next_scan_at_)
     return;
   next_scan_at_ = now + kExpiryScanInterval;
@@ -42,7 +42,7 @@
     return false;
   if (history.records.back().kind == RecordKind::ended)
     return true;
-  Millis retention = 0;
+  Duration retention{};
   for (auto& record : history.records)
     retention = std::max(retention, record.retention_ms);
   auto stretched = retention + retention / kRetentionDriftDivisor + kRetentionMargin;
--- a/src/history/history_expiry.hpp
+++ b/src/history/history_expiry.hpp
@@ -12,7 +12,7 @@
   HistoryExpiry(Outbox& out, const MetadataLog& metadata_log, const HistoryTable& table, const UptimeClock& clock)
       : out_(out), metadata_log_(metadata_log), table_(table), clock_(clock) {}
 
-  void tick(Millis now);
+  void tick(TimePoint now);
 
  private:
   void scan_next_partition();
@@ -22,7 +22,7 @@
   const MetadataLog& metadata_log_;
   const HistoryTable& table_;
   const UptimeClock& clock_;
-  Millis next_scan_at_ = 0;
+  TimePoint next_scan_at_{};
   PartitionId last_scanned_{};
 };
 
--- a/src/history/history_writer.cpp
+++ b/src/history/history_writer.cpp
@@ -20,7 +20,7 @@
   return found == histories_.end() ? nullptr : &found->second;
 }
 
-HistoryWriter::State HistoryWriter::open(const HistoryName& name, Millis now) {
+HistoryWriter::State HistoryWriter::open(const HistoryName& name, TimePoint now) {
   auto partition = partition_of(name.cell, name.program);
   if (!owns(partition))
     return State::fenced;
@@ -44,7 +44,7 @@
 }
 
 HistoryWriter::OpenHistories::iterator HistoryWriter::begin_opening(const HistoryName& name, PartitionId partition,
-                                                                    Epoch term, Millis now) {
+                                                                    Epoch term, TimePoint now) {
   auto opened = histories_.emplace(name, OpenHistory{}).first;
   auto& history = opened->second;
   history.partition = partition;
@@ -88,7 +88,7 @@
   return history && is_quorum(*history, has);
 }
 
-uint64_t HistoryWriter::append(const HistoryName& name, Record record, Millis now) {
+uint64_t HistoryWriter::append(const HistoryName& name, Record record, TimePoint now) {
   auto found = histories_.find(name);
   if (found == histories_.end())
     return 0;
@@ -113,7 +113,7 @@
   return targets;
 }
 
-void HistoryWriter::send_due(const HistoryName& name, OpenHistory& history, Millis now, Resend resend) {
+void HistoryWriter::send_due(const HistoryName& name, OpenHistory& history, TimePoint now, Resend resend) {
   for (auto* store : write_targets(history)) {
     auto& progress = history.stores[store->id];
     if (progress.incarnation != store->self.incarnation) {
@@ -126,7 +126,7 @@
 }
 
 bool HistoryWriter::send_next(const HistoryName& name, OpenHistory& history, const Daemon& store,
-                              StoreProgress& progress, Millis now, Resend resend) {
+                              StoreProgress& progress, TimePoint now, Resend resend) {
   bool is_overdue = resend == Resend::overdue && now - progress.last_sent_at >= kStoreRetryInterval;
   bool is_due = progress.last_sent_at == 0 || is_overdue;
   auto& self = store.self;
@@ -162,7 +162,7 @@
   return true;
 }
 
-bool HistoryWriter::handle(const Envelope& envelope, Millis now) {
+bool HistoryWriter::handle(const Envelope& envelope, TimePoint now) {
   if (auto* reply = std::get_if<ReadHistoryReply>(&envelope.body)) {
     handle(*reply, envelope, now);
     return true;
@@ -179,7 +179,7 @@
   return found != histories_.end() && found->second.term == term ? &found->second : nullptr;
 }
 
-void HistoryWriter::handle(const ReadHistoryReply& reply, const Envelope& envelope, Millis now) {
+void HistoryWriter::handle(const ReadHistoryReply& reply, const Envelope& envelope, TimePoint now) {
   auto* history = awaiting(reply.history, reply.term);
   auto* store = metadata_log_.view()->find(envelope.from_incarnation);
   if (!history || !store || !reply.granted || !history->reading)
@@ -196,7 +196,7 @@
   advance(reply.history, *history, now);
 }
 
-void HistoryWriter::handle(const AppendHistoryReply& reply, const Envelope& envelope, Millis now) {
+void HistoryWriter::handle(const AppendHistoryReply& reply, const Envelope& envelope, TimePoint now) {
   auto* history = awaiting(reply.history, reply.term);
   auto* store = metadata_log_.view()->find(envelope.from_incarnation);
   if (!history || !store)
@@ -217,14 +217,14 @@
     send_due(reply.history, *history, now, Resend::none);
 }
 
-void HistoryWriter::advance(const HistoryName& name, OpenHistory& history, Millis now) {
+void HistoryWriter::advance(const HistoryName& name, OpenHistory& history, TimePoint now) {
   if (history.reading)
     finish_reading(name, history, now);
   else
     advance_commit(name, history);
 }
 
-void HistoryWriter::finish_reading(const HistoryName& name, OpenHistory& history, Millis now) {
+void HistoryWriter::finish_reading(const HistoryName& name, OpenHistory& history, TimePoint now) {
   if (!is_quorum(history, by_progress(history, [&](auto& progress) { return has_read(history, progress); })))
     return;
   history.reading = false;
@@ -309,7 +309,7 @@
   };
 }
 
-void HistoryWriter::tick(Millis now) {
+void HistoryWriter::tick(TimePoint now) {
   for (auto next = histories_.begin(); next != histories_.end();) {
     auto current = next++;
     auto& [name, history] = *current;
--- a/src/history/history_writer.hpp
+++ b/src/history/history_writer.hpp
@@ -21,11 +21,11 @@
   HistoryWriter(Outbox& out, const MetadataLog& metadata_log) : out_(out), metadata_log_(metadata_log) {}
 
   /// Begins to open a history where it is not open, and tells how far that is; may be called at any time.
-  State open(const HistoryName& name, Millis now);
+  State open(const HistoryName& name, TimePoint now);
   /// All records of the history, committed or not; none where it is not being opened or open.
   const Records& records(const HistoryName& name) const;
   /// Appends to an open history. The record is committed once `committed_length` reaches the number returned.
-  uint64_t append(const HistoryName& name, Record record, Millis now);
+  uint64_t append(const HistoryName& name, Record record, TimePoint now);
   /// Whether a record, an element of `records(name)`, is committed; until then nobody may be told of it.
   bool is_committed(const HistoryName& name, const Record& record) const;
   /// How many records of the history are committed.
@@ -37,9 +37,9 @@
   /// Whether the stores for which `has` holds are a quorum of the history's stores.
   bool has_quorum(const HistoryName& name, const StorePredicate& has) const;
   /// Handles the stores' replies; false leaves the message to the caller.
-  bool handle(const Envelope& envelope, Millis now);
+  bool handle(const Envelope& envelope, TimePoint now);
   /// Repeats unanswered requests, and forgets histories that are idle or owned no more.
-  void tick(Millis now);
+  void tick(TimePoint now);
   /// The histories whose state or committed length changed since the last call.
   std::set<HistoryName> take_changed() { return std::exchange(changed_, {}); }
 
@@ -57,7 +57,7 @@
     /// It has taken the whole history under this term, so that records can be appended.
     bool has_history = false;
     /// 0: at once.
-    Millis last_sent_at = 0;
+    TimePoint last_sent_at{};
   };
   struct OpenHistory {
     PartitionId partition{};
@@ -71,8 +71,8 @@
     Records records;
     std::map<DaemonId, StoreProgress> stores;
     uint64_t committed_length = 0;
-    Millis opening_since = 0;
-    Millis last_used_at = 0;
+    TimePoint opening_since{};
+    TimePoint last_used_at{};
   };
   using OpenHistories = std::map<HistoryName, OpenHistory>;
   /// Whether requests that were not answered for a while are sent again.
@@ -80,24 +80,24 @@
 
   const OpenHistory* find(const HistoryName& name) const;
   bool owns(PartitionId id) const;
-  OpenHistories::iterator begin_opening(const HistoryName& name, PartitionId partition, Epoch term, Millis now);
-  void handle(const ReadHistoryReply& reply, const Envelope& envelope, Millis now);
-  void handle(const AppendHistoryReply& reply, const Envelope& envelope, Millis now);
+  OpenHistories::iterator begin_opening(const HistoryName& name, PartitionId partition, Epoch term, TimePoint now);
+  void handle(const ReadHistoryReply& reply, const Envelope& envelope, TimePoint now);
+  void handle(const AppendHistoryReply& reply, const Envelope& envelope, TimePoint now);
   /// The open history that a reply of this term belongs to, or nothing.
   OpenHistory* awaiting(const HistoryName& name, Epoch term);
 
   /// Sends each store what it lacks.
-  void send_due(const HistoryName& name, OpenHistory& history, Millis now, Resend resend);
+  void send_due(const HistoryName& name, OpenHistory& history, TimePoint now, Resend resend);
   /// Sends a store the next request of an open history; false where there is none to send now.
   bool send_next(const HistoryName& name, OpenHistory& history, const Daemon& store, StoreProgress& progress,
-                 Millis now, Resend resend);
+                 TimePoint now, Resend resend);
   bool send_new_records(const HistoryName& name, const OpenHistory& history, const Daemon& store,
                         StoreProgress& progress);
   std::vector<const Daemon*> write_targets(const OpenHistory& history) const;
 
   /// Goes on where a quorum has answered.
-  void advance(const HistoryName& name, OpenHistory& history, Millis now);
-  void finish_reading(const HistoryName& name, OpenHistory& history, Millis now);
+  void advance(const HistoryName& name, OpenHistory& history, TimePoint now);
+  void finish_reading(const HistoryName& name, OpenHistory& history, TimePoint now);
   void advance_commit(const HistoryName& name, OpenHistory& history);
   void set_open(const HistoryName& name, OpenHistory& history);
   bool is_quorum(const OpenHistory& history, const StorePredicate& has) const;
--- a/src/history/moved_partitions.cpp
+++ b/src/history/moved_partitions.cpp
@@ -5,7 +5,7 @@
 
 namespace mosskeel {
 
-void MovedPartitions::tick(Millis now) {
+void MovedPartitions::tick(TimePoint now) {
   if (now < next_scan_at_)
     return;
   next_scan_at_ = now + kMovedPartitionScanInterval;
@@ -13,7 +13,7 @@
     scan(self->id, now);
 }
 
-void MovedPartitions::scan(DaemonId self, Millis now) {
+void MovedPartitions::scan(DaemonId self, TimePoint now) {
   for (auto& [id, stored] : table_.partitions()) {
     if (stored.histories.empty() || !has_moved(id, self)) {
       moved_since_.erase(id);
--- a/src/history/moved_partitions.hpp
+++ b/src/history/moved_partitions.hpp
@@ -12,19 +12,19 @@
   MovedPartitions(const Outbox& out, const MetadataLog& metadata_log, HistoryTable& table)
       : out_(out), metadata_log_(metadata_log), table_(table) {}
 
-  void tick(Millis now);
+  void tick(TimePoint now);
 
  private:
-  void scan(DaemonId self, Millis now);
+  void scan(DaemonId self, TimePoint now);
   /// Whether the partition lies on other stores for good: nobody reads it here any more.
   bool has_moved(PartitionId id, DaemonId self) const;
 
   const Outbox& out_;
   const MetadataLog& metadata_log_;
   HistoryTable& table_;
-  Millis next_scan_at_ = 0;
+  TimePoint next_scan_at_{};
   /// When each partition with histories here was first seen on other stores.
-  std::map<PartitionId, Millis> moved_since_;
+  std::map<PartitionId, TimePoint> moved_since_;
 };
 
 }  // namespace mosskeel
--- a/src/history/partition_repair.cpp
+++ b/src/history/partition_repair.cpp
@@ -68,7 +68,7 @@
   return clock_.uptime() - history.written_at > kRepairMinimumAge;
 }
 
-void PartitionRepair::tick(Millis now) {
+void PartitionRepair::tick(TimePoint now) {
   // A store that was frozen this long may have missed writes.
   if (now - last_tick_at_ > kIsolationTimeout)
     finished_.clear();
@@ -84,7 +84,7 @@
     abandon();
 }
 
-void PartitionRepair::begin_next(Millis now) {
+void PartitionRepair::begin_next(TimePoint now) {
   auto all = comparisons();
   std::erase_if(finished_, [&](auto& entry) { return !std::binary_search(all.begin(), all.end(), entry.first); });
   if (all.empty())
@@ -101,7 +101,7 @@
 }
 
 /// The next request after a reply: what is wanted of the last page, else the next page.
-void PartitionRepair::proceed(Millis now) {
+void PartitionRepair::proceed(TimePoint now) {
   auto& job = *job_;
   auto partition = job.comparison.partition;
   auto* peer = metadata_log_.view()->find(job.comparison.peer);
--- a/src/history/partition_repair.hpp
+++ b/src/history/partition_repair.hpp
@@ -16,7 +16,7 @@
 
   /// Handles the messages of comparisons, both ways; false leaves the message to the caller.
   bool handle(const Envelope& envelope);
-  void tick(Millis now);
+  void tick(TimePoint now);
   /// How many comparisons of a partition with another store have not ended, under the present set of stores, with this
   /// store having all that the other one had.
   uint32_t incomplete_comparisons() const;
@@ -44,14 +44,14 @@
     bool more_to_list = true;
     /// The open request was answered.
     bool answered = false;
-    Millis requested_at = 0;
+    TimePoint requested_at{};
   };
   std::vector<Comparison> comparisons() const;
   uint64_t checksum(PartitionId id) const;
   bool is_comparable(const History& history) const;
   bool lacks(PartitionId id, const HistorySummary& summary) const;
-  void begin_next(Millis now);
-  void proceed(Millis now);
+  void begin_next(TimePoint now);
+  void proceed(TimePoint now);
   void finish();
   void abandon();
   /// Whether a reply is the one that the job waits for.
@@ -71,8 +71,8 @@
   std::map<Comparison, Epoch> finished_;
   std::optional<Job> job_;
   Comparison last_begun_{};
-  Millis next_step_at_ = 0;
-  Millis last_tick_at_ = 0;
+  TimePoint next_step_at_{};
+  TimePoint last_tick_at_{};
   uint64_t fetched_ = 0;
 };
 
--- a/src/history/partition_streams.cpp
+++ b/src/history/partition_streams.cpp
@@ -38,11 +38,11 @@
 
 }  // namespace
 
-bool PartitionStreams::Source::in_flight(Millis now) const {
+bool PartitionStreams::Source::in_flight(TimePoint now) const {
   return awaits_page && now - requested_at < kStreamPageTimeout;
 }
 
-void PartitionStreams::tick(Millis now) {
+void PartitionStreams::tick(TimePoint now) {
   auto* self = metadata_log_.view()->find(out_.id().self.incarnation);
   if (!self)
     return;
@@ -67,7 +67,7 @@
   }
 }
 
-void PartitionStreams::request_pages(Millis now) {
+void PartitionStreams::request_pages(TimePoint now) {
   for (auto id : in_rotation()) {
     if (pages_in_flight(now) >= kStreamWindowPages)
       return;
@@ -89,7 +89,7 @@
 }
 
 /// No more sources than a read quorum are read at a time, and of each source one page for all partitions.
-void PartitionStreams::request_pages(PartitionId id, Stream& stream, Millis now) {
+void PartitionStreams::request_pages(PartitionId id, Stream& stream, TimePoint now) {
   auto& metadata = *metadata_log_.view();
   auto& partition = metadata.partitions[id.value()];
   size_t engaged = 0;
@@ -121,14 +121,14 @@
 }
 
 void PartitionStreams::request_page(PartitionId id, const Stream& stream, Source& source, const Daemon& daemon,
-                                    Millis now) {
+                                    TimePoint now) {
   source.requested_at = now;
   source.awaits_page = true;
   out_.send(daemon.self.address, StreamPartition{id, stream.sequence, source.last_history, source.last_tombstone},
             daemon.self.incarnation);
 }
 
-bool PartitionStreams::is_sending(DaemonId source, Millis now) const {
+bool PartitionStreams::is_sending(DaemonId source, TimePoint now) const {
   return std::any_of(streams_.begin(), streams_.end(), [&](auto& entry) {
     auto& sources = entry.second.sources;
     auto found = sources.find(source);
@@ -136,7 +136,7 @@
   });
 }
 
-size_t PartitionStreams::pages_in_flight(Millis now) const {
+size_t PartitionStreams::pages_in_flight(TimePoint now) const {
   size_t pages = 0;
   for (auto& [id, stream] : streams_)
     for (auto& [source_id, source] : stream.sources)
@@ -155,7 +155,7 @@
   out_.send(envelope.from, page, envelope.from_incarnation);
 }
 
-bool PartitionStreams::handle(const StreamPartitionReply& page, const Envelope& envelope, Millis now) {
+bool PartitionStreams::handle(const StreamPartitionReply& page, const Envelope& envelope, TimePoint now) {
   auto found = streams_.find(page.partition);
   auto* sender = metadata_log_.view()->find(envelope.from_incarnation);
   if (found == streams_.end() || !sender)
--- a/src/history/partition_streams.hpp
+++ b/src/history/partition_streams.hpp
@@ -14,26 +14,26 @@
       : out_(out), metadata_log_(metadata_log), table_(table) {}
 
   /// Begins and ends streams as partitions become pending here and cease to be, and requests the next pages.
-  void tick(Millis now);
+  void tick(TimePoint now);
   /// Serves a page to another store.
   void handle(const StreamPartition& request, const Envelope& envelope);
   /// Takes a page that was requested; true where it completed its partition.
-  bool handle(const StreamPartitionReply& page, const Envelope& envelope, Millis now);
+  bool handle(const StreamPartitionReply& page, const Envelope& envelope, TimePoint now);
   /// The epoch of the latest sequence for which all partitions pending here are complete; 0 while one is not.
   Epoch completed_sequence() const;
   /// Pages requested and neither answered nor given up.
-  size_t pages_in_flight(Millis now) const;
+  size_t pages_in_flight(TimePoint now) const;
 
  private:
   /// One of the stores that hold a partition, and how far its replica has been read.
   struct Source {
     HistoryName last_history{};
     uint64_t last_tombstone = 0;
-    Millis requested_at = 0;
+    TimePoint requested_at{};
     bool awaits_page = false;
     bool complete = false;
     /// Whether a page is awaited that has not timed out.
-    bool in_flight(Millis now) const;
+    bool in_flight(TimePoint now) const;
   };
   struct Stream {
     /// The epoch at which the partition's pending stores were set.
@@ -42,12 +42,12 @@
     bool complete = false;
   };
   void follow_metadata(DaemonId self);
-  void request_pages(Millis now);
-  void request_pages(PartitionId id, Stream& stream, Millis now);
-  void request_page(PartitionId id, const Stream& stream, Source& source, const Daemon& daemon, Millis now);
+  void request_pages(TimePoint now);
+  void request_pages(PartitionId id, Stream& stream, TimePoint now);
+  void request_page(PartitionId id, const Stream& stream, Source& source, const Daemon& daemon, TimePoint now);
   std::vector<PartitionId> in_rotation() const;
   std::vector<const Daemon*> preferred_sources(const Partition& partition, Stream& stream) const;
-  bool is_sending(DaemonId source, Millis now) const;
+  bool is_sending(DaemonId source, TimePoint now) const;
   /// The source that this page was requested of, or nothing.
   Source* awaited_source(Stream& stream, const StreamPartitionReply& page, DaemonId sender) const;
   bool has_read_quorum(PartitionId id, const Stream& stream) const;
--- a/src/history/store_machine.cpp
+++ b/src/history/store_machine.cpp
@@ -7,7 +7,7 @@
 
 namespace mosskeel {
 
-StoreMachine::StoreMachine(const Identity& id, Recovered recovered, Millis now)
+StoreMachine::StoreMachine(const Identity& id, Recovered recovered, TimePoint now)
     : out_(id),
       follower_(out_, metadata_log_, now),
       clock_(now),
@@ -44,7 +44,7 @@
     PartitionId id;
     readable = codec::get(reader, id) && codec::get(reader, partitions[id]);
   }
-  Millis uptime = 0;
+  Duration uptime{};
   bool complete = readable && codec::get(reader, uptime) && reader.s.empty();
   if (!complete)
     return;
@@ -83,7 +83,7 @@
   return bytes;
 }
 
-Actions StoreMachine::step(const Envelope& envelope, Millis now) {
+Actions StoreMachine::step(const Envelope& envelope, TimePoint now) {
   clock_.advance_to(now);
   if (follower_.is_foreign(envelope)) {
     out_.log_event(Event::foreign, "from " + envelope.from);
@@ -99,13 +99,13 @@
   return finish_step();
 }
 
-Actions StoreMachine::tick(Millis now) {
+Actions StoreMachine::tick(TimePoint now) {
   clock_.advance_to(now);
   run_timers(now);
   return finish_step();
 }
 
-void StoreMachine::run_timers(Millis now) {
+void StoreMachine::run_timers(TimePoint now) {
   streams_.tick(now);
   expiry_.tick(now);
   moved_partitions_.tick(now);
@@ -125,7 +125,7 @@
   return out_.take();
 }
 
-void StoreMachine::handle(const Envelope& envelope, Millis now) {
+void StoreMachine::handle(const Envelope& envelope, TimePoint now) {
   if (follower_.handle(envelope, now))
     return;
   if (load_shedder_.sheds(envelope))
@@ -189,7 +189,7 @@
   table_.write_tombstone(request.partition, request.history);
 }
 
-void StoreMachine::handle(const StreamPartitionReply& page, const Envelope& envelope, Millis now) {
+void StoreMachine::handle(const StreamPartitionReply& page, const Envelope& envelope, TimePoint now) {
   bool completed_partition = streams_.handle(page, envelope, now);
   if (!completed_partition || streams_.completed_sequence() < page.sequence)
     return;
--- a/src/history/store_machine.hpp
+++ b/src/history/store_machine.hpp
@@ -15,9 +15,9 @@
 class StoreMachine : public StateMachine {
  public:
   /// Takes what was recovered from the disk, and frees it piece by piece as the state grows.
-  StoreMachine(const Identity& id, Recovered recovered, Millis now);
-  Actions step(const Envelope& envelope, Millis now) override;
-  Actions tick(Millis now) override;
+  StoreMachine(const Identity& id, Recovered recovered, TimePoint now);
+  Actions step(const Envelope& envelope, TimePoint now) override;
+  Actions tick(TimePoint now) override;
   MetadataSnapshot view() const override { return metadata_log_.view(); }
   /// Encodes a `StoreCheckpoint`.
   std::string checkpoint() const override;
@@ -36,16 +36,16 @@
   void replay_journal(std::vector<std::string> journal);
   void replay(const StoreRecord& record);
 
-  void handle(const Envelope& envelope, Millis now);
+  void handle(const Envelope& envelope, TimePoint now);
   void handle(const ReadHistory& request, const Envelope& envelope);
   void handle(const AppendHistory& request, const Envelope& envelope);
   void handle(const WriteTombstone& request, const Envelope& envelope);
-  void handle(const StreamPartitionReply& page, const Envelope& envelope, Millis now);
+  void handle(const StreamPartitionReply& page, const Envelope& envelope, TimePoint now);
   void handle(const FindChain& request, const Envelope& envelope);
   /// Whether the sender owns the partition, knows its present set of stores, and this store is in that set or to come
   /// into it.
   bool is_from_owner(const Envelope& envelope, PartitionId id) const;
-  void run_timers(Millis now);
+  void run_timers(TimePoint now);
   /// The step's actions, with a checkpoint where the journal has grown enough.
   Actions finish_step();
 
--- a/src/history/store_records.hpp
+++ b/src/history/store_records.hpp
@@ -7,7 +7,7 @@
 
 /// The store's whole state. `uptime` is in ms.
 struct StoreCheckpoint {
-  BOOST_HANA_DEFINE_STRUCT(StoreCheckpoint, (Metadata, metadata), (StoredPartitions, partitions), (Millis, uptime));
+  BOOST_HANA_DEFINE_STRUCT(StoreCheckpoint, (Metadata, metadata), (StoredPartitions, partitions), (Duration, uptime));
 };
 
 /// The partition's fence rose to `term`.
--- a/src/history/uptime_clock.hpp
+++ b/src/history/uptime_clock.hpp
@@ -9,18 +9,18 @@
 /// shortens it.
 class UptimeClock {
  public:
-  explicit UptimeClock(Millis now) : started_at_(now), now_(now) {}
+  explicit UptimeClock(TimePoint now) : started_at_(now), now_(now) {}
 
   /// Takes over the uptime of earlier starts, as the last checkpoint has it.
-  void restore(Millis earlier_uptime) { earlier_uptime_ = earlier_uptime; }
-  void advance_to(Millis now) { now_ = now; }
-  Millis uptime() const { return earlier_uptime_ + (now_ - started_at_); }
+  void restore(Duration earlier_uptime) { earlier_uptime_ = earlier_uptime; }
+  void advance_to(TimePoint now) { now_ = now; }
+  Duration uptime() const { return earlier_uptime_ + (now_ - started_at_); }
 
  private:
   /// On the state machine's clock.
-  Millis started_at_{};
-  Millis now_{};
-  Millis earlier_uptime_ = 0;
+  TimePoint started_at_{};
+  TimePoint now_{};
+  Duration earlier_uptime_{};
 };
 
 }  // namespace mosskeel
--- a/src/metadata/constants.hpp
+++ b/src/metadata/constants.hpp
@@ -20,11 +20,11 @@
 constexpr uint32_t kMaxReplicaCapacity = 4096;
 /// Members; none leaves a core of this size without another in its place.
 constexpr size_t kMinCoreSize = 3;
-/// Milliseconds; a replica that just started reaches its full share in this time.
-constexpr Millis kSlowStartDuration = 10000;
-/// Milliseconds; a warm-up time that differs less from the expected one is not a change.
-constexpr Millis kWarmUpTolerance = 500;
-/// Milliseconds; for this long the replica list may not show that a restored zone's replica is warming up.
-constexpr Millis kMaxReplicaListLag = 1500;
+/// A replica that just started reaches its full share in this time.
+constexpr Duration kSlowStartDuration = 10000ms;
+/// A warm-up time that differs less from the expected one is not a change.
+constexpr Duration kWarmUpTolerance = 500ms;
+/// For this long the replica list may not show that a restored zone's replica is warming up.
+constexpr Duration kMaxReplicaListLag = 1500ms;
 
 }  // namespace mosskeel
--- a/src/metadata/replica_list_reconciler.cpp
+++ b/src/metadata/replica_list_reconciler.cpp
@@ -31,7 +31,7 @@
 }  // namespace
 
 bool ReplicaListReconciler::needs_update(Seen& seen, bool first_seen, const Replica* logged, const Replica& listed,
-                                         Millis now) {
+                                         TimePoint now) {
   // The first time, the log's remaining warm-up may have run for a while already, so only a longer one is a change.
   auto expected_ready_at = seen.expected_ready_at;
   if (first_seen)
@@ -46,7 +46,7 @@
     seen.ready_after_restore_since = 0;
   }
 
-  bool longer = listed.warm_up_ms > std::max<Millis>(0, expected_ready_at - now) + kWarmUpTolerance;
+  bool longer = listed.warm_up_ms > std::max(Duration::zero(), expected_ready_at - now) + kWarmUpTolerance;
   bool not_committed = logged && seen.reported_against && logged->since == *seen.reported_against;
   bool restarts_warm_up = listed.health == ReplicaHealth::warming_up && (longer || not_committed);
   if (logged && logged->health == listed.health && !restarts_warm_up) {
@@ -62,7 +62,7 @@
 }
 
 std::optional<UpdateReplicas> ReplicaListReconciler::reconcile(const Replicas& log, const std::vector<Replica>& listed,
-                                                               Millis now) {
+                                                               TimePoint now) {
   UpdateReplicas change{};
   std::set<std::string> listed_names;
   for (auto& replica : listed) {
--- a/src/metadata/replica_list_reconciler.hpp
+++ b/src/metadata/replica_list_reconciler.hpp
@@ -12,23 +12,23 @@
   ///
   /// A replica is removed once two readings in a row lack it, since the list may shift between its pages. A replica
   /// that a restored zone left warming up stays so for `kMaxReplicaListLag`, until the list has had time to report it.
-  std::optional<UpdateReplicas> reconcile(const Replicas& log, const std::vector<Replica>& listed, Millis now);
+  std::optional<UpdateReplicas> reconcile(const Replicas& log, const std::vector<Replica>& listed, TimePoint now);
   /// Drops the memory: another reader has been active meanwhile.
   void reset() { seen_.clear(); }
 
  private:
   struct Seen {
     /// When the replica's warm-up is expected to end.
-    Millis expected_ready_at = 0;
+    TimePoint expected_ready_at{};
     /// Since when the list calls ready what a restored zone left warming up; 0 where that is not so.
-    Millis ready_after_restore_since = 0;
+    TimePoint ready_after_restore_since{};
     /// `since` of the log's record when it was last told a change. Still the same: the change was not committed.
     std::optional<Epoch> reported_against;
     /// Readings in a row that lack it.
     uint32_t missing = 0;
   };
   /// Whether the log lacks what the list says of one replica. `logged` is null where the log has it not, or otherwise.
-  bool needs_update(Seen& seen, bool first_seen, const Replica* logged, const Replica& listed, Millis now);
+  bool needs_update(Seen& seen, bool first_seen, const Replica* logged, const Replica& listed, TimePoint now);
 
   std::map<std::string, Seen> seen_;
 };
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -7,10 +7,10 @@
 
 }  // namespace
 
-std::shared_ptr<UpstreamConnection> ConnectionPool::take(const Address& address, Millis max_idle) {
+std::shared_ptr<UpstreamConnection> ConnectionPool::take(const Address& address, Duration max_idle) {
   for (auto found = idle_.find(address); found != idle_.end(); found = idle_.find(address)) {
     auto connection = found->second.back();
-    if (monotonic_ms() - connection->idle_since() > max_idle) {
+    if (monotonic_now() - connection->idle_since() > max_idle) {
       return nullptr;
     }
     if (connection->usable()) {
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -12,7 +12,7 @@
  public:
   /// Takes a usable connection out, or nothing where there is none that has been idle for at most `max_idle` ms. Ones
   /// that turn out to be unusable are closed, and must have been removed by their owner when that returns.
-  std::shared_ptr<UpstreamConnection> take(const Address& address, Millis max_idle);
+  std::shared_ptr<UpstreamConnection> take(const Address& address, Duration max_idle);
   /// Closes the oldest connection of that address where there are too many.
   void add(std::shared_ptr<UpstreamConnection> connection);
   /// No effect on connections that are not in the pool.
--- a/src/net/deadline_timer.cpp
+++ b/src/net/deadline_timer.cpp
@@ -2,12 +2,12 @@
 
 namespace mosskeel {
 
-void DeadlineTimer::set(Millis delay) {
+void DeadlineTimer::set(Duration delay) {
   if (delay == 0) {
     clear();
     return;
   }
-  deadline_ = monotonic_ms() + delay;
+  deadline_ = monotonic_now() + delay;
   bool timer_is_early_enough = timer_ && timer_due_at_ <= *deadline_;
   if (timer_is_early_enough) {
     return;
@@ -25,8 +25,8 @@
   }
 }
 
-void DeadlineTimer::start_timer(Millis delay) {
-  timer_due_at_ = monotonic_ms() + delay;
+void DeadlineTimer::start_timer(Duration delay) {
+  timer_due_at_ = monotonic_now() + delay;
   timer_ = loop_.run_after(delay, [this] { on_timer(); });
 }
 
@@ -35,7 +35,7 @@
   if (!deadline_) {
     return;
   }
-  auto remaining = *deadline_ - monotonic_ms();
+  auto remaining = *deadline_ - monotonic_now();
   if (remaining > 0) {
     start_timer(remaining);
     return;
--- a/src/net/deadline_timer.hpp
+++ b/src/net/deadline_timer.hpp
@@ -13,22 +13,22 @@
   DeadlineTimer& operator=(const DeadlineTimer&) = delete;
   ~DeadlineTimer() { cancel(); }
   /// Sets the deadline to `delay` milliseconds from now, in place of an earlier one; 0 clears it.
-  void set(Millis delay);
+  void set(Duration delay);
   /// There is no deadline until the next `set`.
   void clear() { deadline_.reset(); }
   /// Clears the deadline and drops the loop's timer.
   void cancel();
 
  private:
-  void start_timer(Millis delay);
+  void start_timer(Duration delay);
   void on_timer();
 
   EventLoop& loop_;
   std::function<void()> on_expired_;
-  std::optional<Millis> deadline_;
+  std::optional<MonotonicTime> deadline_;
   /// The loop's timer, 0 where none runs, and when it is due: never after the deadline.
   uint64_t timer_ = 0;
-  Millis timer_due_at_ = 0;
+  MonotonicTime timer_due_at_{};
 };
 
 }  // namespace mosskeel
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr size_t kMaxEventsPerWait = 256;
-/// Milliseconds; keeps the wait within the int that epoll_wait takes; the loop then waits again.
-constexpr Millis kMaxWait = 3600000;
+/// Keeps the wait within the int that epoll_wait takes; the loop then waits again.
+constexpr Duration kMaxWait = 3600000ms;
 /// Cancelled timers are cleaned out once they outnumber the others by this.
 constexpr size_t kCancelledTimersKept = 64;
 
@@ -32,10 +32,8 @@
 
 }  // namespace
 
-Millis monotonic_ms() {
-  timespec time{};
-  ::clock_gettime(CLOCK_MONOTONIC, &time);
-  return Millis{time.tv_sec} * 1000 + time.tv_nsec / 1000000;
+MonotonicTime monotonic_now() {
+  return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
 }
 
 EventLoop::EventLoop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_event_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
@@ -103,9 +101,9 @@
   [[maybe_unused]] auto written_bytes = ::write(wake_event_.get(), &one, sizeof one);
 }
 
-uint64_t EventLoop::run_after(Millis delay, std::function<void()> function) {
+uint64_t EventLoop::run_after(Duration delay, std::function<void()> function) {
   auto timer = ++last_timer_;
-  timer_heap_.push_back({monotonic_ms() + std::max<Millis>(delay, 0), timer});
+  timer_heap_.push_back({monotonic_now() + std::max<Duration>(delay, 0), timer});
   std::push_heap(timer_heap_.begin(), timer_heap_.end());
   timers_.emplace(timer, std::move(function));
   return timer;
@@ -139,7 +137,7 @@
   if (timer_heap_.empty()) {
     return -1;
   }
-  return static_cast<int>(std::clamp<Millis>(timer_heap_.front().due_at - monotonic_ms(), 0, kMaxWait));
+  return static_cast<int>(std::clamp<Duration>(timer_heap_.front().due_at - monotonic_now(), 0, kMaxWait));
 }
 
 void EventLoop::run_ready(int timeout) {
@@ -169,7 +167,7 @@
 }
 
 void EventLoop::run_due_timers() {
-  auto now = monotonic_ms();
+  auto now = monotonic_now();
   std::vector<uint64_t> due;
   while (!timer_heap_.empty() && timer_heap_.front().due_at <= now) {
     due.push_back(pop_timer());
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -10,8 +10,10 @@
 
 namespace mosskeel {
 
-/// Milliseconds of the monotonic clock.
-Millis monotonic_ms();
+/// A point on the machine's monotonic clock.
+using MonotonicTime = std::chrono::time_point<std::chrono::steady_clock, Duration>;
+
+MonotonicTime monotonic_now();
 
 /// An event loop over epoll, with an eventfd to wake it and a heap of timers.
 ///
@@ -31,9 +33,9 @@
   void unwatch(int fd);
   /// Runs the function on the loop's thread, in the next iteration at the latest.
   void post(std::function<void()> function);
-  /// Runs the function once after `delay` milliseconds, at once where that is negative.
+  /// Runs the function once after `delay`, at once where that is negative.
   /// @return the timer's id for `cancel`, never 0.
-  uint64_t run_after(Millis delay, std::function<void()> function);
+  uint64_t run_after(Duration delay, std::function<void()> function);
   /// No effect on timers that have run already.
   void cancel(uint64_t timer);
   /// Returns after `stop`; may be run again then.
@@ -49,7 +51,7 @@
   };
   /// An entry of the heap; timers that were cancelled stay in it until it is cleaned.
   struct ScheduledTimer {
-    Millis due_at{};
+    MonotonicTime due_at{};
     uint64_t timer{};
     /// The earliest is on top of the heap.
     bool operator<(const ScheduledTimer& other) const {
--- a/src/net/http_listener.cpp
+++ b/src/net/http_listener.cpp
@@ -16,7 +16,7 @@
 constexpr size_t kReadBufferBytes = 64 << 10;
 constexpr int kListenBacklog = 1024;
 /// Descriptors that others give back meanwhile let the listener accept again.
-constexpr Millis kAcceptRetryDelay = 100;
+constexpr Duration kAcceptRetryDelay = 100ms;
 
 /// Binds and listens; an empty descriptor, with errno, on failure.
 Fd listen_at(const Endpoint& endpoint) {
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// A caller that was told of the close has this long to close its own direction.
-constexpr Millis kLingerTimeout = 1000;
+constexpr Duration kLingerTimeout = 1000ms;
 
 }  // namespace
 
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -13,9 +13,9 @@
 /// Times are in milliseconds; 0 stands for no limit of time.
 struct HttpListenerLimits : HttpRequestLimits {
   /// From the first byte of a head to its last.
-  Millis head_timeout_ms = 3000;
+  Duration head_timeout = 3000ms;
   /// Between two requests, and between two pieces of a body or of a response that its caller takes.
-  Millis idle_timeout_ms = 15000;
+  Duration idle_timeout = 15000ms;
   size_t max_connections = 2000;
 };
 
--- a/src/net/protocol_codec.hpp
+++ b/src/net/protocol_codec.hpp
@@ -45,8 +45,8 @@
   /// Tokens that the program may use.
   std::optional<uint64_t> token_budget;
   uint64_t prompt_tokens = 0, max_output_tokens = 0;
-  /// Of the request and of its whole program.
-  Millis time_left = -1, program_time_left = -1;
+  /// Of the request and of its whole program, where the caller says so.
+  std::optional<Duration> time_left, program_time_left;
   /// In the order of the prompt.
   std::vector<std::pair<std::string, uint64_t>> prompt_parts;
 };
@@ -77,13 +77,13 @@
   virtual ResponseHeaders parse_response(uint32_t status, const HeaderFields& fields) const = 0;
   /// Sets the fields that are meant for the replica, in place of such that the caller sent.
   /// @param replica the one that the request is meant for.
-  /// @param time_left ms until the caller's deadline; negative says nothing.
+  /// @param time_left until the caller's deadline; nothing says nothing.
   /// @param urgency 0 is served first, 9 last.
-  virtual void set_upstream_headers(HeaderFields& fields, const std::string& replica, Millis time_left,
+  virtual void set_upstream_headers(HeaderFields& fields, const std::string& replica, std::optional<Duration> time_left,
                                     std::optional<uint32_t> urgency) const = 0;
   /// The fields of a rejection.
-  /// @param retry_after ms after which the caller may come back; 0 says nothing.
-  virtual HeaderFields rejection_headers(Millis retry_after) const = 0;
+  /// @param retry_after the time after which the caller may come back; 0 says nothing.
+  virtual HeaderFields rejection_headers(Duration retry_after) const = 0;
   /// Whether the request asks if this gateway is ready.
   virtual bool is_readiness_probe(const HttpRequest& request) const = 0;
 };
--- a/src/net/replica_client.cpp
+++ b/src/net/replica_client.cpp
@@ -18,7 +18,7 @@
 constexpr long kReplicaConnectTimeout = 1000;
 /// A response may be larger than what callers may send.
 constexpr size_t kMaxReplicaResponseBytes = kMaxHttpBodyBytes * 8;
-/// Milliseconds; only bounds the time that a missed wake-up costs.
+/// Only bounds the time that a missed wake-up costs.
 constexpr int kPollTimeout = 100;
 constexpr std::string_view kSealHeader = "x-seal:";
 constexpr const char* kModelKind = "model";
--- a/src/net/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -14,7 +14,7 @@
 
 /// Small, for a response whose reading is paused still brings this much.
 constexpr size_t kUpstreamReadBufferBytes = 16 << 10;
-/// Milliseconds; a replica that acknowledges no byte for so long is taken for unreachable.
+/// A replica that acknowledges no byte for so long is taken for unreachable.
 constexpr int kUnacknowledgedTimeout = 3000;
 
 bool is_printable(std::string_view text) {
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 /// A replica that does not say how long it keeps idle connections is assumed to keep them this long.
-constexpr Millis kDefaultKeepAlive = 4000;
+constexpr Duration kDefaultKeepAlive = 4000ms;
 /// A connection is given up this long before the replica would close it, so that no request crosses the close.
-constexpr Millis kKeepAliveMargin = 1000;
-constexpr Millis kMaxKeepAlive = 600000;
+constexpr Duration kKeepAliveMargin = 1000ms;
+constexpr Duration kMaxKeepAlive = 600000ms;
 /// Digits of a number of seconds below `kMaxKeepAlive` many times over, that surely fits.
 constexpr size_t kMaxKeepAliveDigits = 6;
 
-Millis keep_alive_of(std::string_view seconds) {
+Duration keep_alive_of(std::string_view seconds) {
   auto digits = seconds.substr(0, seconds.find_first_not_of("0123456789"));
   if (digits.empty()) {
     return 0;
@@ -26,11 +26,11 @@
   if (digits.size() > kMaxKeepAliveDigits) {
     return kMaxKeepAlive;
   }
-  return std::min<Millis>(std::stoll(std::string(digits)) * 1000 - kKeepAliveMargin, kMaxKeepAlive);
+  return std::min<Duration>(std::stoll(std::string(digits)) * 1000 - kKeepAliveMargin, kMaxKeepAlive);
 }
 
 /// How long a connection may be idle after this response: by "Keep-Alive: timeout=SECONDS", else the default.
-Millis keep_alive_of(const HeaderFields& fields) {
+Duration keep_alive_of(const HeaderFields& fields) {
   auto list = header_value(fields, "Keep-Alive");
   while (!list.empty()) {
     auto parameter = next_list_element(list);
@@ -63,9 +63,9 @@
   skipping_ = false;
 }
 
-void UpstreamConnection::connect(Millis timeout) {
+void UpstreamConnection::connect(Duration timeout) {
   update_watched_events();
-  connect_deadline_ = monotonic_ms() + timeout;
+  connect_deadline_ = monotonic_now() + timeout;
   start_timer(timeout, &UpstreamConnection::on_connect_timeout);
 }
 
@@ -86,7 +86,7 @@
 }
 
 bool UpstreamConnection::usable() const {
-  return monotonic_ms() < idle_until_ && is_silent(socket_.get());
+  return monotonic_now() < idle_until_ && is_silent(socket_.get());
 }
 
 void UpstreamConnection::update_watched_events() {
@@ -154,7 +154,7 @@
     fail(std::string("connect: ") + std::strerror(error));
     return;
   }
-  if (monotonic_ms() > connect_deadline_) {
+  if (monotonic_now() > connect_deadline_) {
     fail("connect: woken too late");
     return;
   }
@@ -266,7 +266,7 @@
   phase_ = Phase::idle;
   reading_paused_ = false;
   reader_.discard();
-  idle_since_ = monotonic_ms();
+  idle_since_ = monotonic_now();
   idle_until_ = idle_since_ + keep_alive_ms_;
   update_watched_events();
   start_timer(keep_alive_ms_, &UpstreamConnection::close);
@@ -295,7 +295,7 @@
   owner_.on_closed(*this);
 }
 
-void UpstreamConnection::start_timer(Millis delay, void (UpstreamConnection::*on_timer)()) {
+void UpstreamConnection::start_timer(Duration delay, void (UpstreamConnection::*on_timer)()) {
   timer_ = loop_.run_after(delay, [weak = weak_from_this(), on_timer] {
     if (auto self = weak.lock()) {
       self->timer_ = 0;
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -21,9 +21,9 @@
   std::string body;
   /// Not on a kept connection.
   bool new_connection = false;
-  Millis connect_timeout_ms = 1000;
+  Duration connect_timeout = 1000ms;
   /// Only on a kept connection that has been idle for no longer: a replica may have forgotten it silently.
-  Millis max_idle_ms = INT64_MAX;
+  Duration max_idle = Duration::max();
   /// What the sender calls the request, for `UpstreamResponseHead::previous_tag`.
   std::string tag;
 };
@@ -68,7 +68,7 @@
   /// @param bytes the request as it goes over the wire.
   void assign(uint64_t id, const UpstreamRequest& request, std::string bytes);
   /// On a new connection: waits until it is established and sends the request then.
-  void connect(Millis timeout);
+  void connect(Duration timeout);
   /// On an idle connection: sends the request now.
   void send();
   /// From within `on_head`: this response is not the request's own, but a late one to an earlier request. It is read to
@@ -84,7 +84,7 @@
   const Address& address() const { return address_; }
   bool idle() const { return phase_ == Phase::idle; }
   /// When it became idle, on the monotonic clock.
-  Millis idle_since() const { return idle_since_; }
+  MonotonicTime idle_since() const { return idle_since_; }
   /// Whether an idle connection can take a request: it has not expired, and the replica neither closed it nor spoke.
   bool usable() const;
 
@@ -101,7 +101,7 @@
   bool on_response_complete();
   void become_idle();
   void fail(std::string reason);
-  void start_timer(Millis delay, void (UpstreamConnection::*on_timer)());
+  void start_timer(Duration delay, void (UpstreamConnection::*on_timer)());
   void cancel_timer();
   void on_connect_timeout();
   void update_watched_events();
@@ -115,7 +115,7 @@
   uint32_t watched_events_ = 0;
   /// The timer of the connect or of the idle time, 0 where none runs.
   uint64_t timer_ = 0;
-  Millis connect_deadline_ = 0;
+  MonotonicTime connect_deadline_{};
   /// The owner's name for the request under way, 0 where there is none.
   uint64_t request_ = 0;
   /// The request's bytes, of which the kernel has taken the first `sent_bytes_`.
@@ -130,9 +130,9 @@
   std::string tag_, previous_tag_;
   bool reusable_ = true;
   /// How long the replica keeps the connection when idle, and what follows from it.
-  Millis keep_alive_ms_ = 0;
-  Millis idle_since_ = 0;
-  Millis idle_until_ = 0;
+  Duration keep_alive_ = 0ms;
+  MonotonicTime idle_since_{};
+  MonotonicTime idle_until_{};
 };
 
 }  // namespace mosskeel
--- a/src/programs/admission_policy.cpp
+++ b/src/programs/admission_policy.cpp
@@ -13,7 +13,7 @@
   return policies;
 }
 
-RequestRejection unavailable(std::string reason, Millis retry_after_ms) {
+RequestRejection unavailable(std::string reason, Duration retry_after_ms) {
   return {503, std::move(reason), static_cast<uint32_t>(retry_after_ms)};
 }
 
@@ -98,7 +98,7 @@
     if (!context.is_served_here)
       return std::nullopt;
     auto wait = request.urgent ? context.expected_urgent_wait : context.expected_wait;
-    auto retry_after = std::clamp<Millis>(wait, kDefaultRetryAfter, kMaxQueueWait * 2);
+    auto retry_after = std::clamp<Duration>(wait, kDefaultRetryAfter, kMaxQueueWait * 2);
     if (context.queued >= queue_capacity(request))
       return unavailable("the queue is full", retry_after);
     if (wait > std::min(kMaxQueueWait / 2, request.deadline_ms / 2))
--- a/src/programs/admission_policy.hpp
+++ b/src/programs/admission_policy.hpp
@@ -23,8 +23,8 @@
   /// Whether it would wait for a replica here rather than at another gateway.
   bool is_served_here = false;
   /// How long it would wait, milliseconds by the queue's measured pace, and how long if it were urgent.
-  Millis expected_wait = 0;
-  Millis expected_urgent_wait = 0;
+  Duration expected_wait{};
+  Duration expected_urgent_wait{};
 };
 
 /// One condition of admission. Stateless; a policy may fill in what the caller left open.
--- a/src/programs/gateway_machine.cpp
+++ b/src/programs/gateway_machine.cpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-GatewayMachine::GatewayMachine(const Identity& id, Millis now)
+GatewayMachine::GatewayMachine(const Identity& id, TimePoint now)
     : context_(id),
       follower_(context_.outbox, context_.metadata_log, now),
       history_writer_(context_.outbox, context_.metadata_log),
@@ -13,7 +13,7 @@
       majority_contact_(context_.metadata_log),
       request_pipeline_(context_, majority_contact_, history_writer_, turn_client_) {}
 
-Actions GatewayMachine::step(const Envelope& envelope, Millis now) {
+Actions GatewayMachine::step(const Envelope& envelope, TimePoint now) {
   bool is_from_this_process =
       envelope.from.starts_with(kLocalAddressPrefix) || envelope.from.starts_with(kReplicaAddressPrefix);
   if (!is_from_this_process && follower_.is_foreign(envelope)) {
@@ -29,7 +29,7 @@
   return context_.outbox.take();
 }
 
-void GatewayMachine::handle(const Envelope& envelope, Millis now) {
+void GatewayMachine::handle(const Envelope& envelope, TimePoint now) {
   if (const auto* reply = std::get_if<HeartbeatReply>(&envelope.body))
     return handle(envelope, *reply, now);
   majority_contact_.on_epoch_seen(envelope.epoch, now);
@@ -42,7 +42,7 @@
   request_pipeline_.handle(envelope, now);
 }
 
-void GatewayMachine::handle(const Envelope& envelope, const HeartbeatReply& reply, Millis now) {
+void GatewayMachine::handle(const Envelope& envelope, const HeartbeatReply& reply, TimePoint now) {
   if (envelope.from != context_.outbox.id().self.agent_address)
     return;
   follower_.apply_updates(reply.entries, reply.checkpoint);
@@ -52,7 +52,7 @@
   majority_contact_.on_heartbeat_reply(reply, now);
 }
 
-void GatewayMachine::on_epoch_applied(Millis now) {
+void GatewayMachine::on_epoch_applied(TimePoint now) {
   majority_contact_.on_epochs_applied(now);
   for (const auto& deferred : follower_.take_deferred())
     handle(deferred, now);
@@ -62,7 +62,7 @@
   sweep(now);
 }
 
-void GatewayMachine::on_histories_changed(Millis now) {
+void GatewayMachine::on_histories_changed(TimePoint now) {
   auto changed = history_writer_.take_changed();
   if (changed.empty())
     return;
@@ -71,7 +71,7 @@
     request_pipeline_.on_history_changed(history, now);
 }
 
-Actions GatewayMachine::tick(Millis now) {
+Actions GatewayMachine::tick(TimePoint now) {
   if (now >= next_heartbeat_)
     send_heartbeat(now);
   history_writer_.tick(now);
@@ -85,7 +85,7 @@
   return context_.outbox.take();
 }
 
-void GatewayMachine::send_heartbeat(Millis now) {
+void GatewayMachine::send_heartbeat(TimePoint now) {
   next_heartbeat_ = now + kAgentHeartbeatInterval;
   auto open_requests = static_cast<uint32_t>(request_pipeline_.open_requests());
   Heartbeat heartbeat{};
@@ -98,12 +98,12 @@
   context_.outbox.send(context_.outbox.id().self.agent_address, heartbeat);
 }
 
-void GatewayMachine::sweep(Millis now) {
+void GatewayMachine::sweep(TimePoint now) {
   next_sweep_ = now + kAgentHeartbeatInterval;
   request_pipeline_.sweep(now);
 }
 
-void GatewayMachine::log_majority_contact(Millis now) {
+void GatewayMachine::log_majority_contact(TimePoint now) {
   bool has_contact = has_majority_contact(now);
   if (has_contact == had_majority_contact_)
     return;
@@ -112,7 +112,7 @@
   context_.outbox.log_event(event, "epoch " + std::to_string(context_.metadata_log.epoch().value()));
 }
 
-void GatewayMachine::stop_if_drained(Millis now) {
+void GatewayMachine::stop_if_drained(TimePoint now) {
   const auto* self = context_.self();
   bool is_drained = self && self->state == DaemonState::draining && !context_.metadata().sequences.count(self->id);
   bool owns_nothing = !self || !is_in_service(*self) || is_drained;
@@ -122,13 +122,13 @@
     context_.outbox.act.stop = true;
 }
 
-bool GatewayMachine::ready(Millis now) const {
+bool GatewayMachine::ready(TimePoint now) const {
   const auto* self = context_.self();
   bool is_up = self && self->state == DaemonState::up && !context_.metadata().evacuated.count(self->self.zone);
   return is_up && majority_contact_.is_confirmed() && !context_.shutting_down && has_majority_contact(now);
 }
 
-RoutingSnapshot GatewayMachine::routing_snapshot(Millis now) const {
+RoutingSnapshot GatewayMachine::routing_snapshot(TimePoint now) const {
   const auto* self = context_.self();
   bool knows_cluster = self && majority_contact_.is_confirmed();
   return {.view = view(),
--- a/src/programs/gateway_machine.hpp
+++ b/src/programs/gateway_machine.hpp
@@ -16,34 +16,34 @@
 class GatewayMachine : public StateMachine {
  public:
   /// `id.self.agent_address` is where the agent listens.
-  GatewayMachine(const Identity& id, Millis now);
-  Actions step(const Envelope& envelope, Millis now) override;
-  Actions tick(Millis now) override;
+  GatewayMachine(const Identity& id, TimePoint now);
+  Actions step(const Envelope& envelope, TimePoint now) override;
+  Actions tick(TimePoint now) override;
   MetadataSnapshot view() const override { return context_.metadata_log.view(); }
 
   /// Begins a graceful shutdown: the partitions are handed over and running turns end, then the machine stops.
   void begin_shutdown() { context_.shutting_down = true; }
   /// Whether callers may be sent here.
-  bool ready(Millis now) const;
+  bool ready(TimePoint now) const;
   /// Whether requests may be dispatched: see MajorityContact.
-  bool has_majority_contact(Millis now) const { return majority_contact_.is_valid(now); }
+  bool has_majority_contact(TimePoint now) const { return majority_contact_.is_valid(now); }
   /// Counters since the process started, by their names on `/metrics`.
   const std::map<std::string, uint64_t>& metrics() const { return context_.counters; }
   size_t active_requests() const { return request_pipeline_.open_requests(); }
   /// What the routing thread of this process may rely on.
-  RoutingSnapshot routing_snapshot(Millis now) const;
+  RoutingSnapshot routing_snapshot(TimePoint now) const;
   /// How many callers' sessions the routing thread has open; the machine does not stop before they are over.
   void set_open_routing_sessions(size_t sessions) { open_routing_sessions_ = sessions; }
 
  private:
-  void handle(const Envelope& envelope, Millis now);
-  void handle(const Envelope& envelope, const HeartbeatReply& reply, Millis now);
-  void on_epoch_applied(Millis now);
-  void on_histories_changed(Millis now);
-  void send_heartbeat(Millis now);
-  void sweep(Millis now);
-  void log_majority_contact(Millis now);
-  void stop_if_drained(Millis now);
+  void handle(const Envelope& envelope, TimePoint now);
+  void handle(const Envelope& envelope, const HeartbeatReply& reply, TimePoint now);
+  void on_epoch_applied(TimePoint now);
+  void on_histories_changed(TimePoint now);
+  void send_heartbeat(TimePoint now);
+  void sweep(TimePoint now);
+  void log_majority_contact(TimePoint now);
+  void stop_if_drained(TimePoint now);
 
   GatewayContext context_;
   Follower follower_;
@@ -53,9 +53,9 @@
   MajorityContact majority_contact_;
   RequestPipeline request_pipeline_;
   /// Points in time by the machine's clock, milliseconds.
-  Millis next_heartbeat_ = 0;
-  Millis next_sweep_ = 0;
-  Millis last_active_ = 0;
+  TimePoint next_heartbeat_{};
+  TimePoint next_sweep_{};
+  TimePoint last_active_{};
   size_t open_routing_sessions_ = 0;
   bool had_majority_contact_ = false;
 };
--- a/src/programs/history_closer.cpp
+++ b/src/programs/history_closer.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void HistoryCloser::handle(const Envelope& envelope, const HistoryExpired& report, Millis now) {
+void HistoryCloser::handle(const Envelope& envelope, const HistoryExpired& report, TimePoint now) {
   const auto* store = context_.metadata().find(envelope.from_incarnation);
   const auto& history = report.history;
   if (!store || report.partition != partition_of(history.cell, history.program))
@@ -48,7 +48,7 @@
   return history_writer_.has_quorum(history, reports_present_length);
 }
 
-bool HistoryCloser::is_in_use(const HistoryName& history, Millis now) {
+bool HistoryCloser::is_in_use(const HistoryName& history, TimePoint now) {
   if (requests_.contains_if([&](const OpenRequest& open) { return open.history == history; }))
     return true;
   auto turns = turns_by_key(history_writer_.records(history));
--- a/src/programs/history_closer.hpp
+++ b/src/programs/history_closer.hpp
@@ -15,13 +15,13 @@
       : context_(context), history_writer_(history_writer), requests_(requests), turn_runners_(turn_runners) {}
 
   /// A store's report on a history of a partition that this gateway owns.
-  void handle(const Envelope& envelope, const HistoryExpired& report, Millis now);
+  void handle(const Envelope& envelope, const HistoryExpired& report, TimePoint now);
   /// Bounds the reports that are kept; stores repeat theirs.
   void expire();
 
  private:
   bool has_expired_on_quorum(const HistoryName& history) const;
-  bool is_in_use(const HistoryName& history, Millis now);
+  bool is_in_use(const HistoryName& history, TimePoint now);
 
   GatewayContext& context_;
   HistoryWriter& history_writer_;
--- a/src/programs/majority_contact.cpp
+++ b/src/programs/majority_contact.cpp
@@ -7,11 +7,11 @@
 
 /// Milliseconds that a gateway goes on without an epoch that it has heard of: shorter than the contact on which the
 /// acknowledgement of a configuration rests.
-constexpr Millis kMissingEpochTolerance = kIsolationTimeout / 2;
+constexpr Duration kMissingEpochTolerance = kIsolationTimeout / 2;
 
 }  // namespace
 
-void MajorityContact::on_heartbeat_reply(const HeartbeatReply& reply, Millis now) {
+void MajorityContact::on_heartbeat_reply(const HeartbeatReply& reply, TimePoint now) {
   on_epoch_seen(reply.epoch, now);
   bool knows_epoch = reply.epoch <= metadata_log_.epoch();
   auto contact = reply.sent - reply.touched_ms;
@@ -23,13 +23,13 @@
   is_confirmed_ = is_confirmed_ || (reply.confirmed && knows_epoch);
 }
 
-void MajorityContact::on_epoch_seen(Epoch epoch, Millis now) {
+void MajorityContact::on_epoch_seen(Epoch epoch, TimePoint now) {
   newest_seen_ = std::max(newest_seen_, epoch);
   if (!missing_epoch_ && newest_seen_ > metadata_log_.epoch())
     missing_epoch_ = {newest_seen_, now};
 }
 
-void MajorityContact::on_epochs_applied(Millis now) {
+void MajorityContact::on_epochs_applied(TimePoint now) {
   auto known = metadata_log_.epoch();
   if (early_contact_ && early_contact_->epoch <= known) {
     last_contact_ = std::max(last_contact_, early_contact_->at);
@@ -40,7 +40,7 @@
   on_epoch_seen(known, now);
 }
 
-Millis MajorityContact::valid_until() const {
+TimePoint MajorityContact::valid_until() const {
   auto contact_ends = last_contact_ + kIsolationTimeout;
   if (!missing_epoch_)
     return contact_ends;
--- a/src/programs/majority_contact.hpp
+++ b/src/programs/majority_contact.hpp
@@ -17,16 +17,16 @@
   explicit MajorityContact(const MetadataLog& metadata_log) : metadata_log_(metadata_log) {}
 
   /// The agent's answer to a heartbeat of ours; entries that came with it are in the metadata log already.
-  void on_heartbeat_reply(const HeartbeatReply& reply, Millis now);
+  void on_heartbeat_reply(const HeartbeatReply& reply, TimePoint now);
   /// A message was stamped with this epoch.
-  void on_epoch_seen(Epoch epoch, Millis now);
+  void on_epoch_seen(Epoch epoch, TimePoint now);
   /// The metadata log has grown.
-  void on_epochs_applied(Millis now);
+  void on_epochs_applied(TimePoint now);
 
   /// When dispatching must stop unless there is news; milliseconds on the machine's clock.
-  Millis valid_until() const;
+  TimePoint valid_until() const;
   /// Whether requests may be dispatched now.
-  bool is_valid(Millis now) const { return now < valid_until(); }
+  bool is_valid(TimePoint now) const { return now < valid_until(); }
   /// Whether the core has confirmed since this process started that our epoch was its newest.
   bool is_confirmed() const { return is_confirmed_; }
 
@@ -34,17 +34,17 @@
   /// The first epoch seen that this gateway does not have, and since when it lacks it.
   struct MissingEpoch {
     Epoch epoch{};
-    Millis since = 0;
+    TimePoint since{};
   };
   /// A majority contact at an epoch that this gateway does not have yet: it counts once the epoch is there.
   struct EarlyContact {
     Epoch epoch{};
-    Millis at = 0;
+    TimePoint at{};
   };
 
   const MetadataLog& metadata_log_;
   /// The latest time at which a majority is known to have been in contact with us.
-  Millis last_contact_ = INT64_MIN / 2;
+  TimePoint last_contact_ = kLongAgo;
   Epoch newest_seen_{};
   std::optional<MissingEpoch> missing_epoch_;
   /// The first one is kept, so that later ones cannot postpone it for ever.
--- a/src/programs/open_request.hpp
+++ b/src/programs/open_request.hpp
@@ -47,12 +47,12 @@
   /// Counts the requests taken by this process: the queue's order.
   uint64_t arrival_number = 0;
   /// Points in time by the machine's clock, milliseconds.
-  Millis arrived_at = 0;
-  Millis deadline = 0;
+  TimePoint arrived_at{};
+  TimePoint deadline{};
   /// When the replica, the owner or a retransmission last moved it on.
-  Millis last_activity = 0;
+  TimePoint last_activity{};
   /// Since when it waits in the queue, for the owner's acknowledgement or for the outcome's transfer.
-  Millis waiting_since = 0;
+  TimePoint waiting_since{};
 
   /// An application request that leaves no record: it needs no owner and no history.
   bool is_stateless = false;
--- a/src/programs/open_requests.cpp
+++ b/src/programs/open_requests.cpp
@@ -46,7 +46,7 @@
   return attempts;
 }
 
-void RecentResponses::remember(const ProgramResponse& response, Millis now) {
+void RecentResponses::remember(const ProgramResponse& response, TimePoint now) {
   responses_[response.attempt] = {now, response};
 }
 
@@ -57,7 +57,7 @@
   return &*found->second.response;
 }
 
-void RecentResponses::expire(Millis now) {
+void RecentResponses::expire(TimePoint now) {
   for (auto& [attempt, answered] : responses_) {
     if (now - answered.at > kResponseRetention)
       answered.response.reset();
--- a/src/programs/open_requests.hpp
+++ b/src/programs/open_requests.hpp
@@ -36,17 +36,17 @@
 /// longer than its response is kept, so that it is not begun anew.
 class RecentResponses {
  public:
-  void remember(const ProgramResponse& response, Millis now);
+  void remember(const ProgramResponse& response, TimePoint now);
   /// Whether the attempt was answered lately.
   bool contains(const std::string& attempt) const { return responses_.count(attempt) != 0; }
   /// The response where it is still kept, else null.
   const ProgramResponse* find(const std::string& attempt) const;
   /// Drops what is older than kResponseRetention and kAttemptIdRetention.
-  void expire(Millis now);
+  void expire(TimePoint now);
 
  private:
   struct Answered {
-    Millis at = 0;
+    TimePoint at{};
     std::optional<ProgramResponse> response;
   };
   std::map<std::string, Answered> responses_;
--- a/src/programs/outcome_transfer.cpp
+++ b/src/programs/outcome_transfer.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-void OutcomeSender::send(OpenRequest& open, Millis now) {
+void OutcomeSender::send(OpenRequest& open, TimePoint now) {
   if (open.stage != RequestStage::transferring_outcome)
     open.waiting_since = now;
   open.stage = RequestStage::transferring_outcome;
@@ -40,7 +40,7 @@
     context_.send(*owner, TransferTurnOutcome{open.request.attempt, open.history, open.record});
 }
 
-OpenRequest* OutcomeSender::handle(const TransferTurnOutcomeReply& reply, Millis now) {
+OpenRequest* OutcomeSender::handle(const TransferTurnOutcomeReply& reply, TimePoint now) {
   auto* open = requests_.find(reply.attempt);
   if (!open || open->stage != RequestStage::transferring_outcome)
     return nullptr;
@@ -63,7 +63,7 @@
   return nullptr;
 }
 
-void OutcomeReceiver::handle(const Envelope& envelope, const TransferTurnOutcome& transfer, Millis now) {
+void OutcomeReceiver::handle(const Envelope& envelope, const TransferTurnOutcome& transfer, TimePoint now) {
   bool is_known = std::any_of(transfers_.begin(), transfers_.end(),
                               [&](const Transfer& pending) { return pending.message.attempt == transfer.attempt; });
   if (is_known)
@@ -73,11 +73,11 @@
     transfers_.push_back(std::move(pending));
 }
 
-void OutcomeReceiver::advance(Millis now) {
+void OutcomeReceiver::advance(TimePoint now) {
   std::erase_if(transfers_, [&](Transfer& transfer) { return try_complete(transfer, now); });
 }
 
-bool OutcomeReceiver::try_complete(Transfer& transfer, Millis now) {
+bool OutcomeReceiver::try_complete(Transfer& transfer, TimePoint now) {
   const auto& history = transfer.message.history;
   auto state = history_writer_.open(history, now);
   bool is_given_up = now - transfer.arrived_at > kOutcomeTransferTimeout;
--- a/src/programs/outcome_transfer.hpp
+++ b/src/programs/outcome_transfer.hpp
@@ -12,10 +12,10 @@
       : context_(context), requests_(requests), responder_(responder) {}
 
   /// Sends the outcome in `open.record`, for the first time or again.
-  void send(OpenRequest& open, Millis now);
+  void send(OpenRequest& open, TimePoint now);
   /// The new owner's answer. Returns the request where its turn never ran and is now to be routed to that owner; else
   /// the request was answered, or the reply is stale.
-  OpenRequest* handle(const TransferTurnOutcomeReply& reply, Millis now);
+  OpenRequest* handle(const TransferTurnOutcomeReply& reply, TimePoint now);
 
  private:
   GatewayContext& context_;
@@ -30,9 +30,9 @@
   OutcomeReceiver(GatewayContext& context, HistoryWriter& history_writer)
       : context_(context), history_writer_(history_writer) {}
 
-  void handle(const Envelope& envelope, const TransferTurnOutcome& transfer, Millis now);
+  void handle(const Envelope& envelope, const TransferTurnOutcome& transfer, TimePoint now);
   /// Goes on with the outcomes that wait for their history or for a write quorum.
-  void advance(Millis now);
+  void advance(TimePoint now);
   size_t pending() const { return transfers_.size(); }
 
  private:
@@ -40,14 +40,14 @@
     TransferTurnOutcome message{};
     Address reply_to;
     Incarnation reply_to_incarnation{};
-    Millis arrived_at = 0;
+    TimePoint arrived_at{};
     /// The history's length at which the outcome is committed, and the term under which it was appended; 0 before.
     uint64_t commit_length = 0;
     Epoch term{};
   };
   enum class Progress { must_append, must_wait, recorded, refused };
   /// Whether the transfer is over: answered, or given up.
-  bool try_complete(Transfer& transfer, Millis now);
+  bool try_complete(Transfer& transfer, TimePoint now);
   /// What the open history says of the transfer.
   Progress evaluate(const Transfer& transfer) const;
   static Progress recorded_if(bool condition);
--- a/src/programs/replica_dispatcher.cpp
+++ b/src/programs/replica_dispatcher.cpp
@@ -8,7 +8,7 @@
 
 namespace mosskeel {
 
-void ReplicaDispatcher::dispatch(OpenRequest& open, Millis now) {
+void ReplicaDispatcher::dispatch(OpenRequest& open, TimePoint now) {
   const auto& metadata = context_.metadata();
   const auto* self = context_.self();
   auto replica = metadata.replicas.find(open.replica);
@@ -24,7 +24,7 @@
   context_.outbox.send(kReplicaAddressPrefix + open.replica, make_call(open, replica->second, now));
 }
 
-ReplicaCall ReplicaDispatcher::make_call(const OpenRequest& open, const Replica& replica, Millis now) const {
+ReplicaCall ReplicaDispatcher::make_call(const OpenRequest& open, const Replica& replica, TimePoint now) const {
   const auto& request = open.request;
   ReplicaCall call{request.attempt, request.kind,        replica.url,       request.method,
                    request.body,    open.deadline - now, request.idempotent};
@@ -44,7 +44,7 @@
   return open && open->stage == RequestStage::running ? open : nullptr;
 }
 
-void ReplicaDispatcher::handle(const ReplicaCallChunk& chunk, Millis now) {
+void ReplicaDispatcher::handle(const ReplicaCallChunk& chunk, TimePoint now) {
   auto* open = find_running(chunk.attempt);
   if (!open)
     return;
@@ -60,7 +60,7 @@
   context_.outbox.send(open->reply_to, std::move(forwarded), open->reply_to_incarnation);
 }
 
-void ReplicaDispatcher::abort_stream(OpenRequest& open, const std::string& reason, Millis now) {
+void ReplicaDispatcher::abort_stream(OpenRequest& open, const std::string& reason, TimePoint now) {
   context_.outbox.log_event(Event::replica_fault, open.replica + ": " + reason);
   context_.count("replica_faults");
   cancel_call(open);
@@ -71,7 +71,7 @@
   context_.outbox.send(kReplicaAddressPrefix + open.replica, CancelReplicaCall{open.request.attempt});
 }
 
-void ReplicaDispatcher::handle(const ReplicaCallResponse& response, Millis now) {
+void ReplicaDispatcher::handle(const ReplicaCallResponse& response, TimePoint now) {
   auto* open = find_running(response.attempt);
   if (!open)
     return;
@@ -90,7 +90,7 @@
   return has_whole_text && response.chunks == open.streamed_chunks && response.tokens == open.streamed_tokens;
 }
 
-void ReplicaDispatcher::handle_failure(OpenRequest& open, const ReplicaCallResponse& response, Millis now) {
+void ReplicaDispatcher::handle_failure(OpenRequest& open, const ReplicaCallResponse& response, TimePoint now) {
   context_.count("replica_faults");
   auto fault = response.reason.empty() ? "status " + std::to_string(response.status) : response.reason;
   context_.outbox.log_event(Event::replica_fault, open.replica + ": " + fault);
@@ -112,7 +112,7 @@
   turn_owner_.finish(open, std::move(broken), now);
 }
 
-bool ReplicaDispatcher::retry(OpenRequest& open, Millis now) {
+bool ReplicaDispatcher::retry(OpenRequest& open, TimePoint now) {
   if (retry_budget_ < 1 || open.streamed_chunks > 0 || now >= open.deadline)
     return false;
   retry_budget_ -= 1;
@@ -135,7 +135,7 @@
   return true;
 }
 
-void ReplicaDispatcher::check_timeouts(OpenRequest& open, Millis now) {
+void ReplicaDispatcher::check_timeouts(OpenRequest& open, TimePoint now) {
   bool is_late = now >= open.deadline;
   bool is_stalled = now - open.last_activity > kReplicaStallTimeout;
   if (!is_late && !is_stalled)
--- a/src/programs/replica_dispatcher.hpp
+++ b/src/programs/replica_dispatcher.hpp
@@ -23,20 +23,20 @@
         turn_owner_(turn_owner) {}
 
   /// Calls `open.replica` unless the request may not be dispatched any more, which ends it as not run.
-  void dispatch(OpenRequest& open, Millis now);
-  void handle(const ReplicaCallChunk& chunk, Millis now);
-  void handle(const ReplicaCallResponse& response, Millis now);
+  void dispatch(OpenRequest& open, TimePoint now);
+  void handle(const ReplicaCallChunk& chunk, TimePoint now);
+  void handle(const ReplicaCallResponse& response, TimePoint now);
   /// Ends a running request whose deadline has passed or whose replica is silent for kReplicaStallTimeout.
-  void check_timeouts(OpenRequest& open, Millis now);
+  void check_timeouts(OpenRequest& open, TimePoint now);
 
  private:
   OpenRequest* find_running(const std::string& attempt);
-  ReplicaCall make_call(const OpenRequest& open, const Replica& replica, Millis now) const;
-  void abort_stream(OpenRequest& open, const std::string& reason, Millis now);
+  ReplicaCall make_call(const OpenRequest& open, const Replica& replica, TimePoint now) const;
+  void abort_stream(OpenRequest& open, const std::string& reason, TimePoint now);
   bool is_complete(const OpenRequest& open, const ReplicaCallResponse& response) const;
-  void handle_failure(OpenRequest& open, const ReplicaCallResponse& response, Millis now);
+  void handle_failure(OpenRequest& open, const ReplicaCallResponse& response, TimePoint now);
   /// Whether the request was queued or dispatched again.
-  bool retry(OpenRequest& open, Millis now);
+  bool retry(OpenRequest& open, TimePoint now);
   void cancel_call(const OpenRequest& open);
 
   GatewayContext& context_;
--- a/src/programs/replica_selector.cpp
+++ b/src/programs/replica_selector.cpp
@@ -54,7 +54,7 @@
 }  // namespace
 
 uint32_t ReplicaSelector::usable_capacity(const Replica& replica, const Metadata& metadata, const Daemon& self,
-                                          Millis now) {
+                                          TimePoint now) {
   if (replica.health == ReplicaHealth::draining || metadata.evacuated.count(replica.zone))
     return 0;
   auto own = rank_among_fronts(replica, metadata, self);
@@ -70,11 +70,11 @@
   if (slow_start.cold_since_epoch != replica.since)
     slow_start = {replica.since, now};
   auto ramped = (now - slow_start.started_at) * replica.capacity / kSlowStartDuration;
-  return static_cast<uint32_t>(std::clamp<Millis>(ramped, 1, replica.capacity));
+  return static_cast<uint32_t>(std::clamp<Duration>(ramped, 1, replica.capacity));
 }
 
 ReplicaSelection ReplicaSelector::select(const ProgramRequest& request, const Metadata& metadata, const Daemon& self,
-                                         Millis now) {
+                                         TimePoint now) {
   ReplicaSelection choice;
   const auto* cell = metadata.configuration.cell(request.cell);
   const auto* route = cell ? find_route(*cell, request) : nullptr;
@@ -116,7 +116,7 @@
   return found == load_.end() ? 0 : found->second.requests;
 }
 
-bool ReplicaSelector::is_backed_off(const std::string& replica, Millis now) const {
+bool ReplicaSelector::is_backed_off(const std::string& replica, TimePoint now) const {
   auto found = backed_off_until_.find(replica);
   return found != backed_off_until_.end() && now < found->second;
 }
@@ -140,7 +140,7 @@
   open.replica.clear();
 }
 
-void ReplicaSelector::back_off(const std::string& replica, Millis now) {
+void ReplicaSelector::back_off(const std::string& replica, TimePoint now) {
   backed_off_until_[replica] = now + kReplicaBackoff;
 }
 
--- a/src/programs/request_forwarder.cpp
+++ b/src/programs/request_forwarder.cpp
@@ -6,12 +6,12 @@
 namespace mosskeel {
 namespace {
 
-/// Milliseconds; an owner that has acknowledged a request is reminded this often, in case its response was lost.
-constexpr Millis kAcknowledgedResendInterval = 4 * kStoreRetryInterval;
+/// An owner that has acknowledged a request is reminded this often, in case its response was lost.
+constexpr Duration kAcknowledgedResendInterval = 4 * kStoreRetryInterval;
 
 }  // namespace
 
-void RequestForwarder::start(OpenRequest& open, Millis now) {
+void RequestForwarder::start(OpenRequest& open, TimePoint now) {
   const auto* owner = context_.owner_of(open.partition);
   open.stage = RequestStage::forwarded;
   open.forward_acknowledged = false;
@@ -20,7 +20,7 @@
   send(open, now);
 }
 
-void RequestForwarder::send(OpenRequest& open, Millis now) {
+void RequestForwarder::send(OpenRequest& open, TimePoint now) {
   open.last_activity = now;
   const auto* owner = context_.metadata().find(open.forwarded_to);
   if (!owner)
@@ -39,7 +39,7 @@
   return is_gone || !open.forward_acknowledged;
 }
 
-void RequestForwarder::advance(OpenRequest& open, Millis now) {
+void RequestForwarder::advance(OpenRequest& open, TimePoint now) {
   auto waited = now - open.waiting_since;
   if (!open.forward_acknowledged && waited > kForwardAcknowledgementTimeout + kHistoryQuorumTimeout)
     return responder_.reject(open, {503, "the program's owner does not answer", kDefaultRetryAfter}, now);
@@ -63,7 +63,7 @@
     open->forward_acknowledged = true;
 }
 
-void RequestForwarder::handle(const Envelope& envelope, const ProgramResponseChunk& chunk, Millis now) {
+void RequestForwarder::handle(const Envelope& envelope, const ProgramResponseChunk& chunk, TimePoint now) {
   auto* open = find_forwarded(chunk.attempt, envelope);
   if (!open)
     return;
@@ -76,7 +76,7 @@
   context_.outbox.send(open->reply_to, chunk);
 }
 
-OpenRequest* RequestForwarder::handle(const Envelope& envelope, const ProgramResponse& response, Millis now) {
+OpenRequest* RequestForwarder::handle(const Envelope& envelope, const ProgramResponse& response, TimePoint now) {
   auto* open = find_forwarded(response.attempt, envelope);
   if (!open)
     return nullptr;
--- a/src/programs/request_intake.cpp
+++ b/src/programs/request_intake.cpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-OpenRequest* RequestIntake::admit(const Envelope& envelope, const ProgramRequest& request, Millis now) {
+OpenRequest* RequestIntake::admit(const Envelope& envelope, const ProgramRequest& request, TimePoint now) {
   ProgramRequestAcknowledgement acknowledgement{request.attempt};
   if (requests_.find(request.attempt)) {
     context_.outbox.send(envelope.from, acknowledgement, envelope.from_incarnation);
@@ -34,7 +34,7 @@
   return nullptr;
 }
 
-OpenRequest& RequestIntake::add(const Envelope& envelope, const ProgramRequest& request, Millis now) {
+OpenRequest& RequestIntake::add(const Envelope& envelope, const ProgramRequest& request, TimePoint now) {
   OpenRequest open;
   open.request = request;
   open.reply_to = envelope.from;
@@ -55,7 +55,8 @@
   return envelope.epoch < metadata.partitions[partition.value()].term;
 }
 
-AdmissionContext RequestIntake::admission_context(const ProgramRequest& request, bool is_forwarded, Millis now) const {
+AdmissionContext RequestIntake::admission_context(const ProgramRequest& request, bool is_forwarded,
+                                                  TimePoint now) const {
   bool is_stateless = request.kind == kApplicationRequest && (request.idempotent || request.key.empty());
   bool is_owned = !is_stateless && context_.owns(partition_of(request.cell, request.program));
   auto queued = requests_.count(RequestStage::queued) + requests_.count(RequestStage::awaiting_previous_turn) +
--- a/src/programs/request_intake.hpp
+++ b/src/programs/request_intake.hpp
@@ -21,12 +21,12 @@
         responder_(responder) {}
 
   /// Returns the request if it is new and satisfies the admission policies; else it was answered, and null is returned.
-  OpenRequest* admit(const Envelope& envelope, const ProgramRequest& request, Millis now);
+  OpenRequest* admit(const Envelope& envelope, const ProgramRequest& request, TimePoint now);
 
  private:
-  OpenRequest& add(const Envelope& envelope, const ProgramRequest& request, Millis now);
+  OpenRequest& add(const Envelope& envelope, const ProgramRequest& request, TimePoint now);
   bool is_stamped_before_term(const Envelope& envelope, const ProgramRequest& request) const;
-  AdmissionContext admission_context(const ProgramRequest& request, bool is_forwarded, Millis now) const;
+  AdmissionContext admission_context(const ProgramRequest& request, bool is_forwarded, TimePoint now) const;
 
   GatewayContext& context_;
   const MajorityContact& majority_contact_;
--- a/src/programs/request_pipeline.cpp
+++ b/src/programs/request_pipeline.cpp
@@ -23,7 +23,7 @@
       request_forwarder_(context, requests_, responder_),
       history_closer_(context, history_writer, requests_, turn_runners_) {}
 
-void RequestPipeline::begin(OpenRequest& open, Millis now) {
+void RequestPipeline::begin(OpenRequest& open, TimePoint now) {
   auto& request = open.request;
   open.deadline = now + (request.deadline_ms > 0 ? request.deadline_ms : kDefaultRequestTimeout);
   bool is_application_request = request.kind == kApplicationRequest;
@@ -41,7 +41,7 @@
   route(open, now);
 }
 
-bool RequestPipeline::handle(const Envelope& envelope, Millis now) {
+bool RequestPipeline::handle(const Envelope& envelope, TimePoint now) {
   const auto& body = envelope.body;
   if (const auto* request = std::get_if<ProgramRequest>(&body)) {
     if (auto* admitted = request_intake_.admit(envelope, *request, now))
@@ -74,12 +74,12 @@
   return true;
 }
 
-void RequestPipeline::on_history_changed(const HistoryName& history, Millis now) {
+void RequestPipeline::on_history_changed(const HistoryName& history, TimePoint now) {
   advance(requests_.attempts_on(history), now);
   outcome_receiver_.advance(now);
 }
 
-void RequestPipeline::sweep(Millis now) {
+void RequestPipeline::sweep(TimePoint now) {
   advance(requests_.attempts(), now);
   outcome_receiver_.advance(now);
   history_closer_.expire();
@@ -87,14 +87,14 @@
   recent_responses_.expire(now);
 }
 
-void RequestPipeline::advance(const std::vector<std::string>& attempts, Millis now) {
+void RequestPipeline::advance(const std::vector<std::string>& attempts, TimePoint now) {
   for (const auto& attempt : attempts) {
     if (auto* open = requests_.find(attempt))
       advance(*open, now);
   }
 }
 
-void RequestPipeline::route(OpenRequest& open, Millis now) {
+void RequestPipeline::route(OpenRequest& open, TimePoint now) {
   open.outcome_unknown = open.outcome_unknown || open.is_forwarded;
   open.is_forwarded = false;
   if (context_.owns(open.partition)) {
@@ -109,7 +109,7 @@
   request_forwarder_.start(open, now);
 }
 
-void RequestPipeline::advance(OpenRequest& open, Millis now) {
+void RequestPipeline::advance(OpenRequest& open, TimePoint now) {
   switch (open.stage) {
     case RequestStage::opening_history:
       return advance_opening(open, now);
@@ -130,7 +130,7 @@
   }
 }
 
-void RequestPipeline::advance_opening(OpenRequest& open, Millis now) {
+void RequestPipeline::advance_opening(OpenRequest& open, TimePoint now) {
   if (!is_owned(open))
     return route(open, now);
   auto state = history_writer_.open(open.history, now);
@@ -140,7 +140,7 @@
     responder_.reject(open, {503, "too few stores answer", kDefaultRetryAfter * 2}, now);
 }
 
-void RequestPipeline::start_on_open_history(OpenRequest& open, Millis now) {
+void RequestPipeline::start_on_open_history(OpenRequest& open, TimePoint now) {
   // The history tells what became of the turn at earlier owners.
   open.outcome_unknown = false;
   if (history_writer_.ended(open.history))
@@ -151,7 +151,7 @@
     queue_.push(open);
 }
 
-void RequestPipeline::advance_awaiting_previous_turn(OpenRequest& open, Millis now) {
+void RequestPipeline::advance_awaiting_previous_turn(OpenRequest& open, TimePoint now) {
   if (!is_owned(open))
     return route(open, now);
   if (now - open.arrived_at > kMaxQueueWait) {
@@ -162,7 +162,7 @@
   advance(open, now);
 }
 
-void RequestPipeline::advance_queued(OpenRequest& open, Millis now) {
+void RequestPipeline::advance_queued(OpenRequest& open, TimePoint now) {
   if (!open.is_stateless && !is_owned(open))
     return route(open, now);
   bool is_late = now >= open.deadline || now - open.waiting_since > kMaxQueueWait;
@@ -172,7 +172,7 @@
   responder_.reject(open, {503, "no replica had a free place in time", kDefaultRetryAfter * 2}, now);
 }
 
-void RequestPipeline::advance_reserving(OpenRequest& open, Millis now) {
+void RequestPipeline::advance_reserving(OpenRequest& open, TimePoint now) {
   if (!holds_admitted_term(open)) {
     replica_selector_.release(open);
     open.reroute_after_transfer = true;
@@ -185,7 +185,7 @@
     replica_dispatcher_.dispatch(open, now);
 }
 
-void RequestPipeline::advance_committing_outcome(OpenRequest& open, Millis now) {
+void RequestPipeline::advance_committing_outcome(OpenRequest& open, TimePoint now) {
   bool has_moved = !holds_admitted_term(open);
   if (has_moved)
     return outcome_sender_.send(open, now);
@@ -194,14 +194,14 @@
     responder_.respond(open, now);
 }
 
-void RequestPipeline::advance_transferring_outcome(OpenRequest& open, Millis now) {
+void RequestPipeline::advance_transferring_outcome(OpenRequest& open, TimePoint now) {
   if (now - open.waiting_since > kOutcomeTransferTimeout)
     return responder_.reject(open, {502, "the outcome could not be kept", 0, Outcome::unknown}, now);
   if (now - open.last_activity >= kStoreRetryInterval)
     outcome_sender_.send(open, now);
 }
 
-void RequestPipeline::advance_forwarded(OpenRequest& open, Millis now) {
+void RequestPipeline::advance_forwarded(OpenRequest& open, TimePoint now) {
   if (now >= open.deadline)
     return responder_.reject(open, {504, "the deadline passed", kDefaultRetryAfter}, now);
   if (request_forwarder_.must_reroute(open))
@@ -217,7 +217,7 @@
   return history_writer_.committed_length(open.history) >= open.commit_length;
 }
 
-void RequestPipeline::dispatch_queued(Millis now) {
+void RequestPipeline::dispatch_queued(TimePoint now) {
   std::vector<RequestQueue::Entry> still_waiting;
   const auto* self = context_.self();
   while (!queue_.empty() && self) {
@@ -232,7 +232,7 @@
     queue_.push(entry);
 }
 
-bool RequestPipeline::try_dispatch(OpenRequest& open, const Daemon& self, Millis now) {
+bool RequestPipeline::try_dispatch(OpenRequest& open, const Daemon& self, TimePoint now) {
   ReplicaSelection choice;
   if (majority_contact_.is_valid(now))
     choice = replica_selector_.select(open.request, context_.metadata(), self, now);
@@ -253,7 +253,7 @@
   return true;
 }
 
-bool RequestPipeline::may_still_reserve(OpenRequest& open, Millis now) {
+bool RequestPipeline::may_still_reserve(OpenRequest& open, TimePoint now) {
   bool is_open = history_writer_.open(open.history, now) == HistoryWriter::State::open;
   if (!is_open || history_writer_.term(open.history) != open.owner_term) {
     route(open, now);
--- a/src/programs/request_pipeline.hpp
+++ b/src/programs/request_pipeline.hpp
@@ -16,13 +16,13 @@
                   const TurnClient& turn_client);
 
   /// Requests, and messages that concern open requests and turns; false leaves the message to others.
-  bool handle(const Envelope& envelope, Millis now);
+  bool handle(const Envelope& envelope, TimePoint now);
   /// Goes on with everything that waits for this history.
-  void on_history_changed(const HistoryName& history, Millis now);
+  void on_history_changed(const HistoryName& history, TimePoint now);
   /// Goes on with all requests, and forgets what is too old to matter.
-  void sweep(Millis now);
+  void sweep(TimePoint now);
   /// Hands queued requests to replicas with free capacity.
-  void dispatch_queued(Millis now);
+  void dispatch_queued(TimePoint now);
 
   size_t open_requests() const { return requests_.size(); }
   /// Whether nothing is under way for a caller or another gateway.
@@ -30,26 +30,26 @@
 
  private:
   /// Starts a request that was admitted.
-  void begin(OpenRequest& open, Millis now);
+  void begin(OpenRequest& open, TimePoint now);
 
   /// Serves the request here if this gateway owns its program, else forwards it to the owner or back.
-  void route(OpenRequest& open, Millis now);
+  void route(OpenRequest& open, TimePoint now);
   /// Goes on with a request if what it waits for has come, or its time is over. May close it.
-  void advance(OpenRequest& open, Millis now);
-  void advance(const std::vector<std::string>& attempts, Millis now);
-  void advance_opening(OpenRequest& open, Millis now);
-  void advance_awaiting_previous_turn(OpenRequest& open, Millis now);
-  void advance_queued(OpenRequest& open, Millis now);
-  void advance_reserving(OpenRequest& open, Millis now);
-  void advance_committing_outcome(OpenRequest& open, Millis now);
-  void advance_transferring_outcome(OpenRequest& open, Millis now);
-  void advance_forwarded(OpenRequest& open, Millis now);
+  void advance(OpenRequest& open, TimePoint now);
+  void advance(const std::vector<std::string>& attempts, TimePoint now);
+  void advance_opening(OpenRequest& open, TimePoint now);
+  void advance_awaiting_previous_turn(OpenRequest& open, TimePoint now);
+  void advance_queued(OpenRequest& open, TimePoint now);
+  void advance_reserving(OpenRequest& open, TimePoint now);
+  void advance_committing_outcome(OpenRequest& open, TimePoint now);
+  void advance_transferring_outcome(OpenRequest& open, TimePoint now);
+  void advance_forwarded(OpenRequest& open, TimePoint now);
   /// The history is open and not ended, or the request was answered.
-  void start_on_open_history(OpenRequest& open, Millis now);
+  void start_on_open_history(OpenRequest& open, TimePoint now);
   /// Whether the request could be served, rejected or moved on; false if it must wait in the queue.
-  bool try_dispatch(OpenRequest& open, const Daemon& self, Millis now);
+  bool try_dispatch(OpenRequest& open, const Daemon& self, TimePoint now);
   /// Checks again what may have changed while a turn waited in the queue.
-  bool may_still_reserve(OpenRequest& open, Millis now);
+  bool may_still_reserve(OpenRequest& open, TimePoint now);
 
   bool is_owned(const OpenRequest& open) const { return !open.is_stateless && context_.owns(open.partition); }
   /// Whether this gateway still owns the program under the term at which the turn was admitted.
--- a/src/programs/request_queue.cpp
+++ b/src/programs/request_queue.cpp
@@ -19,7 +19,7 @@
   return entry;
 }
 
-Millis RequestQueue::expected_wait(const std::string& kind, bool is_urgent) const {
+Duration RequestQueue::expected_wait(const std::string& kind, bool is_urgent) const {
   auto pace = paces_.find(kind);
   if (pace == paces_.end())
     return 0;
@@ -28,10 +28,10 @@
     bool is_ahead = !is_urgent || open.request.urgent;
     return open.request.kind == kind && waits && is_ahead;
   });
-  return static_cast<Millis>(static_cast<double>(requests_ahead) * pace->second.interval);
+  return Duration(static_cast<double>(requests_ahead) * pace->second.interval);
 }
 
-void RequestQueue::record_departure(const std::string& kind, Millis now) {
+void RequestQueue::record_departure(const std::string& kind, TimePoint now) {
   auto& pace = paces_[kind];
   bool others_wait = pace.last_departure && requests_.count(RequestStage::queued) > 1;
   if (others_wait) {
--- a/src/programs/request_queue.hpp
+++ b/src/programs/request_queue.hpp
@@ -31,15 +31,15 @@
   Entry pop();
 
   /// Milliseconds that a request which came now would wait for a replica: those before it at the measured pace.
-  Millis expected_wait(const std::string& kind, bool is_urgent) const;
+  Duration expected_wait(const std::string& kind, bool is_urgent) const;
   /// A request of this kind is about to leave the queue for a replica.
-  void record_departure(const std::string& kind, Millis now);
+  void record_departure(const std::string& kind, TimePoint now);
 
  private:
   struct Pace {
     /// Milliseconds between two departures while others wait, exponentially smoothed.
     double interval = 0;
-    Millis last_departure = 0;
+    Duration last_departure{};
   };
 
   const OpenRequests& requests_;
--- a/src/programs/request_responder.cpp
+++ b/src/programs/request_responder.cpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-void RequestResponder::respond(OpenRequest& open, Millis now) {
+void RequestResponder::respond(OpenRequest& open, TimePoint now) {
   replica_selector_.release(open);
   open.response.attempt = open.request.attempt;
   if (open.response.status == 200)
@@ -18,7 +18,7 @@
   requests_.close(attempt);
 }
 
-void RequestResponder::respond_after_stream(OpenRequest& open, Millis now) {
+void RequestResponder::respond_after_stream(OpenRequest& open, TimePoint now) {
   bool has_streamed = open.streamed_chunks > 0 && open.request.kind == kModelRequest;
   if (open.response.status == 200 && has_streamed) {
     const auto& text = open.response.body;
@@ -40,7 +40,7 @@
   respond(open, now);
 }
 
-void RequestResponder::reject(OpenRequest& open, RequestRejection rejection, Millis now) {
+void RequestResponder::reject(OpenRequest& open, RequestRejection rejection, TimePoint now) {
   auto executed = rejection.executed;
   if (executed == Outcome::no && (open.outcome_unknown || open.is_forwarded))
     executed = Outcome::unknown;
@@ -58,7 +58,7 @@
   respond(open, now);
 }
 
-void RequestResponder::reject_ended_program(OpenRequest& open, Millis now) {
+void RequestResponder::reject_ended_program(OpenRequest& open, TimePoint now) {
   bool is_first_attempt = open.request.kind == kHistoryRequest || open.request.key == open.request.attempt;
   auto executed = is_first_attempt ? Outcome::no : Outcome::unknown;
   reject(open, {410, "the program has ended: its retention is over", 0, executed}, now);
--- a/src/programs/request_responder.hpp
+++ b/src/programs/request_responder.hpp
@@ -16,13 +16,13 @@
         replica_selector_(replica_selector) {}
 
   /// Sends `open.response`.
-  void respond(OpenRequest& open, Millis now);
+  void respond(OpenRequest& open, TimePoint now);
   /// Sends a response that may follow a stream with gaps: the rest of the text is sent as a chunk before it.
-  void respond_after_stream(OpenRequest& open, Millis now);
+  void respond_after_stream(OpenRequest& open, TimePoint now);
   /// Turns the request down. Where an owner may have run it, "has not run" becomes "outcome unknown".
-  void reject(OpenRequest& open, RequestRejection rejection, Millis now);
+  void reject(OpenRequest& open, RequestRejection rejection, TimePoint now);
   /// Turns down a request to a program whose retention is over: nothing runs on it again, under any key.
-  void reject_ended_program(OpenRequest& open, Millis now);
+  void reject_ended_program(OpenRequest& open, TimePoint now);
 
  private:
   GatewayContext& context_;
--- a/src/programs/turn_owner.cpp
+++ b/src/programs/turn_owner.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-bool TurnOwner::admit(OpenRequest& open, Millis now) {
+bool TurnOwner::admit(OpenRequest& open, TimePoint now) {
   auto decision = decide(open, now);
   if (auto* rejection = std::get_if<RequestRejection>(&decision)) {
     responder_.reject(open, std::move(*rejection), now);
@@ -51,7 +51,7 @@
   return true;
 }
 
-TurnOwner::Decision TurnOwner::decide(const OpenRequest& open, Millis now) {
+TurnOwner::Decision TurnOwner::decide(const OpenRequest& open, TimePoint now) {
   const auto* cell = context_.metadata().configuration.cell(open.request.cell);
   if (!cell)
     return RequestRejection{404, "cell '" + open.request.cell + "' is unknown"};
@@ -62,7 +62,7 @@
   return decide_new_turn(open, turns, *cell, now);
 }
 
-TurnOwner::Decision TurnOwner::decide_known_key(const OpenRequest& open, const KeyedTurn& turn, Millis now) {
+TurnOwner::Decision TurnOwner::decide_known_key(const OpenRequest& open, const KeyedTurn& turn, TimePoint now) {
   const auto& latest = *turn.latest;
   if (turn.reservation->body_digest != body_digest(open.request))
     return RequestRejection{409, "key: was used with another body"};
@@ -78,7 +78,7 @@
 }
 
 TurnOwner::Decision TurnOwner::decide_new_turn(const OpenRequest& open, const TurnsByKey& turns, const Cell& cell,
-                                               Millis now) {
+                                               TimePoint now) {
   auto used = usage(open, turns, now);
   bool is_model_turn = open.request.kind == kModelRequest;
   const auto& expected_turns = open.request.expected_turns;
@@ -96,7 +96,7 @@
   return Admitted{used.thread_turns + 1};
 }
 
-TurnOwner::Usage TurnOwner::usage(const OpenRequest& open, const TurnsByKey& turns, Millis now) {
+TurnOwner::Usage TurnOwner::usage(const OpenRequest& open, const TurnsByKey& turns, TimePoint now) {
   Usage used;
   for (const auto& [key, turn] : turns) {
     const auto& latest = *turn.latest;
@@ -119,7 +119,7 @@
   });
 }
 
-void TurnOwner::reserve(OpenRequest& open, Millis now) {
+void TurnOwner::reserve(OpenRequest& open, TimePoint now) {
   Record reservation{};
   reservation.kind = RecordKind::reservation;
   reservation.key = open.request.key;
@@ -135,7 +135,7 @@
   open.commit_length = history_writer_.append(open.history, std::move(reservation), now);
 }
 
-void TurnOwner::finish(OpenRequest& open, AttemptResult result, Millis now) {
+void TurnOwner::finish(OpenRequest& open, AttemptResult result, TimePoint now) {
   replica_selector_.release(open);
   bool succeeded = result.status == 200;
   bool has_not_run = result.status == 0;
@@ -167,7 +167,7 @@
   open.commit_length = history_writer_.append(open.history, outcome, now);
 }
 
-void TurnOwner::report_history(OpenRequest& open, Millis now) {
+void TurnOwner::report_history(OpenRequest& open, TimePoint now) {
   const auto& records = history_writer_.records(open.history);
   if (records.empty())
     return responder_.reject(open, {404, kConversationMissing}, now);
--- a/src/programs/turn_owner.hpp
+++ b/src/programs/turn_owner.hpp
@@ -35,13 +35,13 @@
 
   /// Whether the turn may be queued or dispatched by what its open history says now. Otherwise it was answered, which
   /// closes the request, or it waits for the turn before it.
-  bool admit(OpenRequest& open, Millis now);
+  bool admit(OpenRequest& open, TimePoint now);
   /// Appends the reservation of an admitted turn.
-  void reserve(OpenRequest& open, Millis now);
+  void reserve(OpenRequest& open, TimePoint now);
   /// Records the end of a turn and reports it once it is committed; stateless requests are answered at once.
-  void finish(OpenRequest& open, AttemptResult result, Millis now);
+  void finish(OpenRequest& open, AttemptResult result, TimePoint now);
   /// Answers a request that reads an open history.
-  void report_history(OpenRequest& open, Millis now);
+  void report_history(OpenRequest& open, TimePoint now);
 
  private:
   struct Admitted {
@@ -62,10 +62,10 @@
     bool thread_is_busy = false;
   };
 
-  Decision decide(const OpenRequest& open, Millis now);
-  Decision decide_known_key(const OpenRequest& open, const KeyedTurn& turn, Millis now);
-  Decision decide_new_turn(const OpenRequest& open, const TurnsByKey& turns, const Cell& cell, Millis now);
-  Usage usage(const OpenRequest& open, const TurnsByKey& turns, Millis now);
+  Decision decide(const OpenRequest& open, TimePoint now);
+  Decision decide_known_key(const OpenRequest& open, const KeyedTurn& turn, TimePoint now);
+  Decision decide_new_turn(const OpenRequest& open, const TurnsByKey& turns, const Cell& cell, TimePoint now);
+  Usage usage(const OpenRequest& open, const TurnsByKey& turns, TimePoint now);
   size_t turns_waiting_on(const HistoryName& history) const;
 
   GatewayContext& context_;
--- a/src/programs/turn_runners.cpp
+++ b/src/programs/turn_runners.cpp
@@ -11,7 +11,7 @@
   });
 }
 
-bool TurnRunners::may_run_elsewhere(const HistoryName& history, const Record& reservation, Millis now) {
+bool TurnRunners::may_run_elsewhere(const HistoryName& history, const Record& reservation, TimePoint now) {
   const auto* runner = context_.metadata().find(reservation.runner);
   if (!runner || context_.is_self(*runner) || !is_in_service(*runner))
     return false;
@@ -38,7 +38,7 @@
     query->second.is_denied = true;
 }
 
-void TurnRunners::expire(Millis now) {
+void TurnRunners::expire(TimePoint now) {
   std::erase_if(queries_, [now](const auto& entry) { return now - entry.second.sent_at > kIdleHistoryTimeout; });
 }
 
--- a/src/programs/turn_runners.hpp
+++ b/src/programs/turn_runners.hpp
@@ -16,18 +16,18 @@
   bool runs_here(const HistoryName& history, const std::string& key) const;
   /// Whether the gateway that wrote the reservation may still run its turn. Asks it, at most once per
   /// kStoreRetryInterval; the answer is true until it has denied.
-  bool may_run_elsewhere(const HistoryName& history, const Record& reservation, Millis now);
+  bool may_run_elsewhere(const HistoryName& history, const Record& reservation, TimePoint now);
 
   void handle(const Envelope& envelope, const QueryTurnRunner& query);
   void handle(const Envelope& envelope, const QueryTurnRunnerReply& reply);
   /// Forgets queries that nobody has asked about for kIdleHistoryTimeout.
-  void expire(Millis now);
+  void expire(TimePoint now);
 
  private:
   /// A turn by its history, its key and the gateway that reserved it.
   using TurnId = std::tuple<HistoryName, std::string, DaemonId>;
   struct Query {
-    Millis sent_at = 0;
+    TimePoint sent_at{};
     /// The gateway has denied: it does not run the turn and never will.
     bool is_denied = false;
   };
--- a/src/replication/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -5,13 +5,13 @@
 
 namespace mosskeel {
 
-AgentMachine::AgentMachine(const Identity& id, Millis now) : out_(id), follower_(out_, metadata_log_, now) {
+AgentMachine::AgentMachine(const Identity& id, TimePoint now) : out_(id), follower_(out_, metadata_log_, now) {
   follower_.on_entry = [this](const Entry& entry) {
     out_.send(out_.id().self.agent_address, Decided{entry});
   };
 }
 
-Actions AgentMachine::step(const Envelope& envelope, Millis now) {
+Actions AgentMachine::step(const Envelope& envelope, TimePoint now) {
   if (follower_.is_foreign(envelope)) {
     out_.log_event(Event::foreign, "from " + envelope.from);
     return out_.take();
@@ -27,7 +27,7 @@
   return out_.take();
 }
 
-void AgentMachine::take_gateway_heartbeat(const Heartbeat& heartbeat, Millis now) {
+void AgentMachine::take_gateway_heartbeat(const Heartbeat& heartbeat, TimePoint now) {
   bool is_another = gateway_heartbeat_ && gateway_heartbeat_->self.incarnation != heartbeat.self.incarnation;
   if (leaving_ && is_another)
     gateway_replaced_ = true;
@@ -35,14 +35,14 @@
   gateway_heard_at_ = now;
 }
 
-Actions AgentMachine::tick(Millis now) {
+Actions AgentMachine::tick(TimePoint now) {
   if (leaving_ && (gateway_replaced_ || now - gateway_heard_at_ > kAgentShutdownDelay))
     out_.act.stop = true;
   follow(now);
   return out_.take();
 }
 
-void AgentMachine::follow(Millis now) {
+void AgentMachine::follow(TimePoint now) {
   bool is_recent = gateway_heartbeat_ && now - gateway_heard_at_ < kHeartbeatInterval * 3;
   follower_.tick(now, is_recent ? &*gateway_heartbeat_ : nullptr);
   if (!is_recent || !gateway_heartbeat_->leaving || now < next_drain_request_at_)
@@ -52,7 +52,7 @@
     request_drain(*gateway, now);
 }
 
-void AgentMachine::request_drain(const Daemon& gateway, Millis now) {
+void AgentMachine::request_drain(const Daemon& gateway, TimePoint now) {
   next_drain_request_at_ = now + kCommitAttemptTimeout / 4;
   auto& metadata = *metadata_log_.view();
   auto commit_id = "leave-" + hex(gateway.self.incarnation.value());
