--- a/src/replication/agent_machine.hpp
+++ b/src/replication/agent_machine.hpp
@@ -8,27 +8,27 @@
 /// this sends it. Nothing is on disk.
 class AgentMachine : public StateMachine {
  public:
-  AgentMachine(const Identity& id, Millis now);
-  Actions step(const Envelope& envelope, Millis now) override;
-  Actions tick(Millis now) override;
+  AgentMachine(const Identity& id, TimePoint now);
+  Actions step(const Envelope& envelope, TimePoint now) override;
+  Actions tick(TimePoint now) override;
   MetadataSnapshot view() const override { return metadata_log_.view(); }
   /// Stops once the gateway beside it has been silent for `kAgentShutdownDelay`, or was replaced by a newer one: the
   /// gateway goes first and needs its link until then.
   void leave() { leaving_ = true; }
 
  private:
-  void take_gateway_heartbeat(const Heartbeat& heartbeat, Millis now);
-  void follow(Millis now);
+  void take_gateway_heartbeat(const Heartbeat& heartbeat, TimePoint now);
+  void follow(TimePoint now);
   /// Asks the core to drain a gateway that leaves.
-  void request_drain(const Daemon& gateway, Millis now);
+  void request_drain(const Daemon& gateway, TimePoint now);
 
   Outbox out_;
   MetadataLog metadata_log_;
   Follower follower_;
   /// The last heartbeat of the gateway, and when it came.
   std::optional<Heartbeat> gateway_heartbeat_;
-  Millis gateway_heard_at_ = 0;
-  Millis next_drain_request_at_ = 0;
+  TimePoint gateway_heard_at_{};
+  TimePoint next_drain_request_at_{};
   bool leaving_ = false;
   /// Since `leaving_`, a newer gateway has taken the place of the one that this agent waits for.
   bool gateway_replaced_ = false;
--- a/src/replication/catchup_rate_limiter.hpp
+++ b/src/replication/catchup_rate_limiter.hpp
@@ -8,7 +8,7 @@
 class CatchupRateLimiter {
  public:
   /// Whether a daemon at epoch `known` may send a request now; if so, counts it as sent.
-  bool may_request(Epoch known, Millis now) {
+  bool may_request(Epoch known, TimePoint now) {
     if (now < next_request_at_ && last_known_ == known)
       return false;
     next_request_at_ = now + kCatchUpInterval;
@@ -17,7 +17,7 @@
   }
 
  private:
-  Millis next_request_at_ = 0;
+  TimePoint next_request_at_{};
   /// The epoch that was known at the last request.
   Epoch last_known_{};
 };
--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -28,7 +28,7 @@
   acknowledgements_.on_log_advanced();
 }
 
-void Follower::request_catchup(const Address& from, Millis now) {
+void Follower::request_catchup(const Address& from, TimePoint now) {
   if (catchup_limiter_.may_request(metadata_log_.epoch(), now))
     out_.send(from, Catchup{metadata_log_.epoch()});
 }
@@ -40,7 +40,7 @@
     out_.send(to, std::move(message));
 }
 
-bool Follower::handle(const Envelope& envelope, Millis now) {
+bool Follower::handle(const Envelope& envelope, TimePoint now) {
   auto update = [&](auto& reply) {
     apply_updates(reply.entries, reply.checkpoint);
     return true;
@@ -80,7 +80,7 @@
   return true;
 }
 
-bool Follower::handle_decided(const Envelope& envelope, const Decided& decided, Millis now) {
+bool Follower::handle_decided(const Envelope& envelope, const Decided& decided, TimePoint now) {
   apply_updates({decided.entry}, std::nullopt);
   if (metadata_log_.has_gap())
     request_catchup(envelope.from, now);
@@ -94,7 +94,7 @@
   return true;
 }
 
-bool Follower::handle_heartbeat(const Envelope& envelope, const Heartbeat& heartbeat, Millis now) {
+bool Follower::handle_heartbeat(const Envelope& envelope, const Heartbeat& heartbeat, TimePoint now) {
   auto updates = metadata_log_.small_updates_since(heartbeat.known);
   auto since_contact = now - acknowledgements_.last_majority_contact();
   send_report(envelope.from, HeartbeatReply{metadata_log_.epoch(), updates.snapshot, updates.entries, since_contact,
@@ -104,7 +104,7 @@
   return true;
 }
 
-bool Follower::handle_heartbeat_reply(const Envelope& envelope, const HeartbeatReply& reply, Millis now) {
+bool Follower::handle_heartbeat_reply(const Envelope& envelope, const HeartbeatReply& reply, TimePoint now) {
   apply_updates(reply.entries, reply.checkpoint);
   if (reply.epoch > metadata_log_.epoch())
     request_catchup(envelope.from, now);
@@ -113,7 +113,7 @@
   return true;
 }
 
-bool Follower::defer(const Envelope& envelope, Millis now) {
+bool Follower::defer(const Envelope& envelope, TimePoint now) {
   if (envelope.epoch <= metadata_log_.epoch() || !out_.cluster)
     return false;
   if (deferred_.size() < kLogEntriesKept)
@@ -133,7 +133,7 @@
   return ready;
 }
 
-void Follower::tick(Millis now, const Heartbeat* own_heartbeat) {
+void Follower::tick(TimePoint now, const Heartbeat* own_heartbeat) {
   auto& metadata = *metadata_log_.view();
   bool is_isolated = !metadata.cluster || now - acknowledgements_.last_majority_contact() > kIsolationTimeout;
   if (now >= next_discovery_at_ && is_isolated)
@@ -152,14 +152,14 @@
   send_heartbeats(heartbeat, now);
 }
 
-void Follower::send_discovery(Millis now) {
+void Follower::send_discovery(TimePoint now) {
   next_discovery_at_ = now + kDiscoveryInterval;
   for (auto& seed : out_.id().seeds)
     if (seed != out_.id().self.address)
       out_.send(seed, Discover{out_.id().self});
 }
 
-void Follower::send_heartbeats(const Heartbeat& own_heartbeat, Millis now) {
+void Follower::send_heartbeats(const Heartbeat& own_heartbeat, TimePoint now) {
   auto& metadata = *metadata_log_.view();
   next_heartbeat_at_ = now + kHeartbeatInterval;
   last_heartbeat_epoch_ = metadata_log_.epoch();
--- a/src/replication/follower.hpp
+++ b/src/replication/follower.hpp
@@ -10,7 +10,7 @@
 class Follower {
  public:
   /// Both references must outlive this.
-  Follower(Outbox& out, MetadataLog& metadata_log, Millis now)
+  Follower(Outbox& out, MetadataLog& metadata_log, TimePoint now)
       : out_(out),
         metadata_log_(metadata_log),
         started_at_(now),
@@ -18,18 +18,18 @@
         registration_(out, metadata_log) {}
 
   /// Handles messages of discovery, catch-up and heartbeats; false leaves the message to the caller.
-  bool handle(const Envelope& envelope, Millis now);
+  bool handle(const Envelope& envelope, TimePoint now);
   /// Sends what is due. `own_heartbeat` speaks for the daemon that is to be registered, this one or the gateway beside
   /// it; null where there is none to speak for.
-  void tick(Millis now, const Heartbeat* own_heartbeat);
+  void tick(TimePoint now, const Heartbeat* own_heartbeat);
   /// Makes the next tick send heartbeats, because something that others wait for is done.
-  void send_heartbeat_soon() { next_heartbeat_at_ = 0; }
+  void send_heartbeat_soon() { next_heartbeat_at_ = {}; }
 
   /// Whether a message is meant for another incarnation or comes from another cluster.
   bool is_foreign(const Envelope& envelope) const;
   /// Keeps a message that is stamped with an epoch which the log does not have yet, and requests the entries from its
   /// sender. False where there is nothing to wait for.
-  bool defer(const Envelope& envelope, Millis now);
+  bool defer(const Envelope& envelope, TimePoint now);
   /// The kept messages whose epochs the log has now.
   std::vector<Envelope> take_deferred();
 
@@ -45,27 +45,27 @@
  private:
   bool handle_discover(const Envelope& envelope);
   bool handle_discover_reply(const Envelope& envelope, const DiscoverReply& reply);
-  bool handle_decided(const Envelope& envelope, const Decided& decided, Millis now);
+  bool handle_decided(const Envelope& envelope, const Decided& decided, TimePoint now);
   bool handle_catchup(const Envelope& envelope, const Catchup& request);
-  bool handle_heartbeat(const Envelope& envelope, const Heartbeat& heartbeat, Millis now);
-  bool handle_heartbeat_reply(const Envelope& envelope, const HeartbeatReply& reply, Millis now);
+  bool handle_heartbeat(const Envelope& envelope, const Heartbeat& heartbeat, TimePoint now);
+  bool handle_heartbeat_reply(const Envelope& envelope, const HeartbeatReply& reply, TimePoint now);
 
-  void send_discovery(Millis now);
-  void send_heartbeats(const Heartbeat& heartbeat, Millis now);
-  void request_catchup(const Address& from, Millis now);
+  void send_discovery(TimePoint now);
+  void send_heartbeats(const Heartbeat& heartbeat, TimePoint now);
+  void request_catchup(const Address& from, TimePoint now);
   void send_report(const Address& to, Message message);
   /// Whether an epoch that we report outlives this process: on disk, or confirmed by the core since the start.
   bool reports_stable_epoch() const { return is_durable_ ? out_.cluster != 0 : acknowledgements_.confirmed(); }
 
   Outbox& out_;
   MetadataLog& metadata_log_;
-  const Millis started_at_;
+  const TimePoint started_at_;
   HeartbeatAcknowledgements acknowledgements_;
   Registration registration_;
   CatchupRateLimiter catchup_limiter_;
-  Millis next_discovery_at_ = 0;
-  Millis next_heartbeat_at_ = 0;
-  Millis next_fleet_heartbeat_at_ = 0;
+  TimePoint next_discovery_at_{};
+  TimePoint next_heartbeat_at_{};
+  TimePoint next_fleet_heartbeat_at_{};
   /// The epoch of the last heartbeat; a new one is reported at once.
   Epoch last_heartbeat_epoch_{};
   bool is_durable_ = false;
--- a/src/replication/heartbeat_acknowledgements.cpp
+++ b/src/replication/heartbeat_acknowledgements.cpp
@@ -8,7 +8,7 @@
   return daemon.self.agent_address.empty() ? daemon.self.address : daemon.self.agent_address;
 }
 
-void HeartbeatAcknowledgements::record(const Address& from, Incarnation incarnation, Epoch epoch, Millis sent) {
+void HeartbeatAcknowledgements::record(const Address& from, Incarnation incarnation, Epoch epoch, TimePoint sent) {
   Acknowledgement acknowledgement{sent, incarnation};
   if (epoch <= metadata_log_.epoch())
     return count(from, acknowledgement);
@@ -35,8 +35,8 @@
     confirmed_ = last_core_contact() >= started_at_;
 }
 
-Millis HeartbeatAcknowledgements::majority_time(const std::vector<DaemonId>& daemons) const {
-  std::vector<Millis> times;
+TimePoint HeartbeatAcknowledgements::majority_time(const std::vector<DaemonId>& daemons) const {
+  std::vector<TimePoint> times;
   for (auto id : daemons) {
     auto* daemon = metadata_log_.view()->find(id);
     if (!daemon || daemon->self.incarnation == self_.incarnation || heartbeat_address(*daemon) == self_.address)
@@ -53,11 +53,11 @@
   return times[majority_of(times.size()) - 1];
 }
 
-Millis HeartbeatAcknowledgements::last_core_contact() const {
+TimePoint HeartbeatAcknowledgements::last_core_contact() const {
   return majority_time(metadata_log_.view()->members);
 }
 
-Millis HeartbeatAcknowledgements::last_majority_contact() const {
+TimePoint HeartbeatAcknowledgements::last_majority_contact() const {
   auto& metadata = *metadata_log_.view();
   if (!metadata.cluster)
     return kNeverAcknowledged;
--- a/src/replication/heartbeat_acknowledgements.hpp
+++ b/src/replication/heartbeat_acknowledgements.hpp
@@ -5,7 +5,7 @@
 namespace mosskeel {
 
 /// A time before all others: no contact yet.
-constexpr Millis kNeverAcknowledged = INT64_MIN / 2;
+constexpr TimePoint kNeverAcknowledged = kLongAgo;
 
 /// Where a daemon receives the heartbeats and entries of others: a gateway at its agent.
 const Address& heartbeat_address(const Daemon& daemon);
@@ -15,25 +15,25 @@
 class HeartbeatAcknowledgements {
  public:
   /// Both references must outlive this.
-  HeartbeatAcknowledgements(const MetadataLog& metadata_log, const Candidate& self, Millis started_at)
+  HeartbeatAcknowledgements(const MetadataLog& metadata_log, const Candidate& self, TimePoint started_at)
       : metadata_log_(metadata_log), self_(self), started_at_(started_at) {}
 
   /// Counts an answer to the heartbeat that was sent at `sent`. One that names an epoch that the log does not have yet
   /// counts only with `on_log_advanced` after that epoch.
-  void record(const Address& from, Incarnation incarnation, Epoch epoch, Millis sent);
+  void record(const Address& from, Incarnation incarnation, Epoch epoch, TimePoint sent);
   /// Counts the answers that waited for the epochs that the log has now.
   void on_log_advanced();
 
   /// The latest time at which a majority of the core, this daemon left out, is known to have been in contact.
-  Millis last_core_contact() const;
+  TimePoint last_core_contact() const;
   /// The same for a majority of the core or one of all quorum members, whichever is later.
-  Millis last_majority_contact() const;
+  TimePoint last_majority_contact() const;
   /// Whether a majority of the core has answered since the start, none of them with a later epoch than ours.
   bool confirmed() const { return confirmed_; }
 
  private:
   struct Acknowledgement {
-    Millis sent = kNeverAcknowledged;
+    TimePoint sent = kNeverAcknowledged;
     Incarnation incarnation{};
   };
   struct EarlyAcknowledgement {
@@ -41,11 +41,11 @@
     Epoch epoch;
   };
   void count(const Address& from, const Acknowledgement& acknowledgement);
-  Millis majority_time(const std::vector<DaemonId>& daemons) const;
+  TimePoint majority_time(const std::vector<DaemonId>& daemons) const;
 
   const MetadataLog& metadata_log_;
   const Candidate& self_;
-  const Millis started_at_;
+  const TimePoint started_at_;
   std::map<Address, Acknowledgement> acknowledgements_;
   /// Answers that name an epoch which the log does not have yet; of each daemon the first one.
   std::map<Address, EarlyAcknowledgement> early_;
--- a/src/replication/registration.cpp
+++ b/src/replication/registration.cpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-void Registration::tick(Millis now, const Candidate& self) {
+void Registration::tick(TimePoint now, const Candidate& self) {
   auto& metadata = *metadata_log_.view();
   auto* registered = metadata.find(self.incarnation);
   log_state_change(self, registered);
--- a/src/replication/registration.hpp
+++ b/src/replication/registration.hpp
@@ -10,7 +10,7 @@
  public:
   Registration(Outbox& out, const MetadataLog& metadata_log) : out_(out), metadata_log_(metadata_log) {}
 
-  void tick(Millis now, const Candidate& self);
+  void tick(TimePoint now, const Candidate& self);
 
  private:
   void log_state_change(const Candidate& self, const Daemon* registered);
@@ -18,7 +18,7 @@
 
   Outbox& out_;
   const MetadataLog& metadata_log_;
-  Millis next_request_at_ = 0;
+  TimePoint next_request_at_{};
   /// The daemon's state in the directory when it was last looked up.
   std::optional<DaemonState> last_state_;
   /// When the earlier daemon at the same address went down, for which a request was sent at once.
--- a/src/routing/active_request.cpp
+++ b/src/routing/active_request.cpp
@@ -27,7 +27,7 @@
 }
 
 ActiveRequest make_active_request(RequestReceived&& event, const RequestHeaders& headers, const Path& path,
-                                  const MetadataSnapshot& view, Millis now) {
+                                  const MetadataSnapshot& view, TimePoint now) {
   ActiveRequest request;
   request.id = event.request_id;
   request.request = std::move(event.request);
@@ -50,7 +50,7 @@
   return request;
 }
 
-ReserveTurn make_reservation(const ActiveRequest& request, Millis now) {
+ReserveTurn make_reservation(const ActiveRequest& request, TimePoint now) {
   auto& headers = request.headers;
   auto& path = *request.path;
   ReserveTurn reservation{};
--- a/src/routing/active_request.hpp
+++ b/src/routing/active_request.hpp
@@ -46,11 +46,11 @@
   std::string service;
   /// Keeps requests that belong together on one replica; 0 for none.
   uint64_t affinity_hash = 0;
-  Millis received_at = 0;
+  TimePoint received_at{};
   /// When the caller's or the path's time is over.
-  Millis deadline = 0;
+  TimePoint deadline{};
   /// Until when it may wait for a replica with free capacity.
-  Millis wait_until = 0;
+  TimePoint wait_until{};
   RetryState retry;
   std::optional<UpstreamAttempt> attempt;
   /// Set for turns only.
@@ -70,9 +70,9 @@
 
 /// A request as it arrives: routed, with its deadlines, and not sent yet.
 ActiveRequest make_active_request(RequestReceived&& event, const RequestHeaders& headers, const Path& path,
-                                  const MetadataSnapshot& view, Millis now);
+                                  const MetadataSnapshot& view, TimePoint now);
 /// The reservation that a turn begins with.
-ReserveTurn make_reservation(const ActiveRequest& request, Millis now);
+ReserveTurn make_reservation(const ActiveRequest& request, TimePoint now);
 /// The outcome that a turn ends with: 200 complete, 0 not run, 502 unknown or broken off, else the replica's error.
 CommitTurn make_outcome(const ActiveRequest& request, uint32_t status);
 
--- a/src/routing/attempt_dispatcher.cpp
+++ b/src/routing/attempt_dispatcher.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void AttemptDispatcher::update(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now) {
+void AttemptDispatcher::update(std::shared_ptr<const RoutingSnapshot> snapshot, TimePoint now) {
   if (snapshot == snapshot_)
     return;
   bool new_metadata = !snapshot_ || snapshot_->view != snapshot->view;
@@ -39,7 +39,7 @@
   return std::nullopt;
 }
 
-AttemptDispatcher::Result AttemptDispatcher::dispatch(ActiveRequest& request, Millis now, Actions& actions) {
+AttemptDispatcher::Result AttemptDispatcher::dispatch(ActiveRequest& request, TimePoint now, Actions& actions) {
   if (auto failure = update_route(request))
     return *failure;
   ReplicaChoice choice;
@@ -58,7 +58,7 @@
   return Result::queued;
 }
 
-void AttemptDispatcher::send(ActiveRequest& request, const Replica& replica, Millis now, Actions& actions) {
+void AttemptDispatcher::send(ActiveRequest& request, const Replica& replica, TimePoint now, Actions& actions) {
   UpstreamAttempt attempt;
   attempt.number = ++last_attempt_;
   attempt.replica = replica.name;
--- a/src/routing/attempt_dispatcher.hpp
+++ b/src/routing/attempt_dispatcher.hpp
@@ -25,14 +25,14 @@
 
   explicit AttemptDispatcher(const ProtocolCodec& codec) : codec_(codec) {}
   /// Adopts a snapshot. Before the first one there is no majority contact, and nothing may be dispatched.
-  void update(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now);
-  bool has_majority_contact(Millis now) const { return snapshot_ && now < snapshot_->dispatch_until; }
+  void update(std::shared_ptr<const RoutingSnapshot> snapshot, TimePoint now);
+  bool has_majority_contact(TimePoint now) const { return snapshot_ && now < snapshot_->dispatch_until; }
   /// Only after the first snapshot.
   const RouteTable& routes() const { return *routes_; }
 
   /// Routes the request by the newest configuration and sends it, with the action added to `actions`, or queues it. On
   /// any other result it was neither sent nor queued, and should be rejected.
-  Result dispatch(ActiveRequest& request, Millis now, Actions& actions);
+  Result dispatch(ActiveRequest& request, TimePoint now, Actions& actions);
   /// The request of an attempt under way; 0 for any other.
   RequestId request_of(AttemptNumber attempt) const;
   /// Ends the request's attempt, if there is one, and gives its capacity back.
@@ -40,7 +40,7 @@
   /// The request is over: forgets its attempt and its place in the queue.
   void forget(const ActiveRequest& request);
   /// Sends nothing to the replica until then.
-  void back_off(const std::string& replica, Millis until) { load_balancer_.back_off(replica, until); }
+  void back_off(const std::string& replica, TimePoint until) { load_balancer_.back_off(replica, until); }
   /// The requests that wait for a replica: the most urgent first, then the oldest.
   std::vector<RequestId> queued() const;
 
@@ -48,7 +48,7 @@
   struct QueueKey {
     /// 0 is the most urgent.
     uint32_t rank{};
-    Millis received_at{};
+    TimePoint received_at{};
     RequestId id;
     bool operator<(const QueueKey& other) const {
       return std::tie(rank, received_at, id) < std::tie(other.rank, other.received_at, other.id);
@@ -57,7 +57,7 @@
   static QueueKey queue_key(const ActiveRequest& request);
   /// Follows a configuration that is newer than the request's route.
   std::optional<Result> update_route(ActiveRequest& request);
-  void send(ActiveRequest& request, const Replica& replica, Millis now, Actions& actions);
+  void send(ActiveRequest& request, const Replica& replica, TimePoint now, Actions& actions);
   void release(const UpstreamAttempt& attempt);
 
   const ProtocolCodec& codec_;
--- a/src/routing/chain_search.cpp
+++ b/src/routing/chain_search.cpp
@@ -6,7 +6,7 @@
 namespace mosskeel {
 
 ChainSearch::State ChainSearch::advance(Outbox& outbox, const Metadata& metadata, const std::string& turn,
-                                        Millis started_at, Millis now) {
+                                        TimePoint started_at, TimePoint now) {
   active_ = true;
   bool ask_now = now - last_asked_at_ >= kStoreRetryInterval;
   size_t unanswered = 0;
--- a/src/routing/chain_search.hpp
+++ b/src/routing/chain_search.hpp
@@ -14,7 +14,7 @@
   bool active() const { return active_; }
   /// Begins or goes on: asks the stores that have not answered, again after the retry interval. `started_at` is when
   /// the caller's turn began to wait.
-  State advance(Outbox& outbox, const Metadata& metadata, const std::string& turn, Millis started_at, Millis now);
+  State advance(Outbox& outbox, const Metadata& metadata, const std::string& turn, TimePoint started_at, TimePoint now);
   /// A store has answered that it does not hold the turn.
   void on_missing(DaemonId store) { without_turn_.insert(store); }
   /// A store has answered with the chain.
@@ -22,7 +22,7 @@
 
  private:
   bool active_ = false;
-  Millis last_asked_at_ = 0;
+  TimePoint last_asked_at_{};
   std::set<DaemonId> without_turn_;
 };
 
--- a/src/routing/load_balancer.cpp
+++ b/src/routing/load_balancer.cpp
@@ -38,7 +38,7 @@
   return gateways;
 }
 
-void LoadBalancer::update(const RoutingSnapshot& snapshot, Millis now) {
+void LoadBalancer::update(const RoutingSnapshot& snapshot, TimePoint now) {
   if (view_ == snapshot.view && self_id_ == snapshot.self_id)
     return;
   view_ = snapshot.view;
@@ -57,7 +57,8 @@
   std::erase_if(replicas_, [](auto& entry) { return !entry.second.listed && entry.second.running == 0; });
 }
 
-void LoadBalancer::update_replica(ReplicaState& state, const Replica& replica, const Gateways& gateways, Millis now) {
+void LoadBalancer::update_replica(ReplicaState& state, const Replica& replica, const Gateways& gateways,
+                                  TimePoint now) {
   bool warming_up = replica.health == ReplicaHealth::warming_up;
   state.replica = &replica;
   state.listed = true;
@@ -77,7 +78,7 @@
   state.health_since = replica.since;
 }
 
-bool LoadBalancer::has_capacity(ReplicaState& state, Millis now) {
+bool LoadBalancer::has_capacity(ReplicaState& state, TimePoint now) {
   if (!state.assigned_here || now < state.backed_off_until || state.running >= state.capacity)
     return false;
   if (!state.slow_start.is_limited())
@@ -86,7 +87,7 @@
   return state.slow_start.has_token();
 }
 
-ReplicaChoice LoadBalancer::choose(const LoadBalancerContext& context, Millis now) {
+ReplicaChoice LoadBalancer::choose(const LoadBalancerContext& context, TimePoint now) {
   ReplicaChoice choice;
   auto candidates = replicas_by_service_.find(context.service);
   if (candidates == replicas_by_service_.end())
@@ -129,7 +130,7 @@
     --found->second.running;
 }
 
-void LoadBalancer::back_off(const std::string& replica, Millis until) {
+void LoadBalancer::back_off(const std::string& replica, TimePoint until) {
   if (auto found = replicas_.find(replica); found != replicas_.end())
     found->second.backed_off_until = std::max(found->second.backed_off_until, until);
 }
--- a/src/routing/load_balancer.hpp
+++ b/src/routing/load_balancer.hpp
@@ -32,13 +32,13 @@
 class LoadBalancer {
  public:
   /// Adopts new metadata. Replicas that are gone are forgotten once their last request has ended.
-  void update(const RoutingSnapshot& snapshot, Millis now);
+  void update(const RoutingSnapshot& snapshot, TimePoint now);
   /// Chooses a replica without reserving capacity: see `on_attempt_started`.
-  ReplicaChoice choose(const LoadBalancerContext& context, Millis now);
+  ReplicaChoice choose(const LoadBalancerContext& context, TimePoint now);
   void on_attempt_started(const std::string& replica);
   void on_attempt_finished(const std::string& replica);
   /// Sends nothing to the replica until then.
-  void back_off(const std::string& replica, Millis until);
+  void back_off(const std::string& replica, TimePoint until);
 
  private:
   struct ReplicaState {
@@ -52,7 +52,7 @@
     uint32_t running = 0;
     /// The most requests that this gateway runs on it.
     uint32_t capacity = 1;
-    Millis backed_off_until = 0;
+    TimePoint backed_off_until{};
     TokenBucket slow_start;
     /// The epoch at which it got its present health.
     Epoch health_since{};
@@ -66,8 +66,8 @@
     std::map<std::string, uint32_t> count_by_zone;
   };
   Gateways gateways() const;
-  void update_replica(ReplicaState& state, const Replica& replica, const Gateways& gateways, Millis now);
-  static bool has_capacity(ReplicaState& state, Millis now);
+  void update_replica(ReplicaState& state, const Replica& replica, const Gateways& gateways, TimePoint now);
+  static bool has_capacity(ReplicaState& state, TimePoint now);
 
   MetadataSnapshot view_;
   DaemonId self_id_{};
--- a/src/routing/request_router.cpp
+++ b/src/routing/request_router.cpp
@@ -9,10 +9,10 @@
 namespace mosskeel::routing {
 namespace {
 
-/// Milliseconds; when a caller may come back that was rejected for want of majority contact.
-constexpr Millis kRetryAfterNoContact = kDefaultRetryAfter / 2;
-/// Milliseconds; when a caller may come back that found no replica: shorter, for capacity frees up fast.
-constexpr Millis kRetryAfterNoReplica = kDefaultRetryAfter / 4;
+/// When a caller may come back that was rejected for want of majority contact.
+constexpr Duration kRetryAfterNoContact = kDefaultRetryAfter / 2;
+/// When a caller may come back that found no replica: shorter, for capacity frees up fast.
+constexpr Duration kRetryAfterNoReplica = kDefaultRetryAfter / 4;
 
 /// The status of a reservation's reply that was granted.
 constexpr uint32_t kGranted = 200;
@@ -23,13 +23,13 @@
 
 }  // namespace
 
-Actions RequestRouter::handle(Event event, Millis now) {
+Actions RequestRouter::handle(Event event, TimePoint now) {
   std::visit([&](auto& alternative) { on(alternative, now); }, event);
   dispatch_queued(now);
   return std::exchange(actions_, {});
 }
 
-Actions RequestRouter::tick(Millis now) {
+Actions RequestRouter::tick(TimePoint now) {
   for (auto id : requests_.ids())
     if (auto* request = requests_.find(id))
       check_deadlines(*request, now);
@@ -37,7 +37,7 @@
   return std::exchange(actions_, {});
 }
 
-void RequestRouter::on(RequestReceived& event, Millis now) {
+void RequestRouter::on(RequestReceived& event, TimePoint now) {
   auto id = event.request_id;
   auto parsed = codec_.parse_request(event.request);
   if (!parsed.ok())
@@ -67,7 +67,7 @@
     dispatch(added, now);
 }
 
-void RequestRouter::on(ReserveTurnReply& reply, Millis now) {
+void RequestRouter::on(ReserveTurnReply& reply, TimePoint now) {
   auto* request = requests_.find_turn(reply.attempt);
   if (!request || !request->is_reserving())
     return;
@@ -83,7 +83,7 @@
   dispatch(*request, now);
 }
 
-void RequestRouter::on(const CommitTurnReply& reply, Millis) {
+void RequestRouter::on(const CommitTurnReply& reply, TimePoint) {
   auto* request = requests_.find_turn(reply.attempt);
   if (!request || !request->is_committing())
     return;
@@ -94,7 +94,7 @@
   finish(*request);
 }
 
-void RequestRouter::on(const CallerDisconnected& event, Millis) {
+void RequestRouter::on(const CallerDisconnected& event, TimePoint) {
   auto* request = requests_.find(event.request_id);
   if (!request)
     return;
@@ -108,7 +108,7 @@
   finish(*request);
 }
 
-void RequestRouter::on(ResponseHeadersReceived& event, Millis now) {
+void RequestRouter::on(ResponseHeadersReceived& event, TimePoint now) {
   auto* request = find_by_attempt(event.attempt);
   if (!request)
     return;
@@ -138,7 +138,7 @@
   }
 }
 
-void RequestRouter::on(ResponseDataReceived& event, Millis now) {
+void RequestRouter::on(ResponseDataReceived& event, TimePoint now) {
   auto* request = find_by_attempt(event.attempt);
   if (!request || relay_.on_data(*request, std::move(event.bytes)))
     return;
@@ -146,7 +146,7 @@
   on_attempt_failed(*request, Outcome::unknown, "the replica's failure is too large", now);
 }
 
-void RequestRouter::on(const ResponseCompleted& event, Millis now) {
+void RequestRouter::on(const ResponseCompleted& event, TimePoint now) {
   auto* request = find_by_attempt(event.attempt);
   if (!request)
     return;
@@ -156,7 +156,7 @@
     on_plain_response(*request, now);
 }
 
-void RequestRouter::on_plain_response(ActiveRequest& request, Millis now) {
+void RequestRouter::on_plain_response(ActiveRequest& request, TimePoint now) {
   auto& attempt = *request.attempt;
   if (attempt.streaming) {
     actions_.push_back(EndResponse{request.id});
@@ -188,7 +188,7 @@
   finish(request);
 }
 
-void RequestRouter::on(const AttemptFailed& event, Millis now) {
+void RequestRouter::on(const AttemptFailed& event, TimePoint now) {
   auto* request = find_by_attempt(event.attempt);
   if (!request)
     return;
@@ -199,7 +199,7 @@
   on_attempt_failed(*request, event.possibly_sent ? Outcome::unknown : Outcome::no, event.reason, now);
 }
 
-void RequestRouter::on_attempt_failed(ActiveRequest& request, Outcome ran, const std::string& reason, Millis now) {
+void RequestRouter::on_attempt_failed(ActiveRequest& request, Outcome ran, const std::string& reason, TimePoint now) {
   bool response_begun = request.attempt && request.attempt->streaming;
   dispatcher_.end_attempt(request);
   request.retry.on_failure(ran);
@@ -212,7 +212,7 @@
   dispatch(request, now);
 }
 
-void RequestRouter::dispatch(ActiveRequest& request, Millis now) {
+void RequestRouter::dispatch(ActiveRequest& request, TimePoint now) {
   auto error_status = request.retry.error_status();
   switch (dispatcher_.dispatch(request, now, actions_)) {
     case AttemptDispatcher::Result::sent:
@@ -229,13 +229,13 @@
   }
 }
 
-void RequestRouter::dispatch_queued(Millis now) {
+void RequestRouter::dispatch_queued(TimePoint now) {
   for (auto id : dispatcher_.queued())
     if (auto* request = requests_.find(id))
       dispatch(*request, now);
 }
 
-void RequestRouter::check_deadlines(ActiveRequest& request, Millis now) {
+void RequestRouter::check_deadlines(ActiveRequest& request, TimePoint now) {
   bool expired = now >= request.deadline;
   if (request.is_committing()) {
     if (now < request.deadline + kTurnCommitGrace)
--- a/src/routing/request_router.hpp
+++ b/src/routing/request_router.hpp
@@ -23,13 +23,13 @@
   RequestRouter& operator=(const RequestRouter&) = delete;
 
   /// Adopts what the control state says now; to be called before each event and tick.
-  void update(std::shared_ptr<const RoutingSnapshot> snapshot, Millis now) {
+  void update(std::shared_ptr<const RoutingSnapshot> snapshot, TimePoint now) {
     dispatcher_.update(std::move(snapshot), now);
   }
   /// Takes an event and serves the queue.
-  Actions handle(Event event, Millis now);
+  Actions handle(Event event, TimePoint now);
   /// Ends requests whose time is over and serves the queue.
-  Actions tick(Millis now);
+  Actions tick(TimePoint now);
   size_t active_requests() const { return requests_.size(); }
 
  private:
@@ -38,27 +38,27 @@
     uint32_t status{};
     std::string reason;
     /// Milliseconds until the caller may come back; 0 says nothing.
-    Millis retry_after = 0;
+    Duration retry_after{};
   };
 
-  void on(RequestReceived& event, Millis now);
-  void on(const CallerDisconnected& event, Millis now);
-  void on(ResponseHeadersReceived& event, Millis now);
-  void on(ResponseDataReceived& event, Millis now);
-  void on(const ResponseCompleted& event, Millis now);
-  void on(const AttemptFailed& event, Millis now);
-  void on(ReserveTurnReply& reply, Millis now);
-  void on(const CommitTurnReply& reply, Millis now);
+  void on(RequestReceived& event, TimePoint now);
+  void on(const CallerDisconnected& event, TimePoint now);
+  void on(ResponseHeadersReceived& event, TimePoint now);
+  void on(ResponseDataReceived& event, TimePoint now);
+  void on(const ResponseCompleted& event, TimePoint now);
+  void on(const AttemptFailed& event, TimePoint now);
+  void on(ReserveTurnReply& reply, TimePoint now);
+  void on(const CommitTurnReply& reply, TimePoint now);
 
   /// Sends the request or queues it; it may be rejected and gone afterwards.
-  void dispatch(ActiveRequest& request, Millis now);
-  void dispatch_queued(Millis now);
-  void on_plain_response(ActiveRequest& request, Millis now);
+  void dispatch(ActiveRequest& request, TimePoint now);
+  void dispatch_queued(TimePoint now);
+  void on_plain_response(ActiveRequest& request, TimePoint now);
   void on_turn_response(ActiveRequest& request);
   /// The attempt ended without a response to pass on; `ran` is what is known of it. Retries or rejects.
-  void on_attempt_failed(ActiveRequest& request, Outcome ran, const std::string& reason, Millis now);
+  void on_attempt_failed(ActiveRequest& request, Outcome ran, const std::string& reason, TimePoint now);
   /// Ends a request whose time is over.
-  void check_deadlines(ActiveRequest& request, Millis now);
+  void check_deadlines(ActiveRequest& request, TimePoint now);
   /// The request's attempt, whose response began, is broken off.
   void reset(ActiveRequest& request);
   /// Rejects a request of which nothing was passed on yet, and tells a turn's owner.
--- a/src/routing/router_messages.hpp
+++ b/src/routing/router_messages.hpp
@@ -82,8 +82,8 @@
   std::string body;
   /// The caller's attempt id.
   std::string attempt_id;
-  /// Milliseconds; a kept connection that has been idle for longer is not used.
-  Millis max_idle_ms = 0;
+  /// A kept connection that has been idle for longer is not used.
+  Duration max_idle{};
 };
 /// No more events of the attempt; its connection is closed.
 struct CancelAttempt {
--- a/src/routing/routing_snapshot.hpp
+++ b/src/routing/routing_snapshot.hpp
@@ -11,7 +11,7 @@
   /// This gateway's number in the directory; 0 before it is registered.
   DaemonId self_id{};
   /// Milliseconds on the process's clock: when majority contact expires, after which nothing may be dispatched.
-  Millis dispatch_until = 0;
+  TimePoint dispatch_until{};
   /// Whether the gateway may report readiness to the platform.
   bool ready = false;
   /// Whether the gateway is shutting down.
--- a/src/routing/token_bucket.hpp
+++ b/src/routing/token_bucket.hpp
@@ -7,11 +7,11 @@
 namespace mosskeel {
 
 /// Token bucket: a request takes one token, tokens return at a fixed rate up to a tenth of a second's worth (at least
-/// one). Times are milliseconds on the process's clock.
+/// one).
 class TokenBucket {
  public:
   /// Empties the bucket down to the one token of the first request.
-  void reset(Millis now) {
+  void reset(TimePoint now) {
     tokens_ = 1;
     refilled_at_ = now;
   }
@@ -19,8 +19,8 @@
   void set_rate(double rate_per_second) { rate_per_second_ = rate_per_second; }
   bool is_limited() const { return rate_per_second_ > 0; }
   /// Adds the tokens that have accrued since the last refill.
-  void refill(Millis now) {
-    auto accrued = rate_per_second_ * static_cast<double>(now - refilled_at_) / 1000;
+  void refill(TimePoint now) {
+    auto accrued = rate_per_second_ * std::chrono::duration<double>(now - refilled_at_).count();
     tokens_ = std::min(tokens_ + accrued, std::max(1.0, rate_per_second_ / 10));
     refilled_at_ = now;
   }
@@ -30,7 +30,7 @@
  private:
   double rate_per_second_ = 0;
   double tokens_ = 0;
-  Millis refilled_at_ = 0;
+  TimePoint refilled_at_{};
 };
 
 }  // namespace mosskeel
--- a/src/routing/turn_client.cpp
+++ b/src/routing/turn_client.cpp
@@ -16,7 +16,7 @@
 }
 
 template <class Body>
-void TurnClient::send(Unanswered<Body>& request, Millis now) {
+void TurnClient::send(Unanswered<Body>& request, TimePoint now) {
   auto* daemon = owner(request.body.program);
   if (!daemon || daemon->state == DaemonState::down || daemon->state == DaemonState::left)
     return;
@@ -26,7 +26,7 @@
 }
 
 template <class Body>
-bool TurnClient::is_due(const Unanswered<Body>& request, Millis now) const {
+bool TurnClient::is_due(const Unanswered<Body>& request, TimePoint now) const {
   auto elapsed = now - request.last_sent_at;
   if (elapsed >= kStoreRetryInterval)
     return true;
@@ -35,7 +35,7 @@
   return owner_changed && elapsed >= kTickInterval;
 }
 
-bool TurnClient::handle(const Envelope& envelope, Millis now) {
+bool TurnClient::handle(const Envelope& envelope, TimePoint now) {
   bool from_own_router = envelope.from == kRoutingAddress;
   if (auto* request = std::get_if<ReserveTurn>(&envelope.body); request && from_own_router) {
     on_reserve(*request, now);
@@ -56,13 +56,13 @@
   return false;
 }
 
-void TurnClient::on_reserve(const ReserveTurn& request, Millis now) {
+void TurnClient::on_reserve(const ReserveTurn& request, TimePoint now) {
   auto& reservation = reservations_[request.attempt];
   reservation = {request, now, 0, {}};
   send(reservation, now);
 }
 
-void TurnClient::on_commit(const CommitTurn& request, Millis now) {
+void TurnClient::on_commit(const CommitTurn& request, TimePoint now) {
   reservations_.erase(request.attempt);
   granted_.erase(request.attempt);
   auto& commit = commits_[request.attempt];
@@ -70,7 +70,7 @@
   send(commit, now);
 }
 
-void TurnClient::on_reply(const ReserveTurnReply& reply, Millis now) {
+void TurnClient::on_reply(const ReserveTurnReply& reply, TimePoint now) {
   bool granted = reply.status == 200;
   if (granted)
     release_late_grant(reply.attempt, now);
@@ -92,7 +92,7 @@
 }
 
 /// A grant whose "not run" outcome the owner did not know what to do with: the outcome is sent again.
-void TurnClient::release_late_grant(const std::string& attempt, Millis now) {
+void TurnClient::release_late_grant(const std::string& attempt, TimePoint now) {
   auto unmatched = unmatched_commits_.find(attempt);
   if (unmatched == unmatched_commits_.end())
     return;
@@ -102,7 +102,7 @@
   unmatched_commits_.erase(unmatched);
 }
 
-void TurnClient::on_reply(const CommitTurnReply& reply, Millis now) {
+void TurnClient::on_reply(const CommitTurnReply& reply, TimePoint now) {
   auto commit = commits_.find(reply.attempt);
   if (commit == commits_.end())
     return;
@@ -113,14 +113,14 @@
   outbox_.send(kRoutingAddress, reply);
 }
 
-void TurnClient::tick(Millis now) {
+void TurnClient::tick(TimePoint now) {
   std::erase_if(unmatched_commits_,
                 [&](auto& entry) { return now - entry.second.acknowledged_at > kOutcomeTransferTimeout; });
   tick_reservations(now);
   tick_commits(now);
 }
 
-void TurnClient::tick_reservations(Millis now) {
+void TurnClient::tick_reservations(TimePoint now) {
   for (auto entry = reservations_.begin(); entry != reservations_.end();) {
     auto& reservation = entry->second;
     if (now - reservation.first_sent_at <= std::min(kTurnReservationTimeout, reservation.body.timeout_ms)) {
@@ -139,7 +139,7 @@
   }
 }
 
-void TurnClient::tick_commits(Millis now) {
+void TurnClient::tick_commits(TimePoint now) {
   for (auto entry = commits_.begin(); entry != commits_.end();) {
     auto& commit = entry->second;
     if (now - commit.first_sent_at <= kOutcomeTransferTimeout) {
--- a/src/routing/turn_client.hpp
+++ b/src/routing/turn_client.hpp
@@ -16,9 +16,9 @@
  public:
   TurnClient(Outbox& outbox, MetadataLog& metadata_log) : outbox_(outbox), metadata_log_(metadata_log) {}
   /// Handles requests of this process's own router and replies of owners; false where the message is another's.
-  bool handle(const Envelope& envelope, Millis now);
+  bool handle(const Envelope& envelope, TimePoint now);
   /// Sends again what is unanswered, at once where the owner has changed, and gives up what timed out.
-  void tick(Millis now);
+  void tick(TimePoint now);
   /// Number of unanswered requests.
   size_t waiting() const { return reservations_.size() + commits_.size(); }
   /// Whether this gateway runs the turn, or its outcome is not acknowledged yet.
@@ -28,30 +28,30 @@
   template <class Body>
   struct Unanswered {
     Body body;
-    Millis first_sent_at = 0;
-    Millis last_sent_at = 0;
+    TimePoint first_sent_at{};
+    TimePoint last_sent_at{};
     /// To whom it was sent last; 0 where it was not, or where that one is not the owner.
     DaemonId owner{};
   };
   /// An outcome whose owner knew no reservation.
   struct UnmatchedCommit {
     CommitTurn body{};
-    Millis acknowledged_at = 0;
+    TimePoint acknowledged_at{};
   };
 
-  void on_reserve(const ReserveTurn& request, Millis now);
-  void on_commit(const CommitTurn& request, Millis now);
-  void on_reply(const ReserveTurnReply& reply, Millis now);
-  void on_reply(const CommitTurnReply& reply, Millis now);
-  void release_late_grant(const std::string& attempt, Millis now);
-  void tick_reservations(Millis now);
-  void tick_commits(Millis now);
+  void on_reserve(const ReserveTurn& request, TimePoint now);
+  void on_commit(const CommitTurn& request, TimePoint now);
+  void on_reply(const ReserveTurnReply& reply, TimePoint now);
+  void on_reply(const CommitTurnReply& reply, TimePoint now);
+  void release_late_grant(const std::string& attempt, TimePoint now);
+  void tick_reservations(TimePoint now);
+  void tick_commits(TimePoint now);
   const Daemon* owner(const std::string& program) const;
   /// Sends to the present owner, where there is one that is up.
   template <class Body>
-  void send(Unanswered<Body>& request, Millis now);
+  void send(Unanswered<Body>& request, TimePoint now);
   template <class Body>
-  bool is_due(const Unanswered<Body>& request, Millis now) const;
+  bool is_due(const Unanswered<Body>& request, TimePoint now) const;
 
   Outbox& outbox_;
   MetadataLog& metadata_log_;
--- a/src/routing/turn_coordinator.cpp
+++ b/src/routing/turn_coordinator.cpp
@@ -51,7 +51,7 @@
   return {kPathCell, program};
 }
 
-bool TurnCoordinator::handle(const Envelope& envelope, Millis now) {
+bool TurnCoordinator::handle(const Envelope& envelope, TimePoint now) {
   if (auto* request = std::get_if<ReserveTurn>(&envelope.body)) {
     handle(*request, envelope, now);
     return true;
@@ -67,7 +67,7 @@
   return false;
 }
 
-void TurnCoordinator::handle(const ReserveTurn& request, const Envelope& envelope, Millis now) {
+void TurnCoordinator::handle(const ReserveTurn& request, const Envelope& envelope, TimePoint now) {
   auto [entry, inserted] = reservations_.try_emplace(request.attempt);
   if (inserted)
     entry->second = pending(request, envelope, now);
@@ -75,7 +75,7 @@
     reservations_.erase(entry);
 }
 
-void TurnCoordinator::handle(const CommitTurn& request, const Envelope& envelope, Millis now) {
+void TurnCoordinator::handle(const CommitTurn& request, const Envelope& envelope, TimePoint now) {
   auto reservation = reservations_.find(request.attempt);
   if (reservation != reservations_.end() && reservation->second.from == envelope.from)
     reservations_.erase(reservation);
@@ -86,7 +86,7 @@
     commits_.erase(entry);
 }
 
-void TurnCoordinator::handle(const FindChainReply& reply, const Envelope& envelope, Millis now) {
+void TurnCoordinator::handle(const FindChainReply& reply, const Envelope& envelope, TimePoint now) {
   auto* store = metadata_log_.view()->find(envelope.from_incarnation);
   if (!store)
     return;
@@ -107,7 +107,7 @@
 }
 
 /// One record holds the whole chain, for the owner may change at any point: a store that has it has all of it.
-void TurnCoordinator::import_chain(const PendingReservation& pending, const FindChainReply& reply, Millis now) {
+void TurnCoordinator::import_chain(const PendingReservation& pending, const FindChainReply& reply, TimePoint now) {
   if (!is_owner(pending.history))
     return;
   if (history_writer_.open(pending.history, now) != HistoryWriter::State::open)
@@ -117,7 +117,7 @@
   history_writer_.append(pending.history, imported_record(reply, pending.body.retention_ms), now);
 }
 
-TurnCoordinator::Progress TurnCoordinator::advance(PendingReservation& pending, Millis now) {
+TurnCoordinator::Progress TurnCoordinator::advance(PendingReservation& pending, TimePoint now) {
   if (auto progress = open_history(pending, now))
     return *progress;
   auto& turns = index(pending.history);
@@ -131,7 +131,7 @@
   return Progress::answered;
 }
 
-std::optional<TurnCoordinator::Progress> TurnCoordinator::open_history(PendingReservation& pending, Millis now) {
+std::optional<TurnCoordinator::Progress> TurnCoordinator::open_history(PendingReservation& pending, TimePoint now) {
   if (!is_owner(pending.history))
     return reject(pending, 0, "another front owns the program");
   switch (history_writer_.open(pending.history, now)) {
@@ -152,7 +152,7 @@
 }
 
 std::optional<TurnCoordinator::Progress> TurnCoordinator::append_reservation(PendingReservation& pending,
-                                                                             const TurnIndex& index, Millis now) {
+                                                                             const TurnIndex& index, TimePoint now) {
   auto& request = pending.body;
   if (auto* turn = index.find(request.attempt); turn && turn->reservation) {
     if (turn->outcome)
@@ -175,7 +175,7 @@
 }
 
 std::optional<TurnCoordinator::Progress> TurnCoordinator::check_parent(PendingReservation& pending,
-                                                                       const TurnIndex& index, Millis now) {
+                                                                       const TurnIndex& index, TimePoint now) {
   auto& parent = pending.body.parent;
   if (parent.empty())
     return std::nullopt;
@@ -189,7 +189,7 @@
   return std::nullopt;
 }
 
-TurnCoordinator::Progress TurnCoordinator::search_chain(PendingReservation& pending, Millis now) {
+TurnCoordinator::Progress TurnCoordinator::search_chain(PendingReservation& pending, TimePoint now) {
   auto& metadata = *metadata_log_.view();
   switch (pending.chain_search.advance(outbox_, metadata, pending.body.parent, pending.received_at, now)) {
     case ChainSearch::State::missing:
@@ -209,7 +209,7 @@
   return Progress::answered;
 }
 
-TurnCoordinator::Progress TurnCoordinator::advance(PendingCommit& pending, Millis now) {
+TurnCoordinator::Progress TurnCoordinator::advance(PendingCommit& pending, TimePoint now) {
   // The gateway asks again, and finds the new owner.
   if (!is_owner(pending.history))
     return Progress::answered;
@@ -239,7 +239,7 @@
 }
 
 template <class Requests, class Predicate>
-void TurnCoordinator::advance_if(Requests& requests, Millis now, const Predicate& selected) {
+void TurnCoordinator::advance_if(Requests& requests, TimePoint now, const Predicate& selected) {
   for (auto entry = requests.begin(); entry != requests.end();) {
     auto& pending = entry->second;
     if (selected(pending) && advance(pending, now) == Progress::answered)
@@ -249,7 +249,7 @@
   }
 }
 
-void TurnCoordinator::advance(const std::set<HistoryName>& changed, Millis now) {
+void TurnCoordinator::advance(const std::set<HistoryName>& changed, TimePoint now) {
   auto has_changed = [&](const auto& pending) {
     return changed.count(pending.history) > 0;
   };
@@ -257,7 +257,7 @@
   advance_if(commits_, now, has_changed);
 }
 
-void TurnCoordinator::tick(Millis now) {
+void TurnCoordinator::tick(TimePoint now) {
   auto all = [](const auto&) {
     return true;
   };
--- a/src/routing/turn_coordinator.hpp
+++ b/src/routing/turn_coordinator.hpp
@@ -21,11 +21,11 @@
   TurnCoordinator(Outbox& outbox, MetadataLog& metadata_log, HistoryWriter& history_writer)
       : outbox_(outbox), metadata_log_(metadata_log), history_writer_(history_writer) {}
   /// Handles `ReserveTurn`, `CommitTurn` and `FindChainReply`; false where the message is another's.
-  bool handle(const Envelope& envelope, Millis now);
+  bool handle(const Envelope& envelope, TimePoint now);
   /// Goes on with the requests that wait for one of these histories.
-  void advance(const std::set<HistoryName>& changed, Millis now);
+  void advance(const std::set<HistoryName>& changed, TimePoint now);
   /// Goes on with all requests, and drops the indexes of histories that were handed over.
-  void tick(Millis now);
+  void tick(TimePoint now);
 
  private:
   /// A gateway's request, until it is answered.
@@ -35,7 +35,7 @@
     Address from;
     Incarnation incarnation;
     HistoryName history{};
-    Millis received_at = 0;
+    TimePoint received_at{};
     /// How long the history must be committed before the request is answered; 0 before its record was appended.
     uint64_t required_length = 0;
     /// Only for reservations: where the previous turn is not in this history.
@@ -46,30 +46,30 @@
   enum class Progress { waiting, answered };
 
   template <class Body>
-  static Pending<Body> pending(const Body& body, const Envelope& envelope, Millis now) {
+  static Pending<Body> pending(const Body& body, const Envelope& envelope, TimePoint now) {
     return {body, envelope.from, envelope.from_incarnation, turn_history_name(body.program), now, 0, {}};
   }
-  void handle(const ReserveTurn& request, const Envelope& envelope, Millis now);
-  void handle(const CommitTurn& request, const Envelope& envelope, Millis now);
-  void handle(const FindChainReply& reply, const Envelope& envelope, Millis now);
+  void handle(const ReserveTurn& request, const Envelope& envelope, TimePoint now);
+  void handle(const CommitTurn& request, const Envelope& envelope, TimePoint now);
+  void handle(const FindChainReply& reply, const Envelope& envelope, TimePoint now);
 
-  Progress advance(PendingReservation& pending, Millis now);
+  Progress advance(PendingReservation& pending, TimePoint now);
   /// Opens the history; nothing once it is open and has not ended, else what became of the request.
-  std::optional<Progress> open_history(PendingReservation& pending, Millis now);
+  std::optional<Progress> open_history(PendingReservation& pending, TimePoint now);
   /// Appends the reservation; nothing once it is appended, else what became of the request.
-  std::optional<Progress> append_reservation(PendingReservation& pending, const TurnIndex& index, Millis now);
+  std::optional<Progress> append_reservation(PendingReservation& pending, const TurnIndex& index, TimePoint now);
   /// Looks at the turn before this one; nothing where the turn may go on from it.
-  std::optional<Progress> check_parent(PendingReservation& pending, const TurnIndex& index, Millis now);
-  Progress search_chain(PendingReservation& pending, Millis now);
+  std::optional<Progress> check_parent(PendingReservation& pending, const TurnIndex& index, TimePoint now);
+  Progress search_chain(PendingReservation& pending, TimePoint now);
   Progress reject(const PendingReservation& pending, uint32_t status, std::string reason, uint32_t retry_after_ms = 0);
-  void import_chain(const PendingReservation& pending, const FindChainReply& reply, Millis now);
+  void import_chain(const PendingReservation& pending, const FindChainReply& reply, TimePoint now);
 
-  Progress advance(PendingCommit& pending, Millis now);
+  Progress advance(PendingCommit& pending, TimePoint now);
   Progress acknowledge(const PendingCommit& pending, bool committed);
 
   /// Advances the requests that `selected` holds for, and forgets those that were answered.
   template <class Requests, class Predicate>
-  void advance_if(Requests& requests, Millis now, const Predicate& selected);
+  void advance_if(Requests& requests, TimePoint now, const Predicate& selected);
 
   bool is_owner(const HistoryName& history) const;
   /// Whether a reservation was made for the gateway of this incarnation: an attempt's id does not tell two apart.
--- a/src/runtime/constants.hpp
+++ b/src/runtime/constants.hpp
@@ -4,14 +4,14 @@
 
 namespace mosskeel {
 
-/// Milliseconds; where each process's own clock begins, so that 0 can stand for "never".
-constexpr Millis kProcessClockStart = 1000000000000;
-/// Milliseconds; how long a daemon waits for one commit as a whole, all attempts included (TCM paper's await).
-constexpr Millis kCommitTimeout = 10000;
-/// Milliseconds; how long one controller works on one commit request (TCM paper's RPC time-out).
-constexpr Millis kCommitAttemptTimeout = 2000;
-/// Milliseconds; how often a state machine looks at its timers.
-constexpr Millis kTickInterval = 20;
+/// Where each process's own clock begins, so that 0 can stand for "never".
+constexpr TimePoint kProcessClockStart{1000000000000ms};
+/// How long a daemon waits for one commit as a whole, all attempts included (TCM paper's await).
+constexpr Duration kCommitTimeout = 10000ms;
+/// How long one controller works on one commit request (TCM paper's RPC time-out).
+constexpr Duration kCommitAttemptTimeout = 2000ms;
+/// How often a state machine looks at its timers.
+constexpr Duration kTickInterval = 20ms;
 /// Offset into a machine's ports; seeds name machines only, so all controllers share one port.
 constexpr uint16_t kControllerPortOffset = 0;
 /// Offset; a gateway runs beside its agent, so each has its own port.
@@ -24,7 +24,7 @@
 constexpr uint32_t kMaxCoreSize = 9;
 /// Bytes; journal growth that calls for a checkpoint.
 constexpr size_t kCheckpointJournalBytes = 16u << 20;
-/// Milliseconds; when a rejected caller may try again, unless something better is known.
+/// When a rejected caller may try again, unless something better is known.
 constexpr uint32_t kDefaultRetryAfter = 500;
 /// Exit code of a daemon whose settings are wrong.
 constexpr int kExitBadSettings = 2;
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -10,8 +10,8 @@
 
 constexpr int kExitStoppedByItself = 1;
 constexpr int kExitDamagedData = 4;
-/// Milliseconds; how often a daemon's main thread looks whether the host has stopped.
-constexpr Millis kSignalPollInterval = 100;
+/// How often a daemon's main thread looks whether the host has stopped.
+constexpr Duration kSignalPollInterval = 100ms;
 
 }  // namespace
 
--- a/src/runtime/host.cpp
+++ b/src/runtime/host.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Milliseconds; how long the disk's thread waits for work before it looks whether it is to end.
-constexpr Millis kDiskQueueWait = 200;
+/// How long the disk's thread waits for work before it looks whether it is to end.
+constexpr Duration kDiskQueueWait = 200ms;
 /// How often a caller of `ask` looks whether the host is ending.
 constexpr std::chrono::milliseconds kAskPollInterval{50};
 
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-Millis process_now() {
+TimePoint process_now() {
   using std::chrono::duration_cast;
   using std::chrono::steady_clock;
   static const auto start = steady_clock::now();
@@ -72,10 +72,10 @@
   watch_ = std::move(watch);
 }
 
-void Host::ask(const std::function<void(StateMachine&, Millis)>& function) {
+void Host::ask(const std::function<void(StateMachine&, TimePoint)>& function) {
   auto done = std::make_shared<std::promise<void>>();
   auto finished = done->get_future();
-  inbox_.call([function, done](StateMachine& machine, Millis now) {
+  inbox_.call([function, done](StateMachine& machine, TimePoint now) {
     function(machine, now);
     done->set_value();
   });
@@ -117,7 +117,7 @@
     stopped_ = true;
 }
 
-void Host::handle_inbox(Millis timeout) {
+void Host::handle_inbox(Duration timeout) {
   for (auto& item : inbox_.take(timeout)) {
     if (auto* message = std::get_if<Envelope>(&item.content))
       perform(machine_->step(*message, process_now()));
@@ -134,14 +134,14 @@
 }
 
 void Host::run_machine() {
-  Millis next_tick = 0;
+  TimePoint next_tick{};
   while (!halting_) {
     auto now = process_now();
     if (now >= next_tick) {
       perform(machine_->tick(now));
       next_tick = now + kTickInterval;
     }
-    handle_inbox(std::max<Millis>(1, next_tick - process_now()));
+    handle_inbox(std::max<Duration>(1ms, next_tick - process_now()));
     {
       std::lock_guard lock(watch_mutex_);
       if (watch_)
@@ -153,7 +153,7 @@
 
 /// Made in the state machine's thread, so that it stands for all that was enqueued before it.
 void Host::request_checkpoint() {
-  inbox_.call([this](StateMachine& machine, Millis) {
+  inbox_.call([this](StateMachine& machine, TimePoint) {
     if (auto checkpoint = machine.checkpoint(); !checkpoint.empty())
       enqueue({{}, std::move(checkpoint), {}});
   });
--- a/src/runtime/host.hpp
+++ b/src/runtime/host.hpp
@@ -9,7 +9,7 @@
 namespace mosskeel {
 
 /// This process's own time (ms) by the steady clock; it says nothing to any other process.
-Millis process_now();
+TimePoint process_now();
 
 /// Three threads: one steps the state machine, one writes its journal (only with a disk), and the transport's receives.
 /// Messages that wait for the journal leave from the disk's thread once it is durable.
@@ -18,12 +18,12 @@
 class Host {
  public:
   /// Makes the state machine from what the disk held, at the time given.
-  using Make = std::function<std::unique_ptr<StateMachine>(Recovered, Millis)>;
+  using Make = std::function<std::unique_ptr<StateMachine>(Recovered, TimePoint)>;
   /// Takes a message that is not for another daemon ("local:7", "replica:m1"); called by the state machine's thread or
   /// the disk's.
   using Deliver = std::function<void(const Envelope&)>;
   /// Looks at the state machine in its own thread.
-  using Watch = std::function<void(StateMachine&, Millis)>;
+  using Watch = std::function<void(StateMachine&, TimePoint)>;
 
   /// `disk` may be null for a daemon that keeps no journal. Beyond `max_inbox_bytes` of messages that wait for the
   /// state machine, larger ones are dropped as if lost on the way.
@@ -44,7 +44,7 @@
   /// Hands the state machine a message from inside the process.
   void post(Envelope message) { inbox_.post(std::move(message)); }
   /// Runs `function` in the state machine's thread and waits for its end, or for the host's.
-  void ask(const std::function<void(StateMachine&, Millis)>& function);
+  void ask(const std::function<void(StateMachine&, TimePoint)>& function);
   /// The metadata that the state machine knew after its last batch of steps.
   MetadataSnapshot view() const { return std::atomic_load(&view_); }
 
@@ -61,7 +61,7 @@
 
  private:
   void run_machine();
-  void handle_inbox(Millis timeout);
+  void handle_inbox(Duration timeout);
   void publish_view();
   void run_disk();
   bool write_batches(std::deque<Batch> batches);
--- a/src/runtime/inbox.hpp
+++ b/src/runtime/inbox.hpp
@@ -11,7 +11,7 @@
 /// Messages and calls in the order in which they came. Any thread may add; the state machine's thread takes.
 class Inbox {
  public:
-  using Call = std::function<void(StateMachine&, Millis)>;
+  using Call = std::function<void(StateMachine&, TimePoint)>;
   struct Item {
     std::variant<Envelope, Call> content;
     /// The size of a message as it came; 0 for what comes from inside the process.
@@ -38,7 +38,7 @@
   void call(Call function) { items_.push({std::move(function), 0}); }
 
   /// Everything that waits; each item counts against the bound until it is said to be `done`.
-  std::deque<Item> take(Millis timeout) { return items_.take(timeout); }
+  std::deque<Item> take(Duration timeout) { return items_.take(timeout); }
   void done(const Item& item) { bytes_ -= item.bytes; }
   void close() { items_.close(); }
 
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 /// Bounds of the time-outs in the settings, in ms.
-constexpr Millis kMinCommitAttemptTimeout = 100;
-constexpr Millis kMaxCommitAttemptTimeout = 30000;
-constexpr Millis kMaxCommitTimeout = 60000;
+constexpr Duration kMinCommitAttemptTimeout = 100ms;
+constexpr Duration kMaxCommitAttemptTimeout = 30000ms;
+constexpr Duration kMaxCommitTimeout = 60000ms;
 
 struct PoptContextDeleter {
   void operator()(poptContext context) const { poptFreeContext(context); }
--- a/src/runtime/signals.cpp
+++ b/src/runtime/signals.cpp
@@ -15,8 +15,8 @@
   signal(SIGPIPE, SIG_IGN);
 }
 
-bool wait_for_signal(Millis timeout) {
-  constexpr Millis kMillisPerSecond = 1000;
+bool wait_for_signal(Duration timeout) {
+  constexpr Duration kMillisPerSecond = 1000ms;
   constexpr long kNanosPerMilli = 1000000;
   sigset_t awaited;
   sigemptyset(&awaited);
--- a/src/runtime/signals.hpp
+++ b/src/runtime/signals.hpp
@@ -9,6 +9,6 @@
 void block_signals();
 
 /// Waits up to `timeout` (ms) for SIGTERM or SIGINT; true once one came.
-bool wait_for_signal(Millis timeout);
+bool wait_for_signal(Duration timeout);
 
 }  // namespace mosskeel
--- a/src/runtime/state_machine.hpp
+++ b/src/runtime/state_machine.hpp
@@ -32,7 +32,7 @@
   uint32_t core_size = 3;
   /// Seed of the state machine's random numbers.
   uint64_t random_seed = 1;
-  Millis commit_attempt_timeout = kCommitAttemptTimeout;
+  Duration commit_attempt_timeout = kCommitAttemptTimeout;
   /// Forbids founding: an empty disk at a later start joins or waits.
   bool later_start = false;
   /// As in `FoundCluster`.
@@ -44,9 +44,9 @@
  public:
   virtual ~StateMachine() = default;
   /// Handles one message.
-  virtual Actions step(const Envelope& message, Millis now) = 0;
+  virtual Actions step(const Envelope& message, TimePoint now) = 0;
   /// Looks at timers; called each kTickInterval.
-  virtual Actions tick(Millis now) = 0;
+  virtual Actions tick(TimePoint now) = 0;
   /// The metadata as this daemon knows it; never null.
   virtual MetadataSnapshot view() const = 0;
   /// The encoded state that the journal so far adds up to; empty where no journal is kept.
@@ -62,8 +62,8 @@
   const Identity& id() const { return id_; }
   /// The next random number; deterministic by `Identity::random_seed`.
   uint64_t next_random() { return random_(); }
-  /// A random delay (ms) below `limit`.
-  Millis jitter(Millis limit) { return static_cast<Millis>(random_() % static_cast<uint64_t>(limit)); }
+  /// A random delay below `limit`.
+  Duration jitter(Duration limit) { return Duration(random_() % static_cast<uint64_t>(limit.count())); }
 
   /// Sends at once. `to_incarnation` 0 means whoever has the address.
   void send(const Address& to, Message message, Incarnation to_incarnation = {}) {
--- a/src/storage/constants.hpp
+++ b/src/storage/constants.hpp
@@ -12,9 +12,9 @@
 constexpr size_t kDiskReserveMinimumFactor = 4;
 /// Bytes; journal kept in memory while the disk is full: two checkpoints.
 constexpr size_t kMaxPendingJournalBytes = 32u << 20;
-/// Milliseconds; between writes tried on a full disk; shorter than any client's retry time-out.
-constexpr Millis kFullDiskRetryInterval = 100;
-/// Milliseconds; between checkpoints tried on a full disk: each encodes the whole state.
-constexpr Millis kFullDiskCheckpointInterval = 5000;
+/// Between writes tried on a full disk; shorter than any client's retry time-out.
+constexpr Duration kFullDiskRetryInterval = 100ms;
+/// Between checkpoints tried on a full disk: each encodes the whole state.
+constexpr Duration kFullDiskCheckpointInterval = 5000ms;
 
 }  // namespace mosskeel
--- a/src/storage/journal_writer.cpp
+++ b/src/storage/journal_writer.cpp
@@ -86,7 +86,7 @@
   return written;
 }
 
-bool JournalWriter::wants_checkpoint(Millis now) {
+bool JournalWriter::wants_checkpoint(TimePoint now) {
   bool is_worth_a_try = full_ || checkpoint_is_due_;
   if (!is_worth_a_try || now < next_checkpoint_)
     return false;
--- a/src/storage/journal_writer.hpp
+++ b/src/storage/journal_writer.hpp
@@ -41,7 +41,7 @@
   Written write(std::deque<Batch> batches);
   /// Whether a new checkpoint is worth a try now, since the disk is full; true at most each
   /// kFullDiskCheckpointInterval.
-  bool wants_checkpoint(Millis now);
+  bool wants_checkpoint(TimePoint now);
   bool full() const { return full_; }
   /// Bytes of records that wait for space on the disk.
   size_t pending_bytes() const { return pending_bytes_; }
@@ -62,7 +62,7 @@
   std::atomic<bool> full_{false};
   /// The last checkpoint could not be written.
   bool checkpoint_is_due_ = false;
-  Millis next_checkpoint_ = 0;
+  TimePoint next_checkpoint_{};
 };
 
 }  // namespace mosskeel
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -130,7 +130,7 @@
   carry_out(node, std::move(actions), e);
 }
 
-void Cluster::tick(size_t node, Millis ms) {
+void Cluster::tick(size_t node, Duration ms) {
   auto& n = nodes_[node];
   n.clock += ms;
   auto actions = machine(n).tick(n.clock);
--- a/tests/model/cluster.hpp
+++ b/tests/model/cluster.hpp
@@ -29,7 +29,7 @@
 struct Action {
   Kind kind = Kind::deliver;
   size_t node = 0, index = 0;
-  Millis ms = 0;
+  Duration ms{};
   bool operator==(const Action&) const = default;
 };
 using Trace = std::vector<Action>;
@@ -59,9 +59,9 @@
 struct Options {
   Fault fault = Fault::none;
   /// How far the clocks move when nothing is in flight.
-  Millis quiet_step = 400;
+  Duration quiet_step = 400ms;
   /// How far a single clock may run ahead.
-  Millis lone_step = 450;
+  Duration lone_step = 450ms;
   /// Whether the supervisor's lease is asked for; without it members don't change by themselves.
   bool leases = false;
   /// Whether a restart is compared with what the node told; off, only what follows from a lapse is noticed.
@@ -85,7 +85,7 @@
   void inject(size_t node, Envelope e);
   MetadataSnapshot view(size_t node) const { return nodes_[node].view; }
   size_t size() const { return nodes_.size(); }
-  Millis clock(size_t node) const { return nodes_[node].clock; }
+  Duration clock(size_t node) const { return nodes_[node].clock; }
   size_t in_flight() const { return network_.size(); }
   const Envelope& message(size_t index) const { return *network_[index].envelope; }
   Incarnation incarnation(size_t node) const { return nodes_[node].identity.self.incarnation; }
@@ -97,7 +97,7 @@
  private:
   struct Input {
     std::shared_ptr<const Envelope> envelope;  ///< null for a tick
-    Millis now;
+    TimePoint now;
     std::shared_ptr<const Input> before;
   };
   /// Holds the machine; a copy holds none and is rebuilt.
@@ -123,7 +123,7 @@
     Identity identity;
     std::optional<Disk> lost;
     Recovered found;
-    Millis started = 0, clock = 0;
+    Duration started = 0, clock = 0;
     std::shared_ptr<const Input> inputs;
     Running running;
     MetadataSnapshot view;
@@ -148,7 +148,7 @@
   void return_disk(size_t node);
   bool severed(size_t a, size_t b) const { return ((cut_ >> a) & 1) != ((cut_ >> b) & 1); }
   void receive(size_t node, std::shared_ptr<const Envelope> e);
-  void tick(size_t node, Millis ms);
+  void tick(size_t node, Duration ms);
   void carry_out(const Action& a);
   void carry_out(size_t node, Actions a, const std::shared_ptr<const Envelope>& cause);
   void remember(Node& n, const Actions& a, const std::shared_ptr<const Envelope>& cause, bool moved);
--- a/tests/model/starts.cpp
+++ b/tests/model/starts.cpp
@@ -28,7 +28,7 @@
 /// Puts back the options that only the script had changed.
 class Script {
  public:
-  Script(Cluster& c, Millis quiet_step, bool leases) : cluster_(c), kept_(c.options()) {
+  Script(Cluster& c, Duration quiet_step, bool leases) : cluster_(c), kept_(c.options()) {
     c.options().fault = Fault::none;
     c.options().quiet_step = quiet_step;
     c.options().leases = leases;
--- a/tests/platform_stub/callers.cpp
+++ b/tests/platform_stub/callers.cpp
@@ -24,7 +24,7 @@
 
 void Callers::send(std::shared_ptr<Job> j) {
   if (!j->deadline)
-    j->deadline = monotonic_ms() + 4000;
+    j->deadline = monotonic_now() + 4000;
   ++open_;
   attempt(j);
 }
@@ -37,12 +37,12 @@
   if (in.empty())
     in = {0, 1, 2};
   auto to = w_.plan.front(in[w_.roll(in.size())]);
-  auto a = w_.name(), left = std::to_string(std::max<Millis>(1, j->deadline - monotonic_ms()));
+  auto a = w_.name(), left = std::to_string(std::max<Duration>(1ms, j->deadline - monotonic_now()));
   ++j->tries;
-  Sent s{j->kind,       "/" + j->route + "/" + std::to_string(j->tries) + "?q=1",
-         j->body,       j->parent,
-         j->program,    j->resume_after,
-         monotonic_ms()};
+  Sent s{j->kind,        "/" + j->route + "/" + std::to_string(j->tries) + "?q=1",
+         j->body,        j->parent,
+         j->program,     j->resume_after,
+         monotonic_now()};
   HeaderFields f{{"Host", "ask.example"}, {"Mosskeel-Attempt-Id", a}, {"Mosskeel-Time-Left", left}};
   f.insert(f.end(), j->fields.begin(), j->fields.end());
   if (j->kind != Kind::safe && j->kind != Kind::unsafe) {
@@ -63,7 +63,7 @@
   }
   auto target = s.target;
   w_.book.sent(a, std::move(s));
-  w_.ask({to, "POST", target, f, j->body}, j->deadline - monotonic_ms(),
+  w_.ask({to, "POST", target, f, j->body}, j->deadline - monotonic_now(),
          [this, j, a](Reply&& r) { judge(j, a, std::move(r)); });
 }
 
@@ -77,7 +77,7 @@
     w_.book.handed(j->program, events.size() * event_tokens);
   if (good)
     w_.book.whole(a, r.fields, r.body);
-  if (w_.calm && !r.whole && w_.book.has_run(a) && monotonic_ms() < j->deadline)
+  if (w_.calm && !r.whole && w_.book.has_run(a) && monotonic_now() < j->deadline)
     w_.book.violate(a + " ran, but its answer on " + j->route + " was lost around planned work");
   if (good && stream && (events.empty() || events.back().id != j->tokens_out / event_tokens))
     w_.book.violate(a + " ended before its last event");
@@ -92,12 +92,13 @@
   if (j->resume_after == j->tokens_out / event_tokens)
     return again(j, 200, a, 0, false);
   auto wait = std::string(header_value(r.fields, "Retry-After"));
-  auto pause = std::max<Millis>(1, wait.empty() ? 50 : static_cast<Millis>(std::stod(wait) * 1000));
+  auto pause = std::max<Duration>(1ms, wait.empty() ? 50 : Duration(std::stod(wait) * 1000));
   again(j, r.status, a, pause, repeatable(j->kind) || promise || r.unsent);
 }
 
-void Callers::again(const std::shared_ptr<Job>& j, uint32_t status, const std::string& a, Millis pause, bool granted) {
-  auto now = monotonic_ms();
+void Callers::again(const std::shared_ptr<Job>& j, uint32_t status, const std::string& a, Duration pause,
+                    bool granted) {
+  auto now = monotonic_now();
   bool good = status >= 200 && status < 300 && !granted && pause == 0;
   if (granted && j->tries < most_tries && now + pause < j->deadline) {
     w_.loop.run_after(pause, [this, j] { attempt(j); });
@@ -106,8 +107,8 @@
   bool turn = j->kind == Kind::turn || j->kind == Kind::brief;
   if (turn && !good && (status == 0 || status == 200 || status >= 429) && ++j->sends < 3) {
     j->tries = 0;
-    w_.loop.run_after(100 + static_cast<Millis>(w_.roll(300)), [this, j] {
-      j->deadline = monotonic_ms() + 4000;
+    w_.loop.run_after(100 + Duration(w_.roll(300)), [this, j] {
+      j->deadline = monotonic_now() + 4000;
       attempt(j);
     });
     return;
--- a/tests/platform_stub/callers.hpp
+++ b/tests/platform_stub/callers.hpp
@@ -11,7 +11,7 @@
   HeaderFields fields;
   std::string body, parent, program, session;
   uint64_t budget = 0, tokens_in = 100, tokens_out = 48;
-  Millis deadline = 0;
+  TimePoint deadline{};
   int tries = 0, sends = 0;
   uint64_t resume_after = 0, last = 0;
   /// Told once: the last status, the attempt it came on, and whether it was a whole success.
@@ -38,7 +38,7 @@
   void look(size_t i);
   void attempt(const std::shared_ptr<Job>& j);
   void judge(const std::shared_ptr<Job>& j, const std::string& a, Reply&& r);
-  void again(const std::shared_ptr<Job>& j, uint32_t status, const std::string& a, Millis pause, bool granted);
+  void again(const std::shared_ptr<Job>& j, uint32_t status, const std::string& a, Duration pause, bool granted);
   std::shared_ptr<Job> turn(const Held& p, const std::string& parent, const std::string& session);
   void next(const Held& p, int n, const std::string& parent, const std::string& session);
   void run_away(const Held& p, int n, const std::string& parent);
--- a/tests/platform_stub/list.cpp
+++ b/tests/platform_stub/list.cpp
@@ -16,7 +16,7 @@
 }
 
 void List::look() {
-  auto now = monotonic_ms();
+  auto now = monotonic_now();
   past_.push_back({now, now_()});
   while (past_.size() > 1 && past_[1].first <= now - lag_ms)
     past_.pop_front();
@@ -24,7 +24,7 @@
 }
 
 void List::asked(uint64_t id, const HttpRequest& r) {
-  auto now = monotonic_ms();
+  auto now = monotonic_now();
   while (!calls_.empty() && now - calls_.front() >= 1000)
     calls_.pop_front();
   if (static_cast<double>(calls_.size()) >= rate)
@@ -38,7 +38,7 @@
   auto j = nlohmann::json::array();
   for (size_t i = from; i < std::min(v.size(), from + page); ++i) {
     auto& l = v[i];
-    auto cold = std::max<Millis>(0, l.cold_until - now);
+    auto cold = std::max(Duration::zero(), l.cold_until - now);
     j.push_back({{"Id", l.id},
                  {"Service", l.service},
                  {"Address", l.at},
--- a/tests/platform_stub/main.cpp
+++ b/tests/platform_stub/main.cpp
@@ -21,10 +21,10 @@
   std::unique_ptr<List> list;
   Callers callers{w};
   Operator op{w};
-  Millis begun = 0, length;
+  TimePoint begun = 0, length;
   bool changing = false, changed = false;
 
-  Scene(Plan p, Millis ms) : w(p), length(ms) {
+  Scene(Plan p, Duration ms) : w(p), length(ms) {
     for (auto [service, n] : {std::pair{"model", 3}, {"app", 3}, {"app2", 2}, {"rogue", 1}})
       for (int i = 0; i < n; ++i)
         add(service, zones[i]);
@@ -32,7 +32,7 @@
     list = std::make_unique<List>(w, [this] {
       std::vector<Listed> v{rogue->listed};
       for (auto& r : replicas)
-        if (!r->listed.drained || monotonic_ms() < r->listed.drained + lag_ms + drain_ms)
+        if (!r->listed.drained || monotonic_now() < r->listed.drained + lag_ms + drain_ms)
           v.push_back(r->listed);
       return v;
     });
@@ -46,14 +46,14 @@
     return *replicas.back();
   }
 
-  void every(Millis ms, std::function<void()> f) {
-    if (monotonic_ms() > begun + length)
+  void every(Duration ms, std::function<void()> f) {
+    if (monotonic_now() > begun + length)
       return;
     f();
-    w.loop.run_after(ms / 2 + static_cast<Millis>(w.roll(static_cast<uint64_t>(ms))), [=, this] { every(ms, f); });
+    w.loop.run_after(ms / 2 + Duration(w.roll(static_cast<uint64_t>(ms))), [=, this] { every(ms, f); });
   }
   void traffic() {
-    begun = monotonic_ms();
+    begun = monotonic_now();
     printf("traffic begins\n");
     fflush(stdout);
     every(170, [this] { callers.plain(Kind::safe, "safe"); });
@@ -94,14 +94,14 @@
     w.loop.run_after(length * 3 / 10, [this] { op.change([this] { changed = true; }); });
     w.loop.run_after(length * 4 / 10, [this] {
       replicas[0]->listed.draining = true;
-      replicas[0]->listed.drained = monotonic_ms();
-      add("model", zones[0]).listed.cold_until = monotonic_ms() + 5000;
+      replicas[0]->listed.drained = monotonic_now();
+      add("model", zones[0]).listed.cold_until = monotonic_now() + 5000;
     });
     w.loop.run_after(length * 5 / 10, [this] {
       op.evacuate(zones[2], true, [this] {
         for (auto& r : replicas)
           if (r->listed.zone == zones[2])
-            r->evacuated = monotonic_ms() + 5000;
+            r->evacuated = monotonic_now() + 5000;
       });
     });
     w.loop.run_after(length * 6 / 10, [this] { op.retire(); });
@@ -112,7 +112,7 @@
     });
   }
   void wait() {
-    if (callers.open() && monotonic_ms() < begun + length + 30000) {
+    if (callers.open() && monotonic_now() < begun + length + 30000) {
       w.loop.run_after(100, [this] { wait(); });
       return;
     }
@@ -120,12 +120,12 @@
       w.book.violate("requests stay open");
     op.read_back([this] { w.loop.stop(); });
   }
-  void start(Millis patience) {
-    auto end = monotonic_ms() + patience;
+  void start(Duration patience) {
+    auto end = monotonic_now() + patience;
     op.begin([this, end] { await(end); });
   }
-  void await(Millis end) {
-    if (callers.ready() < 3 && monotonic_ms() < end) {
+  void await(Duration end) {
+    if (callers.ready() < 3 && monotonic_now() < end) {
       w.loop.run_after(100, [this, end] { await(end); });
       return;
     }
--- a/tests/platform_stub/operator.cpp
+++ b/tests/platform_stub/operator.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 using Json = nlohmann::json;
-constexpr Millis apply_ms = 2000;
+constexpr Duration apply_ms = 2000ms;
 
 Json route(const std::string& name, const std::string& kind, const std::string& service) {
   return {{"Name", "r-" + name},
@@ -48,11 +48,11 @@
 }  // namespace
 
 void Operator::call(const std::string& method, const std::string& path, const std::string& body, int base,
-                    Millis patience, Done done) {
+                    Duration patience, Done done) {
   HeaderFields f{{"Host", "control"}, {"Content-Type", "application/json"}};
   if (base >= 0)
     f.push_back({"If-Match", std::to_string(base)});
-  auto end = monotonic_ms() + patience;
+  auto end = monotonic_now() + patience;
   auto to = std::make_shared<Address>(), led = std::make_shared<Address>();
   auto hops = std::make_shared<int>(0);
   auto go = std::make_shared<std::function<void()>>();
@@ -60,7 +60,7 @@
     *to = led->empty() ? w_.plan.control(static_cast<int>(w_.roll(3))) : std::exchange(*led, "");
     w_.ask({*to, method, path, f, body}, 1000, [=, this](Reply&& r) {
       bool clear = r.whole && r.status < 500 && r.status != 408 && r.status != 429 && r.status != 307;
-      if (clear || monotonic_ms() > end) {
+      if (clear || monotonic_now() > end) {
         w_.loop.post([go] { *go = nullptr; });
         return done(clear ? r.status : 0, r.body);
       }
@@ -108,7 +108,7 @@
   document_["Routes"].push_back(added);
   call("PATCH", "/v1/config", change.dump(), 5, 15000, [=, this](uint32_t status, const std::string&) {
     expect("a change of named items", status, {200});
-    auto at = monotonic_ms() + apply_ms;
+    auto at = monotonic_now() + apply_ms;
     w_.book.rule("/safe/", "app2", at);
     w_.book.rule("/old/", "", at);
     w_.loop.run_after(apply_ms + 50, then);
--- a/tests/platform_stub/operator.hpp
+++ b/tests/platform_stub/operator.hpp
@@ -11,7 +11,7 @@
   using Done = std::function<void(uint32_t status, const std::string& body)>;
   explicit Operator(World& w) : w_(w) {}
   /// Until an answer is clear, or `patience` is over: then with status 0.
-  void call(const std::string& method, const std::string& path, const std::string& body, int base, Millis patience,
+  void call(const std::string& method, const std::string& path, const std::string& body, int base, Duration patience,
             Done done);
   /// The first configuration, and what must be refused on top of it.
   void begin(std::function<void()> then);
--- a/tests/platform_stub/replicas.cpp
+++ b/tests/platform_stub/replicas.cpp
@@ -29,7 +29,7 @@
 }
 
 bool Replica::bears() {
-  auto now = monotonic_ms();
+  auto now = monotonic_now();
   if (now >= listed.cold_until)
     return true;
   cold_.push_back(now);
@@ -53,7 +53,7 @@
     return not_run(id, 400, ""), false;
   if (auto t = header_value(r.fields, "Mosskeel-Target-Replica"); !t.empty() && t != listed.id)
     return not_run(id, 421, attempt), false;
-  auto now = monotonic_ms();
+  auto now = monotonic_now();
   auto* s = w_.book.find(attempt);
   if (listed.draining && now > listed.drained + lag_ms + drain_ms && s && s->at > listed.drained + lag_ms + drain_ms)
     w_.book.violate(listed.id + " was asked long after it was listed as draining");
@@ -141,7 +141,7 @@
     runs_.insert(queue_.extract(queue_.begin()));
   for (auto i = runs_.begin(); i != runs_.end();)
     i = forward(i->first, i->second) ? std::next(i) : runs_.erase(i);
-  w_.loop.run_after(20 + static_cast<Millis>(runs_.size()), [this] { step(); });
+  w_.loop.run_after(20 + Duration(runs_.size()), [this] { step(); });
 }
 
 void App::asked(uint64_t id, HttpRequest&& r) {
@@ -153,7 +153,7 @@
   w_.book.ran(attempt, listed.service, r);
   waiting_.insert(id);
   auto fault = w_.calm ? 399 : w_.roll(400);
-  w_.loop.run_after(5 + static_cast<Millis>(w_.roll(30)), [this, id, attempt, fault] {
+  w_.loop.run_after(5 + Duration(w_.roll(30)), [this, id, attempt, fault] {
     if (!waiting_.erase(id))
       return;
     if (fault == 0)
--- a/tests/platform_stub/replicas.hpp
+++ b/tests/platform_stub/replicas.hpp
@@ -10,14 +10,14 @@
 
 constexpr uint32_t slot_count = 8, event_tokens = 4;
 constexpr double cold_per_s = 8;
-constexpr Millis drain_ms = 3000, lag_ms = 800;
+constexpr Duration drain_ms = 3000, lag_ms = 800;
 
 /// What the list says of a replica.
 struct Listed {
   std::string id, service, zone;
   Address at;
   bool draining = false;
-  Millis cold_until = 0, drained = 0;
+  TimePoint cold_until = 0, drained = 0;
 };
 
 class Replica {
@@ -26,7 +26,7 @@
   virtual ~Replica() = default;
   Listed listed;
   /// When its zone's evacuation must be in force, 0 where there is none.
-  Millis evacuated = 0;
+  Duration evacuated{};
 
  protected:
   /// Turns a request away as it must, or notes that it arrived; false where it was answered here.
@@ -40,7 +40,7 @@
 
  private:
   bool bears();
-  std::deque<Millis> cold_;
+  std::deque<TimePoint> cold_;
   bool fell_ = false;
 };
 
@@ -105,8 +105,8 @@
   void look();
   World& w_;
   std::function<std::vector<Listed>()> now_;
-  std::deque<std::pair<Millis, std::vector<Listed>>> past_;
-  std::deque<Millis> calls_;
+  std::deque<std::pair<TimePoint, std::vector<Listed>>> past_;
+  std::deque<TimePoint> calls_;
   std::unique_ptr<HttpListener> in_;
 };
 
--- a/tests/platform_stub/world.cpp
+++ b/tests/platform_stub/world.cpp
@@ -72,10 +72,10 @@
                     finish(id, false, l == UpstreamClient::Delivery::not_sent);
                   }}) {}
 
-void World::ask(UpstreamClient::Request a, Millis patience, std::function<void(Reply&&)> done) {
+void World::ask(UpstreamClient::Request a, Duration patience, std::function<void(Reply&&)> done) {
   a.new_connection = true;
   auto id = out_.send_request(std::move(a));
-  auto timer = loop.run_after(std::max<Millis>(1, patience), [this, id] {
+  auto timer = loop.run_after(std::max<Duration>(1ms, patience), [this, id] {
     out_.cancel(id);
     finish(id, false, false);
   });
--- a/tests/platform_stub/world.hpp
+++ b/tests/platform_stub/world.hpp
@@ -36,7 +36,7 @@
  public:
   explicit World(Plan p);
   /// `done` is called once, never from within.
-  void ask(UpstreamClient::Request a, Millis patience, std::function<void(Reply&&)> done);
+  void ask(UpstreamClient::Request a, Duration patience, std::function<void(Reply&&)> done);
   uint64_t roll(uint64_t below) { return dice_() % below; }
   std::string name() { return hex(dice_()); }
   const Plan plan;
--- a/tests/simulation/callers.cpp
+++ b/tests/simulation/callers.cpp
@@ -61,7 +61,7 @@
   return v.empty() ? "" : v[w_.next_random() % v.size()];
 }
 
-Millis Callers::patience(const std::string& front) {
+Duration Callers::patience(const std::string& front) {
   if (w_.node(front).frozen)
     return 500 + w_.below(4000);
   return w_.chance(0.03) ? 1 + w_.below(400) : 45000;
@@ -79,7 +79,7 @@
   return n;
 }
 
-void Callers::traffic(Millis gap, Millis end) {
+void Callers::traffic(Duration gap, Duration end) {
   if (w_.now() >= end)
     return;
   if (w_.chance(0.5))
@@ -119,7 +119,7 @@
 }
 
 void Callers::ask(std::shared_ptr<Turn> t, std::function<void(const Turn&)> then, bool stubborn) {
-  auto again = [=, this](Millis wait) {
+  auto again = [=, this](Duration wait) {
     if (t->tries >= (stubborn ? tries : 1u)) {
       t->done = true;
       return then(*t);
--- a/tests/simulation/callers.hpp
+++ b/tests/simulation/callers.hpp
@@ -17,7 +17,7 @@
   bool up = true;
   int now = 0, peak_cold = 0, every = 0;
   std::map<std::string, int> from;
-  Millis leaving_since = 0, evacuated_since = 0, cold_since = 0;
+  TimePoint leaving_since = 0, evacuated_since = 0, cold_since = 0;
   std::set<std::string> stopped;
 };
 
@@ -35,10 +35,10 @@
   /// Founds the configuration and lists the replicas; false if the cluster does not come up.
   bool introduce();
   /// Starts programs every `gap` ms until `end`.
-  void traffic(Millis gap, Millis end);
+  void traffic(Duration gap, Duration end);
   /// Commits through a random living controller until there is a verdict or the time is out.
   void commit(Transformation t, std::function<void(const CommitReply&)> then, std::string id = "",
-              Millis patience = 10000);
+              Duration patience = 10000);
   /// One turn on a program; `then` once it is done.
   void turn(const std::string& program, const std::string& thread, std::function<void(const Turn&)> then,
             bool stubborn = true);
@@ -52,12 +52,12 @@
   void read_back(const std::string& program, std::function<void(uint32_t status, const std::string& body)> then);
   /// Checks all that can only be judged at the end.
   void judge();
-  bool served_since(Millis t) const { return last_success_ >= t; }
+  bool served_since(Duration t) const { return last_success_ >= t; }
   std::map<std::string, SimReplica> replicas;
   uint64_t counted = 0, count_unknown = 0, lost_sessions = 0, stood_after = 0;
   uint64_t successes = 0, refusals = 0, unknowns = 0, resumed = 0, commits_yes = 0;
   bool helpers = true;
-  Millis pace = 40, slowest_refusal = 0;
+  Duration pace = 40, slowest_refusal = 0;
   uint64_t urgent_done = 0, urgent_asked = 0;
   uint64_t urgent_share = 0;
   /// One program in so many is a long dive with helpers; 0 for none.
@@ -85,7 +85,7 @@
              uint32_t n, std::string fault, std::string text);
   std::string pick_front();
   /// How long a caller keeps its session open: sometimes it loses it, and nobody waits for a frozen front.
-  Millis patience(const std::string& front);
+  Duration patience(const std::string& front);
   std::optional<uint32_t> known_turns(const std::string& program, const std::string& thread);
   Address session(const std::string& front, std::function<void(const Message&)> hear, std::function<void()> lost);
   void check_chain(const std::string& program, const std::string& thread, const std::string& body);
@@ -97,7 +97,7 @@
   std::map<std::string, std::string> whole_;
   std::map<std::string, std::vector<std::shared_ptr<Turn>>> turns_;
   std::map<Revision, std::string> acked_;
-  Millis last_success_ = 0;
+  Duration last_success_{};
   std::map<std::string, std::shared_ptr<Count>> counts_;
   void ask(std::shared_ptr<Count> c);
   void judge_counts();
--- a/tests/simulation/day.cpp
+++ b/tests/simulation/day.cpp
@@ -34,7 +34,7 @@
 }
 
 /// Serving must go on between two moments of a trouble.
-void must_serve(Day& d, Millis ms, const char* during) {
+void must_serve(Day& d, Duration ms, const char* during) {
   auto before = d.c.successes;
   d.w.run(ms);
   if (d.c.successes < before + 5)
@@ -50,7 +50,7 @@
 }
 
 /// One acknowledged change of the configuration; its revision, or 0.
-uint64_t change(Day& d, Millis patience) {
+uint64_t change(Day& d, Duration patience) {
   auto v = latest(d.w);
   if (!v || v->configuration.cells.empty())
     return 0;
@@ -70,7 +70,7 @@
   return *got;
 }
 
-void in_force(Day& d, uint64_t revision, Millis within) {
+void in_force(Day& d, uint64_t revision, Duration within) {
   auto& w = d.w;
   auto good = [&] {
     for (auto& s : w.names(Kind::gateway))
--- a/tests/simulation/day.hpp
+++ b/tests/simulation/day.hpp
@@ -10,7 +10,7 @@
   /// The day judged itself: more was lost than histories are promised to survive.
   bool closed = false;
   /// For each loss of stores: how long after their successors' start partitions still lay on too few stores.
-  std::vector<Millis> exposed;
+  std::vector<Duration> exposed;
   Day(uint64_t seed, Size z, uint64_t budget) : w(seed, z), c(w, z.models, z.apps, budget, 10) {}
   std::string any(Kind k) {
     auto v = w.names(k);
@@ -21,12 +21,12 @@
 };
 
 /// Serving must go on between two moments of a trouble.
-void must_serve(Day& d, Millis ms, const char* during);
+void must_serve(Day& d, Duration ms, const char* during);
 /// The newest value that any living controller holds.
 MetadataSnapshot latest(World& w);
 /// One acknowledged change of the configuration; its revision, or 0.
-uint64_t change(Day& d, Millis patience);
-void in_force(Day& d, uint64_t revision, Millis within);
+uint64_t change(Day& d, Duration patience);
+void in_force(Day& d, uint64_t revision, Duration within);
 
 void split(Day& d);
 void zone_lost(Day& d);
--- a/tests/simulation/losses.cpp
+++ b/tests/simulation/losses.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Within this time of a successor's start the next loss may come, on a deployment that bears two.
-constexpr Millis catch_up = 6000;
+constexpr Duration catch_up = 6000ms;
 
 /// All fronts end and start again, so that no owner's memory fills the gaps of the stores.
 void forget_owners(Day& d) {
--- a/tests/simulation/operator_request.cpp
+++ b/tests/simulation/operator_request.cpp
@@ -58,7 +58,7 @@
   turn_.notify_all();
 }
 
-void OperatorRequest::wait_until(Millis world_time) {
+void OperatorRequest::wait_until(Duration world_time) {
   auto token = ++wake_;
   w_.at(std::max(world_time, w_.now() + 1), [this, token] {
     if (token == wake_)
@@ -87,17 +87,17 @@
   }
 }
 
-Millis OperatorRequest::now() {
+TimePoint OperatorRequest::now() {
   return w_.clock(w_.node(controller_));
 }
 
-void OperatorRequest::pause(Millis ms) {
+void OperatorRequest::pause(Duration ms) {
   if (!stopped())
     wait_until(w_.now() + ms);
   thaw();
 }
 
-void OperatorRequest::inspect(const std::function<void(ControllerMachine&, Millis)>& look) {
+void OperatorRequest::inspect(const std::function<void(ControllerMachine&, TimePoint)>& look) {
   thaw();
   if (!stopped())
     look(static_cast<ControllerMachine&>(*w_.node(controller_).machine), now());
@@ -114,7 +114,7 @@
   });
 }
 
-CommitReply OperatorRequest::commit(const Transformation& t, const std::string& id, Millis patience) {
+CommitReply OperatorRequest::commit(const Transformation& t, const std::string& id, Duration patience) {
   auto until = now() + patience;
   CommitReply last{};
   last.id = id;
@@ -131,7 +131,7 @@
       if (lives())
         w_.post(controller_, e);
     });
-    wait_until(w_.now() + std::min<Millis>(kCommitAttemptTimeout + kHeartbeatInterval, until - now()));
+    wait_until(w_.now() + std::min<Duration>(kCommitAttemptTimeout + kHeartbeatInterval, until - now()));
     thaw();
     if (reply_ && reply_->id == id) {
       last = *reply_;
--- a/tests/simulation/operator_request.hpp
+++ b/tests/simulation/operator_request.hpp
@@ -14,7 +14,7 @@
 class OperatorRequest : public ControllerAccess {
  public:
   /// `took` is 0 where the process was frozen meanwhile.
-  using Then = std::function<void(std::optional<ApiResponse>, Millis took)>;
+  using Then = std::function<void(std::optional<ApiResponse>, Duration took)>;
   /// `then` hears the answer, or nothing where the process died before.
   OperatorRequest(World& w, std::string controller, ApiRequest ask, Then then);
   ~OperatorRequest();
@@ -24,16 +24,16 @@
   const Address& session() const { return session_; }
   bool over() const { return over_; }
 
-  CommitReply commit(const Transformation& t, const std::string& id, Millis patience) override;
-  void inspect(const std::function<void(ControllerMachine&, Millis)>& look) override;
-  Millis now() override;
-  void pause(Millis ms) override;
+  CommitReply commit(const Transformation& t, const std::string& id, Duration patience) override;
+  void inspect(const std::function<void(ControllerMachine&, TimePoint)>& look) override;
+  TimePoint now() override;
+  void pause(Duration ms) override;
   bool stopped() override;
 
  private:
   void serve();
   void resume();
-  void wait_until(Millis world_time);
+  void wait_until(Duration world_time);
   bool lives();
   void thaw();
   World& w_;
@@ -41,7 +41,7 @@
   ApiRequest ask_;
   Then then_;
   uint64_t life_, wake_ = 0;
-  Millis began_;
+  TimePoint began_;
   Address session_;
   std::optional<CommitReply> reply_;
   std::optional<ApiResponse> answer_;
--- a/tests/simulation/operators.cpp
+++ b/tests/simulation/operators.cpp
@@ -4,7 +4,8 @@
 
 namespace mosskeel::sim {
 
-void Callers::commit(Transformation t, std::function<void(const CommitReply&)> then, std::string id, Millis patience) {
+void Callers::commit(Transformation t, std::function<void(const CommitReply&)> then, std::string id,
+                     Duration patience) {
   if (id.empty())
     id = "sim-" + std::to_string(w_.next_random());
   auto until = w_.now() + patience;
--- a/tests/simulation/orders.cpp
+++ b/tests/simulation/orders.cpp
@@ -7,7 +7,7 @@
 namespace mosskeel::sim {
 namespace {
 
-constexpr Millis caller_silence = 1000;
+constexpr Duration caller_silence = 1000ms;
 
 /// One change, sent again word for word until its end is known or its operator gives up.
 struct Order {
@@ -18,7 +18,7 @@
   /// Built on a revision that may come to be: what was too early once may be taken later.
   bool early = false;
   int tries = 0;
-  Millis begun = 0;
+  TimePoint begun{};
   bool acknowledged = false, refused = false, over = false;
 };
 
@@ -47,7 +47,7 @@
 
  private:
   void arrive(std::shared_ptr<Order> o, const std::string& controller, bool heard);
-  void answered(const std::shared_ptr<Order>& o, const std::optional<ApiResponse>& a, Millis took);
+  void answered(const std::shared_ptr<Order>& o, const std::optional<ApiResponse>& a, Duration took);
   void request(const std::string& controller, ApiRequest ask, OperatorRequest::Then then);
   std::string any() { return d_.any(Kind::controller); }
   Day& d_;
@@ -110,7 +110,7 @@
   if (!w_.node(controller).machine)
     return;
   auto tried = o->tries;
-  request(controller, o->ask, [=, this](std::optional<ApiResponse> a, Millis took) {
+  request(controller, o->ask, [=, this](std::optional<ApiResponse> a, Duration took) {
     answered(o, a, took);
     if (!heard || !a || o->over)
       return;
@@ -124,7 +124,7 @@
 }
 
 /// Whatever a controller says is its word, whether it reaches the operator or not.
-void Operators::answered(const std::shared_ptr<Order>& o, const std::optional<ApiResponse>& a, Millis took) {
+void Operators::answered(const std::shared_ptr<Order>& o, const std::optional<ApiResponse>& a, Duration took) {
   if (!a)
     return;
   auto what = "order " + std::to_string(o->number) + " on " + std::to_string(o->base.value());
@@ -161,7 +161,7 @@
   auto c = any();
   if (!w_.node(c).machine)
     return;
-  request(c, {"GET", "/v1/config", "", {}, {}}, [=, this](std::optional<ApiResponse> a, Millis) {
+  request(c, {"GET", "/v1/config", "", {}, {}}, [=, this](std::optional<ApiResponse> a, TimePoint) {
     if (!a || a->status != 200)
       return;
     auto at = a->body.find("\"Revision\":");
@@ -199,7 +199,7 @@
 void trouble(Day& d) {
   auto& w = d.w;
   auto n = d.any(Kind::controller);
-  auto heal = [&w](Millis ms) {
+  auto heal = [&w](Duration ms) {
     w.at(w.now() + ms, [&w] { w.heal(); });
   };
   auto others = w.names(Kind::controller);
@@ -254,7 +254,7 @@
   w.net.loss = w.chance(0.5) ? 0.02 : 0;
   w.net.twice = w.chance(0.5) ? 0.05 : 0;
   auto end = w.now() + 60000;
-  Millis next_trouble = w.now() + w.below(2000);
+  TimePoint next_trouble = w.now() + w.below(2000);
   while (w.now() < end) {
     auto newest = latest(w);
     if (!newest) {
--- a/tests/simulation/replicas.cpp
+++ b/tests/simulation/replicas.cpp
@@ -43,7 +43,7 @@
 void Callers::arrive(const std::string& front, uint64_t life, const std::string& name, const ReplicaCall& ask) {
   auto& r = replicas[name];
   auto* a = &ask;
-  auto say = [this, front, life](Millis d, Message m) {
+  auto say = [this, front, life](Duration d, Message m) {
     w_.at(w_.now() + d, [this, front, life, m] {
       auto& x = w_.node(front);
       if (x.life != life || !x.machine)
--- a/tests/simulation/retention.cpp
+++ b/tests/simulation/retention.cpp
@@ -5,12 +5,12 @@
 namespace mosskeel::sim {
 namespace {
 
-constexpr Millis keep = 20000;
+constexpr Duration keep = 20000ms;
 
 /// One program's conversation, and what it was promised.
 struct Kept {
   std::string cell, program, key;
-  Millis acked = 0, promise = 0;
+  Duration acked = 0, promise = 0;
 };
 
 struct Asker {
@@ -39,7 +39,7 @@
     e.cell = k.cell, e.program = k.program;
     return go(std::move(e));
   }
-  void add(const std::string& cell, Millis promise) {
+  void add(const std::string& cell, Duration promise) {
     auto name = "r" + std::to_string(++n), key = "key" + std::to_string(n);
     if (turn(cell, name, key).status == 200)
       kept.push_back({cell, name, key, d.w.now(), promise});
@@ -66,7 +66,7 @@
   }
 };
 
-Cell brief(const std::string& name, Millis ms) {
+Cell brief(const std::string& name, Duration ms) {
   return {name, 400, 10, ms, {{"chat", "model", {}}, {"app", "app", {}}}};
 }
 
@@ -91,8 +91,8 @@
     if (k.cell == "cut" && a.turn(k.cell, k.program, k.key + "-short").status != 200)
       w.fail("a second turn failed");
   w.node(d.any(Kind::store)).rate = 30;
-  auto at = [&](Millis after) {
-    w.run(std::max<Millis>(0, a.kept.front().acked + after - w.now()));
+  auto at = [&](Duration after) {
+    w.run(std::max(Duration::zero(), a.kept.front().acked + after - w.now()));
   };
   at(keep - 500);
   for (auto& k : a.kept)
--- a/tests/simulation/scenarios.hpp
+++ b/tests/simulation/scenarios.hpp
@@ -10,7 +10,7 @@
   /// Why answers were not known, by reason.
   std::map<std::string, uint64_t> reasons;
   /// As in `Day`.
-  std::vector<Millis> exposed;
+  std::vector<Duration> exposed;
 };
 
 /// The names of all scenarios.
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -169,8 +169,8 @@
       cut(s, name), cut(name, s);
 }
 
-Millis World::clock(const Node& n) const {
-  return kProcessClockStart + n.skew + static_cast<Millis>(static_cast<double>(now_ - kProcessClockStart) * n.rate);
+Duration World::clock(const Node& n) const {
+  return kProcessClockStart + n.skew + Duration(static_cast<double>(now_ - kProcessClockStart) * n.rate);
 }
 
 bool World::ready(const std::string& front) {
@@ -178,15 +178,15 @@
   return n.machine && static_cast<GatewayMachine&>(*n.machine).ready(clock(n));
 }
 
-void World::at(Millis when, std::function<void()> f) {
+void World::at(TimePoint when, std::function<void()> f) {
   items_.push({when, ++seq_, std::move(f)});
 }
 
-void World::run(Millis ms) {
+void World::run(Duration ms) {
   until(ms, [] { return false; });
 }
 
-bool World::until(Millis ms, const std::function<bool()>& ok) {
+bool World::until(Duration ms, const std::function<bool()>& ok) {
   auto end = now_ + ms;
   while (!items_.empty() && items_.top().when <= end) {
     if (ok())
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -23,7 +23,7 @@
   };
   std::deque<Batch> waiting;
   size_t in_flight = 0;
-  Millis slow = 0;
+  Duration slow{};
 };
 
 struct Node {
@@ -39,7 +39,7 @@
   Epoch seen{};
   Revision revision{};
   /// This process's clock: another start than anybody's, and a rate of its own.
-  Millis skew = 0;
+  Duration skew{};
   double rate = 1;
 };
 
@@ -47,7 +47,7 @@
 std::string detail(const Message& m);
 
 struct Net {
-  Millis delay = 2;
+  Duration delay = 2ms;
   double loss = 0, twice = 0;
   std::set<std::pair<Address, Address>> cuts;
 };
@@ -60,16 +60,16 @@
 class World {
  public:
   World(uint64_t seed, Size size);
-  void run(Millis ms);
+  void run(Duration ms);
   /// True as soon as the condition holds, false if it does not within the time.
-  bool until(Millis ms, const std::function<bool()>& ok);
-  void at(Millis when, std::function<void()> f);
-  Millis now() const { return now_; }
+  bool until(Duration ms, const std::function<bool()>& ok);
+  void at(TimePoint when, std::function<void()> f);
+  TimePoint now() const { return now_; }
   /// What the clock of one process shows now; no two agree.
-  Millis clock(const Node& n) const;
+  Duration clock(const Node& n) const;
   bool ready(const std::string& front);
   uint64_t next_random() { return dice_(); }
-  Millis below(Millis n) { return static_cast<Millis>(dice_() % static_cast<uint64_t>(n)); }
+  Duration below(Duration n) { return Duration(dice_() % static_cast<uint64_t>(n)); }
   bool chance(double p) { return static_cast<double>(dice_() % 1000000) < p * 1e6; }
 
   Node& node(const std::string& name);
@@ -113,7 +113,7 @@
 
  private:
   struct Item {
-    Millis when;
+    TimePoint when;
     uint64_t seq;
     std::function<void()> f;
     bool operator<(const Item& o) const { return std::tie(when, seq) > std::tie(o.when, o.seq); }
@@ -128,7 +128,7 @@
   void look(Node& n);
   void die(Node& n);
   std::mt19937_64 dice_;
-  Millis now_ = kProcessClockStart;
+  TimePoint now_ = kProcessClockStart;
   uint64_t seq_ = 0;
   std::priority_queue<Item> items_;
   std::map<std::string, std::unique_ptr<Node>> nodes_;
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 /// The shortest time that a deployment's settings give a successor to catch up.
-constexpr Millis kCatchUpTime = 4200;
+constexpr Duration kCatchUpTime = 4200ms;
 /// A cluster is founded and its supervisor at work by then.
-constexpr Millis kFoundingTime = 8000;
+constexpr Duration kFoundingTime = 8000ms;
 
 const std::set<std::string> kFirstThree{"controller1", "controller2", "controller3"};
 
@@ -79,11 +79,11 @@
     return addresses;
   }
 
-  bool wait_for_members(Millis timeout, const std::set<std::string>& expected) {
+  bool wait_for_members(Duration timeout, const std::set<std::string>& expected) {
     return world.until(timeout, [&] { return members() == expected; });
   }
 
-  bool wait_for_member_count(Millis timeout, size_t expected) {
+  bool wait_for_member_count(Duration timeout, size_t expected) {
     return world.until(timeout, [&] { return metadata()->members.size() == expected; });
   }
 
@@ -125,7 +125,7 @@
     SimulatedControllers cluster(seed, 6);
     for (const std::string& name : cluster.names()) {
       cluster.world.kill(name);
-      Millis latest_start = seed % 2 ? 400 : 9000;
+      TimePoint latest_start = seed % 2 ? 400 : 9000;
       cluster.world.at(cluster.world.now() + cluster.world.below(latest_start),
                        [&cluster, name] { cluster.world.start(name); });
     }
@@ -212,7 +212,7 @@
 }
 
 TEST_CASE("CoreMembershipPolicy replaces a lost member within the catch-up time of its successor's start") {
-  Millis longest = 0;
+  Duration longest{};
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
@@ -226,7 +226,7 @@
     std::set<std::string> expected = kFirstThree;
     expected.erase(lost);
     expected.insert("controller9");
-    Millis start = cluster.world.now();
+    TimePoint start = cluster.world.now();
     CHECK(cluster.wait_for_members(2 * kCatchUpTime, expected));
     longest = std::max(longest, cluster.world.now() - start);
     cluster.check_no_failures();
@@ -236,7 +236,7 @@
 }
 
 TEST_CASE("CoreMembershipPolicy replaces a member that returns with an empty disk by itself within the catch-up time") {
-  Millis longest = 0;
+  Duration longest{};
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
@@ -247,7 +247,7 @@
     cluster.world.wipe(lost);
     cluster.world.run(cluster.world.below(2000));
     cluster.world.start(lost);
-    Millis start = cluster.world.now();
+    TimePoint start = cluster.world.now();
     Incarnation incarnation = cluster.world.node(lost).id.self.incarnation;
     CHECK(cluster.world.until(2 * kCatchUpTime, [&] { return cluster.metadata()->is_core_member(incarnation); }));
     longest = std::max(longest, cluster.world.now() - start);
@@ -380,7 +380,7 @@
 
 /// Wipes these, waits for the re-founding that follows, and puts the old disks back at the old addresses.
 void refound_and_put_back(SimulatedControllers& cluster, const std::vector<std::string>& lost,
-                          const std::vector<std::string>& back, Millis pause) {
+                          const std::vector<std::string>& back, Duration pause) {
   struct OldDisk {
     Incarnation incarnation;
     sim::SimDisk content;
@@ -438,7 +438,7 @@
 }
 
 TEST_CASE("GracefulShutdown hands the lease over and has the member removed before it stops") {
-  Millis longest = 0;
+  Duration longest{};
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 4);
@@ -446,7 +446,7 @@
     REQUIRE(cluster.wait_for_member_count(12000, 4));
     REQUIRE(cluster.world.until(5000, [&] { return !cluster.supervisor().empty(); }));
     std::string leaver = cluster.supervisor();
-    Millis start = cluster.world.now();
+    TimePoint start = cluster.world.now();
     sim::Node& node = cluster.world.node(leaver);
     static_cast<ControllerMachine&>(*node.machine).begin_shutdown(cluster.world.clock(node));
     CHECK(cluster.world.until(1000, [&] { return !node.machine; }));
--- a/tests/unit/consensus/in_force_test.cpp
+++ b/tests/unit/consensus/in_force_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Millis kStart = 1000;
+constexpr TimePoint kStart{1000ms};
 constexpr Epoch kEpoch{5};
 
 Candidate candidate(uint64_t number, Role role) {
@@ -19,7 +19,7 @@
 struct Fleet {
   Metadata metadata;
   FailureDetector detector{kStart};
-  Millis now = kStart;
+  TimePoint now = kStart;
 
   Fleet() {
     metadata.cluster = 7;
--- a/tests/unit/consensus/proposer_test.cpp
+++ b/tests/unit/consensus/proposer_test.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr Millis kFoundingTimeout = 30000;
-constexpr Millis kSettleTime = 3000;
+constexpr Duration kFoundingTimeout = 30000ms;
+constexpr Duration kSettleTime = 3000ms;
 /// As an operator's request has it.
-constexpr Millis kCommitTimeoutOfOperators = 900;
+constexpr Duration kCommitTimeoutOfOperators = 900ms;
 
 /// A small cluster with three controllers that know each other, and the replies that their local requesters got.
 struct SimulatedCore {
@@ -28,7 +28,7 @@
   }
 
   void commit(const std::string& controller, const Address& requester, const std::string& id,
-              const Transformation& change, Millis timeout = 0) {
+              const Transformation& change, Duration timeout = 0) {
     Envelope envelope{};
     envelope.from = requester;
     envelope.cluster = view(controller)->cluster;
@@ -64,7 +64,7 @@
 
 TEST_CASE("Proposer rejects no commit that came after the quorum read began") {
   for (int i = 0; i < 60; ++i) {
-    Millis healed_after = 1500 + 10 * i;
+    Duration healed_after = 1500 + 10 * i;
     INFO("healed " << healed_after << " ms after the first commit");
     SimulatedCore core(7);
     core.world.net.delay = 100;
@@ -84,7 +84,7 @@
 
 TEST_CASE("Proposer never proposes a commit again whose outcome was told to be unknown before any accept request") {
   for (int i = 0; i < 40; ++i) {
-    Millis healed_after = 930 + 10 * i;
+    Duration healed_after = 930 + 10 * i;
     INFO("healed " << healed_after << " ms after the commit");
     SimulatedCore core(11);
     core.world.isolate("controller1");
@@ -102,7 +102,7 @@
 
 TEST_CASE("Proposer acknowledges one of two changes on one base, wherever a network partition falls") {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
-    for (Millis isolated_after = 0; isolated_after <= 16; ++isolated_after) {
+    for (Duration isolated_after{}; isolated_after <= 16; ++isolated_after) {
       INFO("seed " << seed << ", isolated after " << isolated_after << " ms");
       SimulatedCore core(seed);
       Revision base = core.view("controller1")->revision;
@@ -114,7 +114,7 @@
       core.world.isolate("controller1");
       core.world.run(1000 - isolated_after);
       core.commit("controller2", "local:second", "second", second, kCommitTimeoutOfOperators);
-      core.world.run(static_cast<Millis>(seed) * 200);
+      core.world.run(Duration(seed) * 200);
       core.world.heal();
       core.world.run(2000);
       core.commit("controller3", "local:first again", "first", first, kCommitTimeoutOfOperators);
--- a/tests/unit/consensus/sequence_barrier_test.cpp
+++ b/tests/unit/consensus/sequence_barrier_test.cpp
@@ -11,7 +11,7 @@
 TEST_CASE("A step that moves partitions needs a recent heartbeat of each new store that has streamed this sequence") {
   StoreFleet fleet(8);
   FailureDetector detector(1000);
-  Millis now = 1000;
+  TimePoint now = 1000;
   auto leaver = fleet.id("store11");
   fleet.commit(PrepareDrain{leaver});
   fleet.commit(AdvanceSequence{leaver, SequenceStep::start});
--- a/tests/unit/consensus/stale_log_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Millis kStart = kProcessClockStart;
-constexpr Millis kSeveralLeases = 10000;
+constexpr TimePoint kStart = kProcessClockStart;
+constexpr Duration kSeveralLeases = 10000ms;
 constexpr uint64_t kCluster = 7;
 
 Candidate controller(uint64_t number) {
@@ -31,7 +31,7 @@
   Metadata newest_metadata{};
   std::vector<Entry> missing_entries;
   std::unique_ptr<ControllerMachine> machine;
-  Millis now = kStart;
+  TimePoint now = kStart;
 
   RestartedController() {
     apply_entry(old_metadata, {Epoch{1}, "", FoundCluster{kCluster, 3, {controller(1), controller(2), controller(3)}}});
@@ -69,7 +69,7 @@
 
   /// Lets time pass; the others grant each lease that is requested, stamped with `epoch`, and send nothing else.
   bool becomes_supervisor_with_grants_at(Epoch epoch) {
-    for (Millis end = now + kSeveralLeases; now < end; now += kTickInterval) {
+    for (Duration end = now + kSeveralLeases; now < end; now += kTickInterval) {
       grant_leases(machine->tick(now), epoch);
       if (machine->is_supervisor(now))
         return true;
--- a/tests/unit/consensus/supervisor_lease_test.cpp
+++ b/tests/unit/consensus/supervisor_lease_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Millis kStart = 1000;
+constexpr TimePoint kStart{1000ms};
 
 Candidate controller(uint64_t number) {
   std::string address = "controller" + std::to_string(number);
@@ -35,7 +35,7 @@
   }
 
   /// Whether this member grants the lease to another one.
-  bool grants(uint64_t requester, Millis now) {
+  bool grants(uint64_t requester, TimePoint now) {
     lease.handle(from(requester), LeaseRequest{1}, now);
     Actions actions = outbox.take();
     REQUIRE(actions.now.size() == 1);
@@ -43,14 +43,14 @@
   }
 
   /// Requests the lease of all members; returns the request's id.
-  uint64_t request(Millis now) {
+  uint64_t request(TimePoint now) {
     lease.tick(now);
     Actions actions = outbox.take();
     REQUIRE(actions.now.size() == 3);
     return std::get<LeaseRequest>(actions.now.front().body).request_id;
   }
 
-  void receive_grant(uint64_t member, uint64_t request_id, Millis now) {
+  void receive_grant(uint64_t member, uint64_t request_id, TimePoint now) {
     lease.handle(from(member), LeaseGrant{request_id, true, {}}, now);
   }
 };
@@ -61,7 +61,7 @@
   LeaseOfMember member;
 
   CHECK_FALSE(member.grants(2, kStart + kSupervisorLeaseDuration - 1));
-  Millis granted_at = kStart + kSupervisorLeaseDuration;
+  TimePoint granted_at = kStart + kSupervisorLeaseDuration;
   CHECK(member.grants(2, granted_at));
   CHECK_FALSE(member.grants(3, granted_at + kSupervisorLeaseDuration - 1));
   CHECK(member.grants(2, granted_at + kSupervisorLeaseDuration - 1));
@@ -70,7 +70,7 @@
 
 TEST_CASE("SupervisorLease goes to another at once when its holder shuts down") {
   LeaseOfMember member;
-  Millis granted_at = kStart + kSupervisorLeaseDuration;
+  TimePoint granted_at = kStart + kSupervisorLeaseDuration;
   REQUIRE(member.grants(2, granted_at));
 
   member.lease.on_shutdown_of(Incarnation{2}, granted_at + 1);
@@ -80,14 +80,14 @@
 
 TEST_CASE("SupervisorLease is held from a majority's grants until its margin before the end") {
   LeaseOfMember holder;
-  Millis requested_at = kStart + kSupervisorLeaseDuration;
+  TimePoint requested_at = kStart + kSupervisorLeaseDuration;
   uint64_t request_id = holder.request(requested_at);
 
   holder.receive_grant(1, request_id, requested_at + 10);
   CHECK_FALSE(holder.lease.is_held(requested_at + 10));
   holder.receive_grant(2, request_id, requested_at + 20);
 
-  Millis end = requested_at + kSupervisorLeaseDuration - kSupervisorLeaseMargin;
+  Duration end = requested_at + kSupervisorLeaseDuration - kSupervisorLeaseMargin;
   CHECK(holder.lease.is_held(requested_at + 20));
   CHECK(holder.lease.is_held(end - 1));
   CHECK_FALSE(holder.lease.is_held(end));
@@ -95,11 +95,11 @@
 
 TEST_CASE("SupervisorLease counts no grant of an earlier request, nor two of one member") {
   LeaseOfMember holder;
-  Millis requested_at = kStart + kSupervisorLeaseDuration;
+  TimePoint requested_at = kStart + kSupervisorLeaseDuration;
   uint64_t first_request = holder.request(requested_at);
   holder.receive_grant(1, first_request, requested_at + 10);
   uint64_t second_request = holder.request(requested_at + kSupervisorLeaseRenewInterval);
-  Millis now = requested_at + kSupervisorLeaseRenewInterval + 10;
+  TimePoint now = requested_at + kSupervisorLeaseRenewInterval + 10;
 
   holder.receive_grant(2, first_request, now);
   holder.receive_grant(3, second_request, now);
@@ -110,7 +110,7 @@
 
 TEST_CASE("SupervisorLease that was resigned is not requested again") {
   LeaseOfMember holder;
-  Millis requested_at = kStart + kSupervisorLeaseDuration;
+  TimePoint requested_at = kStart + kSupervisorLeaseDuration;
   uint64_t request_id = holder.request(requested_at);
   holder.receive_grant(1, request_id, requested_at + 10);
   holder.receive_grant(2, request_id, requested_at + 10);
--- a/tests/unit/control/control_session_test.cpp
+++ b/tests/unit/control/control_session_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Millis kStart = 1000;
+constexpr TimePoint kStart{1000ms};
 const char* const kDocument = R"({"Revision":7,"Routes":[],"Services":[{"Name":"s"}]})";
 
 CommitReply make_reply(CommitOutcome outcome, Rejection rejection = Rejection::none) {
@@ -25,12 +25,12 @@
 /// result can be read off it.
 struct ScriptedController : ControllerAccess {
   ControllerMachine machine{Identity{{Incarnation{1}, Role::controller, "z", "c1", "", ""}, {}, 3, 1}, {}, kStart};
-  Millis clock = kStart;
+  Duration clock = kStart;
   /// How long each commit takes.
-  Millis delay = 0;
+  Duration delay{};
   std::vector<CommitReply> replies;
 
-  CommitReply commit(const Transformation&, const std::string&, Millis timeout) override {
+  CommitReply commit(const Transformation&, const std::string&, Duration timeout) override {
     clock += std::min(delay, timeout);
     auto reply = make_reply(CommitOutcome::unknown);
     if (!replies.empty()) {
@@ -39,9 +39,9 @@
     }
     return delay > timeout ? make_reply(CommitOutcome::unknown) : reply;
   }
-  void inspect(const std::function<void(ControllerMachine&, Millis)>& look) override { look(machine, clock); }
-  Millis now() override { return clock; }
-  void pause(Millis duration) override { clock += duration; }
+  void inspect(const std::function<void(ControllerMachine&, TimePoint)>& look) override { look(machine, clock); }
+  TimePoint now() override { return clock; }
+  void pause(Duration duration) override { clock += duration; }
   bool stopped() override { return false; }
 };
 
@@ -94,7 +94,7 @@
 TEST_CASE("ControlSession ends a request of several commits within one deadline") {
   const auto* protocol = find_control_protocol("platform");
   REQUIRE(protocol);
-  for (Millis delay : {100, 300, 500, 800, 1000, 5000}) {
+  for (Duration delay : {100, 300, 500, 800, 1000, 5000}) {
     for (const auto* method : {"PUT", "PATCH", "GET"}) {
       INFO(method << " with commits of " << delay << " ms");
       ScriptedController controller;
--- a/tests/unit/history/partition_repair_test.cpp
+++ b/tests/unit/history/partition_repair_test.cpp
@@ -45,7 +45,7 @@
   }
 
   std::map<Address, std::unique_ptr<StoreMachine>> stores_;
-  Millis now_ = kStart + kRepairMinimumAge + 1;
+  TimePoint now_ = kStart + kRepairMinimumAge + 1;
 };
 
 /// Each of the 64 partitions is compared with two stores, and those that differ take some steps more.
--- a/tests/unit/history/partition_streams_test.cpp
+++ b/tests/unit/history/partition_streams_test.cpp
@@ -23,10 +23,10 @@
   }
 
   /// Lets the store's timers run; the pages that it requests.
-  std::vector<Envelope> tick(Millis now) { return take_requests(store_.tick(now)); }
+  std::vector<Envelope> tick(TimePoint now) { return take_requests(store_.tick(now)); }
 
   /// The same, and carries requests and pages until none is in flight. Silent sources answer nothing.
-  void tick_and_stream(Millis now, const std::set<Address>& silent_sources = {}) {
+  void tick_and_stream(TimePoint now, const std::set<Address>& silent_sources = {}) {
     auto requests = tick(now);
     while (!requests.empty()) {
       most_pages_in_flight_ = std::max(most_pages_in_flight_, store_.streams().pages_in_flight(now));
@@ -100,7 +100,7 @@
   StreamingStore streaming(50, 2, 1000);
 
   CHECK(streaming.tick(kStart + kTickInterval).size() == 3);
-  for (Millis elapsed = 2 * kTickInterval; elapsed < kStreamPageTimeout; elapsed += kTickInterval)
+  for (Duration elapsed = 2 * kTickInterval; elapsed < kStreamPageTimeout; elapsed += kTickInterval)
     CHECK(streaming.tick(kStart + elapsed).empty());
   CHECK(streaming.tick(kStart + kTickInterval + kStreamPageTimeout).size() == 3);
 }
@@ -108,7 +108,7 @@
 TEST_CASE("Partitions are streamed though one of their stores is silent") {
   StreamingStore streaming(100, 2, 4000);
 
-  for (Millis elapsed = kTickInterval; elapsed < 4 * kStreamPageTimeout; elapsed += kTickInterval)
+  for (Duration elapsed = kTickInterval; elapsed < 4 * kStreamPageTimeout; elapsed += kTickInterval)
     streaming.tick_and_stream(kStart + elapsed, {"daemon3"});
 
   CHECK(streaming.store().streams().completed_sequence() == kPendingEpoch);
--- a/tests/unit/history/store_fixture.hpp
+++ b/tests/unit/history/store_fixture.hpp
@@ -7,7 +7,7 @@
 
 namespace mosskeel::test {
 
-constexpr Millis kStart = kProcessClockStart;
+constexpr TimePoint kStart = kProcessClockStart;
 constexpr uint64_t kCluster = 7;
 const Incarnation kOwner{100};
 const Epoch kCurrentEpoch{50};
--- a/tests/unit/history/store_machine_test.cpp
+++ b/tests/unit/history/store_machine_test.cpp
@@ -147,7 +147,7 @@
 TEST_CASE("A store keeps the histories of partitions that are still moving to other stores") {
   StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 100, 1, 1000), kStart);
 
-  for (Millis elapsed = 0; elapsed < 3 * kMovedPartitionKeepTime; elapsed += kMovedPartitionScanInterval)
+  for (Duration elapsed{}; elapsed < 3 * kMovedPartitionKeepTime; elapsed += kMovedPartitionScanInterval)
     store.tick(kStart + elapsed);
 
   CHECK(store.history_count() == 100);
--- a/tests/unit/messages/golden_examples.cpp
+++ b/tests/unit/messages/golden_examples.cpp
@@ -553,7 +553,7 @@
 }
 
 History history(uint64_t base) {
-  return {.term = Epoch{base + 1}, .records = records(base), .written_at = static_cast<Millis>(base + 2)};
+  return {.term = Epoch{base + 1}, .records = records(base), .written_at = Duration(base + 2)};
 }
 
 StoredPartition stored_partition(uint64_t base) {
--- a/tests/unit/metadata/replica_list_reconciler_test.cpp
+++ b/tests/unit/metadata/replica_list_reconciler_test.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr Millis kStart = kProcessClockStart;
+constexpr TimePoint kStart = kProcessClockStart;
 
-Replica listed(const std::string& name, ReplicaHealth health, Millis cold_ms = 0) {
+Replica listed(const std::string& name, ReplicaHealth health, Duration cold_ms = 0) {
   return {name, "listed", "z", "http://10.0.0.1:80", health, {}, 8, "s", cold_ms};
 }
 
@@ -21,7 +21,7 @@
   ReplicaListReconciler reconciler;
 
   /// Compares a reading with the log and commits the difference.
-  std::optional<UpdateReplicas> read(const std::vector<Replica>& replicas, Millis now) {
+  std::optional<UpdateReplicas> read(const std::vector<Replica>& replicas, TimePoint now) {
     auto change = reconciler.reconcile(metadata.replicas, replicas, now);
     if (change)
       metadata = apply(metadata, {next(metadata.epoch), "", *change}).value();
--- a/tests/unit/net/event_loop_test.cpp
+++ b/tests/unit/net/event_loop_test.cpp
@@ -66,12 +66,12 @@
 TEST_CASE("DeadlineTimer expires once, at the deadline that was set last") {
   EventLoop loop;
   int expirations = 0;
-  Millis expired_at = 0;
+  TimePoint expired_at{};
   DeadlineTimer deadline(loop, [&] {
     ++expirations;
-    expired_at = monotonic_ms();
+    expired_at = monotonic_now();
   });
-  auto begin = monotonic_ms();
+  auto begin = monotonic_now();
 
   SECTION("moved later") {
     deadline.set(5);
--- a/tests/unit/net/faulty_replica.hpp
+++ b/tests/unit/net/faulty_replica.hpp
@@ -116,7 +116,7 @@
     }
   }
   void send_later(uint64_t id, std::string bytes) {
-    auto delay = static_cast<Millis>(random_below(10));
+    auto delay = Duration(random_below(10));
     timers_.push_back(loop_.run_after(delay, [this, id, bytes = std::move(bytes)] { send(id, bytes); }));
   }
   void receive(uint64_t id) {
@@ -142,7 +142,7 @@
     }
     connection.received.erase(0, request_size);
     auto attempt = std::string(header_value(head.fields, "Mosskeel-Attempt-Id"));
-    auto delay = static_cast<Millis>(random_below(20));
+    auto delay = Duration(random_below(20));
     timers_.push_back(loop_.run_after(delay, [this, id, attempt] { respond(id, attempt); }));
   }
   void reject(uint64_t id, const std::string& status, const std::string& fields) {
--- a/tests/unit/net/http_frontend_faults_test.cpp
+++ b/tests/unit/net/http_frontend_faults_test.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr int concurrent_callers = 12;
-constexpr Millis path_timeout_ms = 250;
-constexpr Millis tick_interval_ms = 5;
-constexpr Millis test_timeout_ms = 30000;
+constexpr Duration path_timeout_ms = 250ms;
+constexpr Duration tick_interval_ms = 5ms;
+constexpr Duration test_timeout_ms = 30000ms;
 
 /// One attempt of a caller and what came back.
 struct Attempt {
@@ -77,7 +77,7 @@
     frontend->tick();
   }
   bool one_in(uint64_t count) { return random() % count == 0; }
-  Millis random_delay(uint64_t bound) { return static_cast<Millis>(random() % bound); }
+  Duration random_delay(uint64_t bound) { return Duration(random() % bound); }
 
   void begin_next_request() {
     if (requests_left <= 0) {
@@ -159,8 +159,8 @@
   INFO("seed " << seed);
   FaultsFixture fixture(static_cast<uint64_t>(seed), 250, 40, true);
 
-  auto deadline = monotonic_ms() + test_timeout_ms;
-  while (!fixture.done() && monotonic_ms() < deadline) {
+  auto deadline = monotonic_now() + test_timeout_ms;
+  while (!fixture.done() && monotonic_now() < deadline) {
     run_iterations(fixture.loop, 20);
   }
 
@@ -177,10 +177,10 @@
   FaultsFixture fixture(static_cast<uint64_t>(seed), 150, 0, false);
   bool closing = false;
   bool draining = false;
-  auto begin = monotonic_ms();
+  auto begin = monotonic_now();
 
   REQUIRE(run_until(fixture.loop, [&] {
-    auto elapsed = monotonic_ms() - begin;
+    auto elapsed = monotonic_now() - begin;
     if (elapsed > 30 && !std::exchange(closing, true)) {
       fixture.frontend->close_after_responses();
     }
--- a/tests/unit/net/socket_peer.hpp
+++ b/tests/unit/net/socket_peer.hpp
@@ -14,9 +14,9 @@
 /// @return whether it holds; false after 5 s without.
 template <class Condition>
 bool run_until(EventLoop& loop, Condition holds) {
-  auto deadline = monotonic_ms() + 5000;
+  auto deadline = monotonic_now() + 5000;
   std::function<void()> check = [&] {
-    if (holds() || monotonic_ms() > deadline) {
+    if (holds() || monotonic_now() > deadline) {
       loop.stop();
     } else {
       loop.run_after(1, check);
--- a/tests/unit/net/upstream_client_test.cpp
+++ b/tests/unit/net/upstream_client_test.cpp
@@ -334,7 +334,7 @@
 
 TEST_CASE("UpstreamClient leaves a connection alone that was idle for longer than a request allows") {
   UpstreamClientFixture fixture;
-  auto exchange_with_max_idle = [&](Millis max_idle) {
+  auto exchange_with_max_idle = [&](Duration max_idle) {
     auto request = fixture.make_request();
     request.max_idle_ms = max_idle;
     auto id = fixture.send(std::move(request));
@@ -342,8 +342,8 @@
     CHECK(fixture.wait_for_outcome(id).completions == 1);
   };
   exchange_with_max_idle(0);
-  auto idle_until = monotonic_ms() + 30;
-  run_until(fixture.loop, [&] { return monotonic_ms() > idle_until; });
+  auto idle_until = monotonic_now() + 30;
+  run_until(fixture.loop, [&] { return monotonic_now() > idle_until; });
 
   exchange_with_max_idle(20);
   CHECK(fixture.client.connections_opened() == 2);
--- a/tests/unit/programs/gateway_shutdown_test.cpp
+++ b/tests/unit/programs/gateway_shutdown_test.cpp
@@ -17,7 +17,7 @@
 }
 
 /// Lets time pass; whether the machine stops by itself meanwhile.
-bool stops_within(GatewayMachine& gateway, Millis& now, Millis duration) {
+bool stops_within(GatewayMachine& gateway, TimePoint& now, Duration duration) {
   for (auto end = now + duration; now < end; now += kTickInterval) {
     if (gateway.tick(now).stop)
       return true;
@@ -28,7 +28,7 @@
 }  // namespace
 
 TEST_CASE("GatewayMachine does not stop while the routing thread has open sessions") {
-  Millis now = kProcessClockStart;
+  TimePoint now = kProcessClockStart;
   GatewayMachine gateway(unregistered_gateway(), now);
   gateway.set_open_routing_sessions(1);
   gateway.begin_shutdown();
--- a/tests/unit/programs/majority_contact_test.cpp
+++ b/tests/unit/programs/majority_contact_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Millis kStart = kProcessClockStart;
+constexpr TimePoint kStart = kProcessClockStart;
 
 Candidate candidate(uint64_t incarnation, Role role, const std::string& address, const std::string& agent = "") {
   return {Incarnation{incarnation}, role, "zone", address, agent, "http-" + address, address};
@@ -29,15 +29,15 @@
   Entry next_entry() const { return {next(metadata_.epoch), "", Register{candidate(31, Role::store, "store")}}; }
 
   /// The agent's answer to a heartbeat that was sent then.
-  void answer_heartbeat(Millis sent, Epoch epoch, std::optional<Metadata> checkpoint = std::nullopt) {
+  void answer_heartbeat(Duration sent, Epoch epoch, std::optional<Metadata> checkpoint = std::nullopt) {
     HeartbeatReply reply{epoch, std::move(checkpoint), {}, 0, true, sent};
     machine.step(envelope(epoch, std::move(reply)), sent);
   }
   /// A message that is stamped with an epoch which the gateway does not have.
-  Actions receive_stamped(Epoch epoch, Millis now) {
+  Actions receive_stamped(Epoch epoch, TimePoint now) {
     return machine.step(envelope(epoch, ProgramRequestAcknowledgement{"unknown attempt"}), now);
   }
-  void receive_entry(const Entry& entry, Millis now) { machine.step(envelope(entry.epoch, Decided{entry}), now); }
+  void receive_entry(const Entry& entry, TimePoint now) { machine.step(envelope(entry.epoch, Decided{entry}), now); }
 
  private:
   void commit(const Transformation& transformation) {
@@ -84,7 +84,7 @@
 
   for (uint64_t i = 0; i < 20; ++i) {
     Epoch later{gateway.epoch().value() + 1 + i};
-    gateway.receive_stamped(later, kStart + 10 + static_cast<Millis>(i) * 50);
+    gateway.receive_stamped(later, kStart + 10 + Duration(i) * 50);
   }
 
   CHECK_FALSE(gateway.machine.has_majority_contact(kStart + 10 + kIsolationTimeout / 2));
@@ -109,7 +109,7 @@
   auto missing = next(gateway.epoch());
 
   size_t requests = 0;
-  for (Millis i = 0; i < 100; ++i)
+  for (Duration i{}; i < 100; ++i)
     requests += catchup_requests(gateway.receive_stamped(missing, kStart + 10 + i));
   auto requests_later = catchup_requests(gateway.receive_stamped(missing, kStart + 10 + kCatchUpInterval));
 
--- a/tests/unit/programs/program_requests_test.cpp
+++ b/tests/unit/programs/program_requests_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr const char* kTestSession = "local:test";
-constexpr Millis kResponseTimeout = 20000;
+constexpr Duration kResponseTimeout = 20000ms;
 
 /// A cluster that serves the cell "news", and a caller that asks one thing after the other.
 class ProgramCluster {
@@ -38,7 +38,7 @@
     return send(std::move(request), "gateway2");
   }
 
-  void set_retention(Millis retention) {
+  void set_retention(Duration retention) {
     auto configuration = world.node("controller1").machine->view()->configuration;
     configuration.cells[0].retention_ms = retention;
     bool is_committed = false;
--- a/tests/unit/programs/replica_selector_test.cpp
+++ b/tests/unit/programs/replica_selector_test.cpp
@@ -15,7 +15,7 @@
   struct Row {
     ReplicaHealth health;
     uint32_t capacity;
-    Millis elapsed;
+    Duration elapsed;
     uint32_t expected_sum;
   };
   const Row rows[] = {{ReplicaHealth::ready, 32, 0, 32},
--- a/tests/unit/programs/request_queue_test.cpp
+++ b/tests/unit/programs/request_queue_test.cpp
@@ -58,7 +58,7 @@
   queue.record_departure("model", 2000 + 1000);
 
   auto interval = 1000 * kQueuePaceSmoothing;
-  CHECK(queue.expected_wait("model", false) == static_cast<Millis>(4 * interval));
-  CHECK(queue.expected_wait("model", true) == static_cast<Millis>(1 * interval));
+  CHECK(queue.expected_wait("model", false) == Duration(4 * interval));
+  CHECK(queue.expected_wait("model", true) == Duration(1 * interval));
   CHECK(queue.expected_wait("app", false) == 0);
 }
--- a/tests/unit/replication/agent_shutdown_test.cpp
+++ b/tests/unit/replication/agent_shutdown_test.cpp
@@ -23,7 +23,7 @@
   return identity;
 }
 
-Envelope heartbeat_of(const Candidate& gateway, bool is_shutting_down, Millis now) {
+Envelope heartbeat_of(const Candidate& gateway, bool is_shutting_down, TimePoint now) {
   Heartbeat heartbeat{};
   heartbeat.self = gateway;
   heartbeat.sent = now;
@@ -35,7 +35,7 @@
 }
 
 /// Lets time pass; whether the machine stops by itself meanwhile.
-bool stops_within(AgentMachine& agent, Millis& now, Millis duration) {
+bool stops_within(AgentMachine& agent, TimePoint& now, Duration duration) {
   for (auto end = now + duration; now < end; now += kTickInterval) {
     if (agent.tick(now).stop)
       return true;
@@ -46,7 +46,7 @@
 }  // namespace
 
 TEST_CASE("An agent that shuts down outlives a gateway that gets no processor time for a second") {
-  Millis now = kProcessClockStart;
+  TimePoint now = kProcessClockStart;
   AgentMachine agent(agent_identity(), now);
   agent.leave();
 
@@ -57,7 +57,7 @@
 }
 
 TEST_CASE("An agent that shuts down stops as soon as its gateway was restarted") {
-  Millis now = kProcessClockStart;
+  TimePoint now = kProcessClockStart;
   AgentMachine agent(agent_identity(), now);
   agent.step(heartbeat_of(gateway_of_incarnation(1), true, now), now);
   agent.leave();
--- a/tests/unit/replication/catchup_test.cpp
+++ b/tests/unit/replication/catchup_test.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Milliseconds; between changes, as in a storm of an operator's.
-constexpr Millis kChangeInterval = 120;
-/// Milliseconds; for one change, elections included.
-constexpr Millis kChangeTimeout = 10000;
-/// Milliseconds; a heartbeat, a lost request and the reply.
-constexpr Millis kMaxCatchUpTime = 1500;
-/// Milliseconds; discovery and registration come before.
-constexpr Millis kMaxNewMemberCatchUpTime = 4000;
+/// Between changes, as in a storm of an operator's.
+constexpr Duration kChangeInterval = 120ms;
+/// For one change, elections included.
+constexpr Duration kChangeTimeout = 10000ms;
+/// A heartbeat, a lost request and the reply.
+constexpr Duration kMaxCatchUpTime = 1500ms;
+/// Discovery and registration come before.
+constexpr Duration kMaxNewMemberCatchUpTime = 4000ms;
 /// Changes that go on while a member catches up.
 constexpr int kChangesMeanwhile = 8;
 /// Changes after which a member that has not caught up is given up.
@@ -28,7 +28,7 @@
 /// What it took a member to catch up.
 struct CatchUpCost {
   /// Milliseconds from its return; -1 while it has not caught up.
-  Millis time = -1;
+  Duration time = -1;
   /// Bytes of all entries and snapshots that were sent to it.
   size_t bytes = 0;
   /// Bytes of one entry and of one snapshot at the end.
--- a/tests/unit/routing/load_balancer_test.cpp
+++ b/tests/unit/routing/load_balancer_test.cpp
@@ -12,7 +12,7 @@
 struct BalancerFixture {
   Metadata metadata = served();
   LoadBalancer balancer;
-  Millis now = 1000;
+  TimePoint now = 1000;
 
   /// Lets the balancer of this gateway see `metadata`.
   void update(uint64_t gateway = 1) {
@@ -99,7 +99,7 @@
     fixture.metadata.configuration.services[0].cold_per_s = permitted_per_second;
     fixture.update(gateway);
 
-    std::vector<Millis> sent_at;
+    std::vector<TimePoint> sent_at;
     for (; fixture.now < 6000; ++fixture.now)
       while (fixture.start_attempt() == "app1")
         sent_at.push_back(fixture.now);
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -71,19 +71,19 @@
 struct RouterFixture {
   Metadata metadata = served();
   RequestRouter router{*find_protocol_codec("platform")};
-  Millis now = 1000;
+  TimePoint now = 1000;
   /// What the last event or tick led to.
   Actions actions;
   RequestId last_request_id = 0;
 
   RouterFixture() { publish(); }
   /// Lets the router see `metadata`, with majority contact until `dispatch_until`.
-  void publish(Millis dispatch_until = 1000000) {
+  void publish(TimePoint dispatch_until = 1000000) {
     RoutingSnapshot snapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, dispatch_until, true, false};
     router.update(std::make_shared<RoutingSnapshot>(std::move(snapshot)), now);
   }
   void handle(Event event) { actions = router.handle(std::move(event), now); }
-  void advance(Millis elapsed) {
+  void advance(Duration elapsed) {
     now += elapsed;
     actions = router.tick(now);
   }
--- a/tests/unit/routing/turn_client_test.cpp
+++ b/tests/unit/routing/turn_client_test.cpp
@@ -15,7 +15,7 @@
   Outbox outbox{identity};
   MetadataLog metadata_log;
   TurnClient client{outbox, metadata_log};
-  Millis now = 1000;
+  TimePoint now = 1000;
 
   ClientFixture() { metadata_log.install_snapshot(small_fleet()); }
   void receive_from_router(Message body) {
--- a/tests/unit/routing/turn_owner_fixture.hpp
+++ b/tests/unit/routing/turn_owner_fixture.hpp
@@ -49,7 +49,7 @@
   MetadataLog metadata_log;
   HistoryWriter history_writer{outbox, metadata_log};
   TurnCoordinator coordinator{outbox, metadata_log, history_writer};
-  Millis now = 1000;
+  TimePoint now = 1000;
 
   Owner() {
     metadata_log.install_snapshot(small_fleet());
--- a/tests/unit/runtime/golden_folders.cpp
+++ b/tests/unit/runtime/golden_folders.cpp
@@ -9,7 +9,7 @@
 namespace mosskeel::golden {
 namespace {
 
-constexpr Millis start_time = kProcessClockStart;
+constexpr Duration start_time = kProcessClockStart;
 constexpr int history_count = 200;
 
 Candidate controller(uint64_t number, const std::string& zone) {
@@ -255,7 +255,7 @@
       receive(controller(2, "b"), Decided{.entry = entry});
   }
 
-  Actions let_time_pass(Millis duration) {
+  Actions let_time_pass(Duration duration) {
     now_ += duration;
     return write_journal(machine_->tick(now_));
   }
@@ -296,7 +296,7 @@
   std::string folder_;
   Identity identity_;
   bool disk_is_full_ = false;
-  Millis now_ = start_time;
+  TimePoint now_ = start_time;
   std::shared_ptr<Disk> disk_;
   std::unique_ptr<JournalWriter> journal_;
   std::unique_ptr<DaemonMachine> machine_;
--- a/tools/loadgen/checks.cpp
+++ b/tools/loadgen/checks.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int kReadBackAttempts = 60;
-constexpr Millis kReadBackInterval = 250;
+constexpr Duration kReadBackInterval = 250ms;
 
 }  // namespace
 
--- a/tools/loadgen/clock.cpp
+++ b/tools/loadgen/clock.cpp
@@ -27,7 +27,7 @@
   return static_cast<double>(time.tv_sec) * 1000.0 + static_cast<double>(time.tv_nsec) / 1e6;
 }
 
-void sleep_for(Millis duration) {
+void sleep_for(Duration duration) {
   timespec time{duration / 1000, (duration % 1000) * 1000000};
   nanosleep(&time, nullptr);
 }
--- a/tools/loadgen/clock.hpp
+++ b/tools/loadgen/clock.hpp
@@ -8,6 +8,6 @@
 uint64_t random_number();
 /// Milliseconds of the machine's steady clock.
 double clock_ms();
-void sleep_for(Millis duration);
+void sleep_for(Duration duration);
 
 }  // namespace mosskeel::loadgen
--- a/tools/loadgen/fault_injector.cpp
+++ b/tools/loadgen/fault_injector.cpp
@@ -8,14 +8,14 @@
 namespace mosskeel::loadgen {
 namespace {
 
-constexpr Millis kPollInterval = 50;
+constexpr Duration kPollInterval = 50ms;
 /// Milliseconds between faults, and a random part on top.
-constexpr Millis kFaultInterval = 2000;
-constexpr Millis kFaultIntervalRange = 2000;
+constexpr Duration kFaultInterval = 2000ms;
+constexpr Duration kFaultIntervalRange = 2000ms;
 /// Milliseconds that a process stays killed or frozen.
-constexpr Millis kLeastOutage = 500;
-constexpr Millis kKilledRange = 4000;
-constexpr Millis kFrozenRange = 6000;
+constexpr Duration kLeastOutage = 500ms;
+constexpr Duration kKilledRange = 4000ms;
+constexpr Duration kFrozenRange = 6000ms;
 /// A stopped process takes a while to end; it can be started only then.
 constexpr int kStartAttempts = 200;
 
@@ -58,13 +58,13 @@
   return names;
 }
 
-void FaultInjector::wait(Millis duration) {
+void FaultInjector::wait(Duration duration) {
   for (auto left = duration; left > 0 && !stop_; left -= kPollInterval)
     sleep_for(kPollInterval);
 }
 
-Millis FaultInjector::random_wait(Millis least, Millis range) {
-  return least + static_cast<Millis>(random_() % static_cast<uint64_t>(range));
+Duration FaultInjector::random_wait(Duration least, Duration range) {
+  return least + Duration(random_() % static_cast<uint64_t>(range));
 }
 
 void FaultInjector::inject(const std::string& target) {
--- a/tools/loadgen/fault_injector.hpp
+++ b/tools/loadgen/fault_injector.hpp
@@ -21,8 +21,8 @@
   bool act(const std::string& action, const std::string& name);
   std::vector<std::string> targets();
   /// Returns early when the injector is to stop.
-  void wait(Millis duration);
-  Millis random_wait(Millis least, Millis range);
+  void wait(Duration duration);
+  Duration random_wait(Duration least, Duration range);
 
   const Plan& plan_;
   LoadReport& report_;
--- a/tools/loadgen/load_generator.cpp
+++ b/tools/loadgen/load_generator.cpp
@@ -56,7 +56,7 @@
     threads.emplace_back([this, number] { run_tool_calls(number); });
     auto next_start = begun + static_cast<double>(number + 1) * 1000.0 / plan_.rate;
     if (auto wait = next_start - clock_ms(); wait > 0)
-      sleep_for(static_cast<Millis>(wait));
+      sleep_for(Duration(wait));
   }
   faults.reset();
   for (auto& thread : threads)
--- a/tools/loadgen/load_generator.hpp
+++ b/tools/loadgen/load_generator.hpp
@@ -33,7 +33,7 @@
   /// "no", "unknown" or empty, as the answer says whether the request ran.
   std::string ran;
   std::string reason;
-  Millis retry_after = 0;
+  Duration retry_after{};
 
   /// The outcome of an earlier attempt is unknown for good: the request will not be run again.
   bool is_final() const;
@@ -96,6 +96,6 @@
 /// A caller comes back so often before it gives up.
 constexpr int kAttemptLimit = 40;
 /// Milliseconds, where the answer names no other time.
-constexpr Millis kDefaultRetryDelay = 300;
+constexpr Duration kDefaultRetryDelay = 300ms;
 
 }  // namespace mosskeel::loadgen
--- a/tools/loadgen/ready_fronts.cpp
+++ b/tools/loadgen/ready_fronts.cpp
@@ -8,7 +8,7 @@
 namespace mosskeel::loadgen {
 namespace {
 
-constexpr Millis kRefreshInterval = 250;
+constexpr Duration kRefreshInterval = 250ms;
 constexpr long kRequestTimeout = 1000;
 
 }  // namespace
--- a/tools/loadgen/turns.cpp
+++ b/tools/loadgen/turns.cpp
@@ -248,7 +248,7 @@
       note_not_run(plan_.cell + "/" + program + "/" + turn.key);
     if (turn.budget_spent)
       return;
-    sleep_for(static_cast<Millis>(random_number() % kLongestPause));
+    sleep_for(Duration(random_number() % kLongestPause));
   }
 }
 
--- a/tools/local-cluster/fleet.cpp
+++ b/tools/local-cluster/fleet.cpp
@@ -27,8 +27,8 @@
 
 /// Seeds are the first controllers, so many.
 constexpr int kSeedCount = 3;
-/// Milliseconds; configuring a fleet that takes longer to found itself has failed.
-constexpr Millis kConfigureTimeout = 60000;
+/// Configuring a fleet that takes longer to found itself has failed.
+constexpr Duration kConfigureTimeout = 60000ms;
 constexpr auto kConfigureRetryDelay = std::chrono::milliseconds(100);
 /// Milliseconds between the chunks of an application's replica.
 constexpr const char* kAppChunkInterval = "5";
--- a/tools/local-cluster/main.cpp
+++ b/tools/local-cluster/main.cpp
@@ -21,10 +21,10 @@
 
 constexpr int kExitFailed = 1;
 constexpr int kExitUsage = 2;
-/// Milliseconds; fronts that are not ready by then are reported as they are.
-constexpr Millis kReadyTimeout = 60000;
+/// Fronts that are not ready by then are reported as they are.
+constexpr Duration kReadyTimeout = 60000ms;
 constexpr int kReadyProbeTimeout = 1000;
-constexpr Millis kPollInterval = 100;
+constexpr Duration kPollInterval = 100ms;
 
 /// Sets the counts of a named fleet; false if there is none of this name.
 bool set_fleet_size(local_cluster::Plan& plan, const std::string& name) {
@@ -144,7 +144,7 @@
   return response;
 }
 
-void print_ready(local_cluster::Fleet& fleet, const local_cluster::Plan& plan, Millis duration) {
+void print_ready(local_cluster::Fleet& fleet, const local_cluster::Plan& plan, Duration duration) {
   std::string controllers;
   for (const auto& address : fleet.controllers())
     controllers += (controllers.empty() ? "" : ",") + address;
--- a/tools/scale/churn.cpp
+++ b/tools/scale/churn.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Milliseconds of virtual time; a fleet that is not calm by then has failed.
-constexpr Millis kCalmTimeout = 900000;
+constexpr Duration kCalmTimeout = 900000ms;
 constexpr size_t kFailingZone = 1;
 
 MetadataSnapshot controller_view(SimulatedFleet& fleet) {
@@ -58,7 +58,7 @@
 /// The point from which the costs of what happened are counted.
 struct Start {
   Epoch epoch;
-  Millis time;
+  Duration time;
 };
 
 Start begin(SimulatedFleet& fleet) {
@@ -198,7 +198,7 @@
   auto agents = fleet.indices_of(ProcessKind::agent);
   auto start = begin(fleet);
   auto bytes_before = encoded_bytes(*controller_view(fleet));
-  std::vector<Millis> durations;
+  std::vector<Duration> durations;
   bool calm = true;
   for (int number = 0; number < count && calm; ++number) {
     auto agent = agents[static_cast<size_t>(number) % agents.size()];
--- a/tools/scale/control_plane.cpp
+++ b/tools/scale/control_plane.cpp
@@ -85,8 +85,8 @@
 
 /// When a change was acknowledged, and when each gateway knew of it; milliseconds after it was requested.
 struct ChangeTimes {
-  Millis acknowledged = 0;
-  std::vector<Millis> in_force;
+  Duration acknowledged{};
+  std::vector<Duration> in_force;
 
   /// -1 where no gateway heard of the change.
   double quantile(double share) const {
--- a/tools/scale/controller_client.cpp
+++ b/tools/scale/controller_client.cpp
@@ -32,7 +32,7 @@
                     .body = std::move(body)});
 }
 
-std::optional<Envelope> ControllerClient::receive_until(Millis deadline) {
+std::optional<Envelope> ControllerClient::receive_until(TimePoint deadline) {
   while (process_now() < deadline) {
     if (auto message = received_.pop(deadline - process_now()))
       return message;
--- a/tools/scale/controller_client.hpp
+++ b/tools/scale/controller_client.hpp
@@ -11,12 +11,12 @@
 struct CommitResult {
   bool committed = false;
   Epoch epoch{};
-  Millis requested_at = 0;
-  Millis answered_at = 0;
+  TimePoint requested_at{};
+  TimePoint answered_at{};
   /// Why it was rejected.
   std::string reason;
 
-  Millis duration() const { return answered_at - requested_at; }
+  Duration duration() const { return answered_at - requested_at; }
 };
 
 /// Belongs to one thread, which waits for each answer.
@@ -36,7 +36,7 @@
  private:
   void send(const Address& controller, Message body);
   /// The next message, or nothing at that time of this process's clock.
-  std::optional<Envelope> receive_until(Millis deadline);
+  std::optional<Envelope> receive_until(TimePoint deadline);
   void catch_up(const Address& controller);
   std::optional<CommitReply> try_commit(const Address& controller, const Commit& commit);
   void update(const std::optional<Metadata>& checkpoint, const Entries& entries);
--- a/tools/scale/data_plane.cpp
+++ b/tools/scale/data_plane.cpp
@@ -12,9 +12,9 @@
 /// Chunks of a turn's output.
 constexpr int kChunkCount = 8;
 /// Milliseconds between two chunks.
-constexpr Millis kChunkInterval = 30;
+constexpr Duration kChunkInterval = 30ms;
 /// Milliseconds of virtual time; conversations that take longer have failed.
-constexpr Millis kConversationTimeout = 600000;
+constexpr Duration kConversationTimeout = 600000ms;
 /// The figures are of so many turns at a conversation's end.
 constexpr size_t kMeasuredTurns = 5;
 
--- a/tools/scale/experiments.hpp
+++ b/tools/scale/experiments.hpp
@@ -18,9 +18,9 @@
 };
 
 /// Milliseconds after its start until a simulated fleet is calm: heartbeats, leases and repairs take turns.
-constexpr Millis kSettlingTime = 4000;
-/// Milliseconds; holds whole numbers of the periods of all that repeats.
-constexpr Millis kMeasuringWindow = 3000;
+constexpr Duration kSettlingTime = 4000ms;
+/// Holds whole numbers of the periods of all that repeats.
+constexpr Duration kMeasuringWindow = 3000ms;
 /// Bytes of the text of a turn. In and out together are 1440 tokens of four bytes, a 250th of 360,000 tokens.
 constexpr size_t kTurnInputBytes = 1200;
 constexpr size_t kTurnOutputBytes = 4560;
--- a/tools/scale/fleet_faults.cpp
+++ b/tools/scale/fleet_faults.cpp
@@ -25,7 +25,7 @@
   process.execute("start 0");
   while (true) {
     std::istringstream times(process.execute("known " + std::to_string(epoch.value())));
-    Millis known_at = -1;
+    TimePoint known_at = -1;
     times >> known_at;
     if (known_at >= 0) {
       record("newcomer", "whole_value.ms", static_cast<double>(known_at - begun));
--- a/tools/scale/fleet_options.cpp
+++ b/tools/scale/fleet_options.cpp
@@ -6,10 +6,10 @@
 
 namespace mosskeel::scale {
 
-Millis machine_now() {
+TimePoint machine_now() {
   timespec time;
   clock_gettime(CLOCK_MONOTONIC, &time);
-  return static_cast<Millis>(time.tv_sec) * 1000 + time.tv_nsec / 1000000;
+  return Duration(time.tv_sec) * 1000 + time.tv_nsec / 1000000;
 }
 
 std::string fingerprint(const Metadata& metadata) {
--- a/tools/scale/fleet_options.hpp
+++ b/tools/scale/fleet_options.hpp
@@ -33,7 +33,7 @@
 }
 
 /// A clock that all processes of this machine share, in milliseconds.
-Millis machine_now();
+TimePoint machine_now();
 
 /// The digest by which two processes compare their metadata.
 std::string fingerprint(const Metadata& metadata);
--- a/tools/scale/fleet_run.cpp
+++ b/tools/scale/fleet_run.cpp
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-void sleep_for(Millis duration) {
+void sleep_for(Duration duration) {
   std::this_thread::sleep_for(std::chrono::milliseconds(duration));
 }
 
@@ -110,7 +110,7 @@
   return up == daemons;
 }
 
-Millis FleetRun::wait_until_calm(const std::string& step, size_t daemons) {
+Duration FleetRun::wait_until_calm(const std::string& step, size_t daemons) {
   auto begun = machine_now();
   while (!is_calm(daemons)) {
     if (machine_now() - begun > kFleetCalmTimeout) {
@@ -188,7 +188,7 @@
   record(step, "hollow.rss_mb.all", hollow_megabytes);
 }
 
-std::vector<double> FleetRun::wait_until_known(Epoch epoch, Millis begun) {
+std::vector<double> FleetRun::wait_until_known(Epoch epoch, TimePoint begun) {
   auto deadline = machine_now() + kFleetCalmTimeout / 10;
   std::vector<double> durations;
   while (true) {
@@ -196,7 +196,7 @@
     bool all_know = true;
     for (auto& process : hollow_processes_) {
       std::istringstream times(process->execute("known " + std::to_string(epoch.value())));
-      for (Millis time = 0; times >> time;) {
+      for (Duration time{}; times >> time;) {
         all_know = all_know && time >= 0;
         durations.push_back(static_cast<double>(time - begun));
       }
--- a/tools/scale/fleet_run.hpp
+++ b/tools/scale/fleet_run.hpp
@@ -11,14 +11,14 @@
 
 constexpr int kRealStores = 3;
 constexpr int kRealFronts = 2;
-/// Milliseconds; a fleet that is not calm by then has failed.
-constexpr Millis kFleetCalmTimeout = 900000;
+/// A fleet that is not calm by then has failed.
+constexpr Duration kFleetCalmTimeout = 900000ms;
 /// Milliseconds between two looks at the fleet.
-constexpr Millis kFleetPollInterval = 50;
-/// Milliseconds; for so long a fleet at rest is measured.
-constexpr Millis kRestWindow = 20000;
-/// Milliseconds; for so long a region is cut off.
-constexpr Millis kCutWindow = 20000;
+constexpr Duration kFleetPollInterval = 50ms;
+/// For so long a fleet at rest is measured.
+constexpr Duration kRestWindow = 20000ms;
+/// For so long a region is cut off.
+constexpr Duration kCutWindow = 20000ms;
 
 /// Runs the whole fleet and writes the report; 0 if no invariant was broken, 2 if the fleet could not be started.
 int run_fleet(const FleetOptions& options);
@@ -58,10 +58,10 @@
   /// Whether so many daemons are up and nothing is under way.
   bool is_calm(size_t daemons);
   /// Waits until the fleet is calm, or fails; the milliseconds that it took.
-  Millis wait_until_calm(const std::string& step, size_t daemons);
+  Duration wait_until_calm(const std::string& step, size_t daemons);
   size_t count_up();
   /// Waits until every hollow daemon knows the epoch, or fails; the sorted times (ms) after `begun` when each did.
-  std::vector<double> wait_until_known(Epoch epoch, Millis begun);
+  std::vector<double> wait_until_known(Epoch epoch, TimePoint begun);
   CommitResult change_budget();
   double messages_sent_by_hollow_daemons();
 
@@ -77,6 +77,6 @@
   int broken_invariants_ = 0;
 };
 
-void sleep_for(Millis duration);
+void sleep_for(Duration duration);
 
 }  // namespace mosskeel::scale
--- a/tools/scale/hollow_daemons.cpp
+++ b/tools/scale/hollow_daemons.cpp
@@ -31,8 +31,8 @@
   Candidate gateway;
   Epoch known_epoch{};
   /// When each of the newest epochs was first known here, in the machine's clock.
-  std::map<Epoch, Millis> known_since;
-  Millis next_heartbeat = 0;
+  std::map<Epoch, TimePoint> known_since;
+  TimePoint next_heartbeat{};
 };
 
 /// What the loop's thread waits for: a message for a daemon, or a command.
@@ -75,14 +75,14 @@
   }
 
   void run() {
-    Millis next_tick = 0;
+    TimePoint next_tick{};
     while (!stop_) {
       auto now = process_now();
       if (now >= next_tick) {
         next_tick = now + kTickInterval;
         tick_all(now);
       }
-      for (const auto& input : inputs_.take(std::max<Millis>(1, next_tick - process_now())))
+      for (const auto& input : inputs_.take(std::max<Duration>(1ms, next_tick - process_now())))
         handle(input);
     }
   }
@@ -132,7 +132,7 @@
     daemon.known_since.clear();
   }
 
-  void tick_all(Millis now) {
+  void tick_all(TimePoint now) {
     for (auto& daemon : daemons_) {
       if (!daemon->machine)
         continue;
@@ -144,7 +144,7 @@
     }
   }
 
-  Envelope gateway_heartbeat(const HollowDaemon& daemon, Millis now) {
+  Envelope gateway_heartbeat(const HollowDaemon& daemon, TimePoint now) {
     auto view = daemon.machine->view();
     Envelope message{};
     message.cluster = view->cluster;
--- a/tools/scale/simulated_fleet.cpp
+++ b/tools/scale/simulated_fleet.cpp
@@ -22,7 +22,7 @@
   return kind == ProcessKind::controller || kind == ProcessKind::store;
 }
 
-std::unique_ptr<StateMachine> make_machine(const ProcessSpec& spec, const Recovered& recovered, Millis now) {
+std::unique_ptr<StateMachine> make_machine(const ProcessSpec& spec, const Recovered& recovered, TimePoint now) {
   switch (spec.kind) {
     case ProcessKind::controller:
       return std::make_unique<ControllerMachine>(spec.identity, recovered, now);
@@ -36,7 +36,7 @@
   return nullptr;
 }
 
-Millis network_delay(const ProcessSpec& sender, const ProcessSpec& receiver) {
+Duration network_delay(const ProcessSpec& sender, const ProcessSpec& receiver) {
   if (sender.region != receiver.region)
     return kRegionDelay;
   return sender.zone == receiver.zone ? kZoneInternalDelay : kZoneDelay;
@@ -134,7 +134,7 @@
   process.known_epoch = {};
   Recovered recovered{identity.self.incarnation, process.checkpoint, process.synced_records};
   process.machine = make_machine(process.spec, recovered, now_);
-  auto first_tick = now_ + static_cast<Millis>(random_() % kTickInterval);
+  auto first_tick = now_ + Duration(random_() % kTickInterval);
   schedule(first_tick, [this, index, life = process.life] { tick(index, life); });
 }
 
@@ -146,15 +146,15 @@
   process.life = ++last_life_;
 }
 
-void SimulatedFleet::schedule(Millis when, std::function<void()> action) {
+void SimulatedFleet::schedule(TimePoint when, std::function<void()> action) {
   events_[when].push_back({.action = std::move(action), .receiver = 0, .message = nullptr});
 }
 
-void SimulatedFleet::run(Millis duration) {
+void SimulatedFleet::run(Duration duration) {
   run_until(duration, [] { return false; });
 }
 
-bool SimulatedFleet::run_until(Millis duration, const std::function<bool()>& condition) {
+bool SimulatedFleet::run_until(Duration duration, const std::function<bool()>& condition) {
   auto end = now_ + duration;
   while (!events_.empty() && events_.begin()->first <= end) {
     if (condition())
--- a/tools/scale/simulated_fleet.hpp
+++ b/tools/scale/simulated_fleet.hpp
@@ -11,13 +11,13 @@
 namespace mosskeel::scale {
 
 /// Milliseconds from process to process within a zone.
-constexpr Millis kZoneInternalDelay = 1;
+constexpr Duration kZoneInternalDelay = 1ms;
 /// Milliseconds between zones of one region.
-constexpr Millis kZoneDelay = 2;
+constexpr Duration kZoneDelay = 2ms;
 /// Milliseconds between regions.
-constexpr Millis kRegionDelay = 30;
+constexpr Duration kRegionDelay = 30ms;
 /// Milliseconds that a disk takes to sync.
-constexpr Millis kSyncDuration = 2;
+constexpr Duration kSyncDuration = 2ms;
 
 /// Messages and their encoded bytes.
 struct Traffic {
@@ -87,11 +87,11 @@
   SimulatedFleet(const Plan& plan, uint64_t seed, const StoredPartitions& histories = {});
 
   /// Lets so many milliseconds pass.
-  void run(Millis duration);
+  void run(Duration duration);
   /// Lets time pass until the condition holds; false if it does not within the duration (ms).
-  bool run_until(Millis duration, const std::function<bool()>& condition);
-  void schedule(Millis when, std::function<void()> action);
-  Millis now() const { return now_; }
+  bool run_until(Duration duration, const std::function<bool()>& condition);
+  void schedule(TimePoint when, std::function<void()> action);
+  TimePoint now() const { return now_; }
 
   std::vector<SimulatedProcess>& processes() { return processes_; }
   /// The process of this kind and number among those of its kind.
@@ -145,9 +145,9 @@
   size_t index_of(const SimulatedProcess& process) const { return static_cast<size_t>(&process - processes_.data()); }
 
   std::mt19937_64 random_;
-  Millis now_ = kProcessClockStart;
+  TimePoint now_ = kProcessClockStart;
   uint64_t last_life_ = 0;
-  std::map<Millis, std::vector<Event>> events_;
+  std::map<TimePoint, std::vector<Event>> events_;
   std::vector<SimulatedProcess> processes_;
   std::unordered_map<Address, size_t> index_by_address_;
   /// Encoded sizes, without addresses, of messages that go to many.
--- a/tools/simulate/main.cpp
+++ b/tools/simulate/main.cpp
@@ -80,7 +80,7 @@
          number(sum.syncs));
 }
 
-void print_exposure(const std::string& scenario, std::vector<Millis> durations) {
+void print_exposure(const std::string& scenario, std::vector<Duration> durations) {
   if (durations.empty())
     return;
   std::sort(durations.begin(), durations.end());
