--- a/src/base/codec.hpp
+++ b/src/base/codec.hpp
@@ -9,6 +9,7 @@
 #include <string_view>
 #include <type_traits>
 
+#include "base/fields.hpp"
 #include "mosskeel/common.hpp"
 
 namespace mosskeel::codec {
--- a/src/consensus/controller_records.hpp
+++ b/src/consensus/controller_records.hpp
@@ -7,27 +7,27 @@
 
 /// The acceptor promised to reject proposals below `ballot` in the instance of `epoch`.
 struct PromiseRecord {
-  BOOST_HANA_DEFINE_STRUCT(PromiseRecord, (Epoch, epoch), (Ballot, ballot));
+  MOSSKEEL_FIELDS(PromiseRecord, (Epoch, epoch), (Ballot, ballot));
 };
 
 /// The acceptor accepted this proposal in the instance of the entry's epoch.
 struct AcceptRecord {
-  BOOST_HANA_DEFINE_STRUCT(AcceptRecord, (Ballot, ballot), (Entry, entry));
+  MOSSKEEL_FIELDS(AcceptRecord, (Ballot, ballot), (Entry, entry));
 };
 
 /// The entry was decided and applied to the metadata log.
 struct DecidedRecord {
-  BOOST_HANA_DEFINE_STRUCT(DecidedRecord, (Entry, entry));
+  MOSSKEEL_FIELDS(DecidedRecord, (Entry, entry));
 };
 
 /// A whole metadata value replaced the log up to its epoch.
 struct JumpRecord {
-  BOOST_HANA_DEFINE_STRUCT(JumpRecord, (Metadata, metadata));
+  MOSSKEEL_FIELDS(JumpRecord, (Metadata, metadata));
 };
 
 /// The addresses whose controllers may found the cluster, as the first start's seeds named them.
 struct FoundersRecord {
-  BOOST_HANA_DEFINE_STRUCT(FoundersRecord, (Addresses, addresses));
+  MOSSKEEL_FIELDS(FoundersRecord, (Addresses, addresses));
 };
 
 /// Append only: the index is what the disk keeps.
@@ -36,7 +36,7 @@
 /// All that the journal before it says. `open` is the epoch of the Paxos instance that `promised` and `accepted` belong
 /// to; `recent` is always empty and kept for the format.
 struct ControllerCheckpoint {
-  BOOST_HANA_DEFINE_STRUCT(ControllerCheckpoint, (Metadata, metadata), (Entries, recent), (Epoch, open),
+  MOSSKEEL_FIELDS(ControllerCheckpoint, (Metadata, metadata), (Entries, recent), (Epoch, open),
                            (Ballot, promised), (std::optional<AcceptedProposal>, accepted));
 };
 
--- a/src/history/store_records.hpp
+++ b/src/history/store_records.hpp
@@ -7,17 +7,17 @@
 
 /// The store's whole state. `uptime` is in ms.
 struct StoreCheckpoint {
-  BOOST_HANA_DEFINE_STRUCT(StoreCheckpoint, (Metadata, metadata), (StoredPartitions, partitions), (Duration, uptime));
+  MOSSKEEL_FIELDS(StoreCheckpoint, (Metadata, metadata), (StoredPartitions, partitions), (Duration, uptime));
 };
 
 /// The partition's fence rose to `term`.
 struct FenceRecord {
-  BOOST_HANA_DEFINE_STRUCT(FenceRecord, (PartitionId, partition), (Epoch, term));
+  MOSSKEEL_FIELDS(FenceRecord, (PartitionId, partition), (Epoch, term));
 };
 
 /// What another store sent and this one did not have; histories of the same name are replaced.
 struct MergeRecord {
-  BOOST_HANA_DEFINE_STRUCT(MergeRecord, (PartitionId, partition), (Epoch, fence), (std::vector<HistoryCopy>, histories),
+  MOSSKEEL_FIELDS(MergeRecord, (PartitionId, partition), (Epoch, fence), (std::vector<HistoryCopy>, histories),
                            (std::vector<uint64_t>, tombstones));
 
   bool empty() const { return fence == Epoch{} && histories.empty() && tombstones.empty(); }
@@ -25,17 +25,17 @@
 
 /// The history was deleted and its name became a tombstone.
 struct TombstoneRecord {
-  BOOST_HANA_DEFINE_STRUCT(TombstoneRecord, (PartitionId, partition), (HistoryName, history));
+  MOSSKEEL_FIELDS(TombstoneRecord, (PartitionId, partition), (HistoryName, history));
 };
 
 /// The history's records, as they are here, hold under a newer term.
 struct HistoryTermRecord {
-  BOOST_HANA_DEFINE_STRUCT(HistoryTermRecord, (PartitionId, partition), (HistoryName, history), (Epoch, term));
+  MOSSKEEL_FIELDS(HistoryTermRecord, (PartitionId, partition), (HistoryName, history), (Epoch, term));
 };
 
 /// The partition's histories were dropped because it lies on other stores; its fence and tombstones stay.
 struct DropPartitionRecord {
-  BOOST_HANA_DEFINE_STRUCT(DropPartitionRecord, (PartitionId, partition));
+  MOSSKEEL_FIELDS(DropPartitionRecord, (PartitionId, partition));
 };
 
 /// A record of the journal. `AppendHistory` is the owner's request itself, `Entry` and `Metadata` what the store
--- a/src/history/stored_partition.hpp
+++ b/src/history/stored_partition.hpp
@@ -9,7 +9,7 @@
 /// This store's replica of one program's history. `term` is the ownership term of the last write, `written_at` the
 /// store's uptime (ms, see `UptimeClock`) at that write.
 struct History {
-  BOOST_HANA_DEFINE_STRUCT(History, (Epoch, term), (Records, records), (Duration, written_at));
+  MOSSKEEL_FIELDS(History, (Epoch, term), (Records, records), (Duration, written_at));
 
   HistoryVersion version() const { return {term, records.size()}; }
 };
@@ -18,7 +18,7 @@
 /// One partition's replica. `fence` is the highest ownership term that any owner has shown here: nothing of a lower
 /// term is written any more. A history is in `histories` or its name in `tombstones`, never both.
 struct StoredPartition {
-  BOOST_HANA_DEFINE_STRUCT(StoredPartition, (Epoch, fence), (Histories, histories), (Tombstones, tombstones));
+  MOSSKEEL_FIELDS(StoredPartition, (Epoch, fence), (Histories, histories), (Tombstones, tombstones));
 
   bool has_tombstone(const HistoryName& name) const { return tombstones.has(tombstone_of(name)); }
 };
--- a/src/history/tombstones.hpp
+++ b/src/history/tombstones.hpp
@@ -12,7 +12,7 @@
 /// becomes the old one, whose digests are forgotten, so that memory is bounded and the most recent ends are kept.
 /// The order of the fields is the format on disk.
 struct Tombstones {
-  BOOST_HANA_DEFINE_STRUCT(Tombstones, (std::vector<uint64_t>, young), (std::vector<uint64_t>, old));
+  MOSSKEEL_FIELDS(Tombstones, (std::vector<uint64_t>, young), (std::vector<uint64_t>, old));
 
   bool has(uint64_t digest) const;
   /// `generation_size` is the number of digests at which the young generation is full.
--- a/src/messages/consensus_messages.hpp
+++ b/src/messages/consensus_messages.hpp
@@ -9,7 +9,7 @@
 /// Number of a proposal: ordered by round, then by proposer, a random number of one controller process. No two
 /// processes ever use the same ballot.
 struct Ballot {
-  BOOST_HANA_DEFINE_STRUCT(Ballot, (uint64_t, round), (uint64_t, proposer));
+  MOSSKEEL_FIELDS(Ballot, (uint64_t, round), (uint64_t, proposer));
   auto operator<=>(const Ballot&) const = default;
 };
 using Candidates = std::vector<Candidate>;
@@ -18,53 +18,53 @@
 
 /// A daemon without contact asks a seed, or a controller that it has heard of, for the cluster.
 struct Discover {
-  BOOST_HANA_DEFINE_STRUCT(Discover, (Candidate, self));
+  MOSSKEEL_FIELDS(Discover, (Candidate, self));
 };
 
 /// Who is here: a founded daemon names the cluster, its epoch and the addresses of the core; a controller before the
 /// founding has `cluster` 0 and names the candidates that it knows.
 struct DiscoverReply {
-  BOOST_HANA_DEFINE_STRUCT(DiscoverReply, (Candidate, self), (uint64_t, cluster), (Epoch, epoch), (Addresses, core),
+  MOSSKEEL_FIELDS(DiscoverReply, (Candidate, self), (uint64_t, cluster), (Epoch, epoch), (Addresses, core),
                            (Candidates, candidates));
 };
 
 /// Paxos phase 1: asks an acceptor to promise `ballot` for the instance of `epoch`.
 struct Prepare {
-  BOOST_HANA_DEFINE_STRUCT(Prepare, (Epoch, epoch), (Ballot, ballot));
+  MOSSKEEL_FIELDS(Prepare, (Epoch, epoch), (Ballot, ballot));
 };
 
 /// A proposal that an acceptor has accepted.
 struct AcceptedProposal {
-  BOOST_HANA_DEFINE_STRUCT(AcceptedProposal, (Ballot, ballot), (Entry, entry));
+  MOSSKEEL_FIELDS(AcceptedProposal, (Ballot, ballot), (Entry, entry));
 };
 
 /// The reply to Prepare. Where `granted`, the acceptor accepts nothing below `ballot` any more, and `accepted` is the
 /// proposal with the highest ballot that it has accepted at this epoch; else `promised` is the ballot that forbids
 /// it. Sent once the promise is durable.
 struct Promise {
-  BOOST_HANA_DEFINE_STRUCT(Promise, (Epoch, epoch), (Ballot, ballot), (bool, granted), (Ballot, promised),
+  MOSSKEEL_FIELDS(Promise, (Epoch, epoch), (Ballot, ballot), (bool, granted), (Ballot, promised),
                            (std::optional<AcceptedProposal>, accepted));
 };
 
 /// Paxos phase 2: asks an acceptor to accept `entry` under `ballot`; the instance is the entry's epoch.
 struct Accept {
-  BOOST_HANA_DEFINE_STRUCT(Accept, (Ballot, ballot), (Entry, entry));
+  MOSSKEEL_FIELDS(Accept, (Ballot, ballot), (Entry, entry));
 };
 
 /// The reply to Accept; where not `granted`, `promised` is the higher ballot that forbids it. Sent once it is
 /// durable.
 struct Accepted {
-  BOOST_HANA_DEFINE_STRUCT(Accepted, (Epoch, epoch), (Ballot, ballot), (bool, granted), (Ballot, promised));
+  MOSSKEEL_FIELDS(Accepted, (Epoch, epoch), (Ballot, ballot), (bool, granted), (Ballot, promised));
 };
 
 /// Asks a core member for the newest epoch that it knows.
 struct QuorumRead {
-  BOOST_HANA_DEFINE_STRUCT(QuorumRead, (uint64_t, id));
+  MOSSKEEL_FIELDS(QuorumRead, (uint64_t, id));
 };
 
 /// `open` says that the member has accepted a proposal for the epoch after `epoch`, whose fate it does not know.
 struct QuorumReadReply {
-  BOOST_HANA_DEFINE_STRUCT(QuorumReadReply, (uint64_t, id), (Epoch, epoch), (bool, open));
+  MOSSKEEL_FIELDS(QuorumReadReply, (uint64_t, id), (Epoch, epoch), (bool, open));
 };
 
 /// What became of a commit: in the log and in force, refused at an epoch that a majority confirmed, or neither is
@@ -75,14 +75,14 @@
 /// that the reply brings what it lacks. `timeout_ms` (0 for the controller's own) ends before the sender turns to
 /// another controller: the change is not proposed later than that.
 struct Commit {
-  BOOST_HANA_DEFINE_STRUCT(Commit, (std::string, id), (Transformation, change), (Epoch, known_epoch),
+  MOSSKEEL_FIELDS(Commit, (std::string, id), (Transformation, change), (Epoch, known_epoch),
                            (int64_t, timeout_ms));
 };
 
 /// What became of a commit, with the log that the sender lacks. For `rejected`, `rejection` and `reason` say why, at
 /// `epoch`, which a majority has confirmed as the newest since the commit came.
 struct CommitReply {
-  BOOST_HANA_DEFINE_STRUCT(CommitReply, (std::string, id), (CommitOutcome, outcome), (std::string, reason),
+  MOSSKEEL_FIELDS(CommitReply, (std::string, id), (CommitOutcome, outcome), (std::string, reason),
                            (Epoch, epoch), (std::optional<Metadata>, checkpoint), (Entries, entries),
                            (Rejection, rejection));
 };
@@ -92,17 +92,17 @@
 
 /// Asks a core member to grant or renew the supervisor lease; `request_id` matches the grant to its request.
 struct LeaseRequest {
-  BOOST_HANA_DEFINE_STRUCT(LeaseRequest, (uint64_t, request_id));
+  MOSSKEEL_FIELDS(LeaseRequest, (uint64_t, request_id));
 };
 
 /// The reply; `heartbeat_ages` are what the member observes, for the holder to judge failures by a majority.
 struct LeaseGrant {
-  BOOST_HANA_DEFINE_STRUCT(LeaseGrant, (uint64_t, request_id), (bool, granted), (HeartbeatAges, heartbeat_ages));
+  MOSSKEEL_FIELDS(LeaseGrant, (uint64_t, request_id), (bool, granted), (HeartbeatAges, heartbeat_ages));
 };
 
 /// An operator states that these core members are lost for good; their survivors may re-found the core.
 struct RefoundRequest {
-  BOOST_HANA_DEFINE_STRUCT(RefoundRequest, (std::string, id), (std::vector<DaemonId>, lost));
+  MOSSKEEL_FIELDS(RefoundRequest, (std::string, id), (std::vector<DaemonId>, lost));
 };
 
 }  // namespace mosskeel
--- a/src/messages/history_messages.hpp
+++ b/src/messages/history_messages.hpp
@@ -15,7 +15,7 @@
 /// request under the same key; `tokens` are reserved or spent; `turn` counts the history's turns; `status` is the
 /// HTTP status of an outcome; `runner` is the gateway that dispatches; `parent` is the turn that it continues.
 struct Record {
-  BOOST_HANA_DEFINE_STRUCT(Record, (RecordKind, kind), (std::string, key), (std::string, thread),
+  MOSSKEEL_FIELDS(Record, (RecordKind, kind), (std::string, key), (std::string, thread),
                            (uint64_t, body_digest), (uint64_t, tokens), (uint32_t, turn), (uint32_t, status),
                            (DaemonId, runner), (int64_t, retention_ms), (std::string, input), (std::string, output),
                            (std::string, parent));
@@ -25,60 +25,60 @@
 
 /// Identifies a history in a cluster.
 struct HistoryName {
-  BOOST_HANA_DEFINE_STRUCT(HistoryName, (std::string, cell), (std::string, program));
+  MOSSKEEL_FIELDS(HistoryName, (std::string, cell), (std::string, program));
   auto operator<=>(const HistoryName&) const = default;
 };
 
 /// The owner reads a history from a store under its term, which the store fences: it takes no lower term afterwards.
 struct ReadHistory {
-  BOOST_HANA_DEFINE_STRUCT(ReadHistory, (HistoryName, history), (PartitionId, partition), (Epoch, term));
+  MOSSKEEL_FIELDS(ReadHistory, (HistoryName, history), (PartitionId, partition), (Epoch, term));
 };
 
 /// `term` is that of the request. Not `granted`: a higher term fences it off, or the sender does not own the partition.
 /// `history_term` is the term under which the records were last written as a whole.
 struct ReadHistoryReply {
-  BOOST_HANA_DEFINE_STRUCT(ReadHistoryReply, (HistoryName, history), (Epoch, term), (bool, granted),
+  MOSSKEEL_FIELDS(ReadHistoryReply, (HistoryName, history), (Epoch, term), (bool, granted),
                            (Epoch, history_term), (bool, has_tombstone), (Records, records));
 };
 
 /// Appends the records at the index `from`, or with `replace` replaces the whole history by them.
 struct AppendHistory {
-  BOOST_HANA_DEFINE_STRUCT(AppendHistory, (HistoryName, history), (PartitionId, partition), (Epoch, term),
+  MOSSKEEL_FIELDS(AppendHistory, (HistoryName, history), (PartitionId, partition), (Epoch, term),
                            (bool, replace), (uint64_t, from), (Records, records));
 };
 
 /// Sent once the records are durable; `length` counts the store's records. `gap` says that it lacks records before
 /// `from`, or holds the history under another term: the owner then sends all of it.
 struct AppendHistoryReply {
-  BOOST_HANA_DEFINE_STRUCT(AppendHistoryReply, (HistoryName, history), (Epoch, term), (bool, granted), (bool, gap),
+  MOSSKEEL_FIELDS(AppendHistoryReply, (HistoryName, history), (Epoch, term), (bool, granted), (bool, gap),
                            (uint64_t, length));
 };
 
 /// A store tells the owner that, by its own clock, the history of this length has outlived its retention.
 struct HistoryExpired {
-  BOOST_HANA_DEFINE_STRUCT(HistoryExpired, (HistoryName, history), (PartitionId, partition), (uint64_t, length));
+  MOSSKEEL_FIELDS(HistoryExpired, (HistoryName, history), (PartitionId, partition), (uint64_t, length));
 };
 
 /// The history has ended for good: the store deletes its records and keeps a tombstone of its name.
 struct WriteTombstone {
-  BOOST_HANA_DEFINE_STRUCT(WriteTombstone, (HistoryName, history), (PartitionId, partition), (Epoch, term));
+  MOSSKEEL_FIELDS(WriteTombstone, (HistoryName, history), (PartitionId, partition), (Epoch, term));
 };
 
 /// A store that is to hold a partition asks for a page of it: histories after the name `after`, tombstones after the
 /// digest `after_tombstone`. `sequence` is the epoch of the move.
 struct StreamPartition {
-  BOOST_HANA_DEFINE_STRUCT(StreamPartition, (PartitionId, partition), (Epoch, sequence), (HistoryName, after),
+  MOSSKEEL_FIELDS(StreamPartition, (PartitionId, partition), (Epoch, sequence), (HistoryName, after),
                            (uint64_t, after_tombstone));
 };
 
 /// A complete history as one store holds it.
 struct HistoryCopy {
-  BOOST_HANA_DEFINE_STRUCT(HistoryCopy, (HistoryName, history), (Epoch, history_term), (Records, records));
+  MOSSKEEL_FIELDS(HistoryCopy, (HistoryName, history), (Epoch, history_term), (Records, records));
 };
 
 /// One page. `fence` is the highest term that the sender has fenced; `more` says that another page follows.
 struct StreamPartitionReply {
-  BOOST_HANA_DEFINE_STRUCT(StreamPartitionReply, (PartitionId, partition), (Epoch, sequence), (HistoryName, after),
+  MOSSKEEL_FIELDS(StreamPartitionReply, (PartitionId, partition), (Epoch, sequence), (HistoryName, after),
                            (uint64_t, after_tombstone), (Epoch, fence), (std::vector<HistoryCopy>, histories),
                            (std::vector<uint64_t>, tombstones), (bool, more));
 };
@@ -86,56 +86,56 @@
 /// Anti-entropy: a store sends the checksum of a partition's histories to a peer; `stores_epoch` is the epoch of the
 /// store set that it refers to.
 struct PartitionChecksum {
-  BOOST_HANA_DEFINE_STRUCT(PartitionChecksum, (PartitionId, partition), (Epoch, stores_epoch), (uint64_t, checksum));
+  MOSSKEEL_FIELDS(PartitionChecksum, (PartitionId, partition), (Epoch, stores_epoch), (uint64_t, checksum));
 };
 
 /// Whether the peer has the same checksum.
 struct PartitionChecksumReply {
-  BOOST_HANA_DEFINE_STRUCT(PartitionChecksumReply, (PartitionId, partition), (Epoch, stores_epoch), (bool, equal));
+  MOSSKEEL_FIELDS(PartitionChecksumReply, (PartitionId, partition), (Epoch, stores_epoch), (bool, equal));
 };
 
 /// Asks a peer for the next page of a partition's histories, by name after `after`.
 struct ListHistories {
-  BOOST_HANA_DEFINE_STRUCT(ListHistories, (PartitionId, partition), (HistoryName, after));
+  MOSSKEEL_FIELDS(ListHistories, (PartitionId, partition), (HistoryName, after));
 };
 
 /// Enough of a history to tell whether a copy of it is behind.
 struct HistorySummary {
-  BOOST_HANA_DEFINE_STRUCT(HistorySummary, (HistoryName, history), (Epoch, term), (uint64_t, length));
+  MOSSKEEL_FIELDS(HistorySummary, (HistoryName, history), (Epoch, term), (uint64_t, length));
 };
 
 struct ListHistoriesReply {
-  BOOST_HANA_DEFINE_STRUCT(ListHistoriesReply, (PartitionId, partition), (HistoryName, after),
+  MOSSKEEL_FIELDS(ListHistoriesReply, (PartitionId, partition), (HistoryName, after),
                            (std::vector<HistorySummary>, summaries), (bool, more));
 };
 
 /// Asks a peer for these histories.
 struct FetchHistories {
-  BOOST_HANA_DEFINE_STRUCT(FetchHistories, (PartitionId, partition), (std::vector<HistoryName>, names));
+  MOSSKEEL_FIELDS(FetchHistories, (PartitionId, partition), (std::vector<HistoryName>, names));
 };
 
 struct FetchHistoriesReply {
-  BOOST_HANA_DEFINE_STRUCT(FetchHistoriesReply, (PartitionId, partition), (std::vector<HistoryCopy>, histories));
+  MOSSKEEL_FIELDS(FetchHistoriesReply, (PartitionId, partition), (std::vector<HistoryCopy>, histories));
 };
 
 /// The old owner hands the outcome of a turn that was running when its partition moved to the new owner.
 struct TransferTurnOutcome {
-  BOOST_HANA_DEFINE_STRUCT(TransferTurnOutcome, (std::string, attempt), (HistoryName, history), (Record, record));
+  MOSSKEEL_FIELDS(TransferTurnOutcome, (std::string, attempt), (HistoryName, history), (Record, record));
 };
 
 /// Whether the outcome is committed.
 struct TransferTurnOutcomeReply {
-  BOOST_HANA_DEFINE_STRUCT(TransferTurnOutcomeReply, (std::string, attempt), (Outcome, outcome));
+  MOSSKEEL_FIELDS(TransferTurnOutcomeReply, (std::string, attempt), (Outcome, outcome));
 };
 
 /// Asks the gateway that wrote a reservation whether it still runs the turn; only its own answer counts.
 struct QueryTurnRunner {
-  BOOST_HANA_DEFINE_STRUCT(QueryTurnRunner, (HistoryName, history), (std::string, key));
+  MOSSKEEL_FIELDS(QueryTurnRunner, (HistoryName, history), (std::string, key));
 };
 
 /// `running` false means that this gateway will not report an outcome any more.
 struct QueryTurnRunnerReply {
-  BOOST_HANA_DEFINE_STRUCT(QueryTurnRunnerReply, (HistoryName, history), (std::string, key), (bool, running));
+  MOSSKEEL_FIELDS(QueryTurnRunnerReply, (HistoryName, history), (std::string, key), (bool, running));
 };
 
 }  // namespace mosskeel
--- a/src/messages/replication_messages.hpp
+++ b/src/messages/replication_messages.hpp
@@ -6,18 +6,18 @@
 
 /// Pushes a newly chosen entry, once, to every daemon in the directory.
 struct Decided {
-  BOOST_HANA_DEFINE_STRUCT(Decided, (Entry, entry));
+  MOSSKEEL_FIELDS(Decided, (Entry, entry));
 };
 
 /// Asks for what follows the epoch `known`.
 struct Catchup {
-  BOOST_HANA_DEFINE_STRUCT(Catchup, (Epoch, known));
+  MOSSKEEL_FIELDS(Catchup, (Epoch, known));
 };
 
 /// Entries after the epoch asked for, or a snapshot of the metadata where those entries are gone or too many; `epoch`
 /// is the newest that the sender has.
 struct CatchupReply {
-  BOOST_HANA_DEFINE_STRUCT(CatchupReply, (Epoch, epoch), (std::optional<Metadata>, checkpoint), (Entries, entries));
+  MOSSKEEL_FIELDS(CatchupReply, (Epoch, epoch), (std::optional<Metadata>, checkpoint), (Entries, entries));
 };
 
 /// A daemon's heartbeat; an agent's speaks for its gateway too. `known` is the epoch that it has, `streamed` the
@@ -25,7 +25,7 @@
 /// its own clock at the sending (ms; the reply returns it), `leaving` that it shuts down, `incomplete_comparisons`
 /// how many of a store's partitions are not compared with their peers yet.
 struct Heartbeat {
-  BOOST_HANA_DEFINE_STRUCT(Heartbeat, (Candidate, self), (Epoch, known), (uint32_t, load), (Epoch, streamed),
+  MOSSKEEL_FIELDS(Heartbeat, (Candidate, self), (Epoch, known), (uint32_t, load), (Epoch, streamed),
                            (uint32_t, running), (int64_t, sent), (bool, leaving), (uint32_t, incomplete_comparisons));
 };
 
@@ -33,7 +33,7 @@
 /// replier itself was in contact with a majority, `confirmed` whether a majority of the core has shown no later epoch
 /// than the sender's.
 struct HeartbeatReply {
-  BOOST_HANA_DEFINE_STRUCT(HeartbeatReply, (Epoch, epoch), (std::optional<Metadata>, checkpoint), (Entries, entries),
+  MOSSKEEL_FIELDS(HeartbeatReply, (Epoch, epoch), (std::optional<Metadata>, checkpoint), (Entries, entries),
                            (int64_t, touched_ms), (bool, confirmed), (int64_t, sent));
 };
 
--- a/src/messages/request_messages.hpp
+++ b/src/messages/request_messages.hpp
@@ -8,7 +8,7 @@
 /// this sending, `key` the turn; `expected_turns` is how many turns the caller knows of; `deadline_ms` is the time
 /// left.
 struct ProgramRequest {
-  BOOST_HANA_DEFINE_STRUCT(ProgramRequest, (std::string, attempt), (std::string, cell), (std::string, route),
+  MOSSKEEL_FIELDS(ProgramRequest, (std::string, attempt), (std::string, cell), (std::string, route),
                            (std::string, program), (std::string, thread), (std::string, key), (std::string, kind),
                            (std::string, method), (std::string, path), (std::string, prefix), (std::string, body),
                            (uint64_t, max_tokens), (std::optional<uint32_t>, expected_turns), (bool, urgent),
@@ -17,45 +17,45 @@
 
 /// The owner has a forwarded request and will answer it.
 struct ProgramRequestAcknowledgement {
-  BOOST_HANA_DEFINE_STRUCT(ProgramRequestAcknowledgement, (std::string, attempt));
+  MOSSKEEL_FIELDS(ProgramRequestAcknowledgement, (std::string, attempt));
 };
 
 /// A chunk of a response that is still running, counted from 0.
 struct ProgramResponseChunk {
-  BOOST_HANA_DEFINE_STRUCT(ProgramResponseChunk, (std::string, attempt), (uint32_t, index), (std::string, text));
+  MOSSKEEL_FIELDS(ProgramResponseChunk, (std::string, attempt), (uint32_t, index), (std::string, text));
 };
 
 /// The final response. `executed` says what is known of its execution; `wrong_owner` that another gateway owns the
 /// program; `chunks` how many chunks it has in all, `retry_ms` when the caller may try again (0: not said).
 struct ProgramResponse {
-  BOOST_HANA_DEFINE_STRUCT(ProgramResponse, (std::string, attempt), (uint32_t, status), (Outcome, executed),
+  MOSSKEEL_FIELDS(ProgramResponse, (std::string, attempt), (uint32_t, status), (Outcome, executed),
                            (std::string, reason), (std::string, body), (uint32_t, turn), (uint64_t, tokens),
                            (uint32_t, retry_ms), (bool, wrong_owner), (uint32_t, chunks));
 };
 
 /// A gateway's call of a replica, to be sent once.
 struct ReplicaCall {
-  BOOST_HANA_DEFINE_STRUCT(ReplicaCall, (std::string, attempt), (std::string, kind), (std::string, url),
+  MOSSKEEL_FIELDS(ReplicaCall, (std::string, attempt), (std::string, kind), (std::string, url),
                            (std::string, method), (std::string, body), (int64_t, deadline_ms), (bool, idempotent));
 };
 
 /// A chunk of the replica's response; `tokens` are those in this chunk.
 struct ReplicaCallChunk {
-  BOOST_HANA_DEFINE_STRUCT(ReplicaCallChunk, (std::string, attempt), (uint32_t, index), (std::string, text),
+  MOSSKEEL_FIELDS(ReplicaCallChunk, (std::string, attempt), (uint32_t, index), (std::string, text),
                            (uint64_t, tokens));
 };
 
 /// The end of a call. `request_sent` says whether anything may have reached the replica; `complete` that the replica
 /// itself ended its response, whose `checksum` and number of `chunks` it states.
 struct ReplicaCallResponse {
-  BOOST_HANA_DEFINE_STRUCT(ReplicaCallResponse, (std::string, attempt), (bool, request_sent), (uint32_t, status),
+  MOSSKEEL_FIELDS(ReplicaCallResponse, (std::string, attempt), (bool, request_sent), (uint32_t, status),
                            (bool, complete), (uint32_t, chunks), (uint64_t, tokens), (uint64_t, checksum),
                            (std::string, body), (std::string, reason));
 };
 
 /// The caller has left, or its time is over: ends the call.
 struct CancelReplicaCall {
-  BOOST_HANA_DEFINE_STRUCT(CancelReplicaCall, (std::string, attempt));
+  MOSSKEEL_FIELDS(CancelReplicaCall, (std::string, attempt));
 };
 
 }  // namespace mosskeel
--- a/src/messages/turn_messages.hpp
+++ b/src/messages/turn_messages.hpp
@@ -8,37 +8,37 @@
 /// durable reservation of `max_tokens` made. `parent` is the turn to continue, `budget` the program's token budget;
 /// times in ms.
 struct ReserveTurn {
-  BOOST_HANA_DEFINE_STRUCT(ReserveTurn, (std::string, attempt), (std::string, program), (std::string, parent),
+  MOSSKEEL_FIELDS(ReserveTurn, (std::string, attempt), (std::string, program), (std::string, parent),
                            (std::string, input), (uint64_t, budget), (uint64_t, max_tokens), (bool, keep_history),
                            (int64_t, retention_ms), (int64_t, timeout_ms));
 };
 
 /// 200 grants the turn, with the text of the chain before the input; anything else is final: the turn has not run.
 struct ReserveTurnReply {
-  BOOST_HANA_DEFINE_STRUCT(ReserveTurnReply, (std::string, attempt), (uint32_t, status), (uint32_t, retry_after_ms),
+  MOSSKEEL_FIELDS(ReserveTurnReply, (std::string, attempt), (uint32_t, status), (uint32_t, retry_after_ms),
                            (std::string, reason), (std::string, chain));
 };
 
 /// What became of a granted turn: status 200 complete, 0 not run, 502 unknown or broken off. `tokens` were handed to
 /// the caller.
 struct CommitTurn {
-  BOOST_HANA_DEFINE_STRUCT(CommitTurn, (std::string, attempt), (std::string, program), (uint32_t, status),
+  MOSSKEEL_FIELDS(CommitTurn, (std::string, attempt), (std::string, program), (uint32_t, status),
                            (uint64_t, tokens), (bool, keep_output), (std::string, output));
 };
 
 /// The outcome is on a quorum; or `committed` is false, and it cannot be there any more.
 struct CommitTurnReply {
-  BOOST_HANA_DEFINE_STRUCT(CommitTurnReply, (std::string, attempt), (bool, committed));
+  MOSSKEEL_FIELDS(CommitTurnReply, (std::string, attempt), (bool, committed));
 };
 
 /// Asks a store for the text of the chain that ends with this turn, whichever program it belongs to.
 struct FindChain {
-  BOOST_HANA_DEFINE_STRUCT(FindChain, (std::string, turn));
+  MOSSKEEL_FIELDS(FindChain, (std::string, turn));
 };
 
 /// `text` is the chain, from its first turn to the one asked for.
 struct FindChainReply {
-  BOOST_HANA_DEFINE_STRUCT(FindChainReply, (std::string, turn), (bool, found), (std::string, text));
+  MOSSKEEL_FIELDS(FindChainReply, (std::string, turn), (bool, found), (std::string, text));
 };
 
 }  // namespace mosskeel
--- a/src/metadata/configuration.hpp
+++ b/src/metadata/configuration.hpp
@@ -1,7 +1,7 @@
 #pragma once
 // The operators' configuration. It is read and written as JSON: names of fields are part of the interface, their order
 // is the format on the wire and on disk.
-#include <boost/hana/define_struct.hpp>
+#include "base/fields.hpp"
 
 #include "mosskeel/common.hpp"
 
@@ -9,14 +9,14 @@
 
 /// A program's way to replicas of one kind, "model" or "app"; an empty list of replicas stands for all of that kind.
 struct Route {
-  BOOST_HANA_DEFINE_STRUCT(Route, (std::string, name), (std::string, kind), (std::vector<std::string>, replicas));
+  MOSSKEEL_FIELDS(Route, (std::string, name), (std::string, kind), (std::vector<std::string>, replicas));
   bool operator==(const Route&) const = default;
   static std::set<std::string> optional_fields() { return {"replicas"}; }
 };
 
 /// A tenant with its own programs. `budget` and `turn_limit` count tokens, of a program and of one turn of it.
 struct Cell {
-  BOOST_HANA_DEFINE_STRUCT(Cell, (std::string, name), (uint64_t, budget), (uint64_t, turn_limit),
+  MOSSKEEL_FIELDS(Cell, (std::string, name), (uint64_t, budget), (uint64_t, turn_limit),
                            (int64_t, retention_ms), (std::vector<Route>, routes));
   bool operator==(const Cell&) const = default;
   static std::set<std::string> optional_fields() { return {}; }
@@ -28,7 +28,7 @@
 
 /// A service's part of a path's requests, by weight.
 struct Share {
-  BOOST_HANA_DEFINE_STRUCT(Share, (std::string, service), (uint32_t, weight));
+  MOSSKEEL_FIELDS(Share, (std::string, service), (uint32_t, weight));
   bool operator==(const Share&) const = default;
   static std::set<std::string> optional_fields() { return {}; }
 };
@@ -36,7 +36,7 @@
 /// Routes plain HTTP by host and longest prefix. Times in milliseconds; `rank` 0 is the most urgent; `attempts` is how
 /// many replicas one request may be sent to; `kept` stores turns and their chains for `retention_ms`.
 struct Path {
-  BOOST_HANA_DEFINE_STRUCT(Path, (std::string, name), (std::string, host), (std::string, prefix), (std::string, kind),
+  MOSSKEEL_FIELDS(Path, (std::string, name), (std::string, host), (std::string, prefix), (std::string, kind),
                            (int64_t, timeout_ms), (int64_t, target_ms), (uint32_t, rank), (uint32_t, attempts),
                            (bool, kept), (int64_t, retention_ms), (bool, sticky), (bool, resumable), (int64_t, gap_ms),
                            (std::vector<Share>, shares));
@@ -50,7 +50,7 @@
 /// The capacity of each replica of one service: sessions, and requests a second during the `cold_ms` of its slow start.
 /// `slots`, `cache_tokens` and `event_tokens` describe a model's batch, its prefix cache and the tokens of one event.
 struct Service {
-  BOOST_HANA_DEFINE_STRUCT(Service, (std::string, name), (std::string, health_path), (uint32_t, sessions),
+  MOSSKEEL_FIELDS(Service, (std::string, name), (std::string, health_path), (uint32_t, sessions),
                            (int64_t, cold_ms), (double, cold_per_s), (uint32_t, slots), (uint64_t, cache_tokens),
                            (uint32_t, event_tokens));
   bool operator==(const Service&) const = default;
@@ -61,7 +61,7 @@
 
 /// Limits of one caller's connection: bytes of a head and of a body, milliseconds for a head and without any traffic.
 struct CallerLimits {
-  BOOST_HANA_DEFINE_STRUCT(CallerLimits, (uint32_t, head_bytes), (uint32_t, body_bytes), (int64_t, head_ms),
+  MOSSKEEL_FIELDS(CallerLimits, (uint32_t, head_bytes), (uint32_t, body_bytes), (int64_t, head_ms),
                            (int64_t, idle_ms));
   bool operator==(const CallerLimits&) const = default;
   static std::set<std::string> optional_fields() { return {"head_bytes", "body_bytes", "head_ms", "idle_ms"}; }
@@ -69,7 +69,7 @@
 
 /// What operators configure. `document` is the operator's own document, verbatim, where that was not this JSON.
 struct Configuration {
-  BOOST_HANA_DEFINE_STRUCT(Configuration, (std::vector<Cell>, cells), (std::vector<Path>, paths),
+  MOSSKEEL_FIELDS(Configuration, (std::vector<Cell>, cells), (std::vector<Path>, paths),
                            (std::vector<Service>, services), (CallerLimits, callers), (std::string, document));
   bool operator==(const Configuration&) const = default;
   static std::set<std::string> optional_fields() { return {"paths", "services", "callers", "document"}; }
--- a/src/metadata/daemon.hpp
+++ b/src/metadata/daemon.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // The daemons of a cluster, as the directory of the metadata keeps them.
-#include <boost/hana/define_struct.hpp>
+#include "base/fields.hpp"
 
 #include "mosskeel/common.hpp"
 
@@ -19,14 +19,14 @@
 /// The order of the fields is the format on the wire and on disk.
 struct Candidate {
   /// `agent_address` is set for a gateway only: its agent receives for it. `http_address` is empty without HTTP.
-  BOOST_HANA_DEFINE_STRUCT(Candidate, (Incarnation, incarnation), (Role, role), (std::string, zone), (Address, address),
+  MOSSKEEL_FIELDS(Candidate, (Incarnation, incarnation), (Role, role), (std::string, zone), (Address, address),
                            (Address, agent_address), (Address, http_address), (std::string, machine));
   bool operator==(const Candidate&) const = default;
 };
 
 /// A directory entry; `since` is the epoch of the last change of `state`.
 struct Daemon {
-  BOOST_HANA_DEFINE_STRUCT(Daemon, (DaemonId, id), (Candidate, self), (DaemonState, state), (Epoch, since));
+  MOSSKEEL_FIELDS(Daemon, (DaemonId, id), (Candidate, self), (DaemonState, state), (Epoch, since));
   bool operator==(const Daemon&) const = default;
 };
 
--- a/src/metadata/metadata.hpp
+++ b/src/metadata/metadata.hpp
@@ -9,13 +9,13 @@
 
 /// A commit that was applied, so that a retry of it finds its first outcome.
 struct AppliedCommit {
-  BOOST_HANA_DEFINE_STRUCT(AppliedCommit, (std::string, id), (Epoch, epoch));
+  MOSSKEEL_FIELDS(AppliedCommit, (std::string, id), (Epoch, epoch));
   bool operator==(const AppliedCommit&) const = default;
 };
 
 /// A configuration that was applied: the revision that it replaced, its epoch and the digest of its commit id.
 struct AppliedConfiguration {
-  BOOST_HANA_DEFINE_STRUCT(AppliedConfiguration, (Revision, base), (Epoch, epoch), (uint64_t, commit_digest));
+  MOSSKEEL_FIELDS(AppliedConfiguration, (Revision, base), (Epoch, epoch), (uint64_t, commit_digest));
   bool operator==(const AppliedConfiguration&) const = default;
 };
 
@@ -30,7 +30,7 @@
   /// - `quorum_members`: daemons whose majority must acknowledge a change; while the set itself changes (joint
   ///   consensus, begun at `quorum_change_epoch`) also a majority of `incoming_quorum_members`, else empty
   /// - `configured_replication_factor`: as founded; see `replication_factor()`
-  BOOST_HANA_DEFINE_STRUCT(Metadata, (Epoch, epoch), (uint64_t, cluster), (uint32_t, core_size), (uint64_t, generation),
+  MOSSKEEL_FIELDS(Metadata, (Epoch, epoch), (uint64_t, cluster), (uint32_t, core_size), (uint64_t, generation),
                            (std::vector<DaemonId>, members), (Directory, directory), (uint64_t, next_id),
                            (Replicas, replicas), (std::vector<Partition>, partitions), (Locks, locks),
                            (Sequences, sequences), (Revision, revision), (Configuration, configuration),
--- a/src/metadata/partition.hpp
+++ b/src/metadata/partition.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Partitions of the programs, and the sequences that move them between daemons.
-#include <boost/hana/define_struct.hpp>
+#include "base/fields.hpp"
 
 #include "mosskeel/common.hpp"
 
@@ -12,14 +12,14 @@
   /// - `term`: epoch since which `owner` owns it; fences what earlier owners write
   /// - `pending_stores`: the next set while a sequence moves the partition between stores, else empty
   /// - `stores_epoch`: epoch of the last change of either set
-  BOOST_HANA_DEFINE_STRUCT(Partition, (DaemonId, owner), (Epoch, term), (std::vector<DaemonId>, stores),
+  MOSSKEEL_FIELDS(Partition, (DaemonId, owner), (Epoch, term), (std::vector<DaemonId>, stores),
                            (std::vector<DaemonId>, pending_stores), (Epoch, stores_epoch));
   bool operator==(const Partition&) const = default;
 };
 
 /// Owner and stores that a partition is to have after a sequence.
 struct PartitionMove {
-  BOOST_HANA_DEFINE_STRUCT(PartitionMove, (PartitionId, partition), (DaemonId, owner), (std::vector<DaemonId>, stores));
+  MOSSKEEL_FIELDS(PartitionMove, (PartitionId, partition), (DaemonId, owner), (std::vector<DaemonId>, stores));
   bool operator==(const PartitionMove&) const = default;
 };
 
@@ -35,7 +35,7 @@
 /// A multi-step change of placement under way. Its partitions are locked until it finishes or is cancelled.
 struct Sequence {
   /// `last_step_epoch` is the epoch that enacted the step before `next_step`.
-  BOOST_HANA_DEFINE_STRUCT(Sequence, (DaemonId, node), (SequenceKind, kind), (SequenceStep, next_step),
+  MOSSKEEL_FIELDS(Sequence, (DaemonId, node), (SequenceKind, kind), (SequenceStep, next_step),
                            (Epoch, started_epoch), (Epoch, last_step_epoch), (std::vector<PartitionMove>, moves));
   bool operator==(const Sequence&) const = default;
 };
--- a/src/metadata/replica.hpp
+++ b/src/metadata/replica.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // Replicas of models and applications, to which gateways send requests.
-#include <boost/hana/define_struct.hpp>
+#include "base/fields.hpp"
 
 #include "mosskeel/common.hpp"
 
@@ -17,7 +17,7 @@
   /// - `capacity`: requests that all gateways together may run on it at once
   /// - `service`: the service of the configuration that it belongs to; empty for a replica of a cell's own
   /// - `warm_up_ms`: remaining slow start, counted from the reading of the replica list that reported it
-  BOOST_HANA_DEFINE_STRUCT(Replica, (std::string, name), (std::string, kind), (std::string, zone), (std::string, url),
+  MOSSKEEL_FIELDS(Replica, (std::string, name), (std::string, kind), (std::string, zone), (std::string, url),
                            (ReplicaHealth, health), (Epoch, since), (uint32_t, capacity), (std::string, service),
                            (int64_t, warm_up_ms));
   bool operator==(const Replica&) const = default;
--- a/src/metadata/transformation.hpp
+++ b/src/metadata/transformation.hpp
@@ -11,113 +11,113 @@
 /// The first entry of each log. `max_core_size` is how many members the core may grow to (0: `core_size`),
 /// `replication_factor` how many stores keep each history (0: `kDefaultHistoryReplicas`).
 struct FoundCluster {
-  BOOST_HANA_DEFINE_STRUCT(FoundCluster, (uint64_t, cluster), (uint32_t, core_size), (std::vector<Candidate>, members),
+  MOSSKEEL_FIELDS(FoundCluster, (uint64_t, cluster), (uint32_t, core_size), (std::vector<Candidate>, members),
                            (uint32_t, max_core_size), (uint32_t, replication_factor));
   bool operator==(const FoundCluster&) const = default;
 };
 
 /// Puts a daemon into the directory. Rejected while another daemon at its address may still run.
 struct Register {
-  BOOST_HANA_DEFINE_STRUCT(Register, (Candidate, self));
+  MOSSKEEL_FIELDS(Register, (Candidate, self));
   bool operator==(const Register&) const = default;
 };
 
 /// Adds a registered controller that is up to the core, as long as the core has fewer live members than it may have.
 struct AddCoreMember {
-  BOOST_HANA_DEFINE_STRUCT(AddCoreMember, (DaemonId, node));
+  MOSSKEEL_FIELDS(AddCoreMember, (DaemonId, node));
   bool operator==(const AddCoreMember&) const = default;
 };
 
 /// Swaps a member that is down for a spare controller in one step. Only operators use it: majorities of the core before
 /// and after need not meet where one more member is lost.
 struct ReplaceCoreMember {
-  BOOST_HANA_DEFINE_STRUCT(ReplaceCoreMember, (DaemonId, removed), (DaemonId, added));
+  MOSSKEEL_FIELDS(ReplaceCoreMember, (DaemonId, removed), (DaemonId, added));
   bool operator==(const ReplaceCoreMember&) const = default;
 };
 
 /// A majority of the controllers misses the daemon's heartbeats. A front loses its partitions to other fronts at once.
 struct MarkDown {
-  BOOST_HANA_DEFINE_STRUCT(MarkDown, (DaemonId, node));
+  MOSSKEEL_FIELDS(MarkDown, (DaemonId, node));
   bool operator==(const MarkDown&) const = default;
 };
 
 /// The daemon is heard again. One without partitions joins anew.
 struct MarkUp {
-  BOOST_HANA_DEFINE_STRUCT(MarkUp, (DaemonId, node));
+  MOSSKEEL_FIELDS(MarkUp, (DaemonId, node));
   bool operator==(const MarkUp&) const = default;
 };
 
 /// Begins the sequence that gives a registered daemon its share of the partitions.
 struct PrepareJoin {
-  BOOST_HANA_DEFINE_STRUCT(PrepareJoin, (DaemonId, node));
+  MOSSKEEL_FIELDS(PrepareJoin, (DaemonId, node));
   bool operator==(const PrepareJoin&) const = default;
 };
 
 /// Begins the sequence that takes all partitions from a daemon that is to leave.
 struct PrepareDrain {
-  BOOST_HANA_DEFINE_STRUCT(PrepareDrain, (DaemonId, node));
+  MOSSKEEL_FIELDS(PrepareDrain, (DaemonId, node));
   bool operator==(const PrepareDrain&) const = default;
 };
 
 /// Enacts the next step of a node's sequence; `step` guards against a step that is enacted twice.
 struct AdvanceSequence {
-  BOOST_HANA_DEFINE_STRUCT(AdvanceSequence, (DaemonId, node), (SequenceStep, step));
+  MOSSKEEL_FIELDS(AdvanceSequence, (DaemonId, node), (SequenceStep, step));
   bool operator==(const AdvanceSequence&) const = default;
 };
 
 /// Gives a node's sequence up: pending stores are dropped, its partitions unlocked.
 struct CancelSequence {
-  BOOST_HANA_DEFINE_STRUCT(CancelSequence, (DaemonId, node), (std::string, reason));
+  MOSSKEEL_FIELDS(CancelSequence, (DaemonId, node), (std::string, reason));
   bool operator==(const CancelSequence&) const = default;
 };
 
 /// Compare-and-set of the configuration on revision `base`. `revision` is the number that the operator gave; 0 stands
 /// for the next one.
 struct ApplyConfiguration {
-  BOOST_HANA_DEFINE_STRUCT(ApplyConfiguration, (Revision, base), (Configuration, configuration), (Revision, revision));
+  MOSSKEEL_FIELDS(ApplyConfiguration, (Revision, base), (Configuration, configuration), (Revision, revision));
   bool operator==(const ApplyConfiguration&) const = default;
 };
 
 /// Adds a replica of a cell's own or changes it.
 struct SetReplica {
-  BOOST_HANA_DEFINE_STRUCT(SetReplica, (Replica, replica));
+  MOSSKEEL_FIELDS(SetReplica, (Replica, replica));
   bool operator==(const SetReplica&) const = default;
 };
 
 /// Removes a replica by its name.
 struct RemoveReplica {
-  BOOST_HANA_DEFINE_STRUCT(RemoveReplica, (std::string, name));
+  MOSSKEEL_FIELDS(RemoveReplica, (std::string, name));
   bool operator==(const RemoveReplica&) const = default;
 };
 
 /// Takes all work from a zone: its fronts lose their partitions, its replicas get no requests.
 struct EvacuateZone {
-  BOOST_HANA_DEFINE_STRUCT(EvacuateZone, (std::string, zone));
+  MOSSKEEL_FIELDS(EvacuateZone, (std::string, zone));
   bool operator==(const EvacuateZone&) const = default;
 };
 
 /// Ends an evacuation; the zone's replicas begin with a slow start.
 struct RestoreZone {
-  BOOST_HANA_DEFINE_STRUCT(RestoreZone, (std::string, zone));
+  MOSSKEEL_FIELDS(RestoreZone, (std::string, zone));
   bool operator==(const RestoreZone&) const = default;
 };
 
 /// Moves one partition to another front at once (operators' `move slot`).
 struct MovePartition {
-  BOOST_HANA_DEFINE_STRUCT(MovePartition, (PartitionId, partition), (DaemonId, owner));
+  MOSSKEEL_FIELDS(MovePartition, (PartitionId, partition), (DaemonId, owner));
   bool operator==(const MovePartition&) const = default;
 };
 
 /// Moves all of one front's partitions to another front at once (operators' `move routes`).
 struct MoveAllPartitions {
-  BOOST_HANA_DEFINE_STRUCT(MoveAllPartitions, (DaemonId, from), (DaemonId, to));
+  MOSSKEEL_FIELDS(MoveAllPartitions, (DaemonId, from), (DaemonId, to));
   bool operator==(const MoveAllPartitions&) const = default;
 };
 
 /// Founds the core anew from its survivors and `fresh` controllers: the lost members never vote again, the cluster's id
 /// changes. `generation` guards against a second re-founding of the same loss.
 struct RefoundCluster {
-  BOOST_HANA_DEFINE_STRUCT(RefoundCluster, (uint64_t, generation), (std::vector<DaemonId>, lost),
+  MOSSKEEL_FIELDS(RefoundCluster, (uint64_t, generation), (std::vector<DaemonId>, lost),
                            (std::vector<Candidate>, fresh));
   bool operator==(const RefoundCluster&) const = default;
 };
@@ -130,32 +130,32 @@
 
 /// Majorities of both sets know of the quorum change of epoch `since`: the old set counts no more.
 struct FinishQuorumChange {
-  BOOST_HANA_DEFINE_STRUCT(FinishQuorumChange, (Epoch, since));
+  MOSSKEEL_FIELDS(FinishQuorumChange, (Epoch, since));
   bool operator==(const FinishQuorumChange&) const = default;
 };
 
 /// What a replica list says beyond the log, in one epoch: replicas to add or change, and names to remove.
 struct UpdateReplicas {
-  BOOST_HANA_DEFINE_STRUCT(UpdateReplicas, (std::vector<Replica>, updated), (std::vector<std::string>, removed));
+  MOSSKEEL_FIELDS(UpdateReplicas, (std::vector<Replica>, updated), (std::vector<std::string>, removed));
   bool operator==(const UpdateReplicas&) const = default;
 };
 
 /// Takes a member that is down out of a core that keeps a majority without it.
 struct RemoveCoreMember {
-  BOOST_HANA_DEFINE_STRUCT(RemoveCoreMember, (DaemonId, node));
+  MOSSKEEL_FIELDS(RemoveCoreMember, (DaemonId, node));
   bool operator==(const RemoveCoreMember&) const = default;
 };
 
 /// Begins the sequence that gives the unlocked partitions of a store that is down to other stores. The store stays down
 /// and may come back without partitions.
 struct PrepareRepair {
-  BOOST_HANA_DEFINE_STRUCT(PrepareRepair, (DaemonId, node));
+  MOSSKEEL_FIELDS(PrepareRepair, (DaemonId, node));
   bool operator==(const PrepareRepair&) const = default;
 };
 
 /// A store that is down and holds no partitions has left for good.
 struct ForgetStore {
-  BOOST_HANA_DEFINE_STRUCT(ForgetStore, (DaemonId, node));
+  MOSSKEEL_FIELDS(ForgetStore, (DaemonId, node));
   bool operator==(const ForgetStore&) const = default;
 };
 
@@ -168,7 +168,7 @@
 
 /// One entry of the metadata log. `commit_id` is unique to the commit that proposed it; empty where nobody retries it.
 struct Entry {
-  BOOST_HANA_DEFINE_STRUCT(Entry, (Epoch, epoch), (std::string, commit_id), (Transformation, change));
+  MOSSKEEL_FIELDS(Entry, (Epoch, epoch), (std::string, commit_id), (Transformation, change));
   bool operator==(const Entry&) const = default;
 };
 
--- a/src/runtime/settings.hpp
+++ b/src/runtime/settings.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // A daemon's settings: a JSON file, command-line flags over it, all errors at once.
-#include <boost/hana/define_struct.hpp>
+#include "base/fields.hpp"
 
 #include "base/address.hpp"
 
@@ -14,7 +14,7 @@
 /// `later_start` forbids founding; `core_most` and `copies` are the largest core and the number of stores that keep a
 /// history, 0 for the default; `tolerated_machines` and `tolerated_zones` are what may be lost at once.
 struct Settings {
-  BOOST_HANA_DEFINE_STRUCT(Settings, (std::string, listen), (std::string, http), (std::string, agent),
+  MOSSKEEL_FIELDS(Settings, (std::string, listen), (std::string, http), (std::string, agent),
                            (std::string, zone), (std::vector<std::string>, seeds), (std::string, data),
                            (uint32_t, core_size), (int64_t, tcm_await_ms), (int64_t, tcm_rpc_ms),
                            (std::string, machine), (std::string, ready), (std::string, dialect), (std::string, list),
