--- a/src/consensus/constants.hpp
+++ b/src/consensus/constants.hpp
@@ -5,7 +5,7 @@
 namespace mosskeel {
 
 /// Discovery intervals; a controller that was not discovered for so many is forgotten.
-constexpr Duration kDiscoveryMemoryIntervals = 8ms;
+constexpr int kDiscoveryMemoryIntervals = 8;
 /// Between two requests to be registered, each to another member.
 constexpr Duration kRegistrationRetryInterval = 300ms;
 /// A controller that stops waits this long until the core goes on without it.
--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -345,7 +345,7 @@
   Heartbeat heartbeat{};
   heartbeat.self = self();
   heartbeat.known = metadata_log_.epoch();
-  heartbeat.sent = now;
+  heartbeat.sent = to_milliseconds(now);
   heartbeat.leaving = shutdown_.in_progress();
   detector_.record(heartbeat, now);
   const Metadata& metadata = *metadata_log_.view();
--- a/src/consensus/core_membership_policy.hpp
+++ b/src/consensus/core_membership_policy.hpp
@@ -31,7 +31,7 @@
   const FailureDetector& detector_;
   const MajorityObservation& majority_;
   /// Before this time a spare controller makes the core no larger.
-  std::map<DaemonId, Duration> growth_not_before_;
+  std::map<DaemonId, TimePoint> growth_not_before_;
 };
 
 }  // namespace mosskeel
--- a/src/consensus/failure_detector.cpp
+++ b/src/consensus/failure_detector.cpp
@@ -30,7 +30,7 @@
   HeartbeatAges ages;
   for (const auto& [id, daemon] : metadata.directory)
     if (daemon.state != DaemonState::left)
-      ages[id] = heartbeat_age(daemon, now);
+      ages[id] = heartbeat_age(daemon, now).count();
   return ages;
 }
 
--- a/src/consensus/failure_detector.hpp
+++ b/src/consensus/failure_detector.hpp
@@ -31,7 +31,7 @@
   void record(const Heartbeat& heartbeat, TimePoint now);
   /// Nothing for an incarnation that has sent no heartbeat.
   const PeerStatus* status_of(Incarnation incarnation) const;
-  /// Milliseconds since the daemon's last heartbeat.
+  /// The time since the daemon's last heartbeat.
   Duration heartbeat_age(const Daemon& daemon, TimePoint now) const;
   HeartbeatAges heartbeat_ages(const Metadata& metadata, TimePoint now) const;
   /// Whether another incarnation speaks at a daemon's address since the daemon's own last heartbeat: it runs no more.
--- a/src/consensus/majority_observation.cpp
+++ b/src/consensus/majority_observation.cpp
@@ -14,7 +14,7 @@
     if (!current || !metadata.is_core_member(member))
       continue;
     auto age = observation.heartbeat_ages.find(daemon.id);
-    if (age != observation.heartbeat_ages.end() && agrees(age->second))
+    if (age != observation.heartbeat_ages.end() && agrees(Duration(age->second)))
       ++agreeing;
   }
   return agreeing >= majority_of(metadata.members.size());
--- a/src/consensus/majority_observation.hpp
+++ b/src/consensus/majority_observation.hpp
@@ -11,7 +11,7 @@
   MajorityObservation(const MetadataLog& metadata_log, const SupervisorLease& lease)
       : metadata_log_(metadata_log), lease_(lease) {}
 
-  /// Whether a majority has had no heartbeat of the daemon for `timeout` milliseconds.
+  /// Whether a majority has had no heartbeat of the daemon for `timeout`.
   bool is_silent(const Daemon& daemon, Duration timeout, TimePoint now) const;
   /// Whether a majority has had one within the last three intervals.
   bool is_heard(const Daemon& daemon, TimePoint now) const;
--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -63,7 +63,7 @@
     return;
   Duration timeout = outbox_.id().commit_attempt_timeout;
   if (commit.timeout_ms > 0)
-    timeout = std::min<Duration>(commit.timeout_ms, timeout);
+    timeout = std::min(Duration(commit.timeout_ms), timeout);
   requests_.push_back(
       {commit.id, commit.change, envelope.from, commit.known_epoch, timeout, now + timeout, ++last_ticket_});
   advance(now);
@@ -212,7 +212,7 @@
   highest_round_ = std::max(highest_round_, seen.round);
   proposal_.reset();
   read_.reset();
-  retry_at_ = now + 1 + outbox_.jitter(kProposalJitter);
+  retry_at_ = now + 1ms + outbox_.jitter(kProposalJitter);
 }
 
 /// Asks the core whether this epoch is the newest; the commits that wait now may then be answered by its value.
@@ -313,7 +313,7 @@
 void Proposer::refound(const RefoundCluster& refounding, std::map<Incarnation, Address> survivors, TimePoint now) {
   proposal_.reset();
   read_.reset();
-  retry_at_ = 0;
+  retry_at_ = {};
   refounding_ = {refounding, std::move(survivors)};
   advance(now);
 }
--- a/src/consensus/proposer.hpp
+++ b/src/consensus/proposer.hpp
@@ -52,7 +52,7 @@
     Address requester;
     /// The requester's own epoch: the reply brings what it lacks since.
     Epoch known_epoch;
-    /// Milliseconds from the request, and from each repetition of it, to `deadline`.
+    /// From the request, and from each repetition of it, to `deadline`.
     Duration timeout{};
     TimePoint deadline{};
     /// Order of arrival.
--- a/src/consensus/sequence_coordinator.cpp
+++ b/src/consensus/sequence_coordinator.cpp
@@ -130,7 +130,7 @@
 Duration SequenceCoordinator::repair_delay(DaemonId id) const {
   auto begun = repairs_begun_.find(id);
   uint32_t doublings = begun == repairs_begun_.end() ? 0 : std::min(begun->second, kMaxRepairDelayDoublings);
-  return kRepairDelay << doublings;
+  return kRepairDelay * (int64_t{1} << doublings);
 }
 
 bool SequenceCoordinator::repair_is_due(const Daemon& store, TimePoint now) const {
--- a/src/consensus/supervisor_lease.cpp
+++ b/src/consensus/supervisor_lease.cpp
@@ -35,7 +35,7 @@
 
 void SupervisorLease::resign() {
   resigned_ = true;
-  held_until_ = 0;
+  held_until_ = {};
   request_id_ = 0;
 }
 
@@ -52,7 +52,7 @@
   auto self = std::find_if(metadata.members.begin(), metadata.members.end(), [&](DaemonId id) {
     return metadata.find(id)->self.incarnation == outbox_.id().self.incarnation;
   });
-  return 1 + (self - metadata.members.begin()) * kSupervisorLeaseMargin / 2;
+  return 1ms + (self - metadata.members.begin()) * kSupervisorLeaseMargin / 2;
 }
 
 void SupervisorLease::tick(TimePoint now) {
@@ -79,7 +79,7 @@
     granted_until_ = now;
   }
   request_id_ = 0;
-  next_request_at_ = now + 1 + outbox_.jitter(kSupervisorLeaseRenewInterval);
+  next_request_at_ = now + 1ms + outbox_.jitter(kSupervisorLeaseRenewInterval);
 }
 
 void SupervisorLease::request_lease(TimePoint now) {
