--- a/src/control/host_controller_access.cpp
+++ b/src/control/host_controller_access.cpp
@@ -17,7 +17,7 @@
 
   const Address& address() const { return opened_.address; }
 
-  /// The next message if it is a commit's reply; nothing where it is none, or none came within `timeout` (ms).
+  /// The next message if it is a commit's reply; nothing where it is none, or none came within `timeout`.
   std::optional<CommitReply> receive_reply(Duration timeout) {
     auto message = opened_.mailbox->pop(timeout);
     if (!message)
@@ -52,10 +52,10 @@
     envelope.from = mailbox.address();
     envelope.cluster = view->cluster;
     envelope.epoch = view->epoch;
-    envelope.body = Commit{commit_id, change, view->epoch, deadline - process_now()};
+    envelope.body = Commit{commit_id, change, view->epoch, (deadline - process_now()).count()};
     host_.post(std::move(envelope));
     // One heartbeat more than the controller's own patience, so that its reply is not missed by a hair.
-    auto wait = std::min<Duration>(attempt_timeout_ + kHeartbeatInterval, deadline - process_now());
+    auto wait = std::min(attempt_timeout_ + kHeartbeatInterval, deadline - process_now());
     auto reply = mailbox.receive_reply(wait);
     if (!reply)
       continue;
@@ -87,7 +87,7 @@
 }
 
 void HostControllerAccess::pause(Duration duration) {
-  std::this_thread::sleep_for(std::chrono::milliseconds(duration));
+  std::this_thread::sleep_for(duration);
 }
 
 }  // namespace mosskeel
--- a/src/control/host_controller_access.hpp
+++ b/src/control/host_controller_access.hpp
@@ -10,7 +10,7 @@
 /// Thread-safe: each HTTP request calls it from its own thread.
 class HostControllerAccess : public ControllerAccess {
  public:
-  /// `attempt_timeout` (ms) is how long the controller itself tries a commit before it answers "unknown".
+  /// `attempt_timeout` is how long the controller itself tries a commit before it answers "unknown".
   HostControllerAccess(Host& host, LocalMailboxes& mailboxes, Duration attempt_timeout)
       : host_(host), mailboxes_(mailboxes), attempt_timeout_(attempt_timeout) {}
 
--- a/src/control/replica_list_client.cpp
+++ b/src/control/replica_list_client.cpp
@@ -53,7 +53,7 @@
   curl_easy_setopt(connection, CURLOPT_URL, url.c_str());
   curl_easy_setopt(connection, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(connection, CURLOPT_PROXY, "");
-  curl_easy_setopt(connection, CURLOPT_TIMEOUT_MS, static_cast<long>(kReplicaListPageTimeout));
+  curl_easy_setopt(connection, CURLOPT_TIMEOUT_MS, static_cast<long>(kReplicaListPageTimeout.count()));
   curl_easy_setopt(connection, CURLOPT_WRITEFUNCTION, append_to_body);
   curl_easy_setopt(connection, CURLOPT_WRITEDATA, &body);
   auto result = curl_easy_perform(connection);
--- a/src/control/replica_poller.cpp
+++ b/src/control/replica_poller.cpp
@@ -31,7 +31,7 @@
 
 void ReplicaPoller::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
-    const auto next_poll = Clock::now() + std::chrono::milliseconds(kReplicaListPollInterval);
+    const auto next_poll = Clock::now() + kReplicaListPollInterval;
     poll(stop);
     sleep_until(next_poll, stop);
   }
