--- a/src/metadata/replica_list_reconciler.cpp
+++ b/src/metadata/replica_list_reconciler.cpp
@@ -35,18 +35,18 @@
   // The first time, the log's remaining warm-up may have run for a while already, so only a longer one is a change.
   auto expected_ready_at = seen.expected_ready_at;
   if (first_seen)
-    expected_ready_at = now + (logged ? std::min(logged->warm_up_ms, listed.warm_up_ms) : 0);
+    expected_ready_at = now + Duration(logged ? std::min(logged->warm_up_ms, listed.warm_up_ms) : 0);
 
   if (is_ready_after_restore(logged, listed)) {
     if (!seen.ready_after_restore_since)
       seen.ready_after_restore_since = now;
-    if (now - seen.ready_after_restore_since < kMaxReplicaListLag)
+    if (now - *seen.ready_after_restore_since < kMaxReplicaListLag)
       return false;
   } else {
-    seen.ready_after_restore_since = 0;
+    seen.ready_after_restore_since.reset();
   }
 
-  bool longer = listed.warm_up_ms > std::max(Duration::zero(), expected_ready_at - now) + kWarmUpTolerance;
+  bool longer = Duration(listed.warm_up_ms) > std::max(Duration::zero(), expected_ready_at - now) + kWarmUpTolerance;
   bool not_committed = logged && seen.reported_against && logged->since == *seen.reported_against;
   bool restarts_warm_up = listed.health == ReplicaHealth::warming_up && (longer || not_committed);
   if (logged && logged->health == listed.health && !restarts_warm_up) {
@@ -54,7 +54,7 @@
     seen.reported_against.reset();
     return false;
   }
-  seen.expected_ready_at = now + listed.warm_up_ms;
+  seen.expected_ready_at = now + Duration(listed.warm_up_ms);
   seen.reported_against.reset();
   if (logged)
     seen.reported_against = logged->since;
--- a/src/metadata/replica_list_reconciler.hpp
+++ b/src/metadata/replica_list_reconciler.hpp
@@ -20,8 +20,8 @@
   struct Seen {
     /// When the replica's warm-up is expected to end.
     TimePoint expected_ready_at{};
-    /// Since when the list calls ready what a restored zone left warming up; 0 where that is not so.
-    TimePoint ready_after_restore_since{};
+    /// Since when the list calls ready what a restored zone left warming up; nothing where that is not so.
+    std::optional<TimePoint> ready_after_restore_since;
     /// `since` of the log's record when it was last told a change. Still the same: the change was not committed.
     std::optional<Epoch> reported_against;
     /// Readings in a row that lack it.
