--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -97,8 +97,8 @@
 bool Follower::handle_heartbeat(const Envelope& envelope, const Heartbeat& heartbeat, TimePoint now) {
   auto updates = metadata_log_.small_updates_since(heartbeat.known);
   auto since_contact = now - acknowledgements_.last_majority_contact();
-  send_report(envelope.from, HeartbeatReply{metadata_log_.epoch(), updates.snapshot, updates.entries, since_contact,
-                                            reports_stable_epoch(), heartbeat.sent});
+  send_report(envelope.from, HeartbeatReply{metadata_log_.epoch(), updates.snapshot, updates.entries,
+                                            since_contact.count(), reports_stable_epoch(), heartbeat.sent});
   if (heartbeat.known > metadata_log_.epoch())
     request_catchup(envelope.from, now);
   return true;
@@ -109,7 +109,7 @@
   if (reply.epoch > metadata_log_.epoch())
     request_catchup(envelope.from, now);
   if (reply.confirmed)
-    acknowledgements_.record(envelope.from, envelope.from_incarnation, reply.epoch, reply.sent);
+    acknowledgements_.record(envelope.from, envelope.from_incarnation, reply.epoch, from_milliseconds(reply.sent));
   return true;
 }
 
@@ -165,7 +165,7 @@
   last_heartbeat_epoch_ = metadata_log_.epoch();
   auto heartbeat = own_heartbeat;
   heartbeat.known = metadata_log_.epoch();
-  heartbeat.sent = now;
+  heartbeat.sent = to_milliseconds(now);
   for (auto id : metadata.members)
     send_report(metadata.find(id)->self.address, heartbeat);
 
