--- a/src/runtime/constants.hpp
+++ b/src/runtime/constants.hpp
@@ -24,7 +24,7 @@
 constexpr uint32_t kMaxCoreSize = 9;
 /// Bytes; journal growth that calls for a checkpoint.
 constexpr size_t kCheckpointJournalBytes = 16u << 20;
-/// When a rejected caller may try again, unless something better is known.
+/// Milliseconds; when a rejected caller may try again, unless something better is known.
 constexpr uint32_t kDefaultRetryAfter = 500;
 /// Exit code of a daemon whose settings are wrong.
 constexpr int kExitBadSettings = 2;
--- a/src/runtime/host.cpp
+++ b/src/runtime/host.cpp
@@ -15,7 +15,7 @@
 /// How long the disk's thread waits for work before it looks whether it is to end.
 constexpr Duration kDiskQueueWait = 200ms;
 /// How often a caller of `ask` looks whether the host is ending.
-constexpr std::chrono::milliseconds kAskPollInterval{50};
+constexpr Duration kAskPollInterval = 50ms;
 
 size_t bytes_in_memory(const Batch& batch) {
   size_t bytes = batch.checkpoint ? batch.checkpoint->size() : 0;
@@ -32,7 +32,7 @@
   using std::chrono::duration_cast;
   using std::chrono::steady_clock;
   static const auto start = steady_clock::now();
-  return kProcessClockStart + duration_cast<std::chrono::milliseconds>(steady_clock::now() - start).count();
+  return kProcessClockStart + duration_cast<Duration>(steady_clock::now() - start);
 }
 
 Host::Host(std::shared_ptr<Disk> disk, Address self, size_t max_inbox_bytes)
@@ -141,7 +141,7 @@
       perform(machine_->tick(now));
       next_tick = now + kTickInterval;
     }
-    handle_inbox(std::max<Duration>(1ms, next_tick - process_now()));
+    handle_inbox(std::max(Duration(1ms), next_tick - process_now()));
     {
       std::lock_guard lock(watch_mutex_);
       if (watch_)
--- a/src/runtime/host.hpp
+++ b/src/runtime/host.hpp
@@ -8,7 +8,7 @@
 
 namespace mosskeel {
 
-/// This process's own time (ms) by the steady clock; it says nothing to any other process.
+/// This process's own time by the steady clock; it says nothing to any other process.
 TimePoint process_now();
 
 /// Three threads: one steps the state machine, one writes its journal (only with a disk), and the transport's receives.
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -14,7 +14,7 @@
 namespace mosskeel {
 namespace {
 
-/// Bounds of the time-outs in the settings, in ms.
+/// Bounds of the time-outs in the settings.
 constexpr Duration kMinCommitAttemptTimeout = 100ms;
 constexpr Duration kMaxCommitAttemptTimeout = 30000ms;
 constexpr Duration kMaxCommitTimeout = 60000ms;
@@ -181,9 +181,11 @@
   bool is_even = !from_source && settings.core_size % 2 == 0;
   if (needs.core_size && (is_out_of_range || is_even))
     errors.push_back({"core_size", "must be an odd number from 1 to 9"});
-  if (settings.tcm_rpc_ms < kMinCommitAttemptTimeout || settings.tcm_rpc_ms > kMaxCommitAttemptTimeout)
+  Duration commit_attempt_timeout{settings.tcm_rpc_ms};
+  Duration commit_timeout{settings.tcm_await_ms};
+  if (commit_attempt_timeout < kMinCommitAttemptTimeout || commit_attempt_timeout > kMaxCommitAttemptTimeout)
     errors.push_back({"tcm_rpc_ms", "must be from 100 to 30000"});
-  if (settings.tcm_await_ms < settings.tcm_rpc_ms || settings.tcm_await_ms > kMaxCommitTimeout)
+  if (commit_timeout < commit_attempt_timeout || commit_timeout > kMaxCommitTimeout)
     errors.push_back({"tcm_await_ms", "must be from tcm_rpc_ms to 60000"});
   return errors;
 }
@@ -229,8 +231,8 @@
       return report(needs, read.errors());
     settings = read.value();
   }
-  settings.tcm_await_ms = kCommitTimeout;
-  settings.tcm_rpc_ms = kCommitAttemptTimeout;
+  settings.tcm_await_ms = kCommitTimeout.count();
+  settings.tcm_rpc_ms = kCommitAttemptTimeout.count();
   if (flags.file)
     append(errors, read_file(flags.file, settings));
   apply_flags(flags, settings);
--- a/src/runtime/signals.cpp
+++ b/src/runtime/signals.cpp
@@ -16,13 +16,13 @@
 }
 
 bool wait_for_signal(Duration timeout) {
-  constexpr Duration kMillisPerSecond = 1000ms;
-  constexpr long kNanosPerMilli = 1000000;
   sigset_t awaited;
   sigemptyset(&awaited);
   sigaddset(&awaited, SIGTERM);
   sigaddset(&awaited, SIGINT);
-  timespec wait{timeout / kMillisPerSecond, (timeout % kMillisPerSecond) * kNanosPerMilli};
+  auto seconds = std::chrono::duration_cast<std::chrono::seconds>(timeout);
+  std::chrono::nanoseconds remainder = timeout - seconds;
+  timespec wait{seconds.count(), remainder.count()};
   return sigtimedwait(&awaited, nullptr, &wait) > 0;
 }
 
--- a/src/runtime/signals.hpp
+++ b/src/runtime/signals.hpp
@@ -8,7 +8,7 @@
 /// a daemon follows the directory and not its settings file once it has started.
 void block_signals();
 
-/// Waits up to `timeout` (ms) for SIGTERM or SIGINT; true once one came.
+/// Waits up to `timeout` for SIGTERM or SIGINT; true once one came.
 bool wait_for_signal(Duration timeout);
 
 }  // namespace mosskeel
