--- a/src/history/store_machine.cpp
+++ b/src/history/store_machine.cpp
@@ -9,7 +9,11 @@
 
 StoreMachine::StoreMachine(const Identity& id, Recovered recovered, TimePoint now)
     : out_(id),
-      follower_(out_, metadata_log_, now),
+      follower_(out_, metadata_log_, now,
+                {[this](const Entry& entry) { journal_.append(entry); },
+                 [this](const Metadata& metadata) {
+                   journal_.append(metadata);
+                 }}),
       clock_(now),
       journal_(out_),
       table_(journal_, clock_),
@@ -24,12 +28,6 @@
   out_.cluster = metadata_log_.view()->cluster;
   out_.epoch = metadata_log_.epoch();
   follower_.report_durable_epochs_only();
-  follower_.on_entry = [this](const Entry& entry) {
-    journal_.append(entry);
-  };
-  follower_.on_snapshot = [this](const Metadata& metadata) {
-    journal_.append(metadata);
-  };
 }
 
 /// Reads the form of `StoreCheckpoint` partition by partition, so that no more than one partition is in memory twice.
--- a/src/replication/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -5,10 +5,11 @@
 
 namespace mosskeel {
 
-AgentMachine::AgentMachine(const Identity& id, TimePoint now) : out_(id), follower_(out_, metadata_log_, now) {
-  follower_.on_entry = [this](const Entry& entry) {
-    out_.send(out_.id().self.agent_address, Decided{entry});
-  };
+AgentMachine::AgentMachine(const Identity& id, TimePoint now)
+    : out_(id), follower_(out_, metadata_log_, now, {[this](const Entry& entry) { pass_on(entry); }, nullptr}) {}
+
+void AgentMachine::pass_on(const Entry& entry) {
+  out_.send(out_.id().self.agent_address, Decided{entry});
 }
 
 Actions AgentMachine::step(const Envelope& envelope, TimePoint now) {
--- a/src/replication/agent_machine.hpp
+++ b/src/replication/agent_machine.hpp
@@ -17,6 +17,8 @@
   void leave() { leaving_ = true; }
 
  private:
+  /// Sends an entry that the log took to the gateway.
+  void pass_on(const Entry& entry);
   void take_gateway_heartbeat(const Heartbeat& heartbeat, TimePoint now);
   void follow(TimePoint now);
   /// Asks the core to drain a gateway that leaves.
--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -16,13 +16,13 @@
 void Follower::apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot) {
   if (snapshot && metadata_log_.install_snapshot(*snapshot)) {
     out_.log_event(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
-    if (on_snapshot)
-      on_snapshot(*snapshot);
+    if (callbacks_.on_snapshot)
+      callbacks_.on_snapshot(*snapshot);
   }
   for (auto& entry : entries)
     for (auto& applied : metadata_log_.add(entry))
-      if (on_entry)
-        on_entry(applied);
+      if (callbacks_.on_entry)
+        callbacks_.on_entry(applied);
   out_.cluster = metadata_log_.view()->cluster;
   out_.epoch = metadata_log_.epoch();
   acknowledgements_.on_log_advanced();
--- a/src/replication/follower.hpp
+++ b/src/replication/follower.hpp
@@ -9,10 +9,18 @@
 /// the daemon's state machine owns it, calls it from its own steps and passes on what it does not handle.
 class Follower {
  public:
-  /// Both references must outlive this.
-  Follower(Outbox& out, MetadataLog& metadata_log, TimePoint now)
+  /// Called for each entry and each snapshot that the log took; either may be empty.
+  struct Callbacks {
+    std::function<void(const Entry&)> on_entry;
+    std::function<void(const Metadata&)> on_snapshot;
+  };
+
+  /// Both references must outlive this. The callbacks are called from `handle` and `apply_updates` only, never from
+  /// the constructor.
+  Follower(Outbox& out, MetadataLog& metadata_log, TimePoint now, Callbacks callbacks = {})
       : out_(out),
         metadata_log_(metadata_log),
+        callbacks_(std::move(callbacks)),
         started_at_(now),
         acknowledgements_(metadata_log, out.id().self, now),
         registration_(out, metadata_log) {}
@@ -35,9 +43,6 @@
 
   /// Takes entries, and a snapshot where it is newer, into the log.
   void apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot);
-  /// Called for each entry and snapshot that the log took.
-  std::function<void(const Entry&)> on_entry;
-  std::function<void(const Metadata&)> on_snapshot;
 
   /// A daemon that journals the log reports an epoch only once it is synced.
   void report_durable_epochs_only() { is_durable_ = true; }
@@ -59,6 +64,7 @@
 
   Outbox& out_;
   MetadataLog& metadata_log_;
+  const Callbacks callbacks_;
   const TimePoint started_at_;
   HeartbeatAcknowledgements acknowledgements_;
   Registration registration_;
