--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -13,14 +13,6 @@
   return digest(hex(id.self.incarnation.value()), id.random_seed);
 }
 
-/// Whether somebody outside the cluster relies on a change once it is acknowledged, so that it must be in force then.
-bool must_be_in_force(const Transformation& change) {
-  return std::holds_alternative<ApplyConfiguration>(change) || std::holds_alternative<SetReplica>(change) ||
-         std::holds_alternative<RemoveReplica>(change) || std::holds_alternative<EvacuateZone>(change) ||
-         std::holds_alternative<RestoreZone>(change) || std::holds_alternative<PrepareDrain>(change) ||
-         std::holds_alternative<MovePartition>(change) || std::holds_alternative<MoveAllPartitions>(change);
-}
-
 }  // namespace
 
 /// The members of the core; before the founding, the fixed candidates.
@@ -45,59 +37,19 @@
   return majority_of(acceptors);
 }
 
-bool Proposer::is_appended(const CommitRequest& request) const {
-  return metadata_log_.view()->epoch_of_commit(request.id).has_value();
-}
-
 void Proposer::handle(const Envelope& envelope, const Commit& commit, TimePoint now) {
-  auto extend_if_repeated = [&](CommitRequest& request) {
-    if (request.id != commit.id || request.requester != envelope.from)
-      return false;
-    request.deadline = now + request.timeout;
-    return true;
-  };
-  if (std::any_of(requests_.begin(), requests_.end(), extend_if_repeated))
-    return;
-  if (std::any_of(appended_.begin(), appended_.end(),
-                  [&](AppendedCommit& appended) { return extend_if_repeated(appended.request); }))
-    return;
-  Duration timeout = outbox_.id().commit_attempt_timeout;
-  if (commit.timeout_ms > 0)
-    timeout = std::min(Duration(commit.timeout_ms), timeout);
-  requests_.push_back(
-      {commit.id, commit.change, envelope.from, commit.known_epoch, timeout, now + timeout, ++last_ticket_});
-  advance(now);
-}
-
-void Proposer::reply(const CommitRequest& request, CommitOutcome outcome, const std::string& reason,
-                     Rejection rejection) {
-  Epoch epoch = metadata_log_.epoch();
-  if (outcome != CommitOutcome::rejected)
-    epoch = metadata_log_.view()->epoch_of_commit(request.id).value_or(epoch);
-  auto [snapshot, entries] = metadata_log_.updates_since(request.known_epoch);
-  outbox_.send_synced(request.requester, CommitReply{request.id, outcome, reason, epoch, snapshot, entries, rejection});
-  if (outcome == CommitOutcome::rejected)
-    outbox_.log_event(Event::rejected, describe(request.change) + ": " + reason);
-  if (outcome == CommitOutcome::unknown)
-    outbox_.log_event(Event::unknown_outcome, describe(request.change) + " id " + request.id);
+  if (commits_.add(envelope, commit, now))
+    advance(now);
 }
 
 /// Whoever was told that the outcome of a commit is unknown may have gone to another controller with a different one:
 /// it is not proposed any more.
 void Proposer::expire_requests(TimePoint now) {
-  std::vector<CommitRequest> expired;
-  std::erase_if(requests_, [&](CommitRequest& request) {
-    if (now < request.deadline || (request.proposed && is_appended(request)))
-      return false;
-    expired.push_back(request);
-    return true;
-  });
-  for (const CommitRequest& request : expired) {
+  for (const CommitRequest& request : commits_.expire(now)) {
     // Nobody has been asked to accept it yet, so it can be abandoned.
     if (proposal_ && proposal_->phase == Phase::preparing && proposal_->entry &&
         proposal_->entry->commit_id == request.id)
       proposal_.reset();
-    reply(request, CommitOutcome::unknown, "no majority of the core answered in time");
   }
 }
 
@@ -107,11 +59,11 @@
   while (idle() && now >= retry_at_) {
     if (propose_founding(now) || propose_refounding(now))
       return;
-    if (requests_.empty() || metadata_log_.view()->cluster == 0)
+    if (commits_.empty() || metadata_log_.view()->cluster == 0)
       return;
-    CommitRequest& first = requests_.front();
-    if (first.proposed && is_appended(first))
-      await_in_force(take_first_request(), now);
+    CommitRequest& first = commits_.first();
+    if (first.proposed && commits_.is_appended(first))
+      commits_.acknowledge_first(now);
     else
       propose_or_read(first, now);
   }
@@ -146,7 +98,7 @@
 /// What doesn't apply, or was appended for another request, is answered only after a quorum read.
 void Proposer::propose_or_read(CommitRequest& request, TimePoint now) {
   Entry entry{next(metadata_log_.epoch()), request.id, request.change};
-  if (is_appended(request) || !apply(*metadata_log_.view(), entry).ok())
+  if (commits_.is_appended(request) || !apply(*metadata_log_.view(), entry).ok())
     return begin_read(now);
   request.proposed = true;
   prepare(entry.epoch, entry, now);
@@ -211,100 +163,29 @@
 void Proposer::abandon(TimePoint now, Ballot seen) {
   highest_round_ = std::max(highest_round_, seen.round);
   proposal_.reset();
-  read_.reset();
+  reader_.abandon();
   retry_at_ = now + 1ms + outbox_.jitter(kProposalJitter);
 }
 
 /// Asks the core whether this epoch is the newest; the commits that wait now may then be answered by its value.
 void Proposer::begin_read(TimePoint now) {
-  QuorumReadState read{};
-  read.id = outbox_.next_random();
-  read.epoch = metadata_log_.epoch();
-  read.last_ticket = requests_.back().ticket;
-  read.members = acceptors();
-  read.quorum_size = majority_of(read.members.size());
-  read.deadline = now + kProposalTimeout;
-  for (const auto& [incarnation, address] : read.members)
-    outbox_.send(address, QuorumRead{read.id}, incarnation);
-  read_ = std::move(read);
+  reader_.begin(acceptors(), commits_.last_ticket(), now);
 }
 
 void Proposer::handle(const Envelope& envelope, const QuorumReadReply& reply, TimePoint now) {
-  if (!read_ || reply.id != read_->id || !read_->members.count(envelope.from_incarnation))
-    return;
-  if (reply.epoch > metadata_log_.epoch()) {
-    outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
-    return;
-  }
-  if (reply.epoch == metadata_log_.epoch())
-    read_->instance_open |= reply.open;
-  read_->replies.insert(envelope.from_incarnation);
-  if (read_->replies.size() < read_->quorum_size)
-    return;
-  QuorumReadState read = std::move(*read_);
-  read_.reset();
-  finish_read(read, now);
+  if (auto result = reader_.handle(envelope, reply))
+    finish_read(*result, now);
 }
 
-void Proposer::finish_read(const QuorumReadState& read, TimePoint now) {
+void Proposer::finish_read(const QuorumReader::Result& read, TimePoint now) {
   if (metadata_log_.epoch() != read.epoch)
     return advance(now);
   if (read.instance_open)
     return prepare(next(read.epoch), std::nullopt, now);
-  answer_requests_up_to(read.last_ticket, now);
+  commits_.answer_up_to(read.last_ticket, now);
   advance(now);
 }
 
-/// Answers the requests that had come before a quorum read began, up to the first that can be proposed.
-void Proposer::answer_requests_up_to(uint64_t last_ticket, TimePoint now) {
-  while (!requests_.empty() && requests_.front().ticket <= last_ticket) {
-    const CommitRequest& first = requests_.front();
-    if (is_appended(first)) {
-      await_in_force(take_first_request(), now);
-      continue;
-    }
-    auto result = apply(*metadata_log_.view(), Entry{next(metadata_log_.epoch()), first.id, first.change});
-    if (result.ok())
-      return;
-    CommitRequest rejected = take_first_request();
-    reply(rejected, CommitOutcome::rejected, to_string(result.errors()),
-          rejection_reason(*metadata_log_.view(), rejected.change));
-  }
-}
-
-Proposer::CommitRequest Proposer::take_first_request() {
-  CommitRequest first = std::move(requests_.front());
-  requests_.erase(requests_.begin());
-  return first;
-}
-
-void Proposer::await_in_force(CommitRequest request, TimePoint now) {
-  Epoch epoch = *metadata_log_.view()->epoch_of_commit(request.id);
-  AppendedCommit commit{std::move(request), epoch};
-  if (!try_acknowledge(commit, now))
-    appended_.push_back(std::move(commit));
-}
-
-/// Answers once the change is in force, or at its deadline; false if it has still to wait.
-bool Proposer::try_acknowledge(const AppendedCommit& commit, TimePoint now) {
-  std::string missing;
-  if (must_be_in_force(commit.request.change))
-    missing = missing_acknowledgements_(commit.epoch, now);
-  if (missing.empty()) {
-    reply(commit.request, CommitOutcome::committed, "");
-    return true;
-  }
-  if (now < commit.request.deadline)
-    return false;
-  reply(commit.request, CommitOutcome::unknown,
-        "epoch " + std::to_string(commit.epoch.value()) + " is in the log and not yet in force: " + missing);
-  return true;
-}
-
-void Proposer::acknowledge_in_force(TimePoint now) {
-  std::erase_if(appended_, [&](const AppendedCommit& commit) { return try_acknowledge(commit, now); });
-}
-
 void Proposer::found(const FoundCluster& founding, const Candidates& electors, size_t quorum_size, TimePoint now) {
   founding_ = {Entry{Epoch{1}, "found", founding}, electors, quorum_size};
   advance(now);
@@ -312,7 +193,7 @@
 
 void Proposer::refound(const RefoundCluster& refounding, std::map<Incarnation, Address> survivors, TimePoint now) {
   proposal_.reset();
-  read_.reset();
+  reader_.abandon();
   retry_at_ = {};
   refounding_ = {refounding, std::move(survivors)};
   advance(now);
@@ -326,12 +207,12 @@
 void Proposer::tick(TimePoint now) {
   if (proposal_ && proposal_->epoch < next(metadata_log_.epoch()))
     proposal_.reset();
-  if (read_ && read_->epoch < metadata_log_.epoch())
-    read_.reset();
-  bool timed_out = (proposal_ && now >= proposal_->deadline) || (read_ && now >= read_->deadline);
+  if (reader_.is_outdated())
+    reader_.abandon();
+  bool timed_out = (proposal_ && now >= proposal_->deadline) || reader_.is_timed_out(now);
   if (timed_out)
     abandon(now, {});
-  acknowledge_in_force(now);
+  commits_.acknowledge_in_force(now);
   advance(now);
 }
 
