--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -1,7 +1,5 @@
 #include "consensus/controller_machine.hpp"
 
-#include <algorithm>
-
 #include "consensus/constants.hpp"
 #include "consensus/in_force.hpp"
 #include "replication/constants.hpp"
@@ -12,12 +10,15 @@
 ControllerMachine::ControllerMachine(const Identity& id, const Recovered& recovered, TimePoint now)
     : outbox_(id),
       acceptor_(outbox_, metadata_log_),
+      journal_(outbox_, metadata_log_, acceptor_),
+      filter_(outbox_, metadata_log_),
       detector_(now),
       lease_(outbox_, metadata_log_, detector_, now),
       supervisor_(outbox_, metadata_log_, detector_, lease_),
       proposer_(
-          outbox_, metadata_log_, acceptor_, [this](const Entry& entry) { on_decided(entry); },
+          outbox_, metadata_log_, acceptor_, [this](const Entry& entry) { journal_.add_decided(entry); },
           [this](Epoch epoch, TimePoint at) { return missing_acknowledgements(epoch, at); }),
+      open_instance_(outbox_, metadata_log_, acceptor_, proposer_),
       discovered_(id.self.incarnation),
       founding_(outbox_, proposer_, discovered_, now),
       refounding_(outbox_, metadata_log_, detector_, proposer_, discovered_),
@@ -37,20 +38,14 @@
   for (const std::string& bytes : recovered.journal)
     if (auto record = codec::decode<ControllerRecord>(bytes))
       recover(*record);
-  stamp_messages();
+  journal_.stamp_messages();
 }
 
 void ControllerMachine::recover(const ControllerRecord& record) {
   std::visit(overload{[&](const PromiseRecord& promise) { acceptor_.recover(promise); },
                       [&](const AcceptRecord& accept) { acceptor_.recover(accept); },
-                      [&](const DecidedRecord& decided) {
-                        if (!metadata_log_.add(decided.entry).empty())
-                          acceptor_.reset();
-                      },
-                      [&](const JumpRecord& jump) {
-                        if (metadata_log_.install_snapshot(jump.metadata))
-                          acceptor_.reset();
-                      },
+                      [&](const DecidedRecord& decided) { journal_.recover(decided); },
+                      [&](const JumpRecord& jump) { journal_.recover(jump); },
                       [&](const FoundersRecord& founders) {
                         founding_.recover(founders);
                       }},
@@ -79,8 +74,8 @@
 }
 
 Actions ControllerMachine::step(const Envelope& envelope, TimePoint now) {
-  if (!is_acceptable(envelope)) {
-    answer_former_cluster(envelope);
+  if (!filter_.accepts(envelope)) {
+    filter_.answer_rejected(envelope);
     return take_actions();
   }
   if (!outbox_.cluster && envelope.cluster) {
@@ -107,7 +102,7 @@
     refounding_.tick(now);
   lease_.tick(now);
   supervisor_.tick(now);
-  finish_abandoned_instance(now);
+  open_instance_.tick(now);
   proposer_.tick(now);
   react_to_new_epoch(before, now);
   return take_actions();
@@ -121,51 +116,6 @@
   send_heartbeats(now);
 }
 
-/// A proposal whose proposer gave up or stopped may be decided already without anybody knowing it.
-void ControllerMachine::finish_abandoned_instance(TimePoint now) {
-  if (!acceptor_.has_accepted() || unfinished_after_ != metadata_log_.epoch()) {
-    unfinished_since_ = now;
-    unfinished_after_ = metadata_log_.epoch();
-  }
-  if (outbox_.cluster && now - unfinished_since_ > kHeartbeatInterval * 2 && proposer_.idle()) {
-    unfinished_since_ = now + outbox_.jitter(kProposalJitter);
-    proposer_.finish_open_instance(now);
-  }
-}
-
-/// Whether a message is for this incarnation, and of this cluster or one that succeeds it. Of a former cluster only
-/// those messages are taken by which a daemon finds its way to the present one.
-bool ControllerMachine::is_acceptable(const Envelope& envelope) const {
-  const Metadata& metadata = *metadata_log_.view();
-  if (envelope.to_incarnation.value() && envelope.to_incarnation != self().incarnation)
-    return false;
-  if (envelope.cluster == 0 || outbox_.cluster == 0 || envelope.cluster == outbox_.cluster ||
-      is_successor_cluster(metadata, envelope.cluster))
-    return true;
-  const auto& former = metadata.former_clusters;
-  const Daemon* sender = metadata.find(envelope.from_incarnation);
-  bool of_former_cluster = std::find(former.begin(), former.end(), envelope.cluster) != former.end();
-  bool may_return = !sender || sender->state != DaemonState::left;
-  bool finds_cluster = std::holds_alternative<Heartbeat>(envelope.body) ||
-                       std::holds_alternative<Catchup>(envelope.body) ||
-                       std::holds_alternative<Discover>(envelope.body);
-  return of_former_cluster && may_return && finds_cluster;
-}
-
-/// Somebody of an earlier generation learns of the new one. A controller gets the whole value, never entries: those
-/// may not fit the log that it holds.
-void ControllerMachine::answer_former_cluster(const Envelope& envelope) {
-  const Metadata& metadata = *metadata_log_.view();
-  const auto& former = metadata.former_clusters;
-  if (std::find(former.begin(), former.end(), envelope.cluster) == former.end())
-    return outbox_.log_event(Event::foreign, "from " + envelope.from);
-  outbox_.send(envelope.from, DiscoverReply{self(), outbox_.cluster, metadata_log_.epoch(), {}, {}});
-  const Daemon* sender = metadata.find(envelope.from_incarnation);
-  bool catches_up = std::holds_alternative<Heartbeat>(envelope.body) || std::holds_alternative<Catchup>(envelope.body);
-  if (sender && sender->self.role == Role::controller && catches_up)
-    outbox_.send(envelope.from, CatchupReply{metadata_log_.epoch(), metadata, {}});
-}
-
 /// Asks a sender that knows a later epoch for what is missing here, unless its message brings that.
 void ControllerMachine::request_missing_entries(const Envelope& envelope, TimePoint now) {
   bool brings_entries = std::holds_alternative<Decided>(envelope.body) ||
@@ -297,47 +247,10 @@
   refounding_.handle(envelope, request, now);
 }
 
-/// Messages carry the cluster and the epoch of the log as it is now.
-void ControllerMachine::stamp_messages() {
-  outbox_.cluster = metadata_log_.view()->cluster;
-  outbox_.epoch = metadata_log_.epoch();
-}
-
-/// Keeps an entry that the metadata log has applied; the acceptor's next instance opens.
-void ControllerMachine::append(const Entry& entry) {
-  acceptor_.reset();
-  outbox_.write(codec::encode(ControllerRecord{DecidedRecord{entry}}));
-}
-
-/// An entry of this controller's own proposal is decided: sends it to every daemon once; who misses it catches up.
-void ControllerMachine::on_decided(const Entry& entry) {
-  for (const Entry& applied : metadata_log_.add(entry)) {
-    append(applied);
-    stamp_messages();
-    outbox_.log_event(applied.epoch.value() == 1 ? Event::founded : Event::decided,
-                      std::to_string(applied.epoch.value()) + ": " + describe(applied.change));
-    for (const auto& [id, daemon] : metadata_log_.view()->directory) {
-      if (daemon.state == DaemonState::left || daemon.self.incarnation == self().incarnation)
-        continue;
-      const Address& agent = daemon.self.agent_address;
-      outbox_.send(agent.empty() ? daemon.self.address : agent, Decided{applied});
-    }
-  }
-}
-
-/// Takes entries or a whole value that others have decided.
+/// A controller that was removed by a re-founding takes part again once it holds the new cluster's log.
 void ControllerMachine::apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot) {
-  if (snapshot && metadata_log_.install_snapshot(*snapshot)) {
-    acceptor_.reset();
-    outbox_.write(codec::encode(ControllerRecord{JumpRecord{*snapshot}}));
-    outbox_.log_event(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
-  }
-  for (const Entry& entry : entries)
-    for (const Entry& applied : metadata_log_.add(entry))
-      append(applied);
-  if (outbox_.cluster != metadata_log_.view()->cluster)
+  if (journal_.apply_updates(entries, snapshot))
     removed_by_refounding_ = false;
-  stamp_messages();
 }
 
 void ControllerMachine::send_heartbeats(TimePoint now) {
--- a/src/consensus/controller_machine.hpp
+++ b/src/consensus/controller_machine.hpp
@@ -4,7 +4,9 @@
 #include "consensus/failure_detector.hpp"
 #include "consensus/founding.hpp"
 #include "consensus/graceful_shutdown.hpp"
-#include "consensus/proposer.hpp"
+#include "consensus/message_filter.hpp"
+#include "consensus/metadata_journal.hpp"
+#include "consensus/open_instance_watch.hpp"
 #include "consensus/refounding.hpp"
 #include "consensus/supervisor.hpp"
 
@@ -63,26 +65,23 @@
 
   void recover(const Recovered& recovered);
   void recover(const ControllerRecord& record);
-  bool is_acceptable(const Envelope& envelope) const;
-  void answer_former_cluster(const Envelope& envelope);
   void request_missing_entries(const Envelope& envelope, TimePoint now);
-  void on_decided(const Entry& entry);
   void apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot);
-  void append(const Entry& entry);
-  void stamp_messages();
   bool may_vote(TimePoint now) const;
   void send_heartbeats(TimePoint now);
-  void finish_abandoned_instance(TimePoint now);
   void react_to_new_epoch(Epoch before, TimePoint now);
   Actions take_actions();
 
   Outbox outbox_;
   MetadataLog metadata_log_;
   Acceptor acceptor_;
+  MetadataJournal journal_;
+  MessageFilter filter_;
   FailureDetector detector_;
   SupervisorLease lease_;
   Supervisor supervisor_;
   Proposer proposer_;
+  OpenInstanceWatch open_instance_;
   CatchupRateLimiter catch_up_limiter_;
   DiscoveredControllers discovered_;
   Founding founding_;
@@ -90,9 +89,6 @@
   ControllerRegistration registration_;
   GracefulShutdown shutdown_;
   TimePoint next_heartbeat_at_{};
-  /// Since when, at the log's present epoch, the acceptor has an accepted proposal that nobody has finished.
-  TimePoint unfinished_since_{};
-  Epoch unfinished_after_{};
   /// Bytes of the journal since the last checkpoint.
   size_t journal_bytes_ = 0;
   bool removed_by_refounding_ = false;
