--- a/src/replication/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -6,26 +6,26 @@
 namespace mosskeel {
 
 AgentMachine::AgentMachine(const Identity& id, TimePoint now)
-    : out_(id), follower_(out_, metadata_log_, now, {[this](const Entry& entry) { pass_on(entry); }, nullptr}) {}
+    : outbox_(id), follower_(outbox_, metadata_log_, now, {[this](const Entry& entry) { pass_on(entry); }, nullptr}) {}
 
 void AgentMachine::pass_on(const Entry& entry) {
-  out_.send(out_.id().self.agent_address, Decided{entry});
+  outbox_.send(outbox_.id().self.agent_address, Decided{entry});
 }
 
 Actions AgentMachine::step(const Envelope& envelope, TimePoint now) {
   if (follower_.is_foreign(envelope)) {
-    out_.log_event(Event::foreign, "from " + envelope.from);
-    return out_.take();
+    outbox_.log_event(Event::foreign, "from " + envelope.from);
+    return outbox_.take();
   }
   auto epoch_before = metadata_log_.epoch();
   // In an agent's identity, `agent_address` is that of its gateway.
   auto* heartbeat = std::get_if<Heartbeat>(&envelope.body);
-  if (heartbeat && envelope.from == out_.id().self.agent_address)
+  if (heartbeat && envelope.from == outbox_.id().self.agent_address)
     take_gateway_heartbeat(*heartbeat, now);
   follower_.handle(envelope, now);
   if (metadata_log_.epoch() != epoch_before)
     follow(now);
-  return out_.take();
+  return outbox_.take();
 }
 
 void AgentMachine::take_gateway_heartbeat(const Heartbeat& heartbeat, TimePoint now) {
@@ -38,9 +38,9 @@
 
 Actions AgentMachine::tick(TimePoint now) {
   if (leaving_ && (gateway_replaced_ || now - gateway_heard_at_ > kAgentShutdownDelay))
-    out_.act.stop = true;
+    outbox_.act.stop = true;
   follow(now);
-  return out_.take();
+  return outbox_.take();
 }
 
 void AgentMachine::follow(TimePoint now) {
@@ -61,7 +61,7 @@
     auto* member = metadata.find(id);
     if (member->state == DaemonState::down)
       continue;
-    return out_.send(member->self.address, Commit{commit_id, PrepareDrain{gateway.id}, metadata_log_.epoch(), {}});
+    return outbox_.send(member->self.address, Commit{commit_id, PrepareDrain{gateway.id}, metadata_log_.epoch(), {}});
   }
 }
 
--- a/src/replication/agent_machine.hpp
+++ b/src/replication/agent_machine.hpp
@@ -24,7 +24,7 @@
   /// Asks the core to drain a gateway that leaves.
   void request_drain(const Daemon& gateway, TimePoint now);
 
-  Outbox out_;
+  Outbox outbox_;
   MetadataLog metadata_log_;
   Follower follower_;
   /// The last heartbeat of the gateway, and when it came.
--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -7,15 +7,15 @@
 namespace mosskeel {
 
 bool Follower::is_foreign(const Envelope& envelope) const {
-  if (envelope.to_incarnation.value() && envelope.to_incarnation != out_.id().self.incarnation)
+  if (envelope.to_incarnation.value() && envelope.to_incarnation != outbox_.id().self.incarnation)
     return true;
-  return envelope.cluster && out_.cluster && envelope.cluster != out_.cluster &&
+  return envelope.cluster && outbox_.cluster && envelope.cluster != outbox_.cluster &&
          !is_successor_cluster(*metadata_log_.view(), envelope.cluster);
 }
 
 void Follower::apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot) {
   if (snapshot && metadata_log_.install_snapshot(*snapshot)) {
-    out_.log_event(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
+    outbox_.log_event(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
     if (callbacks_.on_snapshot)
       callbacks_.on_snapshot(*snapshot);
   }
@@ -23,21 +23,21 @@
     for (auto& applied : metadata_log_.add(entry))
       if (callbacks_.on_entry)
         callbacks_.on_entry(applied);
-  out_.cluster = metadata_log_.view()->cluster;
-  out_.epoch = metadata_log_.epoch();
+  outbox_.cluster = metadata_log_.view()->cluster;
+  outbox_.epoch = metadata_log_.epoch();
   acknowledgements_.on_log_advanced();
 }
 
 void Follower::request_catchup(const Address& from, TimePoint now) {
   if (catchup_limiter_.may_request(metadata_log_.epoch(), now))
-    out_.send(from, Catchup{metadata_log_.epoch()});
+    outbox_.send(from, Catchup{metadata_log_.epoch()});
 }
 
 void Follower::send_report(const Address& to, Message message) {
   if (is_durable_)
-    out_.send_synced(to, std::move(message));
+    outbox_.send_synced(to, std::move(message));
   else
-    out_.send(to, std::move(message));
+    outbox_.send(to, std::move(message));
 }
 
 bool Follower::handle(const Envelope& envelope, TimePoint now) {
@@ -62,21 +62,21 @@
 
 bool Follower::handle_discover(const Envelope& envelope) {
   auto& metadata = *metadata_log_.view();
-  DiscoverReply reply{out_.id().self, out_.cluster, metadata_log_.epoch(), {}, {}};
+  DiscoverReply reply{outbox_.id().self, outbox_.cluster, metadata_log_.epoch(), {}, {}};
   for (auto id : metadata.members)
     reply.core.push_back(metadata.find(id)->self.address);
-  out_.send(envelope.from, reply);
+  outbox_.send(envelope.from, reply);
   return true;
 }
 
 bool Follower::handle_discover_reply(const Envelope& envelope, const DiscoverReply& reply) {
-  bool has_found_cluster = !out_.cluster && reply.cluster;
+  bool has_found_cluster = !outbox_.cluster && reply.cluster;
   if (!has_found_cluster)
     return true;
-  out_.send(envelope.from, Catchup{metadata_log_.epoch()});
+  outbox_.send(envelope.from, Catchup{metadata_log_.epoch()});
   for (auto& address : reply.core)
     if (address != envelope.from)
-      out_.send(address, Catchup{metadata_log_.epoch()});
+      outbox_.send(address, Catchup{metadata_log_.epoch()});
   return true;
 }
 
@@ -90,7 +90,7 @@
 bool Follower::handle_catchup(const Envelope& envelope, const Catchup& request) {
   auto updates = metadata_log_.updates_since(request.known);
   if (updates.snapshot || !updates.entries.empty())
-    out_.send(envelope.from, CatchupReply{metadata_log_.epoch(), updates.snapshot, updates.entries});
+    outbox_.send(envelope.from, CatchupReply{metadata_log_.epoch(), updates.snapshot, updates.entries});
   return true;
 }
 
@@ -114,7 +114,7 @@
 }
 
 bool Follower::defer(const Envelope& envelope, TimePoint now) {
-  if (envelope.epoch <= metadata_log_.epoch() || !out_.cluster)
+  if (envelope.epoch <= metadata_log_.epoch() || !outbox_.cluster)
     return false;
   if (deferred_.size() < kLogEntriesKept)
     deferred_.push_back(envelope);
@@ -148,15 +148,15 @@
   if (own_heartbeat)
     heartbeat = *own_heartbeat;
   else
-    heartbeat.self = out_.id().self;
+    heartbeat.self = outbox_.id().self;
   send_heartbeats(heartbeat, now);
 }
 
 void Follower::send_discovery(TimePoint now) {
   next_discovery_at_ = now + kDiscoveryInterval;
-  for (auto& seed : out_.id().seeds)
-    if (seed != out_.id().self.address)
-      out_.send(seed, Discover{out_.id().self});
+  for (auto& seed : outbox_.id().seeds)
+    if (seed != outbox_.id().self.address)
+      outbox_.send(seed, Discover{outbox_.id().self});
 }
 
 void Follower::send_heartbeats(const Heartbeat& own_heartbeat, TimePoint now) {
@@ -177,7 +177,7 @@
   next_fleet_heartbeat_at_ = now + kHeartbeatInterval * 2;
   for (auto& [id, daemon] : metadata.directory) {
     bool is_in_service = daemon.state != DaemonState::left && daemon.state != DaemonState::down;
-    bool is_self = heartbeat_address(daemon) == out_.id().self.address;
+    bool is_self = heartbeat_address(daemon) == outbox_.id().self.address;
     if (daemon.self.role != Role::controller && is_in_service && !is_self)
       send_report(heartbeat_address(daemon), heartbeat);
   }
--- a/src/replication/follower.hpp
+++ b/src/replication/follower.hpp
@@ -17,13 +17,13 @@
 
   /// Both references must outlive this. The callbacks are called from `handle` and `apply_updates` only, never from
   /// the constructor.
-  Follower(Outbox& out, MetadataLog& metadata_log, TimePoint now, Callbacks callbacks = {})
-      : out_(out),
+  Follower(Outbox& outbox, MetadataLog& metadata_log, TimePoint now, Callbacks callbacks = {})
+      : outbox_(outbox),
         metadata_log_(metadata_log),
         callbacks_(std::move(callbacks)),
         started_at_(now),
-        acknowledgements_(metadata_log, out.id().self, now),
-        registration_(out, metadata_log) {}
+        acknowledgements_(metadata_log, outbox.id().self, now),
+        registration_(outbox, metadata_log) {}
 
   /// Handles messages of discovery, catch-up and heartbeats; false leaves the message to the caller.
   bool handle(const Envelope& envelope, TimePoint now);
@@ -60,9 +60,9 @@
   void request_catchup(const Address& from, TimePoint now);
   void send_report(const Address& to, Message message);
   /// Whether an epoch that we report outlives this process: on disk, or confirmed by the core since the start.
-  bool reports_stable_epoch() const { return is_durable_ ? out_.cluster != 0 : acknowledgements_.confirmed(); }
+  bool reports_stable_epoch() const { return is_durable_ ? outbox_.cluster != 0 : acknowledgements_.confirmed(); }
 
-  Outbox& out_;
+  Outbox& outbox_;
   MetadataLog& metadata_log_;
   const Callbacks callbacks_;
   const TimePoint started_at_;
--- a/src/replication/heartbeat_acknowledgements.cpp
+++ b/src/replication/heartbeat_acknowledgements.cpp
@@ -42,7 +42,7 @@
     if (!daemon || daemon->self.incarnation == self_.incarnation || heartbeat_address(*daemon) == self_.address)
       continue;
     auto entry = acknowledgements_.find(heartbeat_address(*daemon));
-    // A front's agent answers under an incarnation of its own.
+    // A gateway's agent answers under an incarnation of its own.
     bool is_from_it = entry != acknowledgements_.end() &&
                       (daemon->self.role == Role::front || entry->second.incarnation == daemon->self.incarnation);
     times.push_back(is_from_it ? entry->second.sent : kNeverAcknowledged);
--- a/src/replication/registration.cpp
+++ b/src/replication/registration.cpp
@@ -27,8 +27,8 @@
   auto state = registered ? std::optional(registered->state) : std::nullopt;
   bool has_left = state == DaemonState::left;
   if (state && state != last_state_ && (!last_state_ || has_left))
-    out_.log_event(has_left ? Event::lost_identity : Event::registered,
-                   self.address + " is daemon " + std::to_string(registered->id.value()));
+    outbox_.log_event(has_left ? Event::lost_identity : Event::registered,
+                      self.address + " is daemon " + std::to_string(registered->id.value()));
   last_state_ = state;
 }
 
@@ -39,7 +39,7 @@
     if (member->state == DaemonState::down)
       continue;
     auto commit_id = "register-" + hex(self.incarnation.value());
-    return out_.send(member->self.address, Commit{commit_id, Register{self}, metadata_log_.epoch(), {}});
+    return outbox_.send(member->self.address, Commit{commit_id, Register{self}, metadata_log_.epoch(), {}});
   }
 }
 
--- a/src/replication/registration.hpp
+++ b/src/replication/registration.hpp
@@ -8,7 +8,7 @@
 /// changes. Both references must outlive this.
 class Registration {
  public:
-  Registration(Outbox& out, const MetadataLog& metadata_log) : out_(out), metadata_log_(metadata_log) {}
+  Registration(Outbox& outbox, const MetadataLog& metadata_log) : outbox_(outbox), metadata_log_(metadata_log) {}
 
   void tick(TimePoint now, const Candidate& self);
 
@@ -16,7 +16,7 @@
   void log_state_change(const Candidate& self, const Daemon* registered);
   void send_request(const Candidate& self);
 
-  Outbox& out_;
+  Outbox& outbox_;
   const MetadataLog& metadata_log_;
   TimePoint next_request_at_{};
   /// The daemon's state in the directory when it was last looked up.
