--- a/src/control/admin_api.cpp
+++ b/src/control/admin_api.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kReplicasPrefix = "/v1/replicas/";
 
-/// Of a sentence, in the log.
+/// Bytes of a command that are written to the log.
 constexpr size_t kMaxLoggedCommandBytes = 200;
 
 ApiResponse invalid_request(const Errors& errors) {
--- a/src/control/admin_api.hpp
+++ b/src/control/admin_api.hpp
@@ -10,7 +10,7 @@
 /// the product's own interface. Thread-safe: each request is handled on its connection's thread.
 class AdminApi {
  public:
-  /// `commit_timeout` (ms) is how long a request of the product's own interface waits for its commit's outcome.
+  /// `commit_timeout` is how long a request of the product's own interface waits for its commit's outcome.
   /// `protocol` is null where no platform's requests are taken.
   AdminApi(Host& host, HostControllerAccess& controller, Duration commit_timeout, const ControlProtocol* protocol)
       : host_(host), controller_(controller), commit_timeout_(commit_timeout), protocol_(protocol) {}
@@ -27,7 +27,7 @@
   ApiResponse metrics();
   ApiResponse readiness();
 
-  /// Carries out a sentence of the operators' language; the text that answers it.
+  /// Executes a command of the operators' language and returns the text of the response.
   std::string execute(const ApiRequest& request);
   std::string execute(const command_language::Command& command, const Metadata& metadata, const ApiRequest& request);
 
--- a/src/control/command_language.cpp
+++ b/src/control/command_language.cpp
@@ -14,7 +14,7 @@
                                                           {"epoch", Subject::epoch},
                                                           {"cells", Subject::cells},
                                                           {"replicas", Subject::replicas},
-                                                          {"slots", Subject::slots},
+                                                          {"slots", Subject::partitions},
                                                           {"sequences", Subject::sequences},
                                                           {"configuration", Subject::configuration}};
   for (const auto& [keyword, subject] : subjects) {
@@ -32,7 +32,7 @@
 ParsedCommand parse_explain(SentenceReader& reader) {
   using Subject = ExplainQuery::Subject;
   constexpr std::pair<const char*, Subject> subjects[] = {
-      {"node", Subject::node}, {"slot", Subject::slot}, {"epoch", Subject::epoch}, {"program", Subject::program}};
+      {"node", Subject::node}, {"slot", Subject::partition}, {"epoch", Subject::epoch}, {"program", Subject::program}};
   for (const auto& [keyword, subject] : subjects) {
     if (!reader.accept(keyword))
       continue;
@@ -187,13 +187,13 @@
   }
   if (!reader.accept("slot"))
     return std::nullopt;
-  auto slot = reader.number("a slot's number");
-  if (!slot || !reader.accept("to"))
+  auto partition = reader.number("a slot's number");
+  if (!partition || !reader.accept("to"))
     return std::nullopt;
   auto owner = reader.daemon_id();
   if (!owner)
     return std::nullopt;
-  return Transformation{MovePartition{PartitionId{static_cast<uint32_t>(*slot)}, *owner}};
+  return Transformation{MovePartition{PartitionId{static_cast<uint32_t>(*partition)}, *owner}};
 }
 
 /// A sentence's first word, and the rule for what follows it.
--- a/src/control/command_language.hpp
+++ b/src/control/command_language.hpp
@@ -5,9 +5,9 @@
 
 namespace mosskeel::command_language {
 
-/// `show SUBJECT`: prints a part of the metadata.
+/// `show SUBJECT`: prints a part of the metadata. The language calls partitions slots.
 struct ShowQuery {
-  enum class Subject { fleet, epoch, cells, replicas, slots, sequences, configuration, cell };
+  enum class Subject { fleet, epoch, cells, replicas, partitions, sequences, configuration, cell };
   Subject subject{};
   /// The cell's name; only for `Subject::cell`.
   std::string name;
@@ -15,7 +15,7 @@
 
 /// `explain SUBJECT NAME`: prints one item's state and the log entries that led to it.
 struct ExplainQuery {
-  enum class Subject { node, slot, epoch, program };
+  enum class Subject { node, partition, epoch, program };
   Subject subject{};
   /// A number as the operator typed it, or CELL/PROGRAM for `Subject::program`.
   std::string name;
--- a/src/control/command_queries.cpp
+++ b/src/control/command_queries.cpp
@@ -19,12 +19,12 @@
 }
 
 void print_fleet(std::ostream& out, const Metadata& metadata) {
-  std::map<DaemonId, int> owned_slots;
-  std::map<DaemonId, int> stored_slots;
-  for (const auto& slot : metadata.partitions) {
-    ++owned_slots[slot.owner];
-    for (auto store : slot.stores)
-      ++stored_slots[store];
+  std::map<DaemonId, int> owned_partitions;
+  std::map<DaemonId, int> stored_partitions;
+  for (const auto& partition : metadata.partitions) {
+    ++owned_partitions[partition.owner];
+    for (auto store : partition.stores)
+      ++stored_partitions[store];
   }
   for (const auto& [id, daemon] : metadata.directory) {
     const auto& self = daemon.self;
@@ -34,31 +34,32 @@
       out << " http " << self.http_address;
     if (metadata.is_core_member(self.incarnation))
       out << " core";
-    if (owned_slots.count(id))
-      out << " owns " << owned_slots[id];
-    if (stored_slots.count(id))
-      out << " keeps " << stored_slots[id];
+    if (owned_partitions.count(id))
+      out << " owns " << owned_partitions[id];
+    if (stored_partitions.count(id))
+      out << " keeps " << stored_partitions[id];
     out << "\n";
   }
   for (const auto& zone : metadata.evacuated)
     out << "zone " << zone << " evacuated\n";
 }
 
-void print_slot(std::ostream& out, const Metadata& metadata, PartitionId id) {
-  const auto& slot = metadata.partitions[id.value()];
-  out << "slot " << id.value() << ": owned by daemon " << slot.owner.value() << " since epoch " << slot.term.value()
-      << ", kept by " << join_ids(slot.stores) << " since epoch " << slot.stores_epoch.value();
-  if (!slot.pending_stores.empty())
-    out << ", moving to " << join_ids(slot.pending_stores);
+void print_partition(std::ostream& out, const Metadata& metadata, PartitionId id) {
+  const auto& partition = metadata.partitions[id.value()];
+  out << "slot " << id.value() << ": owned by daemon " << partition.owner.value() << " since epoch "
+      << partition.term.value() << ", kept by " << join_ids(partition.stores) << " since epoch "
+      << partition.stores_epoch.value();
+  if (!partition.pending_stores.empty())
+    out << ", moving to " << join_ids(partition.pending_stores);
   auto lock = metadata.locks.find(id);
   if (lock != metadata.locks.end())
     out << ", locked by the sequence of daemon " << lock->second.value();
   out << "\n";
 }
 
-void print_slots(std::ostream& out, const Metadata& metadata) {
+void print_partitions(std::ostream& out, const Metadata& metadata) {
   for (uint32_t i = 0; i < metadata.partitions.size(); ++i)
-    print_slot(out, metadata, PartitionId{i});
+    print_partition(out, metadata, PartitionId{i});
 }
 
 void print_replicas(std::ostream& out, const Metadata& metadata) {
@@ -123,7 +124,7 @@
   if (separator == std::string::npos || metadata.partitions.empty())
     return refused("a program is named CELL/PROGRAM");
   std::ostringstream out;
-  print_slot(out, metadata, partition_of(program.substr(0, separator), program.substr(separator + 1)));
+  print_partition(out, metadata, partition_of(program.substr(0, separator), program.substr(separator + 1)));
   return accepted(out);
 }
 
@@ -145,15 +146,15 @@
   return accepted(out);
 }
 
-std::string explain_slot(const std::string& typed, uint64_t number, const Metadata& metadata,
-                         const std::vector<Entry>& recent_entries) {
+std::string explain_partition(const std::string& typed, uint64_t number, const Metadata& metadata,
+                              const std::vector<Entry>& recent_entries) {
   if (number >= metadata.partitions.size())
     return refused("slot " + typed + " is unknown");
   std::ostringstream out;
-  const auto& slot = metadata.partitions[number];
-  print_slot(out, metadata, PartitionId{static_cast<uint32_t>(number)});
+  const auto& partition = metadata.partitions[number];
+  print_partition(out, metadata, PartitionId{static_cast<uint32_t>(number)});
   for (const auto& entry : recent_entries) {
-    if (entry.epoch == slot.term || entry.epoch == slot.stores_epoch)
+    if (entry.epoch == partition.term || entry.epoch == partition.stores_epoch)
       print_entry(out, entry);
   }
   return accepted(out);
@@ -192,8 +193,8 @@
     case Subject::replicas:
       print_replicas(out, metadata);
       break;
-    case Subject::slots:
-      print_slots(out, metadata);
+    case Subject::partitions:
+      print_partitions(out, metadata);
       break;
     case Subject::sequences:
       print_sequences(out, metadata);
@@ -222,8 +223,8 @@
   switch (query.subject) {
     case Subject::node:
       return explain_daemon(query.name, DaemonId{*number}, metadata, recent_entries);
-    case Subject::slot:
-      return explain_slot(query.name, *number, metadata, recent_entries);
+    case Subject::partition:
+      return explain_partition(query.name, *number, metadata, recent_entries);
     case Subject::epoch:
       return explain_epoch(query.name, Epoch{*number}, metadata, recent_entries);
     case Subject::program:
--- a/src/control/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -12,7 +12,7 @@
 
 using Code = CommandResult::Code;
 
-/// The store that came up last on this machine.
+/// The store that registered last on this machine.
 const Daemon* find_store(const Metadata& metadata, const std::string& machine) {
   if (machine.empty())
     return nullptr;
@@ -88,20 +88,20 @@
   if (!view->cluster)
     return {{"", "the cluster is not founded yet"}};
   if (!view->is_core_member(controller.self().incarnation))
-    return {{random_member_address(*view), "this controller is no core member yet"}};
+    return {{random_member_address(*view), "this controller is not a core member yet"}};
   if (!majority_heard(controller, *view, now))
     return {{"", "cut off from a majority of the core"}};
   return std::nullopt;
 }
 
-/// Why this store's copies cannot be relied on, or nothing.
+/// Why this store's replicas cannot be relied on, or nothing.
 std::optional<std::string> store_fault(const ControllerMachine& controller, const Daemon& store, TimePoint now) {
   const auto* status = controller.failure_detector().status_of(store.self.incarnation);
   auto daemon = " daemon " + std::to_string(store.id.value());
   if (!status || now - status->last_heartbeat_at > kHeartbeatTimeout)
     return daemon + " is silent;";
   if (status->incomplete_comparisons)
-    return daemon + " lacks copies in " + std::to_string(status->incomplete_comparisons) + " comparisons;";
+    return daemon + " lacks replicas in " + std::to_string(status->incomplete_comparisons) + " comparisons;";
   return std::nullopt;
 }
 
@@ -118,7 +118,7 @@
   return view;
 }
 
-/// A store is not retired while another one lacks copies: the one that goes might be the last to hold a history.
+/// A store is not retired while another one lacks replicas: it might be the last one that holds a history.
 std::optional<std::string> drain_hazard(const ControllerMachine& controller, const Transformation& change,
                                         TimePoint now) {
   const auto* drain = std::get_if<PrepareDrain>(&change);
@@ -136,7 +136,7 @@
   }
   if (faults.empty())
     return std::nullopt;
-  return "copies are lacking:" + faults + " wait for the repair (metric incomplete_comparisons must be 0)";
+  return "replicas are missing:" + faults + " wait for the repair (metric incomplete_comparisons must be 0)";
 }
 
 ControlSession::ControlSession(ControllerAccess& controller, TimePoint arrived_at)
@@ -211,7 +211,7 @@
     return {Code::outcome_unknown, kNoMajorityReason};
   const auto* store = find_store(*view, machine);
   if (!store)
-    return {Code::not_found, "no store has come up on machine " + machine};
+    return {Code::not_found, "no store has registered on machine " + machine};
   const PrepareDrain drain{store->id};
   std::optional<std::string> hazard;
   controller_.inspect(
--- a/src/control/control_session.hpp
+++ b/src/control/control_session.hpp
@@ -10,11 +10,11 @@
 class ControllerAccess {
  public:
   virtual ~ControllerAccess() = default;
-  /// Commits a change under this id; returns at a known outcome or after `timeout` (ms), then with an unknown one.
+  /// Commits a change under this id; returns at a known outcome or after `timeout`, then with an unknown one.
   virtual CommitReply commit(const Transformation& change, const std::string& commit_id, Duration timeout) = 0;
   /// Calls `look` on the state machine, on its own thread, and waits for it to return.
   virtual void inspect(const std::function<void(ControllerMachine&, TimePoint now)>& look) = 0;
-  /// The state machine's clock, in ms.
+  /// The state machine's clock.
   virtual TimePoint now() = 0;
   virtual void pause(Duration duration) = 0;
   /// Whether the state machine has stopped: it answers nothing more.
@@ -22,7 +22,7 @@
 };
 
 /// A linearizable read: metadata at least as new as what a majority of the core confirmed since the call; null where
-/// no majority answered within `timeout` (ms).
+/// no majority answered within `timeout`.
 MetadataSnapshot linearizable_read(ControllerAccess& controller, Duration timeout);
 
 /// Why it is not safe to drain a store now, by what this controller has observed. Nothing for a safe drain and for
--- a/src/control/host_controller_access.cpp
+++ b/src/control/host_controller_access.cpp
@@ -7,7 +7,7 @@
 namespace mosskeel {
 namespace {
 
-/// A mailbox that is open as long as this object lives.
+/// Opens a mailbox and closes it when destroyed.
 class OpenMailbox {
  public:
   explicit OpenMailbox(LocalMailboxes& mailboxes) : mailboxes_(mailboxes), opened_(mailboxes.open()) {}
@@ -54,7 +54,7 @@
     envelope.epoch = view->epoch;
     envelope.body = Commit{commit_id, change, view->epoch, (deadline - process_now()).count()};
     host_.post(std::move(envelope));
-    // One heartbeat more than the controller's own patience, so that its reply is not missed by a hair.
+    // One heartbeat interval longer than the controller tries, so that a reply sent at its deadline still arrives.
     auto wait = std::min(attempt_timeout_ + kHeartbeatInterval, deadline - process_now());
     auto reply = mailbox.receive_reply(wait);
     if (!reply)
@@ -69,7 +69,7 @@
 CommitReply HostControllerAccess::refound(const std::vector<DaemonId>& lost) {
   OpenMailbox mailbox(mailboxes_);
   // There is no id to repeat: the operator gives the same command again.
-  const std::string id = "the same sentence";
+  const std::string id = "the same command";
   Envelope envelope{};
   envelope.from = mailbox.address();
   envelope.cluster = host_.view()->cluster;
--- a/src/control/replica_list_client.cpp
+++ b/src/control/replica_list_client.cpp
@@ -43,7 +43,7 @@
     if (page_token.empty())
       return replicas;
   }
-  return Errors{{"replica list", "its pages do not end"}};
+  return Errors{{"replica list", "has more than " + std::to_string(kReplicaListMaxPages) + " pages"}};
 }
 
 Result<std::string> ReplicaListClient::fetch(const std::string& path) {
--- a/tests/unit/control/command_language_test.cpp
+++ b/tests/unit/control/command_language_test.cpp
@@ -109,7 +109,7 @@
   CHECK(command_language::show({ShowQuery::Subject::cell, "news"}, metadata) == "no: cell news is unknown");
   CHECK(explain(ExplainQuery::Subject::node, "007") == "no: daemon 007 is unknown");
   CHECK(explain(ExplainQuery::Subject::node, "seven") == "no: 'seven' is no number");
-  CHECK(explain(ExplainQuery::Subject::slot, "64") == "no: slot 64 is unknown");
+  CHECK(explain(ExplainQuery::Subject::partition, "64") == "no: slot 64 is unknown");
   CHECK(explain(ExplainQuery::Subject::epoch, "5") == "no: epoch 5 lies behind the checkpoint");
   CHECK(explain(ExplainQuery::Subject::epoch, "6") == "no: epoch 6 is not reached yet");
   CHECK(explain(ExplainQuery::Subject::program, "news") == "no: a program is named CELL/PROGRAM");
