--- a/src/metadata/configuration.cpp
+++ b/src/metadata/configuration.cpp
@@ -3,7 +3,8 @@
 namespace mosskeel {
 namespace {
 
-constexpr int64_t kMinCellRetention = 1000;  // milliseconds
+/// The shortest retention that a cell may have.
+constexpr Duration kMinCellRetention = 1000ms;
 
 /// Finds what is wrong with one configuration. Each check appends to `errors_`, in the order of the document.
 class Validator {
@@ -32,8 +33,8 @@
         add(place + ".turn_limit", "must be above 0 tokens");
       if (cell.turn_limit > cell.budget)
         add(place + ".turn_limit", "exceeds the budget");
-      if (cell.retention_ms < kMinCellRetention)
-        add(place + ".retention_ms", "must be at least " + std::to_string(kMinCellRetention) + " ms");
+      if (Duration(cell.retention_ms) < kMinCellRetention)
+        add(place + ".retention_ms", "must be at least " + std::to_string(kMinCellRetention.count()) + " ms");
       check_routes(cell, place);
     }
   }
--- a/src/metadata/configuration_transformations.cpp
+++ b/src/metadata/configuration_transformations.cpp
@@ -86,7 +86,7 @@
     metadata.replicas[replica.name] = replica;
   }
   if (metadata.replicas == before)
-    return reject("replicas", "are so already");
+    return reject("replicas", "are already in this state");
   return metadata;
 }
 
@@ -97,7 +97,7 @@
   if (!is_known_zone(metadata, change.zone))
     return reject(zone, "is unknown");
   metadata.evacuated.insert(change.zone);
-  if (placement::partitions_per_front(metadata).empty())
+  if (placement::partitions_per_gateway(metadata).empty())
     return reject(zone, "holds the last front workers");
   for (auto& [id, daemon] : metadata.directory)
     if (daemon.self.role == Role::front && daemon.self.zone == change.zone)
--- a/src/metadata/daemon_transformations.cpp
+++ b/src/metadata/daemon_transformations.cpp
@@ -4,15 +4,15 @@
 namespace mosskeel::transformations {
 namespace {
 
-/// Whether a daemon of the directory provably runs no more once another one registers at its address. A front holds no
-/// state on disk, and a controller's disk tells a restart from a new controller; only a store has to be down.
+/// Whether a daemon of the directory provably no longer runs once another one registers at its address. A gateway holds
+/// no state on disk, and a controller's disk tells a restart from a new controller; only a store has to be down.
 bool ends_with_registration(const Daemon& earlier, const Candidate& registering) {
   if (earlier.state == DaemonState::down || earlier.self.role == Role::front)
     return true;
   return registering.role == Role::controller && earlier.self.role == Role::controller;
 }
 
-/// Controllers at this address run no more: core members among them are down, the others have left.
+/// Controllers at this address no longer run: core members among them are down, the others have left.
 void supersede_controllers(Metadata& metadata, const Address& address, DaemonId successor) {
   for (auto& [id, daemon] : metadata.directory) {
     if (daemon.self.address != address || daemon.self.role != Role::controller || daemon.state == DaemonState::left)
@@ -23,8 +23,8 @@
   }
 }
 
-/// A front that starts again takes over the partitions of the one that ran at its address; the new term fences that.
-void supersede_fronts(Metadata& metadata, const Address& address, DaemonId successor) {
+/// A gateway that starts again takes over the partitions of the one that ran at its address; the new term fences that.
+void supersede_gateways(Metadata& metadata, const Address& address, DaemonId successor) {
   for (auto& [id, daemon] : metadata.directory) {
     if (daemon.self.address != address || daemon.self.role != Role::front || daemon.state == DaemonState::left)
       continue;
@@ -64,7 +64,7 @@
   for (auto& [id, daemon] : metadata.directory)
     if (daemon.self.address == self.address && (daemon.state == DaemonState::down || daemon.self.role == Role::front))
       metadata.replace_in_quorum(id, new_id);
-  supersede_fronts(metadata, self.address, new_id);
+  supersede_gateways(metadata, self.address, new_id);
   auto state = self.role == Role::controller ? DaemonState::up : DaemonState::registered;
   metadata.directory[new_id] = {new_id, self, state, metadata.epoch};
   return metadata;
@@ -77,11 +77,11 @@
   auto& daemon = entry->second;
   if (daemon.state == DaemonState::down || daemon.state == DaemonState::left)
     return reject(to_text(change.node), std::string("is ") + name(daemon.state) + " already");
-  bool is_front = daemon.self.role == Role::front;
-  // A drained front stays until its last turns are over, and then falls silent.
-  bool has_drained = is_front && daemon.state == DaemonState::draining && !metadata.sequences.count(change.node);
+  bool is_gateway = daemon.self.role == Role::front;
+  // A drained gateway stays until its last turns are over, and then falls silent.
+  bool has_drained = is_gateway && daemon.state == DaemonState::draining && !metadata.sequences.count(change.node);
   set_state(metadata, daemon, has_drained ? DaemonState::left : DaemonState::down);
-  if (is_front) {
+  if (is_gateway) {
     end_sequence(metadata, change.node);
     scatter_ownership(metadata, change.node);
   }
@@ -103,7 +103,7 @@
   auto entry = metadata.directory.find(change.node);
   if (entry == metadata.directory.end() || entry->second.self.role != Role::store ||
       entry->second.state != DaemonState::down)
-    return reject(to_text(change.node), "is no store that is down");
+    return reject(to_text(change.node), "is not a store that is down");
   if (metadata.holds_partitions(change.node) || metadata.sequences.count(change.node))
     return reject(to_text(change.node), "still holds partitions");
   set_state(metadata, entry->second, DaemonState::left);
--- a/src/metadata/gateway_placement.cpp
+++ b/src/metadata/gateway_placement.cpp
@@ -1,4 +1,4 @@
-// Which front owns a partition. store_placement.cpp has the stores that keep its histories.
+// Which gateway owns a partition. store_placement.cpp has the stores that keep its histories.
 #include <algorithm>
 
 #include "metadata/placement.hpp"
@@ -6,11 +6,11 @@
 namespace mosskeel::placement {
 namespace {
 
-/// Plans the moves of partitions to a joining front, until it owns its share.
-class FrontJoinPlan {
+/// Plans the moves of partitions to a joining gateway, until it owns its share.
+class GatewayJoinPlan {
  public:
-  FrontJoinPlan(const Metadata& metadata, const Daemon& joining)
-      : metadata_(metadata), joining_(joining.id), load_(partitions_per_front(metadata)) {
+  GatewayJoinPlan(const Metadata& metadata, const Daemon& joining)
+      : metadata_(metadata), joining_(joining.id), load_(partitions_per_gateway(metadata)) {
     auto& partitions = metadata.partitions;
     load_[joining_] = static_cast<int>(std::count_if(partitions.begin(), partitions.end(),
                                                      [&](const Partition& each) { return each.owner == joining_; }));
@@ -30,7 +30,7 @@
         take(i);
   }
 
-  /// Takes from the most loaded front, one partition at a time, while that makes the load more even.
+  /// Takes from the most loaded gateway, one partition at a time, while that makes the load more even.
   void take_share() {
     size_t share = metadata_.partitions.size() / std::max<size_t>(load_.size(), 1);
     while (static_cast<size_t>(load_[joining_]) < share) {
@@ -70,14 +70,14 @@
   std::vector<PartitionMove> moves_;
 };
 
-Result<std::vector<PartitionMove>> plan_front_drain(const Metadata& metadata, const Daemon& leaving) {
+Result<std::vector<PartitionMove>> plan_gateway_drain(const Metadata& metadata, const Daemon& leaving) {
   std::vector<PartitionMove> moves;
-  auto load = partitions_per_front(metadata);
+  auto load = partitions_per_gateway(metadata);
   for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
     auto& partition = metadata.partitions[i];
     if (partition.owner != leaving.id)
       continue;
-    auto new_owner = least_loaded_front(load, leaving.id);
+    auto new_owner = least_loaded_gateway(load, leaving.id);
     if (new_owner.value() == 0)
       return Errors{{"daemon " + std::to_string(leaving.id.value()), "no other front worker could take its partitions",
                      ErrorCode::rejected}};
@@ -99,7 +99,7 @@
   return !daemon || daemon->state == DaemonState::down || daemon->state == DaemonState::left;
 }
 
-LoadByDaemon partitions_per_front(const Metadata& metadata) {
+LoadByDaemon partitions_per_gateway(const Metadata& metadata) {
   LoadByDaemon load;
   for (auto& [id, daemon] : metadata.directory) {
     bool may_own = daemon.self.role == Role::front && daemon.state == DaemonState::up;
@@ -112,7 +112,7 @@
   return load;
 }
 
-DaemonId least_loaded_front(const LoadByDaemon& load, DaemonId except) {
+DaemonId least_loaded_gateway(const LoadByDaemon& load, DaemonId except) {
   DaemonId best{0};
   for (auto& [id, count] : load)
     if (id != except && (best.value() == 0 || count < load.at(best)))
@@ -122,13 +122,13 @@
 
 std::vector<PartitionMove> plan_join(const Metadata& metadata, const Daemon& joining) {
   if (joining.self.role == Role::front)
-    return FrontJoinPlan(metadata, joining).make();
+    return GatewayJoinPlan(metadata, joining).make();
   return plan_store_join(metadata, joining);
 }
 
 Result<std::vector<PartitionMove>> plan_drain(const Metadata& metadata, const Daemon& leaving) {
   if (leaving.self.role == Role::front)
-    return plan_front_drain(metadata, leaving);
+    return plan_gateway_drain(metadata, leaving);
   return plan_store_drain(metadata, leaving);
 }
 
--- a/src/metadata/metadata.hpp
+++ b/src/metadata/metadata.hpp
@@ -19,7 +19,7 @@
   bool operator==(const AppliedConfiguration&) const = default;
 };
 
-/// Immutable once published: daemons share it between threads as a `View`. Only `apply` makes the next one.
+/// Immutable once published: daemons share it between threads as a `MetadataSnapshot`. Only `apply` makes the next one.
 /// The order of the fields is the format on the wire and on disk.
 struct Metadata {
   /// - `cluster`: id of the cluster, 0 before the founding; each re-founding changes it and raises `generation`
@@ -52,7 +52,7 @@
   /// re-found a core of which nobody is left.
   bool replaces_member(const Candidate& candidate) const;
 
-  /// Lets a daemon acknowledge in place of one that lost its address to it, and so provably runs no more.
+  /// Lets a daemon acknowledge in place of one that lost its address to it, and so provably no longer runs.
   void replace_in_quorum(DaemonId old_id, DaemonId new_id);
   /// Whether the daemons for which the predicate holds are a majority of the quorum members, and during a change of
   /// these also of the incoming ones.
--- a/src/metadata/partition.hpp
+++ b/src/metadata/partition.hpp
@@ -6,7 +6,7 @@
 
 namespace mosskeel {
 
-/// The programs of one partition have one owner, a front, and their histories are kept by one set of stores.
+/// The programs of one partition have one owner, a gateway, and their histories are kept by one set of stores.
 /// The order of the fields is the format on the wire and on disk.
 struct Partition {
   /// - `term`: epoch since which `owner` owns it; fences what earlier owners write
--- a/src/metadata/partition_transformations.cpp
+++ b/src/metadata/partition_transformations.cpp
@@ -1,4 +1,4 @@
-// Transformations that move partitions between fronts at once.
+// Transformations that move partitions between gateways at once.
 #include "metadata/placement.hpp"
 #include "metadata/transformation_steps.hpp"
 
@@ -15,12 +15,12 @@
       set_owner(metadata, partition, to);
 }
 
-void scatter_ownership(Metadata& metadata, DaemonId front) {
-  auto load = placement::partitions_per_front(metadata);
+void scatter_ownership(Metadata& metadata, DaemonId gateway) {
+  auto load = placement::partitions_per_gateway(metadata);
   for (auto& partition : metadata.partitions) {
-    if (partition.owner != front)
+    if (partition.owner != gateway)
       continue;
-    auto new_owner = placement::least_loaded_front(load, front);
+    auto new_owner = placement::least_loaded_gateway(load, gateway);
     if (new_owner.value() != 0)
       ++load[new_owner];
     set_owner(metadata, partition, new_owner);
@@ -33,7 +33,7 @@
     return reject(name, "is unknown");
   if (auto lock = metadata.locks.find(change.partition); lock != metadata.locks.end())
     return reject(name, "is locked by the sequence of " + to_text(lock->second));
-  if (!placement::partitions_per_front(metadata).count(change.owner))
+  if (!placement::partitions_per_gateway(metadata).count(change.owner))
     return reject(to_text(change.owner), "is no front worker that may own partitions");
   auto& partition = metadata.partitions[change.partition.value()];
   if (partition.owner == change.owner)
@@ -47,7 +47,7 @@
     return reject(to_text(change.from), "is unknown");
   if (change.from == change.to)
     return reject(to_text(change.to), "is the same node");
-  if (!placement::partitions_per_front(metadata).count(change.to))
+  if (!placement::partitions_per_gateway(metadata).count(change.to))
     return reject(to_text(change.to), "is no front worker that may own partitions");
   for (auto& [partition, holder] : metadata.locks)
     if (metadata.partitions[partition.value()].owner == change.from)
--- a/src/metadata/sequence_transformations.cpp
+++ b/src/metadata/sequence_transformations.cpp
@@ -1,4 +1,4 @@
-// Transformations that begin, advance and cancel sequences: joins, drains and repairs of fronts and stores.
+// Transformations that begin, advance and cancel sequences: joins, drains and repairs of gateways and stores.
 #include <algorithm>
 
 #include "metadata/placement.hpp"
@@ -22,7 +22,7 @@
   if (kind == SequenceKind::join && (is_down || daemon->state == DaemonState::draining))
     return std::string("is ") + name(daemon->state);
   if (kind == SequenceKind::repair && (daemon->self.role != Role::store || !is_down))
-    return "is no store that is down";
+    return "is not a store that is down";
   return std::nullopt;
 }
 
@@ -98,7 +98,7 @@
     case SequenceKind::join:
       return is_down ? DaemonState::down : DaemonState::up;
     case SequenceKind::drain:
-      // A front stays in the directory until its last turns are over.
+      // A gateway stays in the directory until its last turns are over.
       return daemon.self.role != Role::front || is_down ? DaemonState::left : daemon.state;
     case SequenceKind::repair:
       // A store that came back meanwhile joins anew, if nothing is left to it.
--- a/src/metadata/transformation.hpp
+++ b/src/metadata/transformation.hpp
@@ -35,7 +35,8 @@
   bool operator==(const ReplaceCoreMember&) const = default;
 };
 
-/// A majority of the controllers misses the daemon's heartbeats. A front loses its partitions to other fronts at once.
+/// A majority of the controllers misses the daemon's heartbeats. A gateway loses its partitions to other gateways at
+/// once.
 struct MarkDown {
   BOOST_HANA_DEFINE_STRUCT(MarkDown, (DaemonId, node));
   bool operator==(const MarkDown&) const = default;
@@ -90,7 +91,7 @@
   bool operator==(const RemoveReplica&) const = default;
 };
 
-/// Takes all work from a zone: its fronts lose their partitions, its replicas get no requests.
+/// Takes all work from a zone: its gateways lose their partitions, its replicas get no requests.
 struct EvacuateZone {
   BOOST_HANA_DEFINE_STRUCT(EvacuateZone, (std::string, zone));
   bool operator==(const EvacuateZone&) const = default;
@@ -102,13 +103,13 @@
   bool operator==(const RestoreZone&) const = default;
 };
 
-/// Moves one partition to another front at once (operators' `move slot`).
+/// Moves one partition to another gateway at once (operators' `move slot`).
 struct MovePartition {
   BOOST_HANA_DEFINE_STRUCT(MovePartition, (PartitionId, partition), (DaemonId, owner));
   bool operator==(const MovePartition&) const = default;
 };
 
-/// Moves all of one front's partitions to another front at once (operators' `move routes`).
+/// Moves all of one gateway's partitions to another gateway at once (operators' `move routes`).
 struct MoveAllPartitions {
   BOOST_HANA_DEFINE_STRUCT(MoveAllPartitions, (DaemonId, from), (DaemonId, to));
   bool operator==(const MoveAllPartitions&) const = default;
@@ -128,7 +129,7 @@
   bool operator==(const BeginQuorumChange&) const = default;
 };
 
-/// Majorities of both sets know of the quorum change of epoch `since`: the old set counts no more.
+/// Majorities of both sets know of the quorum change of epoch `since`: the old set no longer counts.
 struct FinishQuorumChange {
   BOOST_HANA_DEFINE_STRUCT(FinishQuorumChange, (Epoch, since));
   bool operator==(const FinishQuorumChange&) const = default;
--- a/src/metadata/transformation_steps.hpp
+++ b/src/metadata/transformation_steps.hpp
@@ -61,8 +61,8 @@
 /// Gives all partitions of one owner to another.
 void transfer_ownership(Metadata& metadata, DaemonId from, DaemonId to);
 
-/// Spreads the partitions of a front over the others; with none left they have no owner.
-void scatter_ownership(Metadata& metadata, DaemonId front);
+/// Spreads the partitions of a gateway over the others; with none left they have no owner.
+void scatter_ownership(Metadata& metadata, DaemonId gateway);
 
 /// Ends a node's sequence, if it has one, and unlocks its partitions.
 void end_sequence(Metadata& metadata, DaemonId node);
--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -338,7 +338,7 @@
   fleet.must(MarkUp{front});
   CHECK(fleet.state(front) == DaemonState::registered);
   fleet.join("front21");
-  CHECK(placement::partitions_per_front(fleet.metadata).at(front) == kPartitionCount / 2);
+  CHECK(placement::partitions_per_gateway(fleet.metadata).at(front) == kPartitionCount / 2);
 }
 
 TEST_CASE("A drained front stays in the directory while its turns end, and leaves once it is silent") {
