--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -154,7 +154,7 @@
   discovered_.record(reply.self, now);
 }
 
-/// One that the core was founded anew without has no vote until it has caught up with the new generation.
+/// A controller that a re-founding removed may not vote until it has caught up with the new generation.
 bool ControllerMachine::may_vote(TimePoint now) const {
   return outbox_.cluster ? !removed_by_refounding_ : founding_.may_vote(now);
 }
--- a/src/consensus/failure_detector.hpp
+++ b/src/consensus/failure_detector.hpp
@@ -34,7 +34,8 @@
   /// The time since the daemon's last heartbeat.
   Duration heartbeat_age(const Daemon& daemon, TimePoint now) const;
   HeartbeatAges heartbeat_ages(const Metadata& metadata, TimePoint now) const;
-  /// Whether another incarnation speaks at a daemon's address since the daemon's own last heartbeat: it runs no more.
+  /// Whether another incarnation speaks at a daemon's address since the daemon's own last heartbeat: its process has
+  /// ended.
   bool superseded(const Daemon& daemon, TimePoint now) const;
 
  private:
--- a/src/consensus/refounding.cpp
+++ b/src/consensus/refounding.cpp
@@ -22,7 +22,7 @@
   return detector_.heartbeat_age(*metadata_log_.view()->find(member), now) >= kCoreLossTimeout;
 }
 
-bool Refounding::majority_lives(TimePoint now) const {
+bool Refounding::majority_is_alive(TimePoint now) const {
   const std::vector<DaemonId>& members = metadata_log_.view()->members;
   auto living = std::count_if(members.begin(), members.end(), [&](DaemonId id) { return !is_silent(id, now); });
   return static_cast<size_t>(living) >= majority_of(members.size());
@@ -53,7 +53,7 @@
   const Metadata& metadata = *metadata_log_.view();
   const Candidate& self = outbox_.id().self;
   bool may_propose = metadata.is_core_member(self.incarnation) || metadata.replaces_member(self);
-  if (majority_lives(now) || !may_propose) {
+  if (majority_is_alive(now) || !may_propose) {
     gathering_since_.reset();
     return;
   }
@@ -151,17 +151,17 @@
   const Metadata& metadata = *metadata_log_.view();
   if (!metadata.cluster)
     return "this controller holds no log";
-  if (majority_lives(now))
-    return "a majority of the core lives; use replace core";
+  if (majority_is_alive(now))
+    return "a majority of the core is alive; use replace core";
   for (DaemonId id : request.lost) {
     if (!contains(metadata.members, id))
-      return daemon_name(id) + " is no core member";
+      return daemon_name(id) + " is not a core member";
     if (!is_silent(id, now))
-      return daemon_name(id) + " lives";
+      return daemon_name(id) + " is alive";
   }
   for (DaemonId id : metadata.members)
     if (!contains(request.lost, id) && is_silent(id, now))
-      return daemon_name(id) + " is silent too, but was not named as lost";
+      return daemon_name(id) + " is also silent, but was not named as lost";
   return "";
 }
 
--- a/src/consensus/refounding.hpp
+++ b/src/consensus/refounding.hpp
@@ -10,7 +10,7 @@
 /// operator says so.
 ///
 /// A silent member is provably lost only when another controller runs at its address that registered later, or not yet:
-/// its disk is gone, so it can't vote any more. Before the proposal this controller gathers the longest log that any
+/// its disk is gone, so it can no longer vote. Before the proposal this controller gathers the longest log that any
 /// daemon has. Owned by `ControllerMachine` and used on its thread only.
 class Refounding {
  public:
@@ -24,7 +24,7 @@
 
   /// Looks at the core each discovery interval.
   void tick(TimePoint now);
-  /// An operator declares members as lost for good; refused while a majority of the core lives.
+  /// An operator declares members as lost for good; refused while a majority of the core is alive.
   void handle(const Envelope& envelope, const RefoundRequest& request, TimePoint now);
 
  private:
@@ -33,12 +33,12 @@
     std::vector<DaemonId> lost;
     /// Whether every silent member is.
     bool all_silent_are_lost = true;
-    /// The one controller that is to propose: the first member that lives, else the lowest of the successors.
+    /// The one controller that is to propose: the first member that is alive, else the lowest of the successors.
     Incarnation proposer{};
   };
 
   bool is_silent(DaemonId member, TimePoint now) const;
-  bool majority_lives(TimePoint now) const;
+  bool majority_is_alive(TimePoint now) const;
   std::optional<Incarnation> successor_of(const Daemon& member) const;
   CoreSurvey survey_core(TimePoint now);
   bool must_propose(const CoreSurvey& survey) const;
--- a/src/consensus/supervisor.cpp
+++ b/src/consensus/supervisor.cpp
@@ -61,7 +61,7 @@
   return std::nullopt;
 }
 
-/// A replica that belongs to no service is ready once every front must have seen it warm up for long enough.
+/// A replica that belongs to no service is ready once every gateway must have seen it warm up for long enough.
 std::optional<Transformation> Supervisor::finish_warm_up(TimePoint now) {
   for (const auto& [replica_name, replica] : metadata_log_.view()->replicas) {
     if (replica.health != ReplicaHealth::warming_up || !replica.service.empty())
--- a/src/runtime/host.hpp
+++ b/src/runtime/host.hpp
@@ -8,7 +8,7 @@
 
 namespace mosskeel {
 
-/// This process's own time by the steady clock; it says nothing to any other process.
+/// This process's own time by the steady clock; the times of two processes are not comparable.
 TimePoint process_now();
 
 /// Three threads: one steps the state machine, one writes its journal (only with a disk), and the transport's receives.
@@ -17,7 +17,7 @@
 /// All public methods may be called from any thread, `start` and `stop` by the owner alone.
 class Host {
  public:
-  /// Makes the state machine from what the disk held, at the time given.
+  /// Creates the state machine from what the disk held, at the time given.
   using Make = std::function<std::unique_ptr<StateMachine>(Recovered, TimePoint)>;
   /// Takes a message that is not for another daemon ("local:7", "replica:m1"); called by the state machine's thread or
   /// the disk's.
--- a/src/storage/disk_recovery.cpp
+++ b/src/storage/disk_recovery.cpp
@@ -85,7 +85,7 @@
     return io_error(folder_, "cannot be created: " + error.message());
   lock_ = Fd(::open((folder_ + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644));
   if (!lock_ || ::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0)
-    return io_error(folder_, "is not writable or another daemon holds it");
+    return io_error(folder_, "is not writable, or is locked by another daemon");
   return {};
 }
 
@@ -184,7 +184,7 @@
   Fd file(calls_.open(path("log", sequence).c_str(), O_WRONLY | O_CLOEXEC));
   bool truncated = file && calls_.truncate(file.get(), static_cast<off_t>(size)) == 0 && calls_.sync(file.get()) == 0;
   if (!truncated)
-    return io_error(path("log", sequence), "its torn tail cannot be cut");
+    return io_error(path("log", sequence), "its torn tail cannot be truncated");
   return {};
 }
 
