--- a/src/control/replica_list_client.cpp
+++ b/src/control/replica_list_client.cpp
@@ -43,7 +43,7 @@
     if (page_token.empty())
       return replicas;
   }
-  return Errors{{"replica list", "its pages do not end"}};
+  return Errors{{"replica list", "has more than " + std::to_string(kReplicaListMaxPages) + " pages"}};
 }
 
 Result<std::string> ReplicaListClient::fetch(const std::string& path) {
@@ -53,7 +53,7 @@
   curl_easy_setopt(connection, CURLOPT_URL, url.c_str());
   curl_easy_setopt(connection, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(connection, CURLOPT_PROXY, "");
-  curl_easy_setopt(connection, CURLOPT_TIMEOUT_MS, static_cast<long>(kReplicaListPageTimeout));
+  curl_easy_setopt(connection, CURLOPT_TIMEOUT_MS, static_cast<long>(kReplicaListPageTimeout.count()));
   curl_easy_setopt(connection, CURLOPT_WRITEFUNCTION, append_to_body);
   curl_easy_setopt(connection, CURLOPT_WRITEDATA, &body);
   auto result = curl_easy_perform(connection);
--- a/src/replication/agent_machine.hpp
+++ b/src/replication/agent_machine.hpp
@@ -17,12 +17,14 @@
   void leave() { leaving_ = true; }
 
  private:
+  /// Sends an entry that the log took to the gateway.
+  void pass_on(const Entry& entry);
   void take_gateway_heartbeat(const Heartbeat& heartbeat, TimePoint now);
   void follow(TimePoint now);
   /// Asks the core to drain a gateway that leaves.
   void request_drain(const Daemon& gateway, TimePoint now);
 
-  Outbox out_;
+  Outbox outbox_;
   MetadataLog metadata_log_;
   Follower follower_;
   /// The last heartbeat of the gateway, and when it came.
--- a/src/replication/follower.hpp
+++ b/src/replication/follower.hpp
@@ -9,13 +9,21 @@
 /// the daemon's state machine owns it, calls it from its own steps and passes on what it does not handle.
 class Follower {
  public:
-  /// Both references must outlive this.
-  Follower(Outbox& out, MetadataLog& metadata_log, TimePoint now)
-      : out_(out),
+  /// Called for each entry and each snapshot that the log took; either may be empty.
+  struct Callbacks {
+    std::function<void(const Entry&)> on_entry;
+    std::function<void(const Metadata&)> on_snapshot;
+  };
+
+  /// Both references must outlive this. The callbacks are called from `handle` and `apply_updates` only, never from
+  /// the constructor.
+  Follower(Outbox& outbox, MetadataLog& metadata_log, TimePoint now, Callbacks callbacks = {})
+      : outbox_(outbox),
         metadata_log_(metadata_log),
+        callbacks_(std::move(callbacks)),
         started_at_(now),
-        acknowledgements_(metadata_log, out.id().self, now),
-        registration_(out, metadata_log) {}
+        acknowledgements_(metadata_log, outbox.id().self, now),
+        registration_(outbox, metadata_log) {}
 
   /// Handles messages of discovery, catch-up and heartbeats; false leaves the message to the caller.
   bool handle(const Envelope& envelope, TimePoint now);
@@ -35,9 +43,6 @@
 
   /// Takes entries, and a snapshot where it is newer, into the log.
   void apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot);
-  /// Called for each entry and snapshot that the log took.
-  std::function<void(const Entry&)> on_entry;
-  std::function<void(const Metadata&)> on_snapshot;
 
   /// A daemon that journals the log reports an epoch only once it is synced.
   void report_durable_epochs_only() { is_durable_ = true; }
@@ -55,10 +60,11 @@
   void request_catchup(const Address& from, TimePoint now);
   void send_report(const Address& to, Message message);
   /// Whether an epoch that we report outlives this process: on disk, or confirmed by the core since the start.
-  bool reports_stable_epoch() const { return is_durable_ ? out_.cluster != 0 : acknowledgements_.confirmed(); }
+  bool reports_stable_epoch() const { return is_durable_ ? outbox_.cluster != 0 : acknowledgements_.confirmed(); }
 
-  Outbox& out_;
+  Outbox& outbox_;
   MetadataLog& metadata_log_;
+  const Callbacks callbacks_;
   const TimePoint started_at_;
   HeartbeatAcknowledgements acknowledgements_;
   Registration registration_;
