--- a/src/base/codec.hpp
+++ b/src/base/codec.hpp
@@ -221,6 +221,12 @@
       return false;
     value = T(std::move(number));
     return true;
+  } else if constexpr (is_duration<T>::value) {
+    typename T::rep count{};
+    if (!get(reader, count))
+      return false;
+    value = T(count);
+    return true;
   } else if constexpr (std::is_empty_v<T>) {
     return true;
   } else {
--- a/src/history/history_expiry.cpp
+++ b/src/history/history_expiry.cpp
@@ -44,7 +44,7 @@
     return true;
   Duration retention{};
   for (auto& record : history.records)
-    retention = std::max(retention, record.retention_ms);
+    retention = std::max(retention, Duration(record.retention_ms));
   auto stretched = retention + retention / kRetentionDriftDivisor + kRetentionMargin;
   return clock_.uptime() - history.written_at > stretched;
 }
--- a/src/history/history_writer.cpp
+++ b/src/history/history_writer.cpp
@@ -128,7 +128,7 @@
 bool HistoryWriter::send_next(const HistoryName& name, OpenHistory& history, const Daemon& store,
                               StoreProgress& progress, TimePoint now, Resend resend) {
   bool is_overdue = resend == Resend::overdue && now - progress.last_sent_at >= kStoreRetryInterval;
-  bool is_due = progress.last_sent_at == 0 || is_overdue;
+  bool is_due = progress.last_sent_at == TimePoint{} || is_overdue;
   auto& self = store.self;
   if (history.reading) {
     if (!is_due || has_read(history, progress))
@@ -206,7 +206,7 @@
     return;
   if (reply.gap) {
     progress.has_history = false;
-    progress.last_sent_at = 0;
+    progress.last_sent_at = {};
     send_due(reply.history, *history, now, Resend::none);
     return;
   }
@@ -229,7 +229,7 @@
     return;
   history.reading = false;
   for (auto& [id, progress] : history.stores) {
-    progress.last_sent_at = 0;
+    progress.last_sent_at = {};
     progress.has_history = false;
   }
   if (history.has_tombstone)
--- a/src/history/history_writer.hpp
+++ b/src/history/history_writer.hpp
@@ -56,7 +56,7 @@
     Epoch read_epoch{};
     /// It has taken the whole history under this term, so that records can be appended.
     bool has_history = false;
-    /// 0: at once.
+    /// The zero point: nothing was sent, so that the next request is due at once.
     TimePoint last_sent_at{};
   };
   struct OpenHistory {
