--- a/src/routing/active_request.cpp
+++ b/src/routing/active_request.cpp
@@ -34,9 +34,9 @@
   request.headers = headers;
   request.route_to(path, view);
   request.received_at = now;
-  auto time_left = headers.time_left >= 0 ? std::min(headers.time_left, path.timeout_ms) : path.timeout_ms;
-  request.deadline = now + time_left;
-  auto wait = path.target_ms > 0 ? path.target_ms / 4 : kMaxReplicaWait;
+  Duration path_timeout{path.timeout_ms};
+  request.deadline = now + std::min(headers.time_left.value_or(path_timeout), path_timeout);
+  auto wait = path.target_ms > 0 ? Duration(path.target_ms) / 4 : kMaxReplicaWait;
   request.wait_until = now + std::min(wait, kMaxReplicaWait);
 
   bool streaming = path.path_kind() == PathKind::streaming;
@@ -62,8 +62,8 @@
   reservation.budget = headers.token_budget.value_or(UINT64_MAX);
   reservation.max_tokens = headers.max_output_tokens;
   reservation.keep_history = path.kept;
-  reservation.retention_ms = std::max(path.retention_ms, kMinTurnRetention);
-  reservation.timeout_ms = request.deadline - now;
+  reservation.retention_ms = std::max(path.retention_ms, kMinTurnRetention.count());
+  reservation.timeout_ms = (request.deadline - now).count();
   return reservation;
 }
 
--- a/src/routing/attempt_dispatcher.cpp
+++ b/src/routing/attempt_dispatcher.cpp
@@ -74,12 +74,12 @@
                        original.fields,
                        {},
                        {},
-                       0};
+                       {}};
   if (request.turn)
     action.body = request.turn->chain;
   action.body += original.body;
   action.attempt_id = request.headers.attempt_id;
-  action.max_idle_ms = is_idempotent(*request.path) ? INT64_MAX : kMaxReuseIdle;
+  action.max_idle = is_idempotent(*request.path) ? Duration::max() : kMaxReuseIdle;
   codec_.set_upstream_headers(action.fields, replica.name, request.deadline - now, std::nullopt);
   actions.push_back(std::move(action));
   request.attempt = std::move(attempt);
--- a/src/routing/http_frontend.cpp
+++ b/src/routing/http_frontend.cpp
@@ -92,9 +92,9 @@
   if (limits.body_bytes)
     applied.max_body_bytes = limits.body_bytes;
   if (limits.head_ms)
-    applied.head_timeout_ms = limits.head_ms;
+    applied.head_timeout = Duration(limits.head_ms);
   if (limits.idle_ms)
-    applied.idle_timeout_ms = limits.idle_ms;
+    applied.idle_timeout = Duration(limits.idle_ms);
   callers_->set_limits(applied);
 }
 
@@ -137,7 +137,7 @@
 void HttpFrontend::perform(routing::SendToReplica& action) {
   UpstreamClient::Request request{action.to, std::move(action.method), std::move(action.target),
                                   std::move(action.fields), std::move(action.body)};
-  request.max_idle_ms = action.max_idle_ms;
+  request.max_idle = action.max_idle;
   request.tag = std::move(action.attempt_id);
   attempts_.add(action.attempt, replicas_->send_request(std::move(request)));
 }
--- a/src/routing/request_router.cpp
+++ b/src/routing/request_router.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /// When a caller may come back that was rejected for want of majority contact.
-constexpr Duration kRetryAfterNoContact = kDefaultRetryAfter / 2;
+constexpr Duration kRetryAfterNoContact{kDefaultRetryAfter / 2};
 /// When a caller may come back that found no replica: shorter, for capacity frees up fast.
-constexpr Duration kRetryAfterNoReplica = kDefaultRetryAfter / 4;
+constexpr Duration kRetryAfterNoReplica{kDefaultRetryAfter / 4};
 
 /// The status of a reservation's reply that was granted.
 constexpr uint32_t kGranted = 200;
@@ -74,12 +74,12 @@
   if (reply.status != kGranted) {
     // A conflict means that the attempt may have run, so the caller is not told that it has not.
     auto status = reply.status == kAttemptKnown ? 502 : reply.status;
-    send_error(request->id, {status, reply.reason, reply.retry_after_ms});
+    send_error(request->id, {status, reply.reason, Duration(reply.retry_after_ms)});
     return finish(*request);
   }
   request->turn->chain = std::move(reply.chain);
   request->turn->phase = Turn::Phase::dispatching;
-  request->wait_until = std::max(request->wait_until, now + request->path->target_ms / 4);
+  request->wait_until = std::max(request->wait_until, now + Duration(request->path->target_ms) / 4);
   dispatch(*request, now);
 }
 
@@ -207,7 +207,7 @@
     return reset(request);
   if (!request.retry.allows_retry(*request.path, ran) || now >= request.deadline)
     return reject(request, {request.retry.error_status(), reason, kRetryAfterNoReplica});
-  auto wait = std::min(request.path->target_ms / 4, kMaxReplicaWait);
+  auto wait = std::min(Duration(request.path->target_ms) / 4, kMaxReplicaWait);
   request.wait_until = std::max(request.wait_until, now + wait);
   dispatch(request, now);
 }
@@ -269,7 +269,7 @@
     send_outcome(request, request.retry.turn_status());
   // Only a request that has not run may be told to come back.
   if (error.status != 503)
-    error.retry_after = 0;
+    error.retry_after = {};
   send_error(request.id, error);
   finish(request);
 }
--- a/src/routing/turn_client.cpp
+++ b/src/routing/turn_client.cpp
@@ -58,7 +58,7 @@
 
 void TurnClient::on_reserve(const ReserveTurn& request, TimePoint now) {
   auto& reservation = reservations_[request.attempt];
-  reservation = {request, now, 0, {}};
+  reservation = {request, now, {}, {}};
   send(reservation, now);
 }
 
@@ -66,7 +66,7 @@
   reservations_.erase(request.attempt);
   granted_.erase(request.attempt);
   auto& commit = commits_[request.attempt];
-  commit = {request, now, 0, {}};
+  commit = {request, now, {}, {}};
   send(commit, now);
 }
 
@@ -97,7 +97,7 @@
   if (unmatched == unmatched_commits_.end())
     return;
   auto& commit = commits_[attempt];
-  commit = {std::move(unmatched->second.body), now, 0, {}};
+  commit = {std::move(unmatched->second.body), now, {}, {}};
   send(commit, now);
   unmatched_commits_.erase(unmatched);
 }
@@ -123,7 +123,7 @@
 void TurnClient::tick_reservations(TimePoint now) {
   for (auto entry = reservations_.begin(); entry != reservations_.end();) {
     auto& reservation = entry->second;
-    if (now - reservation.first_sent_at <= std::min(kTurnReservationTimeout, reservation.body.timeout_ms)) {
+    if (now - reservation.first_sent_at <= std::min(kTurnReservationTimeout, Duration(reservation.body.timeout_ms))) {
       if (is_due(reservation, now))
         send(reservation, now);
       ++entry;
@@ -132,7 +132,7 @@
     auto request = std::move(reservation.body);
     entry = reservations_.erase(entry);
     auto& commit = commits_[request.attempt];
-    commit = {CommitTurn{request.attempt, request.program, 0, 0, false, {}}, now, 0, {}};
+    commit = {CommitTurn{request.attempt, request.program, 0, 0, false, {}}, now, {}, {}};
     send(commit, now);
     outbox_.send(kRoutingAddress,
                  ReserveTurnReply{request.attempt, 503, kDefaultRetryAfter, "the program's owner does not answer", {}});
