--- a/src/programs/gateway_machine.cpp
+++ b/src/programs/gateway_machine.cpp
@@ -93,7 +93,7 @@
   heartbeat.known = context_.metadata_log.epoch();
   heartbeat.load = open_requests;
   heartbeat.running = open_requests;
-  heartbeat.sent = now;
+  heartbeat.sent = to_milliseconds(now);
   heartbeat.leaving = context_.shutting_down;
   context_.outbox.send(context_.outbox.id().self.agent_address, heartbeat);
 }
@@ -133,7 +133,7 @@
   bool knows_cluster = self && majority_contact_.is_confirmed();
   return {.view = view(),
           .self_id = self ? self->id : DaemonId{},
-          .dispatch_until = knows_cluster ? majority_contact_.valid_until() : 0,
+          .dispatch_until = knows_cluster ? majority_contact_.valid_until() : TimePoint{},
           .ready = ready(now),
           .leaving = context_.shutting_down};
 }
--- a/src/programs/majority_contact.cpp
+++ b/src/programs/majority_contact.cpp
@@ -14,7 +14,7 @@
 void MajorityContact::on_heartbeat_reply(const HeartbeatReply& reply, TimePoint now) {
   on_epoch_seen(reply.epoch, now);
   bool knows_epoch = reply.epoch <= metadata_log_.epoch();
-  auto contact = reply.sent - reply.touched_ms;
+  auto contact = from_milliseconds(reply.sent) - Duration(reply.touched_ms);
   if (knows_epoch) {
     last_contact_ = std::max(last_contact_, contact);
   } else if (!early_contact_) {
--- a/src/programs/replica_dispatcher.cpp
+++ b/src/programs/replica_dispatcher.cpp
@@ -26,8 +26,9 @@
 
 ReplicaCall ReplicaDispatcher::make_call(const OpenRequest& open, const Replica& replica, TimePoint now) const {
   const auto& request = open.request;
-  ReplicaCall call{request.attempt, request.kind,        replica.url,       request.method,
-                   request.body,    open.deadline - now, request.idempotent};
+  ReplicaCall call{request.attempt,   request.kind, replica.url,
+                   request.method,    request.body, (open.deadline - now).count(),
+                   request.idempotent};
   if (request.kind != kModelRequest) {
     call.url += request.path;
     return call;
--- a/src/programs/replica_selector.cpp
+++ b/src/programs/replica_selector.cpp
@@ -70,7 +70,7 @@
   if (slow_start.cold_since_epoch != replica.since)
     slow_start = {replica.since, now};
   auto ramped = (now - slow_start.started_at) * replica.capacity / kSlowStartDuration;
-  return static_cast<uint32_t>(std::clamp<Duration>(ramped, 1, replica.capacity));
+  return static_cast<uint32_t>(std::clamp<int64_t>(ramped, 1, replica.capacity));
 }
 
 ReplicaSelection ReplicaSelector::select(const ProgramRequest& request, const Metadata& metadata, const Daemon& self,
--- a/src/programs/request_pipeline.cpp
+++ b/src/programs/request_pipeline.cpp
@@ -25,7 +25,7 @@
 
 void RequestPipeline::begin(OpenRequest& open, TimePoint now) {
   auto& request = open.request;
-  open.deadline = now + (request.deadline_ms > 0 ? request.deadline_ms : kDefaultRequestTimeout);
+  open.deadline = now + (request.deadline_ms > 0 ? Duration(request.deadline_ms) : kDefaultRequestTimeout);
   bool is_application_request = request.kind == kApplicationRequest;
   bool has_own_key = request.key != request.attempt;
   open.is_stateless = is_application_request && (request.idempotent || !has_own_key);
--- a/src/programs/request_queue.cpp
+++ b/src/programs/request_queue.cpp
@@ -8,7 +8,7 @@
 
 void RequestQueue::push(OpenRequest& open) {
   open.stage = RequestStage::queued;
-  if (open.waiting_since == 0)
+  if (open.waiting_since == TimePoint{})
     open.waiting_since = open.arrived_at;
   entries_.push({open.request.urgent, open.arrival_number, open.request.attempt});
 }
@@ -22,20 +22,20 @@
 Duration RequestQueue::expected_wait(const std::string& kind, bool is_urgent) const {
   auto pace = paces_.find(kind);
   if (pace == paces_.end())
-    return 0;
+    return {};
   auto requests_ahead = requests_.count_if([&](const OpenRequest& open) {
     bool waits = open.stage == RequestStage::queued || open.stage == RequestStage::opening_history;
     bool is_ahead = !is_urgent || open.request.urgent;
     return open.request.kind == kind && waits && is_ahead;
   });
-  return Duration(static_cast<double>(requests_ahead) * pace->second.interval);
+  return Duration(static_cast<int64_t>(static_cast<double>(requests_ahead) * pace->second.interval));
 }
 
 void RequestQueue::record_departure(const std::string& kind, TimePoint now) {
   auto& pace = paces_[kind];
-  bool others_wait = pace.last_departure && requests_.count(RequestStage::queued) > 1;
+  bool others_wait = pace.last_departure != TimePoint{} && requests_.count(RequestStage::queued) > 1;
   if (others_wait) {
-    auto interval = static_cast<double>(std::min(now - pace.last_departure, kMaxQueueWait));
+    auto interval = static_cast<double>(std::min(now - pace.last_departure, kMaxQueueWait).count());
     pace.interval += (interval - pace.interval) * kQueuePaceSmoothing;
   }
   pace.last_departure = now;
--- a/src/programs/request_queue.hpp
+++ b/src/programs/request_queue.hpp
@@ -39,7 +39,8 @@
   struct Pace {
     /// Milliseconds between two departures while others wait, exponentially smoothed.
     double interval = 0;
-    Duration last_departure{};
+    /// The zero point before the first one.
+    TimePoint last_departure{};
   };
 
   const OpenRequests& requests_;
--- a/src/programs/request_responder.cpp
+++ b/src/programs/request_responder.cpp
@@ -47,7 +47,7 @@
   auto retry_after = rejection.retry_after_ms;
   // Callers who were rejected at the same time shall not come back at the same time.
   if (retry_after)
-    retry_after += static_cast<uint32_t>(context_.outbox.jitter(retry_after)) / 2;
+    retry_after += static_cast<uint32_t>(context_.outbox.jitter(Duration(retry_after)).count()) / 2;
   auto& response = open.response;
   response.status = rejection.status;
   response.executed = executed;
