--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -11,7 +11,7 @@
 using Json = nlohmann::json;
 
 constexpr size_t kMaxKeyBytes = 256;
-/// Digits of X-Deadline-Ms: any such number fits into a Millis, and is capped later.
+/// Digits of X-Deadline-Ms: any such number fits into a Duration, and is capped later.
 constexpr size_t kMaxDeadlineDigits = 9;
 constexpr uint64_t kMaxExpectedTurns = 1000000;
 
@@ -131,8 +131,8 @@
 }  // namespace
 
 ApiResponse ProgramApi::run(ProgramRequest request, Delivery delivery) {
-  bool names_deadline = request.deadline_ms > 0 && request.deadline_ms <= kDefaultRequestTimeout;
-  auto timeout = names_deadline ? request.deadline_ms : kDefaultRequestTimeout;
+  bool names_deadline = request.deadline_ms > 0 && request.deadline_ms <= kDefaultRequestTimeout.count();
+  auto timeout = names_deadline ? Duration(request.deadline_ms) : kDefaultRequestTimeout;
   auto session = std::make_shared<CallerSession>(mailboxes_, process_now() + timeout + kOutcomeTransferTimeout);
 
   ProgramResponse lost{};
--- a/src/gateway/routing_thread.cpp
+++ b/src/gateway/routing_thread.cpp
@@ -88,7 +88,7 @@
 }
 
 void RoutingThread::continue_draining(TimePoint now) {
-  if (!draining_since_ || now - draining_since_ < kReadinessPropagation)
+  if (!draining_since_ || now - *draining_since_ < kReadinessPropagation)
     return;
   frontend_->drain();
   has_active_callers_ = frontend_->has_active_callers();
--- a/src/gateway/routing_thread.hpp
+++ b/src/gateway/routing_thread.hpp
@@ -46,8 +46,8 @@
   /// Written by the control thread, read by this one; only through `std::atomic_load` and `std::atomic_store`.
   std::shared_ptr<const RoutingSnapshot> snapshot_ =
       std::make_shared<RoutingSnapshot>(RoutingSnapshot{std::make_shared<Metadata>(), {}, {}, false, false});
-  /// When draining began, on the process's clock; the zero point before. Used on the routing thread.
-  TimePoint draining_since_{};
+  /// When draining began, if it has. Used on the routing thread.
+  std::optional<TimePoint> draining_since_;
   /// Whether callers may still have something under way here. Written by this thread, read by the control thread.
   std::atomic<bool> has_active_callers_{true};
   std::thread thread_;
