--- a/src/history/history_writer.hpp
+++ b/src/history/history_writer.hpp
@@ -1,5 +1,6 @@
 #pragma once
 // The owner's side of histories: how a partition's single writer reads, replicates and commits them.
+#include "history/open_history.hpp"
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
@@ -15,8 +16,6 @@
  public:
   /// `unavailable`: no quorum of stores answered in time. `fenced`: this gateway does not own the partition.
   enum class State { opening, open, fenced, unavailable };
-  /// Whether something holds for a store.
-  using StorePredicate = std::function<bool(DaemonId)>;
 
   HistoryWriter(Outbox& out, const MetadataLog& metadata_log) : out_(out), metadata_log_(metadata_log) {}
 
@@ -44,39 +43,7 @@
   std::set<HistoryName> take_changed() { return std::exchange(changed_, {}); }
 
  private:
-  /// What one store has of an open history.
-  struct StoreProgress {
-    /// The store's life that this holds for.
-    Incarnation incarnation{};
-    /// Records that it has synced, and records that it was sent.
-    uint64_t synced_length = 0;
-    uint64_t sent_length = 0;
-    bool has_answered_read = false;
-    /// The latest epoch that the store knew when it answered a read.
-    Epoch read_epoch{};
-    /// It has taken the whole history under this term, so that records can be appended.
-    bool has_history = false;
-    /// The zero point: nothing was sent, so that the next request is due at once.
-    TimePoint last_sent_at{};
-  };
-  struct OpenHistory {
-    PartitionId partition{};
-    Epoch term{};
-    State state = State::opening;
-    /// Still reading from a quorum; nothing has been written.
-    bool reading = true;
-    bool has_tombstone = false;
-    /// The term of the replica that `records` were taken from.
-    Epoch replica_term{};
-    Records records;
-    std::map<DaemonId, StoreProgress> stores;
-    uint64_t committed_length = 0;
-    TimePoint opening_since{};
-    TimePoint last_used_at{};
-  };
   using OpenHistories = std::map<HistoryName, OpenHistory>;
-  /// Whether requests that were not answered for a while are sent again.
-  enum class Resend { none, overdue };
 
   const OpenHistory* find(const HistoryName& name) const;
   bool owns(PartitionId id) const;
@@ -85,25 +52,10 @@
   void handle(const AppendHistoryReply& reply, const Envelope& envelope, TimePoint now);
   /// The open history that a reply of this term belongs to, or nothing.
   OpenHistory* awaiting(const HistoryName& name, Epoch term);
-
   /// Sends each store what it lacks.
-  void send_due(const HistoryName& name, OpenHistory& history, TimePoint now, Resend resend);
-  /// Sends a store the next request of an open history; false where there is none to send now.
-  bool send_next(const HistoryName& name, OpenHistory& history, const Daemon& store, StoreProgress& progress,
-                 TimePoint now, Resend resend);
-  bool send_new_records(const HistoryName& name, const OpenHistory& history, const Daemon& store,
-                        StoreProgress& progress);
-  std::vector<const Daemon*> write_targets(const OpenHistory& history) const;
-
+  void send_due(OpenHistory& history, TimePoint now, OpenHistory::Resend resend);
   /// Goes on where a quorum has answered.
-  void advance(const HistoryName& name, OpenHistory& history, TimePoint now);
-  void finish_reading(const HistoryName& name, OpenHistory& history, TimePoint now);
-  void advance_commit(const HistoryName& name, OpenHistory& history);
-  void set_open(const HistoryName& name, OpenHistory& history);
-  bool is_quorum(const OpenHistory& history, const StorePredicate& has) const;
-  bool has_read(const OpenHistory& history, const StoreProgress& progress) const;
-  /// The same predicate over the stores that this history has heard of or written to.
-  static StorePredicate by_progress(const OpenHistory& history, std::function<bool(const StoreProgress&)> holds);
+  void advance(OpenHistory& history, TimePoint now);
 
   Outbox& out_;
   const MetadataLog& metadata_log_;
