--- a/src/history/load_shedder.cpp
+++ b/src/history/load_shedder.cpp
@@ -15,7 +15,8 @@
 }
 
 bool LoadShedder::must_shed(const Message& message) const {
-  auto [memory_short, disk_behind] = load_;
+  bool memory_short = load_.memory_short;
+  bool disk_behind = load_.disk_behind;
   bool any = memory_short || disk_behind;
   return std::visit(
       overload{[&](const AppendHistory& request) { return memory_short && grows_state(request); },
--- a/src/history/partition_streams.cpp
+++ b/src/history/partition_streams.cpp
@@ -116,7 +116,7 @@
     bool is_down = daemon->state != DaemonState::up;
     return std::make_pair(is_down, stream.sources[daemon->id].requested_at);
   };
-  std::stable_sort(sources.begin(), sources.end(), [&](auto* a, auto* b) { return rank(a) < rank(b); });
+  std::stable_sort(sources.begin(), sources.end(), [&](auto* left, auto* right) { return rank(left) < rank(right); });
   return sources;
 }
 
