--- a/src/gateway/routing_thread.hpp
+++ b/src/gateway/routing_thread.hpp
@@ -45,7 +45,7 @@
   std::unique_ptr<HttpListener> readiness_listener_;
   /// Written by the control thread, read by this one; only through `std::atomic_load` and `std::atomic_store`.
   std::shared_ptr<const RoutingSnapshot> snapshot_ =
-      std::make_shared<RoutingSnapshot>(RoutingSnapshot{std::make_shared<Metadata>(), {}, {}, false, false});
+      std::make_shared<RoutingSnapshot>(RoutingSnapshot{std::make_shared<Metadata>(), {}, {}, false});
   /// When draining began, if it has. Used on the routing thread.
   std::optional<TimePoint> draining_since_;
   /// Whether callers may still have something under way here. Written by this thread, read by the control thread.
--- a/src/programs/gateway_machine.cpp
+++ b/src/programs/gateway_machine.cpp
@@ -134,8 +134,7 @@
   return {.view = view(),
           .self_id = self ? self->id : DaemonId{},
           .dispatch_until = knows_cluster ? majority_contact_.valid_until() : TimePoint{},
-          .ready = ready(now),
-          .leaving = context_.shutting_down};
+          .ready = ready(now)};
 }
 
 }  // namespace mosskeel
--- a/src/routing/routing_snapshot.hpp
+++ b/src/routing/routing_snapshot.hpp
@@ -10,12 +10,10 @@
   MetadataSnapshot view;
   /// This gateway's number in the directory; 0 before it is registered.
   DaemonId self_id{};
-  /// Milliseconds on the process's clock: when majority contact expires, after which nothing may be dispatched.
+  /// When majority contact expires, after which nothing may be dispatched.
   TimePoint dispatch_until{};
   /// Whether the gateway may report readiness to the platform.
   bool ready = false;
-  /// Whether the gateway is shutting down.
-  bool leaving = false;
 };
 
 }  // namespace mosskeel
--- a/tests/unit/net/http_frontend_faults_test.cpp
+++ b/tests/unit/net/http_frontend_faults_test.cpp
@@ -62,7 +62,7 @@
       path.timeout_ms = path_timeout_ms;
     }
     snapshot = std::make_shared<RoutingSnapshot>(
-        RoutingSnapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, INT64_MAX, true, false});
+        RoutingSnapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, INT64_MAX, true});
     auto opened = HttpFrontend::open(
         loop, *find_protocol_codec("platform"), "127.0.0.1:0", [this] { return snapshot; }, [](Message) {});
     REQUIRE(opened.ok());
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -79,7 +79,7 @@
   RouterFixture() { publish(); }
   /// Lets the router see `metadata`, with majority contact until `dispatch_until`.
   void publish(TimePoint dispatch_until = 1000000) {
-    RoutingSnapshot snapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, dispatch_until, true, false};
+    RoutingSnapshot snapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, dispatch_until, true};
     router.update(std::make_shared<RoutingSnapshot>(std::move(snapshot)), now);
   }
   void handle(Event event) { actions = router.handle(std::move(event), now); }
