--- a/src/programs/replica_selector.cpp
+++ b/src/programs/replica_selector.cpp
@@ -10,9 +10,16 @@
 namespace {
 
 /// This gateway's place among all that may use a replica, in an order of the replica's own.
-struct FrontRank {
+struct GatewayRank {
   uint32_t rank = 0;
-  uint32_t fronts = 0;
+  uint32_t gateways = 0;
+};
+
+/// A gateway's position in a replica's order: a hash of both, then its number.
+struct GatewayPosition {
+  uint64_t hash = 0;
+  DaemonId id{};
+  auto operator<=>(const GatewayPosition&) const = default;
 };
 
 bool may_use_replicas(const Daemon& daemon, const Metadata& metadata) {
@@ -21,17 +28,17 @@
 }
 
 /// Nothing where this gateway may not use replicas.
-std::optional<FrontRank> rank_among_fronts(const Replica& replica, const Metadata& metadata, const Daemon& self) {
-  std::vector<std::pair<uint64_t, DaemonId>> fronts;
+std::optional<GatewayRank> rank_among_gateways(const Replica& replica, const Metadata& metadata, const Daemon& self) {
+  std::vector<GatewayPosition> gateways;
   for (const auto& [id, daemon] : metadata.directory) {
     if (may_use_replicas(daemon, metadata))
-      fronts.push_back({digest(replica.name, id.value() + 1), id});
+      gateways.push_back({digest(replica.name, id.value() + 1), id});
   }
-  std::sort(fronts.begin(), fronts.end());
-  auto own = std::find_if(fronts.begin(), fronts.end(), [&](const auto& front) { return front.second == self.id; });
-  if (own == fronts.end())
+  std::sort(gateways.begin(), gateways.end());
+  auto own = std::find_if(gateways.begin(), gateways.end(), [&](const auto& gateway) { return gateway.id == self.id; });
+  if (own == gateways.end())
     return std::nullopt;
-  return FrontRank{static_cast<uint32_t>(own - fronts.begin()), static_cast<uint32_t>(fronts.size())};
+  return GatewayRank{static_cast<uint32_t>(own - gateways.begin()), static_cast<uint32_t>(gateways.size())};
 }
 
 bool serves(const Replica& replica, const Route& route) {
@@ -57,12 +64,12 @@
                                           TimePoint now) {
   if (replica.health == ReplicaHealth::draining || metadata.evacuated.count(replica.zone))
     return 0;
-  auto own = rank_among_fronts(replica, metadata, self);
+  auto own = rank_among_gateways(replica, metadata, self);
   if (!own)
     return 0;
   if (replica.health == ReplicaHealth::ready) {
-    uint32_t remainder = own->rank < replica.capacity % own->fronts ? 1 : 0;
-    return std::max(1u, replica.capacity / own->fronts + remainder);
+    uint32_t remainder = own->rank < replica.capacity % own->gateways ? 1 : 0;
+    return std::max(1u, replica.capacity / own->gateways + remainder);
   }
   if (own->rank >= kFrontsPerColdReplica)
     return 0;
--- a/src/programs/replica_selector.hpp
+++ b/src/programs/replica_selector.hpp
@@ -39,7 +39,6 @@
     Epoch cold_since_epoch{};
     TimePoint started_at{};
   };
-  struct Candidate;
 
   bool has_free_capacity(const ProgramRequest& request, const std::string& replica, uint32_t capacity) const;
   uint32_t load_of(const std::string& replica) const;
--- a/src/programs/turn_runners.hpp
+++ b/src/programs/turn_runners.hpp
@@ -24,8 +24,14 @@
   void expire(TimePoint now);
 
  private:
-  /// A turn by its history, its key and the gateway that reserved it.
-  using TurnId = std::tuple<HistoryName, std::string, DaemonId>;
+  /// What tells a turn's reservation from all others.
+  struct ReservationId {
+    HistoryName history{};
+    std::string key;
+    /// The gateway that reserved the turn.
+    DaemonId runner{};
+    auto operator<=>(const ReservationId&) const = default;
+  };
   struct Query {
     TimePoint sent_at{};
     /// The gateway has denied: it does not run the turn and never will.
@@ -35,7 +41,7 @@
   GatewayContext& context_;
   const OpenRequests& requests_;
   const TurnClient& turn_client_;
-  std::map<TurnId, Query> queries_;
+  std::map<ReservationId, Query> queries_;
 };
 
 }  // namespace mosskeel
--- a/src/routing/load_balancer.cpp
+++ b/src/routing/load_balancer.cpp
@@ -8,6 +8,17 @@
 namespace mosskeel {
 namespace {
 
+/// Orders replicas by preference; the smallest is the best.
+struct ReplicaRank {
+  bool is_half_loaded = false;
+  bool is_in_other_zone = false;
+  /// By rendezvous hashing where the request has an affinity, else the running requests.
+  uint64_t load_or_affinity = 0;
+  /// The least recently used one goes first among equals.
+  uint64_t last_attempt = 0;
+  auto operator<=>(const ReplicaRank&) const = default;
+};
+
 /// Whether the daemon is a gateway that carries requests.
 bool is_serving_gateway(const Daemon& daemon) {
   return daemon.self.role == Role::front && daemon.state != DaemonState::down && daemon.state != DaemonState::left;
@@ -96,7 +107,7 @@
     auto* tried = context.tried_replicas;
     return tried && std::find(tried->begin(), tried->end(), name) != tried->end();
   };
-  std::tuple<int, uint64_t, uint64_t> best_preference;
+  ReplicaRank best_rank;
   for (auto* state : candidates->second) {
     if (was_tried(state->replica->name))
       continue;
@@ -105,13 +116,16 @@
       continue;
     // Half-loaded replicas come after all others, and within each half the own zone comes first.
     bool half_loaded = state->running * 2 >= state->capacity;
-    int tier = (state->same_zone ? 0 : 1) + (half_loaded ? 2 : 0);
-    auto preference = context.affinity_hash
-                          ? std::make_tuple(tier, digest(state->replica->name, context.affinity_hash), uint64_t{0})
-                          : std::make_tuple(tier, uint64_t{state->running}, state->last_attempt);
-    if (!choice.replica || preference < best_preference) {
+    ReplicaRank rank{half_loaded, !state->same_zone};
+    if (context.affinity_hash) {
+      rank.load_or_affinity = digest(state->replica->name, context.affinity_hash);
+    } else {
+      rank.load_or_affinity = state->running;
+      rank.last_attempt = state->last_attempt;
+    }
+    if (!choice.replica || rank < best_rank) {
       choice.replica = state->replica;
-      best_preference = preference;
+      best_rank = rank;
     }
   }
   return choice;
