--- a/src/gateway/caller_session.hpp
+++ b/src/gateway/caller_session.hpp
@@ -11,7 +11,6 @@
 /// what comes later is dropped. Used by one thread at a time.
 class CallerSession {
  public:
-  /// `deadline` is a point in time by process_now(), milliseconds.
   CallerSession(LocalMailboxes& mailboxes, TimePoint deadline);
   ~CallerSession() { mailboxes_.close(opened_.address); }
   CallerSession(const CallerSession&) = delete;
--- a/src/history/store_records.hpp
+++ b/src/history/store_records.hpp
@@ -5,7 +5,7 @@
 
 namespace mosskeel {
 
-/// The store's whole state. `uptime` is in ms.
+/// The store's whole state, with its uptime as `UptimeClock` counts it.
 struct StoreCheckpoint {
   BOOST_HANA_DEFINE_STRUCT(StoreCheckpoint, (Metadata, metadata), (StoredPartitions, partitions), (Duration, uptime));
 };
--- a/src/history/stored_partition.hpp
+++ b/src/history/stored_partition.hpp
@@ -7,7 +7,7 @@
 namespace mosskeel {
 
 /// This store's replica of one program's history. `term` is the ownership term of the last write, `written_at` the
-/// store's uptime (ms, see `UptimeClock`) at that write.
+/// store's uptime (see `UptimeClock`) at that write.
 struct History {
   BOOST_HANA_DEFINE_STRUCT(History, (Epoch, term), (Records, records), (Duration, written_at));
 
--- a/src/history/uptime_clock.hpp
+++ b/src/history/uptime_clock.hpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-/// Counts the milliseconds for which this store has been running, over all its starts. Downtime does not count, and a
+/// Counts for how long this store has been running, over all its starts. Downtime does not count, and a
 /// restart falls back to the uptime in the last checkpoint: every error lengthens the retention of histories, none
 /// shortens it.
 class UptimeClock {
--- a/src/programs/admission_policy.hpp
+++ b/src/programs/admission_policy.hpp
@@ -22,7 +22,7 @@
   bool is_forwarded = false;
   /// Whether it would wait for a replica here rather than at another gateway.
   bool is_served_here = false;
-  /// How long it would wait, milliseconds by the queue's measured pace, and how long if it were urgent.
+  /// How long it would wait by the queue's measured pace, and how long if it were urgent.
   Duration expected_wait{};
   Duration expected_urgent_wait{};
 };
--- a/src/programs/gateway_machine.hpp
+++ b/src/programs/gateway_machine.hpp
@@ -52,7 +52,6 @@
   TurnClient turn_client_;
   MajorityContact majority_contact_;
   RequestPipeline request_pipeline_;
-  /// Points in time by the machine's clock, milliseconds.
   TimePoint next_heartbeat_{};
   TimePoint next_sweep_{};
   TimePoint last_active_{};
--- a/src/programs/majority_contact.cpp
+++ b/src/programs/majority_contact.cpp
@@ -5,7 +5,7 @@
 namespace mosskeel {
 namespace {
 
-/// Milliseconds that a gateway goes on without an epoch that it has heard of: shorter than the contact on which the
+/// A gateway goes on this long without an epoch that it has heard of: shorter than the contact on which the
 /// acknowledgement of a configuration rests.
 constexpr Duration kMissingEpochTolerance = kIsolationTimeout / 2;
 
--- a/src/programs/majority_contact.hpp
+++ b/src/programs/majority_contact.hpp
@@ -23,7 +23,7 @@
   /// The metadata log has grown.
   void on_epochs_applied(TimePoint now);
 
-  /// When dispatching must stop unless there is news; milliseconds on the machine's clock.
+  /// When dispatching must stop unless a newer contact or the missing epoch comes before.
   TimePoint valid_until() const;
   /// Whether requests may be dispatched now.
   bool is_valid(TimePoint now) const { return now < valid_until(); }
--- a/src/programs/open_request.hpp
+++ b/src/programs/open_request.hpp
@@ -46,7 +46,6 @@
 
   /// Counts the requests taken by this process: the queue's order.
   uint64_t arrival_number = 0;
-  /// Points in time by the machine's clock, milliseconds.
   TimePoint arrived_at{};
   TimePoint deadline{};
   /// When the replica, the owner or a retransmission last moved it on.
--- a/src/programs/request_queue.hpp
+++ b/src/programs/request_queue.hpp
@@ -30,7 +30,7 @@
   bool empty() const { return entries_.empty(); }
   Entry pop();
 
-  /// Milliseconds that a request which came now would wait for a replica: those before it at the measured pace.
+  /// How long a request which came now would wait for a replica: those before it at the measured pace.
   Duration expected_wait(const std::string& kind, bool is_urgent) const;
   /// A request of this kind is about to leave the queue for a replica.
   void record_departure(const std::string& kind, TimePoint now);
--- a/src/routing/active_request.hpp
+++ b/src/routing/active_request.hpp
@@ -35,7 +35,7 @@
   std::string chain;
 };
 
-/// One request. Times are milliseconds on the process's clock.
+/// One request.
 struct ActiveRequest {
   RequestId id = 0;
   HttpRequest request;
--- a/src/routing/attempt_dispatcher.hpp
+++ b/src/routing/attempt_dispatcher.hpp
@@ -12,7 +12,7 @@
 /// Owns the routing tables, the load balancer and the queue of requests that wait for a replica; numbers the attempts.
 /// Nothing is sent without majority contact: requests wait then.
 ///
-/// Part of the request router and used on its thread. Times are milliseconds on the process's clock.
+/// Part of the request router and used on its thread.
 class AttemptDispatcher {
  public:
   enum class Result {
--- a/src/routing/chain_search.hpp
+++ b/src/routing/chain_search.hpp
@@ -6,7 +6,7 @@
 namespace mosskeel {
 
 /// Asks every store for a turn that its owner does not know, until one has it or all have said that they don't: only
-/// then the turn is known to be missing. Times are milliseconds on the process's clock.
+/// then the turn is known to be missing.
 class ChainSearch {
  public:
   enum class State { searching, missing, timed_out };
--- a/src/routing/load_balancer.hpp
+++ b/src/routing/load_balancer.hpp
@@ -28,7 +28,7 @@
 /// own zone first. A replica in slow start gets requests of one gateway only, within its permitted rate. Draining
 /// replicas and those in evacuated zones get nothing.
 ///
-/// Owned by the request router and used on its thread. Times are milliseconds on the process's clock.
+/// Owned by the request router and used on its thread.
 class LoadBalancer {
  public:
   /// Adopts new metadata. Replicas that are gone are forgotten once their last request has ended.
--- a/src/routing/request_router.hpp
+++ b/src/routing/request_router.hpp
@@ -15,7 +15,7 @@
 /// a caller that is told "not run" (a 503 with a time to come back) can rely on it; a response that was begun and is
 /// not complete ends in a reset.
 ///
-/// All calls on the routing thread. Times are milliseconds on the process's clock.
+/// All calls on the routing thread.
 class RequestRouter {
  public:
   explicit RequestRouter(const ProtocolCodec& codec) : codec_(codec), dispatcher_(codec), relay_(actions_) {}
@@ -37,7 +37,7 @@
   struct ErrorResponse {
     uint32_t status{};
     std::string reason;
-    /// Milliseconds until the caller may come back; 0 says nothing.
+    /// The time after which the caller may come back; 0 says nothing.
     Duration retry_after{};
   };
 
--- a/src/routing/turn_client.hpp
+++ b/src/routing/turn_client.hpp
@@ -10,8 +10,7 @@
 /// Forwards reservations and outcomes of this process's router to the owner of the program, sends them again until they
 /// are answered, and follows a partition to its new owner. Answers go to `kRoutingAddress`.
 ///
-/// Part of the gateway's state machine and used on its thread; nothing is on disk. Times are milliseconds on the
-/// process's clock.
+/// Part of the gateway's state machine and used on its thread; nothing is on disk.
 class TurnClient {
  public:
   TurnClient(Outbox& outbox, MetadataLog& metadata_log) : outbox_(outbox), metadata_log_(metadata_log) {}
--- a/src/routing/turn_coordinator.hpp
+++ b/src/routing/turn_coordinator.hpp
@@ -15,7 +15,7 @@
 /// outcome, and only to the gateway that the reservation names; an outcome is acknowledged only once it is on a
 /// majority. Nothing is kept on this gateway's disk: after a change of owner the history tells the state.
 ///
-/// Part of the gateway's state machine and used on its thread. Times are milliseconds on the process's clock.
+/// Part of the gateway's state machine and used on its thread.
 class TurnCoordinator {
  public:
   TurnCoordinator(Outbox& outbox, MetadataLog& metadata_log, HistoryWriter& history_writer)
