--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -131,9 +131,8 @@
 }  // namespace
 
 ApiResponse ProgramApi::run(ProgramRequest request, Delivery delivery) {
-  bool names_deadline = request.deadline_ms > 0 && request.deadline_ms <= kDefaultRequestTimeout.count();
-  auto timeout = names_deadline ? Duration(request.deadline_ms) : kDefaultRequestTimeout;
-  auto session = std::make_shared<CallerSession>(mailboxes_, process_now() + timeout + kOutcomeTransferTimeout);
+  auto answered_by = process_now() + request_timeout(request) + kOutcomeTransferTimeout;
+  auto session = std::make_shared<CallerSession>(mailboxes_, answered_by);
 
   ProgramResponse lost{};
   lost.attempt = request.attempt;
--- a/src/history/history_expiry.cpp
+++ b/src/history/history_expiry.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "history/constants.hpp"
+#include "history/partition_lookup.hpp"
 
 namespace mosskeel {
 
@@ -20,7 +21,7 @@
   auto partition_count = static_cast<uint32_t>(metadata.partitions.size());
   last_scanned_ = PartitionId{(last_scanned_.value() + 1) % partition_count};
   auto* stored = table_.find(last_scanned_);
-  auto* owner = metadata.find(metadata.partitions[last_scanned_.value()].owner);
+  auto* owner = find_owner(metadata, last_scanned_);
   if (!stored || !owner)
     return;
   size_t reported = 0;
--- a/src/history/history_writer.cpp
+++ b/src/history/history_writer.cpp
@@ -6,9 +6,7 @@
 namespace mosskeel {
 
 bool HistoryWriter::owns(PartitionId id) const {
-  auto& metadata = *metadata_log_.view();
-  auto* partition = find_partition(metadata, id);
-  auto* owner = partition ? metadata.find(partition->owner) : nullptr;
+  auto* owner = find_owner(*metadata_log_.view(), id);
   return owner && owner->self.incarnation == out_.id().self.incarnation;
 }
 
--- a/src/programs/admission_policy.cpp
+++ b/src/programs/admission_policy.cpp
@@ -71,9 +71,7 @@
     }
     if (request.key.empty())
       request.key = request.attempt;
-    bool names_deadline = request.deadline_ms > 0 && request.deadline_ms <= kDefaultRequestTimeout.count();
-    if (!names_deadline)
-      request.deadline_ms = kDefaultRequestTimeout.count();
+    request.deadline_ms = request_timeout(request).count();
     return std::nullopt;
   }
 };
--- a/src/programs/gateway_context.cpp
+++ b/src/programs/gateway_context.cpp
@@ -1,12 +1,11 @@
 #include "programs/gateway_context.hpp"
 
+#include "history/partition_lookup.hpp"
+
 namespace mosskeel {
 
 const Daemon* GatewayContext::owner_of(PartitionId partition) const {
-  const auto& known = metadata();
-  if (partition.value() >= known.partitions.size())
-    return nullptr;
-  return known.find(known.partitions[partition.value()].owner);
+  return find_owner(metadata(), partition);
 }
 
 bool GatewayContext::owns(PartitionId partition) const {
--- a/src/programs/program_request.cpp
+++ b/src/programs/program_request.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "programs/constants.hpp"
+
 namespace mosskeel {
 
 const Route* find_route(const Cell& cell, const ProgramRequest& request) {
@@ -11,6 +13,11 @@
   return found == cell.routes.end() ? nullptr : &*found;
 }
 
+Duration request_timeout(const ProgramRequest& request) {
+  bool names_deadline = request.deadline_ms > 0 && request.deadline_ms <= kDefaultRequestTimeout.count();
+  return names_deadline ? Duration(request.deadline_ms) : kDefaultRequestTimeout;
+}
+
 uint64_t body_digest(const ProgramRequest& request) {
   return digest(request.body + '\0' + request.path);
 }
--- a/src/programs/program_request.hpp
+++ b/src/programs/program_request.hpp
@@ -16,6 +16,10 @@
 /// The route that a request names, or null where the cell has none of this name and kind.
 const Route* find_route(const Cell& cell, const ProgramRequest& request);
 
+/// How long the caller waits: as its deadline says, within `kDefaultRequestTimeout`, which also stands for one not
+/// named.
+Duration request_timeout(const ProgramRequest& request);
+
 /// What a key stands for: a second request under the same key must have the same digest.
 uint64_t body_digest(const ProgramRequest& request);
 
--- a/src/routing/turn_client.cpp
+++ b/src/routing/turn_client.cpp
@@ -1,18 +1,15 @@
 #include "routing/turn_client.hpp"
 
 #include "history/constants.hpp"
+#include "history/partition_lookup.hpp"
 #include "routing/constants.hpp"
 #include "runtime/constants.hpp"
 
 namespace mosskeel {
 
 const Daemon* TurnClient::owner(const std::string& program) const {
-  auto& metadata = *metadata_log_.view();
   auto history = turn_history_name(program);
-  auto partition = partition_of(history.cell, history.program);
-  if (partition.value() >= metadata.partitions.size())
-    return nullptr;
-  return metadata.find(metadata.partitions[partition.value()].owner);
+  return find_owner(*metadata_log_.view(), partition_of(history.cell, history.program));
 }
 
 template <class Body>
--- a/src/routing/turn_coordinator.cpp
+++ b/src/routing/turn_coordinator.cpp
@@ -1,6 +1,7 @@
 #include "routing/turn_coordinator.hpp"
 
 #include "history/constants.hpp"
+#include "history/partition_lookup.hpp"
 #include "routing/constants.hpp"
 #include "runtime/constants.hpp"
 
@@ -267,11 +268,7 @@
 }
 
 bool TurnCoordinator::is_owner(const HistoryName& history) const {
-  auto& metadata = *metadata_log_.view();
-  auto partition = partition_of(history.cell, history.program);
-  if (partition.value() >= metadata.partitions.size())
-    return false;
-  auto* owner = metadata.find(metadata.partitions[partition.value()].owner);
+  auto* owner = find_owner(*metadata_log_.view(), partition_of(history.cell, history.program));
   return owner && owner->self.incarnation == outbox_.id().self.incarnation;
 }
 
