--- a/src/programs/majority_contact.cpp
+++ b/src/programs/majority_contact.cpp
@@ -5,7 +5,7 @@
 namespace mosskeel {
 namespace {
 
-/// Milliseconds that a gateway goes on without an epoch that it has heard of: shorter than the contact on which the
+/// A gateway goes on this long without an epoch that it has heard of: shorter than the contact on which the
 /// acknowledgement of a configuration rests.
 constexpr Duration kMissingEpochTolerance = kIsolationTimeout / 2;
 
@@ -14,7 +14,7 @@
 void MajorityContact::on_heartbeat_reply(const HeartbeatReply& reply, TimePoint now) {
   on_epoch_seen(reply.epoch, now);
   bool knows_epoch = reply.epoch <= metadata_log_.epoch();
-  auto contact = reply.sent - reply.touched_ms;
+  auto contact = from_milliseconds(reply.sent) - Duration(reply.touched_ms);
   if (knows_epoch) {
     last_contact_ = std::max(last_contact_, contact);
   } else if (!early_contact_) {
--- a/src/programs/request_queue.hpp
+++ b/src/programs/request_queue.hpp
@@ -30,7 +30,7 @@
   bool empty() const { return entries_.empty(); }
   Entry pop();
 
-  /// Milliseconds that a request which came now would wait for a replica: those before it at the measured pace.
+  /// How long a request which came now would wait for a replica: those before it at the measured pace.
   Duration expected_wait(const std::string& kind, bool is_urgent) const;
   /// A request of this kind is about to leave the queue for a replica.
   void record_departure(const std::string& kind, TimePoint now);
@@ -39,7 +39,8 @@
   struct Pace {
     /// Milliseconds between two departures while others wait, exponentially smoothed.
     double interval = 0;
-    Duration last_departure{};
+    /// The zero point before the first one.
+    TimePoint last_departure{};
   };
 
   const OpenRequests& requests_;
