--- a/src/base/queue.hpp
+++ b/src/base/queue.hpp
@@ -19,14 +19,14 @@
     changed_.notify_one();
   }
 
-  /// Everything that is there; waits up to `timeout` (ms) for the first item. Empty after a time-out or once closed.
+  /// Everything that is there; waits up to `timeout` for the first item. Empty after a time-out or once closed.
   std::deque<T> take(Duration timeout) {
     std::unique_lock lock(mutex_);
     wait_for_item(lock, timeout);
     return std::exchange(items_, {});
   }
 
-  /// The first item; waits up to `timeout` (ms) for it. Nothing after a time-out or once closed and empty.
+  /// The first item; waits up to `timeout` for it. Nothing after a time-out or once closed and empty.
   std::optional<T> pop(Duration timeout) {
     std::unique_lock lock(mutex_);
     wait_for_item(lock, timeout);
@@ -51,7 +51,7 @@
 
  private:
   void wait_for_item(std::unique_lock<std::mutex>& lock, Duration timeout) {
-    changed_.wait_for(lock, std::chrono::milliseconds(timeout), [this] { return !items_.empty() || closed_; });
+    changed_.wait_for(lock, timeout, [this] { return !items_.empty() || closed_; });
   }
 
   mutable std::mutex mutex_;
