--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -10,7 +10,7 @@
 /// Keeps idle connections by address. The one that became idle last is used first: the others may expire.
 class ConnectionPool {
  public:
-  /// Takes a usable connection out, or nothing where there is none that has been idle for at most `max_idle` ms. Ones
+  /// Takes a usable connection out, or nothing where there is none that has been idle for at most `max_idle`. Ones
   /// that turn out to be unusable are closed, and must have been removed by their owner when that returns.
   std::shared_ptr<UpstreamConnection> take(const Address& address, Duration max_idle);
   /// Closes the oldest connection of that address where there are too many.
--- a/src/net/deadline_timer.cpp
+++ b/src/net/deadline_timer.cpp
@@ -3,7 +3,7 @@
 namespace mosskeel {
 
 void DeadlineTimer::set(Duration delay) {
-  if (delay == 0) {
+  if (delay == 0ms) {
     clear();
     return;
   }
@@ -36,7 +36,7 @@
     return;
   }
   auto remaining = *deadline_ - monotonic_now();
-  if (remaining > 0) {
+  if (remaining > 0ms) {
     start_timer(remaining);
     return;
   }
--- a/src/net/deadline_timer.hpp
+++ b/src/net/deadline_timer.hpp
@@ -12,7 +12,7 @@
   DeadlineTimer(const DeadlineTimer&) = delete;
   DeadlineTimer& operator=(const DeadlineTimer&) = delete;
   ~DeadlineTimer() { cancel(); }
-  /// Sets the deadline to `delay` milliseconds from now, in place of an earlier one; 0 clears it.
+  /// Sets the deadline to `delay` from now, in place of an earlier one; 0 clears it.
   void set(Duration delay);
   /// There is no deadline until the next `set`.
   void clear() { deadline_.reset(); }
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -103,7 +103,7 @@
 
 uint64_t EventLoop::run_after(Duration delay, std::function<void()> function) {
   auto timer = ++last_timer_;
-  timer_heap_.push_back({monotonic_now() + std::max<Duration>(delay, 0), timer});
+  timer_heap_.push_back({monotonic_now() + std::max<Duration>(delay, 0ms), timer});
   std::push_heap(timer_heap_.begin(), timer_heap_.end());
   timers_.emplace(timer, std::move(function));
   return timer;
@@ -137,7 +137,8 @@
   if (timer_heap_.empty()) {
     return -1;
   }
-  return static_cast<int>(std::clamp<Duration>(timer_heap_.front().due_at - monotonic_now(), 0, kMaxWait));
+  auto remaining = timer_heap_.front().due_at - monotonic_now();
+  return static_cast<int>(std::clamp<Duration>(remaining, 0ms, kMaxWait).count());
 }
 
 void EventLoop::run_ready(int timeout) {
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -28,7 +28,7 @@
       self->on_ready(events);
     }
   });
-  deadline_.set(owner_.limits().idle_timeout_ms);
+  deadline_.set(owner_.limits().idle_timeout);
 }
 
 void HttpServerConnection::on_ready(uint32_t events) {
@@ -83,13 +83,13 @@
 void HttpServerConnection::on_incomplete_request() {
   if (reader_.in_body()) {
     head_deadline_set_ = false;
-    deadline_.set(owner_.limits().idle_timeout_ms);
+    deadline_.set(owner_.limits().idle_timeout);
     if (reader_.take_expects_continue()) {
       send_buffer_.tail() += "HTTP/1.1 100 Continue\r\n\r\n";
       schedule_flush();
     }
   } else if (reader_.has_unread_bytes() && !std::exchange(head_deadline_set_, true)) {
-    deadline_.set(owner_.limits().head_timeout_ms);
+    deadline_.set(owner_.limits().head_timeout);
   }
 }
 
@@ -146,7 +146,7 @@
   }
   owner_.close_exchange(std::exchange(exchange_, 0));
   phase_ = Phase::finishing;
-  deadline_.set(owner_.limits().idle_timeout_ms);
+  deadline_.set(owner_.limits().idle_timeout);
   schedule_flush();
 }
 
@@ -197,7 +197,7 @@
     }
     send_buffer_.consume(static_cast<size_t>(sent));
     if (phase_ == Phase::finishing) {
-      deadline_.set(owner_.limits().idle_timeout_ms);
+      deadline_.set(owner_.limits().idle_timeout);
     }
   }
   return true;
@@ -214,7 +214,7 @@
   }
   phase_ = Phase::reading;
   above_high_watermark_ = false;
-  deadline_.set(owner_.limits().idle_timeout_ms);
+  deadline_.set(owner_.limits().idle_timeout);
   // A pipelined request may be there already.
   read_request();
 }
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -10,7 +10,7 @@
 
 class HttpServerConnection;
 
-/// Times are in milliseconds; 0 stands for no limit of time.
+/// A time of 0 stands for no limit.
 struct HttpListenerLimits : HttpRequestLimits {
   /// From the first byte of a head to its last.
   Duration head_timeout = 3000ms;
--- a/src/net/protocol_codec.hpp
+++ b/src/net/protocol_codec.hpp
@@ -33,7 +33,7 @@
   bool operator==(const PromptPart&) const = default;
 };
 
-/// What the headers of a caller's request say. Texts are empty, and times (ms) -1, where they say nothing.
+/// What the headers of a caller's request say. Texts are empty where they say nothing.
 struct RequestHeaders {
   std::string attempt_id, program_id, session_id;
   /// The turn that this one goes on from.
--- a/src/net/replica_client.cpp
+++ b/src/net/replica_client.cpp
@@ -14,12 +14,11 @@
 namespace mosskeel {
 namespace {
 
-/// Milliseconds.
-constexpr long kReplicaConnectTimeout = 1000;
+constexpr Duration kReplicaConnectTimeout = 1000ms;
 /// A response may be larger than what callers may send.
 constexpr size_t kMaxReplicaResponseBytes = kMaxHttpBodyBytes * 8;
 /// Only bounds the time that a missed wake-up costs.
-constexpr int kPollTimeout = 100;
+constexpr Duration kPollTimeout = 100ms;
 constexpr std::string_view kSealHeader = "x-seal:";
 constexpr const char* kModelKind = "model";
 
@@ -72,7 +71,7 @@
   curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(easy, CURLOPT_PROXY, "");
   curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request_.method.c_str());
-  curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, kReplicaConnectTimeout);
+  curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, static_cast<long>(kReplicaConnectTimeout.count()));
   curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(request_.deadline_ms));
   if (!request_.idempotent) {
     curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
@@ -259,7 +258,7 @@
 }
 
 void ReplicaClient::Worker::take_commands() {
-  for (const auto& command : commands_.take(0)) {
+  for (const auto& command : commands_.take(0ms)) {
     if (const auto* request = std::get_if<ReplicaCall>(&command)) {
       begin(*request);
     } else {
@@ -289,7 +288,7 @@
     int running = 0;
     curl_multi_perform(multi_.get(), &running);
     report_finished();
-    curl_multi_poll(multi_.get(), nullptr, 0, kPollTimeout, nullptr);
+    curl_multi_poll(multi_.get(), nullptr, 0, static_cast<int>(kPollTimeout.count()), nullptr);
   }
   while (!calls_.empty()) {
     drop(calls_.begin()->first);
--- a/src/net/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -75,7 +75,7 @@
     return id;
   }
   if (!request.new_connection) {
-    if (auto connection = pool_.take(request.address, request.max_idle_ms)) {
+    if (auto connection = pool_.take(request.address, request.max_idle)) {
       requests_.emplace(id, connection);
       connection->assign(id, request, std::move(*bytes));
       connection->send();
@@ -89,7 +89,7 @@
   }
   requests_.emplace(id, opened.connection);
   opened.connection->assign(id, request, std::move(*bytes));
-  opened.connection->connect(request.connect_timeout_ms);
+  opened.connection->connect(request.connect_timeout);
   return id;
 }
 
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -21,12 +21,13 @@
 Duration keep_alive_of(std::string_view seconds) {
   auto digits = seconds.substr(0, seconds.find_first_not_of("0123456789"));
   if (digits.empty()) {
-    return 0;
+    return 0ms;
   }
   if (digits.size() > kMaxKeepAliveDigits) {
     return kMaxKeepAlive;
   }
-  return std::min<Duration>(std::stoll(std::string(digits)) * 1000 - kKeepAliveMargin, kMaxKeepAlive);
+  auto announced = std::chrono::seconds(std::stoll(std::string(digits)));
+  return std::min<Duration>(announced - kKeepAliveMargin, kMaxKeepAlive);
 }
 
 /// How long a connection may be idle after this response: by "Keep-Alive: timeout=SECONDS", else the default.
@@ -242,7 +243,7 @@
   if (head.closes_connection) {
     reusable_ = false;
   }
-  keep_alive_ms_ = keep_alive_of(head.fields);
+  keep_alive_ = keep_alive_of(head.fields);
   owner_.on_head(request_, {head.status, std::move(head.fields), head.chunked, head.content_length, previous_tag_});
 }
 
@@ -253,7 +254,7 @@
   auto request = std::exchange(request_, 0);
   // Surplus bytes, or a request that was not taken to its end, leave the two sides with different views.
   bool clean_end = !reader_.has_unread_bytes() && request_bytes_.empty();
-  if (clean_end && reusable_ && keep_alive_ms_ > 0) {
+  if (clean_end && reusable_ && keep_alive_ > 0ms) {
     become_idle();
   } else {
     close();
@@ -267,9 +268,9 @@
   reading_paused_ = false;
   reader_.discard();
   idle_since_ = monotonic_now();
-  idle_until_ = idle_since_ + keep_alive_ms_;
+  idle_until_ = idle_since_ + keep_alive_;
   update_watched_events();
-  start_timer(keep_alive_ms_, &UpstreamConnection::close);
+  start_timer(keep_alive_, &UpstreamConnection::close);
   owner_.on_idle(shared_from_this());
 }
 
