--- a/src/daemons/agent/main.cpp
+++ b/src/daemons/agent/main.cpp
@@ -16,7 +16,7 @@
               p.seeds,
               0,
               random_number(),
-              p.tcm_rpc_ms};
+              Duration(p.tcm_rpc_ms)};
   Host host(nullptr, p.listen);
   if (auto f = host.start([&](const Recovered&, TimePoint now) { return std::make_unique<AgentMachine>(id, now); });
       !f.empty())
--- a/src/daemons/controller/main.cpp
+++ b/src/daemons/controller/main.cpp
@@ -35,7 +35,7 @@
   identity.seeds = settings.seeds;
   identity.core_size = settings.core_size;
   identity.random_seed = random_number();
-  identity.commit_attempt_timeout = settings.tcm_rpc_ms;
+  identity.commit_attempt_timeout = Duration(settings.tcm_rpc_ms);
   identity.later_start = settings.later_start;
   identity.max_core_size = settings.core_most;
   identity.replication_factor =
@@ -70,8 +70,8 @@
     return cannot_start(kProgram, start_errors);
 
   const auto* protocol = find_control_protocol(settings.dialect);
-  HostControllerAccess controller(host, mailboxes, settings.tcm_rpc_ms);
-  AdminApi admin_api(host, controller, settings.tcm_await_ms, protocol);
+  HostControllerAccess controller(host, mailboxes, Duration(settings.tcm_rpc_ms));
+  AdminApi admin_api(host, controller, Duration(settings.tcm_await_ms), protocol);
   auto server = HttpServer::open(settings.http, [&](const ApiRequest& request) { return admin_api.handle(request); });
   if (!server.ok())
     return cannot_start(kProgram, server.errors());
--- a/src/daemons/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -25,7 +25,7 @@
                    settings.machine};
   identity.core_size = 0;
   identity.random_seed = random_number();
-  identity.commit_attempt_timeout = settings.tcm_rpc_ms;
+  identity.commit_attempt_timeout = Duration(settings.tcm_rpc_ms);
   return identity;
 }
 
--- a/src/daemons/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -21,7 +21,7 @@
   identity.seeds = settings.seeds;
   identity.core_size = 0;
   identity.random_seed = random_number();
-  identity.commit_attempt_timeout = settings.tcm_rpc_ms;
+  identity.commit_attempt_timeout = Duration(settings.tcm_rpc_ms);
   return identity;
 }
 
