--- a/tools/loadgen/clock.cpp
+++ b/tools/loadgen/clock.cpp
@@ -28,7 +28,8 @@
 }
 
 void sleep_for(Duration duration) {
-  timespec time{duration / 1000, (duration % 1000) * 1000000};
+  auto seconds = std::chrono::duration_cast<std::chrono::seconds>(duration);
+  timespec time{seconds.count(), std::chrono::nanoseconds(duration - seconds).count()};
   nanosleep(&time, nullptr);
 }
 
--- a/tools/loadgen/fault_injector.cpp
+++ b/tools/loadgen/fault_injector.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr Duration kPollInterval = 50ms;
-/// Milliseconds between faults, and a random part on top.
+/// Between faults, and a random part on top.
 constexpr Duration kFaultInterval = 2000ms;
 constexpr Duration kFaultIntervalRange = 2000ms;
-/// Milliseconds that a process stays killed or frozen.
+/// How long a process stays killed or frozen.
 constexpr Duration kLeastOutage = 500ms;
 constexpr Duration kKilledRange = 4000ms;
 constexpr Duration kFrozenRange = 6000ms;
@@ -59,12 +59,12 @@
 }
 
 void FaultInjector::wait(Duration duration) {
-  for (auto left = duration; left > 0 && !stop_; left -= kPollInterval)
+  for (auto left = duration; left > 0ms && !stop_; left -= kPollInterval)
     sleep_for(kPollInterval);
 }
 
 Duration FaultInjector::random_wait(Duration least, Duration range) {
-  return least + Duration(random_() % static_cast<uint64_t>(range));
+  return least + Duration(random_() % static_cast<uint64_t>(range.count()));
 }
 
 void FaultInjector::inject(const std::string& target) {
--- a/tools/loadgen/load_generator.cpp
+++ b/tools/loadgen/load_generator.cpp
@@ -21,7 +21,7 @@
     return failure;
   failure.ran = json.value("ran", "");
   failure.reason = json.value("reason", "");
-  failure.retry_after = json.value("retry_after_ms", kDefaultRetryDelay);
+  failure.retry_after = Duration(json.value("retry_after_ms", kDefaultRetryDelay.count()));
   return failure;
 }
 
@@ -56,7 +56,7 @@
     threads.emplace_back([this, number] { run_tool_calls(number); });
     auto next_start = begun + static_cast<double>(number + 1) * 1000.0 / plan_.rate;
     if (auto wait = next_start - clock_ms(); wait > 0)
-      sleep_for(Duration(wait));
+      sleep_for(Duration(static_cast<int64_t>(wait)));
   }
   faults.reset();
   for (auto& thread : threads)
--- a/tools/loadgen/load_generator.hpp
+++ b/tools/loadgen/load_generator.hpp
@@ -95,7 +95,7 @@
 
 /// A caller comes back so often before it gives up.
 constexpr int kAttemptLimit = 40;
-/// Milliseconds, where the answer names no other time.
+/// Where the answer names no other time.
 constexpr Duration kDefaultRetryDelay = 300ms;
 
 }  // namespace mosskeel::loadgen
--- a/tools/local-cluster/main.cpp
+++ b/tools/local-cluster/main.cpp
@@ -25,6 +25,7 @@
 constexpr Duration kReadyTimeout = 60000ms;
 constexpr int kReadyProbeTimeout = 1000;
 constexpr Duration kPollInterval = 100ms;
+constexpr Duration kSignalPollInterval = 1000ms;
 
 /// Sets the counts of a named fleet; false if there is none of this name.
 bool set_fleet_size(local_cluster::Plan& plan, const std::string& name) {
@@ -149,7 +150,7 @@
   for (const auto& address : fleet.controllers())
     controllers += (controllers.empty() ? "" : ",") + address;
   printf("local-cluster: %d of %d fronts ready after %lld ms; controllers %s; control 127.0.0.1:%d\n",
-         count_ready_gateways(fleet), plan.fronts, static_cast<long long>(duration), controllers.c_str(),
+         count_ready_gateways(fleet), plan.fronts, static_cast<long long>(duration.count()), controllers.c_str(),
          plan.first_port - 1);
   fflush(stdout);
 }
@@ -176,7 +177,7 @@
   if (!server.ok())
     return fail(server.errors(), kExitUsage);
   print_ready(fleet, plan, process_now() - begun);
-  while (!wait_for_signal(1000)) {}
+  while (!wait_for_signal(kSignalPollInterval)) {}
   return 0;
 }
 
--- a/tools/replica-sim/main.cpp
+++ b/tools/replica-sim/main.cpp
@@ -12,6 +12,7 @@
 namespace {
 
 constexpr int kExitUsage = 2;
+constexpr Duration kSignalPollInterval = 1000ms;
 
 struct Options {
   Address address;
@@ -74,6 +75,6 @@
     fprintf(stderr, "replica-sim: %s\n", to_string(server.errors()).c_str());
     return kExitUsage;
   }
-  while (!wait_for_signal(1000)) {}
+  while (!wait_for_signal(kSignalPollInterval)) {}
   return 0;
 }
--- a/tools/scale/churn.cpp
+++ b/tools/scale/churn.cpp
@@ -10,7 +10,7 @@
 namespace mosskeel::scale {
 namespace {
 
-/// Milliseconds of virtual time; a fleet that is not calm by then has failed.
+/// Virtual time; a fleet that is not calm by then has failed.
 constexpr Duration kCalmTimeout = 900000ms;
 constexpr size_t kFailingZone = 1;
 
@@ -58,7 +58,7 @@
 /// The point from which the costs of what happened are counted.
 struct Start {
   Epoch epoch;
-  Duration time;
+  TimePoint time;
 };
 
 Start begin(SimulatedFleet& fleet) {
@@ -68,7 +68,7 @@
 /// What each process did in a second since the start.
 void add_costs(Measurement& measurement, SimulatedFleet& fleet, const Start& start) {
   auto view = controller_view(fleet);
-  auto seconds = static_cast<double>(fleet.now() - start.time) / 1000;
+  auto seconds = as_seconds(fleet.now() - start.time);
   measurement.counts["epochs"] = static_cast<double>(view->epoch.value() - start.epoch.value());
   measurement.counts["seconds"] = seconds;
   for (auto kind : {ProcessKind::controller, ProcessKind::store, ProcessKind::agent}) {
@@ -177,7 +177,7 @@
   start_front(fleet, agent);
   const auto& process = fleet.processes()[agent];
   fleet.run_until(kCalmTimeout, [&] { return process.known_epoch.value() > 0; });
-  measurement.counts["value_after.ms"] = static_cast<double>(fleet.now() - start.time);
+  measurement.counts["value_after.ms"] = as_milliseconds(fleet.now() - start.time);
   run_until_calm(fleet);
   for (const auto& [kind, traffic] : process.counters.received) {
     measurement.counts["in." + kind + ".msg"] = static_cast<double>(traffic.messages);
@@ -214,8 +214,8 @@
   auto done = static_cast<double>(durations.size());
   auto& counts = measurement.counts;
   counts["done"] = done;
-  counts["one.ms.p50"] = static_cast<double>(durations[durations.size() / 2]);
-  counts["one.ms.max"] = static_cast<double>(durations.back());
+  counts["one.ms.p50"] = as_milliseconds(durations[durations.size() / 2]);
+  counts["one.ms.max"] = as_milliseconds(durations.back());
   counts["epochs.one"] = counts["epochs"] / done;
   counts["value.byte.one"] = (counts["value.byte"] - bytes_before) / done;
   return measurement;
@@ -232,7 +232,7 @@
     fleet.stop(index);
   auto& counts = measurement.counts;
   counts["all_down"] = fleet.run_until(kCalmTimeout, [&] { return all_down(fleet, failing); });
-  counts["down.ms"] = static_cast<double>(fleet.now() - start.time);
+  counts["down.ms"] = as_milliseconds(fleet.now() - start.time);
   run_until_calm(fleet);
   auto restarted = begin(fleet);
   counts["daemons"] = static_cast<double>(failing.size());
@@ -240,7 +240,7 @@
   for (auto index : failing)
     fleet.start(index, true);
   counts["back"] = run_until_calm(fleet);
-  counts["back.ms"] = static_cast<double>(fleet.now() - restarted.time);
+  counts["back.ms"] = as_milliseconds(fleet.now() - restarted.time);
   add_costs(measurement, fleet, start);
   return measurement;
 }
@@ -267,7 +267,7 @@
   auto healed = fleet.now();
   fleet.is_cut = nullptr;
   counts["back"] = run_until_calm(fleet);
-  counts["back.ms"] = static_cast<double>(fleet.now() - healed);
+  counts["back.ms"] = as_milliseconds(fleet.now() - healed);
   add_costs(measurement, fleet, start);
   return measurement;
 }
--- a/tools/scale/control_plane.cpp
+++ b/tools/scale/control_plane.cpp
@@ -83,17 +83,17 @@
   return idle;
 }
 
-/// When a change was acknowledged, and when each gateway knew of it; milliseconds after it was requested.
+/// When a change was acknowledged, and when each gateway knew of it, after it was requested.
 struct ChangeTimes {
   Duration acknowledged{};
   std::vector<Duration> in_force;
 
-  /// -1 where no gateway heard of the change.
+  /// In milliseconds; -1 where no gateway heard of the change.
   double quantile(double share) const {
     if (in_force.empty())
       return -1;
     auto last = static_cast<double>(in_force.size() - 1);
-    return static_cast<double>(in_force[static_cast<size_t>(share * last)]);
+    return as_milliseconds(in_force[static_cast<size_t>(share * last)]);
   }
 };
 
@@ -193,7 +193,7 @@
   measurement.counts["fronts.ready"] = fleet.all_fronts_ready();
   fleet.reset_counters();
   fleet.run(kMeasuringWindow);
-  add_rates(measurement, fleet, kMeasuringWindow / 1000.0);
+  add_rates(measurement, fleet, as_seconds(kMeasuringWindow));
   add_failures(measurement, fleet);
   return measurement;
 }
@@ -209,7 +209,7 @@
   measurement.counts["in_force.ms.p99"] = times.quantile(0.99);
   measurement.counts["in_force.ms.max"] = times.quantile(1);
   measurement.counts["in_force.fronts"] = static_cast<double>(times.in_force.size());
-  measurement.counts["acknowledged.ms"] = static_cast<double>(times.acknowledged);
+  measurement.counts["acknowledged.ms"] = as_milliseconds(times.acknowledged);
   for (auto kind : kAllProcessKinds)
     add_change_cost(measurement, fleet, kind, idle[kind]);
   add_failures(measurement, fleet);
@@ -257,7 +257,7 @@
   ReplicaSelection selection;
   measurement.times["select_replica.ms"] = cpu_milliseconds_each(repetitions, [&](int number) {
     request.program = "p" + std::to_string(number);
-    selection = selector.select(request, metadata, front->second, 1);
+    selection = selector.select(request, metadata, front->second, TimePoint{1ms});
   });
   measurement.counts["found"] = selection.any_eligible;
   return measurement;
--- a/tools/scale/data_plane.cpp
+++ b/tools/scale/data_plane.cpp
@@ -11,9 +11,9 @@
 
 /// Chunks of a turn's output.
 constexpr int kChunkCount = 8;
-/// Milliseconds between two chunks.
+/// Between two chunks.
 constexpr Duration kChunkInterval = 30ms;
-/// Milliseconds of virtual time; conversations that take longer have failed.
+/// Virtual time; conversations that take longer have failed.
 constexpr Duration kConversationTimeout = 600000ms;
 /// The figures are of so many turns at a conversation's end.
 constexpr size_t kMeasuredTurns = 5;
@@ -169,7 +169,7 @@
 
 /// A history of so many turns, each with its reservation and its outcome.
 History make_history(int number, int turns) {
-  History history{.term = Epoch{1}, .records = {}, .written_at = 0};
+  History history{.term = Epoch{1}, .records = {}, .written_at = {}};
   for (int turn = 0; turn < turns; ++turn) {
     Record reservation{.kind = RecordKind::reservation,
                        .key = std::to_string(number) + "-" + std::to_string(turn),
@@ -238,7 +238,7 @@
   for (auto kind : {ProcessKind::gateway, ProcessKind::store})
     add_turn_cost(measurement, fleet, kind, measured);
   measurement.counts["replica.ask.byte"] = static_cast<double>(driver.replica_request_bytes) / measured;
-  measurement.counts["turn.ms"] = static_cast<double>(fleet.now() - begun) / turns_each;
+  measurement.counts["turn.ms"] = as_milliseconds(fleet.now() - begun) / turns_each;
   add_failures(measurement, fleet);
   return measurement;
 }
@@ -250,7 +250,7 @@
   fleet.reset_counters();
   fleet.run(kRepairMinimumAge);
   auto counters = fleet.sum(ProcessKind::store);
-  auto store_seconds = static_cast<double>(fleet.indices_of(ProcessKind::store).size()) * kRepairMinimumAge / 1000.0;
+  auto store_seconds = static_cast<double>(fleet.indices_of(ProcessKind::store).size()) * as_seconds(kRepairMinimumAge);
   measurement.times["store.core_percent"] = static_cast<double>(counters.cpu_nanoseconds) / 1e7 / store_seconds;
   measurement.counts["store.out.byte"] = static_cast<double>(total(counters.sent).bytes) / store_seconds;
   auto& store = fleet.process(ProcessKind::store, 0);
--- a/tools/scale/experiments.hpp
+++ b/tools/scale/experiments.hpp
@@ -17,7 +17,7 @@
   std::map<std::string, double> times;
 };
 
-/// Milliseconds after its start until a simulated fleet is calm: heartbeats, leases and repairs take turns.
+/// After its start until a simulated fleet is calm: heartbeats, leases and repairs take turns.
 constexpr Duration kSettlingTime = 4000ms;
 /// Holds whole numbers of the periods of all that repeats.
 constexpr Duration kMeasuringWindow = 3000ms;
@@ -48,6 +48,14 @@
 /// `changes` changes are committed while the network between the regions is cut.
 Measurement region_partition(const Plan& plan, int changes, uint64_t seed, double size);
 
+/// A time as a figure of the report.
+inline double as_milliseconds(Duration duration) {
+  return static_cast<double>(duration.count());
+}
+inline double as_seconds(Duration duration) {
+  return as_milliseconds(duration) / 1000;
+}
+
 /// The row of the capacity page's table of counts for a fleet of so many daemons.
 std::string capacity_page_row(int daemons, uint64_t seed);
 
--- a/tools/scale/fleet_faults.cpp
+++ b/tools/scale/fleet_faults.cpp
@@ -25,10 +25,10 @@
   process.execute("start 0");
   while (true) {
     std::istringstream times(process.execute("known " + std::to_string(epoch.value())));
-    TimePoint known_at = -1;
+    int64_t known_at = -1;
     times >> known_at;
     if (known_at >= 0) {
-      record("newcomer", "whole_value.ms", static_cast<double>(known_at - begun));
+      record("newcomer", "whole_value.ms", as_milliseconds(from_milliseconds(known_at) - begun));
       break;
     }
     if (machine_now() - begun > kFleetCalmTimeout) {
@@ -38,7 +38,7 @@
     sleep_for(kTickInterval / 4);
   }
   wait_until_calm("newcomer", all_daemons());
-  record("newcomer", "joined.ms", static_cast<double>(machine_now() - begun));
+  record("newcomer", "joined.ms", as_milliseconds(machine_now() - begun));
 }
 
 size_t FleetRun::count_up() {
@@ -67,13 +67,13 @@
     sleep_for(kFleetPollInterval);
   }
   record("zone", "daemons", static_cast<double>(failed));
-  record("zone", "down.ms", static_cast<double>(machine_now() - begun));
+  record("zone", "down.ms", as_milliseconds(machine_now() - begun));
   record("zone", "down.epochs", static_cast<double>(client_.view()->epoch.value() - epoch_before.value()));
   wait_until_calm("zone down", all_daemons() - failed);
   auto epoch_down = client_.view()->epoch;
   for (size_t i = 0; i < process_count; ++i)
     hollow_processes_[i]->execute_for_all("start");
-  record("zone", "back.ms", static_cast<double>(wait_until_calm("zone back", all_daemons())));
+  record("zone", "back.ms", as_milliseconds(wait_until_calm("zone back", all_daemons())));
   record("zone", "back.epochs", static_cast<double>(client_.view()->epoch.value() - epoch_down.value()));
 }
 
@@ -88,7 +88,7 @@
     process.execute("start " + daemon);
     sleep_for(kHeartbeatInterval);
     auto duration = wait_until_calm("restart", all_daemons()) + kHeartbeatInterval;
-    durations.push_back(static_cast<double>(duration));
+    durations.push_back(as_milliseconds(duration));
   }
   if (durations.empty())
     return;
@@ -132,7 +132,7 @@
   std::erase_if(durations, [](double duration) { return duration < 0; });
   record("region", "had_to_catch_up", static_cast<double>(durations.size()));
   record_distribution("region", durations);
-  record("region", "calm.ms", static_cast<double>(wait_until_calm("region back", all_daemons())));
+  record("region", "calm.ms", as_milliseconds(wait_until_calm("region back", all_daemons())));
 }
 
 void FleetRun::check_values() {
--- a/tools/scale/fleet_options.cpp
+++ b/tools/scale/fleet_options.cpp
@@ -9,7 +9,9 @@
 TimePoint machine_now() {
   timespec time;
   clock_gettime(CLOCK_MONOTONIC, &time);
-  return Duration(time.tv_sec) * 1000 + time.tv_nsec / 1000000;
+  std::chrono::seconds seconds(time.tv_sec);
+  std::chrono::nanoseconds nanoseconds(time.tv_nsec);
+  return TimePoint{seconds + std::chrono::duration_cast<Duration>(nanoseconds)};
 }
 
 std::string fingerprint(const Metadata& metadata) {
--- a/tools/scale/fleet_options.hpp
+++ b/tools/scale/fleet_options.hpp
@@ -32,7 +32,7 @@
   return local_address(options, 2 * number);
 }
 
-/// A clock that all processes of this machine share, in milliseconds.
+/// A clock that all processes of this machine share.
 TimePoint machine_now();
 
 /// The digest by which two processes compare their metadata.
--- a/tools/scale/fleet_run.cpp
+++ b/tools/scale/fleet_run.cpp
@@ -39,7 +39,7 @@
 }  // namespace
 
 void sleep_for(Duration duration) {
-  std::this_thread::sleep_for(std::chrono::milliseconds(duration));
+  std::this_thread::sleep_for(duration);
 }
 
 FleetRun::FleetRun(const FleetOptions& options)
@@ -125,14 +125,14 @@
 void FleetRun::found_and_grow() {
   auto daemons = static_cast<size_t>(options_.plan.controllers) + kRealStores + kRealFronts;
   auto begun = machine_now();
-  record("founding", "real.ms", static_cast<double>(wait_until_calm("founding", daemons)));
+  record("founding", "real.ms", as_milliseconds(wait_until_calm("founding", daemons)));
   for (auto& process : hollow_processes_) {
     process->execute_for_all("start");
     daemons += static_cast<size_t>(process->daemon_count());
     auto duration = wait_until_calm("founding", daemons);
-    record("founding", "to_" + std::to_string(daemons) + ".ms", static_cast<double>(duration));
+    record("founding", "to_" + std::to_string(daemons) + ".ms", as_milliseconds(duration));
   }
-  record("founding", "ms", static_cast<double>(machine_now() - begun));
+  record("founding", "ms", as_milliseconds(machine_now() - begun));
   record("founding", "epochs", static_cast<double>(client_.view()->epoch.value()));
 }
 
@@ -140,13 +140,13 @@
   auto replicas = client_.commit(UpdateReplicas{.updated = make_replicas(options_.plan), .removed = {}});
   if (!replicas.committed)
     fail("the list of replicas: " + replicas.reason);
-  record("configuration", "replicas.ack.ms", static_cast<double>(replicas.duration()));
+  record("configuration", "replicas.ack.ms", as_milliseconds(replicas.duration()));
   auto configuration = make_configuration(options_.plan);
   auto applied = client_.commit(
       ApplyConfiguration{.base = client_.view()->revision, .configuration = configuration, .revision = Revision{}});
   if (!applied.committed)
     fail("the first configuration: " + applied.reason);
-  record("configuration", "configuration.ack.ms", static_cast<double>(applied.duration()));
+  record("configuration", "configuration.ack.ms", as_milliseconds(applied.duration()));
   sleep_for(kIsolationTimeout);
   for (const auto& [table, bytes] : encoded_sizes(*client_.view())) {
     if (bytes > kLeastRecordedTable)
@@ -173,7 +173,7 @@
   auto sent_before = messages_sent_by_hollow_daemons();
   auto begun = machine_now();
   sleep_for(kRestWindow);
-  auto seconds = static_cast<double>(machine_now() - begun) / 1000;
+  auto seconds = as_seconds(machine_now() - begun);
   auto sent = messages_sent_by_hollow_daemons() - sent_before;
   record(step, "hollow.messages_out_each_a_second", sent / seconds / static_cast<double>(hollow_daemons()));
   for (const auto& process : real_fleet_.list()) {
@@ -196,9 +196,9 @@
     bool all_know = true;
     for (auto& process : hollow_processes_) {
       std::istringstream times(process->execute("known " + std::to_string(epoch.value())));
-      for (Duration time{}; times >> time;) {
+      for (int64_t time = 0; times >> time;) {
         all_know = all_know && time >= 0;
-        durations.push_back(static_cast<double>(time - begun));
+        durations.push_back(as_milliseconds(from_milliseconds(time) - begun));
       }
     }
     if (all_know)
@@ -233,7 +233,7 @@
       fail("a change: " + result.reason);
       continue;
     }
-    acknowledged.push_back(static_cast<double>(result.duration()));
+    acknowledged.push_back(as_milliseconds(result.duration()));
     auto durations = wait_until_known(result.epoch, result.requested_at);
     in_force.insert(in_force.end(), durations.begin(), durations.end());
     sleep_for(kIsolationTimeout);
--- a/tools/scale/fleet_run.hpp
+++ b/tools/scale/fleet_run.hpp
@@ -13,7 +13,7 @@
 constexpr int kRealFronts = 2;
 /// A fleet that is not calm by then has failed.
 constexpr Duration kFleetCalmTimeout = 900000ms;
-/// Milliseconds between two looks at the fleet.
+/// Between two looks at the fleet.
 constexpr Duration kFleetPollInterval = 50ms;
 /// For so long a fleet at rest is measured.
 constexpr Duration kRestWindow = 20000ms;
@@ -57,7 +57,7 @@
   int hollow_daemons() const { return options_.plan.daemons - kRealStores - kRealFronts; }
   /// Whether so many daemons are up and nothing is under way.
   bool is_calm(size_t daemons);
-  /// Waits until the fleet is calm, or fails; the milliseconds that it took.
+  /// Waits until the fleet is calm, or fails; how long it took.
   Duration wait_until_calm(const std::string& step, size_t daemons);
   size_t count_up();
   /// Waits until every hollow daemon knows the epoch, or fails; the sorted times (ms) after `begun` when each did.
--- a/tools/scale/hollow_daemons.cpp
+++ b/tools/scale/hollow_daemons.cpp
@@ -157,7 +157,7 @@
                              .load = 0,
                              .streamed = Epoch{},
                              .running = 0,
-                             .sent = now,
+                             .sent = to_milliseconds(now),
                              .leaving = false,
                              .incomplete_comparisons = 0};
     return message;
@@ -225,7 +225,7 @@
       if (!daemon->machine)
         continue;
       auto since = daemon->known_since.lower_bound(Epoch{epoch});
-      answer << (since == daemon->known_since.end() ? -1 : since->second) << " ";
+      answer << (since == daemon->known_since.end() ? -1 : to_milliseconds(since->second)) << " ";
     }
     return answer.str();
   }
--- a/tools/scale/simulated_fleet.cpp
+++ b/tools/scale/simulated_fleet.cpp
@@ -134,7 +134,7 @@
   process.known_epoch = {};
   Recovered recovered{identity.self.incarnation, process.checkpoint, process.synced_records};
   process.machine = make_machine(process.spec, recovered, now_);
-  auto first_tick = now_ + Duration(random_() % kTickInterval);
+  auto first_tick = now_ + Duration(random_() % static_cast<uint64_t>(kTickInterval.count()));
   schedule(first_tick, [this, index, life = process.life] { tick(index, life); });
 }
 
@@ -318,7 +318,7 @@
     return;
   if (!stays_on_machine)
     receiver.counters.received[kind] += traffic;
-  auto delay = stays_on_machine ? 0 : network_delay(sender.spec, receiver.spec);
+  auto delay = stays_on_machine ? 0ms : network_delay(sender.spec, receiver.spec);
   auto shared_message = std::make_shared<const Envelope>(std::move(message));
   events_[now_ + delay].push_back({.action = nullptr, .receiver = found->second, .message = std::move(shared_message)});
 }
--- a/tools/scale/simulated_fleet.hpp
+++ b/tools/scale/simulated_fleet.hpp
@@ -10,13 +10,13 @@
 
 namespace mosskeel::scale {
 
-/// Milliseconds from process to process within a zone.
+/// From process to process within a zone.
 constexpr Duration kZoneInternalDelay = 1ms;
-/// Milliseconds between zones of one region.
+/// Between zones of one region.
 constexpr Duration kZoneDelay = 2ms;
-/// Milliseconds between regions.
+/// Between regions.
 constexpr Duration kRegionDelay = 30ms;
-/// Milliseconds that a disk takes to sync.
+/// How long a disk takes to sync.
 constexpr Duration kSyncDuration = 2ms;
 
 /// Messages and their encoded bytes.
@@ -86,9 +86,9 @@
   /// The fleet of the plan, founded, joined and at rest; each store holds these histories already.
   SimulatedFleet(const Plan& plan, uint64_t seed, const StoredPartitions& histories = {});
 
-  /// Lets so many milliseconds pass.
+  /// Lets time pass.
   void run(Duration duration);
-  /// Lets time pass until the condition holds; false if it does not within the duration (ms).
+  /// Lets time pass until the condition holds; false if it does not within the duration.
   bool run_until(Duration duration, const std::function<bool()>& condition);
   void schedule(TimePoint when, std::function<void()> action);
   TimePoint now() const { return now_; }
--- a/tools/simulate/main.cpp
+++ b/tools/simulate/main.cpp
@@ -85,7 +85,7 @@
     return;
   std::sort(durations.begin(), durations.end());
   auto percentile = [&](size_t percent) {
-    return static_cast<long long>(durations[(durations.size() - 1) * percent / 100]);
+    return static_cast<long long>(durations[(durations.size() - 1) * percent / 100].count());
   };
   printf("%-10s ms on too few copies: %zu losses, half %lld, nine tenths %lld, 99 of 100 %lld, most %lld\n",
          scenario.c_str(), durations.size(), percentile(50), percentile(90), percentile(99), percentile(100));
