--- a/src/net/protocol_codec.hpp
+++ b/src/net/protocol_codec.hpp
@@ -48,7 +48,7 @@
   /// Of the request and of its whole program, where the caller says so.
   std::optional<Duration> time_left, program_time_left;
   /// In the order of the prompt.
-  std::vector<std::pair<std::string, uint64_t>> prompt_parts;
+  std::vector<PromptPart> prompt_parts;
 };
 
 /// What a replica says of its load, in requests.
@@ -64,7 +64,8 @@
   bool not_run = false;
   /// The response carries the replica's seal.
   bool sealed = false;
-  std::optional<std::array<uint32_t, 3>> load;
+  /// Nothing where the replica does not say it.
+  std::optional<ReplicaLoad> load;
 };
 
 /// Translates between a platform's headers and the product's own terms. Stateless, and used from every thread.
--- a/tests/unit/platform/protocol_codec_test.cpp
+++ b/tests/unit/platform/protocol_codec_test.cpp
@@ -49,8 +49,7 @@
   CHECK(headers.token_budget == 1088u);
   CHECK(headers.prompt_tokens == 1460);
   CHECK(headers.max_output_tokens == 80);
-  CHECK(headers.prompt_parts ==
-        std::vector<std::pair<std::string, uint64_t>>{{"5c1e07a2", 800}, {"91bd3f06", 410}, {"e4402b7d", 250}});
+  CHECK(headers.prompt_parts == std::vector<PromptPart>{{"5c1e07a2", 800}, {"91bd3f06", 410}, {"e4402b7d", 250}});
   CHECK(headers.time_left == 4000);
   CHECK(headers.program_time_left == 5200);
 }
@@ -92,7 +91,7 @@
   CHECK(complete.sealed);
   CHECK_FALSE(complete.not_run);
   REQUIRE(complete.load);
-  CHECK(*complete.load == std::array<uint32_t, 3>{3, 0, 8});
+  CHECK(*complete.load == ReplicaLoad{.running = 3, .waiting = 0, .capacity = 8});
 
   CHECK(codec().parse_response(503, {{"Mosskeel-Not-Run", "1"}}).not_run);
   CHECK_FALSE(codec().parse_response(503, {}).not_run);
