--- a/src/net/chunked_decoder.cpp
+++ b/src/net/chunked_decoder.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "net/http_head.hpp"
+#include "net/http_fields.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/net/http_head.hpp
+++ b/src/net/http_head.hpp
@@ -37,24 +37,4 @@
 HttpHead parse_request_head(std::string_view head);
 HttpHead parse_response_head(std::string_view head);
 
-/// The host named by the value of a Host field, in lower case and without port; nothing where the value is malformed.
-std::optional<std::string> parse_host(std::string_view value);
-
-/// Whether one of the comma-separated lists under this field name contains the token; case does not matter.
-bool has_token(const HeaderFields& fields, std::string_view name, std::string_view token);
-
-/// The fields without the hop-by-hop ones, which belong to one connection, and without Content-Length.
-HeaderFields end_to_end_fields(const HeaderFields& fields);
-
-/// Whether the field can be written into a head without changing its framing.
-bool is_valid_field(const HeaderField& field);
-
-bool equals_ignoring_case(std::string_view left, std::string_view right);
-
-/// Without spaces and tabs at both ends.
-std::string_view trim_whitespace(std::string_view text);
-
-/// Cuts the first element of a comma-separated list off `list` and returns it without surrounding whitespace.
-std::string_view next_list_element(std::string_view& list);
-
 }  // namespace mosskeel
--- a/src/net/http_request_reader.cpp
+++ b/src/net/http_request_reader.cpp
@@ -2,6 +2,9 @@
 
 #include <algorithm>
 
+#include "net/http_fields.hpp"
+#include "net/http_syntax.hpp"
+
 namespace mosskeel {
 namespace {
 
--- a/src/net/http_response_writer.cpp
+++ b/src/net/http_response_writer.cpp
@@ -4,6 +4,8 @@
 
 #include <charconv>
 
+#include "net/http_fields.hpp"
+
 namespace mosskeel {
 namespace {
 
--- a/src/net/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -8,6 +8,8 @@
 #include <cstring>
 
 #include "net/endpoint.hpp"
+#include "net/http_fields.hpp"
+#include "net/http_syntax.hpp"
 
 namespace mosskeel {
 namespace {
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -7,6 +7,9 @@
 #include <cerrno>
 #include <cstring>
 
+#include "net/http_fields.hpp"
+#include "net/http_syntax.hpp"
+
 namespace mosskeel {
 namespace {
 
