--- a/src/base/codec.hpp
+++ b/src/base/codec.hpp
@@ -33,9 +33,9 @@
 template <class Tag, class T>
 struct is_strong<Strong<Tag, T>> : std::true_type {};
 template <class T>
-struct is_duration : std::false_type {};
+constexpr bool kIsDuration = false;
 template <class Rep, class Period>
-struct is_duration<std::chrono::duration<Rep, Period>> : std::true_type {};
+constexpr bool kIsDuration<std::chrono::duration<Rep, Period>> = true;
 
 // `put` appends the encoding of a value; `get` reads one and returns false where the bytes are not one.
 template <class T>
@@ -136,7 +136,7 @@
   if (!get(reader, count) || count > reader.s.size())
     return false;
   values.clear();
-  for (uint32_t i = 0; i < count; ++i) {
+  for (uint32_t index = 0; index < count; ++index) {
     values.emplace_back();
     if (!get(reader, values.back()))
       return false;
@@ -198,7 +198,7 @@
     out.append(reinterpret_cast<const char*>(&value), sizeof value);
   } else if constexpr (is_strong<T>::value) {
     put(out, value.value());
-  } else if constexpr (is_duration<T>::value) {
+  } else if constexpr (kIsDuration<T>) {
     put(out, value.count());
   } else if constexpr (!std::is_empty_v<T>) {
     hana::for_each(hana::accessors<T>(), [&](auto field) { put(out, hana::second(field)(value)); });
@@ -221,6 +221,12 @@
       return false;
     value = T(std::move(number));
     return true;
+  } else if constexpr (kIsDuration<T>) {
+    typename T::rep count{};
+    if (!get(reader, count))
+      return false;
+    value = T(count);
+    return true;
   } else if constexpr (std::is_empty_v<T>) {
     return true;
   } else {
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -65,9 +65,9 @@
     return;
   }
   values.clear();
-  for (size_t i = 0; i < json.size(); ++i) {
+  for (size_t index = 0; index < json.size(); ++index) {
     values.emplace_back();
-    read(json[i], path + "[" + std::to_string(i) + "]", values.back(), errors);
+    read(json[index], path + "[" + std::to_string(index) + "]", values.back(), errors);
   }
 }
 
