--- a/src/daemons/agent/main.cpp
+++ b/src/daemons/agent/main.cpp
@@ -1,28 +1,56 @@
+// The agent daemon beside a gateway: wires an AgentMachine to the network.
 #include "replication/agent_machine.hpp"
 #include "runtime/daemon.hpp"
 
 using namespace mosskeel;
 
+namespace {
+
+constexpr const char* kProgram = "agent";
+
+RequiredSettings needs() {
+  RequiredSettings needs{};
+  needs.program = kProgram;
+  needs.purpose = "The agent beside a gateway: keeps its link to the core.";
+  needs.listen = true;
+  needs.agent = true;
+  needs.zone = true;
+  needs.seeds = true;
+  return needs;
+}
+
+Identity identity_from(const Settings& settings) {
+  Identity identity{};
+  identity.self.incarnation = Incarnation{random_number()};
+  identity.self.role = Role::front;
+  identity.self.zone = settings.zone;
+  identity.self.address = settings.listen;
+  identity.self.agent_address = settings.agent;
+  identity.self.machine = settings.machine;
+  identity.seeds = settings.seeds;
+  identity.core_size = 0;
+  identity.random_seed = random_number();
+  identity.commit_attempt_timeout = Duration(settings.tcm_rpc_ms);
+  return identity;
+}
+
+}  // namespace
+
 int main(int argc, const char** argv) {
-  auto r = read_settings(argc, argv,
-                         {"agent", "The agent beside a gateway: keeps its link to the core.", true, false, true, true,
-                          true, false, false});
-  if (auto* rc = std::get_if<int>(&r))
-    return *rc;
-  auto& p = std::get<Settings>(r);
-  start_log("agent");
+  auto parsed = read_settings(argc, argv, needs());
+  if (const auto* exit_code = std::get_if<int>(&parsed))
+    return *exit_code;
+  start_log(kProgram);
   block_signals();
-  Identity id{{Incarnation{random_number()}, Role::front, p.zone, p.listen, p.agent, "", p.machine},
-              p.seeds,
-              0,
-              random_number(),
-              Duration(p.tcm_rpc_ms)};
-  Host host(nullptr, p.listen);
-  if (auto f = host.start([&](const Recovered&, TimePoint now) { return std::make_unique<AgentMachine>(id, now); });
-      !f.empty())
-    return cannot_start("agent", f);
-  return run_until_stopped(host, "agent", [&] {
-    host.ask([](StateMachine& m, TimePoint) { static_cast<AgentMachine&>(m).leave(); });
+  auto identity = identity_from(std::get<Settings>(parsed));
+  Host host(nullptr, identity.self.address);
+  auto make_machine = [&](const Recovered&, TimePoint now) {
+    return std::make_unique<AgentMachine>(identity, now);
+  };
+  if (auto errors = host.start(make_machine); !errors.empty())
+    return cannot_start(kProgram, errors);
+  return run_until_stopped(host, kProgram, [&] {
+    host.ask([](StateMachine& machine, TimePoint) { static_cast<AgentMachine&>(machine).leave(); });
     return false;
   });
 }
--- a/src/daemons/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -12,7 +12,7 @@
 
 /// How long a stopping process waits for its callers' HTTP sessions to end: so many looks, so far apart.
 constexpr int kSessionEndChecks = 50;
-constexpr auto kSessionEndCheckInterval = std::chrono::milliseconds(20);
+constexpr Duration kSessionEndCheckInterval = 20ms;
 
 Identity identity_from(const Settings& settings) {
   Identity identity{};
@@ -45,7 +45,7 @@
 }
 
 void wait_for_sessions(const LocalMailboxes& mailboxes) {
-  for (int i = 0; i < kSessionEndChecks && mailboxes.size(); ++i)
+  for (int check = 0; check < kSessionEndChecks && mailboxes.size(); ++check)
     std::this_thread::sleep_for(kSessionEndCheckInterval);
 }
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -144,8 +144,8 @@
 void EventLoop::run_ready(int timeout) {
   std::array<epoll_event, kMaxEventsPerWait> events;
   auto count = ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), timeout);
-  for (int i = 0; i < count; ++i) {
-    const auto& event = events[static_cast<size_t>(i)];
+  for (int index = 0; index < count; ++index) {
+    const auto& event = events[static_cast<size_t>(index)];
     auto found = watched_.find(fd_of(event.data.u64));
     if (found == watched_.end() || found->second.generation != generation_of(event.data.u64)) {
       continue;
--- a/src/net/http_fetch.cpp
+++ b/src/net/http_fetch.cpp
@@ -5,8 +5,7 @@
 namespace mosskeel {
 namespace {
 
-/// Milliseconds.
-constexpr long kFetchConnectTimeout = 1000;
+constexpr Duration kFetchConnectTimeout = 1000ms;
 
 /// What libcurl's callbacks get.
 struct FetchContext {
@@ -63,7 +62,7 @@
   curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(easy, CURLOPT_PROXY, "");
   curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request.method.c_str());
-  curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, kFetchConnectTimeout);
+  curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, static_cast<long>(kFetchConnectTimeout.count()));
   curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, request.timeout_ms);
   if (request.method != "GET") {
     curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, static_cast<long>(request.body.size()));
