--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -26,7 +26,7 @@
   std::vector<std::string> controllers;
   /// The id of a change whose outcome was unknown; empty for a new one.
   std::string commit_id;
-  /// The words of the sentence with single blanks between.
+  /// The arguments with single blanks between.
   std::string sentence;
 };
 
@@ -70,10 +70,10 @@
     return kExitYes;
   }
   Options options;
-  while (const char* word = poptGetArg(context.get())) {
+  while (const char* argument = poptGetArg(context.get())) {
     if (!options.sentence.empty())
       options.sentence += " ";
-    options.sentence += word;
+    options.sentence += argument;
   }
   if (options.sentence.empty())
     return usage_error("a sentence is missing");
@@ -107,13 +107,13 @@
 };
 
 std::optional<ApplyCommand> parse_apply(const std::string& sentence) {
-  std::istringstream words(sentence);
+  std::istringstream arguments(sentence);
   std::string verb;
   std::string file;
   std::string preposition;
   std::string revision;
   std::string surplus;
-  if (!(words >> verb >> file >> preposition >> revision) || words >> surplus)
+  if (!(arguments >> verb >> file >> preposition >> revision) || arguments >> surplus)
     return std::nullopt;
   if (verb != "apply" || preposition != "at")
     return std::nullopt;
--- a/tools/loadgen/plan.hpp
+++ b/tools/loadgen/plan.hpp
@@ -7,6 +7,7 @@
 struct Plan {
   /// HTTP addresses.
   std::vector<Address> controllers;
+  /// The tenant whose programs are begun; by default the one that `local-cluster` configures.
   std::string cell = "news";
   /// The deployment whose requests are played: "election" or "builds".
   std::string mix = "election";
--- a/tools/loadgen/turns.cpp
+++ b/tools/loadgen/turns.cpp
@@ -19,8 +19,8 @@
 constexpr size_t kQuestionBytes = 200;
 /// The status with which a program's turn is refused once its budget is spent.
 constexpr long kBudgetSpentStatus = 429;
-/// Milliseconds between a thread's turns, at most.
-constexpr uint64_t kLongestPause = 300;
+/// Between a thread's turns, at most.
+constexpr Duration kLongestPause = 300ms;
 
 /// One program in so many has helper threads, and one in so many is longer.
 constexpr uint64_t kHelpersEvery = 5;
@@ -248,7 +248,7 @@
       note_not_run(plan_.cell + "/" + program + "/" + turn.key);
     if (turn.budget_spent)
       return;
-    sleep_for(Duration(random_number() % kLongestPause));
+    sleep_for(Duration(random_number() % static_cast<uint64_t>(kLongestPause.count())));
   }
 }
 
--- a/tools/local-cluster/fleet.cpp
+++ b/tools/local-cluster/fleet.cpp
@@ -29,9 +29,10 @@
 constexpr int kSeedCount = 3;
 /// Configuring a fleet that takes longer to found itself has failed.
 constexpr Duration kConfigureTimeout = 60000ms;
-constexpr auto kConfigureRetryDelay = std::chrono::milliseconds(100);
+constexpr Duration kConfigureRetryDelay = 100ms;
 /// Milliseconds between the chunks of an application's replica.
 constexpr const char* kAppChunkInterval = "5";
+constexpr const char* kTenant = "news";
 constexpr int kDefaultFirstPort = 21000;
 constexpr int kLeastFirstPort = 10001;
 constexpr int kFirstPortRange = 20000;
@@ -88,9 +89,10 @@
   return {{path, "was not accepted: " + reason}};
 }
 
+/// One tenant with a model and an application; its name is the default of the load generator's `--cell`.
 Json first_configuration() {
   auto routes = Json::array({{{"name", "chat"}, {"kind", "model"}}, {{"name", "app"}, {"kind", "app"}}});
-  Json cell{{"name", "news"}, {"budget", 400}, {"turn_limit", 40}, {"retention_ms", 3600000}, {"routes", routes}};
+  Json cell{{"name", kTenant}, {"budget", 400}, {"turn_limit", 40}, {"retention_ms", 3600000}, {"routes", routes}};
   return {{"cells", Json::array({cell})}};
 }
 
@@ -188,25 +190,26 @@
 }
 
 Errors Fleet::spawn(Process& process) {
-  std::vector<std::string> words{plan_.program_folder + "/" + process.program};
-  words.insert(words.end(), process.arguments.begin(), process.arguments.end());
-  std::vector<char*> arguments;
-  arguments.reserve(words.size() + 1);
-  for (auto& word : words)
-    arguments.push_back(word.data());
-  arguments.push_back(nullptr);
+  std::vector<std::string> arguments{plan_.program_folder + "/" + process.program};
+  arguments.insert(arguments.end(), process.arguments.begin(), process.arguments.end());
+  std::vector<char*> argument_pointers;
+  argument_pointers.reserve(arguments.size() + 1);
+  for (auto& argument : arguments)
+    argument_pointers.push_back(argument.data());
+  argument_pointers.push_back(nullptr);
   auto log_file = plan_.folder + "/" + process.name + ".log";
   posix_spawn_file_actions_t file_actions;
   posix_spawn_file_actions_init(&file_actions);
   posix_spawn_file_actions_addopen(&file_actions, STDIN_FILENO, "/dev/null", O_RDONLY, 0);
   posix_spawn_file_actions_addopen(&file_actions, STDOUT_FILENO, log_file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   posix_spawn_file_actions_adddup2(&file_actions, STDOUT_FILENO, STDERR_FILENO);
-  int error = posix_spawn(&process.pid, words[0].c_str(), &file_actions, nullptr, arguments.data(), environ);
+  int error =
+      posix_spawn(&process.pid, arguments[0].c_str(), &file_actions, nullptr, argument_pointers.data(), environ);
   posix_spawn_file_actions_destroy(&file_actions);
   process.frozen = false;
   if (error) {
     process.pid = 0;
-    return {{words[0], strerror(error)}};
+    return {{arguments[0], strerror(error)}};
   }
   return {};
 }
--- a/tools/local-cluster/main.cpp
+++ b/tools/local-cluster/main.cpp
@@ -75,10 +75,11 @@
                         {"version", 'V', POPT_ARG_NONE, &version, 0, "print the version, then exit", nullptr},
                         POPT_AUTOHELP POPT_TABLEEND};
   // The named fleet first, so that the options for single counts override it wherever they stand.
-  for (int i = 1; i + 1 < argc; ++i) {
-    std::string word = argv[i];
-    if ((word == "--fleet" || word == "-f") && !set_fleet_size(plan, argv[i + 1])) {
-      fprintf(stderr, "local-cluster: fleet: '%s' is unknown\n", argv[i + 1]);
+  for (int index = 1; index + 1 < argc; ++index) {
+    std::string option = argv[index];
+    const auto* argument = argv[index + 1];
+    if ((option == "--fleet" || option == "-f") && !set_fleet_size(plan, argument)) {
+      fprintf(stderr, "local-cluster: fleet: '%s' is unknown\n", argument);
       return std::nullopt;
     }
   }
--- a/tools/scale/control_plane.cpp
+++ b/tools/scale/control_plane.cpp
@@ -28,8 +28,8 @@
 /// Processor time of one of `count` calls, in milliseconds.
 double cpu_milliseconds_each(int count, const std::function<void(int)>& call) {
   auto all = cpu_milliseconds([&] {
-    for (int i = 0; i < count; ++i)
-      call(i);
+    for (int number = 0; number < count; ++number)
+      call(number);
   });
   return all / count;
 }
--- a/tools/scale/data_plane.cpp
+++ b/tools/scale/data_plane.cpp
@@ -209,7 +209,7 @@
   constexpr int repetitions = 3;
   auto bytes = store.checkpoint().size();
   auto begun = clock();
-  for (int i = 0; i < repetitions; ++i)
+  for (int repetition = 0; repetition < repetitions; ++repetition)
     store.checkpoint();
   auto seconds = static_cast<double>(clock() - begun) / CLOCKS_PER_SEC;
   measurement.times["checkpoint.ms"] = seconds * 1e3 / repetitions;
--- a/tools/scale/fleet_faults.cpp
+++ b/tools/scale/fleet_faults.cpp
@@ -55,9 +55,9 @@
   auto begun = machine_now();
   auto epoch_before = client_.view()->epoch;
   size_t failed = 0;
-  for (size_t i = 0; i < process_count; ++i) {
-    hollow_processes_[i]->execute_for_all("stop");
-    failed += static_cast<size_t>(hollow_processes_[i]->daemon_count());
+  for (size_t index = 0; index < process_count; ++index) {
+    hollow_processes_[index]->execute_for_all("stop");
+    failed += static_cast<size_t>(hollow_processes_[index]->daemon_count());
   }
   while (count_up() + failed > all_daemons()) {
     if (machine_now() - begun > kFleetCalmTimeout) {
@@ -71,8 +71,8 @@
   record("zone", "down.epochs", static_cast<double>(client_.view()->epoch.value() - epoch_before.value()));
   wait_until_calm("zone down", all_daemons() - failed);
   auto epoch_down = client_.view()->epoch;
-  for (size_t i = 0; i < process_count; ++i)
-    hollow_processes_[i]->execute_for_all("start");
+  for (size_t index = 0; index < process_count; ++index)
+    hollow_processes_[index]->execute_for_all("start");
   record("zone", "back.ms", as_milliseconds(wait_until_calm("zone back", all_daemons())));
   record("zone", "back.epochs", static_cast<double>(client_.view()->epoch.value() - epoch_down.value()));
 }
--- a/tools/scale/hollow_daemons.cpp
+++ b/tools/scale/hollow_daemons.cpp
@@ -182,15 +182,15 @@
   }
 
   std::string execute(const std::string& line) {
-    std::istringstream words(line);
+    std::istringstream arguments(line);
     std::string command;
-    words >> command;
+    arguments >> command;
     if (command == "start" || command == "stop")
-      return start_or_stop(words, command == "start");
+      return start_or_stop(arguments, command == "start");
     if (command == "cut")
-      return cut(words);
+      return cut(arguments);
     if (command == "known")
-      return known(words);
+      return known(arguments);
     if (command == "values")
       return values();
     if (command == "state")
--- a/tools/scale/hollow_process.cpp
+++ b/tools/scale/hollow_process.cpp
@@ -55,26 +55,26 @@
   int from_child[2];
   if (pipe2(to_child, O_CLOEXEC) || pipe2(from_child, O_CLOEXEC))
     return;
-  std::vector<std::string> words{options.program_folder + "/scale",
-                                 "hollow",
-                                 "--hollow",
-                                 std::to_string(first),
-                                 "--many",
-                                 std::to_string(options.daemons_per_process),
-                                 "--base",
-                                 std::to_string(options.first_port),
-                                 "--daemons",
-                                 std::to_string(options.plan.daemons)};
-  std::vector<char*> arguments;
-  arguments.reserve(words.size() + 1);
-  for (auto& word : words)
-    arguments.push_back(word.data());
-  arguments.push_back(nullptr);
+  std::vector<std::string> arguments{options.program_folder + "/scale",
+                                     "hollow",
+                                     "--hollow",
+                                     std::to_string(first),
+                                     "--many",
+                                     std::to_string(options.daemons_per_process),
+                                     "--base",
+                                     std::to_string(options.first_port),
+                                     "--daemons",
+                                     std::to_string(options.plan.daemons)};
+  std::vector<char*> argument_pointers;
+  argument_pointers.reserve(arguments.size() + 1);
+  for (auto& argument : arguments)
+    argument_pointers.push_back(argument.data());
+  argument_pointers.push_back(nullptr);
   posix_spawn_file_actions_t file_actions;
   posix_spawn_file_actions_init(&file_actions);
   posix_spawn_file_actions_adddup2(&file_actions, to_child[0], STDIN_FILENO);
   posix_spawn_file_actions_adddup2(&file_actions, from_child[1], STDOUT_FILENO);
-  if (posix_spawn(&pid_, arguments[0], &file_actions, nullptr, arguments.data(), environ) != 0)
+  if (posix_spawn(&pid_, argument_pointers[0], &file_actions, nullptr, argument_pointers.data(), environ) != 0)
     pid_ = 0;
   posix_spawn_file_actions_destroy(&file_actions);
   ::close(to_child[0]);
--- a/tools/scale/plan.cpp
+++ b/tools/scale/plan.cpp
@@ -14,6 +14,8 @@
 constexpr int kReplicaPort = 9000;
 /// Seeds that each daemon is given; so many controllers, or all if there are fewer.
 constexpr size_t kSeedCount = 3;
+/// Hashed into the seeds of processes; another text would change every figure that was measured.
+constexpr const char* kRandomSeedLabel = "dice";
 
 /// Addresses have the length that they have in a cluster, since messages that carry them are counted in bytes.
 Address address(size_t zone, size_t machine, int port) {
@@ -68,7 +70,7 @@
                            .http_address = address(process.zone, machine, kHttpPort),
                            .machine = "machine-" + std::to_string(1000 + machine)};
   process.identity.core_size = static_cast<uint32_t>(plan.controllers);
-  process.identity.random_seed = digest("dice", incarnation);
+  process.identity.random_seed = digest(kRandomSeedLabel, incarnation);
   return process;
 }
 
@@ -167,8 +169,8 @@
   for (int machine = 0; machine < plan.controllers; ++machine)
     add(ProcessKind::controller, machine);
   Addresses seeds;
-  for (size_t i = 0; i < std::min(kSeedCount, processes.size()); ++i)
-    seeds.push_back(processes[i].identity.self.address);
+  for (size_t index = 0; index < std::min(kSeedCount, processes.size()); ++index)
+    seeds.push_back(processes[index].identity.self.address);
   for (int machine = 0; machine < plan.stores(); ++machine)
     add(ProcessKind::store, machine);
   for (int machine = 0; machine < plan.fronts(); ++machine) {
--- a/tools/scale/report.cpp
+++ b/tools/scale/report.cpp
@@ -49,9 +49,9 @@
 };
 
 void write_grid(std::ostream& out, const Scale& scale) {
-  for (int i = 0; i <= kGridIntervals; ++i) {
-    auto x_value = scale.largest_x * i / kGridIntervals;
-    auto y_value = scale.largest_y * i / kGridIntervals;
+  for (int line = 0; line <= kGridIntervals; ++line) {
+    auto x_value = scale.largest_x * line / kGridIntervals;
+    auto y_value = scale.largest_y * line / kGridIntervals;
     auto line_y = scale.y(y_value);
     out << "<line x1='" << kLeftMargin << "' x2='" << kChartWidth - kRightMargin << "' y1='" << line_y << "' y2='"
         << line_y << "' stroke='#ddd'/>\n";
--- a/tools/scale/simulated_fleet.cpp
+++ b/tools/scale/simulated_fleet.cpp
@@ -162,8 +162,8 @@
     now_ = std::max(now_, events_.begin()->first);
     // An event may add further ones for this same time, so the list may grow under the loop.
     auto& due = events_.begin()->second;
-    for (size_t i = 0; i < due.size(); ++i) {
-      auto event = std::move(due[i]);
+    for (size_t index = 0; index < due.size(); ++index) {
+      auto event = std::move(due[index]);
       execute(event);
     }
     events_.erase(events_.begin());
