--- a/src/base/codec.hpp
+++ b/src/base/codec.hpp
@@ -137,7 +137,7 @@
   if (!get(reader, count) || count > reader.s.size())
     return false;
   values.clear();
-  for (uint32_t i = 0; i < count; ++i) {
+  for (uint32_t index = 0; index < count; ++index) {
     values.emplace_back();
     if (!get(reader, values.back()))
       return false;
--- a/tools/local-cluster/main.cpp
+++ b/tools/local-cluster/main.cpp
@@ -25,6 +25,7 @@
 constexpr Duration kReadyTimeout = 60000ms;
 constexpr int kReadyProbeTimeout = 1000;
 constexpr Duration kPollInterval = 100ms;
+constexpr Duration kSignalPollInterval = 1000ms;
 
 /// Sets the counts of a named fleet; false if there is none of this name.
 bool set_fleet_size(local_cluster::Plan& plan, const std::string& name) {
@@ -74,10 +75,11 @@
                         {"version", 'V', POPT_ARG_NONE, &version, 0, "print the version, then exit", nullptr},
                         POPT_AUTOHELP POPT_TABLEEND};
   // The named fleet first, so that the options for single counts override it wherever they stand.
-  for (int i = 1; i + 1 < argc; ++i) {
-    std::string word = argv[i];
-    if ((word == "--fleet" || word == "-f") && !set_fleet_size(plan, argv[i + 1])) {
-      fprintf(stderr, "local-cluster: fleet: '%s' is unknown\n", argv[i + 1]);
+  for (int index = 1; index + 1 < argc; ++index) {
+    std::string option = argv[index];
+    const auto* argument = argv[index + 1];
+    if ((option == "--fleet" || option == "-f") && !set_fleet_size(plan, argument)) {
+      fprintf(stderr, "local-cluster: fleet: '%s' is unknown\n", argument);
       return std::nullopt;
     }
   }
@@ -149,7 +151,7 @@
   for (const auto& address : fleet.controllers())
     controllers += (controllers.empty() ? "" : ",") + address;
   printf("local-cluster: %d of %d fronts ready after %lld ms; controllers %s; control 127.0.0.1:%d\n",
-         count_ready_gateways(fleet), plan.fronts, static_cast<long long>(duration), controllers.c_str(),
+         count_ready_gateways(fleet), plan.fronts, static_cast<long long>(duration.count()), controllers.c_str(),
          plan.first_port - 1);
   fflush(stdout);
 }
@@ -176,7 +178,7 @@
   if (!server.ok())
     return fail(server.errors(), kExitUsage);
   print_ready(fleet, plan, process_now() - begun);
-  while (!wait_for_signal(1000)) {}
+  while (!wait_for_signal(kSignalPollInterval)) {}
   return 0;
 }
 
--- a/tools/scale/hollow_daemons.cpp
+++ b/tools/scale/hollow_daemons.cpp
@@ -157,7 +157,7 @@
                              .load = 0,
                              .streamed = Epoch{},
                              .running = 0,
-                             .sent = now,
+                             .sent = to_milliseconds(now),
                              .leaving = false,
                              .incomplete_comparisons = 0};
     return message;
@@ -182,15 +182,15 @@
   }
 
   std::string execute(const std::string& line) {
-    std::istringstream words(line);
+    std::istringstream arguments(line);
     std::string command;
-    words >> command;
+    arguments >> command;
     if (command == "start" || command == "stop")
-      return start_or_stop(words, command == "start");
+      return start_or_stop(arguments, command == "start");
     if (command == "cut")
-      return cut(words);
+      return cut(arguments);
     if (command == "known")
-      return known(words);
+      return known(arguments);
     if (command == "values")
       return values();
     if (command == "state")
@@ -225,7 +225,7 @@
       if (!daemon->machine)
         continue;
       auto since = daemon->known_since.lower_bound(Epoch{epoch});
-      answer << (since == daemon->known_since.end() ? -1 : since->second) << " ";
+      answer << (since == daemon->known_since.end() ? -1 : to_milliseconds(since->second)) << " ";
     }
     return answer.str();
   }
--- a/tools/scale/simulated_fleet.cpp
+++ b/tools/scale/simulated_fleet.cpp
@@ -134,7 +134,7 @@
   process.known_epoch = {};
   Recovered recovered{identity.self.incarnation, process.checkpoint, process.synced_records};
   process.machine = make_machine(process.spec, recovered, now_);
-  auto first_tick = now_ + Duration(random_() % kTickInterval);
+  auto first_tick = now_ + Duration(random_() % static_cast<uint64_t>(kTickInterval.count()));
   schedule(first_tick, [this, index, life = process.life] { tick(index, life); });
 }
 
@@ -162,8 +162,8 @@
     now_ = std::max(now_, events_.begin()->first);
     // An event may add further ones for this same time, so the list may grow under the loop.
     auto& due = events_.begin()->second;
-    for (size_t i = 0; i < due.size(); ++i) {
-      auto event = std::move(due[i]);
+    for (size_t index = 0; index < due.size(); ++index) {
+      auto event = std::move(due[index]);
       execute(event);
     }
     events_.erase(events_.begin());
@@ -318,7 +318,7 @@
     return;
   if (!stays_on_machine)
     receiver.counters.received[kind] += traffic;
-  auto delay = stays_on_machine ? 0 : network_delay(sender.spec, receiver.spec);
+  auto delay = stays_on_machine ? 0ms : network_delay(sender.spec, receiver.spec);
   auto shared_message = std::make_shared<const Envelope>(std::move(message));
   events_[now_ + delay].push_back({.action = nullptr, .receiver = found->second, .message = std::move(shared_message)});
 }
