--- a/tests/platform_stub/book.hpp
+++ b/tests/platform_stub/book.hpp
@@ -19,7 +19,7 @@
   Kind kind = Kind::safe;
   std::string target, body, parent, program;
   uint64_t resume_after = 0;
-  TimePoint at{};
+  MonotonicTime at{};
 };
 
 /// A turn that its caller got whole.
@@ -58,7 +58,7 @@
   bool has_run(const std::string& attempt) const { return runs_.count(attempt) > 0; }
   bool known(const std::string& turn) const { return turns_.count(turn); }
   /// From `at` on, only `service` may run what comes on paths with this prefix; empty: nobody.
-  void rule(const std::string& prefix, const std::string& service, TimePoint at) { rules_[prefix] = {service, at}; }
+  void rule(const std::string& prefix, const std::string& service, MonotonicTime at) { rules_[prefix] = {service, at}; }
   void close();
   void served(const std::string& what, bool yes);
   int violations() const { return violations_; }
@@ -75,7 +75,7 @@
   std::map<std::string, uint32_t> refused_;
   std::map<std::string, Turn> turns_;
   std::map<std::string, Tokens> tokens_;
-  std::map<std::string, std::pair<std::string, TimePoint>> rules_;
+  std::map<std::string, std::pair<std::string, MonotonicTime>> rules_;
   std::map<std::string, std::pair<int, int>> served_;
   int violations_ = 0;
 };
--- a/tests/platform_stub/callers.cpp
+++ b/tests/platform_stub/callers.cpp
@@ -12,10 +12,11 @@
 }
 
 void Callers::look(size_t i) {
-  w_.ask({w_.plan.ready(static_cast<int>(i)), "GET", "/v1/ready", {{"Host", "ready"}}, ""}, 900, [this, i](Reply&& r) {
-    missed_[i] = r.status == 200 ? 0 : missed_[i] + 1;
-    w_.loop.run_after(500, [this, i] { look(i); });
-  });
+  w_.ask({w_.plan.ready(static_cast<int>(i)), "GET", "/v1/ready", {{"Host", "ready"}}, ""}, 900ms,
+         [this, i](Reply&& r) {
+           missed_[i] = r.status == 200 ? 0 : missed_[i] + 1;
+           w_.loop.run_after(500ms, [this, i] { look(i); });
+         });
 }
 
 size_t Callers::ready() const {
@@ -23,8 +24,8 @@
 }
 
 void Callers::send(std::shared_ptr<Job> j) {
-  if (!j->deadline)
-    j->deadline = monotonic_now() + 4000;
+  if (j->deadline == MonotonicTime{})
+    j->deadline = monotonic_now() + 4000ms;
   ++open_;
   attempt(j);
 }
@@ -37,7 +38,7 @@
   if (in.empty())
     in = {0, 1, 2};
   auto to = w_.plan.front(in[w_.roll(in.size())]);
-  auto a = w_.name(), left = std::to_string(std::max<Duration>(1ms, j->deadline - monotonic_now()));
+  auto a = w_.name(), left = std::to_string(std::max<Duration>(1ms, j->deadline - monotonic_now()).count());
   ++j->tries;
   Sent s{j->kind,        "/" + j->route + "/" + std::to_string(j->tries) + "?q=1",
          j->body,        j->parent,
@@ -82,24 +83,24 @@
   if (good && stream && (events.empty() || events.back().id != j->tokens_out / event_tokens))
     w_.book.violate(a + " ended before its last event");
   if (good)
-    return again(j, r.status, a, 0, false);
+    return again(j, r.status, a, 0ms, false);
   if (r.whole && r.status == 404 && j->kind == Kind::turn && w_.book.known(j->parent))
     w_.book.violate(a + " got 404, but " + j->parent + " was acknowledged");
   if (!r.unsent && r.status && !promise && r.status < 500 && r.whole)
-    return again(j, r.status, a, 0, false);
+    return again(j, r.status, a, 0ms, false);
   if (j->kind == Kind::resumable && !events.empty())
     j->resume_after = events.back().id;
   if (j->resume_after == j->tokens_out / event_tokens)
-    return again(j, 200, a, 0, false);
+    return again(j, 200, a, 0ms, false);
   auto wait = std::string(header_value(r.fields, "Retry-After"));
-  auto pause = std::max<Duration>(1ms, wait.empty() ? 50 : Duration(std::stod(wait) * 1000));
+  auto pause = std::max<Duration>(1ms, wait.empty() ? 50ms : Duration(static_cast<int64_t>(std::stod(wait) * 1000)));
   again(j, r.status, a, pause, repeatable(j->kind) || promise || r.unsent);
 }
 
 void Callers::again(const std::shared_ptr<Job>& j, uint32_t status, const std::string& a, Duration pause,
                     bool granted) {
   auto now = monotonic_now();
-  bool good = status >= 200 && status < 300 && !granted && pause == 0;
+  bool good = status >= 200 && status < 300 && !granted && pause == 0ms;
   if (granted && j->tries < most_tries && now + pause < j->deadline) {
     w_.loop.run_after(pause, [this, j] { attempt(j); });
     return;
@@ -107,8 +108,8 @@
   bool turn = j->kind == Kind::turn || j->kind == Kind::brief;
   if (turn && !good && (status == 0 || status == 200 || status >= 429) && ++j->sends < 3) {
     j->tries = 0;
-    w_.loop.run_after(100 + Duration(w_.roll(300)), [this, j] {
-      j->deadline = monotonic_now() + 4000;
+    w_.loop.run_after(100ms + Duration(w_.roll(300)), [this, j] {
+      j->deadline = monotonic_now() + 4000ms;
       attempt(j);
     });
     return;
--- a/tests/platform_stub/callers.hpp
+++ b/tests/platform_stub/callers.hpp
@@ -11,7 +11,7 @@
   HeaderFields fields;
   std::string body, parent, program, session;
   uint64_t budget = 0, tokens_in = 100, tokens_out = 48;
-  TimePoint deadline{};
+  MonotonicTime deadline{};
   int tries = 0, sends = 0;
   uint64_t resume_after = 0, last = 0;
   /// Told once: the last status, the attempt it came on, and whether it was a whole success.
--- a/tests/platform_stub/list.cpp
+++ b/tests/platform_stub/list.cpp
@@ -18,14 +18,14 @@
 void List::look() {
   auto now = monotonic_now();
   past_.push_back({now, now_()});
-  while (past_.size() > 1 && past_[1].first <= now - lag_ms)
+  while (past_.size() > 1 && past_[1].first <= now - list_lag)
     past_.pop_front();
-  w_.loop.run_after(100, [this] { look(); });
+  w_.loop.run_after(100ms, [this] { look(); });
 }
 
 void List::asked(uint64_t id, const HttpRequest& r) {
   auto now = monotonic_now();
-  while (!calls_.empty() && now - calls_.front() >= 1000)
+  while (!calls_.empty() && now - calls_.front() >= 1000ms)
     calls_.pop_front();
   if (static_cast<double>(calls_.size()) >= rate)
     return in_->send_response(id, 429, {{"Retry-After", "0.2"}}, "");
@@ -46,7 +46,7 @@
                  {"Revision", "v1"},
                  {"SlotCount", slot_count},
                  {"State", l.draining ? "draining" : "ready"},
-                 {"ColdLeftMs", cold}});
+                 {"ColdLeftMs", cold.count()}});
   }
   nlohmann::json next;
   if (from + page < v.size())
--- a/tests/platform_stub/main.cpp
+++ b/tests/platform_stub/main.cpp
@@ -21,7 +21,8 @@
   std::unique_ptr<List> list;
   Callers callers{w};
   Operator op{w};
-  TimePoint begun = 0, length;
+  MonotonicTime begun{};
+  Duration length;
   bool changing = false, changed = false;
 
   Scene(Plan p, Duration ms) : w(p), length(ms) {
@@ -32,7 +33,7 @@
     list = std::make_unique<List>(w, [this] {
       std::vector<Listed> v{rogue->listed};
       for (auto& r : replicas)
-        if (!r->listed.drained || monotonic_now() < r->listed.drained + lag_ms + drain_ms)
+        if (r->listed.drained == MonotonicTime{} || monotonic_now() < r->listed.drained + list_lag + drain_time)
           v.push_back(r->listed);
       return v;
     });
@@ -50,27 +51,27 @@
     if (monotonic_now() > begun + length)
       return;
     f();
-    w.loop.run_after(ms / 2 + Duration(w.roll(static_cast<uint64_t>(ms))), [=, this] { every(ms, f); });
+    w.loop.run_after(ms / 2 + Duration(w.roll(static_cast<uint64_t>(ms.count()))), [=, this] { every(ms, f); });
   }
   void traffic() {
     begun = monotonic_now();
     printf("traffic begins\n");
     fflush(stdout);
-    every(170, [this] { callers.plain(Kind::safe, "safe"); });
-    every(250, [this] { callers.plain(Kind::unsafe, "unsafe"); });
+    every(170ms, [this] { callers.plain(Kind::safe, "safe"); });
+    every(250ms, [this] { callers.plain(Kind::unsafe, "unsafe"); });
     if (!w.calm)
-      every(500, [this] { callers.plain(Kind::safe, "rogue"); });
-    every(500, [this] { callers.plain(Kind::stream, "stream"); });
-    every(500, [this] { callers.plain(Kind::resumable, "resume"); });
-    every(800, [this] { callers.program(true, false); });
-    every(2000, [this] { callers.program(false, false); });
-    every(4000, [this] { callers.program(w.roll(2), true); });
-    every(2000, [this] { callers.astray(); });
-    every(300, [this] {
+      every(500ms, [this] { callers.plain(Kind::safe, "rogue"); });
+    every(500ms, [this] { callers.plain(Kind::stream, "stream"); });
+    every(500ms, [this] { callers.plain(Kind::resumable, "resume"); });
+    every(800ms, [this] { callers.program(true, false); });
+    every(2000ms, [this] { callers.program(false, false); });
+    every(4000ms, [this] { callers.program(w.roll(2), true); });
+    every(2000ms, [this] { callers.astray(); });
+    every(300ms, [this] {
       if (changed)
         return callers.plain(Kind::safe, "new");
     });
-    every(700, [this] {
+    every(700ms, [this] {
       if (!changing)
         return callers.plain(Kind::safe, "old");
       if (!changed)
@@ -85,35 +86,35 @@
     });
     if (!w.calm)
       changes();
-    w.loop.run_after(length + 200, [this] { wait(); });
+    w.loop.run_after(length + 200ms, [this] { wait(); });
   }
   /// The operator's work of a day, at its tenths.
   void changes() {
     // What was asked on a route shortly before its removal may be retried behind it.
-    w.loop.run_after(length * 3 / 10 - 500, [this] { changing = true; });
+    w.loop.run_after(length * 3 / 10 - 500ms, [this] { changing = true; });
     w.loop.run_after(length * 3 / 10, [this] { op.change([this] { changed = true; }); });
     w.loop.run_after(length * 4 / 10, [this] {
       replicas[0]->listed.draining = true;
       replicas[0]->listed.drained = monotonic_now();
-      add("model", zones[0]).listed.cold_until = monotonic_now() + 5000;
+      add("model", zones[0]).listed.cold_until = monotonic_now() + 5000ms;
     });
     w.loop.run_after(length * 5 / 10, [this] {
       op.evacuate(zones[2], true, [this] {
         for (auto& r : replicas)
           if (r->listed.zone == zones[2])
-            r->evacuated = monotonic_now() + 5000;
+            r->evacuated = monotonic_now() + 5000ms;
       });
     });
     w.loop.run_after(length * 6 / 10, [this] { op.retire(); });
     w.loop.run_after(length * 9 / 10, [this] {
       for (auto& r : replicas)
-        r->evacuated = 0;
+        r->evacuated = {};
       op.evacuate(zones[2], false, [] {});
     });
   }
   void wait() {
-    if (callers.open() && monotonic_now() < begun + length + 30000) {
-      w.loop.run_after(100, [this] { wait(); });
+    if (callers.open() && monotonic_now() < begun + length + 30000ms) {
+      w.loop.run_after(100ms, [this] { wait(); });
       return;
     }
     if (callers.open())
@@ -124,14 +125,14 @@
     auto end = monotonic_now() + patience;
     op.begin([this, end] { await(end); });
   }
-  void await(Duration end) {
+  void await(MonotonicTime end) {
     if (callers.ready() < 3 && monotonic_now() < end) {
-      w.loop.run_after(100, [this, end] { await(end); });
+      w.loop.run_after(100ms, [this, end] { await(end); });
       return;
     }
     if (callers.ready() < 3)
       w.book.violate("not all fronts are ready");
-    w.loop.run_after(2500, [this] { traffic(); });
+    w.loop.run_after(2500ms, [this] { traffic(); });
   }
 };
 
@@ -157,9 +158,9 @@
   if (!(std::ifstream(std::string(dir) + "/base") >> base))
     return fprintf(stderr, "standin: no settings there\n"), 2;
   signal(SIGPIPE, SIG_IGN);
-  auto scene = std::make_unique<Scene>(Plan{static_cast<uint16_t>(base)}, seconds * 1000);
+  auto scene = std::make_unique<Scene>(Plan{static_cast<uint16_t>(base)}, std::chrono::seconds(seconds));
   scene->w.calm = calm;
-  scene->start(40000);
+  scene->start(40000ms);
   scene->w.loop.run();
   auto& b = scene->w.book;
   b.close();
--- a/tests/platform_stub/operator.cpp
+++ b/tests/platform_stub/operator.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 using Json = nlohmann::json;
-constexpr Duration apply_ms = 2000ms;
+constexpr Duration apply_time = 2000ms;
 
 Json route(const std::string& name, const std::string& kind, const std::string& service) {
   return {{"Name", "r-" + name},
@@ -58,7 +58,7 @@
   auto go = std::make_shared<std::function<void()>>();
   *go = [=, this] {
     *to = led->empty() ? w_.plan.control(static_cast<int>(w_.roll(3))) : std::exchange(*led, "");
-    w_.ask({*to, method, path, f, body}, 1000, [=, this](Reply&& r) {
+    w_.ask({*to, method, path, f, body}, 1000ms, [=, this](Reply&& r) {
       bool clear = r.whole && r.status < 500 && r.status != 408 && r.status != 429 && r.status != 307;
       if (clear || monotonic_now() > end) {
         w_.loop.post([go] { *go = nullptr; });
@@ -66,7 +66,7 @@
       }
       if (auto l = std::string(header_value(r.fields, "Location")); r.status == 307 && ++*hops % 3)
         *led = l.substr(7, l.find('/', 7) - 7);
-      w_.loop.run_after(led->empty() ? 150 : 1, [go] { (*go)(); });
+      w_.loop.run_after(led->empty() ? 150ms : 1ms, [go] { (*go)(); });
     });
   };
   (*go)();
@@ -84,13 +84,13 @@
   wrong["Revision"] = 6;
   wrong["Routes"][0]["Service"] = "nobody";
   other["Revision"] = 9;
-  call("PUT", "/v1/config", text, 0, 30000, [=, this](uint32_t status, const std::string&) {
+  call("PUT", "/v1/config", text, 0, 30000ms, [=, this](uint32_t status, const std::string&) {
     expect("the first configuration", status, {200});
-    call("PUT", "/v1/config", text, 0, 5000, [=, this](uint32_t again, const std::string&) {
+    call("PUT", "/v1/config", text, 0, 5000ms, [=, this](uint32_t again, const std::string&) {
       expect("the same configuration again", again, {200});
-      call("PUT", "/v1/config", wrong.dump(), 5, 5000, [=, this](uint32_t invalid, const std::string&) {
+      call("PUT", "/v1/config", wrong.dump(), 5, 5000ms, [=, this](uint32_t invalid, const std::string&) {
         expect("an invalid configuration", invalid, {400, 409, 422});
-        call("PUT", "/v1/config", other.dump(), 3, 5000, [=, this](uint32_t late, const std::string&) {
+        call("PUT", "/v1/config", other.dump(), 3, 5000ms, [=, this](uint32_t late, const std::string&) {
           expect("a configuration on another version", late, {412});
           then();
         });
@@ -106,17 +106,17 @@
   document_["Routes"][0] = moved;
   document_["Routes"].erase(2);
   document_["Routes"].push_back(added);
-  call("PATCH", "/v1/config", change.dump(), 5, 15000, [=, this](uint32_t status, const std::string&) {
+  call("PATCH", "/v1/config", change.dump(), 5, 15000ms, [=, this](uint32_t status, const std::string&) {
     expect("a change of named items", status, {200});
-    auto at = monotonic_now() + apply_ms;
+    auto at = monotonic_now() + apply_time;
     w_.book.rule("/safe/", "app2", at);
     w_.book.rule("/old/", "", at);
-    w_.loop.run_after(apply_ms + 50, then);
+    w_.loop.run_after(apply_time + 50ms, then);
   });
 }
 
 void Operator::evacuate(const std::string& zone, bool on, std::function<void()> then) {
-  call(on ? "POST" : "DELETE", "/v1/evacuate/" + zone, "", -1, 15000, [=, this](uint32_t status, const std::string&) {
+  call(on ? "POST" : "DELETE", "/v1/evacuate/" + zone, "", -1, 15000ms, [=, this](uint32_t status, const std::string&) {
     expect(on ? "an evacuation" : "its withdrawal", status, {200, 202, 204});
     then();
   });
@@ -124,11 +124,11 @@
 
 void Operator::retire() {
   auto body = Json{{"DeadlineS", 10}}.dump();
-  call("POST", "/v1/retire/storage-9", body, -1, 15000,
+  call("POST", "/v1/retire/storage-9", body, -1, 15000ms,
        [this](uint32_t s, const std::string&) { expect("the retirement of an unknown machine", s, {404}); });
-  call("POST", "/v1/retire/storage-2", body, -1, 15000,
+  call("POST", "/v1/retire/storage-2", body, -1, 15000ms,
        [this](uint32_t s, const std::string&) { expect("a retirement that leaves too few", s, {409}); });
-  call("GET", "/v1/retire/storage-2", "", -1, 15000, [this](uint32_t s, const std::string& b) {
+  call("GET", "/v1/retire/storage-2", "", -1, 15000ms, [this](uint32_t s, const std::string& b) {
     expect("the state of a machine", s, {200});
     if (b.find("serving") == b.npos)
       w_.book.violate("a machine that serves is said to be " + b);
@@ -136,7 +136,7 @@
 }
 
 void Operator::read_back(std::function<void()> then) {
-  call("GET", "/v1/config", "", -1, 15000, [=, this](uint32_t status, const std::string& body) {
+  call("GET", "/v1/config", "", -1, 15000ms, [=, this](uint32_t status, const std::string& body) {
     expect("the configuration read back", status, {200});
     auto j = Json::parse(body, nullptr, false);
     if (j.is_discarded() || j != document_)
--- a/tests/platform_stub/replicas.cpp
+++ b/tests/platform_stub/replicas.cpp
@@ -16,7 +16,7 @@
                 [](uint64_t) {
                 }});
   HttpListenerLimits limits;
-  limits.idle_timeout_ms = 2000;
+  limits.idle_timeout = 2000ms;
   in_->set_limits(limits);
 }
 
@@ -33,7 +33,7 @@
   if (now >= listed.cold_until)
     return true;
   cold_.push_back(now);
-  while (now - cold_.front() >= 1000)
+  while (now - cold_.front() >= 1000ms)
     cold_.pop_front();
   if (static_cast<double>(cold_.size()) > cold_per_s * 1.5 + 5) {
     if (!std::exchange(fell_, true))
@@ -55,9 +55,10 @@
     return not_run(id, 421, attempt), false;
   auto now = monotonic_now();
   auto* s = w_.book.find(attempt);
-  if (listed.draining && now > listed.drained + lag_ms + drain_ms && s && s->at > listed.drained + lag_ms + drain_ms)
+  if (listed.draining && now > listed.drained + list_lag + drain_time && s &&
+      s->at > listed.drained + list_lag + drain_time)
     w_.book.violate(listed.id + " was asked long after it was listed as draining");
-  if (evacuated && now > evacuated)
+  if (evacuated != MonotonicTime{} && now > evacuated)
     w_.book.violate(listed.id + " was asked in an evacuated zone");
   if (!bears())
     return in_->abort(id), false;
@@ -141,7 +142,7 @@
     runs_.insert(queue_.extract(queue_.begin()));
   for (auto i = runs_.begin(); i != runs_.end();)
     i = forward(i->first, i->second) ? std::next(i) : runs_.erase(i);
-  w_.loop.run_after(20 + Duration(runs_.size()), [this] { step(); });
+  w_.loop.run_after(20ms + Duration(runs_.size()), [this] { step(); });
 }
 
 void App::asked(uint64_t id, HttpRequest&& r) {
@@ -153,7 +154,7 @@
   w_.book.ran(attempt, listed.service, r);
   waiting_.insert(id);
   auto fault = w_.calm ? 399 : w_.roll(400);
-  w_.loop.run_after(5 + Duration(w_.roll(30)), [this, id, attempt, fault] {
+  w_.loop.run_after(5ms + Duration(w_.roll(30)), [this, id, attempt, fault] {
     if (!waiting_.erase(id))
       return;
     if (fault == 0)
--- a/tests/platform_stub/replicas.hpp
+++ b/tests/platform_stub/replicas.hpp
@@ -10,14 +10,14 @@
 
 constexpr uint32_t slot_count = 8, event_tokens = 4;
 constexpr double cold_per_s = 8;
-constexpr Duration drain_ms = 3000, lag_ms = 800;
+constexpr Duration drain_time = 3000ms, list_lag = 800ms;
 
 /// What the list says of a replica.
 struct Listed {
   std::string id, service, zone;
   Address at;
   bool draining = false;
-  TimePoint cold_until = 0, drained = 0;
+  MonotonicTime cold_until{}, drained{};
 };
 
 class Replica {
@@ -26,7 +26,7 @@
   virtual ~Replica() = default;
   Listed listed;
   /// When its zone's evacuation must be in force, 0 where there is none.
-  Duration evacuated{};
+  MonotonicTime evacuated{};
 
  protected:
   /// Turns a request away as it must, or notes that it arrived; false where it was answered here.
@@ -40,7 +40,7 @@
 
  private:
   bool bears();
-  std::deque<TimePoint> cold_;
+  std::deque<MonotonicTime> cold_;
   bool fell_ = false;
 };
 
@@ -105,8 +105,8 @@
   void look();
   World& w_;
   std::function<std::vector<Listed>()> now_;
-  std::deque<std::pair<TimePoint, std::vector<Listed>>> past_;
-  std::deque<TimePoint> calls_;
+  std::deque<std::pair<MonotonicTime, std::vector<Listed>>> past_;
+  std::deque<MonotonicTime> calls_;
   std::unique_ptr<HttpListener> in_;
 };
 
--- a/tests/platform_stub/rogue.cpp
+++ b/tests/platform_stub/rogue.cpp
@@ -91,7 +91,7 @@
     case 5:
       w_.book.made(a, seal, body);
       say(proper);
-      w_.loop.run_after(30, [this, fd, other] {
+      w_.loop.run_after(30ms, [this, fd, other] {
         if (sessions_.count(fd))
           (void)!::send(fd, other.data(), other.size(), MSG_NOSIGNAL);
       });
