--- a/tests/unit/consensus/acceptor_test.cpp
+++ b/tests/unit/consensus/acceptor_test.cpp
@@ -1,7 +1,6 @@
 // The Paxos acceptor alone: what it promises, accepts and keeps.
-#include <catch2/catch.hpp>
-
 #include "consensus/acceptor.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -1,12 +1,11 @@
 // Who makes the core: founding, growth, replacement, re-founding; on simulated machines and on the log's value.
-#include <catch2/catch.hpp>
-
 #include <algorithm>
 
 #include "consensus/constants.hpp"
 #include "messages/constants.hpp"
 #include "runtime/constants.hpp"
 #include "simulation/day.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 using sim::Kind;
@@ -110,10 +109,10 @@
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 5);
     cluster.partition({"controller1", "controller2"}, {"controller3", "controller4", "controller5"});
-    cluster.world.run(20000);
+    cluster.world.run(20000ms);
     CHECK(cluster.clusters().size() == 1);
     cluster.world.heal();
-    cluster.world.run(10000);
+    cluster.world.run(10000ms);
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
   }
@@ -125,7 +124,7 @@
     SimulatedControllers cluster(seed, 6);
     for (const std::string& name : cluster.names()) {
       cluster.world.kill(name);
-      TimePoint latest_start = seed % 2 ? 400 : 9000;
+      Duration latest_start = seed % 2 ? 400ms : 9000ms;
       cluster.world.at(cluster.world.now() + cluster.world.below(latest_start),
                        [&cluster, name] { cluster.world.start(name); });
     }
@@ -135,10 +134,10 @@
       cluster.world.cut(names[cluster.world.next_random() % names.size()],
                         names[cluster.world.next_random() % names.size()]);
     }
-    cluster.world.run(15000);
+    cluster.world.run(15000ms);
     cluster.world.heal();
     cluster.world.net.loss = 0;
-    cluster.world.run(10000);
+    cluster.world.run(10000ms);
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
   }
@@ -146,7 +145,7 @@
 
 TEST_CASE("Founding never happens on empty disks at a later start") {
   SimulatedControllers cluster(3, 3, 3, true);
-  cluster.world.run(60000);
+  cluster.world.run(60000ms);
   CHECK(cluster.clusters().empty());
 }
 
@@ -154,13 +153,13 @@
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
-    cluster.world.run(300 + cluster.world.below(600));
+    cluster.world.run(300ms + cluster.world.below(600ms));
     cluster.forbid_founding_on_empty_disks();
     for (const std::string& name : cluster.names()) {
       cluster.world.kill(name);
       cluster.world.start(name);
     }
-    cluster.world.run(10000);
+    cluster.world.run(10000ms);
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
   }
@@ -171,15 +170,15 @@
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
     cluster.partition({"controller1"}, {"controller3"});
-    cluster.world.run(1000 + cluster.world.below(900));
+    cluster.world.run(1000ms + cluster.world.below(900ms));
     cluster.forbid_founding_on_empty_disks();
     cluster.world.wipe("controller2");
     cluster.world.heal();
     cluster.partition({"controller1"}, {"controller2", "controller3"});
     cluster.world.start("controller2");
-    cluster.world.run(15000);
+    cluster.world.run(15000ms);
     cluster.world.heal();
-    cluster.world.run(10000);
+    cluster.world.run(10000ms);
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
   }
@@ -202,11 +201,11 @@
       members_before = members;
     return members == 5;
   };
-  CHECK(cluster.world.until(15000, grows_by_one_to_five));
+  CHECK(cluster.world.until(15000ms, grows_by_one_to_five));
   CHECK(cluster.members() == all);
   for (int i = 6; i <= 11; ++i)
     cluster.world.add("controller" + std::to_string(i), Kind::controller, "a");
-  cluster.world.run(30000);
+  cluster.world.run(30000ms);
   CHECK(cluster.members().size() == kMaxCoreSize);
   cluster.check_no_failures();
 }
@@ -221,7 +220,7 @@
     REQUIRE(cluster.members() == kFirstThree);
     std::string lost = "controller" + std::to_string(1 + seed % 3);
     cluster.world.power_off(lost);
-    cluster.world.run(cluster.world.below(2000));
+    cluster.world.run(cluster.world.below(2000ms));
     cluster.world.add("controller9", Kind::controller, "a");
     std::set<std::string> expected = kFirstThree;
     expected.erase(lost);
@@ -231,7 +230,7 @@
     longest = std::max(longest, cluster.world.now() - start);
     cluster.check_no_failures();
   }
-  INFO("longest " << longest << " ms");
+  INFO("longest " << longest.count() << " ms");
   CHECK(longest <= kCatchUpTime);
 }
 
@@ -245,7 +244,7 @@
     REQUIRE(cluster.members() == kFirstThree);
     std::string lost = "controller" + std::to_string(1 + seed % 3);
     cluster.world.wipe(lost);
-    cluster.world.run(cluster.world.below(2000));
+    cluster.world.run(cluster.world.below(2000ms));
     cluster.world.start(lost);
     TimePoint start = cluster.world.now();
     Incarnation incarnation = cluster.world.node(lost).id.self.incarnation;
@@ -253,7 +252,7 @@
     longest = std::max(longest, cluster.world.now() - start);
     cluster.check_no_failures();
   }
-  INFO("longest " << longest << " ms");
+  INFO("longest " << longest.count() << " ms");
   CHECK(longest <= kCatchUpTime);
 }
 
@@ -272,7 +271,7 @@
     CHECK(cluster.members() == std::set<std::string>{"controller3", "controller7", "controller8"});
     cluster.world.power_off("controller3");
     Epoch before = cluster.metadata()->epoch;
-    CHECK(cluster.world.until(6000, [&] { return cluster.metadata()->epoch > before; }));
+    CHECK(cluster.world.until(6000ms, [&] { return cluster.metadata()->epoch > before; }));
     cluster.check_no_failures();
   }
 }
@@ -282,12 +281,12 @@
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 4);
     cluster.forbid_founding_on_empty_disks();
-    REQUIRE(cluster.wait_for_member_count(12000, 4));
+    REQUIRE(cluster.wait_for_member_count(12000ms, 4));
     std::string lost = "controller" + std::to_string(1 + seed % 4);
     cluster.world.power_off(lost);
-    CHECK(cluster.wait_for_member_count(5000, 3));
+    CHECK(cluster.wait_for_member_count(5000ms, 3));
     cluster.world.start(lost);
-    CHECK(cluster.wait_for_member_count(8000, 4));
+    CHECK(cluster.wait_for_member_count(8000ms, 4));
     cluster.check_no_failures();
   }
 }
@@ -297,21 +296,21 @@
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 4);
     cluster.forbid_founding_on_empty_disks();
-    REQUIRE(cluster.wait_for_member_count(12000, 4));
+    REQUIRE(cluster.wait_for_member_count(12000ms, 4));
     std::string frozen = "controller" + std::to_string(1 + seed % 4);
     cluster.world.freeze(frozen);
-    cluster.world.run(60000);
+    cluster.world.run(60000ms);
     cluster.world.wake(frozen);
-    CHECK(cluster.world.until(8000, [&] { return cluster.members().size() == 4; }));
+    CHECK(cluster.world.until(8000ms, [&] { return cluster.members().size() == 4; }));
     Epoch epoch = cluster.metadata()->epoch;
     for (int i = 0; i < 10; ++i) {
       cluster.world.freeze(frozen);
-      cluster.world.run(1500);
+      cluster.world.run(1500ms);
       cluster.world.wake(frozen);
-      cluster.world.run(300);
+      cluster.world.run(300ms);
     }
     CHECK(cluster.metadata()->epoch.value() <= epoch.value() + 4);
-    cluster.world.run(8000);
+    cluster.world.run(8000ms);
     CHECK(cluster.members().size() == 4);
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
@@ -326,12 +325,12 @@
     cluster.world.run(kFoundingTime);
     cluster.world.freeze("controller1");
     cluster.world.wipe("controller2");
-    cluster.world.run(1000);
+    cluster.world.run(1000ms);
     cluster.world.start("controller2");
-    cluster.world.run(60000);
+    cluster.world.run(60000ms);
     CHECK(cluster.metadata()->generation == 1);
     cluster.world.wake("controller1");
-    cluster.world.run(10000);
+    cluster.world.run(10000ms);
     CHECK(cluster.metadata()->generation == 1);
     CHECK(cluster.members() == kFirstThree);
     CHECK(cluster.clusters().size() == 1);
@@ -349,9 +348,9 @@
     for (const std::string name : {"controller2", "controller3"}) {
       earlier.push_back(cluster.world.node(name).id.self);
       cluster.world.wipe(name);
-      cluster.world.run(500);
+      cluster.world.run(500ms);
       cluster.world.start(name);
-      cluster.world.run(9000);
+      cluster.world.run(9000ms);
     }
     REQUIRE(cluster.members() == kFirstThree);
     cluster.partition({"controller1"}, {"controller2", "controller3"});
@@ -366,11 +365,11 @@
         envelope.body = Discover{old};
         cluster.world.post("controller1", envelope);
       }
-      cluster.world.run(100);
+      cluster.world.run(100ms);
     }
     CHECK(cluster.metadata()->generation == 1);
     cluster.world.heal();
-    cluster.world.run(10000);
+    cluster.world.run(10000ms);
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
   }
@@ -393,7 +392,7 @@
     cluster.world.wipe(name);
     cluster.world.start(name);
   }
-  REQUIRE(cluster.world.until(15000, [&] { return cluster.metadata()->generation == 2; }));
+  REQUIRE(cluster.world.until(15000ms, [&] { return cluster.metadata()->generation == 2; }));
   cluster.world.run(pause);
   for (const std::string& name : back) {
     cluster.world.wipe(name);
@@ -412,8 +411,8 @@
     SimulatedControllers cluster(seed, 3);
     cluster.forbid_founding_on_empty_disks();
     cluster.world.run(kFoundingTime);
-    refound_and_put_back(cluster, {"controller2", "controller3"}, {"controller3"}, seed % 2 ? 5000 : 200);
-    cluster.world.run(20000);
+    refound_and_put_back(cluster, {"controller2", "controller3"}, {"controller3"}, seed % 2 ? 5000ms : 200ms);
+    cluster.world.run(20000ms);
     CHECK(cluster.metadata()->generation == 2);
     CHECK(cluster.members() == kFirstThree);
     CHECK(cluster.metadata()->is_core_member(cluster.world.node("controller3").id.self.incarnation));
@@ -429,8 +428,8 @@
     cluster.forbid_founding_on_empty_disks();
     cluster.world.run(kFoundingTime);
     refound_and_put_back(cluster, {"controller2", "controller3"}, {"controller2", "controller3"},
-                         seed % 2 ? 5000 : 200);
-    cluster.world.run(20000);
+                         seed % 2 ? 5000ms : 200ms);
+    cluster.world.run(20000ms);
     CHECK(cluster.metadata()->generation >= 2);
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
@@ -443,20 +442,20 @@
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 4);
     cluster.forbid_founding_on_empty_disks();
-    REQUIRE(cluster.wait_for_member_count(12000, 4));
-    REQUIRE(cluster.world.until(5000, [&] { return !cluster.supervisor().empty(); }));
+    REQUIRE(cluster.wait_for_member_count(12000ms, 4));
+    REQUIRE(cluster.world.until(5000ms, [&] { return !cluster.supervisor().empty(); }));
     std::string leaver = cluster.supervisor();
     TimePoint start = cluster.world.now();
     sim::Node& node = cluster.world.node(leaver);
     static_cast<ControllerMachine&>(*node.machine).begin_shutdown(cluster.world.clock(node));
-    CHECK(cluster.world.until(1000, [&] { return !node.machine; }));
-    CHECK(cluster.world.until(2000,
+    CHECK(cluster.world.until(1000ms, [&] { return !node.machine; }));
+    CHECK(cluster.world.until(2000ms,
                               [&] { return cluster.members().count(leaver) == 0 && !cluster.supervisor().empty(); }));
     longest = std::max(longest, cluster.world.now() - start);
     cluster.world.start(leaver);
-    CHECK(cluster.wait_for_member_count(8000, 4));
+    CHECK(cluster.wait_for_member_count(8000ms, 4));
     cluster.check_no_failures();
   }
-  INFO("longest " << longest << " ms");
+  INFO("longest " << longest.count() << " ms");
   CHECK(longest < kSupervisorLeaseDuration);
 }
--- a/tests/unit/consensus/in_force_test.cpp
+++ b/tests/unit/consensus/in_force_test.cpp
@@ -1,7 +1,6 @@
 // When an epoch is in force, by what daemons have reported to one controller.
-#include <catch2/catch.hpp>
-
 #include "consensus/in_force.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -65,12 +64,12 @@
 TEST_CASE("An epoch is not in force while a reachable disk lacks it, and is once that is silent") {
   Fleet fleet;
   fleet.report(7, Epoch{kEpoch.value() - 1});
-  fleet.now += kHeartbeatTimeout - 1;
+  fleet.now += kHeartbeatTimeout - 1ms;
   for (uint64_t number = 2; number <= 5; ++number)
     fleet.report(number, kEpoch);
 
   CHECK_FALSE(fleet.missing().empty());
-  fleet.now += 1;
+  fleet.now += 1ms;
   CHECK(fleet.missing().empty());
 }
 
@@ -91,7 +90,7 @@
   fleet.report(7, kEpoch);
   CHECK_FALSE(fleet.detector.superseded(store, fleet.now));
 
-  fleet.now += 1;
+  fleet.now += 1ms;
   Heartbeat successor{};
   successor.self = store.self;
   successor.self.incarnation = Incarnation{70};
@@ -99,7 +98,7 @@
 
   CHECK(fleet.detector.superseded(store, fleet.now));
   CHECK_FALSE(fleet.detector.superseded(store, fleet.now + kHeartbeatTimeout));
-  fleet.now += 1;
+  fleet.now += 1ms;
   fleet.report(7, kEpoch);
   CHECK_FALSE(fleet.detector.superseded(store, fleet.now));
 }
--- a/tests/unit/consensus/proposer_test.cpp
+++ b/tests/unit/consensus/proposer_test.cpp
@@ -1,7 +1,6 @@
 // What the proposer answers whom, over every point of a network partition, on real controllers in a simulated world.
-#include <catch2/catch.hpp>
-
 #include "simulation/world.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 using sim::World;
@@ -28,12 +27,12 @@
   }
 
   void commit(const std::string& controller, const Address& requester, const std::string& id,
-              const Transformation& change, Duration timeout = 0) {
+              const Transformation& change, Duration timeout = {}) {
     Envelope envelope{};
     envelope.from = requester;
     envelope.cluster = view(controller)->cluster;
     envelope.epoch = view(controller)->epoch;
-    envelope.body = Commit{id, change, envelope.epoch, timeout};
+    envelope.body = Commit{id, change, envelope.epoch, timeout.count()};
     world.post(controller, envelope);
   }
 
@@ -64,18 +63,18 @@
 
 TEST_CASE("Proposer rejects no commit that came after the quorum read began") {
   for (int i = 0; i < 60; ++i) {
-    Duration healed_after = 1500 + 10 * i;
-    INFO("healed " << healed_after << " ms after the first commit");
+    Duration healed_after = 1500ms + 10ms * i;
+    INFO("healed " << healed_after.count() << " ms after the first commit");
     SimulatedCore core(7);
-    core.world.net.delay = 100;
+    core.world.net.delay = 100ms;
     core.world.isolate("controller1");
 
     core.commit("controller1", "local:bad", "bad", RemoveReplica{""});
-    core.world.run(1500);
+    core.world.run(1500ms);
     core.commit("controller1", "local:good", "good", empty_configuration(core.view("controller1")->revision, 9));
-    core.world.run(healed_after - 1500);
+    core.world.run(healed_after - 1500ms);
     core.world.heal();
-    core.world.run(5000);
+    core.world.run(5000ms);
 
     CHECK(core.count_replies("local:good", CommitOutcome::rejected) == 0);
     CHECK(core.count_replies("local:bad", CommitOutcome::committed) == 0);
@@ -84,8 +83,8 @@
 
 TEST_CASE("Proposer never proposes a commit again whose outcome was told to be unknown before any accept request") {
   for (int i = 0; i < 40; ++i) {
-    Duration healed_after = 930 + 10 * i;
-    INFO("healed " << healed_after << " ms after the commit");
+    Duration healed_after = 930ms + 10ms * i;
+    INFO("healed " << healed_after.count() << " ms after the commit");
     SimulatedCore core(11);
     core.world.isolate("controller1");
 
@@ -93,7 +92,7 @@
                 kCommitTimeoutOfOperators);
     core.world.run(healed_after);
     core.world.heal();
-    core.world.run(5000);
+    core.world.run(5000ms);
 
     CHECK(core.count_replies("local:a", CommitOutcome::unknown) == 1);
     CHECK_FALSE(core.view("controller2")->epoch_of_commit("a"));
@@ -102,8 +101,8 @@
 
 TEST_CASE("Proposer acknowledges one of two changes on one base, wherever a network partition falls") {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
-    for (Duration isolated_after{}; isolated_after <= 16; ++isolated_after) {
-      INFO("seed " << seed << ", isolated after " << isolated_after << " ms");
+    for (Duration isolated_after{}; isolated_after <= 16ms; ++isolated_after) {
+      INFO("seed " << seed << ", isolated after " << isolated_after.count() << " ms");
       SimulatedCore core(seed);
       Revision base = core.view("controller1")->revision;
       ApplyConfiguration first = empty_configuration(base, base.value() + 2);
@@ -112,14 +111,14 @@
       core.commit("controller1", "local:first", "first", first, kCommitTimeoutOfOperators);
       core.world.run(isolated_after);
       core.world.isolate("controller1");
-      core.world.run(1000 - isolated_after);
+      core.world.run(1000ms - isolated_after);
       core.commit("controller2", "local:second", "second", second, kCommitTimeoutOfOperators);
-      core.world.run(Duration(seed) * 200);
+      core.world.run(Duration(200 * seed));
       core.world.heal();
-      core.world.run(2000);
+      core.world.run(2000ms);
       core.commit("controller3", "local:first again", "first", first, kCommitTimeoutOfOperators);
       core.commit("controller1", "local:second again", "second", second, kCommitTimeoutOfOperators);
-      core.world.run(2000);
+      core.world.run(2000ms);
 
       auto first_has = [&](CommitOutcome outcome) {
         return core.count_replies("local:first", outcome) + core.count_replies("local:first again", outcome) > 0;
@@ -143,23 +142,23 @@
   SimulatedCore core(3);
   Revision base = core.view("controller1")->revision;
   core.commit("controller2", "local:first", "a", empty_configuration(base, 9));
-  core.world.run(3000);
+  core.world.run(3000ms);
   REQUIRE(core.count_replies("local:first", CommitOutcome::committed) == 1);
 
   core.world.isolate("controller1");
   core.commit("controller1", "local:repeated", "a", empty_configuration(base, 9), kCommitTimeoutOfOperators);
   core.commit("controller1", "local:rival", "b", empty_configuration(base, 9), kCommitTimeoutOfOperators);
-  core.world.run(2000);
+  core.world.run(2000ms);
 
   CHECK(core.count_replies("local:repeated", CommitOutcome::committed) == 0);
   CHECK(core.count_replies("local:repeated", CommitOutcome::unknown) == 1);
   CHECK(core.count_replies("local:rival", CommitOutcome::rejected) == 0);
 
   core.world.heal();
-  core.world.run(2000);
+  core.world.run(2000ms);
   core.commit("controller1", "local:repeated", "a", empty_configuration(base, 9), kCommitTimeoutOfOperators);
   core.commit("controller1", "local:rival", "b", empty_configuration(base, 9), kCommitTimeoutOfOperators);
-  core.world.run(2000);
+  core.world.run(2000ms);
 
   CHECK(core.count_replies("local:repeated", CommitOutcome::committed) == 1);
   CHECK(core.count_replies("local:rival", CommitOutcome::rejected) == 1);
--- a/tests/unit/consensus/sequence_barrier_test.cpp
+++ b/tests/unit/consensus/sequence_barrier_test.cpp
@@ -1,6 +1,5 @@
 #include "consensus/sequence_barrier.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 #include "consensus/constants.hpp"
 #include "unit/metadata/store_fleet_fixture.hpp"
@@ -10,8 +9,8 @@
 
 TEST_CASE("A step that moves partitions needs a recent heartbeat of each new store that has streamed this sequence") {
   StoreFleet fleet(8);
-  FailureDetector detector(1000);
-  TimePoint now = 1000;
+  TimePoint now{1000ms};
+  FailureDetector detector(now);
   auto leaver = fleet.id("store11");
   fleet.commit(PrepareDrain{leaver});
   fleet.commit(AdvanceSequence{leaver, SequenceStep::start});
@@ -39,7 +38,7 @@
   CHECK_FALSE(is_streamed());
   all_report(started_epoch);
   CHECK(is_streamed());
-  now += kHeartbeatTimeout + 1;
+  now += kHeartbeatTimeout + 1ms;
   CHECK_FALSE(is_streamed());
   all_report(started_epoch);
   fleet.commit(AdvanceSequence{leaver, SequenceStep::mid});
--- a/tests/unit/consensus/stale_log_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -1,10 +1,9 @@
 // A controller that starts again with an old log decides and answers nothing before it holds the newest epoch.
-#include <catch2/catch.hpp>
-
 #include "base/codec.hpp"
 #include "consensus/controller_machine.hpp"
 #include "messages/constants.hpp"
 #include "runtime/constants.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -69,7 +68,7 @@
 
   /// Lets time pass; the others grant each lease that is requested, stamped with `epoch`, and send nothing else.
   bool becomes_supervisor_with_grants_at(Epoch epoch) {
-    for (Duration end = now + kSeveralLeases; now < end; now += kTickInterval) {
+    for (TimePoint end = now + kSeveralLeases; now < end; now += kTickInterval) {
       grant_leases(machine->tick(now), epoch);
       if (machine->is_supervisor(now))
         return true;
--- a/tests/unit/consensus/supervisor_lease_test.cpp
+++ b/tests/unit/consensus/supervisor_lease_test.cpp
@@ -1,7 +1,6 @@
 // The supervisor's lease alone: grants of a member, and the holder's own time.
-#include <catch2/catch.hpp>
-
 #include "consensus/supervisor_lease.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -60,11 +59,11 @@
 TEST_CASE("SupervisorLease is granted to one controller at a time, and to none right after a start") {
   LeaseOfMember member;
 
-  CHECK_FALSE(member.grants(2, kStart + kSupervisorLeaseDuration - 1));
+  CHECK_FALSE(member.grants(2, kStart + kSupervisorLeaseDuration - 1ms));
   TimePoint granted_at = kStart + kSupervisorLeaseDuration;
   CHECK(member.grants(2, granted_at));
-  CHECK_FALSE(member.grants(3, granted_at + kSupervisorLeaseDuration - 1));
-  CHECK(member.grants(2, granted_at + kSupervisorLeaseDuration - 1));
+  CHECK_FALSE(member.grants(3, granted_at + kSupervisorLeaseDuration - 1ms));
+  CHECK(member.grants(2, granted_at + kSupervisorLeaseDuration - 1ms));
   CHECK(member.grants(3, granted_at + 2 * kSupervisorLeaseDuration));
 }
 
@@ -73,9 +72,9 @@
   TimePoint granted_at = kStart + kSupervisorLeaseDuration;
   REQUIRE(member.grants(2, granted_at));
 
-  member.lease.on_shutdown_of(Incarnation{2}, granted_at + 1);
+  member.lease.on_shutdown_of(Incarnation{2}, granted_at + 1ms);
 
-  CHECK(member.grants(3, granted_at + 1));
+  CHECK(member.grants(3, granted_at + 1ms));
 }
 
 TEST_CASE("SupervisorLease is held from a majority's grants until its margin before the end") {
@@ -83,13 +82,13 @@
   TimePoint requested_at = kStart + kSupervisorLeaseDuration;
   uint64_t request_id = holder.request(requested_at);
 
-  holder.receive_grant(1, request_id, requested_at + 10);
-  CHECK_FALSE(holder.lease.is_held(requested_at + 10));
-  holder.receive_grant(2, request_id, requested_at + 20);
+  holder.receive_grant(1, request_id, requested_at + 10ms);
+  CHECK_FALSE(holder.lease.is_held(requested_at + 10ms));
+  holder.receive_grant(2, request_id, requested_at + 20ms);
 
-  Duration end = requested_at + kSupervisorLeaseDuration - kSupervisorLeaseMargin;
-  CHECK(holder.lease.is_held(requested_at + 20));
-  CHECK(holder.lease.is_held(end - 1));
+  TimePoint end = requested_at + kSupervisorLeaseDuration - kSupervisorLeaseMargin;
+  CHECK(holder.lease.is_held(requested_at + 20ms));
+  CHECK(holder.lease.is_held(end - 1ms));
   CHECK_FALSE(holder.lease.is_held(end));
 }
 
@@ -97,9 +96,9 @@
   LeaseOfMember holder;
   TimePoint requested_at = kStart + kSupervisorLeaseDuration;
   uint64_t first_request = holder.request(requested_at);
-  holder.receive_grant(1, first_request, requested_at + 10);
+  holder.receive_grant(1, first_request, requested_at + 10ms);
   uint64_t second_request = holder.request(requested_at + kSupervisorLeaseRenewInterval);
-  TimePoint now = requested_at + kSupervisorLeaseRenewInterval + 10;
+  TimePoint now = requested_at + kSupervisorLeaseRenewInterval + 10ms;
 
   holder.receive_grant(2, first_request, now);
   holder.receive_grant(3, second_request, now);
@@ -112,13 +111,13 @@
   LeaseOfMember holder;
   TimePoint requested_at = kStart + kSupervisorLeaseDuration;
   uint64_t request_id = holder.request(requested_at);
-  holder.receive_grant(1, request_id, requested_at + 10);
-  holder.receive_grant(2, request_id, requested_at + 10);
-  REQUIRE(holder.lease.is_held(requested_at + 10));
+  holder.receive_grant(1, request_id, requested_at + 10ms);
+  holder.receive_grant(2, request_id, requested_at + 10ms);
+  REQUIRE(holder.lease.is_held(requested_at + 10ms));
 
   holder.lease.resign();
 
-  CHECK_FALSE(holder.lease.is_held(requested_at + 10));
+  CHECK_FALSE(holder.lease.is_held(requested_at + 10ms));
   holder.lease.tick(requested_at + kSupervisorLeaseRenewInterval);
   CHECK(holder.outbox.take().now.empty());
 }
