--- a/tests/unit/control/admin_json_test.cpp
+++ b/tests/unit/control/admin_json_test.cpp
@@ -1,7 +1,6 @@
-#include <catch2/catch.hpp>
-
 #include "control/admin_json.hpp"
 #include "metadata/constants.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 using json::Json;
--- a/tests/unit/control/command_language_test.cpp
+++ b/tests/unit/control/command_language_test.cpp
@@ -1,6 +1,5 @@
-#include <catch2/catch.hpp>
-
 #include "control/command_language.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
--- a/tests/unit/control/control_session_test.cpp
+++ b/tests/unit/control/control_session_test.cpp
@@ -1,9 +1,8 @@
 // Results of commands come out of the commit's own reply, and one deadline covers a whole request.
-#include <catch2/catch.hpp>
-
+#include "control/control_session.hpp"
 #include "control/constants.hpp"
 #include "control/control_protocol.hpp"
-#include "control/control_session.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 using Code = CommandResult::Code;
@@ -25,7 +24,7 @@
 /// result can be read off it.
 struct ScriptedController : ControllerAccess {
   ControllerMachine machine{Identity{{Incarnation{1}, Role::controller, "z", "c1", "", ""}, {}, 3, 1}, {}, kStart};
-  Duration clock = kStart;
+  TimePoint clock = kStart;
   /// How long each commit takes.
   Duration delay{};
   std::vector<CommitReply> replies;
@@ -94,9 +93,9 @@
 TEST_CASE("ControlSession ends a request of several commits within one deadline") {
   const auto* protocol = find_control_protocol("platform");
   REQUIRE(protocol);
-  for (Duration delay : {100, 300, 500, 800, 1000, 5000}) {
+  for (Duration delay : {100ms, 300ms, 500ms, 800ms, 1000ms, 5000ms}) {
     for (const auto* method : {"PUT", "PATCH", "GET"}) {
-      INFO(method << " with commits of " << delay << " ms");
+      INFO(method << " with commits of " << delay.count() << " ms");
       ScriptedController controller;
       controller.delay = delay;
       controller.replies.assign(4, make_reply(CommitOutcome::rejected, Rejection::revision_conflict));
