--- a/tests/unit/history/history_writer_test.cpp
+++ b/tests/unit/history/history_writer_test.cpp
@@ -1,6 +1,5 @@
 #include "history/history_writer.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 #include "history/constants.hpp"
 #include "unit/routing/turn_owner_fixture.hpp"
@@ -47,7 +46,7 @@
   answer(14, Epoch{6}, {});
 
   owner.metadata_log.install_snapshot(with_new_stores(moving));
-  owner.now += kStoreRetryInterval + 1;
+  owner.now += kStoreRetryInterval + 1ms;
   writer.tick(owner.now);
   CHECK(writer.open(name, owner.now) == HistoryWriter::State::opening);
 
@@ -87,7 +86,7 @@
   auto name = turn_history_name("p");
 
   CHECK(owner.history_writer.open(name, owner.now) == HistoryWriter::State::opening);
-  owner.now += kHistoryQuorumTimeout + 1;
+  owner.now += kHistoryQuorumTimeout + 1ms;
   CHECK(owner.history_writer.open(name, owner.now) == HistoryWriter::State::unavailable);
 
   auto metadata = *owner.metadata_log.view();
--- a/tests/unit/history/load_shedder_test.cpp
+++ b/tests/unit/history/load_shedder_test.cpp
@@ -1,7 +1,6 @@
 // What a store rejects while its memory or its disk is short.
 #include "history/load_shedder.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 #include "unit/history/store_fixture.hpp"
 
@@ -15,7 +14,7 @@
 
 /// Whether the store rejects the write, at once and unsynced.
 bool is_rejected(StoreMachine& store, const AppendHistory& request) {
-  auto actions = store.step(from_owner(request), kStart + 1);
+  auto actions = store.step(from_owner(request), kStart + 1ms);
   return actions.synced.empty() && actions.now.size() == 1 &&
          !std::get<AppendHistoryReply>(actions.now[0].body).granted;
 }
@@ -33,7 +32,7 @@
   CHECK(is_rejected(store, replacement(new_history, kFirstTerm, {outcome("turn", 100)})));
   CHECK_FALSE(is_rejected(store, replacement(name, Epoch{3}, outcomes(1, 100))));
   CHECK_FALSE(is_rejected(store, append_of(name, Epoch{3}, 1, end_of_history())));
-  store.step(from_owner(tombstone_request(history_name(1), Epoch{3})), kStart + 2);
+  store.step(from_owner(tombstone_request(history_name(1), Epoch{3})), kStart + 2ms);
   CHECK(store.history_count() == 1);
   CHECK(store.shed_messages() == 2);
 
@@ -45,7 +44,7 @@
   StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 1, 1, 100), kStart);
   store.set_load(kMemoryShort);
 
-  auto actions = store.step(from_owner(append_of(history_name(0), kFirstTerm, 1, outcome("next", 1000))), kStart + 1);
+  auto actions = store.step(from_owner(append_of(history_name(0), kFirstTerm, 1, outcome("next", 1000))), kStart + 1ms);
 
   REQUIRE(actions.synced.size() == 1);
   CHECK(std::get<AppendHistoryReply>(actions.synced[0].body).length == 2);
@@ -57,9 +56,9 @@
   auto write = from_owner(append_of(history_name(0), kFirstTerm, 1, outcome("next", 1000)));
 
   store.set_load(kDiskBehind);
-  CHECK(store.step(read, kStart + 1).synced.empty());
-  CHECK(store.step(write, kStart + 2).synced.size() == 1);
+  CHECK(store.step(read, kStart + 1ms).synced.empty());
+  CHECK(store.step(write, kStart + 2ms).synced.size() == 1);
 
   store.set_load({});
-  CHECK(store.step(read, kStart + 3).synced.size() == 1);
+  CHECK(store.step(read, kStart + 3ms).synced.size() == 1);
 }
--- a/tests/unit/history/partition_repair_test.cpp
+++ b/tests/unit/history/partition_repair_test.cpp
@@ -1,6 +1,5 @@
 #include "history/partition_repair.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 #include "history/constants.hpp"
 #include "unit/history/store_fixture.hpp"
@@ -45,7 +44,7 @@
   }
 
   std::map<Address, std::unique_ptr<StoreMachine>> stores_;
-  TimePoint now_ = kStart + kRepairMinimumAge + 1;
+  TimePoint now_ = kStart + kRepairMinimumAge + 1ms;
 };
 
 /// Each of the 64 partitions is compared with two stores, and those that differ take some steps more.
@@ -77,7 +76,7 @@
   ComparingStores stores;
   for (uint64_t number = 2; number <= 4; ++number)
     stores.add(number, recovered_store(number, settled_fleet(), 1, 1, 100));
-  stores.store(3).step(from_owner(tombstone_request(history_name(0), kFirstTerm)), kStart + 1);
+  stores.store(3).step(from_owner(tombstone_request(history_name(0), kFirstTerm)), kStart + 1ms);
 
   stores.repair(kStepsOfSomeRounds);
 
--- a/tests/unit/history/partition_streams_test.cpp
+++ b/tests/unit/history/partition_streams_test.cpp
@@ -1,7 +1,6 @@
 // How a store streams the partitions that it is about to hold.
 #include "history/partition_streams.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 #include "history/constants.hpp"
 #include "unit/history/store_fixture.hpp"
--- a/tests/unit/history/store_machine_test.cpp
+++ b/tests/unit/history/store_machine_test.cpp
@@ -1,7 +1,6 @@
 // What a store journals, recovers and keeps.
 #include "history/store_machine.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 #include "history/constants.hpp"
 #include "unit/history/store_fixture.hpp"
@@ -25,8 +24,8 @@
   auto records = outcomes(10, 10000);
   auto request = from_owner(replacement(name, Epoch{3}, records));
 
-  auto first = store.step(request, kStart + 1);
-  auto repeated = store.step(request, kStart + 2);
+  auto first = store.step(request, kStart + 1ms);
+  auto repeated = store.step(request, kStart + 2ms);
 
   CHECK(synced_reply(first).granted);
   CHECK(journaled_bytes(first) < 200);
@@ -44,8 +43,8 @@
   StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 1, 1, 100), kStart);
   auto request = from_owner(append_of(history_name(0), kFirstTerm, 1, outcome("next", 10000)));
 
-  auto first = store.step(request, kStart + 1);
-  auto repeated = store.step(request, kStart + 2);
+  auto first = store.step(request, kStart + 1ms);
+  auto repeated = store.step(request, kStart + 2ms);
 
   CHECK(journaled_bytes(first) > 10000);
   CHECK(synced_reply(repeated).length == 2);
@@ -55,7 +54,7 @@
 TEST_CASE("An append behind a gap is not applied, and asks for the whole history") {
   StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 1, 1, 100), kStart);
 
-  auto actions = store.step(from_owner(append_of(history_name(0), kFirstTerm, 2, outcome("late", 10))), kStart + 1);
+  auto actions = store.step(from_owner(append_of(history_name(0), kFirstTerm, 2, outcome("late", 10))), kStart + 1ms);
 
   CHECK(synced_reply(actions).granted);
   CHECK(synced_reply(actions).gap);
@@ -66,8 +65,8 @@
   StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 1, 1, 100), kStart);
   auto name = history_name(0);
 
-  auto read = store.step(from_owner(read_request(name, Epoch{3})), kStart + 1);
-  auto write = store.step(from_owner(append_of(name, kFirstTerm, 1, outcome("late", 10))), kStart + 2);
+  auto read = store.step(from_owner(read_request(name, Epoch{3})), kStart + 1ms);
+  auto write = store.step(from_owner(append_of(name, kFirstTerm, 1, outcome("late", 10))), kStart + 2ms);
 
   REQUIRE(read.synced.size() == 1);
   auto& reply = std::get<ReadHistoryReply>(read.synced[0].body);
@@ -85,8 +84,8 @@
   StoreMachine store(identity_of(2), disk, kStart);
   auto name = history_name(0);
 
-  auto deleted = store.step(from_owner(tombstone_request(name, kFirstTerm)), kStart + 1);
-  auto revived = store.step(from_owner(replacement(name, Epoch{3}, outcomes(1, 100))), kStart + 2);
+  auto deleted = store.step(from_owner(tombstone_request(name, kFirstTerm)), kStart + 1ms);
+  auto revived = store.step(from_owner(replacement(name, Epoch{3}, outcomes(1, 100))), kStart + 2ms);
 
   CHECK_FALSE(synced_reply(revived).granted);
   append_journal(disk, deleted);
@@ -131,7 +130,7 @@
     partition.term = Epoch{3};
   }
 
-  auto learned = store.step(from_owner(CatchupReply{moved.epoch, moved, {}}), kStart + 1);
+  auto learned = store.step(from_owner(CatchupReply{moved.epoch, moved, {}}), kStart + 1ms);
 
   CHECK(store.tick(kStart + kTickInterval).journal.empty());
   CHECK(store.tick(kStart + kMovedPartitionKeepTime / 2).journal.empty());
--- a/tests/unit/history/store_memory_test.cpp
+++ b/tests/unit/history/store_memory_test.cpp
@@ -3,10 +3,10 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#include <catch2/catch.hpp>
 #include <chrono>
 #include <fstream>
 
+#include "unit/catch.hpp"
 #include "unit/history/store_fixture.hpp"
 
 using namespace mosskeel;
--- a/tests/unit/history/tombstones_test.cpp
+++ b/tests/unit/history/tombstones_test.cpp
@@ -1,7 +1,7 @@
 #include "history/tombstones.hpp"
+#include "unit/catch.hpp"
 
 #include <algorithm>
-#include <catch2/catch.hpp>
 
 using namespace mosskeel;
 
--- a/tests/unit/history/turn_chain_test.cpp
+++ b/tests/unit/history/turn_chain_test.cpp
@@ -1,6 +1,5 @@
 #include "history/turn_chain.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
