--- a/tests/unit/messages/golden_examples.cpp
+++ b/tests/unit/messages/golden_examples.cpp
@@ -632,7 +632,7 @@
 StoreCheckpoint store_checkpoint_example() {
   return {.metadata = metadata(10000),
           .partitions = {{PartitionId{301}, stored_partition(30000)}, {PartitionId{302}, stored_partition(40000)}},
-          .uptime = 303};
+          .uptime = 303ms};
 }
 
 SyncMark sync_mark_example() {
--- a/tests/unit/messages/golden_fields.hpp
+++ b/tests/unit/messages/golden_fields.hpp
@@ -1,11 +1,11 @@
 #pragma once
 // Every field of a value by its name, so that tests compare and report fields rather than bytes.
 #include <algorithm>
-#include <catch2/catch.hpp>
 #include <string>
 #include <vector>
 
 #include "base/codec.hpp"
+#include "unit/catch.hpp"
 
 namespace mosskeel::golden {
 
@@ -94,6 +94,8 @@
     fields.push_back({path, FieldType::number, std::to_string(value)});
   } else if constexpr (codec::is_strong<Value>::value) {
     collect_fields(value.value(), path, fields);
+  } else if constexpr (codec::is_duration<Value>::value) {
+    collect_fields(value.count(), path, fields);
   } else if constexpr (!std::is_empty_v<Value>) {
     namespace hana = boost::hana;
     auto collect_member = [&](auto member) {
--- a/tests/unit/messages/golden_files.hpp
+++ b/tests/unit/messages/golden_files.hpp
@@ -1,11 +1,12 @@
 #pragma once
 // Files of golden data: where they are, how they are read, and how new ones are written once.
-#include <catch2/catch.hpp>
 #include <filesystem>
 #include <fstream>
 #include <sstream>
 #include <string>
 
+#include "unit/catch.hpp"
+
 namespace mosskeel::golden {
 
 inline std::filesystem::path data_directory() {
