--- a/tests/unit/metadata/replica_sets_test.cpp
+++ b/tests/unit/metadata/replica_sets_test.cpp
@@ -1,8 +1,8 @@
 // How many stores hold a partition, which ones, and the quorums that follow from that.
 #include <algorithm>
-#include <catch2/catch.hpp>
 
 #include "metadata/constants.hpp"
+#include "unit/catch.hpp"
 #include "unit/metadata/store_fleet_fixture.hpp"
 
 using namespace mosskeel;
--- a/tests/unit/metadata/replication_factor_test.cpp
+++ b/tests/unit/metadata/replication_factor_test.cpp
@@ -1,7 +1,6 @@
-#include <catch2/catch.hpp>
-
 #include "metadata/constants.hpp"
 #include "metadata/metadata.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
--- a/tests/unit/metadata/store_fleet_fixture.hpp
+++ b/tests/unit/metadata/store_fleet_fixture.hpp
@@ -1,8 +1,7 @@
 #pragma once
 // A metadata value of a fleet with stores, made by the same transformations as a real one.
-#include <catch2/catch.hpp>
-
 #include "metadata/transformation.hpp"
+#include "unit/catch.hpp"
 
 namespace mosskeel::test {
 
--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -1,8 +1,8 @@
 // Conformance of the metadata value and its transformations with the design: what each changes, and what is rejected.
 #include "metadata/transformation.hpp"
+#include "unit/catch.hpp"
 
 #include <algorithm>
-#include <catch2/catch.hpp>
 
 #include "base/codec.hpp"
 #include "metadata/constants.hpp"
