--- a/tests/unit/net/event_loop_test.cpp
+++ b/tests/unit/net/event_loop_test.cpp
@@ -8,16 +8,16 @@
 TEST_CASE("EventLoop runs timers in the order of their time and no cancelled one") {
   EventLoop loop;
   std::string ran;
-  loop.run_after(3, [&] {
+  loop.run_after(3ms, [&] {
     ran += "c";
     loop.stop();
   });
-  loop.run_after(1, [&] { ran += "a"; });
-  auto cancelled = loop.run_after(1, [&] { ran += "x"; });
-  loop.run_after(2, [&] { ran += "b"; });
+  loop.run_after(1ms, [&] { ran += "a"; });
+  auto cancelled = loop.run_after(1ms, [&] { ran += "x"; });
+  loop.run_after(2ms, [&] { ran += "b"; });
   loop.cancel(cancelled);
   for (int i = 0; i < 1000; ++i) {
-    loop.cancel(loop.run_after(1, [&] { ran += "y"; }));
+    loop.cancel(loop.run_after(1ms, [&] { ran += "y"; }));
   }
 
   loop.run();
@@ -66,7 +66,7 @@
 TEST_CASE("DeadlineTimer expires once, at the deadline that was set last") {
   EventLoop loop;
   int expirations = 0;
-  TimePoint expired_at{};
+  MonotonicTime expired_at{};
   DeadlineTimer deadline(loop, [&] {
     ++expirations;
     expired_at = monotonic_now();
@@ -74,31 +74,31 @@
   auto begin = monotonic_now();
 
   SECTION("moved later") {
-    deadline.set(5);
-    deadline.set(30);
+    deadline.set(5ms);
+    deadline.set(30ms);
   }
   SECTION("moved earlier") {
-    deadline.set(4000);
-    deadline.set(30);
+    deadline.set(4000ms);
+    deadline.set(30ms);
   }
   SECTION("set again after it was cleared") {
-    deadline.set(5);
+    deadline.set(5ms);
     deadline.clear();
-    deadline.set(30);
+    deadline.set(30ms);
   }
 
   REQUIRE(run_until(loop, [&] { return expirations > 0; }));
   run_iterations(loop, 50);
   CHECK(expirations == 1);
-  CHECK(expired_at - begin >= 30);
-  CHECK(expired_at - begin < 3000);
+  CHECK(expired_at - begin >= 30ms);
+  CHECK(expired_at - begin < 3000ms);
 }
 
 TEST_CASE("DeadlineTimer does not expire once it is cleared, cancelled or set to 0") {
   EventLoop loop;
   bool expired = false;
   DeadlineTimer deadline(loop, [&] { expired = true; });
-  deadline.set(5);
+  deadline.set(5ms);
 
   SECTION("cleared") {
     deadline.clear();
@@ -107,7 +107,7 @@
     deadline.cancel();
   }
   SECTION("set to 0") {
-    deadline.set(0);
+    deadline.set(0ms);
   }
 
   run_iterations(loop, 30);
--- a/tests/unit/net/http_frontend_faults_test.cpp
+++ b/tests/unit/net/http_frontend_faults_test.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr int concurrent_callers = 12;
-constexpr Duration path_timeout_ms = 250ms;
-constexpr Duration tick_interval_ms = 5ms;
-constexpr Duration test_timeout_ms = 30000ms;
+constexpr Duration path_timeout = 250ms;
+constexpr Duration tick_interval = 5ms;
+constexpr Duration test_timeout = 30000ms;
 
 /// One attempt of a caller and what came back.
 struct Attempt {
@@ -59,10 +59,10 @@
       replica.url = "http://" + replicas.back()->address();
     }
     for (auto& path : metadata.configuration.paths) {
-      path.timeout_ms = path_timeout_ms;
+      path.timeout_ms = path_timeout.count();
     }
     snapshot = std::make_shared<RoutingSnapshot>(
-        RoutingSnapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, INT64_MAX, true, false});
+        RoutingSnapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, TimePoint::max(), true, false});
     auto opened = HttpFrontend::open(
         loop, *find_protocol_codec("platform"), "127.0.0.1:0", [this] { return snapshot; }, [](Message) {});
     REQUIRE(opened.ok());
@@ -73,7 +73,7 @@
     }
   }
   void tick() {
-    loop.run_after(tick_interval_ms, [this] { tick(); });
+    loop.run_after(tick_interval, [this] { tick(); });
     frontend->tick();
   }
   bool one_in(uint64_t count) { return random() % count == 0; }
@@ -159,7 +159,7 @@
   INFO("seed " << seed);
   FaultsFixture fixture(static_cast<uint64_t>(seed), 250, 40, true);
 
-  auto deadline = monotonic_now() + test_timeout_ms;
+  auto deadline = monotonic_now() + test_timeout;
   while (!fixture.done() && monotonic_now() < deadline) {
     run_iterations(fixture.loop, 20);
   }
@@ -181,10 +181,10 @@
 
   REQUIRE(run_until(fixture.loop, [&] {
     auto elapsed = monotonic_now() - begin;
-    if (elapsed > 30 && !std::exchange(closing, true)) {
+    if (elapsed > 30ms && !std::exchange(closing, true)) {
       fixture.frontend->close_after_responses();
     }
-    if (elapsed > 60 && !std::exchange(draining, true)) {
+    if (elapsed > 60ms && !std::exchange(draining, true)) {
       fixture.frontend->drain();
     }
     return draining && fixture.done() && !fixture.frontend->has_active_callers();
--- a/tests/unit/net/http_listener_test.cpp
+++ b/tests/unit/net/http_listener_test.cpp
@@ -320,7 +320,7 @@
   }
   SECTION("at the end of the idle time") {
     HttpListenerLimits limits;
-    limits.idle_timeout_ms = 20;
+    limits.idle_timeout = 20ms;
     server.listener->set_limits(limits);
     SocketPeer other(server.address());
     REQUIRE(run_until(server.loop, [&] { return other.receive(); }));
@@ -338,8 +338,8 @@
 TEST_CASE("HttpListener responds 408 to slow requests and closes idle connections silently") {
   TestServer server;
   HttpListenerLimits limits;
-  limits.head_timeout_ms = 20;
-  limits.idle_timeout_ms = 60;
+  limits.head_timeout = 20ms;
+  limits.idle_timeout = 60ms;
   server.listener->set_limits(limits);
 
   CHECK(server.exchange("GET / HT").starts_with("HTTP/1.1 408 "));
--- a/tests/unit/net/http_messages_test.cpp
+++ b/tests/unit/net/http_messages_test.cpp
@@ -1,9 +1,8 @@
 // Requests and responses as bytes, without sockets.
-#include <catch2/catch.hpp>
-
 #include "net/http_request_reader.hpp"
 #include "net/http_response_reader.hpp"
 #include "net/http_response_writer.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
--- a/tests/unit/net/local_mailboxes_test.cpp
+++ b/tests/unit/net/local_mailboxes_test.cpp
@@ -1,6 +1,5 @@
 #include "net/local_mailboxes.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -23,10 +22,10 @@
 
   mailboxes.deliver(envelope_to(second.address, 7));
 
-  auto message = second.mailbox->pop(0);
+  auto message = second.mailbox->pop(0ms);
   REQUIRE(message);
   CHECK(std::get<QuorumRead>(*message).id == 7);
-  CHECK_FALSE(first.mailbox->pop(0));
+  CHECK_FALSE(first.mailbox->pop(0ms));
 }
 
 TEST_CASE("LocalMailboxes drops messages to a mailbox that is closed") {
@@ -37,5 +36,5 @@
   mailboxes.deliver(envelope_to(opened.address, 7));
 
   CHECK(mailboxes.size() == 0);
-  CHECK_FALSE(opened.mailbox->pop(0));
+  CHECK_FALSE(opened.mailbox->pop(0ms));
 }
--- a/tests/unit/net/replica_client_test.cpp
+++ b/tests/unit/net/replica_client_test.cpp
@@ -5,13 +5,13 @@
 #include <unistd.h>
 
 #include <atomic>
-#include <catch2/catch.hpp>
 #include <thread>
 
 #include "base/fd.hpp"
 #include "base/queue.hpp"
 #include "net/endpoint.hpp"
 #include "net/replica_client.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -88,7 +88,7 @@
     auto attempt = "a" + std::to_string(++last_attempt);
     client.send({attempt, kind, url, idempotent ? "GET" : "POST", idempotent ? "" : "{}", 5000, idempotent});
     while (true) {
-      auto message = messages.pop(20000);
+      auto message = messages.pop(20000ms);
       REQUIRE(message);
       if (auto* response = std::get_if<ReplicaCallResponse>(&*message)) {
         return *response;
--- a/tests/unit/net/socket_peer.hpp
+++ b/tests/unit/net/socket_peer.hpp
@@ -3,10 +3,9 @@
 #include <arpa/inet.h>
 #include <sys/socket.h>
 
-#include <catch2/catch.hpp>
-
 #include "net/endpoint.hpp"
 #include "net/event_loop.hpp"
+#include "unit/catch.hpp"
 
 namespace mosskeel {
 
@@ -14,12 +13,12 @@
 /// @return whether it holds; false after 5 s without.
 template <class Condition>
 bool run_until(EventLoop& loop, Condition holds) {
-  auto deadline = monotonic_now() + 5000;
+  auto deadline = monotonic_now() + 5000ms;
   std::function<void()> check = [&] {
     if (holds() || monotonic_now() > deadline) {
       loop.stop();
     } else {
-      loop.run_after(1, check);
+      loop.run_after(1ms, check);
     }
   };
   loop.post(check);
--- a/tests/unit/net/upstream_client_test.cpp
+++ b/tests/unit/net/upstream_client_test.cpp
@@ -251,7 +251,7 @@
   REQUIRE(::listen(fixture.replica.socket.get(), 0) == 0);
   SocketPeer fills_the_backlog(fixture.replica.address());
   UpstreamClient::Request request{fixture.replica.address(), "GET", "/", {}, ""};
-  request.connect_timeout_ms = 30;
+  request.connect_timeout = 30ms;
 
   auto id = fixture.client.send_request(request);
 
@@ -336,20 +336,20 @@
   UpstreamClientFixture fixture;
   auto exchange_with_max_idle = [&](Duration max_idle) {
     auto request = fixture.make_request();
-    request.max_idle_ms = max_idle;
+    request.max_idle = max_idle;
     auto id = fixture.send(std::move(request));
     fixture.replica.connections.back().send(good_response);
     CHECK(fixture.wait_for_outcome(id).completions == 1);
   };
-  exchange_with_max_idle(0);
-  auto idle_until = monotonic_now() + 30;
+  exchange_with_max_idle(0ms);
+  auto idle_until = monotonic_now() + 30ms;
   run_until(fixture.loop, [&] { return monotonic_now() > idle_until; });
 
-  exchange_with_max_idle(20);
+  exchange_with_max_idle(20ms);
   CHECK(fixture.client.connections_opened() == 2);
   CHECK(fixture.client.idle_connections() == 2);
 
-  exchange_with_max_idle(5000);
+  exchange_with_max_idle(5000ms);
   CHECK(fixture.client.connections_opened() == 2);
 }
 
--- a/tests/unit/net/wire_test.cpp
+++ b/tests/unit/net/wire_test.cpp
@@ -1,6 +1,5 @@
 #include "net/wire.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
