--- a/tests/unit/platform/admin_api_test.cpp
+++ b/tests/unit/platform/admin_api_test.cpp
@@ -1,7 +1,6 @@
 // The operator's requests, and the statuses that the results of commands become.
-#include <catch2/catch.hpp>
-
 #include "control/control_protocol.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 using Code = CommandResult::Code;
--- a/tests/unit/platform/configuration_test.cpp
+++ b/tests/unit/platform/configuration_test.cpp
@@ -1,9 +1,8 @@
 // The operator's configurations: complete, patched, and wrong.
-#include <catch2/catch.hpp>
-
 #include <nlohmann/json.hpp>
 
 #include "platform/configuration.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 using platform::parse_configuration;
--- a/tests/unit/platform/protocol_codec_test.cpp
+++ b/tests/unit/platform/protocol_codec_test.cpp
@@ -1,7 +1,6 @@
 // The platform's HTTP headers.
-#include <catch2/catch.hpp>
-
 #include "net/protocol_codec.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -51,20 +50,20 @@
   CHECK(headers.max_output_tokens == 80);
   CHECK(headers.prompt_parts ==
         std::vector<std::pair<std::string, uint64_t>>{{"5c1e07a2", 800}, {"91bd3f06", 410}, {"e4402b7d", 250}});
-  CHECK(headers.time_left == 4000);
-  CHECK(headers.program_time_left == 5200);
+  CHECK(headers.time_left == 4000ms);
+  CHECK(headers.program_time_left == 5200ms);
 }
 
 TEST_CASE("Missing request headers leave values unset, and a negative time left is zero") {
   auto parsed = codec().parse_request(get_request({}));
   REQUIRE(parsed.ok());
-  CHECK(parsed.value().time_left == -1);
-  CHECK(parsed.value().program_time_left == -1);
+  CHECK(parsed.value().time_left == std::nullopt);
+  CHECK(parsed.value().program_time_left == std::nullopt);
   CHECK_FALSE(parsed.value().token_budget);
 
   auto late = codec().parse_request(get_request({{"Mosskeel-Time-Left", "-3"}}));
   REQUIRE(late.ok());
-  CHECK(late.value().time_left == 0);
+  CHECK(late.value().time_left == 0ms);
 }
 
 TEST_CASE("Unreadable numbers in request headers are findings with the header's name") {
@@ -108,20 +107,20 @@
 
 TEST_CASE("Upstream headers replace those that the caller sent") {
   HeaderFields forged{{"mosskeel-target-replica", "forged"}, {"Mosskeel-Time-Left", "9000"}, {"Accept", "*/*"}};
-  codec().set_upstream_headers(forged, "i-7f3a91c2", 1200, 3);
+  codec().set_upstream_headers(forged, "i-7f3a91c2", 1200ms, 3);
   CHECK(forged == HeaderFields{{"Accept", "*/*"},
                                {"Mosskeel-Target-Replica", "i-7f3a91c2"},
                                {"Mosskeel-Time-Left", "1200"},
                                {"Mosskeel-Urgency", "3"}});
 
   HeaderFields with_urgency{{"Mosskeel-Urgency", "7"}};
-  codec().set_upstream_headers(with_urgency, "i-1", -1, std::nullopt);
+  codec().set_upstream_headers(with_urgency, "i-1", std::nullopt, std::nullopt);
   CHECK(with_urgency == HeaderFields{{"Mosskeel-Urgency", "7"}, {"Mosskeel-Target-Replica", "i-1"}});
 }
 
 TEST_CASE("Rejection headers carry Retry-After in seconds, and readiness checks are recognized") {
-  CHECK(codec().rejection_headers(250) == HeaderFields{{"Retry-After", "0.250"}});
-  CHECK(codec().rejection_headers(0).empty());
+  CHECK(codec().rejection_headers(250ms) == HeaderFields{{"Retry-After", "0.250"}});
+  CHECK(codec().rejection_headers(0ms).empty());
 
   CHECK(codec().is_readiness_probe({"GET", "/v1/ready", "", {}, ""}));
   CHECK(codec().is_readiness_probe({"GET", "/v1/ready?x", "", {}, ""}));
--- a/tests/unit/platform/replica_list_test.cpp
+++ b/tests/unit/platform/replica_list_test.cpp
@@ -1,7 +1,6 @@
 // The platform's list of replicas.
-#include <catch2/catch.hpp>
-
 #include "control/control_protocol.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
--- a/tests/unit/platform/settings_test.cpp
+++ b/tests/unit/platform/settings_test.cpp
@@ -1,6 +1,4 @@
 // The platform's settings file, and what it makes of each program's settings.
-#include <catch2/catch.hpp>
-
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
@@ -8,6 +6,7 @@
 
 #include "platform/settings.hpp"
 #include "runtime/constants.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 using platform::parse_settings;
@@ -148,7 +147,7 @@
     auto settings = read_settings(1, no_flags, store);
     REQUIRE(std::holds_alternative<Settings>(settings));
     CHECK(std::get<Settings>(settings).listen == "10.1.0.32:7383");
-    CHECK(std::get<Settings>(settings).tcm_await_ms == kCommitTimeout);
+    CHECK(std::get<Settings>(settings).tcm_await_ms == kCommitTimeout.count());
     CHECK(std::get<int>(read_settings(3, zone_flag, store)) == 2);
 
     file.remove();
