--- a/tests/unit/programs/admission_policy_test.cpp
+++ b/tests/unit/programs/admission_policy_test.cpp
@@ -1,8 +1,7 @@
 // What a request meets on its arrival at a gateway.
-#include <catch2/catch.hpp>
-
 #include "programs/admission_policy.hpp"
 #include "programs/constants.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -46,7 +45,7 @@
 
   CHECK(arrival.request.key == "attempt");
   CHECK(arrival.request.max_tokens == 10);
-  CHECK(arrival.request.deadline_ms == kDefaultRequestTimeout);
+  CHECK(arrival.request.deadline_ms == kDefaultRequestTimeout.count());
 }
 
 TEST_CASE("Admission rejects callers of a gateway that shuts down, and takes what other gateways forward") {
@@ -123,7 +122,7 @@
 TEST_CASE("Admission rejects at once what would wait longer than its share of time, unless it waits elsewhere") {
   Arrival arrival;
   auto context = arrival.context();
-  context.expected_wait = kMaxQueueWait / 2 + 1;
+  context.expected_wait = kMaxQueueWait / 2 + 1ms;
 
   auto here = arrival.evaluate(context);
   context.is_served_here = false;
@@ -131,6 +130,6 @@
 
   REQUIRE(here);
   CHECK(here->status == 503);
-  CHECK(here->retry_after_ms == kMaxQueueWait / 2 + 1);
+  CHECK(here->retry_after_ms == (kMaxQueueWait / 2 + 1ms).count());
   CHECK_FALSE(elsewhere);
 }
--- a/tests/unit/programs/gateway_shutdown_test.cpp
+++ b/tests/unit/programs/gateway_shutdown_test.cpp
@@ -1,9 +1,8 @@
 // When a gateway that was told to shut down stops.
-#include <catch2/catch.hpp>
-
 #include "programs/constants.hpp"
 #include "programs/gateway_machine.hpp"
 #include "runtime/constants.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
--- a/tests/unit/programs/majority_contact_test.cpp
+++ b/tests/unit/programs/majority_contact_test.cpp
@@ -1,10 +1,9 @@
 // How long a gateway dispatches while the metadata log moves on ahead of it.
-#include <catch2/catch.hpp>
-
 #include "messages/constants.hpp"
 #include "programs/gateway_machine.hpp"
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -29,8 +28,8 @@
   Entry next_entry() const { return {next(metadata_.epoch), "", Register{candidate(31, Role::store, "store")}}; }
 
   /// The agent's answer to a heartbeat that was sent then.
-  void answer_heartbeat(Duration sent, Epoch epoch, std::optional<Metadata> checkpoint = std::nullopt) {
-    HeartbeatReply reply{epoch, std::move(checkpoint), {}, 0, true, sent};
+  void answer_heartbeat(TimePoint sent, Epoch epoch, std::optional<Metadata> checkpoint = std::nullopt) {
+    HeartbeatReply reply{epoch, std::move(checkpoint), {}, 0, true, to_milliseconds(sent)};
     machine.step(envelope(epoch, std::move(reply)), sent);
   }
   /// A message that is stamped with an epoch which the gateway does not have.
@@ -70,13 +69,13 @@
   const auto& machine = gateway.machine;
   CHECK(machine.has_majority_contact(kStart));
 
-  gateway.receive_stamped(next(gateway.epoch()), kStart + 10);
+  gateway.receive_stamped(next(gateway.epoch()), kStart + 10ms);
 
-  auto limit = kStart + 10 + kIsolationTimeout / 2;
-  CHECK(machine.has_majority_contact(kStart + 11));
-  CHECK(machine.routing_snapshot(kStart + 11).dispatch_until > kStart + 11);
+  auto limit = kStart + 10ms + kIsolationTimeout / 2;
+  CHECK(machine.has_majority_contact(kStart + 11ms));
+  CHECK(machine.routing_snapshot(kStart + 11ms).dispatch_until > kStart + 11ms);
   CHECK_FALSE(machine.has_majority_contact(limit));
-  CHECK(machine.routing_snapshot(kStart + 11).dispatch_until <= limit);
+  CHECK(machine.routing_snapshot(kStart + 11ms).dispatch_until <= limit);
 }
 
 TEST_CASE("GatewayMachine does not extend that time when it hears of ever later epochs") {
@@ -84,10 +83,10 @@
 
   for (uint64_t i = 0; i < 20; ++i) {
     Epoch later{gateway.epoch().value() + 1 + i};
-    gateway.receive_stamped(later, kStart + 10 + Duration(i) * 50);
+    gateway.receive_stamped(later, kStart + 10ms + Duration(50 * i));
   }
 
-  CHECK_FALSE(gateway.machine.has_majority_contact(kStart + 10 + kIsolationTimeout / 2));
+  CHECK_FALSE(gateway.machine.has_majority_contact(kStart + 10ms + kIsolationTimeout / 2));
 }
 
 TEST_CASE("GatewayMachine counts contact at an epoch ahead of its entry once the entry is there, and not before") {
@@ -95,13 +94,13 @@
   const auto& machine = gateway.machine;
   auto entry = gateway.next_entry();
 
-  gateway.answer_heartbeat(kStart + 1500, entry.epoch);
-  CHECK(machine.has_majority_contact(kStart + kIsolationTimeout - 1));
+  gateway.answer_heartbeat(kStart + 1500ms, entry.epoch);
+  CHECK(machine.has_majority_contact(kStart + kIsolationTimeout - 1ms));
   CHECK_FALSE(machine.has_majority_contact(kStart + kIsolationTimeout));
 
-  gateway.receive_entry(entry, kStart + 1600);
-  CHECK(machine.has_majority_contact(kStart + kIsolationTimeout + 1));
-  CHECK_FALSE(machine.has_majority_contact(kStart + 1500 + kIsolationTimeout));
+  gateway.receive_entry(entry, kStart + 1600ms);
+  CHECK(machine.has_majority_contact(kStart + kIsolationTimeout + 1ms));
+  CHECK_FALSE(machine.has_majority_contact(kStart + 1500ms + kIsolationTimeout));
 }
 
 TEST_CASE("GatewayMachine asks once for a missing epoch, and again when nothing comes") {
@@ -109,9 +108,9 @@
   auto missing = next(gateway.epoch());
 
   size_t requests = 0;
-  for (Duration i{}; i < 100; ++i)
-    requests += catchup_requests(gateway.receive_stamped(missing, kStart + 10 + i));
-  auto requests_later = catchup_requests(gateway.receive_stamped(missing, kStart + 10 + kCatchUpInterval));
+  for (Duration i{}; i < 100ms; ++i)
+    requests += catchup_requests(gateway.receive_stamped(missing, kStart + 10ms + i));
+  auto requests_later = catchup_requests(gateway.receive_stamped(missing, kStart + 10ms + kCatchUpInterval));
 
   CHECK(requests == 1);
   CHECK(requests_later == 1);
--- a/tests/unit/programs/program_requests_test.cpp
+++ b/tests/unit/programs/program_requests_test.cpp
@@ -1,8 +1,7 @@
 // Requests to programs end to end, in a simulated cluster without faults: keys, order, retention, lost stores.
-#include <catch2/catch.hpp>
-
 #include "history/constants.hpp"
 #include "simulation/callers.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::sim;
@@ -40,11 +39,11 @@
 
   void set_retention(Duration retention) {
     auto configuration = world.node("controller1").machine->view()->configuration;
-    configuration.cells[0].retention_ms = retention;
+    configuration.cells[0].retention_ms = retention.count();
     bool is_committed = false;
     callers.commit(ApplyConfiguration{Revision{1}, configuration},
                    [&](const CommitReply& reply) { is_committed = reply.outcome == CommitOutcome::committed; });
-    REQUIRE(world.until(5000, [&] { return is_committed; }));
+    REQUIRE(world.until(5000ms, [&] { return is_committed; }));
   }
 
   void restart_gateways() {
@@ -110,17 +109,17 @@
 TEST_CASE("A conversation is kept for its retention after the last turn and has then ended") {
   ProgramCluster cluster;
   auto& world = cluster.world;
-  cluster.set_retention(5000);
-  world.run(1000);
+  cluster.set_retention(5000ms);
+  world.run(1000ms);
 
   CHECK(cluster.send_turn("p", "k1", "a").status == 200);
-  world.run(4000);
+  world.run(4000ms);
   CHECK(cluster.read_history("p").status == 200);
   CHECK(cluster.send_turn("p", "k2", "b", 1).status == 200);
-  world.run(4500);
+  world.run(4500ms);
   CHECK(cluster.read_history("p").status == 200);
 
-  world.run(5000 + kRetentionMargin + 40000);
+  world.run(5000ms + kRetentionMargin + 40000ms);
   CHECK(cluster.read_history("p").status == 410);
   CHECK(cluster.send_turn("p", "k3", "c", 2).status == 410);
   CHECK(cluster.send_turn("p", "k1", "a").executed == Outcome::unknown);
@@ -134,13 +133,13 @@
   world.power_off("store1");
   world.power_off("store2");
   cluster.restart_gateways();
-  world.run(6000);
+  world.run(6000ms);
   auto unavailable = cluster.read_history("p");
   CHECK(unavailable.status == 503);
   CHECK(unavailable.retry_ms > 0);
   CHECK(cluster.send_turn("p", "k2", "b", 1).status == 503);
 
   world.start("store1");
-  world.run(6000);
+  world.run(6000ms);
   CHECK(cluster.read_history("p").status == 200);
 }
--- a/tests/unit/programs/request_queue_test.cpp
+++ b/tests/unit/programs/request_queue_test.cpp
@@ -1,8 +1,7 @@
 // The order in which requests leave a gateway's queue, and how long one would wait.
-#include <catch2/catch.hpp>
-
-#include "programs/constants.hpp"
 #include "programs/request_queue.hpp"
+#include "programs/constants.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -14,7 +13,7 @@
   open.request.kind = "model";
   open.request.urgent = is_urgent;
   open.arrival_number = requests.size() + 1;
-  open.arrived_at = 1000;
+  open.arrived_at = TimePoint{1000ms};
   auto& added = requests.add(std::move(open));
   queue.push(added);
   return added;
@@ -40,11 +39,11 @@
   RequestQueue queue(requests);
 
   auto& open = queue_request(requests, queue, "attempt", false);
-  CHECK(open.waiting_since == 1000);
+  CHECK(open.waiting_since == TimePoint{1000ms});
 
-  open.waiting_since = 1500;
+  open.waiting_since = TimePoint{1500ms};
   queue.push(open);
-  CHECK(open.waiting_since == 1500);
+  CHECK(open.waiting_since == TimePoint{1500ms});
 }
 
 TEST_CASE("RequestQueue expects a wait by the requests ahead and the pace at which others left") {
@@ -52,13 +51,13 @@
   RequestQueue queue(requests);
   for (int i = 0; i < 4; ++i)
     queue_request(requests, queue, "attempt " + std::to_string(i), i == 0);
-  CHECK(queue.expected_wait("model", false) == 0);
+  CHECK(queue.expected_wait("model", false) == 0ms);
 
-  queue.record_departure("model", 2000);
-  queue.record_departure("model", 2000 + 1000);
+  queue.record_departure("model", TimePoint{2000ms});
+  queue.record_departure("model", TimePoint{2000ms + 1000ms});
 
   auto interval = 1000 * kQueuePaceSmoothing;
-  CHECK(queue.expected_wait("model", false) == Duration(4 * interval));
-  CHECK(queue.expected_wait("model", true) == Duration(1 * interval));
-  CHECK(queue.expected_wait("app", false) == 0);
+  CHECK(queue.expected_wait("model", false) == Duration(static_cast<int64_t>(4 * interval)));
+  CHECK(queue.expected_wait("model", true) == Duration(static_cast<int64_t>(1 * interval)));
+  CHECK(queue.expected_wait("app", false) == 0ms);
 }
--- a/tests/unit/programs/turn_log_test.cpp
+++ b/tests/unit/programs/turn_log_test.cpp
@@ -1,8 +1,8 @@
 // What is read out of a history's records.
-#include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
 #include "programs/turn_log.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
