--- a/tests/unit/replication/agent_shutdown_test.cpp
+++ b/tests/unit/replication/agent_shutdown_test.cpp
@@ -1,9 +1,8 @@
 // When an agent that was told to shut down stops: it is its gateway's link to the core and outlives it.
-#include <catch2/catch.hpp>
-
 #include "replication/agent_machine.hpp"
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -26,7 +25,7 @@
 Envelope heartbeat_of(const Candidate& gateway, bool is_shutting_down, TimePoint now) {
   Heartbeat heartbeat{};
   heartbeat.self = gateway;
-  heartbeat.sent = now;
+  heartbeat.sent = to_milliseconds(now);
   heartbeat.leaving = is_shutting_down;
   Envelope envelope{};
   envelope.from = kGatewayAddress;
@@ -52,7 +51,7 @@
 
   agent.step(heartbeat_of(gateway_of_incarnation(1), true, now), now);
 
-  CHECK_FALSE(stops_within(agent, now, 1500));
+  CHECK_FALSE(stops_within(agent, now, 1500ms));
   CHECK(stops_within(agent, now, kAgentShutdownDelay));
 }
 
--- a/tests/unit/replication/catchup_test.cpp
+++ b/tests/unit/replication/catchup_test.cpp
@@ -1,9 +1,8 @@
 // Members that come back, or come new, after many changes while further ones go on: how soon and for how many bytes.
-#include <catch2/catch.hpp>
-
 #include "base/codec.hpp"
 #include "messages/constants.hpp"
 #include "simulation/world.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 using sim::Kind;
@@ -27,8 +26,8 @@
 
 /// What it took a member to catch up.
 struct CatchUpCost {
-  /// Milliseconds from its return; -1 while it has not caught up.
-  Duration time = -1;
+  /// From its return; unset while it has not caught up.
+  std::optional<Duration> time;
   /// Bytes of all entries and snapshots that were sent to it.
   size_t bytes = 0;
   /// Bytes of one entry and of one snapshot at the end.
@@ -60,8 +59,8 @@
                                       false,
                                       0,
                                       {{"service", 1}}});
-    REQUIRE(world_.until(10000, [this] { return world_.ready("gateway1") && world_.ready("gateway2"); }));
-    world_.run(3000);
+    REQUIRE(world_.until(10000ms, [this] { return world_.ready("gateway1") && world_.ready("gateway2"); }));
+    world_.run(3000ms);
   }
 
   sim::World& world() { return world_; }
@@ -109,17 +108,17 @@
     commit_changes(missed_changes);
     CatchUpCost cost;
     world_.arriving = [&](const Envelope& e) {
-      if (e.to == name && cost.time < 0)
+      if (e.to == name && !cost.time)
         cost.bytes += payload(e.body);
     };
     auto since = world_.now();
     auto goal = newest()->epoch;
     end_absence(name, how);
-    for (int i = 0; i < kChangesMeanwhile || (cost.time < 0 && i < kMaxChangesMeanwhile); ++i) {
+    for (int i = 0; i < kChangesMeanwhile || (!cost.time && i < kMaxChangesMeanwhile); ++i) {
       auto has_caught_up = [&] {
         return world_.node(name).machine->view()->epoch >= goal;
       };
-      if (cost.time < 0 && world_.until(kChangeInterval, has_caught_up))
+      if (!cost.time && world_.until(kChangeInterval, has_caught_up))
         cost.time = world_.now() - since;
       commit_change();
     }
@@ -187,15 +186,16 @@
   Fleet fleet(paths);
   auto cost = fleet.measure_absence(name, how, missed_changes);
   bool is_new = how == Absence::wiped || how == Absence::not_there_yet;
-  REQUIRE(cost.time >= 0);
-  CHECK(cost.time <= (is_new ? kMaxNewMemberCatchUpTime : kMaxCatchUpTime));
+  REQUIRE(cost.time);
+  REQUIRE(*cost.time >= 0ms);
+  CHECK(*cost.time <= (is_new ? kMaxNewMemberCatchUpTime : kMaxCatchUpTime));
   // Whoever answers it may send what it lacks once each; the changes that go on meanwhile come besides.
   constexpr size_t kMaxAnswers = 4;
   auto lack = std::min(cost.entry_bytes * static_cast<size_t>(missed_changes), cost.snapshot_bytes);
-  auto meanwhile = cost.entry_bytes * static_cast<size_t>(cost.time / kChangeInterval + 3) * 2;
+  auto meanwhile = cost.entry_bytes * static_cast<size_t>(*cost.time / kChangeInterval + 3) * 2;
   WARN(name << " absence " << static_cast<int>(how) << " after " << missed_changes << " changes of " << paths
-            << " paths: " << cost.time << " ms, " << cost.bytes << " bytes; entry " << cost.entry_bytes << ", snapshot "
-            << cost.snapshot_bytes);
+            << " paths: " << cost.time->count() << " ms, " << cost.bytes << " bytes; entry " << cost.entry_bytes
+            << ", snapshot " << cost.snapshot_bytes);
   CHECK(cost.bytes <= kMaxAnswers * std::max(lack, cost.entry_bytes) + meanwhile);
 }
 
