--- a/tests/unit/routing/event_reader_test.cpp
+++ b/tests/unit/routing/event_reader_test.cpp
@@ -1,6 +1,5 @@
 #include "routing/event_reader.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
--- a/tests/unit/routing/load_balancer_test.cpp
+++ b/tests/unit/routing/load_balancer_test.cpp
@@ -12,11 +12,11 @@
 struct BalancerFixture {
   Metadata metadata = served();
   LoadBalancer balancer;
-  TimePoint now = 1000;
+  TimePoint now{1000ms};
 
   /// Lets the balancer of this gateway see `metadata`.
   void update(uint64_t gateway = 1) {
-    balancer.update({std::make_shared<Metadata>(metadata), DaemonId{gateway}, 1000000, true, false}, now);
+    balancer.update({std::make_shared<Metadata>(metadata), DaemonId{gateway}, TimePoint{1000000ms}, true, false}, now);
   }
   /// Starts an attempt and returns the replica's name; "later" where none is free now, "none" where there is none.
   std::string start_attempt(uint64_t affinity_hash = 0) {
@@ -72,9 +72,9 @@
   BalancerFixture fixture;
   fixture.update();
   for (auto* name : {"app1", "app2", "app3"})
-    fixture.balancer.back_off(name, fixture.now + 50);
+    fixture.balancer.back_off(name, fixture.now + 50ms);
   CHECK(fixture.start_attempt() == "later");
-  fixture.now += 50;
+  fixture.now += 50ms;
   CHECK(fixture.start_attempt().starts_with("app"));
 
   fixture.metadata.replicas["app1"].health = ReplicaHealth::draining;
@@ -100,14 +100,14 @@
     fixture.update(gateway);
 
     std::vector<TimePoint> sent_at;
-    for (; fixture.now < 6000; ++fixture.now)
+    for (; fixture.now < TimePoint{6000ms}; fixture.now += 1ms)
       while (fixture.start_attempt() == "app1")
         sent_at.push_back(fixture.now);
 
     gateways_that_sent += !sent_at.empty();
     // Never as many as permitted within any second.
     for (auto first = sent_at.begin(), last = first; last != sent_at.end(); ++last) {
-      while (*last - *first >= 1000)
+      while (*last - *first >= 1000ms)
         ++first;
       CHECK(last - first < permitted_per_second);
     }
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -1,9 +1,8 @@
 #pragma once
 // A request router whose callers, replicas and owners of turns are played by the test, in the platform's headers.
-#include <catch2/catch.hpp>
-
 #include "routing/constants.hpp"
 #include "routing/request_router.hpp"
+#include "unit/catch.hpp"
 
 namespace mosskeel::test {
 
@@ -71,14 +70,14 @@
 struct RouterFixture {
   Metadata metadata = served();
   RequestRouter router{*find_protocol_codec("platform")};
-  TimePoint now = 1000;
+  TimePoint now{1000ms};
   /// What the last event or tick led to.
   Actions actions;
   RequestId last_request_id = 0;
 
   RouterFixture() { publish(); }
   /// Lets the router see `metadata`, with majority contact until `dispatch_until`.
-  void publish(TimePoint dispatch_until = 1000000) {
+  void publish(TimePoint dispatch_until = TimePoint{1000000ms}) {
     RoutingSnapshot snapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, dispatch_until, true, false};
     router.update(std::make_shared<RoutingSnapshot>(std::move(snapshot)), now);
   }
--- a/tests/unit/routing/request_router_test.cpp
+++ b/tests/unit/routing/request_router_test.cpp
@@ -163,11 +163,11 @@
 
 TEST_CASE("RequestRouter sends what is not idempotent only on a new connection or one that was just used") {
   RouterFixture fixture;
-  CHECK(fixture.receive_and_send("unsafe").max_idle_ms == kMaxReuseIdle);
-  CHECK(fixture.receive_and_send("stream").max_idle_ms == kMaxReuseIdle);
-  CHECK(fixture.receive_and_send("turn").max_idle_ms == kMaxReuseIdle);
-  CHECK(fixture.receive_and_send("safe").max_idle_ms == INT64_MAX);
-  CHECK(fixture.receive_and_send("resume").max_idle_ms == INT64_MAX);
+  CHECK(fixture.receive_and_send("unsafe").max_idle == kMaxReuseIdle);
+  CHECK(fixture.receive_and_send("stream").max_idle == kMaxReuseIdle);
+  CHECK(fixture.receive_and_send("turn").max_idle == kMaxReuseIdle);
+  CHECK(fixture.receive_and_send("safe").max_idle == Duration::max());
+  CHECK(fixture.receive_and_send("resume").max_idle == Duration::max());
 }
 
 TEST_CASE("RequestRouter bounds the memory held for an error response") {
@@ -283,7 +283,7 @@
   fixture.publish(fixture.now);
   fixture.reply_to_reservation(attempt_id);
   CHECK(fixture.actions.empty());
-  fixture.advance(200);
+  fixture.advance(200ms);
   CHECK(fixture.one<SendResponse>().status == 503);
   CHECK(fixture.outcome().status == 0);
 }
--- a/tests/unit/routing/token_bucket_test.cpp
+++ b/tests/unit/routing/token_bucket_test.cpp
@@ -1,28 +1,27 @@
 #include "routing/token_bucket.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
 TEST_CASE("TokenBucket begins with one token and gets the next one at its rate") {
   TokenBucket bucket;
   bucket.set_rate(10);
-  bucket.reset(1000);
-  bucket.refill(1000);
+  bucket.reset(TimePoint{1000ms});
+  bucket.refill(TimePoint{1000ms});
   CHECK(bucket.has_token());
 
   bucket.take();
-  bucket.refill(1099);
+  bucket.refill(TimePoint{1099ms});
   CHECK_FALSE(bucket.has_token());
-  bucket.refill(1101);
+  bucket.refill(TimePoint{1101ms});
   CHECK(bucket.has_token());
 }
 
 TEST_CASE("TokenBucket saves no more than a tenth of a second's tokens") {
   TokenBucket bucket;
   bucket.set_rate(50);
-  bucket.reset(1000);
-  bucket.refill(61000);
+  bucket.reset(TimePoint{1000ms});
+  bucket.refill(TimePoint{61000ms});
   int taken = 0;
   for (; bucket.has_token(); ++taken)
     bucket.take();
--- a/tests/unit/routing/turn_client_test.cpp
+++ b/tests/unit/routing/turn_client_test.cpp
@@ -15,7 +15,7 @@
   Outbox outbox{identity};
   MetadataLog metadata_log;
   TurnClient client{outbox, metadata_log};
-  TimePoint now = 1000;
+  TimePoint now{1000ms};
 
   ClientFixture() { metadata_log.install_snapshot(small_fleet()); }
   void receive_from_router(Message body) {
@@ -85,7 +85,7 @@
 TEST_CASE("TurnClient rejects a turn whose owner is silent, and tells the owner that it has not run") {
   ClientFixture fixture;
   fixture.receive_from_router(turn("a"));
-  fixture.now += kTurnReservationTimeout + 1;
+  fixture.now += kTurnReservationTimeout + 1ms;
   fixture.client.tick(fixture.now);
   auto rejections = fixture.take<ReserveTurnReply>();
   REQUIRE(rejections.size() == 1);
--- a/tests/unit/routing/turn_coordinator_test.cpp
+++ b/tests/unit/routing/turn_coordinator_test.cpp
@@ -78,7 +78,7 @@
     CHECK(owner.take<ReserveTurnReply>().at(0).status == 404);
   }
   SECTION("one is silent") {
-    owner.now += 1200;
+    owner.now += 1200ms;
     owner.coordinator.tick(owner.now);
     CHECK(owner.take<ReserveTurnReply>().at(0).status == 503);
   }
--- a/tests/unit/routing/turn_index_test.cpp
+++ b/tests/unit/routing/turn_index_test.cpp
@@ -1,6 +1,5 @@
 #include "routing/turn_index.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
--- a/tests/unit/routing/turn_owner_fixture.hpp
+++ b/tests/unit/routing/turn_owner_fixture.hpp
@@ -1,8 +1,7 @@
 #pragma once
 // The owner of all programs, with three stores and two other gateways that the test plays.
-#include <catch2/catch.hpp>
-
 #include "routing/turn_coordinator.hpp"
+#include "unit/catch.hpp"
 
 namespace mosskeel::test {
 
@@ -49,7 +48,7 @@
   MetadataLog metadata_log;
   HistoryWriter history_writer{outbox, metadata_log};
   TurnCoordinator coordinator{outbox, metadata_log, history_writer};
-  TimePoint now = 1000;
+  TimePoint now{1000ms};
 
   Owner() {
     metadata_log.install_snapshot(small_fleet());
--- a/tests/unit/routing/turn_request_test.cpp
+++ b/tests/unit/routing/turn_request_test.cpp
@@ -109,11 +109,11 @@
     RouterFixture fixture;
     auto sent = bring_to(fixture, stage);
     if (stage == Stage::waiting) {
-      fixture.advance(201);
+      fixture.advance(201ms);
     } else {
-      fixture.advance(3999);
+      fixture.advance(3999ms);
       CHECK(fixture.actions.empty());
-      fixture.advance(1);
+      fixture.advance(1ms);
     }
     switch (stage) {
       case Stage::reserving:
@@ -200,7 +200,7 @@
   for (int attempt = 0; attempt < 2; ++attempt)
     fixture.respond(fixture.one<SendToReplica>(), 503, {{"Mosskeel-Not-Run", "1"}}, false);
   CHECK(fixture.one<SendResponse>().status == 503);
-  fixture.advance(2000);
+  fixture.advance(2000ms);
   fixture.receive("unsafe", {}, "same");
   CHECK(fixture.all<SendToReplica>().size() == 1);
 }
@@ -244,9 +244,9 @@
   while (!fixture.actions.empty())
     fixture.receive("unsafe");
   auto oldest = fixture.last_request_id;
-  fixture.now += 10;
+  fixture.now += 10ms;
   fixture.receive("safe");
-  fixture.now += 10;
+  fixture.now += 10ms;
   fixture.receive("unsafe");
   fixture.respond(first, 200);
   fixture.handle(ResponseCompleted{first.attempt});
@@ -256,9 +256,9 @@
   fixture.handle(ResponseCompleted{next.attempt});
   CHECK(header_value(fixture.one<SendToReplica>().fields, "Mosskeel-Attempt-Id") ==
         "a" + std::to_string(fixture.last_request_id));
-  fixture.advance(189);
+  fixture.advance(189ms);
   CHECK(fixture.actions.empty());
-  fixture.advance(1);
+  fixture.advance(1ms);
   CHECK(fixture.one<SendResponse>().request_id == oldest + 1);
   CHECK(fixture.one<SendResponse>().status == 503);
   CHECK_FALSE(fixture.retry_after().empty());
