--- a/tests/unit/runtime/golden_folders.cpp
+++ b/tests/unit/runtime/golden_folders.cpp
@@ -9,7 +9,7 @@
 namespace mosskeel::golden {
 namespace {
 
-constexpr Duration start_time = kProcessClockStart;
+constexpr TimePoint start_time = kProcessClockStart;
 constexpr int history_count = 200;
 
 Candidate controller(uint64_t number, const std::string& zone) {
--- a/tests/unit/runtime/golden_folders_test.cpp
+++ b/tests/unit/runtime/golden_folders_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Duration start_time = kProcessClockStart;
+constexpr TimePoint start_time = kProcessClockStart;
 constexpr auto recovered_controller_file = "recovered/controller-checkpoint.hex";
 constexpr auto recovered_store_file = "recovered/store-checkpoint.hex";
 
--- a/tests/unit/runtime/inbox_test.cpp
+++ b/tests/unit/runtime/inbox_test.cpp
@@ -1,6 +1,5 @@
 #include "runtime/inbox.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -14,7 +13,7 @@
   CHECK(inbox.hear(envelope, Inbox::kSmallMessageBytes));
   CHECK(inbox.refused() == 1);
 
-  auto items = inbox.take(0);
+  auto items = inbox.take(0ms);
   REQUIRE(items.size() == 2);
   CHECK(inbox.bytes() == 6000 + Inbox::kSmallMessageBytes);
   for (auto& item : items)
