--- a/tests/unit/storage/disk_fixture.hpp
+++ b/tests/unit/storage/disk_fixture.hpp
@@ -4,11 +4,11 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-#include <catch2/catch.hpp>
 #include <filesystem>
 #include <fstream>
 
 #include "storage/disk.hpp"
+#include "unit/catch.hpp"
 
 namespace mosskeel {
 
--- a/tests/unit/storage/disk_full_test.cpp
+++ b/tests/unit/storage/disk_full_test.cpp
@@ -129,13 +129,13 @@
   SmallDisk s{f};
   auto d = f.open(s.calls());
   JournalWriter w(*d);
-  CHECK_FALSE(w.wants_checkpoint(1));
+  CHECK_FALSE(w.wants_checkpoint(TimePoint{1ms}));
   for (int i = 0; i < 8; ++i)
     REQUIRE(w.write({batch({std::string(100000, 'x')})}).result == done);
   s.size = s.used();
   REQUIRE(w.write({batch({"held"}, 1)}).result == full);
-  CHECK(w.wants_checkpoint(1));
-  CHECK_FALSE(w.wants_checkpoint(kFullDiskCheckpointInterval));
+  CHECK(w.wants_checkpoint(TimePoint{1ms}));
+  CHECK_FALSE(w.wants_checkpoint(TimePoint{kFullDiskCheckpointInterval}));
   auto r = w.write({batch({}, 0, std::string(900000, 'y'))});
   CHECK(r.result == full);
   CHECK(w.unwritten_checkpoints() == 1);
@@ -143,7 +143,7 @@
   CHECK(r.result == done);
   CHECK(sent(r) == Ids{2});
   CHECK(said(r) == Events{Event::checkpointed, Event::disk_room});
-  CHECK_FALSE(w.wants_checkpoint(kFullDiskCheckpointInterval * 3));
+  CHECK_FALSE(w.wants_checkpoint(TimePoint{kFullDiskCheckpointInterval * 3}));
   d.reset();
   d = f.open(s.calls());
   CHECK(d->recovered().checkpoint == std::string(300000, 'y'));
@@ -161,7 +161,7 @@
   auto r = w.write({batch({"one"}, 1, std::string(3000, 'y'))});
   CHECK(r.result == done);
   CHECK(sent(r) == Ids{1});
-  CHECK(w.wants_checkpoint(1));
+  CHECK(w.wants_checkpoint(TimePoint{1ms}));
   CHECK(f.only("reserve").empty());
   d.reset();
   d = f.open(s.calls());
