--- a/tests/unit/tools/capacity_test.cpp
+++ b/tests/unit/tools/capacity_test.cpp
@@ -1,10 +1,10 @@
-#include <catch2/catch.hpp>
 #include <fstream>
 #include <sstream>
 
 #include "replication/constants.hpp"
 #include "scale/experiments.hpp"
 #include "scale/simulated_fleet.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 using scale::ProcessKind;
@@ -63,7 +63,7 @@
   fleet.run(scale::kSettlingTime);
   REQUIRE(fleet.all_fronts_ready());
   fleet.reset_counters();
-  fleet.run(3000);
+  fleet.run(3000ms);
   CHECK(fleet.sum(ProcessKind::agent).received["heartbeat"].messages == 0);
   CHECK(fleet.sum(ProcessKind::store).received["heartbeat"].messages == 0);
   CHECK(fleet.failures.empty());
@@ -72,13 +72,13 @@
 TEST_CASE("Without the core all daemons are sent heartbeats, and fronts go on serving") {
   SimulatedFleet fleet(small_plan(), 1);
   fleet.run(scale::kSettlingTime);
-  fleet.run(3000);
+  fleet.run(3000ms);
   REQUIRE(fleet.all_fronts_ready());
   fleet.reset_counters();
   for (auto index : fleet.indices_of(ProcessKind::controller))
     fleet.stop(index);
   for (int look = 0; look < 40; ++look) {
-    fleet.run(100);
+    fleet.run(100ms);
     CHECK(fleet.all_fronts_ready());
   }
   CHECK(fleet.sum(ProcessKind::agent).received["heartbeat"].messages > 0);
--- a/tests/unit/tools/har_test.cpp
+++ b/tests/unit/tools/har_test.cpp
@@ -1,6 +1,5 @@
-#include <catch2/catch.hpp>
-
 #include "loadgen/har.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::loadgen;
