--- a/tests/unit/base/events_test.cpp
+++ b/tests/unit/base/events_test.cpp
@@ -1,9 +1,10 @@
 #include "base/events.hpp"
 
-#include <catch2/catch.hpp>
 #include <fstream>
 #include <sstream>
 
+#include "unit/catch.hpp"
+
 TEST_CASE("docs/events.md lists every event with its number and text") {
   std::ifstream file(SOURCE_DIR "/docs/events.md");
   REQUIRE(file);
--- a/tests/unit/base/json_test.cpp
+++ b/tests/unit/base/json_test.cpp
@@ -1,6 +1,5 @@
 #include "base/json.hpp"
-
-#include <catch2/catch.hpp>
+#include "unit/catch.hpp"
 
 #include "metadata/metadata.hpp"
 
