--- a/tests/unit/simulation/sim_test.cpp
+++ b/tests/unit/simulation/sim_test.cpp
@@ -1,6 +1,5 @@
-#include <catch2/catch.hpp>
-
 #include "simulation/scenarios.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
