--- a/tests/platform_stub/callers.cpp
+++ b/tests/platform_stub/callers.cpp
@@ -1,133 +1,194 @@
 #include "platform_stub/callers.hpp"
 
-#include "platform_stub/replicas.hpp"
-
-namespace mosskeel::standin {
-
-constexpr int most_tries = 4;
-
-Callers::Callers(World& w) : w_(w) {
-  for (size_t i = 0; i < 3; ++i)
-    look(i);
-}
-
-void Callers::look(size_t i) {
-  w_.ask({w_.plan.ready(static_cast<int>(i)), "GET", "/v1/ready", {{"Host", "ready"}}, ""}, 900ms,
-         [this, i](Reply&& r) {
-           missed_[i] = r.status == 200 ? 0 : missed_[i] + 1;
-           w_.loop.run_after(500ms, [this, i] { look(i); });
-         });
-}
-
-size_t Callers::ready() const {
-  return static_cast<size_t>(std::count(missed_.begin(), missed_.end(), 0));
-}
-
-void Callers::send(std::shared_ptr<Job> j) {
-  if (j->deadline == MonotonicTime{})
-    j->deadline = monotonic_now() + 4000ms;
-  ++open_;
-  attempt(j);
-}
-
-void Callers::attempt(const std::shared_ptr<Job>& j) {
-  std::vector<int> in;
-  for (int i = 0; i < 3; ++i)
-    if (missed_[static_cast<size_t>(i)] < 2)
-      in.push_back(i);
-  if (in.empty())
-    in = {0, 1, 2};
-  auto to = w_.plan.front(in[w_.roll(in.size())]);
-  auto a = w_.name(), left = std::to_string(std::max<Duration>(1ms, j->deadline - monotonic_now()).count());
-  ++j->tries;
-  Sent s{j->kind,        "/" + j->route + "/" + std::to_string(j->tries) + "?q=1",
-         j->body,        j->parent,
-         j->program,     j->resume_after,
-         monotonic_now()};
-  HeaderFields f{{"Host", "ask.example"}, {"Mosskeel-Attempt-Id", a}, {"Mosskeel-Time-Left", left}};
-  f.insert(f.end(), j->fields.begin(), j->fields.end());
-  if (j->kind != Kind::safe && j->kind != Kind::unsafe) {
-    f.push_back({"Mosskeel-Model", "m"});
-    f.push_back({"Mosskeel-Token-Count", std::to_string(j->tokens_in) + "," + std::to_string(j->tokens_out)});
-    f.push_back({"Mosskeel-Prompt-Prefix", "a1:60," + hex(digest(j->body)) + ":40"});
-  }
-  if (j->resume_after)
-    f.push_back({"Last-Event-Id", std::to_string(j->resume_after)});
-  if (!j->program.empty()) {
-    f.push_back({"Mosskeel-Program-Id", j->program});
-    f.push_back({"Mosskeel-Session-Id", j->session});
-    f.push_back({"Mosskeel-Program-Time-Left", "20000"});
-    if (j->budget)
-      f.push_back({"Mosskeel-Token-Budget", std::to_string(j->budget)});
-    if (!j->parent.empty())
-      f.push_back({"Mosskeel-Previous-Turn", j->parent});
-  }
-  auto target = s.target;
-  w_.book.sent(a, std::move(s));
-  w_.ask({to, "POST", target, f, j->body}, j->deadline - monotonic_now(),
-         [this, j, a](Reply&& r) { judge(j, a, std::move(r)); });
-}
-
-void Callers::judge(const std::shared_ptr<Job>& j, const std::string& a, Reply&& r) {
-  bool promise = r.whole && (r.status == 429 || r.status == 503 || r.status == 408 || r.status == 421);
-  if (promise || (r.whole && r.status == 402))
-    w_.book.refused(a, r.status);
-  bool good = r.whole && r.status >= 200 && r.status < 300, stream = j->kind != Kind::safe && j->kind != Kind::unsafe;
-  auto events = stream && r.status == 200 ? events_of(r.body) : std::vector<Event>{};
-  if (j->budget)
-    w_.book.handed(j->program, events.size() * event_tokens);
-  if (good)
-    w_.book.whole(a, r.fields, r.body);
-  if (w_.calm && !r.whole && w_.book.has_run(a) && monotonic_now() < j->deadline)
-    w_.book.violate(a + " ran, but its answer on " + j->route + " was lost around planned work");
-  if (good && stream && (events.empty() || events.back().id != j->tokens_out / event_tokens))
-    w_.book.violate(a + " ended before its last event");
-  if (good)
-    return again(j, r.status, a, 0ms, false);
-  if (r.whole && r.status == 404 && j->kind == Kind::turn && w_.book.known(j->parent))
-    w_.book.violate(a + " got 404, but " + j->parent + " was acknowledged");
-  if (!r.unsent && r.status && !promise && r.status < 500 && r.whole)
-    return again(j, r.status, a, 0ms, false);
-  if (j->kind == Kind::resumable && !events.empty())
-    j->resume_after = events.back().id;
-  if (j->resume_after == j->tokens_out / event_tokens)
-    return again(j, 200, a, 0ms, false);
-  auto wait = std::string(header_value(r.fields, "Retry-After"));
-  auto pause = std::max<Duration>(1ms, wait.empty() ? 50ms : Duration(static_cast<int64_t>(std::stod(wait) * 1000)));
-  again(j, r.status, a, pause, repeatable(j->kind) || promise || r.unsent);
-}
-
-void Callers::again(const std::shared_ptr<Job>& j, uint32_t status, const std::string& a, Duration pause,
-                    bool granted) {
-  auto now = monotonic_now();
-  bool good = status >= 200 && status < 300 && !granted && pause == 0ms;
-  if (granted && j->tries < most_tries && now + pause < j->deadline) {
-    w_.loop.run_after(pause, [this, j] { attempt(j); });
+#include <cstdio>
+
+#include "platform_stub/listed_replica.hpp"
+
+namespace mosskeel::platform_stub {
+
+namespace {
+
+/// From the sending of a request to its end; the routes are configured alike.
+constexpr Duration kRequestTimeout = 4000ms;
+constexpr int kMaxAttempts = 4;
+/// Where a response does not say when to retry.
+constexpr Duration kDefaultRetryDelay = 50ms;
+/// A turn is sent so often in all, with a random pause between.
+constexpr int kMaxTurnSendings = 3;
+constexpr Duration kMinRenewalPause = 100ms;
+constexpr uint64_t kRenewalPauseRangeMs = 300;
+/// The time that a program says it has left, in ms.
+constexpr auto kProgramTimeLeftMs = "20000";
+
+bool is_rejection(const HttpOutcome& outcome) {
+  auto status = outcome.status;
+  return outcome.is_complete && (status == 429 || status == 503 || status == 408 || status == 421);
+}
+
+bool is_success(const HttpOutcome& outcome) {
+  return outcome.is_complete && outcome.status >= 200 && outcome.status < 300;
+}
+
+Duration retry_delay(const HttpOutcome& outcome) {
+  std::string retry_after(header_value(outcome.fields, "Retry-After"));
+  if (retry_after.empty())
+    return kDefaultRetryDelay;
+  auto milliseconds = static_cast<int64_t>(std::stod(retry_after) * 1000);
+  return std::max(1ms, Duration(milliseconds));
+}
+
+void add_model_fields(HeaderFields& fields, const CallerRequest& request) {
+  auto token_counts = std::to_string(request.prompt_tokens) + "," + std::to_string(request.max_output_tokens);
+  fields.push_back({"Mosskeel-Model", "m"});
+  fields.push_back({"Mosskeel-Token-Count", token_counts});
+  fields.push_back({"Mosskeel-Prompt-Prefix", "a1:60," + hex(digest(request.body)) + ":40"});
+}
+
+void add_program_fields(HeaderFields& fields, const CallerRequest& request) {
+  fields.push_back({"Mosskeel-Program-Id", request.program});
+  fields.push_back({"Mosskeel-Session-Id", request.session});
+  fields.push_back({"Mosskeel-Program-Time-Left", kProgramTimeLeftMs});
+  if (request.token_budget > 0)
+    fields.push_back({"Mosskeel-Token-Budget", std::to_string(request.token_budget)});
+  if (!request.previous_turn.empty())
+    fields.push_back({"Mosskeel-Previous-Turn", request.previous_turn});
+}
+
+HeaderFields make_fields(const CallerRequest& request, const std::string& attempt, Duration time_left) {
+  HeaderFields fields{{"Host", "ask.example"},
+                      {"Mosskeel-Attempt-Id", attempt},
+                      {"Mosskeel-Time-Left", std::to_string(time_left.count())}};
+  if (is_stream(request.kind))
+    add_model_fields(fields, request);
+  if (request.resume_after > 0)
+    fields.push_back({"Last-Event-Id", std::to_string(request.resume_after)});
+  if (!request.program.empty())
+    add_program_fields(fields, request);
+  return fields;
+}
+
+}  // namespace
+
+uint64_t CallerRequest::expected_events() const {
+  return max_output_tokens / kTokensPerEvent;
+}
+
+void Callers::send(std::shared_ptr<CallerRequest> request) {
+  request->deadline = monotonic_now() + kRequestTimeout;
+  ++open_requests_;
+  begin_attempt(request);
+}
+
+void Callers::send_plain(RequestKind kind, const std::string& route) {
+  auto request = std::make_shared<CallerRequest>();
+  request->kind = kind;
+  request->route = route;
+  request->category = route;
+  request->body = "body " + environment_.random_name();
+  send(request);
+}
+
+void Callers::begin_attempt(const RequestPointer& request) {
+  auto gateway = gateways_.choose_gateway();
+  auto attempt = environment_.random_name();
+  auto time_left = std::max(Duration(1ms), request->deadline - monotonic_now());
+  ++request->attempts;
+  auto target = "/" + request->route + "/" + std::to_string(request->attempts) + "?q=1";
+  auto fields = make_fields(*request, attempt, time_left);
+  environment_.checker.on_sent(attempt, {.kind = request->kind,
+                                         .target = target,
+                                         .body = request->body,
+                                         .previous_turn = request->previous_turn,
+                                         .resume_after = request->resume_after,
+                                         .sent_at = monotonic_now()});
+  UpstreamClient::Request message{gateway, "POST", target, std::move(fields), request->body};
+  environment_.send(std::move(message), request->deadline - monotonic_now(),
+                    [this, request, attempt](const HttpOutcome& outcome) { on_outcome(request, attempt, outcome); });
+}
+
+void Callers::on_outcome(const RequestPointer& request, const std::string& attempt, const HttpOutcome& outcome) {
+  std::vector<StreamEvent> events;
+  if (is_stream(request->kind) && outcome.status == 200)
+    events = parse_events(outcome.body);
+  check_outcome(*request, attempt, outcome, events);
+  auto decision = decide(*request, outcome, events);
+  act_on(request, attempt, decision);
+}
+
+void Callers::check_outcome(const CallerRequest& request, const std::string& attempt, const HttpOutcome& outcome,
+                            const std::vector<StreamEvent>& events) {
+  auto& checker = environment_.checker;
+  bool promises_no_execution = is_rejection(outcome) || (outcome.is_complete && outcome.status == 402);
+  if (promises_no_execution)
+    checker.on_rejected(attempt, outcome.status);
+  if (request.token_budget > 0)
+    checker.on_tokens_received(request.program, events.size() * kTokensPerEvent);
+  if (is_success(outcome))
+    checker.on_completed(attempt, outcome.fields, outcome.body);
+  bool is_lost = !outcome.is_complete && checker.was_executed(attempt) && monotonic_now() < request.deadline;
+  if (environment_.is_calm && is_lost)
+    checker.report_violation(attempt + " was executed, but its response on " + request.route +
+                             " was lost around planned work");
+  bool has_all_events = !events.empty() && events.back().id == request.expected_events();
+  if (is_success(outcome) && is_stream(request.kind) && !has_all_events)
+    checker.report_violation(attempt + " ended before its last event");
+  bool is_missing = outcome.is_complete && outcome.status == 404;
+  if (is_missing && request.kind == RequestKind::turn && checker.was_completed(request.previous_turn))
+    checker.report_violation(attempt + " received 404, but " + request.previous_turn + " was acknowledged");
+}
+
+Callers::Decision Callers::decide(CallerRequest& request, const HttpOutcome& outcome,
+                                  const std::vector<StreamEvent>& events) {
+  if (is_success(outcome))
+    return {.status = outcome.status, .is_success = true};
+  bool is_final = outcome.is_complete && outcome.status > 0 && outcome.status < 500 && !is_rejection(outcome);
+  if (is_final && !outcome.was_not_sent)
+    return {.status = outcome.status};
+  if (request.kind == RequestKind::resumable && !events.empty())
+    request.resume_after = events.back().id;
+  // Only the end of the stream was lost, behind its last event.
+  if (request.resume_after == request.expected_events())
+    return {.status = 200, .is_success = true};
+  bool may_retry = is_idempotent(request.kind) || is_rejection(outcome) || outcome.was_not_sent;
+  return {.status = outcome.status, .may_retry = may_retry, .retry_after = retry_delay(outcome)};
+}
+
+void Callers::act_on(const RequestPointer& request, const std::string& attempt, const Decision& decision) {
+  bool has_time = monotonic_now() + decision.retry_after < request->deadline;
+  if (decision.may_retry && request->attempts < kMaxAttempts && has_time) {
+    environment_.loop.run_after(decision.retry_after, [this, request] { begin_attempt(request); });
     return;
   }
-  bool turn = j->kind == Kind::turn || j->kind == Kind::brief;
-  if (turn && !good && (status == 0 || status == 200 || status >= 429) && ++j->sends < 3) {
-    j->tries = 0;
-    w_.loop.run_after(100ms + Duration(w_.roll(300)), [this, j] {
-      j->deadline = monotonic_now() + 4000ms;
-      attempt(j);
-    });
+  if (!decision.is_success && renew_turn(request, decision))
     return;
-  }
-  --open_;
-  if (!good && !j->what.empty())
-    printf("not served: %s on %s with %u\n", a.c_str(), j->route.c_str(), status);
-  if (!j->what.empty())
-    w_.book.served(j->what, good);
-  if (j->done)
-    j->done(status, a, good);
+  finish(*request, {decision.status, attempt, decision.is_success});
+}
+
+bool Callers::renew_turn(const RequestPointer& request, const Decision& decision) {
+  auto status = decision.status;
+  bool may_succeed_later = status == 0 || status == 200 || status >= 429;
+  if (!is_turn(request->kind) || !may_succeed_later)
+    return false;
+  if (++request->renewals >= kMaxTurnSendings)
+    return false;
+  request->attempts = 0;
+  auto pause = kMinRenewalPause + Duration(environment_.random_below(kRenewalPauseRangeMs));
+  environment_.loop.run_after(pause, [this, request] {
+    request->deadline = monotonic_now() + kRequestTimeout;
+    begin_attempt(request);
+  });
+  return true;
 }
 
-void Callers::plain(Kind k, const std::string& route) {
-  auto j = std::make_shared<Job>();
-  j->kind = k, j->route = j->what = route;
-  j->body = "body " + w_.name();
-  send(j);
+void Callers::finish(const CallerRequest& request, const RequestResult& result) {
+  --open_requests_;
+  if (!request.category.empty()) {
+    if (!result.is_success)
+      printf("not served: %s on %s with %u\n", result.last_attempt.c_str(), request.route.c_str(), result.status);
+    environment_.served.record(request.category, result.is_success);
+  }
+  if (request.on_done)
+    request.on_done(result);
 }
 
-}  // namespace mosskeel::standin
+}  // namespace mosskeel::platform_stub
--- /dev/null
+++ b/tests/platform_stub/environment.cpp
@@ -0,0 +1,57 @@
+#include "platform_stub/environment.hpp"
+
+namespace mosskeel::platform_stub {
+
+namespace {
+
+/// The same on every run, so that runs differ in timing alone.
+constexpr uint64_t kRandomSeed = 20261202;
+constexpr Duration kMinTimeout = 1ms;
+
+}  // namespace
+
+Environment::Environment(const FleetAddresses& fleet_addresses, bool calm)
+    : addresses(fleet_addresses), is_calm(calm), random_(kRandomSeed), client_(loop, client_callbacks()) {}
+
+UpstreamClient::Callbacks Environment::client_callbacks() {
+  UpstreamClient::Callbacks callbacks;
+  callbacks.on_head = [this](uint64_t request, UpstreamClient::ResponseHead&& head) {
+    auto& outcome = exchanges_.at(request).outcome;
+    outcome.status = head.status;
+    outcome.fields = std::move(head.fields);
+  };
+  callbacks.on_body = [this](uint64_t request, std::string_view bytes) {
+    exchanges_.at(request).outcome.body += bytes;
+  };
+  callbacks.on_complete = [this](uint64_t request) {
+    finish(request, true, false);
+  };
+  callbacks.on_failure = [this](uint64_t request, UpstreamClient::Delivery delivery, const std::string&) {
+    finish(request, false, delivery == UpstreamClient::Delivery::not_sent);
+  };
+  return callbacks;
+}
+
+void Environment::send(UpstreamClient::Request request, Duration timeout, OnOutcome on_outcome) {
+  request.new_connection = true;
+  auto id = client_.send_request(std::move(request));
+  auto timer = loop.run_after(std::max(kMinTimeout, timeout), [this, id] {
+    client_.cancel(id);
+    finish(id, false, false);
+  });
+  exchanges_[id] = {{}, std::move(on_outcome), timer};
+}
+
+void Environment::finish(uint64_t request, bool is_complete, bool was_not_sent) {
+  auto found = exchanges_.find(request);
+  if (found == exchanges_.end())
+    return;
+  auto exchange = std::move(found->second);
+  exchanges_.erase(found);
+  loop.cancel(exchange.timer);
+  exchange.outcome.is_complete = is_complete;
+  exchange.outcome.was_not_sent = was_not_sent;
+  exchange.on_outcome(std::move(exchange.outcome));
+}
+
+}  // namespace mosskeel::platform_stub
--- a/tests/platform_stub/operator.cpp
+++ b/tests/platform_stub/operator.cpp
@@ -1,148 +1,161 @@
 #include "platform_stub/operator.hpp"
 
-#include "platform_stub/replicas.hpp"
+namespace mosskeel::platform_stub {
 
-namespace mosskeel::standin {
 namespace {
 
 using Json = nlohmann::json;
-constexpr Duration apply_time = 2000ms;
-
-Json route(const std::string& name, const std::string& kind, const std::string& service) {
-  return {{"Name", "r-" + name},
-          {"Host", "ask.example"},
-          {"PathPrefix", "/" + name + "/"},
-          {"RouteKind", kind},
-          {"TimeoutMs", 4000},
-          {"TargetLatencyMs", 1500},
-          {"Priority", 1},
-          {"MaxAttempts", 3},
-          {"Service", service},
-          {"Retained", name == "turn"},
-          {"RetentionS", 60.0},
-          {"StickySessions", kind == "streaming"},
-          {"Resumable", name == "resume"},
-          {"GapTargetMs", kind == "streaming" ? 1000 : 0}};
-}
 
-Json service(const std::string& name) {
-  Json s{{"Name", name},        {"HealthPath", "/health"}, {"MaxConnections", 100}, {"Protocol", "h1"},
-         {"TlsEnabled", false}, {"ColdStartS", 5.0},       {"ColdPerS", cold_per_s}};
-  if (name == "model")
-    s["Runtime"] = {{"SlotCount", slot_count}, {"CacheTokens", 100000}, {"TokensPerEvent", event_tokens}};
-  return s;
+/// How long the operator goes on asking: for the fleet's founding, in traffic, and where nothing else happens.
+constexpr Duration kFoundingPatience = 30000ms;
+constexpr Duration kPatience = 15000ms;
+constexpr Duration kQuietPatience = 5000ms;
+constexpr Duration kAttemptTimeout = 1000ms;
+constexpr Duration kRetryDelay = 150ms;
+constexpr Duration kRedirectionDelay = 1ms;
+/// Of this many redirections one is not followed, for controllers may send each other's callers in a circle.
+constexpr int kRedirectionCycle = 3;
+/// How long after its acknowledgement a change may take until every gateway has it.
+constexpr Duration kChangePropagation = 2000ms;
+constexpr Duration kChangeMargin = 50ms;
+/// A URL's address begins behind this.
+constexpr std::string_view kUrlScheme = "http://";
+
+bool is_clear(const HttpOutcome& outcome) {
+  auto status = outcome.status;
+  return outcome.is_complete && status < 500 && status != 408 && status != 429 && status != 307;
 }
 
-Json first() {
-  return {
-      {"Revision", 5},
-      {"Routes",
-       {route("safe", "safe", "app"), route("unsafe", "unsafe", "app"), route("old", "safe", "app"),
-        route("rogue", "safe", "rogue"), route("stream", "streaming", "model"), route("resume", "streaming", "model"),
-        route("turn", "streaming", "model"), route("brief", "streaming", "model")}},
-      {"Services", {service("app"), service("app2"), service("rogue"), service("model")}},
-      {"Limits",
-       {{"MaxHeaderBytes", 16384}, {"MaxBodyBytes", 4194304}, {"HeaderTimeoutMs", 3000}, {"IdleTimeoutMs", 15000}}}};
+std::string retirement_request() {
+  return Json{{"DeadlineS", 10}}.dump();
 }
 
 }  // namespace
 
-void Operator::call(const std::string& method, const std::string& path, const std::string& body, int base,
-                    Duration patience, Done done) {
-  HeaderFields f{{"Host", "control"}, {"Content-Type", "application/json"}};
-  if (base >= 0)
-    f.push_back({"If-Match", std::to_string(base)});
-  auto end = monotonic_now() + patience;
-  auto to = std::make_shared<Address>(), led = std::make_shared<Address>();
-  auto hops = std::make_shared<int>(0);
-  auto go = std::make_shared<std::function<void()>>();
-  *go = [=, this] {
-    *to = led->empty() ? w_.plan.control(static_cast<int>(w_.roll(3))) : std::exchange(*led, "");
-    w_.ask({*to, method, path, f, body}, 1000ms, [=, this](Reply&& r) {
-      bool clear = r.whole && r.status < 500 && r.status != 408 && r.status != 429 && r.status != 307;
-      if (clear || monotonic_now() > end) {
-        w_.loop.post([go] { *go = nullptr; });
-        return done(clear ? r.status : 0, r.body);
-      }
-      if (auto l = std::string(header_value(r.fields, "Location")); r.status == 307 && ++*hops % 3)
-        *led = l.substr(7, l.find('/', 7) - 7);
-      w_.loop.run_after(led->empty() ? 150ms : 1ms, [go] { (*go)(); });
-    });
-  };
-  (*go)();
+void Operator::call(Request request, OnResponse on_response) {
+  auto call = std::make_shared<Call>();
+  call->request = std::move(request);
+  call->on_response = std::move(on_response);
+  call->deadline = monotonic_now() + call->request.patience;
+  send(call);
 }
 
-void Operator::expect(const std::string& what, uint32_t status, const std::set<uint32_t>& good) {
-  if (!good.count(status))
-    w_.book.violate(what + " is answered with " + std::to_string(status));
+void Operator::send(const std::shared_ptr<Call>& call) {
+  auto address = std::exchange(call->redirected_to, "");
+  if (address.empty())
+    address = environment_.addresses.control_plane(static_cast<int>(environment_.random_below(kZones)));
+  const auto& request = call->request;
+  HeaderFields fields{{"Host", "control"}, {"Content-Type", "application/json"}};
+  if (request.base_revision)
+    fields.push_back({"If-Match", std::to_string(*request.base_revision)});
+  UpstreamClient::Request message{address, request.method, request.path, std::move(fields), request.body};
+  environment_.send(std::move(message), kAttemptTimeout,
+                    [this, call](const HttpOutcome& outcome) { on_outcome(call, outcome); });
 }
 
-void Operator::begin(std::function<void()> then) {
-  document_ = first();
-  auto text = document_.dump();
-  auto wrong = document_, other = document_;
-  wrong["Revision"] = 6;
-  wrong["Routes"][0]["Service"] = "nobody";
-  other["Revision"] = 9;
-  call("PUT", "/v1/config", text, 0, 30000ms, [=, this](uint32_t status, const std::string&) {
-    expect("the first configuration", status, {200});
-    call("PUT", "/v1/config", text, 0, 5000ms, [=, this](uint32_t again, const std::string&) {
-      expect("the same configuration again", again, {200});
-      call("PUT", "/v1/config", wrong.dump(), 5, 5000ms, [=, this](uint32_t invalid, const std::string&) {
-        expect("an invalid configuration", invalid, {400, 409, 422});
-        call("PUT", "/v1/config", other.dump(), 3, 5000ms, [=, this](uint32_t late, const std::string&) {
-          expect("a configuration on another version", late, {412});
-          then();
-        });
-      });
-    });
-  });
+void Operator::on_outcome(const std::shared_ptr<Call>& call, const HttpOutcome& outcome) {
+  bool is_over = is_clear(outcome) || monotonic_now() > call->deadline;
+  if (!is_over) {
+    follow_redirection(*call, outcome);
+    auto delay = call->redirected_to.empty() ? kRetryDelay : kRedirectionDelay;
+    environment_.loop.run_after(delay, [this, call] { send(call); });
+    return;
+  }
+  Response response{is_clear(outcome) ? outcome.status : 0, outcome.body};
+  const auto& request = call->request;
+  if (request.expected.count(response.status) == 0)
+    environment_.checker.report_violation(request.description + " is answered with " + std::to_string(response.status));
+  call->on_response(response);
 }
 
-void Operator::change(std::function<void()> then) {
-  auto moved = route("safe", "safe", "app2"), added = route("new", "safe", "app");
-  Json change{{"Revision", 8}, {"Upsert", {{"Routes", {moved, added}}}}, {"Remove", {{"Routes", {"r-old"}}}}};
-  document_["Revision"] = 8;
-  document_["Routes"][0] = moved;
-  document_["Routes"].erase(2);
-  document_["Routes"].push_back(added);
-  call("PATCH", "/v1/config", change.dump(), 5, 15000ms, [=, this](uint32_t status, const std::string&) {
-    expect("a change of named items", status, {200});
-    auto at = monotonic_now() + apply_time;
-    w_.book.rule("/safe/", "app2", at);
-    w_.book.rule("/old/", "", at);
-    w_.loop.run_after(apply_time + 50ms, then);
+void Operator::follow_redirection(Call& call, const HttpOutcome& outcome) {
+  if (outcome.status != 307)
+    return;
+  if (++call.redirections % kRedirectionCycle == 0)
+    return;
+  std::string location(header_value(outcome.fields, "Location"));
+  auto address_end = location.find('/', kUrlScheme.size());
+  call.redirected_to = location.substr(kUrlScheme.size(), address_end - kUrlScheme.size());
+}
+
+void Operator::call_in_turn(std::vector<Request> requests, OnDone on_done) {
+  if (requests.empty()) {
+    on_done();
+    return;
+  }
+  auto first = std::move(requests.front());
+  requests.erase(requests.begin());
+  call(std::move(first), [this, rest = std::move(requests), on_done = std::move(on_done)](const Response&) {
+    call_in_turn(rest, on_done);
   });
 }
 
-void Operator::evacuate(const std::string& zone, bool on, std::function<void()> then) {
-  call(on ? "POST" : "DELETE", "/v1/evacuate/" + zone, "", -1, 15000ms, [=, this](uint32_t status, const std::string&) {
-    expect(on ? "an evacuation" : "its withdrawal", status, {200, 202, 204});
-    then();
+void Operator::apply_first_configuration(OnDone on_done) {
+  configuration_ = first_configuration();
+  auto put = [](const Json& document, int base_revision, Duration patience, const std::string& description,
+                std::set<uint32_t> expected) {
+    return Request{"PUT", "/v1/config", document.dump(), base_revision, patience, description, std::move(expected)};
+  };
+  auto invalid = invalid_configuration(configuration_);
+  auto later = later_configuration(configuration_);
+  call_in_turn({put(configuration_, 0, kFoundingPatience, "the first configuration", {200}),
+                put(configuration_, 0, kQuietPatience, "the same configuration again", {200}),
+                put(invalid, kFirstRevision, kQuietPatience, "an invalid configuration", {400, 409, 422}),
+                put(later, 3, kQuietPatience, "a configuration on another version", {412})},
+               std::move(on_done));
+}
+
+void Operator::change_routes(OnDone on_done) {
+  auto change = platform_stub::change_routes(configuration_);
+  configuration_ = std::move(change.result);
+  Request request{"PATCH", "/v1/config", change.patch.dump(), kFirstRevision, kPatience, "a change of named items",
+                  {200}};
+  call(std::move(request), [this, on_done = std::move(on_done)](const Response&) {
+    auto in_force_at = monotonic_now() + kChangePropagation;
+    environment_.checker.set_route("/safe/", "app2", in_force_at);
+    environment_.checker.set_route("/old/", "", in_force_at);
+    environment_.loop.run_after(kChangePropagation + kChangeMargin, on_done);
   });
 }
 
-void Operator::retire() {
-  auto body = Json{{"DeadlineS", 10}}.dump();
-  call("POST", "/v1/retire/storage-9", body, -1, 15000ms,
-       [this](uint32_t s, const std::string&) { expect("the retirement of an unknown machine", s, {404}); });
-  call("POST", "/v1/retire/storage-2", body, -1, 15000ms,
-       [this](uint32_t s, const std::string&) { expect("a retirement that leaves too few", s, {409}); });
-  call("GET", "/v1/retire/storage-2", "", -1, 15000ms, [this](uint32_t s, const std::string& b) {
-    expect("the state of a machine", s, {200});
-    if (b.find("serving") == b.npos)
-      w_.book.violate("a machine that serves is said to be " + b);
+void Operator::evacuate(const std::string& zone, OnDone on_done) {
+  Request request{"POST", "/v1/evacuate/" + zone, "", std::nullopt, kPatience, "an evacuation", {200, 202, 204}};
+  call(std::move(request), [on_done = std::move(on_done)](const Response&) { on_done(); });
+}
+
+void Operator::restore(const std::string& zone) {
+  Request request{"DELETE", "/v1/evacuate/" + zone, "", std::nullopt, kPatience, "its withdrawal", {200, 202, 204}};
+  call(std::move(request), [](const Response&) {});
+}
+
+void Operator::request_retirements() {
+  Request of_unknown{"POST",
+                     "/v1/retire/storage-9",
+                     retirement_request(),
+                     std::nullopt,
+                     kPatience,
+                     "the retirement of an unknown machine",
+                     {404}};
+  Request of_needed{
+      "POST", "/v1/retire/storage-2", retirement_request(), std::nullopt, kPatience, "a retirement that leaves too few",
+      {409}};
+  Request state{"GET", "/v1/retire/storage-2", "", std::nullopt, kPatience, "the state of a machine", {200}};
+  call(std::move(of_unknown), [](const Response&) {});
+  call(std::move(of_needed), [](const Response&) {});
+  call(std::move(state), [this](const Response& response) {
+    if (response.body.find("serving") == std::string::npos)
+      environment_.checker.report_violation("a machine that serves is said to be " + response.body);
   });
 }
 
-void Operator::read_back(std::function<void()> then) {
-  call("GET", "/v1/config", "", -1, 15000ms, [=, this](uint32_t status, const std::string& body) {
-    expect("the configuration read back", status, {200});
-    auto j = Json::parse(body, nullptr, false);
-    if (j.is_discarded() || j != document_)
-      w_.book.violate("another configuration is read back: " + body);
-    then();
+void Operator::read_back(OnDone on_done) {
+  Request request{"GET", "/v1/config", "", std::nullopt, kPatience, "the configuration read back", {200}};
+  call(std::move(request), [this, on_done = std::move(on_done)](const Response& response) {
+    auto configuration = Json::parse(response.body, nullptr, false);
+    if (configuration.is_discarded() || configuration != configuration_)
+      environment_.checker.report_violation("another configuration is read back: " + response.body);
+    on_done();
   });
 }
 
-}  // namespace mosskeel::standin
+}  // namespace mosskeel::platform_stub
--- a/tests/platform_stub/operator.hpp
+++ b/tests/platform_stub/operator.hpp
@@ -1,31 +1,68 @@
 #pragma once
-// The operator: configurations, evacuations, retirements, at whichever daemon answers.
-#include <nlohmann/json.hpp>
+// The operator of the fleet.
+#include "platform_stub/environment.hpp"
+#include "platform_stub/platform_configuration.hpp"
 
-#include "platform_stub/world.hpp"
-
-namespace mosskeel::standin {
+namespace mosskeel::platform_stub {
 
+/// Changes configurations, evacuates zones and retires machines, at whichever controller answers, and reports every
+/// response that it should not have received. The callbacks are called once, never from within.
 class Operator {
  public:
-  using Done = std::function<void(uint32_t status, const std::string& body)>;
-  explicit Operator(World& w) : w_(w) {}
-  /// Until an answer is clear, or `patience` is over: then with status 0.
-  void call(const std::string& method, const std::string& path, const std::string& body, int base, Duration patience,
-            Done done);
-  /// The first configuration, and what must be refused on top of it.
-  void begin(std::function<void()> then);
-  /// Changes named items while traffic runs.
-  void change(std::function<void()> then);
-  void evacuate(const std::string& zone, bool on, std::function<void()> then);
-  void retire();
-  /// Reads the configuration back.
-  void read_back(std::function<void()> then);
+  using OnDone = std::function<void()>;
+  explicit Operator(Environment& environment) : environment_(environment) {}
+
+  /// Applies the first configuration, and tries what must be rejected on top of it.
+  void apply_first_configuration(OnDone on_done);
+  /// Changes named routes; `on_done` follows once the change must be in force.
+  void change_routes(OnDone on_done);
+  void evacuate(const std::string& zone, OnDone on_done);
+  void restore(const std::string& zone);
+  /// Asks for retirements that must be rejected, and for the state of a machine that serves.
+  void request_retirements();
+  /// Compares the configuration in force with the one applied last.
+  void read_back(OnDone on_done);
 
  private:
-  void expect(const std::string& what, uint32_t status, const std::set<uint32_t>& good);
-  World& w_;
-  nlohmann::json document_;
+  struct Response {
+    /// 0 where there was no clear response within the patience.
+    uint32_t status = 0;
+    std::string body;
+  };
+  using OnResponse = std::function<void(const Response& response)>;
+  struct Request {
+    std::string method;
+    std::string path;
+    std::string body;
+    /// The revision that the request is meant to replace.
+    std::optional<int> base_revision;
+    Duration patience{};
+    /// For reports.
+    std::string description;
+    /// The statuses that are right.
+    std::set<uint32_t> expected;
+  };
+  /// A request until its clear response.
+  struct Call {
+    Request request;
+    OnResponse on_response;
+    MonotonicTime deadline{};
+    /// Where a redirection leads; empty for any controller.
+    Address redirected_to;
+    int redirections = 0;
+  };
+
+  void call(Request request, OnResponse on_response);
+  void send(const std::shared_ptr<Call>& call);
+  void on_outcome(const std::shared_ptr<Call>& call, const HttpOutcome& outcome);
+  /// Notes where a redirection leads.
+  static void follow_redirection(Call& call, const HttpOutcome& outcome);
+  /// Makes these calls one after the other.
+  void call_in_turn(std::vector<Request> requests, OnDone on_done);
+
+  Environment& environment_;
+  /// The configuration that was applied last.
+  nlohmann::json configuration_;
 };
 
-}  // namespace mosskeel::standin
+}  // namespace mosskeel::platform_stub
--- /dev/null
+++ b/tests/platform_stub/platform_configuration.cpp
@@ -0,0 +1,93 @@
+#include "platform_stub/platform_configuration.hpp"
+
+#include "platform_stub/listed_replica.hpp"
+
+namespace mosskeel::platform_stub {
+
+namespace {
+
+using Json = nlohmann::json;
+
+constexpr int kInvalidRevision = 6;
+constexpr int kLaterRevision = 9;
+/// Tokens that a model's prefix cache takes.
+constexpr int kCacheTokens = 100000;
+/// Places of routes in the first configuration.
+constexpr size_t kSafeRoute = 0;
+constexpr size_t kOldRoute = 2;
+
+Json plain_route(const std::string& name, const std::string& kind, const std::string& service) {
+  return {{"Name", "r-" + name}, {"Host", "ask.example"}, {"PathPrefix", "/" + name + "/"},
+          {"RouteKind", kind},   {"TimeoutMs", 4000},     {"TargetLatencyMs", 1500},
+          {"Priority", 1},       {"MaxAttempts", 3},      {"Service", service},
+          {"Retained", false},   {"RetentionS", 60.0},    {"StickySessions", false},
+          {"Resumable", false},  {"GapTargetMs", 0}};
+}
+
+Json streaming_route(const std::string& name) {
+  auto route = plain_route(name, "streaming", "model");
+  route["Retained"] = name == "turn";
+  route["StickySessions"] = true;
+  route["Resumable"] = name == "resume";
+  route["GapTargetMs"] = 1000;
+  return route;
+}
+
+Json service(const std::string& name) {
+  return {{"Name", name},
+          {"HealthPath", "/health"},
+          {"MaxConnections", 100},
+          {"Protocol", "h1"},
+          {"TlsEnabled", false},
+          {"ColdStartS", 5.0},
+          {"ColdPerS", kColdRequestsPerSecond}};
+}
+
+Json model_service() {
+  auto model = service("model");
+  model["Runtime"] = {{"SlotCount", kReplicaSlots}, {"CacheTokens", kCacheTokens}, {"TokensPerEvent", kTokensPerEvent}};
+  return model;
+}
+
+}  // namespace
+
+Json first_configuration() {
+  auto routes =
+      Json::array({plain_route("safe", "safe", "app"), plain_route("unsafe", "unsafe", "app"),
+                   plain_route("old", "safe", "app"), plain_route("rogue", "safe", "rogue"), streaming_route("stream"),
+                   streaming_route("resume"), streaming_route("turn"), streaming_route("brief")});
+  auto services = Json::array({service("app"), service("app2"), service("rogue"), model_service()});
+  Json limits{
+      {"MaxHeaderBytes", 16384}, {"MaxBodyBytes", 4194304}, {"HeaderTimeoutMs", 3000}, {"IdleTimeoutMs", 15000}};
+  return {{"Revision", kFirstRevision}, {"Routes", routes}, {"Services", services}, {"Limits", limits}};
+}
+
+ConfigurationChange change_routes(const Json& configuration) {
+  auto moved = plain_route("safe", "safe", "app2");
+  auto added = plain_route("new", "safe", "app");
+  ConfigurationChange change;
+  change.patch["Revision"] = kChangedRevision;
+  change.patch["Upsert"]["Routes"] = Json::array({moved, added});
+  change.patch["Remove"]["Routes"] = Json::array({"r-old"});
+  change.result = configuration;
+  change.result["Revision"] = kChangedRevision;
+  change.result["Routes"][kSafeRoute] = moved;
+  change.result["Routes"].erase(kOldRoute);
+  change.result["Routes"].push_back(added);
+  return change;
+}
+
+Json invalid_configuration(const Json& configuration) {
+  auto invalid = configuration;
+  invalid["Revision"] = kInvalidRevision;
+  invalid["Routes"][kSafeRoute]["Service"] = "nobody";
+  return invalid;
+}
+
+Json later_configuration(const Json& configuration) {
+  auto later = configuration;
+  later["Revision"] = kLaterRevision;
+  return later;
+}
+
+}  // namespace mosskeel::platform_stub
--- /dev/null
+++ b/tests/platform_stub/platform_configuration.hpp
@@ -0,0 +1,29 @@
+#pragma once
+// The configuration documents of the stub's operator.
+#include <nlohmann/json.hpp>
+#include <string>
+
+namespace mosskeel::platform_stub {
+
+inline constexpr int kFirstRevision = 5;
+inline constexpr int kChangedRevision = 8;
+
+/// The configuration that a run begins with.
+nlohmann::json first_configuration();
+
+/// A change of named items of a configuration, and the document that it leads to.
+struct ConfigurationChange {
+  nlohmann::json patch;
+  nlohmann::json result;
+};
+
+/// Moves the route "safe" to another service, adds the route "new" and removes the route "old".
+ConfigurationChange change_routes(const nlohmann::json& configuration);
+
+/// A later revision in which a route leads to a service that does not exist.
+nlohmann::json invalid_configuration(const nlohmann::json& configuration);
+
+/// A valid later revision.
+nlohmann::json later_configuration(const nlohmann::json& configuration);
+
+}  // namespace mosskeel::platform_stub
