--- a/tests/unit/runtime/golden_folders.cpp
+++ b/tests/unit/runtime/golden_folders.cpp
@@ -4,7 +4,7 @@
 
 #include "history/constants.hpp"
 #include "storage/journal_writer.hpp"
-#include "unit/storage/disk_fixture.hpp"
+#include "unit/storage/data_folder.hpp"
 
 namespace mosskeel::golden {
 namespace {
@@ -303,7 +303,7 @@
 };
 
 /// Copies identity, checkpoint and log; the lock is no data.
-void keep_folder(const Folder& written, const std::filesystem::path& target) {
+void keep_folder(const test::DataFolder& written, const std::filesystem::path& target) {
   std::filesystem::create_directories(target);
   for (const auto& file : std::filesystem::directory_iterator(written.path))
     if (file.path().filename() != "lock")
@@ -442,7 +442,7 @@
 }
 
 void write_controller_folder(const std::filesystem::path& folder) {
-  Folder written;
+  test::DataFolder written;
   {
     LogScript log;
     DaemonWithFolder<ControllerMachine> daemon(written.path, controller_identity());
@@ -473,7 +473,7 @@
 }
 
 void write_unfounded_controller_folder(const std::filesystem::path& folder) {
-  Folder written;
+  test::DataFolder written;
   {
     DaemonWithFolder<ControllerMachine> daemon(written.path, controller_identity());
     auto proposer = controller(2, "b");
@@ -485,7 +485,7 @@
 }
 
 void write_store_folder(const std::filesystem::path& folder) {
-  Folder written;
+  test::DataFolder written;
   {
     LogScript log;
     Store daemon(written.path, store_identity());
--- a/tests/unit/runtime/golden_folders_test.cpp
+++ b/tests/unit/runtime/golden_folders_test.cpp
@@ -2,7 +2,7 @@
 #include "unit/runtime/golden_folders.hpp"
 #include "unit/messages/golden_fields.hpp"
 #include "unit/messages/golden_files.hpp"
-#include "unit/storage/disk_fixture.hpp"
+#include "unit/storage/data_folder.hpp"
 
 using namespace mosskeel;
 
@@ -14,7 +14,7 @@
 
 /// A copy, since a start may write to its folder.
 struct GoldenFolder {
-  Folder copy;
+  test::DataFolder copy;
   explicit GoldenFolder(const std::string& name) { std::filesystem::copy(golden::data_directory() / name, copy.path); }
   size_t segments() const {
     size_t count = 0;
--- a/tests/unit/storage/disk_crash_test.cpp
+++ b/tests/unit/storage/disk_crash_test.cpp
@@ -1,174 +1,218 @@
 // A kill or a loss of power between any two changes on disk: what was acknowledged is there, nothing else is.
+#include <fstream>
+#include <random>
+
 #include "unit/storage/crash_disk.hpp"
 
 using namespace mosskeel;
+using namespace mosskeel::test;
 
 namespace {
 
-constexpr int record_count = 12;
-constexpr int checkpoint_each = 4;
-constexpr size_t subset_bits = 8;  // changes of names enumerated in all subsets; more are drawn at random
-constexpr int random_subsets = 64;
+constexpr int kRecords = 12;
+/// Records between two checkpoints.
+constexpr int kCheckpointInterval = 4;
+/// Of each so many records one is not synced by itself.
+constexpr int kSyncCycle = 3;
+/// Up to so many unsynced changes of names are played in all subsets, more of them in random ones.
+constexpr size_t kMaxEnumeratedNames = 8;
+constexpr uint64_t kRandomSubsets = 64;
 
-/// Records are their numbers, a checkpoint is how many records it stands for.
+/// How many records the process under test has appended, and how many of them were acknowledged as durable.
 struct Progress {
-  int appended = 0, acknowledged = 0;
+  int appended = 0;
+  int acknowledged = 0;
 };
 
-std::string record(int n) {
-  // Of different lengths, so that no two lie at like offsets.
-  return "record " + std::to_string(n) + std::string(static_cast<size_t>(n % 5) * 7, '.');
+/// Records are of different lengths, so that no two lie at like offsets.
+std::string make_record(int number) {
+  auto filling = static_cast<size_t>(number % 5) * 7;
+  return "record " + std::to_string(number) + std::string(filling, '.');
 }
 
-/// How many records a start finds; fails where they are not the first ones in order.
-int found(const Disk& d) {
-  auto& r = d.recovered();
-  int n = r.checkpoint ? std::stoi(*r.checkpoint) : 0;
-  for (auto& x : r.journal) {
-    REQUIRE(x == record(n));
-    ++n;
+/// How many records a start finds, which must be the first ones in order. A checkpoint is the number of records that it
+/// stands for.
+int count_recovered(const Disk& disk) {
+  const auto& recovered = disk.recovered();
+  int count = recovered.checkpoint ? std::stoi(*recovered.checkpoint) : 0;
+  for (const auto& record : recovered.journal) {
+    REQUIRE(record == make_record(count));
+    ++count;
   }
-  return n;
+  return count;
 }
 
-/// Opens the folder and writes until all records are there, with a checkpoint now and then, each synced.
-/// A kill must leave as the exception that it is, so no call stands inside an assertion.
-void work(const Folder& f, const DiskCalls& calls, Progress& p) {
-  auto must = [](DiskResult r) {
-    REQUIRE(r);
-  };
-  auto opened = Disk::open(f.path, 42, calls);
-  INFO((opened.ok() ? "" : to_string(opened.errors())));
-  REQUIRE(opened.ok());
-  auto d = opened.value();
-  int have = found(*d);
-  REQUIRE(have >= p.acknowledged);
-  REQUIRE(have <= p.appended);
-  p.acknowledged = have;
-  for (int n = have; n < record_count; ++n) {
-    p.appended = std::max(p.appended, n + 1);
-    must(d->append({record(n)}));
-    if (n % 3 == 1)
+/// Fails where an acknowledged record is missing or one is there that was not written.
+void check_recovered(int recovered, const Progress& progress) {
+  REQUIRE(recovered >= progress.acknowledged);
+  REQUIRE(recovered <= progress.appended);
+}
+
+void require_done(DiskResult result) {
+  REQUIRE(result);
+}
+
+/// Appends the records from `first` on, most of them synced, with a checkpoint now and then. A kill has to leave as the
+/// exception that it is, so the disk is never called inside an assertion.
+void append_from(Disk& disk, int first, Progress& progress) {
+  for (int number = first; number < kRecords; ++number) {
+    progress.appended = std::max(progress.appended, number + 1);
+    auto appended = disk.append({make_record(number)});
+    require_done(appended);
+    if (number % kSyncCycle == 1)
       continue;
-    must(d->sync());
-    p.acknowledged = n + 1;
-    if ((n + 1) % checkpoint_each == 0)
-      must(d->checkpoint(std::to_string(n + 1)));
+    auto synced = disk.sync();
+    require_done(synced);
+    progress.acknowledged = number + 1;
+    if ((number + 1) % kCheckpointInterval == 0) {
+      auto written = disk.checkpoint(std::to_string(number + 1));
+      require_done(written);
+    }
   }
+}
+
+/// Runs a process on the folder: checks what is there and writes until all records are.
+void run_process(const DataFolder& folder, const DiskCalls& calls, Progress& progress) {
+  auto opened = Disk::open(folder.path, kNewIdentity, calls);
+  INFO((opened.ok() ? "" : to_string(opened.errors())));
+  REQUIRE(opened.ok());
+  auto& disk = *opened.value();
+  int recovered = count_recovered(disk);
+  check_recovered(recovered, progress);
+  progress.acknowledged = recovered;
+  append_from(disk, recovered, progress);
   // Twice without a record between, as when a full disk asks for one after the other.
-  must(d->checkpoint(std::to_string(record_count)));
-  must(d->checkpoint(std::to_string(record_count)));
-  p.acknowledged = record_count;
+  for (int i = 0; i < 2; ++i) {
+    auto written = disk.checkpoint(std::to_string(kRecords));
+    require_done(written);
+  }
+  progress.acknowledged = kRecords;
 }
 
-void start_after(const CrashDisk::Files& files, Progress p) {
-  Folder f;
-  for (auto& [n, content] : files)
-    std::ofstream(f.path + "/" + n, std::ios::binary) << content;
-  work(f, DiskCalls::real(), p);
+/// Runs a process until the disk kills it.
+Progress run_until_killed(CrashDisk& disk) {
+  Progress progress;
+  try {
+    run_process(disk.folder(), disk.calls(), progress);
+  } catch (const ProcessKilled&) {}
+  return progress;
 }
 
-/// Every subset of the unsynced names (or many), each with no, all and some of the unsynced writes.
-size_t lose_power(const CrashDisk& disk, Progress p, std::mt19937_64& random) {
-  auto none = [](size_t) {
-    return size_t{0};
-  };
-  auto all = [](size_t n) {
-    return n;
-  };
-  auto some = [&](size_t n) {
-    return random() % 3 == 0 ? 0 : random() % 2 ? n : random() % (n + 1);
+/// Runs a process on a folder with these files.
+void run_on(const CrashDisk::Files& files, Progress progress) {
+  DataFolder folder;
+  for (const auto& [name, content] : files)
+    std::ofstream(folder.path + "/" + name, std::ios::binary) << content;
+  run_process(folder, DiskCalls::real(), progress);
+}
+
+size_t keep_none(size_t) {
+  return 0;
+}
+
+size_t keep_all(size_t count) {
+  return count;
+}
+
+/// Plays a loss of power and a start after it, with every subset of the unsynced names or many of them, each with none,
+/// all and some of the unsynced writes.
+/// @return how many losses were played.
+size_t lose_power(const CrashDisk& disk, const Progress& progress, std::mt19937_64& random) {
+  auto keep_some = [&random](size_t count) -> size_t {
+    if (random() % 3 == 0)
+      return 0;
+    return random() % 2 != 0 ? count : random() % (count + 1);
   };
   auto names = disk.unsynced_names();
-  bool few = names <= subset_bits;
-  uint64_t subsets = few ? uint64_t{1} << names : random_subsets;
+  bool enumerates = names <= kMaxEnumeratedNames;
+  uint64_t subsets = enumerates ? uint64_t{1} << names : kRandomSubsets;
   size_t played = 0;
   for (uint64_t i = 0; i < subsets; ++i) {
-    auto kept = few ? i : random();
-    start_after(disk.after_power_loss(kept, none), p);
-    start_after(disk.after_power_loss(kept, all), p);
-    start_after(disk.after_power_loss(kept, some), p);
+    auto kept_names = enumerates ? i : random();
+    run_on(disk.after_power_loss(kept_names, keep_none), progress);
+    run_on(disk.after_power_loss(kept_names, keep_all), progress);
+    run_on(disk.after_power_loss(kept_names, keep_some), progress);
     played += 3;
   }
   return played;
 }
 
-long changes_of_a_whole_run() {
+/// How many changes a process makes that is never killed.
+long count_changes() {
   CrashDisk disk;
-  Progress p;
-  work(disk.folder(), disk.calls(), p);
+  Progress progress;
+  run_process(disk.folder(), disk.calls(), progress);
   return disk.changes();
 }
 
-/// Runs until the given change and dies there.
-void run_until(CrashDisk& disk, Progress& p) {
-  try {
-    work(disk.folder(), disk.calls(), p);
-  } catch (const ProcessKilled&) {}
-}
-
 }  // namespace
 
-TEST_CASE("power lost between any two changes on disk loses no synced record, whichever names are kept") {
+TEST_CASE("Disk loses no synced record to a loss of power between any two changes, whichever names are kept") {
   std::mt19937_64 random(1);
-  auto last = changes_of_a_whole_run();
+  auto changes = count_changes();
   size_t played = 0;
-  for (long at = 0; at <= last; ++at) {
-    CrashDisk disk(at);
-    Progress p;
-    run_until(disk, p);
-    INFO("after change " << at << " of " << last);
-    played += lose_power(disk, p, random);
+
+  for (long change = 0; change <= changes; ++change) {
+    INFO("after change " << change << " of " << changes);
+    CrashDisk disk(change);
+    auto progress = run_until_killed(disk);
+    played += lose_power(disk, progress, random);
   }
+
   CHECK(played > 500);
 }
 
-TEST_CASE("a process killed between any two changes starts again, and power lost after that loses nothing") {
+TEST_CASE("Disk opens after a kill between any two changes, and loses nothing to a loss of power after that") {
   std::mt19937_64 random(2);
-  auto last = changes_of_a_whole_run();
-  for (long at = 0; at <= last; ++at) {
-    CrashDisk disk(at);
-    Progress p;
-    run_until(disk, p);
-    INFO("killed after change " << at << " of " << last);
+  auto changes = count_changes();
+
+  for (long change = 0; change <= changes; ++change) {
+    INFO("killed after change " << change << " of " << changes);
+    CrashDisk disk(change);
+    auto progress = run_until_killed(disk);
     disk.never_kill();
     {
-      auto d = Disk::open(disk.folder().path, 42, disk.calls()).value();
-      int have = found(*d);
-      REQUIRE(have >= p.acknowledged);
-      REQUIRE(have <= p.appended);
+      auto reopened = Disk::open(disk.folder().path, kNewIdentity, disk.calls()).value();
+      int recovered = count_recovered(*reopened);
+      REQUIRE(recovered >= progress.acknowledged);
+      REQUIRE(recovered <= progress.appended);
       // What a start found is answered for from then on.
-      p.acknowledged = have;
+      progress.acknowledged = recovered;
     }
-    lose_power(disk, p, random);
+    lose_power(disk, progress, random);
   }
 }
 
-TEST_CASE("the identity that a daemon has used outlives a loss of power after a kill") {
-  std::mt19937_64 random(3);
-  auto last = changes_of_a_whole_run();
-  for (long at = 0; at <= last; ++at) {
-    CrashDisk disk(at);
-    Progress p;
-    run_until(disk, p);
+TEST_CASE("Disk keeps the identity that a daemon has used through a loss of power after a kill") {
+  constexpr uint64_t other_identity = 77;
+  auto changes = count_changes();
+
+  for (long change = 0; change <= changes; ++change) {
+    INFO("killed after change " << change << " of " << changes);
+    CrashDisk disk(change);
+    run_until_killed(disk);
     disk.never_kill();
-    auto used = Disk::open(disk.folder().path, 77, disk.calls()).value()->recovered().incarnation;
-    for (uint64_t kept = 0; kept < uint64_t{1} << std::min(disk.unsynced_names(), subset_bits); ++kept) {
-      auto files = disk.after_power_loss(kept, [](size_t) { return size_t{0}; });
+    auto used = Disk::open(disk.folder().path, other_identity, disk.calls()).value()->recovered().incarnation;
+
+    auto enumerated_names = std::min(disk.unsynced_names(), kMaxEnumeratedNames);
+    for (uint64_t kept_names = 0; kept_names < uint64_t{1} << enumerated_names; ++kept_names) {
+      auto files = disk.after_power_loss(kept_names, keep_none);
       REQUIRE(files.count("identity") == 1);
       CHECK(files["identity"] == hex(used.value()));
     }
   }
 }
 
-TEST_CASE("the recording disk notices a folder that is never synced") {
+TEST_CASE("CrashDisk leaves no file of a folder that is never synced") {
   CrashDisk disk;
-  Progress p;
   auto calls = disk.calls();
   calls.sync_folder = [](const char*) {
     return 0;
   };
-  work(disk.folder(), calls, p);
-  auto files = disk.after_power_loss(0, [](size_t n) { return n; });
+  Progress progress;
+  run_process(disk.folder(), calls, progress);
+
+  auto files = disk.after_power_loss(0, keep_all);
+
   CHECK(files.empty());
 }
--- a/tests/unit/storage/disk_test.cpp
+++ b/tests/unit/storage/disk_test.cpp
@@ -1,137 +1,196 @@
-#include "consensus/acceptor.hpp"
-#include "history/store_machine.hpp"
+// What a start finds in a data folder: synced records, torn tails, damage, and the state behind a short write.
+#include "storage/disk.hpp"
+
+#include <fstream>
+
 #include "storage/constants.hpp"
 #include "storage/log_frame.hpp"
-#include "unit/storage/disk_fixture.hpp"
+#include "unit/storage/data_folder.hpp"
+#include "unit/storage/small_disk.hpp"
 
 using namespace mosskeel;
+using namespace mosskeel::test;
 namespace fs = std::filesystem;
 
-TEST_CASE("what was synced is found again, under the same identity") {
-  Folder f;
-  fill(f, 3);
-  fill(f, 2, 3);
-  auto d = f.open();
-  CHECK(d->recovered().incarnation == Incarnation{42});
-  CHECK(d->recovered().journal.size() == 5);
-  CHECK(d->recovered().journal.back() == "record 4");
+namespace {
+
+using Journal = std::vector<std::string>;
+
+/// Bytes; an offset in the first frame of a segment, behind its header.
+constexpr size_t kInFirstFrame = kFrameHeaderBytes + 2;
+
+std::string read_file(const std::string& path) {
+  std::string content(fs::file_size(path), '\0');
+  std::ifstream(path, std::ios::binary).read(content.data(), static_cast<std::streamsize>(content.size()));
+  return content;
+}
+
+bool opens(const DataFolder& folder) {
+  return Disk::open(folder.path, kNewIdentity).ok();
+}
+
+}  // namespace
+
+TEST_CASE("Disk finds what was synced again, under the same identity") {
+  DataFolder folder;
+  append_records(folder, 3);
+  append_records(folder, 2, 3);
+
+  auto disk = folder.open();
+
+  CHECK(disk->recovered().incarnation == Incarnation{kNewIdentity});
+  CHECK(disk->recovered().journal.size() == 5);
+  CHECK(disk->recovered().journal.back() == "record 4");
 }
 
-TEST_CASE("a torn tail is cut and the log goes on behind it") {
-  for (size_t torn : {1, 5, 11, 13, 18}) {
-    Folder f;
-    fill(f, 2);
-    REQUIRE(f.open()->append({"record 2"}));
-    auto p = f.only("log-");
-    fs::resize_file(p, fs::file_size(p) - torn);
-    fill(f, 1, 9);
-    auto d = f.open();
-    REQUIRE(d->recovered().journal.size() == 3);
-    CHECK(d->recovered().journal[1] == "record 1");
-    CHECK(d->recovered().journal[2] == "record 9");
+TEST_CASE("Disk cuts a torn tail off and appends behind what is left") {
+  // Of the last record's 20 bytes: parts of its text, of its checksum and of its size.
+  for (size_t torn_bytes : {1, 5, 11, 13, 18}) {
+    INFO("torn bytes " << torn_bytes);
+    DataFolder folder;
+    append_records(folder, 2);
+    REQUIRE(folder.open()->append({"record 2"}));
+    auto segment = folder.last_file("log-");
+    fs::resize_file(segment, fs::file_size(segment) - torn_bytes);
+
+    append_records(folder, 1, 9);
+
+    auto disk = folder.open();
+    REQUIRE(disk->recovered().journal.size() == 3);
+    CHECK(disk->recovered().journal[1] == "record 1");
+    CHECK(disk->recovered().journal[2] == "record 9");
   }
 }
 
-TEST_CASE("damage in the middle is refused aloud") {
-  Folder f;
-  fill(f, 3);
-  f.damage(f.only("log-"), 14);
-  auto d = Disk::open(f.path, 1);
-  REQUIRE_FALSE(d.ok());
-  CHECK(to_string(d.errors()).find("is damaged at byte 0") != std::string::npos);
+TEST_CASE("Disk does not open a log that is damaged before its end, and says where") {
+  DataFolder folder;
+  append_records(folder, 3);
+  damage_byte(folder.last_file("log-"), kInFirstFrame);
+
+  auto disk = Disk::open(folder.path, kNewIdentity);
+
+  REQUIRE_FALSE(disk.ok());
+  CHECK(to_string(disk.errors()).find("is damaged at byte 0") != std::string::npos);
 }
 
-TEST_CASE("a checkpoint stands for all before it, and a damaged one is refused") {
-  Folder f;
-  fill(f, 3);
+TEST_CASE("Disk finds a checkpoint in place of the records before it, and does not open with a damaged one") {
+  DataFolder folder;
+  append_records(folder, 3);
   {
-    auto d = f.open();
-    REQUIRE(d->checkpoint("all so far"));
-    REQUIRE(d->append({"later"}));
-    REQUIRE(d->sync());
+    auto disk = folder.open();
+    REQUIRE(disk->checkpoint("all so far"));
+    REQUIRE(disk->append({"later"}));
+    REQUIRE(disk->sync());
   }
+
   {
-    auto d = f.open();
-    CHECK(d->recovered().checkpoint == "all so far");
-    CHECK(d->recovered().journal == std::vector<std::string>{"later"});
+    auto disk = folder.open();
+    CHECK(disk->recovered().checkpoint == "all so far");
+    CHECK(disk->recovered().journal == Journal{"later"});
   }
-  fs::resize_file(f.only("checkpoint-"), 5);
-  CHECK_FALSE(Disk::open(f.path, 1).ok());
+
+  constexpr size_t truncated_size = 5;
+  fs::resize_file(folder.last_file("checkpoint-"), truncated_size);
+  CHECK_FALSE(opens(folder));
 }
 
-TEST_CASE("two daemons cannot hold one folder, and a lost segment is noticed") {
-  Folder f;
-  auto d = f.open();
-  CHECK_FALSE(Disk::open(f.path, 1).ok());
-  std::string big(kSegmentBytes, 'x');
+TEST_CASE("Disk does not open a folder that another daemon holds, or one that lacks a segment") {
+  DataFolder folder;
+  auto disk = folder.open();
+  CHECK_FALSE(opens(folder));
+
+  std::string segment_filling(kSegmentBytes, 'x');
   for (int i = 0; i < 4; ++i)
-    REQUIRE(d->append({big}));
-  REQUIRE(d->sync());
-  d.reset();
-  std::vector<std::string> logs;
-  for (auto& x : fs::directory_iterator(f.path))
-    if (x.path().filename().string().starts_with("log-"))
-      logs.push_back(x.path());
-  REQUIRE(logs.size() >= 3);
-  std::sort(logs.begin(), logs.end());
-  fs::remove(logs[1]);
-  CHECK_FALSE(Disk::open(f.path, 1).ok());
+    REQUIRE(disk->append({segment_filling}));
+  REQUIRE(disk->sync());
+  disk.reset();
+  auto segments = folder.files("log-");
+  REQUIRE(segments.size() >= 3);
+  fs::remove(segments[1]);
+
+  CHECK_FALSE(opens(folder));
 }
 
-TEST_CASE("a hole in what was not synced is cut with all behind it, and the log goes on") {
-  Folder f;
-  fill(f, 2);
-  auto p = f.only("log-");
-  auto synced = fs::file_size(p);
+TEST_CASE("Disk cuts off a hole in what was not synced, with all behind it, and appends there") {
+  DataFolder folder;
+  append_records(folder, 2);
+  auto segment = folder.last_file("log-");
+  auto synced_size = fs::file_size(segment);
   {
-    auto d = f.open();
-    for (auto s : {"lost", "there", "there too"})
-      REQUIRE(d->append({s}));
+    auto disk = folder.open();
+    for (const auto* record : {"lost", "there", "there too"})
+      REQUIRE(disk->append({record}));
   }
-  f.damage(p, synced + 13);
-  CHECK(f.open()->recovered().journal == std::vector<std::string>{"record 0", "record 1"});
-  CHECK(fs::file_size(p) == synced);
-  fill(f, 1, 2);
-  auto d = f.open();
-  CHECK(d->truncated_bytes() == 0);
-  CHECK(d->recovered().journal == std::vector<std::string>{"record 0", "record 1", "record 2"});
+  constexpr size_t in_text = kFrameHeaderBytes + 1;
+  damage_byte(segment, synced_size + in_text);
+
+  CHECK(folder.open()->recovered().journal == Journal{"record 0", "record 1"});
+  CHECK(fs::file_size(segment) == synced_size);
+
+  append_records(folder, 1, 2);
+  auto disk = folder.open();
+  CHECK(disk->truncated_bytes() == 0);
+  CHECK(disk->recovered().journal == Journal{"record 0", "record 1", "record 2"});
 }
 
-TEST_CASE("damage before a mark that says it was synced is refused aloud, wherever it is") {
-  for (int n : {0, 1, 2}) {
-    Folder f;
-    fill(f, 2);
-    fill(f, 1, 2);
-    auto p = f.only("log-");
-    std::string s(fs::file_size(p), 0);
-    std::ifstream(p, std::ios::binary).read(s.data(), static_cast<std::streamsize>(s.size()));
-    f.damage(p, s.find("record " + std::to_string(n)));
-    auto d = Disk::open(f.path, 1);
-    REQUIRE_FALSE(d.ok());
-    CHECK(to_string(d.errors()).find("is damaged at byte") != std::string::npos);
+TEST_CASE("Disk does not open with damage before a sync mark that covers it, wherever that is") {
+  for (int number : {0, 1, 2}) {
+    INFO("damaged record " << number);
+    DataFolder folder;
+    append_records(folder, 2);
+    append_records(folder, 1, 2);
+    auto segment = folder.last_file("log-");
+    damage_byte(segment, read_file(segment).find(numbered_record(number)));
+
+    auto disk = Disk::open(folder.path, kNewIdentity);
+
+    REQUIRE_FALSE(disk.ok());
+    CHECK(to_string(disk.errors()).find("is damaged at byte") != std::string::npos);
   }
 }
 
-TEST_CASE("a folder of the form without marks loads, is judged as before and goes on in a new segment") {
-  Folder f;
-  fill(f, 1);
-  auto p = f.only("log-");
-  auto old = frame("old 0") + frame("old 1") + frame("old 2");
-  std::ofstream(p, std::ios::binary) << old << "torn";
-  fill(f, 1, 3);
-  CHECK(f.only("log-") != p);
-  CHECK(fs::file_size(p) == old.size());
-  CHECK(f.open()->recovered().journal == std::vector<std::string>{"old 0", "old 1", "old 2", "record 3"});
-  fs::remove(f.only("log-"));
-  f.damage(p, 14);
-  CHECK_FALSE(Disk::open(f.path, 1).ok());
+TEST_CASE("Disk opens a segment without sync marks by the rules of its time, and appends in a new one") {
+  DataFolder folder;
+  append_records(folder, 1);
+  auto old_segment = folder.last_file("log-");
+  auto old_records = frame("old 0") + frame("old 1") + frame("old 2");
+  std::ofstream(old_segment, std::ios::binary) << old_records << "torn";
+
+  append_records(folder, 1, 3);
+
+  CHECK(folder.last_file("log-") != old_segment);
+  CHECK(fs::file_size(old_segment) == old_records.size());
+  CHECK(folder.open()->recovered().journal == Journal{"old 0", "old 1", "old 2", "record 3"});
+
+  fs::remove(folder.last_file("log-"));
+  damage_byte(old_segment, kInFirstFrame);
+  CHECK_FALSE(opens(folder));
 }
 
-TEST_CASE("daemons that do not know marks pass over them") {
-  auto m = codec::encode(SyncMark{SyncMark::kMagic, Incarnation{1}, 2, 3});
-  CHECK(m.size() == SyncMark::kBytes);
-  CHECK_FALSE(codec::decode<StoreRecord>(m));
-  CHECK_FALSE(codec::decode<ControllerRecord>(m));
-  CHECK(mark_of(m, Incarnation{1}, 2)->synced == 3);
-  CHECK_FALSE(mark_of(m, Incarnation{1}, 3));
+TEST_CASE("Disk takes a short write back to whole records, and writes behind them what has room") {
+  DataFolder folder;
+  SmallDisk small_disk{folder};
+  {
+    auto disk = folder.open(small_disk.calls());
+    REQUIRE(disk->append({"one"}));
+    REQUIRE(disk->sync());
+    auto used_before = small_disk.used();
+    // In nothing, the header, at the header's end and in the text.
+    for (size_t room : {0, 1, 11, 12, 500}) {
+      INFO("room " << room);
+      small_disk.size = used_before + room;
+      CHECK(disk->append({std::string(1000, 'x')}) == DiskResult{DiskResult::full});
+      CHECK(small_disk.used() == used_before);
+    }
+    small_disk.size = used_before + 200;
+    REQUIRE(disk->append({"two"}));
+    REQUIRE(disk->sync());
+  }
+  small_disk.set_room(0);
+
+  auto disk = folder.open(small_disk.calls());
+
+  CHECK(disk->truncated_bytes() == 0);
+  CHECK(disk->recovered().journal == Journal{"one", "two"});
+  CHECK(disk->append({"three"}) == DiskResult{DiskResult::full});
 }
--- /dev/null
+++ b/tests/unit/storage/log_frame_test.cpp
@@ -0,0 +1,22 @@
+// Sync marks among the records of a log.
+#include "storage/log_frame.hpp"
+
+#include "consensus/acceptor.hpp"
+#include "history/store_machine.hpp"
+#include "unit/catch.hpp"
+
+using namespace mosskeel;
+
+TEST_CASE("A sync mark is read back for its own segment alone, and no daemon takes it for a record of its own") {
+  constexpr Incarnation incarnation{1};
+  constexpr uint64_t sequence = 2;
+  constexpr uint64_t synced = 3;
+
+  auto encoded = codec::encode(SyncMark{SyncMark::kMagic, incarnation, sequence, synced});
+
+  CHECK(encoded.size() == SyncMark::kBytes);
+  CHECK_FALSE(codec::decode<StoreRecord>(encoded));
+  CHECK_FALSE(codec::decode<ControllerRecord>(encoded));
+  CHECK(mark_of(encoded, incarnation, sequence)->synced == synced);
+  CHECK_FALSE(mark_of(encoded, incarnation, sequence + 1));
+}
