--- a/tests/unit/runtime/golden_folders_test.cpp
+++ b/tests/unit/runtime/golden_folders_test.cpp
@@ -2,19 +2,19 @@
 #include "unit/runtime/golden_folders.hpp"
 #include "unit/messages/golden_fields.hpp"
 #include "unit/messages/golden_files.hpp"
-#include "unit/storage/disk_fixture.hpp"
+#include "unit/storage/data_folder.hpp"
 
 using namespace mosskeel;
 
 namespace {
 
-constexpr Duration start_time = kProcessClockStart;
+constexpr TimePoint start_time = kProcessClockStart;
 constexpr auto recovered_controller_file = "recovered/controller-checkpoint.hex";
 constexpr auto recovered_store_file = "recovered/store-checkpoint.hex";
 
 /// A copy, since a start may write to its folder.
 struct GoldenFolder {
-  Folder copy;
+  test::DataFolder copy;
   explicit GoldenFolder(const std::string& name) { std::filesystem::copy(golden::data_directory() / name, copy.path); }
   size_t segments() const {
     size_t count = 0;
