--- a/tests/model/actions.cpp
+++ b/tests/model/actions.cpp
@@ -11,7 +11,7 @@
       "wipe",    "hold_disk", "sync", "disk_back",         "cut",  "heal",     "order"};
   auto s = std::string(names[static_cast<int>(a.kind)]);
   return s + " node " + std::to_string(a.node) + " index " + std::to_string(a.index) +
-         (a.ms ? " ms " + std::to_string(a.ms) : "");
+         (a.ms != Duration{} ? " ms " + std::to_string(a.ms.count()) : "");
 }
 
 std::string describe(const Trace& t) {
@@ -62,28 +62,28 @@
   std::set<std::pair<Incarnation, size_t>> links;
   for (size_t i = 0; i < network_.size(); ++i)
     if (links.insert({network_[i].envelope->from_incarnation, network_[i].to}).second)
-      offer({Kind::deliver, network_[i].to, i, 0});
+      offer({Kind::deliver, network_[i].to, i, {}});
   if (network_.empty())
     offer({Kind::tick_all, 0, 0, options_.quiet_step});
   if (!network_.empty()) {
-    offer({Kind::lose, network_[0].to, 0, 0});
-    offer({Kind::duplicate, network_[0].to, 0, 0});
-    offer({Kind::deliver_and_crash, network_[0].to, 0, 0});
+    offer({Kind::lose, network_[0].to, 0, {}});
+    offer({Kind::duplicate, network_[0].to, 0, {}});
+    offer({Kind::deliver_and_crash, network_[0].to, 0, {}});
   }
   for (size_t n = 0; n < nodes_.size(); ++n) {
-    offer({Kind::sync, n, 0, 0});
-    offer({Kind::restart, n, 0, 0});
-    offer({Kind::wipe, n, 0, 0});
-    offer({Kind::disk_back, n, 0, 0});
-    offer({Kind::cut, n, size_t{1} << n, 0});
+    offer({Kind::sync, n, 0, {}});
+    offer({Kind::restart, n, 0, {}});
+    offer({Kind::wipe, n, 0, {}});
+    offer({Kind::disk_back, n, 0, {}});
+    offer({Kind::cut, n, size_t{1} << n, {}});
     if (nodes_.size() > 3 && n > 0)
-      offer({Kind::cut, n, (size_t{1} << n) | 1, 0});
-    offer({Kind::hold_disk, n, 0, 0});
+      offer({Kind::cut, n, (size_t{1} << n) | 1, {}});
+    offer({Kind::hold_disk, n, 0, {}});
     offer({Kind::tick, n, 0, options_.lone_step});
     for (size_t k = 0; k < orders_.size(); ++k)
-      offer({Kind::order, n, k, 0});
+      offer({Kind::order, n, k, {}});
   }
-  offer({Kind::heal, 0, 0, 0});
+  offer({Kind::heal, 0, 0, {}});
   return all;
 }
 
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -139,7 +139,7 @@
 
 void Cluster::remember(Node& n, const Actions& a, const std::shared_ptr<const Envelope>& cause, bool moved) {
   n.inputs = std::make_shared<Input>(Input{cause, n.clock, n.inputs});
-  auto hash = cause ? hash_of(*cause) : static_cast<uint64_t>(n.clock);
+  auto hash = cause ? hash_of(*cause) : static_cast<uint64_t>(to_milliseconds(n.clock));
   bool heartbeat = cause && std::holds_alternative<Heartbeat>(cause->body);
   bool silent = a.journal.empty() && a.now.empty() && (a.synced.empty() || heartbeat) && !moved;
   if (cause && silent && commutes(cause->body)) {
@@ -271,7 +271,7 @@
   uint64_t h = cut_;
   for (auto& n : nodes_) {
     h = mix(mix(h, n.history), n.unordered);
-    h = mix(mix(h, static_cast<uint64_t>(n.clock)), n.held ? n.unsynced.size() + 1 : 0);
+    h = mix(mix(h, static_cast<uint64_t>(to_milliseconds(n.clock))), n.held ? n.unsynced.size() + 1 : 0);
   }
   std::map<std::pair<Incarnation, size_t>, uint64_t> links;
   for (auto& f : network_) {
--- a/tests/model/cluster.hpp
+++ b/tests/model/cluster.hpp
@@ -85,7 +85,7 @@
   void inject(size_t node, Envelope e);
   MetadataSnapshot view(size_t node) const { return nodes_[node].view; }
   size_t size() const { return nodes_.size(); }
-  Duration clock(size_t node) const { return nodes_[node].clock; }
+  TimePoint clock(size_t node) const { return nodes_[node].clock; }
   size_t in_flight() const { return network_.size(); }
   const Envelope& message(size_t index) const { return *network_[index].envelope; }
   Incarnation incarnation(size_t node) const { return nodes_[node].identity.self.incarnation; }
@@ -123,7 +123,7 @@
     Identity identity;
     std::optional<Disk> lost;
     Recovered found;
-    Duration started = 0, clock = 0;
+    TimePoint started{}, clock{};
     std::shared_ptr<const Input> inputs;
     Running running;
     MetadataSnapshot view;
--- a/tests/model/fault_test.cpp
+++ b/tests/model/fault_test.cpp
@@ -44,7 +44,7 @@
     auto& m = c.message(i);
     if (std::holds_alternative<T>(m.body) && m.from_incarnation == c.incarnation(from) &&
         m.to == c.candidate(to).address)
-      return c.apply({Kind::deliver, to, i, 0}), true;
+      return c.apply({Kind::deliver, to, i, {}}), true;
   }
   return false;
 }
@@ -60,7 +60,7 @@
 
 TEST_CASE("a quorum of one member less is noticed", "[model]") {
   auto from = after_founding(with(Fault::votes_of_absent));
-  from.apply({Kind::cut, 2, 4, 0});
+  from.apply({Kind::cut, 2, 4, {}});
   auto r = noticed(from);
   CHECK((says(r, "two values") || says(r, "two changes on one base") || says(r, "lacks the acknowledged")));
 }
@@ -73,23 +73,23 @@
 /// value.
 Cluster vote_lost(Fault fault) {
   auto c = after_founding(with(fault, false));
-  c.apply({Kind::hold_disk, 0, 0, 0});
+  c.apply({Kind::hold_disk, 0, 0, {}});
   deliver<Prepare>(c, 1, 0);
   deliver<Promise>(c, 0, 1);
   deliver<Accept>(c, 1, 0);
   deliver<Accepted>(c, 0, 1);
-  c.apply({Kind::restart, 0, 0, 0});
-  c.apply({Kind::cut, 1, 2, 0});
+  c.apply({Kind::restart, 0, 0, {}});
+  c.apply({Kind::cut, 1, 2, {}});
   while (c.in_flight())
-    c.apply({Kind::lose, 0, 0, 0});
+    c.apply({Kind::lose, 0, 0, {}});
   auto over = [](const Cluster& x) {
     return !x.observer().broken().empty() || x.observer().acknowledged();
   };
-  c.apply({Kind::order, 2, 0, 0});
+  c.apply({Kind::order, 2, 0, {}});
   settle(c, 200, over);
-  c.apply({Kind::order, 2, 0, 0});
+  c.apply({Kind::order, 2, 0, {}});
   settle(c, 200, over);
-  c.apply({Kind::heal, 0, 0, 0});
+  c.apply({Kind::heal, 0, 0, {}});
   settle(c, 200, [](auto& x) { return !x.observer().broken().empty(); });
   return c;
 }
@@ -112,7 +112,7 @@
     c.add(a, seeds, 4);
   REQUIRE(settle(c, 3000, [](auto& x) { return x.view(0)->cluster && x.in_flight() == 0; }));
   c.add("c4", seeds, 4);
-  c.apply({Kind::cut, 3, 8, 0});
+  c.apply({Kind::cut, 3, 8, {}});
   force(c, Register{c.candidate(3)}, "register");
   REQUIRE(c.observer().broken().empty());
   force(c, AddCoreMember{c.view(0)->find(c.incarnation(3))->id}, "admit");
@@ -121,7 +121,7 @@
 
 TEST_CASE("two candidate sets at founding are noticed", "[model]") {
   Options o;
-  o.quiet_step = 100;
+  o.quiet_step = 100ms;
   Cluster c(o);
   const Addresses one{"c1", "c2"}, other{"c3", "c4"};
   for (auto& a : one)
@@ -160,7 +160,7 @@
     force(c, Register{c.candidate(3)}, "register");
   REQUIRE(settle(c, 400, [](auto& x) { return x.in_flight() == 0; }));
   auto fresh = c.view(0)->find(c.incarnation(3))->id, lost = c.view(0)->find(c.incarnation(2))->id;
-  c.apply({Kind::cut, 2, 4, 0});
+  c.apply({Kind::cut, 2, 4, {}});
   force(c, MarkDown{lost}, "down");
   force(c, ReplaceCoreMember{lost, fresh}, "replace");
   CHECK(c.observer().broken().find("need not meet") != std::string::npos);
@@ -171,29 +171,29 @@
   auto c = after_founding();
   REQUIRE(settle(c, 400, [](auto& x) { return x.observer().acknowledged() == 1; }));
   while (c.in_flight())
-    c.apply({Kind::lose, 0, 0, 0});
+    c.apply({Kind::lose, 0, 0, {}});
   REQUIRE(c.view(0)->epoch == c.view(1)->epoch);
   REQUIRE(c.view(0)->epoch == c.view(2)->epoch);
   Configuration changed{{Cell{"c", 1000, 100, 60000, {{"chat", "model", {}}}}}};
   c.submit({"third", ApplyConfiguration{c.view(0)->revision, changed}});
   c.submit({"fourth", ApplyConfiguration{c.view(0)->revision, c.view(0)->configuration}});
   c.budget.resends = 4;
-  c.apply({Kind::restart, 0, 0, 0});  // so that both lives count their rounds from the start
-  c.apply({Kind::hold_disk, 0, 0, 0});
-  c.apply({Kind::order, 0, 2, 0});
+  c.apply({Kind::restart, 0, 0, {}});  // so that both lives count their rounds from the start
+  c.apply({Kind::hold_disk, 0, 0, {}});
+  c.apply({Kind::order, 0, 2, {}});
   for (size_t voter : {1, 2}) {
     REQUIRE(deliver<Prepare>(c, 0, voter));
     REQUIRE(deliver<Promise>(c, voter, 0));
   }
   REQUIRE(deliver<Accept>(c, 0, 1));
-  c.apply({Kind::restart, 0, 0, 0});
-  c.apply({Kind::order, 0, 3, 0});
+  c.apply({Kind::restart, 0, 0, {}});
+  c.apply({Kind::order, 0, 3, {}});
   REQUIRE(deliver<Prepare>(c, 0, 2));
   deliver<Promise>(c, 2, 0);
   REQUIRE(deliver<Accepted>(c, 1, 0));
   CHECK(!c.view(0)->epoch_of_commit("fourth"));
-  c.apply({Kind::cut, 0, 1, 0});
-  c.apply({Kind::order, 1, 2, 0});
+  c.apply({Kind::cut, 0, 1, {}});
+  c.apply({Kind::order, 1, 2, {}});
   settle(c, 400, [](auto& x) { return !x.observer().broken().empty(); });
   CHECK(c.observer().broken().empty());
   CHECK(c.view(1)->epoch_of_commit("third"));
--- a/tests/model/starts.cpp
+++ b/tests/model/starts.cpp
@@ -42,7 +42,7 @@
 
 Cluster founded(Options o) {
   Cluster c(o);
-  Script s(c, 100, false);
+  Script s(c, 100ms, false);
   for (auto& a : seeds)
     c.add(a, seeds, 3);
   need(settle(c, patience, [](auto& x) { return same_epoch(x, 3) && x.in_flight() == 0; }), "founding");
@@ -58,9 +58,9 @@
 }
 
 Cluster before_founding(Options o) {
-  o.quiet_step = 100;
+  o.quiet_step = 100ms;
   Cluster c(o);
-  Script s(c, 100, false);
+  Script s(c, 100ms, false);
   for (auto& a : seeds)
     c.add(a, seeds, 3);
   c.add("c4", seeds, 3);
@@ -77,10 +77,10 @@
   c.submit(order("first", "a"));
   c.submit(order("second", "b"));
   for (size_t i = 0; i < c.size(); ++i)
-    c.apply({Kind::restart, i, 0, 0});
+    c.apply({Kind::restart, i, 0, {}});
   c.add("c4", seeds, 3);
-  c.apply({Kind::order, 0, 0, 0});
-  c.apply({Kind::order, 1, 1, 0});
+  c.apply({Kind::order, 0, 0, {}});
+  c.apply({Kind::order, 1, 1, {}});
   c.budget = {};
   return c;
 }
@@ -90,8 +90,8 @@
   c.submit(order("first", "a"));
   c.submit(order("second", "b"));
   for (size_t i = 0; i < c.size(); ++i)
-    c.apply({Kind::restart, i, 0, 0});
-  c.apply({Kind::order, 0, 0, 0});
+    c.apply({Kind::restart, i, 0, {}});
+  c.apply({Kind::order, 0, 0, {}});
   auto voting = [](const Cluster& x) {
     for (size_t i = 0; i < x.in_flight(); ++i)
       if (std::holds_alternative<Accept>(x.message(i).body) && x.message(i).to == "c2")
@@ -101,22 +101,22 @@
   need(settle(c, patience, voting), "a vote under way");
   for (size_t i = 0; i < c.in_flight(); ++i)
     if (std::holds_alternative<Accept>(c.message(i).body) && c.message(i).to == "c2") {
-      c.apply({Kind::deliver, 1, i, 0});
+      c.apply({Kind::deliver, 1, i, {}});
       break;
     }
   while (c.in_flight())
-    c.apply({Kind::lose, 0, 0, 0});
-  c.apply({Kind::restart, 0, 0, 0});
-  c.apply({Kind::order, 2, 1, 0});
+    c.apply({Kind::lose, 0, 0, {}});
+  c.apply({Kind::restart, 0, 0, {}});
+  c.apply({Kind::order, 2, 1, {}});
   c.budget = {};
   return c;
 }
 
 Cluster member_replaced(Options o) {
   o.leases = true;
-  o.quiet_step = 150;
+  o.quiet_step = 150ms;
   Cluster c(o);
-  Script s(c, 150, true);
+  Script s(c, 150ms, true);
   for (auto& a : seeds)
     c.add(a, seeds, 3);
   need(settle(c, patience, [](auto& x) { return same_epoch(x, 3); }), "founding");
@@ -124,30 +124,30 @@
   need(settle(c, patience, [](auto& x) { return same_epoch(x, 4) && x.view(0)->find(x.incarnation(3)); }), "newcomer");
   c.budget.wipes = 1;
   auto lost = c.incarnation(2);
-  c.apply({Kind::wipe, 2, 0, 0});
+  c.apply({Kind::wipe, 2, 0, {}});
   auto down = [&](const Cluster& x) {
     return x.view(0)->find(lost)->state == DaemonState::down;
   };
   need(settle(c, patience, down), "a member down");
   c.submit(order("first", "a"));
   c.submit(order("second", "b"));
-  c.apply({Kind::order, 0, 0, 0});
-  c.apply({Kind::order, 1, 1, 0});
+  c.apply({Kind::order, 0, 0, {}});
+  c.apply({Kind::order, 1, 1, {}});
   c.budget = {};
   return c;
 }
 
 Cluster before_refounding(Options o) {
-  o.quiet_step = 150;
+  o.quiet_step = 150ms;
   auto c = founded(o);
-  Script s(c, 150, true);
+  Script s(c, 150ms, true);
   c.submit(order("first", "a"));
   c.submit(order("second", "b"));
-  c.apply({Kind::order, 0, 0, 0});
+  c.apply({Kind::order, 0, 0, {}});
   need(settle(c, patience, [](auto& x) { return x.observer().acknowledged() == 1; }), "an acknowledgement");
   c.budget.wipes = 2;
-  c.apply({Kind::wipe, 1, 0, 0});
-  c.apply({Kind::wipe, 2, 0, 0});
+  c.apply({Kind::wipe, 1, 0, {}});
+  c.apply({Kind::wipe, 2, 0, {}});
   auto began = c.clock(0);
   need(settle(c, patience, [&](auto& x) { return x.clock(0) - began >= kCoreLossTimeout; }), "silence");
   c.budget = {};
--- a/tests/simulation/callers.cpp
+++ b/tests/simulation/callers.cpp
@@ -34,7 +34,7 @@
       else
         ++i;
     for (auto& f : v)
-      w_.at(w_.now() + 1, f);
+      w_.at(w_.now() + 1ms, f);
   };
 }
 
@@ -63,8 +63,8 @@
 
 Duration Callers::patience(const std::string& front) {
   if (w_.node(front).frozen)
-    return 500 + w_.below(4000);
-  return w_.chance(0.03) ? 1 + w_.below(400) : 45000;
+    return 500ms + w_.below(4000ms);
+  return w_.chance(0.03) ? 1ms + w_.below(400ms) : 45000ms;
 }
 
 /// How many turns the thread has, where the caller can be sure of it.
@@ -79,7 +79,7 @@
   return n;
 }
 
-void Callers::traffic(Duration gap, Duration end) {
+void Callers::traffic(Duration gap, TimePoint end) {
   if (w_.now() >= end)
     return;
   if (w_.chance(0.5))
@@ -87,8 +87,8 @@
   if (w_.chance(0.5))
     count();
   bool dive = dives && w_.next_random() % dives == 0;
-  program("p" + std::to_string(++next_), dive ? 10 : 2 + static_cast<int>(w_.below(4)), 0);
-  w_.at(w_.now() + 1 + w_.below(gap * 2), [=, this] { traffic(gap, end); });
+  program("p" + std::to_string(++next_), dive ? 10 : 2 + static_cast<int>(w_.below(uint64_t{4})), 0);
+  w_.at(w_.now() + 1ms + w_.below(gap * 2), [=, this] { traffic(gap, end); });
 }
 
 void Callers::program(const std::string& name, int turns, int i) {
@@ -100,7 +100,7 @@
   }
   turn(
       name, "main",
-      [=, this](const Turn&) { w_.at(w_.now() + w_.below(500), [=, this] { program(name, turns, i + 1); }); },
+      [=, this](const Turn&) { w_.at(w_.now() + w_.below(500ms), [=, this] { program(name, turns, i + 1); }); },
       !w_.chance(0.25));
 }
 
@@ -124,12 +124,12 @@
       t->done = true;
       return then(*t);
     }
-    w_.at(w_.now() + wait + w_.below(200), [=, this] { ask(t, then, stubborn); });
+    w_.at(w_.now() + wait + w_.below(200ms), [=, this] { ask(t, then, stubborn); });
   };
   ++t->tries;
   auto front = pick_front();
   if (front.empty())
-    return again(1000);
+    return again(1000ms);
   auto settled = std::make_shared<bool>(false);
   auto begun = w_.now();
   bool urgent = urgent_share && w_.next_random() % urgent_share == 0;
@@ -186,7 +186,7 @@
       t->status = e->status;
       return then(*t);
     }
-    again(e && e->retry_ms ? e->retry_ms : 300);
+    again(Duration(e && e->retry_ms ? e->retry_ms : 300));
   };
   auto a = session(
       front,
--- a/tests/simulation/callers.hpp
+++ b/tests/simulation/callers.hpp
@@ -17,7 +17,7 @@
   bool up = true;
   int now = 0, peak_cold = 0, every = 0;
   std::map<std::string, int> from;
-  TimePoint leaving_since = 0, evacuated_since = 0, cold_since = 0;
+  TimePoint leaving_since{}, evacuated_since{}, cold_since{};
   std::set<std::string> stopped;
 };
 
@@ -35,10 +35,10 @@
   /// Founds the configuration and lists the replicas; false if the cluster does not come up.
   bool introduce();
   /// Starts programs every `gap` ms until `end`.
-  void traffic(Duration gap, Duration end);
+  void traffic(Duration gap, TimePoint end);
   /// Commits through a random living controller until there is a verdict or the time is out.
   void commit(Transformation t, std::function<void(const CommitReply&)> then, std::string id = "",
-              Duration patience = 10000);
+              Duration patience = 10000ms);
   /// One turn on a program; `then` once it is done.
   void turn(const std::string& program, const std::string& thread, std::function<void(const Turn&)> then,
             bool stubborn = true);
@@ -52,12 +52,12 @@
   void read_back(const std::string& program, std::function<void(uint32_t status, const std::string& body)> then);
   /// Checks all that can only be judged at the end.
   void judge();
-  bool served_since(Duration t) const { return last_success_ >= t; }
+  bool served_since(TimePoint t) const { return last_success_ >= t; }
   std::map<std::string, SimReplica> replicas;
   uint64_t counted = 0, count_unknown = 0, lost_sessions = 0, stood_after = 0;
   uint64_t successes = 0, refusals = 0, unknowns = 0, resumed = 0, commits_yes = 0;
   bool helpers = true;
-  Duration pace = 40, slowest_refusal = 0;
+  Duration pace = 40ms, slowest_refusal{};
   uint64_t urgent_done = 0, urgent_asked = 0;
   uint64_t urgent_share = 0;
   /// One program in so many is a long dive with helpers; 0 for none.
@@ -97,7 +97,7 @@
   std::map<std::string, std::string> whole_;
   std::map<std::string, std::vector<std::shared_ptr<Turn>>> turns_;
   std::map<Revision, std::string> acked_;
-  Duration last_success_{};
+  TimePoint last_success_{};
   std::map<std::string, std::shared_ptr<Count>> counts_;
   void ask(std::shared_ptr<Count> c);
   void judge_counts();
--- a/tests/simulation/counts.cpp
+++ b/tests/simulation/counts.cpp
@@ -48,7 +48,7 @@
         c->done = true;
       return;
     }
-    w_.at(w_.now() + (e && e->retry_ms ? e->retry_ms : 300) + w_.below(200), [=, this] {
+    w_.at(w_.now() + Duration(e && e->retry_ms ? e->retry_ms : 300) + w_.below(200ms), [=, this] {
       if (!c->done)
         ask(c);
     });
--- a/tests/simulation/cuts.cpp
+++ b/tests/simulation/cuts.cpp
@@ -30,9 +30,9 @@
 /// operators reach the core meanwhile and drain, evacuate and configure.
 void core_cut(Day& d) {
   auto& w = d.w;
-  d.c.traffic(60, w.now() + 60000);
+  d.c.traffic(60ms, w.now() + 60000ms);
   for (int i = 0; i < 4; ++i) {
-    w.run(1000 + w.below(1000));
+    w.run(1000ms + w.below(1000ms));
     std::set<std::string> one;
     auto how = w.next_random() % 5;
     if (how < 4)
@@ -50,22 +50,22 @@
     };
     auto z = std::string(1, static_cast<char>('a' + i % 3));
     auto before = d.c.successes;
-    w.run(w.below(300));
+    w.run(w.below(300ms));
     d.c.commit(
-        rep(ReplicaHealth::draining), [](const CommitReply&) {}, "", 5000);
+        rep(ReplicaHealth::draining), [](const CommitReply&) {}, "", 5000ms);
     d.c.commit(
-        EvacuateZone{z}, [](const CommitReply&) {}, "", 5000);
-    change(d, 5000);
-    w.run(2500 + w.below(4000));
+        EvacuateZone{z}, [](const CommitReply&) {}, "", 5000ms);
+    change(d, 5000ms);
+    w.run(2500ms + w.below(4000ms));
     if (how == 0 && d.c.successes < before + 20)
       w.fail("the fleet hardly served without its core: " + std::to_string(d.c.successes - before));
     w.heal();
-    w.run(2500);
+    w.run(2500ms);
     d.c.commit(rep(ReplicaHealth::ready), [](const CommitReply&) {});
     d.c.commit(RestoreZone{z}, [](const CommitReply&) {});
-    w.run(1500);
+    w.run(1500ms);
   }
-  w.run(3000);
+  w.run(3000ms);
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/day.cpp
+++ b/tests/simulation/day.cpp
@@ -8,7 +8,7 @@
   for (auto k : {Kind::controller, Kind::store, Kind::agent, Kind::gateway})
     for (auto& s : w.names(k)) {
       w.wake(s);
-      w.node(s).disk.slow = 0;
+      w.node(s).disk.slow = {};
       if (!w.node(s).machine)
         w.start(s);
     }
@@ -25,9 +25,9 @@
     });
   };
   (*once)();
-  if (!w.until(12000, [&] { return served; }))
+  if (!w.until(12000ms, [&] { return served; }))
     w.fail("not serving 12 s after the closing fault");
-  w.run(1000);
+  w.run(1000ms);
   *once = [] {
   };
   c.judge();
@@ -66,7 +66,7 @@
         *over = true;
       },
       "", patience);
-  d.w.until(patience + 100, [=] { return *over; });
+  d.w.until(patience + 100ms, [=] { return *over; });
   return *got;
 }
 
@@ -89,7 +89,7 @@
     if (auto* x = std::get_if<ProgramResponse>(&m))
       *got = *x;
   });
-  d.w.until(30000, [got] { return got->has_value(); });
+  d.w.until(30000ms, [got] { return got->has_value(); });
   return got->value_or(ProgramResponse{});
 }
 
--- a/tests/simulation/losses.cpp
+++ b/tests/simulation/losses.cpp
@@ -14,7 +14,7 @@
   auto& w = d.w;
   for (auto& f : w.names(Kind::gateway))
     w.kill(f);
-  w.at(w.now() + 100, [&w] {
+  w.at(w.now() + 100ms, [&w] {
     for (auto& f : w.names(Kind::gateway))
       w.start(f);
   });
@@ -62,7 +62,7 @@
       if (t.success)
         loss(program);
     });
-    w.until(8000, [over] { return *over; });
+    w.until(8000ms, [over] { return *over; });
     if (*served)
       return program;
   }
@@ -76,8 +76,8 @@
 /// again and again, each time as soon as the successors of the last loss have had their time to catch up.
 void pair_wiped(Day& d) {
   auto& w = d.w;
-  d.c.traffic(80, w.now() + 30000);
-  w.run(2000);
+  d.c.traffic(80ms, w.now() + 30000ms);
+  w.run(2000ms);
   for (int round = 0; round < 3; ++round) {
     std::vector<std::string> lost;
     lose_after_ack(d, [&](const std::string& program) {
@@ -89,7 +89,7 @@
       lost = v;
       forget_owners(d);
     });
-    w.run(300 + w.below(700));
+    w.run(300ms + w.below(700ms));
     for (auto& s : lost)
       w.start(s);
     auto started = w.now();
@@ -104,8 +104,8 @@
 /// their places; once that is done two more are lost, and what is left still serves and holds everything.
 void unreplaced(Day& d) {
   auto& w = d.w;
-  d.c.traffic(80, w.now() + 30000);
-  w.run(2000);
+  d.c.traffic(80ms, w.now() + 30000ms);
+  w.run(2000ms);
   for (int round = 0; round < 2; ++round) {
     lose_after_ack(d, [&](const std::string& program) {
       auto v = holders(d, program);
@@ -121,8 +121,8 @@
     if (round == 0)
       d.exposed.push_back(w.now() - lost);
   }
-  w.run(2000);
-  must_serve(d, 5000, "the loss of four stores of seven, two and two");
+  w.run(2000ms);
+  must_serve(d, 5000ms, "the loss of four stores of seven, two and two");
 }
 
 /// A store is emptied by order. In the middle, at any step, a store that is to take places loses its disk, the leaver
@@ -130,31 +130,31 @@
 /// once the other loss is made good, another store loses its disk. One loss at a time is borne.
 void leaving(Day& d) {
   auto& w = d.w;
-  d.c.traffic(80, w.now() + 40000);
-  w.run(3000);
+  d.c.traffic(80ms, w.now() + 40000ms);
+  w.run(3000ms);
   auto leaver = d.any(Kind::store);
   auto id = latest(w)->find_at(leaver)->id;
   d.c.commit(PrepareDrain{id}, [](const CommitReply&) {});
-  if (!w.until(5000, [&] { return latest(w)->sequences.count(id) > 0; }))
+  if (!w.until(5000ms, [&] { return latest(w)->sequences.count(id) > 0; }))
     return w.fail("the drain did not begin");
-  w.run(w.below(400));
+  w.run(w.below(400ms));
   std::string other;
   switch (w.next_random() % 3) {
     case 0:
       while (other.empty() || other == leaver)
         other = d.any(Kind::store);
       w.wipe(other);
-      w.at(w.now() + 500, [&w, other] { w.start(other); });
+      w.at(w.now() + 500ms, [&w, other] { w.start(other); });
       break;
     case 1:
       w.freeze(leaver);
-      w.at(w.now() + 500 + w.below(4000), [&w, leaver] { w.wake(leaver); });
+      w.at(w.now() + 500ms + w.below(4000ms), [&w, leaver] { w.wake(leaver); });
       break;
     default:
       for (auto& s : w.names(Kind::controller))
         if (auto& m = static_cast<ControllerMachine&>(*w.node(s).machine); m.is_supervisor(w.clock(w.node(s)))) {
           w.power_off(s);
-          w.at(w.now() + 6000, [&w, s] { w.start(s); });
+          w.at(w.now() + 6000ms, [&w, s] { w.start(s); });
           break;
         }
   }
@@ -162,21 +162,21 @@
     auto v = latest(w);
     return v && v->find(id)->state == DaemonState::left && !v->holds_partitions(id);
   };
-  if (!w.until(20000, gone))
+  if (!w.until(20000ms, gone))
     w.fail("the ordered drain did not come to its end");
   w.wipe(leaver);
   forget_owners(d);
-  if (!w.until(12000, [&] { return whole(w); }))
+  if (!w.until(12000ms, [&] { return whole(w); }))
     w.fail("a partition lacks copies long after the drain");
   auto next = leaver;
   while (next == leaver)
     next = d.any(Kind::store);
   w.wipe(next);
   forget_owners(d);
-  w.run(500);
+  w.run(500ms);
   w.start(next);
   auto started = w.now();
-  if (!w.until(12000, [&] { return whole(w); }))
+  if (!w.until(12000ms, [&] { return whole(w); }))
     w.fail("the copies of a lost store were not restored");
   d.exposed.push_back(w.now() - started);
 }
@@ -186,13 +186,13 @@
 void flapping(Day& d) {
   constexpr int most_sequences = 8;
   auto& w = d.w;
-  d.c.traffic(80, w.now() + 60000);
-  w.run(2000);
+  d.c.traffic(80ms, w.now() + 60000ms);
+  w.run(2000ms);
   auto store = d.any(Kind::store);
   std::set<Epoch> begun;
   for (int i = 0; i < 12; ++i) {
     w.freeze(store);
-    auto until = w.now() + 3200 + w.below(1500);
+    auto until = w.now() + 3200ms + w.below(1500ms);
     auto look = [&] {
       for (auto& [id, sequence] : latest(w)->sequences)
         begun.insert(sequence.started_epoch);
@@ -200,7 +200,7 @@
     };
     w.until(until - w.now(), look);
     w.wake(store);
-    w.until(1000 + w.below(1000), look);
+    w.until(1000ms + w.below(1000ms), look);
   }
   if (begun.size() > most_sequences)
     w.fail(std::to_string(begun.size()) + " sequences for a store that comes and goes");
--- a/tests/simulation/operator_request.cpp
+++ b/tests/simulation/operator_request.cpp
@@ -39,7 +39,7 @@
   l.unlock();
   thread_.join();
   if (!abandoned_)
-    then_(lives() ? answer_ : std::nullopt, was_frozen_ ? 0 : w_.now() - began_);
+    then_(lives() ? answer_ : std::nullopt, was_frozen_ ? 0ms : w_.now() - began_);
 }
 
 void OperatorRequest::serve() {
@@ -58,9 +58,9 @@
   turn_.notify_all();
 }
 
-void OperatorRequest::wait_until(Duration world_time) {
+void OperatorRequest::wait_until(TimePoint world_time) {
   auto token = ++wake_;
-  w_.at(std::max(world_time, w_.now() + 1), [this, token] {
+  w_.at(std::max(world_time, w_.now() + 1ms), [this, token] {
     if (token == wake_)
       resume();
   });
@@ -125,7 +125,7 @@
     e.from = session_;
     e.cluster = v->cluster;
     e.epoch = v->epoch;
-    e.body = Commit{id, t, v->epoch, until - now()};
+    e.body = Commit{id, t, v->epoch, (until - now()).count()};
     reply_.reset();
     w_.at(w_.now(), [this, e] {
       if (lives())
--- a/tests/simulation/operator_request.hpp
+++ b/tests/simulation/operator_request.hpp
@@ -33,7 +33,7 @@
  private:
   void serve();
   void resume();
-  void wait_until(Duration world_time);
+  void wait_until(TimePoint world_time);
   bool lives();
   void thaw();
   World& w_;
--- a/tests/simulation/operators.cpp
+++ b/tests/simulation/operators.cpp
@@ -37,7 +37,7 @@
               return;
             *mine = true;
             if (r->outcome == CommitOutcome::unknown)
-              return w_.at(w_.now() + 50, *attempt);
+              return w_.at(w_.now() + 50ms, *attempt);
             *over = true;
             if (r->outcome == CommitOutcome::committed) {
               ++commits_yes;
@@ -59,7 +59,7 @@
       e.body = Commit{id, t, e.epoch};
       w_.post(m, e);
     }
-    w_.at(w_.now() + 2300, [=] {
+    w_.at(w_.now() + 2300ms, [=] {
       if (!*mine)
         *mine = true, (*attempt)();
     });
@@ -79,7 +79,7 @@
   auto* m = std::get_if<ApplyConfiguration>(&t);
   if (!m)
     return;
-  w_.at(w_.now() + 2100, [this, rev = Revision{m->base.value() + 1}] {
+  w_.at(w_.now() + 2100ms, [this, rev = Revision{m->base.value() + 1}] {
     for (auto& s : w_.names(Kind::gateway))
       if (w_.alive(s) && w_.ready(s) && w_.node(s).machine->view()->revision < rev)
         w_.fail(s + " serves without revision " + std::to_string(rev.value()) + " 2 s after its acknowledgement");
@@ -89,11 +89,11 @@
 /// From the asking on, a drain that is taken back is not in force any more.
 void Callers::asked(const Transformation& t) {
   if (auto* s = std::get_if<SetReplica>(&t); s && s->replica.health != ReplicaHealth::draining)
-    replicas[s->replica.name].leaving_since = 0;
+    replicas[s->replica.name].leaving_since = {};
   if (auto* z = std::get_if<RestoreZone>(&t))
     for (auto& [n, r] : replicas)
       if (r.zone == z->zone)
-        r.evacuated_since = 0;
+        r.evacuated_since = {};
 }
 
 bool Callers::introduce() {
@@ -101,12 +101,12 @@
   for (auto& [n, r] : replicas)
     commit(
         SetReplica{{n, r.kind, r.zone, "http://" + n, ReplicaHealth::ready, {}, 0}},
-        [&left](const CommitReply& c) { left -= c.outcome == CommitOutcome::committed; }, "", 60000);
+        [&left](const CommitReply& c) { left -= c.outcome == CommitOutcome::committed; }, "", 60000ms);
   Cell c{"news", budget_, limit_, 3600000, {{"chat", "model", {}}, {"app", "app", {}}}};
   commit(
       ApplyConfiguration{Revision{0}, {{c}}},
-      [&left](const CommitReply& r) { left -= r.outcome == CommitOutcome::committed; }, "", 60000);
-  return w_.until(60000, [&] {
+      [&left](const CommitReply& r) { left -= r.outcome == CommitOutcome::committed; }, "", 60000ms);
+  return w_.until(60000ms, [&] {
     if (left)
       return false;
     for (auto& s : w_.names(Kind::gateway))
--- a/tests/simulation/orders.cpp
+++ b/tests/simulation/orders.cpp
@@ -94,11 +94,11 @@
   if (++o->tries > 12)
     return void(o->over = true);
   auto to = any();
-  auto delay = w_.chance(late) ? w_.below(1500) : w_.below(5);
+  auto delay = w_.chance(late) ? w_.below(1500ms) : w_.below(5ms);
   bool heard = !w_.chance(answer_lost);
   w_.at(w_.now() + delay, [=, this] { arrive(o, to, heard); });
   if (w_.chance(repeated))
-    w_.at(w_.now() + w_.below(4000), [=, this] { arrive(o, any(), false); });
+    w_.at(w_.now() + w_.below(4000ms), [=, this] { arrive(o, any(), false); });
   auto tried = o->tries;
   w_.at(w_.now() + caller_silence, [=, this] {
     if (!o->over && o->tries == tried)
@@ -116,7 +116,7 @@
       return;
     if (a->status < 500 && a->status != 307)
       return void(o->over = true);
-    w_.at(w_.now() + 50 + w_.below(200), [=, this] {
+    w_.at(w_.now() + 50ms + w_.below(200ms), [=, this] {
       if (!o->over && o->tries == tried)
         send(o);
     });
@@ -128,7 +128,7 @@
   if (!a)
     return;
   auto what = "order " + std::to_string(o->number) + " on " + std::to_string(o->base.value());
-  slowest = std::max<uint64_t>(slowest, static_cast<uint64_t>(took));
+  slowest = std::max<uint64_t>(slowest, static_cast<uint64_t>(took.count()));
   if (a->status == 200) {
     ++acknowledged;
     if (!o->valid)
@@ -161,7 +161,7 @@
   auto c = any();
   if (!w_.node(c).machine)
     return;
-  request(c, {"GET", "/v1/config", "", {}, {}}, [=, this](std::optional<ApiResponse> a, TimePoint) {
+  request(c, {"GET", "/v1/config", "", {}, {}}, [=, this](std::optional<ApiResponse> a, Duration) {
     if (!a || a->status != 200)
       return;
     auto at = a->body.find("\"Revision\":");
@@ -191,7 +191,7 @@
   }
   if (winners_.size() < 5)
     w_.fail("hardly an order was acknowledged: " + std::to_string(winners_.size()));
-  if (slowest > static_cast<uint64_t>(kOperatorRequestTimeout) + 100)
+  if (slowest > static_cast<uint64_t>(kOperatorRequestTimeout.count()) + 100)
     w_.fail("an answer took " + std::to_string(slowest) + " ms");
 }
 
@@ -206,27 +206,27 @@
   switch (w.next_random() % 7) {
     case 0:
       w.isolate(n);
-      return heal(100 + w.below(6000));
+      return heal(100ms + w.below(6000ms));
     case 1:
       for (auto& s : others)
         w.cut(n, s);
-      return heal(100 + w.below(6000));
+      return heal(100ms + w.below(6000ms));
     case 2:
       for (auto& s : others)
         w.cut(s, n);
-      return heal(100 + w.below(6000));
+      return heal(100ms + w.below(6000ms));
     case 3:
       w.freeze(n);
-      return w.at(w.now() + 100 + w.below(4000), [&w, n] { w.wake(n); });
+      return w.at(w.now() + 100ms + w.below(4000ms), [&w, n] { w.wake(n); });
     case 4:
       w.kill(n);
-      return w.at(w.now() + w.below(3000), [&w, n] { w.start(n); });
+      return w.at(w.now() + w.below(3000ms), [&w, n] { w.start(n); });
     case 5:
       w.power_off(n);
-      return w.at(w.now() + w.below(3000), [&w, n] { w.start(n); });
+      return w.at(w.now() + w.below(3000ms), [&w, n] { w.start(n); });
     default:
-      w.node(n).disk.slow = w.below(300);
-      return w.at(w.now() + w.below(3000), [&w, n] { w.node(n).disk.slow = 0; });
+      w.node(n).disk.slow = w.below(300ms);
+      return w.at(w.now() + w.below(3000ms), [&w, n] { w.node(n).disk.slow = {}; });
   }
 }
 
@@ -237,7 +237,7 @@
   w.net.loss = w.net.twice = 0;
   for (auto& s : w.names(Kind::controller)) {
     w.wake(s);
-    w.node(s).disk.slow = 0;
+    w.node(s).disk.slow = {};
     if (!w.node(s).machine)
       w.start(s);
   }
@@ -249,35 +249,38 @@
 void orders(Day& d) {
   auto& w = d.w;
   d.closed = true;
-  w.run(2000);
+  w.run(2000ms);
   Operators ops(d);
   w.net.loss = w.chance(0.5) ? 0.02 : 0;
   w.net.twice = w.chance(0.5) ? 0.05 : 0;
-  auto end = w.now() + 60000;
-  TimePoint next_trouble = w.now() + w.below(2000);
+  auto end = w.now() + 60000ms;
+  TimePoint next_trouble = w.now() + w.below(2000ms);
   while (w.now() < end) {
     auto newest = latest(w);
     if (!newest) {
-      w.run(500);
+      w.run(500ms);
       continue;
     }
     auto base = newest->revision;
     auto rivals = 1 + w.next_random() % 8;
-    for (uint64_t i = 0; i < rivals; ++i)
-      w.at(w.now() + w.below(700),
-           [&ops, base, patch = w.chance(0.5), valid = !w.chance(0.05)] { ops.send(ops.change(base, patch, valid)); });
+    for (uint64_t i = 0; i < rivals; ++i) {
+      auto patch = w.chance(0.5);
+      auto valid = !w.chance(0.05);
+      auto delay = w.below(700ms);
+      w.at(w.now() + delay, [&ops, base, patch, valid] { ops.send(ops.change(base, patch, valid)); });
+    }
     if (w.chance(0.2)) {
       auto o = ops.change(Revision{base.value() + 1 + w.next_random() % 3}, false);
       o->early = true;
       ops.send(o);
     }
     if (w.now() >= next_trouble)
-      trouble(d), next_trouble = w.now() + 500 + w.below(5000);
-    w.run(300 + w.below(1500));
+      trouble(d), next_trouble = w.now() + 500ms + w.below(5000ms);
+    w.run(300ms + w.below(1500ms));
     ops.read();
   }
   recover(d);
-  w.run(20000);
+  w.run(20000ms);
   ops.judge();
   // No caller is served: the operators' configurations take the introduced cell away.
   d.c.successes += ops.acknowledged;
--- a/tests/simulation/replicas.cpp
+++ b/tests/simulation/replicas.cpp
@@ -35,7 +35,7 @@
   }
   auto* a = std::get_if<ReplicaCall>(&e.body);
   if (a)
-    w_.at(w_.now() + 1 + w_.below(15),
+    w_.at(w_.now() + 1ms + w_.below(15ms),
           [this, front = n.name, life = n.life, name, a = *a] { arrive(front, life, name, a); });
 }
 
@@ -55,11 +55,12 @@
     });
   };
   if (!r.up)
-    return say(1, ReplicaCallResponse{a->attempt, false, 0, false, 0, 0, 0, "", "refused"});
-  if (r.leaving_since && w_.now() > r.leaving_since + 3000)
-    w_.fail("a leaving replica was reached " + std::to_string(w_.now() - r.leaving_since) + " ms after its mark");
-  if (r.evacuated_since && w_.now() > r.evacuated_since + 5000)
-    w_.fail("an evacuated zone was reached after " + std::to_string(w_.now() - r.evacuated_since) + " ms");
+    return say(1ms, ReplicaCallResponse{a->attempt, false, 0, false, 0, 0, 0, "", "refused"});
+  if (r.leaving_since != TimePoint{} && w_.now() > r.leaving_since + 3000ms)
+    w_.fail("a leaving replica was reached " + std::to_string((w_.now() - r.leaving_since).count()) +
+            " ms after its mark");
+  if (r.evacuated_since != TimePoint{} && w_.now() > r.evacuated_since + 5000ms)
+    w_.fail("an evacuated zone was reached after " + std::to_string((w_.now() - r.evacuated_since).count()) + " ms");
   if (r.kind == "app") {
     auto body = a->method + " " + a->url.substr(a->url.find('/', 7));
     if (a->method == "POST") {
@@ -72,10 +73,10 @@
     }
     bool broken = r.every && w_.chance(0.3);
     if (broken && w_.chance(0.5))
-      return say(5 + w_.below(20),
+      return say(5ms + w_.below(20ms),
                  ReplicaCallResponse{a->attempt, true, 0, false, 0, 0, 0, "", "reset after the work"});
-    return say(5 + w_.below(20), ReplicaCallResponse{a->attempt, true, 200, !broken, 0, 0, digest(body),
-                                                     broken ? body.substr(0, 3) : body, ""});
+    return say(5ms + w_.below(20ms), ReplicaCallResponse{a->attempt, true, 200, !broken, 0, 0, digest(body),
+                                                         broken ? body.substr(0, 3) : body, ""});
   }
   auto j = Json::parse(a->body);
   auto program = j["program"].get<std::string>();
@@ -87,27 +88,27 @@
       w_.fail("ran after it was refused as not run: " + key);
   check_chain(program, j["thread"], a->body);
   ++r.now;
-  if (r.cold_since && w_.now() > r.cold_since + 2000) {
-    auto grown = 2 + (w_.now() - r.cold_since) * kDefaultReplicaCapacity / kSlowStartDuration;
+  if (r.cold_since != TimePoint{} && w_.now() > r.cold_since + 2000ms) {
+    auto grown = 2 + (w_.now() - r.cold_since).count() * kDefaultReplicaCapacity / kSlowStartDuration.count();
     if (r.now > grown)
       w_.fail("cold " + name + " is flooded: " + std::to_string(r.now) + " turns " +
-              std::to_string(w_.now() - r.cold_since) + " ms after its mark");
+              std::to_string((w_.now() - r.cold_since).count()) + " ms after its mark");
     ++r.from[front];
     if (r.from.size() > kFrontsPerColdReplica)
       w_.fail("cold " + name + " is reached by " + std::to_string(r.from.size()) + " fronts");
   }
-  if (!r.cold_since && r.now > static_cast<int>(kDefaultReplicaCapacity) * 3 / 2)
+  if (r.cold_since == TimePoint{} && r.now > static_cast<int>(kDefaultReplicaCapacity) * 3 / 2)
     w_.fail(name + " runs " + std::to_string(r.now) + " turns on " + std::to_string(kDefaultReplicaCapacity) +
             " places");
   std::string fault = r.every && w_.next_random() % static_cast<uint64_t>(r.every) == 0 ? r.fault : "";
-  piece(front, life, name, *a, 0, 3 + static_cast<uint32_t>(w_.below(5)), fault, "");
+  piece(front, life, name, *a, 0, 3 + static_cast<uint32_t>(w_.below(uint64_t{5})), fault, "");
 }
 
 void Callers::piece(const std::string& front, uint64_t life, const std::string& rep, const ReplicaCall& a, uint32_t k,
                     uint32_t n, std::string fault, std::string text) {
   auto j = Json::parse(a.body);
   auto program = j["program"].get<std::string>();
-  w_.at(w_.now() + 5 + w_.below(pace), [=, this] {
+  w_.at(w_.now() + 5ms + w_.below(pace), [=, this] {
     auto& r = replicas[rep];
     auto& x = w_.node(front);
     bool there = x.life == life && x.machine;
@@ -194,13 +195,13 @@
           w_.fail("program " + p + " cannot be read back: " + body);
           --left;
         } else {
-          w_.at(w_.now() + 250, *go);
+          w_.at(w_.now() + 250ms, *go);
         }
       });
     };
     (*go)();
   }
-  w_.until(30000, [&] { return left <= 0; });
+  w_.until(30000ms, [&] { return left <= 0; });
   judge_counts();
   if (left > 0)
     w_.fail(std::to_string(left) + " programs could not be read back in time");
--- a/tests/simulation/retention.cpp
+++ b/tests/simulation/retention.cpp
@@ -10,7 +10,8 @@
 /// One program's conversation, and what it was promised.
 struct Kept {
   std::string cell, program, key;
-  Duration acked = 0, promise = 0;
+  TimePoint acked{};
+  Duration promise{};
 };
 
 struct Asker {
@@ -23,7 +24,7 @@
       auto r = ask(d, e, d.any(Kind::gateway));
       if (r.status && r.status != 503)
         return r;
-      d.w.run(300);
+      d.w.run(300ms);
     }
     return {};
   }
@@ -55,19 +56,19 @@
     auto over = std::make_shared<bool>(false);
     d.c.commit(ApplyConfiguration{latest(d.w)->revision, m},
                [over](const CommitReply& r) { *over = r.outcome == CommitOutcome::committed; });
-    if (!d.w.until(10000, [over] { return *over; }))
+    if (!d.w.until(10000ms, [over] { return *over; }))
       d.w.fail("the configuration was not acknowledged");
-    d.w.run(300);
+    d.w.run(300ms);
   }
   void expect(const Kept& k, uint32_t status, const char* when) {
     if (auto r = read(k); r.status != status)
       d.w.fail(k.program + " of cell " + k.cell + " gave " + std::to_string(r.status) + " (" + r.reason + ") " + when +
-               ", " + std::to_string(d.w.now() - k.acked) + " ms after its turn");
+               ", " + std::to_string((d.w.now() - k.acked).count()) + " ms after its turn");
   }
 };
 
 Cell brief(const std::string& name, Duration ms) {
-  return {name, 400, 10, ms, {{"chat", "model", {}}, {"app", "app", {}}}};
+  return {name, 400, 10, ms.count(), {{"chat", "model", {}}, {"app", "app", {}}}};
 }
 
 }  // namespace
@@ -75,18 +76,18 @@
 void retention(Day& d) {
   auto& w = d.w;
   Asker a{d, {}};
-  d.c.traffic(150, w.now() + 20000);
+  d.c.traffic(150ms, w.now() + 20000ms);
   a.cells({brief("plain", keep), brief("cut", 4 * keep), brief("gone", keep)});
   for (int i = 0; i < 4; ++i)
     for (auto* c : {"plain", "cut", "gone"})
       a.add(c, std::string(c) == "cut" ? 4 * keep : keep);
-  a.cells({brief("plain", 3 * keep), brief("cut", 1000)});
+  a.cells({brief("plain", 3 * keep), brief("cut", 1000ms)});
   a.add("plain", 3 * keep);
   auto s = d.any(Kind::store);
   w.kill(s);
-  w.run(1000);
+  w.run(1000ms);
   w.start(s);
-  a.cells({brief("plain", keep), brief("cut", 1000), brief("gone", keep)});
+  a.cells({brief("plain", keep), brief("cut", 1000ms), brief("gone", keep)});
   for (auto& k : a.kept)
     if (k.cell == "cut" && a.turn(k.cell, k.program, k.key + "-short").status != 200)
       w.fail("a second turn failed");
@@ -94,21 +95,21 @@
   auto at = [&](Duration after) {
     w.run(std::max(Duration::zero(), a.kept.front().acked + after - w.now()));
   };
-  at(keep - 500);
+  at(keep - 500ms);
   for (auto& k : a.kept)
     if (w.now() < k.acked + k.promise)
       a.expect(k, 200, "inside its retention");
   s = d.any(Kind::store);
   w.kill(s);
-  w.run(200);
+  w.run(200ms);
   w.start(s);
   for (auto& f : w.names(Kind::gateway))
-    w.kill(f), w.run(100), w.start(f);
-  at(4 * keep - 1500);
+    w.kill(f), w.run(100ms), w.start(f);
+  at(4 * keep - 1500ms);
   for (auto& k : a.kept)
     if (k.promise == 4 * keep && w.now() < k.acked + k.promise)
       a.expect(k, 200, "after its cell's retention was shortened");
-  at(keep + 100000);
+  at(keep + 100000ms);
   for (auto& k : a.kept) {
     if (k.promise > keep)
       continue;
@@ -122,7 +123,7 @@
     if (d.c.runs(k.program, k.key) != before || d.c.runs(k.program, k.key + "-new"))
       w.fail("a turn of an ended program ran");
   }
-  at(4 * keep + 110000);
+  at(4 * keep + 110000ms);
   for (auto& k : a.kept)
     a.expect(k, 410, "at the end");
   for (auto& n : w.names(Kind::store))
@@ -137,19 +138,19 @@
   auto& w = d.w;
   auto stores = w.names(Kind::store);
   auto away = d.any(Kind::store);
-  d.c.traffic(80, w.now() + 8000);
-  w.run(500 + w.below(1500));
+  d.c.traffic(80ms, w.now() + 8000ms);
+  w.run(500ms + w.below(1500ms));
   bool frozen = w.chance(0.4);
   if (frozen)
     w.freeze(away);
   else
     w.power_off(away);
-  w.run(12000);
+  w.run(12000ms);
   if (frozen)
     w.wake(away);
   else
     w.start(away);
-  w.run(1000);
+  w.run(1000ms);
   auto machine = [&](const std::string& s) -> StoreMachine& {
     return static_cast<StoreMachine&>(*w.node(s).machine);
   };
@@ -182,27 +183,27 @@
     if (histories < 50)
       w.fail("hardly any histories to compare: " + std::to_string(histories));
   };
-  if (!w.until(30000, whole))
+  if (!w.until(30000ms, whole))
     w.fail("repair did not come to its end");
   else
     same();
   if (!frozen && machine(away).repair().fetched() < 10)
     w.fail("the store that was away fetched hardly anything: " + std::to_string(machine(away).repair().fetched()));
   for (auto& f : w.names(Kind::gateway))
-    w.kill(f), w.run(100), w.start(f);
+    w.kill(f), w.run(100ms), w.start(f);
   auto lost = stores[w.next_random() % stores.size()];
   while (lost == away)
     lost = stores[w.next_random() % stores.size()];
   w.wipe(lost);
-  w.run(500);
+  w.run(500ms);
   w.start(lost);
-  w.run(8000);
-  if (!w.until(30000, whole))
+  w.run(8000ms);
+  if (!w.until(30000ms, whole))
     w.fail("the copies of the lost disk were not restored");
   else
     same();
   for (auto& f : w.names(Kind::gateway))
-    w.until(8000, [&] { return w.ready(f); });
+    w.until(8000ms, [&] { return w.ready(f); });
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/scenarios.cpp
+++ b/tests/simulation/scenarios.cpp
@@ -4,53 +4,53 @@
 namespace {
 
 void quiet(Day& d) {
-  d.c.traffic(100, d.w.now() + 10000);
-  d.w.run(12000);
+  d.c.traffic(100ms, d.w.now() + 10000ms);
+  d.w.run(12000ms);
 }
 
 void lossy(Day& d) {
   d.w.net.loss = 0.02;
   d.w.net.twice = 0.05;
-  d.c.traffic(100, d.w.now() + 15000);
-  d.w.run(20000);
+  d.c.traffic(100ms, d.w.now() + 15000ms);
+  d.w.run(20000ms);
 }
 
 /// Kills, freezes and cuts of whatever the dice name, a few at a time.
 void havoc(Day& d, const std::vector<Kind>& kinds, bool disks) {
   auto& w = d.w;
-  d.c.traffic(80, w.now() + 30000);
-  auto end = w.now() + 30000;
+  d.c.traffic(80ms, w.now() + 30000ms);
+  auto end = w.now() + 30000ms;
   while (w.now() < end) {
-    w.run(500 + w.below(2500));
+    w.run(500ms + w.below(2500ms));
     auto n = d.any(kinds[w.next_random() % kinds.size()]);
     switch (w.next_random() % 6) {
       case 0:
         w.kill(n);
-        w.at(w.now() + w.below(4000), [&w, n] { w.start(n); });
+        w.at(w.now() + w.below(4000ms), [&w, n] { w.start(n); });
         break;
       case 1:
         w.power_off(n);
-        w.at(w.now() + w.below(4000), [&w, n] { w.start(n); });
+        w.at(w.now() + w.below(4000ms), [&w, n] { w.start(n); });
         break;
       case 2:
         w.freeze(n);
-        w.at(w.now() + 200 + w.below(7000), [&w, n] { w.wake(n); });
+        w.at(w.now() + 200ms + w.below(7000ms), [&w, n] { w.wake(n); });
         break;
       case 3:
         w.isolate(n);
-        w.at(w.now() + 200 + w.below(6000), [&w] { w.heal(); });
+        w.at(w.now() + 200ms + w.below(6000ms), [&w] { w.heal(); });
         break;
       case 4:
         w.cut(n, d.any(kinds[w.next_random() % kinds.size()]));
-        w.at(w.now() + w.below(5000), [&w] { w.heal(); });
+        w.at(w.now() + w.below(5000ms), [&w] { w.heal(); });
         break;
       case 5:
         if (disks)
-          w.node(n).disk.slow = w.below(300);
+          w.node(n).disk.slow = w.below(300ms);
         break;
     }
   }
-  w.run(3000);
+  w.run(3000ms);
 }
 
 /// Replicas that break in every way.
@@ -59,20 +59,20 @@
   int i = 0;
   for (auto& [n, r] : d.c.replicas)
     r.fault = f[i++ % 6], r.every = 3;
-  d.c.traffic(80, d.w.now() + 15000);
+  d.c.traffic(80ms, d.w.now() + 15000ms);
   for (int k = 0; k < 6; ++k) {
-    d.w.run(2500);
-    auto& r = d.c.replicas["model" + std::to_string(1 + d.w.below(4))];
+    d.w.run(2500ms);
+    auto& r = d.c.replicas["model" + std::to_string(1 + d.w.below(uint64_t{4}))];
     r.up = !r.up;
   }
-  d.w.run(12000);
+  d.w.run(12000ms);
 }
 
 /// Operators race, and every acknowledged configuration is in force in 2 s everywhere in touch.
 void storm(Day& d) {
   auto& w = d.w;
-  d.c.traffic(150, w.now() + 15000);
-  auto end = w.now() + 15000;
+  d.c.traffic(150ms, w.now() + 15000ms);
+  auto end = w.now() + 15000ms;
   auto change = std::make_shared<std::function<void()>>();
   *change = [&d, &w, end, change] {
     if (w.now() >= end)
@@ -84,18 +84,18 @@
         m.cells[0].retention_ms += 1;
       d.c.commit(ApplyConfiguration{v->revision, m}, [](const CommitReply&) {});
     }
-    w.at(w.now() + 20 + w.below(150), *change);
+    w.at(w.now() + 20ms + w.below(150ms), *change);
   };
   (*change)();
   (*change)();
   w.net.loss = 0.01;
   for (int i = 0; i < 5; ++i) {
-    w.run(3000);
+    w.run(3000ms);
     auto m = d.any(Kind::controller);
     w.power_off(m);
-    w.at(w.now() + 1500, [&w, m] { w.start(m); });
+    w.at(w.now() + 1500ms, [&w, m] { w.start(m); });
   }
-  w.run(3000);
+  w.run(3000ms);
   *change = [] {
   };
 }
@@ -103,9 +103,9 @@
 /// Replicas and zones are drained under load, with fronts cut off.
 void drains(Day& d) {
   auto& w = d.w;
-  d.c.traffic(60, w.now() + 25000);
+  d.c.traffic(60ms, w.now() + 25000ms);
   for (int i = 0; i < 3; ++i) {
-    w.run(2000);
+    w.run(2000ms);
     auto f = d.any(Kind::gateway);
     w.isolate(f);
     w.isolate(w.node(f).beside);
@@ -113,45 +113,45 @@
     auto& r = d.c.replicas[n];
     d.c.commit(SetReplica{{n, r.kind, r.zone, "http://" + n, ReplicaHealth::draining, {}, 0}},
                [](const CommitReply&) {});
-    w.run(4500);
+    w.run(4500ms);
     w.heal();
     d.c.commit(SetReplica{{n, r.kind, r.zone, "http://" + n, ReplicaHealth::ready, {}, 0}}, [](const CommitReply&) {});
   }
-  w.run(5000);
+  w.run(5000ms);
   d.c.commit(EvacuateZone{"a"}, [](const CommitReply&) {});
-  w.run(9000);
+  w.run(9000ms);
   d.c.commit(RestoreZone{"a"}, [](const CommitReply&) {});
-  w.run(3000);
+  w.run(3000ms);
 }
 
 /// Stores added, retired, emptied and replaced under load.
 void stores(Day& d) {
   auto& w = d.w;
-  d.c.traffic(80, w.now() + 40000);
-  w.run(3000);
+  d.c.traffic(80ms, w.now() + 40000ms);
+  w.run(3000ms);
   w.add("store9", Kind::store, "a");
-  w.run(6000);
+  w.run(6000ms);
   auto v = w.node("controller1").machine->view();
   auto* r2 = v->find_at("store2");
   d.c.commit(PrepareDrain{r2 ? r2->id : DaemonId{}}, [](const CommitReply&) {});
-  w.run(8000);
+  w.run(8000ms);
   auto n = d.any(Kind::store);
   w.wipe(n);
-  w.run(1000);
+  w.run(1000ms);
   w.start(n);
-  w.run(20000);
+  w.run(20000ms);
 }
 
 /// A core machine is lost with its disk and an empty one comes at a new address.
 void core(Day& d) {
   auto& w = d.w;
-  d.c.traffic(100, w.now() + 25000);
-  w.run(2000);
+  d.c.traffic(100ms, w.now() + 25000ms);
+  w.run(2000ms);
   auto m = d.any(Kind::controller);
   w.wipe(m);
-  w.run(1000);
+  w.run(1000ms);
   w.add("controller9", Kind::controller, "b");
-  w.run(15000);
+  w.run(15000ms);
   std::string full;
   for (auto& s : w.names(Kind::controller))
     if (w.node(s).machine)
@@ -163,23 +163,23 @@
   if (!in)
     w.fail("the empty machine was not brought into the core");
   w.start(m);
-  w.run(5000);
+  w.run(5000ms);
 }
 
 /// Fronts leave in order, one after the other, and come back: no answer may be lost.
 void rolling(Day& d) {
   auto& w = d.w;
-  d.c.traffic(60, w.now() + 25000);
+  d.c.traffic(60ms, w.now() + 25000ms);
   for (auto& s : w.names(Kind::gateway)) {
-    w.run(1500);
+    w.run(1500ms);
     static_cast<GatewayMachine&>(*w.node(s).machine).begin_shutdown();
-    if (!w.until(15000, [&] { return !w.node(s).machine; }))
+    if (!w.until(15000ms, [&] { return !w.node(s).machine; }))
       w.fail(s + " did not leave in order");
-    w.run(300);
+    w.run(300ms);
     w.start(s);
-    w.until(10000, [&] { return w.ready(s); });
+    w.until(10000ms, [&] { return w.ready(s); });
   }
-  w.run(5000);
+  w.run(5000ms);
   if (auto n = d.c.unknowns + d.c.count_unknown)
     w.fail(std::to_string(n) + " answers were lost in planned restarts");
 }
--- a/tests/simulation/sizes.cpp
+++ b/tests/simulation/sizes.cpp
@@ -33,61 +33,61 @@
   switch (which % 9) {
     case 0:  // a crowd at once, urgent jobs among it
       d.c.urgent_share = 15;
-      d.c.traffic(6, w.now() + 4000);
-      w.run(6000);
+      d.c.traffic(6ms, w.now() + 4000ms);
+      w.run(6000ms);
       break;
     case 1:  // replicas replaced one by one
       for (int i = 1; i <= 4; ++i) {
         auto n = "model" + std::to_string(i);
         replica(d, n, ReplicaHealth::draining);
-        w.run(1800);
+        w.run(1800ms);
         replica(d, n, ReplicaHealth::warming_up);
-        w.run(700);
+        w.run(700ms);
       }
       break;
     case 2: {  // a worker dies and comes back
       auto f = d.any(Kind::gateway);
       w.kill(f);
-      w.run(4000);
+      w.run(4000ms);
       w.start(f);
-      w.run(4000);
+      w.run(4000ms);
       break;
     }
     case 3: {  // a store's disk is lost
       auto s = d.any(Kind::store);
       w.wipe(s);
-      w.run(2000);
+      w.run(2000ms);
       w.start(s);
-      w.run(12000);
+      w.run(12000ms);
       break;
     }
     case 4: {  // a zone loses power and comes back
-      auto v = of_zone(w, std::string(1, static_cast<char>('a' + w.below(3))));
+      auto v = of_zone(w, std::string(1, static_cast<char>('a' + w.below(uint64_t{3}))));
       for (auto& s : v)
         w.power_off(s);
-      w.run(8000);
+      w.run(8000ms);
       for (auto& s : v)
         w.start(s);
-      w.run(8000);
+      w.run(8000ms);
       break;
     }
     case 5: {  // an empty core machine at a new address takes a lost one's place
       auto m = d.any(Kind::controller);
       w.wipe(m);
       w.add("controller9", Kind::controller, w.node(m).id.self.zone);
-      w.run(14000);
+      w.run(14000ms);
       break;
     }
     case 6:  // machines are added
       w.add("store9", Kind::store, "a");
       w.add("agent9", Kind::agent, "b", "gateway9");
       w.add("gateway9", Kind::gateway, "b", "agent9");
-      w.run(8000);
+      w.run(8000ms);
       break;
     case 7:  // the seeds are swapped for other core machines
       w.seeds = {w.names(Kind::controller).back(), "controller77", "controller78"};
       for (auto& s : w.names(Kind::agent))
-        w.kill(s), w.run(300), w.start(s), w.run(900);
+        w.kill(s), w.run(300ms), w.start(s), w.run(900ms);
       break;
     case 8:  // two operators race in a storm
       for (int i = 0; i < 20; ++i) {
@@ -96,7 +96,7 @@
         m.cells[0].retention_ms += 1 + i;
         for (int k = 0; k < 2; ++k)
           d.c.commit(ApplyConfiguration{v->revision, m}, [](const CommitReply&) {});
-        w.run(150);
+        w.run(150ms);
       }
       break;
   }
@@ -120,11 +120,11 @@
       return "a core majority frozen";
     }
     case 5:
-      for (auto& s : of_zone(w, std::string(1, static_cast<char>('a' + w.below(3)))))
+      for (auto& s : of_zone(w, std::string(1, static_cast<char>('a' + w.below(uint64_t{3})))))
         w.power_off(s);
       return "a zone lost";
     default: {
-      auto v = of_zone(w, std::string(1, static_cast<char>('a' + w.below(3))));
+      auto v = of_zone(w, std::string(1, static_cast<char>('a' + w.below(uint64_t{3}))));
       std::set<std::string> in(v.begin(), v.end());
       for (auto k : {Kind::controller, Kind::store, Kind::agent, Kind::gateway})
         for (auto& s : w.names(k))
@@ -150,7 +150,7 @@
   auto left = std::make_shared<std::map<std::string, int>>();
   for (auto& p : ask) {
     ++(*left)[p];
-    w.at(w.now() + w.below(1500), [&d, p, left] {
+    w.at(w.now() + w.below(1500ms), [&d, p, left] {
       d.c.turn(p, "closing", [p, left](const Turn& t) {
         if (t.success || t.status == 429)
           --(*left)[p];
@@ -160,7 +160,7 @@
   auto open = [left] {
     return std::count_if(left->begin(), left->end(), [](auto& x) { return x.second > 0; });
   };
-  if (w.until(6000, [&] { return open() == 0; }))
+  if (w.until(6000ms, [&] { return open() == 0; }))
     return;
   std::string who;
   for (auto& [p, n] : *left)
@@ -177,11 +177,11 @@
 /// borne.
 void successor(Day& d) {
   auto& w = d.w;
-  d.c.traffic(50, w.now() + 40000);
-  w.run(3000 + w.below(1000));
+  d.c.traffic(50ms, w.now() + 40000ms);
+  w.run(3000ms + w.below(1000ms));
   auto lost = latest(w)->find_at("store1")->id;
   w.power_off("store1");
-  w.run(300 + w.below(1000));
+  w.run(300ms + w.below(1000ms));
   w.add("store9", Kind::store, "a");
   auto rid = [&] {
     auto v = latest(w);
@@ -189,13 +189,13 @@
              return std::count(s.stores.begin(), s.stores.end(), lost) > 0;
            });
   };
-  if (!w.until(12000, rid))
+  if (!w.until(12000ms, rid))
     w.fail("slots still count on a store that is gone");
-  w.run(1000);
+  w.run(1000ms);
   w.wipe("store2");
-  w.run(1000);
+  w.run(1000ms);
   w.start("store2");
-  w.run(9000);
+  w.run(9000ms);
   if (!latest(w)->sequences.empty())
     w.fail("the wiped store's join does not end");
 }
@@ -203,13 +203,13 @@
 /// Every kind of planned work under load, one after the other: no answer may be unknown.
 void planned(Day& d) {
   auto& w = d.w;
-  d.c.traffic(50, w.now() + 75000);
+  d.c.traffic(50ms, w.now() + 75000ms);
   auto yes = [&](Transformation t, const char* what) {
     auto got = std::make_shared<bool>(false);
     d.c.commit(std::move(t), [got](const CommitReply& r) { *got = r.outcome == CommitOutcome::committed; });
-    if (!w.until(10000, [got] { return *got; }))
+    if (!w.until(10000ms, [got] { return *got; }))
       w.fail(std::string(what) + " was not acknowledged");
-    w.run(500);
+    w.run(500ms);
   };
   auto calm = [&](const char* what) {
     auto good = [&] {
@@ -221,34 +221,34 @@
           return false;
       return true;
     };
-    if (!w.until(15000, good))
+    if (!w.until(15000ms, good))
       w.fail(std::string("the fleet is not calm after ") + what);
   };
   for (auto k : {Kind::controller, Kind::store, Kind::agent})
     for (auto& s : w.names(k)) {
       w.stop(s);
-      w.run(300 + w.below(400));
+      w.run(300ms + w.below(400ms));
       w.start(s);
-      w.run(1500);
+      w.run(1500ms);
       calm("a restart");
     }
   w.add("store9", Kind::store, "a");
-  w.run(3000);
+  w.run(3000ms);
   calm("a store was added");
   yes(PrepareDrain{latest(w)->find_at("store1")->id}, "the retirement");
-  if (!w.until(15000, [&] { return latest(w)->sequences.empty(); }))
+  if (!w.until(15000ms, [&] { return latest(w)->sequences.empty(); }))
     w.fail("the retirement did not end");
-  w.run(1000);
+  w.run(1000ms);
   w.stop("store1");
   yes(EvacuateZone{"b"}, "the evacuation");
-  w.run(3000);
+  w.run(3000ms);
   yes(RestoreZone{"b"}, "the restoring");
-  w.run(2000);
+  w.run(2000ms);
   auto from = latest(w)->find_at("gateway1")->id, to = latest(w)->find_at("gateway3")->id;
   yes(MoveAllPartitions{from, to}, "the move of routes");
-  if (!change(d, 10000))
+  if (!change(d, 10000ms))
     w.fail("a configuration was not acknowledged");
-  w.run(3000);
+  w.run(3000ms);
   if (auto n = d.c.unknowns + d.c.count_unknown) {
     w.fail(std::to_string(n) + " answers were lost in planned work");
     for (auto& [r, k] : d.c.reasons)
@@ -259,17 +259,17 @@
 void deployment(Day& d, bool election) {
   auto& w = d.w;
   d.c.dives = election ? 6 : 12;
-  d.c.traffic(election ? 38 : 83, w.now() + 80000);
-  w.run(2000);
+  d.c.traffic(election ? 38ms : 83ms, w.now() + 80000ms);
+  w.run(2000ms);
   auto first = w.next_random(), second = w.next_random();
   trouble(d, first);
-  w.run(1000);
+  w.run(1000ms);
   trouble(d, second % 9 == first % 9 ? second + 1 : second);
-  if (!w.until(20000, [&] { return latest(w)->sequences.empty(); }))
+  if (!w.until(20000ms, [&] { return latest(w)->sequences.empty(); }))
     w.fail("sequences are stuck before the closing fault");
-  w.run(3000);
+  w.run(3000ms);
   auto what = closing_fault(d, w.next_random());
-  w.run(12000);
+  w.run(12000ms);
   d.c.only_ready = true;
   must_resume(d, what);
 }
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -55,7 +55,7 @@
 
 void World::fail(const std::string& what) {
   if (failures.size() < 20)
-    failures.push_back(std::to_string(now_ - kProcessClockStart) + " ms: " + what);
+    failures.push_back(std::to_string((now_ - kProcessClockStart).count()) + " ms: " + what);
 }
 
 void World::start(const std::string& name) {
@@ -74,8 +74,8 @@
   n.revision = {};
   n.frozen = n.stopped = false;
   n.backlog.clear();
-  n.skew = below(12 * 3600 * 1000);
-  n.rate = 1 + (static_cast<double>(below(1001)) - 500) * 1e-6;
+  n.skew = below(Duration(12h));
+  n.rate = 1 + (static_cast<double>(below(uint64_t{1001})) - 500) * 1e-6;
   auto now = clock(n);
   Recovered r{n.id.self.incarnation, n.disk.checkpoint, n.disk.synced};
   switch (n.kind) {
@@ -169,8 +169,9 @@
       cut(s, name), cut(name, s);
 }
 
-Duration World::clock(const Node& n) const {
-  return kProcessClockStart + n.skew + Duration(static_cast<double>(now_ - kProcessClockStart) * n.rate);
+TimePoint World::clock(const Node& n) const {
+  auto world_age = static_cast<double>((now_ - kProcessClockStart).count());
+  return kProcessClockStart + n.skew + Duration(static_cast<int64_t>(world_age * n.rate));
 }
 
 bool World::ready(const std::string& front) {
@@ -227,7 +228,7 @@
 
 void World::step(Node& n, const Envelope& e) {
   if (keep_notes)
-    notes.push_back(std::to_string(now_ - kProcessClockStart) + " " + n.name + " <- " + e.from + " " +
+    notes.push_back(std::to_string((now_ - kProcessClockStart).count()) + " " + n.name + " <- " + e.from + " " +
                     kind_name(e.body) + detail(e.body));
   act(n, n.machine->step(e, clock(n)));
 }
@@ -235,7 +236,7 @@
 void World::act(Node& n, Actions a) {
   if (keep_notes)
     for (auto& x : a.notes)
-      notes.push_back(std::to_string(now_ - kProcessClockStart) + " " + n.name + " " +
+      notes.push_back(std::to_string((now_ - kProcessClockStart).count()) + " " + n.name + " " +
                       std::to_string(static_cast<int>(x.event)) + " " + x.text);
   look(n);
   for (auto& e : a.now)
@@ -262,7 +263,7 @@
 /// One sync at a time; it covers all that waits when it begins.
 void World::begin_sync(Node& n) {
   n.disk.in_flight = n.disk.waiting.size();
-  at(now_ + 1 + below(3) + n.disk.slow, [this, name = n.name, life = n.life] {
+  at(now_ + 1ms + below(3ms) + n.disk.slow, [this, name = n.name, life = n.life] {
     auto& n = node(name);
     if (n.life == life && n.machine)
       flush(n);
@@ -302,8 +303,14 @@
   }
   int copies = e.to != n.id.self.address && chance(net.twice) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    auto d = e.to == n.id.self.address ? 0 : 1 + below(net.delay) + (chance(net.twice) ? below(300) : 0);
-    at(now_ + d, [this, e] { deliver(e.to, e); });
+    Duration delay{};
+    if (e.to != n.id.self.address) {
+      // The draws stand in statements of their own: the operands of `+` may be evaluated in any order.
+      delay = 1ms + below(net.delay);
+      if (chance(net.twice))
+        delay += below(300ms);
+    }
+    at(now_ + delay, [this, e] { deliver(e.to, e); });
   }
 }
 
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -66,10 +66,11 @@
   void at(TimePoint when, std::function<void()> f);
   TimePoint now() const { return now_; }
   /// What the clock of one process shows now; no two agree.
-  Duration clock(const Node& n) const;
+  TimePoint clock(const Node& n) const;
   bool ready(const std::string& front);
   uint64_t next_random() { return dice_(); }
-  Duration below(Duration n) { return Duration(dice_() % static_cast<uint64_t>(n)); }
+  Duration below(Duration limit) { return Duration(dice_() % static_cast<uint64_t>(limit.count())); }
+  uint64_t below(uint64_t limit) { return dice_() % limit; }
   bool chance(double p) { return static_cast<double>(dice_() % 1000000) < p * 1e6; }
 
   Node& node(const std::string& name);
