--- /dev/null
+++ b/tests/unit/consensus/commit_queue_test.cpp
@@ -0,0 +1,147 @@
+// When the commit queue answers which requester, and how.
+#include <catch2/catch.hpp>
+
+#include "consensus/commit_queue.hpp"
+#include "runtime/constants.hpp"
+
+using namespace mosskeel;
+
+namespace {
+
+constexpr TimePoint kQueueStart = kProcessClockStart;
+constexpr Duration kAttemptTimeout = kCommitAttemptTimeout;
+
+Candidate queue_controller(uint64_t number) {
+  std::string address = "controller" + std::to_string(number);
+  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
+}
+
+/// A queue beside a founded log. What an epoch lacks to be in force is `missing`.
+struct QueueWithLog {
+  Outbox outbox{Identity{queue_controller(1), {}}};
+  MetadataLog metadata_log;
+  std::string missing;
+  CommitQueue queue{outbox, metadata_log, [this](Epoch, TimePoint) {
+                      return missing;
+                    }};
+
+  QueueWithLog() {
+    append("found", FoundCluster{7, 3, {queue_controller(1), queue_controller(2), queue_controller(3)}});
+  }
+
+  void append(const std::string& commit_id, const Transformation& change) {
+    REQUIRE(metadata_log.add({next(metadata_log.epoch()), commit_id, change}).size() == 1);
+  }
+
+  bool add(const std::string& commit_id, const Transformation& change, TimePoint now, int64_t timeout_ms = 0,
+           const Address& requester = "local:1") {
+    Envelope envelope{};
+    envelope.from = requester;
+    return queue.add(envelope, Commit{commit_id, change, metadata_log.epoch(), timeout_ms}, now);
+  }
+
+  /// The replies since the last call.
+  std::vector<CommitReply> take_replies() {
+    std::vector<CommitReply> replies;
+    for (const Envelope& envelope : outbox.take().synced)
+      replies.push_back(std::get<CommitReply>(envelope.body));
+    return replies;
+  }
+};
+
+ApplyConfiguration queued_configuration() {
+  return {Revision{0}, {}, Revision{1}};
+}
+
+}  // namespace
+
+TEST_CASE("CommitQueue gives a repeated request a later deadline and does not queue it twice") {
+  QueueWithLog fixture;
+  CHECK(fixture.add("a", RemoveReplica{""}, kQueueStart));
+  CHECK_FALSE(fixture.add("a", RemoveReplica{""}, kQueueStart + 500ms));
+  // Another requester of the same commit is answered separately.
+  CHECK(fixture.add("a", RemoveReplica{""}, kQueueStart + 500ms, 0, "local:2"));
+
+  CHECK(fixture.queue.expire(kQueueStart + kAttemptTimeout).empty());
+  CHECK(fixture.queue.expire(kQueueStart + kAttemptTimeout + 499ms).empty());
+  CHECK(fixture.queue.expire(kQueueStart + kAttemptTimeout + 500ms).size() == 2);
+  CHECK(fixture.queue.empty());
+}
+
+TEST_CASE("CommitQueue takes a requester's time-out only where it is shorter than the controller's") {
+  QueueWithLog fixture;
+  fixture.add("short", RemoveReplica{""}, kQueueStart, 100);
+  fixture.add("long", RemoveReplica{""}, kQueueStart, kAttemptTimeout.count() * 10);
+
+  auto expired = fixture.queue.expire(kQueueStart + 100ms);
+  REQUIRE(expired.size() == 1);
+  CHECK(expired.front().id == "short");
+  CHECK(fixture.queue.expire(kQueueStart + kAttemptTimeout).size() == 1);
+  auto replies = fixture.take_replies();
+  REQUIRE(replies.size() == 2);
+  CHECK(replies[0].outcome == CommitOutcome::unknown);
+  CHECK(replies[1].outcome == CommitOutcome::unknown);
+}
+
+TEST_CASE("CommitQueue does not expire a request that it has proposed and that is appended") {
+  QueueWithLog fixture;
+  fixture.add("a", queued_configuration(), kQueueStart);
+  fixture.queue.first().proposed = true;
+  fixture.append("a", queued_configuration());
+
+  CHECK(fixture.queue.expire(kQueueStart + kAttemptTimeout).empty());
+  fixture.queue.acknowledge_first(kQueueStart + kAttemptTimeout);
+  auto replies = fixture.take_replies();
+  REQUIRE(replies.size() == 1);
+  CHECK(replies.front().outcome == CommitOutcome::committed);
+}
+
+TEST_CASE("CommitQueue acknowledges a configuration once it is in force, or with an unknown outcome at its deadline") {
+  QueueWithLog fixture;
+  fixture.missing = "daemon 3";
+  fixture.add("a", queued_configuration(), kQueueStart);
+  fixture.append("a", queued_configuration());
+  fixture.queue.acknowledge_first(kQueueStart + 1ms);
+  fixture.queue.acknowledge_in_force(kQueueStart + kAttemptTimeout - 1ms);
+  CHECK(fixture.take_replies().empty());
+
+  SECTION("in force in time") {
+    fixture.missing.clear();
+    fixture.queue.acknowledge_in_force(kQueueStart + kAttemptTimeout - 1ms);
+    auto replies = fixture.take_replies();
+    REQUIRE(replies.size() == 1);
+    CHECK(replies.front().outcome == CommitOutcome::committed);
+    CHECK(replies.front().epoch == Epoch{2});
+  }
+  SECTION("not in force in time") {
+    fixture.queue.acknowledge_in_force(kQueueStart + kAttemptTimeout);
+    auto replies = fixture.take_replies();
+    REQUIRE(replies.size() == 1);
+    CHECK(replies.front().outcome == CommitOutcome::unknown);
+  }
+  // Nobody is answered twice.
+  fixture.queue.acknowledge_in_force(kQueueStart + kAttemptTimeout * 2);
+  CHECK(fixture.take_replies().empty());
+}
+
+TEST_CASE("CommitQueue rejects no request that came after the confirmed ones, and none behind one that applies") {
+  QueueWithLog fixture;
+  fixture.add("bad", RemoveReplica{""}, kQueueStart);
+  uint64_t confirmed = fixture.queue.last_ticket();
+  fixture.add("later", RemoveReplica{""}, kQueueStart);
+
+  fixture.queue.answer_up_to(confirmed, kQueueStart);
+  auto replies = fixture.take_replies();
+  REQUIRE(replies.size() == 1);
+  CHECK(replies.front().id == "bad");
+  CHECK(replies.front().outcome == CommitOutcome::rejected);
+  CHECK(fixture.queue.first().id == "later");
+
+  fixture.queue.expire(kQueueStart + kAttemptTimeout);
+  fixture.take_replies();
+  fixture.add("good", queued_configuration(), kQueueStart);
+  fixture.add("bad again", RemoveReplica{""}, kQueueStart);
+  fixture.queue.answer_up_to(fixture.queue.last_ticket(), kQueueStart);
+  CHECK(fixture.take_replies().empty());
+  CHECK(fixture.queue.first().id == "good");
+}
--- /dev/null
+++ b/tests/unit/consensus/quorum_reader_test.cpp
@@ -0,0 +1,90 @@
+// What a quorum read takes for a confirmation.
+#include <catch2/catch.hpp>
+
+#include "consensus/constants.hpp"
+#include "consensus/quorum_reader.hpp"
+#include "runtime/constants.hpp"
+
+using namespace mosskeel;
+
+namespace {
+
+constexpr TimePoint kReadStart = kProcessClockStart;
+constexpr uint64_t kLastTicket = 5;
+
+Candidate read_controller(uint64_t number) {
+  std::string address = "controller" + std::to_string(number);
+  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
+}
+
+/// A quorum read of three members that is under way at epoch 1.
+struct ReadInProgress {
+  Outbox outbox{Identity{read_controller(1), {}}};
+  MetadataLog metadata_log;
+  QuorumReader reader{outbox, metadata_log};
+  uint64_t id{};
+
+  ReadInProgress() {
+    std::vector<Candidate> members{read_controller(1), read_controller(2), read_controller(3)};
+    metadata_log.add({Epoch{1}, "found", FoundCluster{7, 3, members}});
+    std::map<Incarnation, Address> addresses;
+    for (const Candidate& member : members)
+      addresses[member.incarnation] = member.address;
+    reader.begin(addresses, kLastTicket, kReadStart);
+    auto requests = outbox.take().now;
+    REQUIRE(requests.size() == 3);
+    id = std::get<QuorumRead>(requests.front().body).id;
+  }
+
+  std::optional<QuorumReader::Result> reply(uint64_t member, Epoch epoch, bool open = false) {
+    Envelope envelope{};
+    envelope.from = "controller" + std::to_string(member);
+    envelope.from_incarnation = Incarnation{member};
+    return reader.handle(envelope, QuorumReadReply{id, epoch, open});
+  }
+};
+
+}  // namespace
+
+TEST_CASE("QuorumReader is confirmed by a majority of the members, each counted once") {
+  ReadInProgress read;
+  CHECK_FALSE(read.reply(2, Epoch{1}));
+  CHECK_FALSE(read.reply(2, Epoch{1}));
+  CHECK_FALSE(read.reply(9, Epoch{1}));
+  auto result = read.reply(3, Epoch{1});
+  REQUIRE(result);
+  CHECK(result->epoch == Epoch{1});
+  CHECK(result->last_ticket == kLastTicket);
+  CHECK_FALSE(result->instance_open);
+  CHECK_FALSE(read.reader.in_progress());
+}
+
+TEST_CASE("QuorumReader reports an open instance where one member has accepted a proposal") {
+  ReadInProgress read;
+  CHECK_FALSE(read.reply(2, Epoch{1}, true));
+  auto result = read.reply(3, Epoch{1});
+  REQUIRE(result);
+  CHECK(result->instance_open);
+}
+
+TEST_CASE("QuorumReader is not confirmed by a member with a later epoch, but asks it for the entries") {
+  ReadInProgress read;
+  CHECK_FALSE(read.reply(2, Epoch{2}));
+  auto messages = read.outbox.take().now;
+  REQUIRE(messages.size() == 1);
+  CHECK(std::get<Catchup>(messages.front().body).known == Epoch{1});
+  CHECK_FALSE(read.reply(1, Epoch{1}));
+  CHECK(read.reader.in_progress());
+}
+
+TEST_CASE("QuorumReader times out, and is outdated once the log has moved on") {
+  ReadInProgress read;
+  CHECK_FALSE(read.reader.is_timed_out(kReadStart + kProposalTimeout - 1ms));
+  CHECK(read.reader.is_timed_out(kReadStart + kProposalTimeout));
+  CHECK_FALSE(read.reader.is_outdated());
+  read.metadata_log.add({Epoch{2}, "a", ApplyConfiguration{Revision{0}, {}, Revision{1}}});
+  CHECK(read.reader.is_outdated());
+  read.reader.abandon();
+  CHECK_FALSE(read.reader.is_timed_out(kReadStart + kProposalTimeout));
+  CHECK_FALSE(read.reply(2, Epoch{1}));
+}
