--- a/src/history/partition_lookup.hpp
+++ b/src/history/partition_lookup.hpp
@@ -18,7 +18,7 @@
 }
 
 /// Whether a store is one of a partition's set.
-inline bool contains(const std::vector<DaemonId>& stores, DaemonId store) {
+inline bool contains_store(const std::vector<DaemonId>& stores, DaemonId store) {
   return std::find(stores.begin(), stores.end(), store) != stores.end();
 }
 
--- a/src/history/store_machine.cpp
+++ b/src/history/store_machine.cpp
@@ -152,7 +152,7 @@
   auto* partition = find_partition(metadata, id);
   if (!self || !sender || !partition)
     return false;
-  bool lies_here = contains(partition->stores, self->id) || contains(partition->pending_stores, self->id);
+  bool lies_here = contains_store(partition->stores, self->id) || contains_store(partition->pending_stores, self->id);
   bool knows_stores = envelope.epoch >= std::max(partition->term, partition->stores_epoch);
   return lies_here && knows_stores && partition->owner == sender->id;
 }
