--- a/src/net/http_listener.hpp
+++ b/src/net/http_listener.hpp
@@ -21,8 +21,8 @@
     /// The unsent bytes of a response fell below the low watermark after having been above the high one.
     std::function<void(uint64_t exchange)> on_drained;
   };
-  static constexpr size_t kLowWatermark = HttpServerConnection::kLowWatermark;
-  static constexpr size_t kHighWatermark = HttpServerConnection::kHighWatermark;
+  static constexpr size_t kLowWatermark = HttpResponseSender::kLowWatermark;
+  static constexpr size_t kHighWatermark = HttpResponseSender::kHighWatermark;
 
   /// @param address numeric; port 0 lets the system choose one.
   /// @param send_buffer size of the kernel's send buffer of each connection in bytes; 0 leaves it to the system.
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -85,7 +85,7 @@
     head_deadline_set_ = false;
     deadline_.set(owner_.limits().idle_timeout);
     if (reader_.take_expects_continue()) {
-      send_buffer_.tail() += "HTTP/1.1 100 Continue\r\n\r\n";
+      sender_.write_continue();
       schedule_flush();
     }
   } else if (reader_.has_unread_bytes() && !std::exchange(head_deadline_set_, true)) {
@@ -98,7 +98,7 @@
   head_deadline_set_ = false;
   deadline_.clear();
   keep_alive_ = !reader_.closes_connection();
-  writer_.begin(reader_.http_1_0(), reader_.is_head_method());
+  sender_.begin(reader_.http_1_0(), reader_.is_head_method());
   exchange_ = owner_.open_exchange(shared_from_this());
   owner_.on_request(exchange_, reader_.take_request());
 }
@@ -108,7 +108,7 @@
   phase_ = Phase::responding;
   keep_alive_ = false;
   reader_.discard();
-  writer_.begin(false, reader_.is_head_method());
+  sender_.begin(false, reader_.is_head_method());
   exchange_ = owner_.open_exchange(shared_from_this());
   send_head(status, {{"Content-Type", "text/plain"}}, body.size());
   send_body(body);
@@ -117,30 +117,27 @@
 
 void HttpServerConnection::send_head(uint32_t status, const HeaderFields& fields,
                                      std::optional<uint64_t> content_length) {
-  if (writer_.head_written()) {
+  if (sender_.head_written()) {
     return;
   }
   keep_alive_ = keep_alive_ && !owner_.closes_after_responses();
-  writer_.write_head(status, fields, content_length, keep_alive_, send_buffer_.tail());
+  sender_.write_head(status, fields, content_length, keep_alive_);
   schedule_flush();
 }
 
 void HttpServerConnection::send_body(std::string_view bytes) {
-  if (!writer_.head_written()) {
+  if (!sender_.head_written()) {
     return;
   }
-  if (!writer_.write_body(bytes, send_buffer_.tail())) {
+  if (!sender_.write_body(bytes)) {
     reset();
     return;
   }
-  if (unsent_bytes() > kHighWatermark) {
-    above_high_watermark_ = true;
-  }
   schedule_flush();
 }
 
 void HttpServerConnection::finish_response() {
-  if (!writer_.write_end(send_buffer_.tail())) {
+  if (!sender_.write_end()) {
     reset();
     return;
   }
@@ -165,44 +162,24 @@
   if (phase_ == Phase::closed) {
     return;
   }
-  if (!send_unsent()) {
+  auto progress = sender_.send_to(socket_.get());
+  if (progress == HttpResponseSender::Progress::connection_lost) {
     disconnect();
     return;
   }
-  send_buffer_.compact();
+  if (phase_ == Phase::finishing && progress == HttpResponseSender::Progress::some) {
+    deadline_.set(owner_.limits().idle_timeout);
+  }
   if (phase_ == Phase::finishing && unsent_bytes() == 0) {
     on_response_sent();
     return;
   }
   update_watched_events();
-  bool drained = phase_ == Phase::responding && above_high_watermark_ && unsent_bytes() < kLowWatermark;
-  if (drained) {
-    above_high_watermark_ = false;
+  if (phase_ == Phase::responding && sender_.take_drained()) {
     owner_.on_drained(exchange_);
   }
 }
 
-bool HttpServerConnection::send_unsent() {
-  while (unsent_bytes() > 0) {
-    auto unsent = send_buffer_.unsent();
-    auto sent = ::send(socket_.get(), unsent.data(), unsent.size(), MSG_NOSIGNAL);
-    if (sent < 0 && errno == EINTR) {
-      continue;
-    }
-    if (sent < 0 && errno == EAGAIN) {
-      return true;
-    }
-    if (sent <= 0) {
-      return false;
-    }
-    send_buffer_.consume(static_cast<size_t>(sent));
-    if (phase_ == Phase::finishing) {
-      deadline_.set(owner_.limits().idle_timeout);
-    }
-  }
-  return true;
-}
-
 void HttpServerConnection::on_response_sent() {
   if (!keep_alive_) {
     linger();
@@ -213,7 +190,6 @@
     return;
   }
   phase_ = Phase::reading;
-  above_high_watermark_ = false;
   deadline_.set(owner_.limits().idle_timeout);
   // A pipelined request may be there already.
   read_request();
@@ -280,7 +256,7 @@
   loop_.unwatch(socket_.get());
   socket_ = Fd();
   reader_.discard();
-  send_buffer_.release();
+  sender_.release();
   owner_.on_closed(*this);
 }
 
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -3,8 +3,7 @@
 #include "base/fd.hpp"
 #include "net/deadline_timer.hpp"
 #include "net/http_request_reader.hpp"
-#include "net/http_response_writer.hpp"
-#include "net/send_buffer.hpp"
+#include "net/http_response_sender.hpp"
 
 namespace mosskeel {
 
@@ -50,10 +49,6 @@
 /// `on_closed`; a connection that is closed does nothing more.
 class HttpServerConnection : public std::enable_shared_from_this<HttpServerConnection> {
  public:
-  /// Bytes; 1,000 slow callers at the high one and a read more hold 64 MB, a quarter of a small machine's memory.
-  static constexpr size_t kLowWatermark = 16 << 10;
-  static constexpr size_t kHighWatermark = 48 << 10;
-
   HttpServerConnection(EventLoop& loop, HttpConnectionOwner& owner, Fd socket);
   /// Begins to read; to be called once.
   void start();
@@ -62,7 +57,7 @@
   void send_head(uint32_t status, const HeaderFields& fields, std::optional<uint64_t> content_length);
   void send_body(std::string_view bytes);
   void finish_response();
-  size_t unsent_bytes() const { return send_buffer_.unsent().size(); }
+  size_t unsent_bytes() const { return sender_.unsent_bytes(); }
 
   /// The flush that was scheduled.
   void flush_now();
@@ -95,8 +90,6 @@
   void begin_exchange();
   void reject_request(uint32_t status);
   void flush();
-  /// Hands bytes to the socket; false where the connection is gone.
-  bool send_unsent();
   void on_response_sent();
   void linger();
   void linger_unread();
@@ -117,11 +110,9 @@
   HttpRequestReader reader_;
   /// Whether the deadline is that of the head which is being read.
   bool head_deadline_set_ = false;
-  HttpResponseWriter writer_;
-  SendBuffer send_buffer_;
+  HttpResponseSender sender_;
   /// Whether the connection stays open after the response.
   bool keep_alive_ = true;
-  bool above_high_watermark_ = false;
   bool flush_scheduled_ = false;
 };
 
