--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -3,49 +3,15 @@
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-#include <algorithm>
 #include <cerrno>
 #include <cstring>
 
 #include "net/http_fields.hpp"
-#include "net/http_syntax.hpp"
+#include "net/keep_alive.hpp"
 
 namespace mosskeel {
 namespace {
 
-/// A replica that does not say how long it keeps idle connections is assumed to keep them this long.
-constexpr Duration kDefaultKeepAlive = 4000ms;
-/// A connection is given up this long before the replica would close it, so that no request crosses the close.
-constexpr Duration kKeepAliveMargin = 1000ms;
-constexpr Duration kMaxKeepAlive = 600000ms;
-/// Digits of a number of seconds below `kMaxKeepAlive` many times over, that surely fits.
-constexpr size_t kMaxKeepAliveDigits = 6;
-
-Duration keep_alive_of(std::string_view seconds) {
-  auto digits = seconds.substr(0, seconds.find_first_not_of("0123456789"));
-  if (digits.empty()) {
-    return 0ms;
-  }
-  if (digits.size() > kMaxKeepAliveDigits) {
-    return kMaxKeepAlive;
-  }
-  auto announced = std::chrono::seconds(std::stoll(std::string(digits)));
-  return std::min<Duration>(announced - kKeepAliveMargin, kMaxKeepAlive);
-}
-
-/// How long a connection may be idle after this response: by "Keep-Alive: timeout=SECONDS", else the default.
-Duration keep_alive_of(const HeaderFields& fields) {
-  auto list = header_value(fields, "Keep-Alive");
-  while (!list.empty()) {
-    auto parameter = next_list_element(list);
-    auto equals_sign = parameter.find('=');
-    if (equals_sign != std::string_view::npos && equals_ignoring_case(parameter.substr(0, equals_sign), "timeout")) {
-      return keep_alive_of(parameter.substr(equals_sign + 1));
-    }
-  }
-  return kDefaultKeepAlive;
-}
-
 /// Whether the socket is open and nothing has been received on it.
 bool is_silent(int socket) {
   char byte = 0;
