--- a/tools/scale/simulated_fleet.cpp
+++ b/tools/scale/simulated_fleet.cpp
@@ -6,7 +6,6 @@
 
 #include "consensus/controller_machine.hpp"
 #include "history/constants.hpp"
-#include "net/wire.hpp"
 #include "replication/agent_machine.hpp"
 
 namespace mosskeel::scale {
@@ -36,56 +35,8 @@
   return nullptr;
 }
 
-Duration network_delay(const ProcessSpec& sender, const ProcessSpec& receiver) {
-  if (sender.region != receiver.region)
-    return kRegionDelay;
-  return sender.zone == receiver.zone ? kZoneInternalDelay : kZoneDelay;
-}
-
-/// A number for messages that many receive with the same content but for the addresses; 0 for any other.
-uint64_t shared_message_key(const Message& message) {
-  constexpr uint64_t kinds = 4;
-  if (auto* decided = std::get_if<Decided>(&message))
-    return decided->entry.epoch.value() * kinds + 1;
-  if (auto* reply = std::get_if<HeartbeatReply>(&message); reply && reply->checkpoint)
-    return reply->checkpoint->epoch.value() * kinds + 2;
-  if (auto* reply = std::get_if<CatchupReply>(&message); reply && reply->checkpoint)
-    return reply->checkpoint->epoch.value() * kinds + 3;
-  return 0;
-}
-
-void add(TrafficByKind& sum, const TrafficByKind& traffic) {
-  for (const auto& [kind, amount] : traffic)
-    sum[kind] += amount;
-}
-
 }  // namespace
 
-Traffic total(const TrafficByKind& traffic) {
-  Traffic sum;
-  for (const auto& [kind, amount] : traffic)
-    sum += amount;
-  return sum;
-}
-
-Counters& Counters::operator+=(const Counters& other) {
-  add(sent, other.sent);
-  add(received, other.received);
-  add(machine_local, other.machine_local);
-  cpu_nanoseconds += other.cpu_nanoseconds;
-  journal_bytes += other.journal_bytes;
-  syncs += other.syncs;
-  checkpoints += other.checkpoints;
-  checkpoint_bytes += other.checkpoint_bytes;
-  return *this;
-}
-
-Traffic Counters::network() const {
-  auto sum = total(sent);
-  sum += total(received);
-  return sum;
-}
-
 SimulatedFleet::SimulatedFleet(const Plan& plan, uint64_t seed, const StoredPartitions& histories) : random_(seed) {
   auto specs = fleet_processes(plan, seed);
   auto metadata = metadata_at_rest(plan, specs);
@@ -290,51 +241,6 @@
     send(process, std::move(message));
 }
 
-void SimulatedFleet::send(SimulatedProcess& sender, Envelope message) {
-  if (message.to.starts_with("local:")) {
-    if (on_local_message)
-      on_local_message(sender, message);
-  } else if (message.to.starts_with("replica:")) {
-    if (on_replica_message)
-      on_replica_message(sender, message);
-  } else {
-    send_over_network(sender, std::move(message));
-  }
-}
-
-void SimulatedFleet::send_over_network(SimulatedProcess& sender, Envelope message) {
-  auto kind = kind_name(message.body);
-  Traffic traffic{.messages = 1, .bytes = encoded_size(message)};
-  bool stays_on_machine = message.to == sender.spec.identity.self.address || message.to == sender.spec.companion;
-  auto& sent = stays_on_machine ? sender.counters.machine_local : sender.counters.sent;
-  sent[kind] += traffic;
-  auto found = index_by_address_.find(message.to);
-  if (found == index_by_address_.end())
-    return;
-  auto& receiver = processes_[found->second];
-  if (!receiver.machine)
-    return;
-  if (!stays_on_machine && is_cut && is_cut(sender, receiver))
-    return;
-  if (!stays_on_machine)
-    receiver.counters.received[kind] += traffic;
-  auto delay = stays_on_machine ? 0ms : network_delay(sender.spec, receiver.spec);
-  auto shared_message = std::make_shared<const Envelope>(std::move(message));
-  events_[now_ + delay].push_back({.action = nullptr, .receiver = found->second, .message = std::move(shared_message)});
-}
-
-/// Messages that go to many are encoded once; only their addresses differ in length.
-size_t SimulatedFleet::encoded_size(const Envelope& message) {
-  auto key = shared_message_key(message.body);
-  if (key == 0)
-    return encode(message).size();
-  auto address_bytes = message.from.size() + message.to.size();
-  auto [size, is_new] = shared_message_sizes_.emplace(key, 0);
-  if (is_new)
-    size->second = encode(message).size() - address_bytes;
-  return size->second + address_bytes;
-}
-
 void SimulatedFleet::reset_counters() {
   for (auto& process : processes_)
     process.counters = {};
--- a/tools/scale/simulated_fleet.hpp
+++ b/tools/scale/simulated_fleet.hpp
@@ -6,6 +6,7 @@
 #include "history/store_machine.hpp"
 #include "programs/gateway_machine.hpp"
 #include "runtime/constants.hpp"
+#include "scale/counters.hpp"
 #include "scale/plan.hpp"
 
 namespace mosskeel::scale {
@@ -19,40 +20,6 @@
 /// How long a disk takes to sync.
 constexpr Duration kSyncDuration = 2ms;
 
-/// Messages and their encoded bytes.
-struct Traffic {
-  uint64_t messages = 0;
-  uint64_t bytes = 0;
-
-  Traffic& operator+=(const Traffic& other) {
-    messages += other.messages;
-    bytes += other.bytes;
-    return *this;
-  }
-};
-/// By the name of the message kind.
-using TrafficByKind = std::map<std::string, Traffic>;
-
-/// All kinds together.
-Traffic total(const TrafficByKind& traffic);
-
-/// What one process, or all processes of a kind, have done since the counters were reset.
-struct Counters {
-  TrafficByKind sent;
-  TrafficByKind received;
-  /// What stays on its machine: between an agent and its gateway, and from a process to itself.
-  TrafficByKind machine_local;
-  int64_t cpu_nanoseconds = 0;
-  uint64_t journal_bytes = 0;
-  uint64_t syncs = 0;
-  uint64_t checkpoints = 0;
-  uint64_t checkpoint_bytes = 0;
-
-  Counters& operator+=(const Counters& other);
-  /// Sent and received over the network.
-  Traffic network() const;
-};
-
 /// A process of the simulated fleet, with its disk.
 struct SimulatedProcess {
   ProcessSpec spec;
@@ -79,6 +46,8 @@
   Counters counters;
 };
 
+/// All processes with their disks and the network between them, on one thread. Events of one point in virtual time run
+/// in the order in which they were scheduled, so the same plan and seed give the same messages.
 class SimulatedFleet {
  public:
   using ProcessMessage = std::function<void(SimulatedProcess&, const Envelope&)>;
