--- a/tests/unit/catch.hpp
+++ b/tests/unit/catch.hpp
@@ -5,6 +5,7 @@
 #define CATCH_CONFIG_ENABLE_CHRONO_STRINGMAKER
 #define CATCH_CONFIG_ENABLE_OPTIONAL_STRINGMAKER
 #include <catch2/catch.hpp>
+#include <optional>
 
 #include "mosskeel/ids.hpp"
 #include "mosskeel/time.hpp"
@@ -19,4 +20,10 @@
   }
 };
 
+/// Prints an absent value; Catch2 prints the type of std::nullopt as unknown.
+template <>
+struct StringMaker<std::nullopt_t> {
+  static std::string convert(std::nullopt_t) { return "{ }"; }
+};
+
 }  // namespace Catch
