--- a/tests/unit/messages/golden_fields.hpp
+++ b/tests/unit/messages/golden_fields.hpp
@@ -94,7 +94,7 @@
     fields.push_back({path, FieldType::number, std::to_string(value)});
   } else if constexpr (codec::is_strong<Value>::value) {
     collect_fields(value.value(), path, fields);
-  } else if constexpr (codec::is_duration<Value>::value) {
+  } else if constexpr (std::is_same_v<Value, Duration>) {
     collect_fields(value.count(), path, fields);
   } else if constexpr (!std::is_empty_v<Value>) {
     namespace hana = boost::hana;
