--- a/tests/simulation/cores.cpp
+++ b/tests/simulation/cores.cpp
@@ -1,182 +1,220 @@
 // Scenarios in which the core is lost, in part or whole.
-#include "simulation/day.hpp"
+#include <algorithm>
+
+#include "simulation/scenario_functions.hpp"
 
 namespace mosskeel::sim {
+namespace {
 
-/// The core loses power right after each acknowledgement.
-void power_after_ack(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(150ms, w.now() + 40000ms);
-  for (int i = 0; i < 5; ++i) {
-    w.run(500ms + w.below(1000ms));
-    auto r = change(d, 10000ms);
-    auto all = w.names(Kind::controller);
-    for (auto& s : all)
-      w.power_off(s);
-    if (w.chance(0.5))
-      w.power_off(d.any(Kind::store));
-    if (i == 2)
-      w.wipe(all[w.next_random() % all.size()]);
-    w.run(500ms + w.below(1500ms));
-    for (auto& s : all)
-      w.start(s), w.node(s).disk.slow = w.chance(0.5) ? w.below(200ms) : 0ms;
-    for (auto& s : w.names(Kind::store))
-      w.start(s);
-    if (r)
-      in_force(d, r, 8000ms);
-  }
-  w.run(5000ms);
-}
+constexpr Duration kChangePatience = 10000ms;
+/// An acknowledged revision is in force in this time, on a fleet where nothing else is wrong.
+constexpr Duration kInForceLimit = 2000ms;
 
-/// Two of three core machines lose their disks right after an acknowledgement.
-void core_majority_lost(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(150ms, w.now() + 25000ms);
-  w.run(2000ms);
-  auto r = change(d, 10000ms);
-  if (!r)
-    w.fail("the change was not acknowledged");
-  auto v = w.names(Kind::controller);
-  auto stay = w.next_random() % v.size();
-  for (size_t i = 0; i < v.size(); ++i)
-    if (i != stay)
-      w.wipe(v[i]);
-  w.run(500ms + w.below(1500ms));
-  bool late = w.chance(0.5);
-  if (late)
-    w.power_off(v[stay]);
-  for (auto& s : v)
-    if (!late || s != v[stay])
-      w.start(s);
-  w.run(late ? 4000ms : 0ms);
-  w.start(v[stay]);
-  w.run(12000ms);
-  if (latest(w)->generation != 2)
-    w.fail("the core was not founded anew");
-  auto now = change(d, 10000ms);
-  if (now <= r)
-    w.fail("no change is accepted after the core's re-founding");
-  in_force(d, now, 2000ms);
+/// All but one of the names.
+std::vector<std::string> all_but(std::vector<std::string> names, const std::string& excluded) {
+  std::erase(names, excluded);
+  return names;
 }
 
-/// Two of three core machines never come back; the operator founds the core anew, then one returns.
-void rebuild(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(150ms, w.now() + 25000ms);
-  w.run(2000ms);
-  auto r = change(d, 10000ms);
-  auto v = w.names(Kind::controller);
-  auto stay = v[w.next_random() % v.size()];
-  auto ask = [&](std::vector<DaemonId> lost) {
-    CommitReply got{};
-    got.outcome = CommitOutcome::unknown;
-    auto old = w.local;
-    w.local = [&](Node&, const Envelope& e) {
-      if (e.to == "local:op")
-        got = std::get<CommitReply>(e.body);
-    };
-    Envelope e{};
-    e.from = "local:op";
-    e.body = RefoundRequest{"rebuild", std::move(lost)};
-    w.post(stay, e);
-    w.local = old;
-    return got;
+/// The command of an operator who founds the core anew, answered by the controller's own process at once.
+CommitReply request_refounding(World& world, const std::string& controller, std::vector<DaemonId> lost) {
+  const Address operator_address = "local:op";
+  CommitReply reply{};
+  reply.outcome = CommitOutcome::unknown;
+  auto usual_handler = world.local;
+  world.local = [&](Node&, const Envelope& envelope) {
+    if (envelope.to == operator_address)
+      reply = std::get<CommitReply>(envelope.body);
   };
+  Envelope envelope{};
+  envelope.from = operator_address;
+  envelope.body = RefoundRequest{"rebuild", std::move(lost)};
+  world.post(controller, std::move(envelope));
+  world.local = usual_handler;
+  return reply;
+}
+
+/// A re-founding must be refused while a majority lives or a silent member is not named, and be done otherwise.
+void refound(World& world, const std::string& survivor, const std::vector<std::string>& others) {
   std::vector<DaemonId> lost;
-  for (auto& s : v)
-    if (s != stay)
-      lost.push_back(latest(w)->find_at(s)->id);
-  if (ask(lost).outcome != CommitOutcome::rejected)
-    w.fail("a rebuild was taken while a majority lives");
-  for (auto& s : v)
-    if (s != stay)
-      w.power_off(s);
-  w.run(6000ms);
-  if (ask({lost[0]}).outcome != CommitOutcome::rejected)
-    w.fail("a rebuild was taken though a silent member was not named");
-  if (auto a = ask(lost); a.outcome != CommitOutcome::committed)
-    w.fail("the rebuild was refused: " + a.reason);
-  w.run(5000ms);
-  auto now = change(d, 10000ms);
-  if (now <= r)
-    w.fail("no change is accepted after the rebuild");
-  for (auto& s : v)
-    if (s != stay) {
-      w.start(s);
-      break;
+  lost.reserve(others.size());
+  for (const auto& name : others)
+    lost.push_back(latest(world)->find_at(name)->id);
+  if (request_refounding(world, survivor, lost).outcome != CommitOutcome::rejected)
+    world.fail("a rebuild was taken while a majority lives");
+  power_off_all(world, others);
+  world.run(6000ms);
+  if (request_refounding(world, survivor, {lost[0]}).outcome != CommitOutcome::rejected)
+    world.fail("a rebuild was taken though a silent member was not named");
+  auto reply = request_refounding(world, survivor, lost);
+  if (reply.outcome != CommitOutcome::committed)
+    world.fail("the rebuild was refused: " + reply.reason);
+}
+
+/// Sometimes a store is slow or cut off while the change is acknowledged.
+void hinder_a_store(Day& day, const std::string& survivor) {
+  auto& world = day.world;
+  auto other = day.any(Kind::store);
+  if (world.chance(0.4)) {
+    auto slow = 100ms + world.below(400ms);
+    world.node(day.any(Kind::store)).disk.slow = slow;
+  } else if (other != survivor && world.chance(0.5)) {
+    world.isolate(other);
+  }
+}
+
+/// All daemons go, and all disks but the survivor's.
+void lose_all_disks_but(World& world, const std::vector<std::string>& disks, const std::string& survivor) {
+  for (const auto& name : disks) {
+    if (name == survivor)
+      world.power_off(name);
+    else
+      world.wipe(name);
+  }
+  power_off_all(world, world.names(Kind::agent));
+  power_off_all(world, world.names(Kind::gateway));
+  world.heal();
+}
+
+void start_everything(World& world) {
+  for (auto kind : {Kind::store, Kind::controller, Kind::agent, Kind::gateway}) {
+    for (const auto& name : world.names(kind)) {
+      world.start(name);
+      world.node(name).disk.slow = {};
     }
-  w.run(5000ms);
-  auto later = change(d, 10000ms);
-  if (later <= now)
-    w.fail("an old member that came back stands in the way");
-  in_force(d, later, 2000ms);
-  for (auto& s : v)
-    if (s != stay)
-      w.wipe(s);
+  }
+}
+
+}  // namespace
+
+/// The core loses power right after each acknowledgement, once with one disk.
+void power_after_ack(Day& day) {
+  constexpr int round_with_lost_disk = 2;
+  auto& world = day.world;
+  day.callers.traffic(150ms, world.now() + 40000ms);
+  for (int round = 0; round < 5; ++round) {
+    world.run(500ms + world.below(1000ms));
+    auto revision = change_configuration(day, kChangePatience);
+    auto controllers = world.names(Kind::controller);
+    power_off_all(world, controllers);
+    if (world.chance(0.5))
+      world.power_off(day.any(Kind::store));
+    if (round == round_with_lost_disk)
+      world.wipe(controllers[world.next_random() % controllers.size()]);
+    world.run(500ms + world.below(1500ms));
+    for (const auto& name : controllers) {
+      world.start(name);
+      world.node(name).disk.slow = world.chance(0.5) ? world.below(200ms) : 0ms;
+    }
+    start_all(world, world.names(Kind::store));
+    if (revision)
+      must_be_in_force(day, revision, 8000ms);
+  }
+  world.run(5000ms);
+}
+
+/// Two of three controllers lose their disks right after an acknowledgement; the third may come back late. The core
+/// founds itself anew and keeps the acknowledged change.
+void core_majority_lost(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(150ms, world.now() + 25000ms);
+  world.run(2000ms);
+  auto acknowledged = change_configuration(day, kChangePatience);
+  if (!acknowledged)
+    world.fail("the change was not acknowledged");
+  auto controllers = world.names(Kind::controller);
+  auto survivor = controllers[world.next_random() % controllers.size()];
+  auto others = all_but(controllers, survivor);
+  for (const auto& name : others)
+    world.wipe(name);
+  world.run(500ms + world.below(1500ms));
+  bool late = world.chance(0.5);
+  if (late)
+    world.power_off(survivor);
+  start_all(world, others);
+  world.run(late ? 4000ms : 0ms);
+  world.start(survivor);
+  world.run(12000ms);
+  if (latest(world)->generation != 2)
+    world.fail("the core was not founded anew");
+  auto changed = change_configuration(day, kChangePatience);
+  if (changed <= acknowledged)
+    world.fail("no change is accepted after the core's re-founding");
+  must_be_in_force(day, changed, kInForceLimit);
+}
+
+/// Two of three controllers never come back; the operator founds the core anew, then one returns.
+void rebuild(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(150ms, world.now() + 25000ms);
+  world.run(2000ms);
+  auto acknowledged = change_configuration(day, kChangePatience);
+  auto controllers = world.names(Kind::controller);
+  auto survivor = controllers[world.next_random() % controllers.size()];
+  auto others = all_but(controllers, survivor);
+  refound(world, survivor, others);
+  world.run(5000ms);
+  auto changed = change_configuration(day, kChangePatience);
+  if (changed <= acknowledged)
+    world.fail("no change is accepted after the rebuild");
+  world.start(others.front());
+  world.run(5000ms);
+  auto later = change_configuration(day, kChangePatience);
+  if (later <= changed)
+    world.fail("an old member that came back stands in the way");
+  must_be_in_force(day, later, kInForceLimit);
+  for (const auto& name : others)
+    world.wipe(name);
 }
 
 /// Right after an acknowledgement all disks but one are lost, those of controllers and stores alike; the one that stays
 /// was in touch, and is enough. (Histories are not promised to survive this.)
-void survivor(Day& d) {
-  auto& w = d.w;
-  d.closed = true;
-  d.c.traffic(150ms, w.now() + 4000ms);
-  w.run(2000ms);
-  auto disks = w.names(Kind::controller);
-  for (auto& s : w.names(Kind::store))
-    disks.push_back(s);
-  auto stay = disks[w.next_random() % disks.size()];
-  auto other = d.any(Kind::store);
-  if (w.chance(0.4)) {
-    auto slow = 100ms + w.below(400ms);
-    w.node(d.any(Kind::store)).disk.slow = slow;
-  } else if (other != stay && w.chance(0.5))
-    w.isolate(other);
-  auto r = change(d, 10000ms);
-  if (!r)
-    w.fail("the change was not acknowledged");
-  for (auto& s : disks)
-    if (s == stay)
-      w.power_off(s);
-    else
-      w.wipe(s);
-  for (auto k : {Kind::agent, Kind::gateway})
-    for (auto& s : w.names(k))
-      w.power_off(s);
-  w.heal();
-  w.run(200ms + w.below(1000ms));
-  for (auto k : {Kind::store, Kind::controller, Kind::agent, Kind::gateway})
-    for (auto& s : w.names(k))
-      w.start(s), w.node(s).disk.slow = {};
-  auto back = [&] {
-    auto v = latest(w);
-    return v && v->revision.value() >= r;
+void survivor(Day& day) {
+  auto& world = day.world;
+  day.closed = true;
+  day.callers.traffic(150ms, world.now() + 4000ms);
+  world.run(2000ms);
+  auto disks = world.names(Kind::controller);
+  for (const auto& name : world.names(Kind::store))
+    disks.push_back(name);
+  auto survivor = disks[world.next_random() % disks.size()];
+  hinder_a_store(day, survivor);
+  auto acknowledged = change_configuration(day, kChangePatience);
+  if (!acknowledged)
+    world.fail("the change was not acknowledged");
+  lose_all_disks_but(world, disks, survivor);
+  world.run(200ms + world.below(1000ms));
+  start_everything(world);
+  auto is_back = [&] {
+    auto metadata = latest(world);
+    return metadata && metadata->revision.value() >= acknowledged;
   };
-  if (!w.until(25000ms, back))
-    w.fail("the acknowledged revision " + std::to_string(r) + " did not survive on " + stay);
-  auto now = change(d, 20000ms);
-  if (now <= r)
-    w.fail("no change is accepted after the loss, " + stay + " stayed");
+  if (!world.until(25000ms, is_back))
+    world.fail("the acknowledged revision " + std::to_string(acknowledged) + " did not survive on " + survivor);
+  auto changed = change_configuration(day, 2 * kChangePatience);
+  if (changed <= acknowledged)
+    world.fail("no change is accepted after the loss, " + survivor + " stayed");
   else
-    in_force(d, now, 2100ms);
+    must_be_in_force(day, changed, kInForceLimit + 100ms);
 }
 
-/// The seeds are swapped for other core machines, and every daemon restarts.
-void seeds_swapped(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(100ms, w.now() + 25000ms);
-  w.run(2000ms);
-  w.seeds = {"controller4", "controller5", "controller99"};
-  for (auto k : {Kind::controller, Kind::store, Kind::agent})
-    for (auto& s : w.names(k)) {
-      w.kill(s);
-      w.run(200ms);
-      w.start(s);
-      w.run(1200ms);
+/// The seeds are swapped for other controllers, one of which does not exist, and every daemon restarts.
+void seeds_swapped(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(100ms, world.now() + 25000ms);
+  world.run(2000ms);
+  world.seeds = {"controller4", "controller5", "controller99"};
+  for (auto kind : {Kind::controller, Kind::store, Kind::agent}) {
+    for (const auto& name : world.names(kind)) {
+      world.kill(name);
+      world.run(200ms);
+      world.start(name);
+      world.run(1200ms);
     }
-  w.run(5000ms);
-  if (!change(d, 10000ms))
-    w.fail("no change is accepted with swapped seeds");
+  }
+  world.run(5000ms);
+  if (!change_configuration(day, kChangePatience))
+    world.fail("no change is accepted with swapped seeds");
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/counts.cpp
+++ b/tests/simulation/counts.cpp
@@ -1,87 +1,129 @@
-// Simulated callers of plain requests that may not be repeated: counts and fixes.
+// Simulated callers of plain requests: fetches, which are idempotent, and counts, which are not.
 #include "simulation/callers.hpp"
 
 namespace mosskeel::sim {
+namespace {
+
+constexpr double kCountsWithKey = 0.7;
+/// How often a count with a key is sent twice at once.
+constexpr double kCountsSentTwice = 0.2;
+/// When a caller asks again if the answer does not say, and over which time retries are spread.
+constexpr Duration kDefaultCountRetry = 300ms;
+constexpr Duration kCountRetryVariation = 200ms;
+
+ProgramRequest plain_request(const std::string& method, const std::string& path) {
+  ProgramRequest request{};
+  request.cell = "news";
+  request.route = "app";
+  request.kind = "app";
+  request.method = method;
+  request.path = path;
+  return request;
+}
+
+/// Whether the fleet keeps the outcome under the key, so that asking again cannot change it.
+bool is_kept_outcome(const ProgramResponse& response) {
+  return response.reason.starts_with("kept outcome") ||
+         response.reason.find("will not be run again") != std::string::npos;
+}
+
+}  // namespace
+
+void Callers::fetch() {
+  auto gateway = pick_gateway();
+  if (gateway.empty())
+    return;
+  auto path = "/tallies/" + std::to_string(++last_number_);
+  auto check = [=, this](const Message& message) {
+    const auto* response = std::get_if<ProgramResponse>(&message);
+    if (response && response->status == kStatusOk && response->body != "GET " + path)
+      world_.fail("a success that is not the replica's whole answer: " + path);
+  };
+  auto session = open_session(gateway, check, [] {});
+  auto request = plain_request("GET", path);
+  request.attempt = "f" + std::to_string(world_.next_random());
+  request.idempotent = true;
+  post(gateway, session, std::move(request));
+}
 
 void Callers::count() {
-  auto c = std::make_shared<Count>();
-  auto n = std::to_string(++next_);
-  c->path = "/counts/" + n;
-  if (w_.chance(0.7))
-    c->key = "c" + n;
-  counts_[c->path] = c;
-  ask(c);
-  if (!c->key.empty() && w_.chance(0.2))
-    ask(c);
+  auto count = std::make_shared<Count>();
+  auto number = std::to_string(++last_number_);
+  count->path = "/counts/" + number;
+  if (world_.chance(kCountsWithKey))
+    count->key = "c" + number;
+  counts_[count->path] = count;
+  attempt_count(count);
+  if (!count->key.empty() && world_.chance(kCountsSentTwice))
+    attempt_count(count);
 }
 
-void Callers::ask(std::shared_ptr<Count> c) {
-  auto front = pick_front();
-  if (front.empty())
+void Callers::attempt_count(std::shared_ptr<Count> count) {
+  auto gateway = pick_gateway();
+  if (gateway.empty())
     return;
-  ++c->tries;
-  ++c->asked;
-  auto settled = std::make_shared<bool>(false);
-  auto finish = [=, this](const ProgramResponse* e, bool own = false) {
-    if (*settled)
-      return;
-    *settled = true;
-    --c->asked;
-    if (!e && own)
-      ++lost_sessions;
-    if (!e || e->executed != Outcome::no)
-      c->sure_not_run = false;
-    if (e && e->status == 200) {
-      if (!c->success)
-        ++counted;
-      c->success = c->done = true;
-      if (e->body != "POST " + c->path)
-        w_.fail("a success that is not the replica's whole answer: " + c->path + " gave " + e->body);
-      return;
-    }
-    if (e ? e->executed == Outcome::unknown : !own)
-      ++count_unknown;
-    bool known =
-        e && (e->reason.starts_with("kept outcome") || e->reason.find("will not be run again") != std::string::npos);
-    if (c->key.empty() || known || c->tries >= tries) {
-      if (!c->asked)
-        c->done = true;
-      return;
-    }
-    w_.at(w_.now() + Duration(e && e->retry_ms ? e->retry_ms : 300) + w_.below(200ms), [=, this] {
-      if (!c->done)
-        ask(c);
-    });
+  ++count->tries;
+  ++count->under_way;
+  auto attempt = std::make_shared<CountAttempt>();
+  attempt->count = count;
+  auto request = plain_request("POST", count->path);
+  request.attempt = "n" + std::to_string(world_.next_random());
+  request.key = count->key;
+  auto hear = [=, this](const Message& message) {
+    if (const auto* response = std::get_if<ProgramResponse>(&message))
+      settle_count(attempt, response, false);
   };
-  ProgramRequest e{};
-  e.attempt = "n" + std::to_string(w_.next_random());
-  e.cell = "news";
-  e.route = e.kind = "app";
-  e.method = "POST";
-  e.key = c->key;
-  e.path = c->path;
-  Envelope env{};
-  env.from = session(
-      front,
-      [=](const Message& m) {
-        if (auto* x = std::get_if<ProgramResponse>(&m))
-          finish(x);
-      },
-      [=] { finish(nullptr); });
-  env.body = e;
-  w_.post(front, env);
-  w_.at(w_.now() + patience(front), [=] { finish(nullptr, true); });
+  auto session = open_session(gateway, hear, [=, this] { settle_count(attempt, nullptr, false); });
+  post(gateway, session, std::move(request));
+  world_.at(world_.now() + patience(gateway), [=, this] { settle_count(attempt, nullptr, true); });
+}
+
+/// The end of one attempt: an answer, a session that was lost (no response), or a caller that left by itself.
+void Callers::settle_count(const std::shared_ptr<CountAttempt>& attempt, const ProgramResponse* response,
+                           bool caller_left) {
+  if (attempt->settled)
+    return;
+  attempt->settled = true;
+  auto count = attempt->count;
+  --count->under_way;
+  if (!response || response->executed != Outcome::no)
+    count->sure_not_run = false;
+  if (response && response->status == kStatusOk)
+    return succeed(*count, *response);
+  bool unknown = response ? response->executed == Outcome::unknown : !caller_left;
+  if (unknown)
+    ++totals.unknown_counts;
+  bool kept = response && is_kept_outcome(*response);
+  if (count->key.empty() || kept || count->tries >= settings.most_tries) {
+    if (!count->under_way)
+      count->done = true;
+    return;
+  }
+  auto wait = response && response->retry_ms ? Duration(response->retry_ms) : kDefaultCountRetry;
+  world_.at(world_.now() + wait + world_.below(kCountRetryVariation), [=, this] {
+    if (!count->done)
+      attempt_count(count);
+  });
+}
+
+void Callers::succeed(Count& count, const ProgramResponse& response) {
+  count.success = true;
+  count.done = true;
+  if (response.body != "POST " + count.path)
+    world_.fail("a success that is not the replica's whole answer: " + count.path + " gave " + response.body);
 }
 
-void Callers::judge_counts() {
-  for (auto& [p, c] : counts_) {
-    auto n = runs_["count" + p];
-    if (n > 1)
-      w_.fail("counted " + std::to_string(n) + " times: " + p + (c->key.empty() ? "" : " key " + c->key));
-    if (c->success && n != 1)
-      w_.fail("a success that no replica ran: " + p);
-    if (c->done && !c->success && c->sure_not_run && n)
-      w_.fail("refused as not run, yet counted: " + p);
+/// A count ran once at most; once if it succeeded, and not at all if every attempt was answered with "not run".
+void Callers::check_counts() {
+  for (const auto& [path, count] : counts_) {
+    auto runs = runs_["count" + path];
+    if (runs > 1)
+      world_.fail("counted " + std::to_string(runs) + " times: " + path +
+                  (count->key.empty() ? "" : " key " + count->key));
+    if (count->success && runs != 1)
+      world_.fail("a success that no replica ran: " + path);
+    if (count->done && !count->success && count->sure_not_run && runs)
+      world_.fail("refused as not run, yet counted: " + path);
   }
 }
 
--- a/tests/simulation/cuts.cpp
+++ b/tests/simulation/cuts.cpp
@@ -1,71 +1,101 @@
 // Scenarios in which parts of the fleet cannot hear each other while operators reach the core.
-#include "simulation/day.hpp"
+#include "simulation/scenario_functions.hpp"
 
 namespace mosskeel::sim {
 namespace {
 
-/// Cuts all between the two groups; `there`, `back` tell which ways.
-void part(World& w, const std::set<std::string>& one, bool there, bool back) {
-  for (auto k : {Kind::controller, Kind::store, Kind::agent, Kind::gateway})
-    for (auto& s : w.names(k))
-      if (!one.count(s))
-        for (auto& o : one) {
-          if (there)
-            w.cut(o, s);
-          if (back)
-            w.cut(s, o);
-        }
+/// Who is cut off from all others. The numbers are drawn.
+enum class CutGroup : uint64_t { core, core_and_some, core_not_heard, core_hears_nobody, some };
+constexpr uint64_t kCutGroups = 5;
+/// How likely a daemon joins the group where some do.
+constexpr double kJoinsGroup = 0.4;
+
+struct Directions {
+  bool outward = true;
+  bool inward = true;
+};
+
+/// Cuts all links between the group and the others.
+void cut_off(World& world, const std::set<std::string>& group, Directions directions) {
+  for (const auto& other : world.all_names()) {
+    if (group.count(other))
+      continue;
+    for (const auto& member : group) {
+      if (directions.outward)
+        world.cut(member, other);
+      if (directions.inward)
+        world.cut(other, member);
+    }
+  }
+}
+
+/// The two daemons of a worker go together.
+void join(World& world, std::set<std::string>& group, const std::string& name) {
+  group.insert(name);
+  const auto& beside = world.node(name).beside;
+  if (!beside.empty())
+    group.insert(beside);
+}
+
+std::set<std::string> choose_group(World& world, CutGroup kind) {
+  std::set<std::string> group;
+  if (kind != CutGroup::some)
+    for (const auto& name : world.names(Kind::controller))
+      group.insert(name);
+  if (kind != CutGroup::core_and_some && kind != CutGroup::some)
+    return group;
+  for (auto role : {Kind::controller, Kind::store, Kind::gateway})
+    for (const auto& name : world.names(role))
+      if (world.chance(kJoinsGroup))
+        join(world, group, name);
+  return group;
+}
+
+/// Drains a replica, evacuates a zone and changes the configuration through whatever controllers operators reach.
+void operate(Day& day, const std::string& replica, const std::string& zone) {
+  constexpr Duration patience = 5000ms;
+  auto ignore = [](const CommitReply&) {
+  };
+  day.callers.set_replica(replica, ReplicaHealth::draining, ignore, patience);
+  day.callers.commit(EvacuateZone{zone}, ignore, "", patience);
+  change_configuration(day, patience);
 }
 
-/// A front's two processes go together.
-void take(World& w, std::set<std::string>& v, const std::string& s) {
-  v.insert(s);
-  if (!w.node(s).beside.empty())
-    v.insert(w.node(s).beside);
+/// One cut and its end.
+void cut_core(Day& day, int round) {
+  constexpr uint64_t fewest_successes = 20;
+  auto& world = day.world;
+  auto kind = static_cast<CutGroup>(world.next_random() % kCutGroups);
+  Directions directions{.outward = kind != CutGroup::core_hears_nobody, .inward = kind != CutGroup::core_not_heard};
+  cut_off(world, choose_group(world, kind), directions);
+  auto replica = "model" + std::to_string(round + 1);
+  std::string zone(1, static_cast<char>('a' + round % 3));
+  auto before = day.callers.totals.successes;
+  world.run(world.below(300ms));
+  operate(day, replica, zone);
+  world.run(2500ms + world.below(4000ms));
+  auto served = day.callers.totals.successes - before;
+  if (kind == CutGroup::core && served < fewest_successes)
+    world.fail("the fleet hardly served without its core: " + std::to_string(served));
+  world.heal();
+  world.run(2500ms);
+  day.callers.set_replica(replica, ReplicaHealth::ready);
+  day.callers.commit(RestoreZone{zone}, [](const CommitReply&) {});
+  world.run(1500ms);
 }
 
 }  // namespace
 
-/// The core is cut off from the fleet, whole or with some daemons, both ways or one, and fronts in every grouping;
+/// The core is cut off from the fleet, whole or with some daemons, both ways or one, and daemons in every grouping;
 /// operators reach the core meanwhile and drain, evacuate and configure.
-void core_cut(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(60ms, w.now() + 60000ms);
-  for (int i = 0; i < 4; ++i) {
-    w.run(1000ms + w.below(1000ms));
-    std::set<std::string> one;
-    auto how = w.next_random() % 5;
-    if (how < 4)
-      for (auto& s : w.names(Kind::controller))
-        one.insert(s);
-    if (how == 1 || how == 4)
-      for (auto k : {Kind::controller, Kind::store, Kind::gateway})
-        for (auto& s : w.names(k))
-          if (w.chance(0.4))
-            take(w, one, s);
-    part(w, one, how != 3, how != 2);
-    auto n = "model" + std::to_string(i + 1);
-    auto rep = [&](ReplicaHealth f) {
-      return SetReplica{{n, "model", d.c.replicas[n].zone, "http://" + n, f, {}, 0}};
-    };
-    auto z = std::string(1, static_cast<char>('a' + i % 3));
-    auto before = d.c.successes;
-    w.run(w.below(300ms));
-    d.c.commit(
-        rep(ReplicaHealth::draining), [](const CommitReply&) {}, "", 5000ms);
-    d.c.commit(
-        EvacuateZone{z}, [](const CommitReply&) {}, "", 5000ms);
-    change(d, 5000ms);
-    w.run(2500ms + w.below(4000ms));
-    if (how == 0 && d.c.successes < before + 20)
-      w.fail("the fleet hardly served without its core: " + std::to_string(d.c.successes - before));
-    w.heal();
-    w.run(2500ms);
-    d.c.commit(rep(ReplicaHealth::ready), [](const CommitReply&) {});
-    d.c.commit(RestoreZone{z}, [](const CommitReply&) {});
-    w.run(1500ms);
+void core_cut(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(60ms, world.now() + 60000ms);
+  for (int round = 0; round < 4; ++round) {
+    world.run(1000ms + world.below(1000ms));
+    cut_core(day, round);
   }
-  w.run(3000ms);
+  world.run(3000ms);
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/day.cpp
+++ b/tests/simulation/day.cpp
@@ -1,96 +1,162 @@
 #include "simulation/day.hpp"
 
 namespace mosskeel::sim {
+namespace {
+
+/// The promise of the docs: the fleet serves this long after the last fault.
+constexpr Duration kClosingLimit = 12000ms;
+/// What is under way when the closing turn was served may come to its end in this time.
+constexpr Duration kClosingPause = 1000ms;
+/// Fewer successes than this during a trouble count as an outage.
+constexpr uint64_t kFewestSuccesses = 5;
+/// The operator's own answer comes this long after its patience at the latest.
+constexpr Duration kPatienceMargin = 100ms;
+/// How long a gateway is down in a restart.
+constexpr Duration kGatewayRestart = 100ms;
+/// Longer than any request may take.
+constexpr Duration kAskLimit = 30000ms;
+/// Tokens that one turn may use.
+constexpr uint64_t kTurnLimit = 10;
+
+}  // namespace
+
+Day::Day(uint64_t seed, FleetSize size, uint64_t budget)
+    : world(seed, size), callers(world, size.models, size.apps, budget, kTurnLimit) {}
+
+std::string Day::any(Kind kind) {
+  auto names = world.names(kind);
+  return names[world.next_random() % names.size()];
+}
+
+std::string Day::any_store_but(const std::string& excluded) {
+  auto store = any(Kind::store);
+  while (store == excluded)
+    store = any(Kind::store);
+  return store;
+}
 
 void Day::close() {
-  w.heal();
-  w.net.loss = w.net.twice = 0;
-  for (auto k : {Kind::controller, Kind::store, Kind::agent, Kind::gateway})
-    for (auto& s : w.names(k)) {
-      w.wake(s);
-      w.node(s).disk.slow = {};
-      if (!w.node(s).machine)
-        w.start(s);
-    }
-  for (auto& [n, r] : c.replicas)
-    r.up = true, r.fault.clear(), r.every = 0;
-  bool served = false;
-  auto once = std::make_shared<std::function<void()>>();
-  *once = [this, once, &served] {
-    c.turn("closing" + std::to_string(w.next_random()), "main", [&served, once](const Turn& x) {
-      if (x.success)
-        served = true;
-      else
-        (*once)();
-    });
-  };
-  (*once)();
-  if (!w.until(12000ms, [&] { return served; }))
-    w.fail("not serving 12 s after the closing fault");
-  w.run(1000ms);
-  *once = [] {
-  };
-  c.judge();
+  recover_everything();
+  auto turns = std::make_shared<ClosingTurns>();
+  ask_until_served(turns);
+  if (!world.until(kClosingLimit, [&] { return turns->served; }))
+    world.fail("not serving 12 s after the closing fault");
+  world.run(kClosingPause);
+  turns->over = true;
+  callers.check_at_end();
 }
 
-/// Serving must go on between two moments of a trouble.
-void must_serve(Day& d, Duration ms, const char* during) {
-  auto before = d.c.successes;
-  d.w.run(ms);
-  if (d.c.successes < before + 5)
-    d.w.fail(std::string("hardly served during ") + during + ": " + std::to_string(d.c.successes - before));
+void Day::recover_everything() {
+  world.heal();
+  world.net.loss = 0;
+  world.net.twice = 0;
+  for (const auto& name : world.all_names()) {
+    world.wake(name);
+    world.node(name).disk.slow = {};
+    if (!world.node(name).machine)
+      world.start(name);
+  }
+  for (auto& [name, replica] : callers.replicas) {
+    replica.up = true;
+    replica.fault = ReplicaFault::none;
+    replica.fault_every = 0;
+  }
+}
+
+/// New programs one after the other, until a turn succeeds.
+void Day::ask_until_served(const std::shared_ptr<ClosingTurns>& turns) {
+  if (turns->over)
+    return;
+  callers.turn("closing" + std::to_string(world.next_random()), "main", [this, turns](const Turn& turn) {
+    if (turn.success)
+      turns->served = true;
+    else
+      ask_until_served(turns);
+  });
 }
 
-MetadataSnapshot latest(World& w) {
-  MetadataSnapshot v;
-  for (auto& s : w.names(Kind::controller))
-    if (w.node(s).machine && (!v || w.node(s).machine->view()->epoch > v->epoch))
-      v = w.node(s).machine->view();
-  return v;
+void must_serve(Day& day, Duration time, const char* during) {
+  auto before = day.callers.totals.successes;
+  day.world.run(time);
+  auto served = day.callers.totals.successes - before;
+  if (served < kFewestSuccesses)
+    day.world.fail(std::string("hardly served during ") + during + ": " + std::to_string(served));
 }
 
-/// One acknowledged change of the configuration; its revision, or 0.
-uint64_t change(Day& d, Duration patience) {
-  auto v = latest(d.w);
-  if (!v || v->configuration.cells.empty())
+uint64_t change_configuration(Day& day, Duration patience) {
+  auto metadata = latest(day.world);
+  if (!metadata || metadata->configuration.cells.empty())
     return 0;
-  auto m = v->configuration;
-  m.cells[0].retention_ms += 1;
-  auto got = std::make_shared<uint64_t>(0);
-  auto over = std::make_shared<bool>(false);
-  d.c.commit(
-      ApplyConfiguration{v->revision, m},
-      [=](const CommitReply& r) {
-        if (r.outcome == CommitOutcome::committed)
-          *got = v->revision.value() + 1;
-        *over = true;
-      },
-      "", patience);
-  d.w.until(patience + 100ms, [=] { return *over; });
-  return *got;
+  auto changed = metadata->configuration;
+  changed.cells[0].retention_ms += 1;
+  struct Outcome {
+    uint64_t revision = 0;
+    bool over = false;
+  };
+  auto outcome = std::make_shared<Outcome>();
+  auto hear = [outcome, base = metadata->revision](const CommitReply& reply) {
+    if (reply.outcome == CommitOutcome::committed)
+      outcome->revision = base.value() + 1;
+    outcome->over = true;
+  };
+  day.callers.commit(ApplyConfiguration{metadata->revision, changed}, hear, "", patience);
+  day.world.until(patience + kPatienceMargin, [=] { return outcome->over; });
+  return outcome->revision;
 }
 
-void in_force(Day& d, uint64_t revision, Duration within) {
-  auto& w = d.w;
-  auto good = [&] {
-    for (auto& s : w.names(Kind::gateway))
-      if (w.node(s).machine && w.node(s).machine->view()->revision.value() < revision)
+void must_be_in_force(Day& day, uint64_t revision, Duration within) {
+  auto& world = day.world;
+  auto is_in_force = [&] {
+    for (const auto& name : world.names(Kind::gateway)) {
+      const auto& machine = world.node(name).machine;
+      if (machine && machine->view()->revision.value() < revision)
         return false;
+    }
     return true;
   };
-  if (!w.until(within, good))
-    w.fail("revision " + std::to_string(revision) + " was acknowledged and is not in force");
+  if (!world.until(within, is_in_force))
+    world.fail("revision " + std::to_string(revision) + " was acknowledged and is not in force");
+}
+
+bool has_no_sequences(World& world) {
+  return latest(world)->sequences.empty();
+}
+
+void restart_gateways(World& world) {
+  for (const auto& name : world.names(Kind::gateway)) {
+    world.kill(name);
+    world.run(kGatewayRestart);
+    world.start(name);
+  }
+}
+
+void power_off_all(World& world, const std::vector<std::string>& names) {
+  for (const auto& name : names)
+    world.power_off(name);
+}
+
+void start_all(World& world, const std::vector<std::string>& names) {
+  for (const auto& name : names)
+    world.start(name);
+}
+
+std::vector<std::string> names_in_zone(World& world, const std::string& zone) {
+  std::vector<std::string> found;
+  for (const auto& name : world.all_names())
+    if (world.node(name).id.self.zone == zone)
+      found.push_back(name);
+  return found;
 }
 
-ProgramResponse ask(Day& d, ProgramRequest e, const std::string& front) {
-  auto got = std::make_shared<std::optional<ProgramResponse>>();
-  e.attempt = "t" + std::to_string(d.w.next_random());
-  d.c.send(front, std::move(e), [got](const Message& m) {
-    if (auto* x = std::get_if<ProgramResponse>(&m))
-      *got = *x;
+ProgramResponse ask(Day& day, ProgramRequest request, const std::string& gateway) {
+  auto answer = std::make_shared<std::optional<ProgramResponse>>();
+  request.attempt = "t" + std::to_string(day.world.next_random());
+  day.callers.send(gateway, std::move(request), [answer](const Message& message) {
+    if (const auto* response = std::get_if<ProgramResponse>(&message))
+      *answer = *response;
   });
-  d.w.until(30000ms, [got] { return got->has_value(); });
-  return got->value_or(ProgramResponse{});
+  day.world.until(kAskLimit, [answer] { return answer->has_value(); });
+  return answer->value_or(ProgramResponse{});
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/losses.cpp
+++ b/tests/simulation/losses.cpp
@@ -1,209 +1,231 @@
-// Losses of stores at the worst moments: right after an acknowledgement, in the middle of a leave, twice in a row.
+// Losses of stores at the worst moments: right after an acknowledgement, in the middle of a drain, twice in a row.
 #include <algorithm>
 
-#include "simulation/day.hpp"
+#include "simulation/scenario_functions.hpp"
 
 namespace mosskeel::sim {
 namespace {
 
 /// Within this time of a successor's start the next loss may come, on a deployment that bears two.
-constexpr Duration catch_up = 6000ms;
-
-/// All fronts end and start again, so that no owner's memory fills the gaps of the stores.
-void forget_owners(Day& d) {
-  auto& w = d.w;
-  for (auto& f : w.names(Kind::gateway))
-    w.kill(f);
-  w.at(w.now() + 100ms, [&w] {
-    for (auto& f : w.names(Kind::gateway))
-      w.start(f);
-  });
+constexpr Duration kCatchUpLimit = 6000ms;
+/// Within this time a lost store's copies are restored on one that bears one loss.
+constexpr Duration kRestoreLimit = 12000ms;
+/// How many stores are lost at once where two losses are borne.
+constexpr size_t kStoresLostAtOnce = 2;
+
+/// All gateways end and start again, so that no owner's memory fills the gaps of the stores.
+void forget_owners(Day& day) {
+  auto& world = day.world;
+  for (const auto& name : world.names(Kind::gateway))
+    world.kill(name);
+  world.at(world.now() + 100ms, [&world] { start_all(world, world.names(Kind::gateway)); });
 }
 
 /// Whether this very daemon runs, and not another incarnation at its address.
-bool runs(World& w, const Daemon& daemon) {
-  return w.alive(daemon.self.address) && w.node(daemon.self.address).id.self.incarnation == daemon.self.incarnation;
+bool runs(World& world, const Daemon& daemon) {
+  const auto& address = daemon.self.address;
+  return world.alive(address) && world.node(address).id.self.incarnation == daemon.self.incarnation;
 }
 
 /// The stores of a program's partition that run now.
-std::vector<std::string> holders(Day& d, const std::string& program) {
-  auto v = latest(d.w);
+std::vector<std::string> running_stores(Day& day, const std::string& program) {
+  auto metadata = latest(day.world);
+  const auto& partition = metadata->partitions[partition_of("news", program).value()];
   std::vector<std::string> names;
-  for (auto id : v->partitions[partition_of("news", program).value()].stores)
-    if (auto* x = v->find(id); x && runs(d.w, *x))
-      names.push_back(x->self.address);
+  for (auto id : partition.stores) {
+    const auto* store = metadata->find(id);
+    if (store && runs(day.world, *store))
+      names.push_back(store->self.address);
+  }
   return names;
 }
 
 /// Every partition lies on its full number of stores, all of them up, and no sequence is under way.
-bool whole(World& w) {
-  auto v = latest(w);
-  if (!v || !v->sequences.empty())
+bool has_all_copies(World& world) {
+  auto metadata = latest(world);
+  if (!metadata || !metadata->sequences.empty())
     return false;
-  for (auto& s : v->partitions) {
-    if (s.stores.size() < w.copies)
-      return false;
-    for (auto id : s.stores)
-      if (auto* x = v->find(id); !x || x->state != DaemonState::up || !runs(w, *x))
-        return false;
-  }
-  return true;
+  auto is_good = [&](auto id) {
+    const auto* store = metadata->find(id);
+    return store && store->state == DaemonState::up && runs(world, *store);
+  };
+  return std::all_of(metadata->partitions.begin(), metadata->partitions.end(), [&](const auto& partition) {
+    const auto& stores = partition.stores;
+    return stores.size() >= world.copies && std::all_of(stores.begin(), stores.end(), is_good);
+  });
 }
 
-/// One turn, and at the very moment of its answer `loss` happens; the program's name, or nothing if none was served.
-std::string lose_after_ack(Day& d, const std::function<void(const std::string&)>& loss) {
-  auto& w = d.w;
-  for (int i = 0; i < 10; ++i) {
-    auto program = "acked" + std::to_string(w.next_random());
-    auto over = std::make_shared<bool>(false), served = std::make_shared<bool>(false);
-    d.c.turn(program, "main", [=](const Turn& t) {
-      *over = true;
-      *served = t.success;
-      if (t.success)
-        loss(program);
+/// One turn, and at the very moment of its answer `lose` is called with the program's name. If the turn fails, another
+/// is tried. A turn may be answered after the time that is allowed here; then its loss comes late.
+void lose_after_acknowledgement(Day& day, const std::function<void(const std::string&)>& lose) {
+  constexpr int most_turns = 10;
+  constexpr Duration turn_limit = 8000ms;
+  auto& world = day.world;
+  struct Outcome {
+    bool over = false, served = false;
+  };
+  for (int i = 0; i < most_turns; ++i) {
+    auto program = "acked" + std::to_string(world.next_random());
+    auto outcome = std::make_shared<Outcome>();
+    day.callers.turn(program, "main", [=](const Turn& turn) {
+      outcome->over = true;
+      outcome->served = turn.success;
+      if (turn.success)
+        lose(program);
     });
-    w.until(8000ms, [over] { return *over; });
-    if (*served)
-      return program;
+    world.until(turn_limit, [outcome] { return outcome->over; });
+    if (outcome->served)
+      return;
+  }
+  world.fail("no turn was served");
+}
+
+/// Two of the stores that hold the program lose their disks, and no owner remembers it.
+std::vector<std::string> lose_two_holders(Day& day, const std::string& program) {
+  auto& world = day.world;
+  auto lost = running_stores(day, program);
+  while (lost.size() > kStoresLostAtOnce)
+    lost.erase(lost.begin() + static_cast<ptrdiff_t>(world.next_random() % lost.size()));
+  for (const auto& name : lost)
+    world.wipe(name);
+  forget_owners(day);
+  return lost;
+}
+
+/// The controller that holds the supervisor's lease loses power for a while.
+void lose_supervisor(World& world) {
+  for (const auto& name : world.names(Kind::controller)) {
+    const auto& node = world.node(name);
+    if (!static_cast<ControllerMachine&>(*node.machine).is_supervisor(world.clock(node)))
+      continue;
+    world.power_off(name);
+    return world.at(world.now() + 6000ms, [&world, name] { world.start(name); });
+  }
+}
+
+/// In the middle of a drain: another store loses its disk, the drained one freezes, or the supervisor is lost.
+void disturb_drain(Day& day, const std::string& drained) {
+  auto& world = day.world;
+  switch (world.next_random() % 3) {
+    case 0: {
+      auto other = day.any_store_but(drained);
+      world.wipe(other);
+      return world.at(world.now() + 500ms, [&world, other] { world.start(other); });
+    }
+    case 1:
+      world.freeze(drained);
+      return world.at(world.now() + 500ms + world.below(4000ms), [&world, drained] { world.wake(drained); });
+    default:
+      return lose_supervisor(world);
   }
-  w.fail("no turn was served");
-  return "";
+}
+
+/// A store loses its disk, and its copies must be restored.
+void lose_one_store(Day& day, const std::string& name) {
+  auto& world = day.world;
+  world.wipe(name);
+  forget_owners(day);
+  world.run(500ms);
+  world.start(name);
+  auto started = world.now();
+  if (!world.until(kRestoreLimit, [&] { return has_all_copies(world); }))
+    world.fail("the copies of a lost store were not restored");
+  day.exposed.push_back(world.now() - started);
 }
 
 }  // namespace
 
 /// Two machines may be lost at once: two stores of a partition lose their disks right after they acknowledged a turn,
 /// again and again, each time as soon as the successors of the last loss have had their time to catch up.
-void pair_wiped(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(80ms, w.now() + 30000ms);
-  w.run(2000ms);
+void pair_wiped(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(80ms, world.now() + 30000ms);
+  world.run(2000ms);
   for (int round = 0; round < 3; ++round) {
-    std::vector<std::string> lost;
-    lose_after_ack(d, [&](const std::string& program) {
-      auto v = holders(d, program);
-      while (v.size() > 2)
-        v.erase(v.begin() + static_cast<ptrdiff_t>(w.next_random() % v.size()));
-      for (auto& s : v)
-        w.wipe(s);
-      lost = v;
-      forget_owners(d);
-    });
-    w.run(300ms + w.below(700ms));
-    for (auto& s : lost)
-      w.start(s);
-    auto started = w.now();
-    if (!w.until(catch_up, [&] { return whole(w); }))
-      w.fail("a partition lacks copies after the successors' time to catch up");
-    d.exposed.push_back(w.now() - started);
-    w.run(started + catch_up - w.now());
+    auto lost = std::make_shared<std::vector<std::string>>();
+    lose_after_acknowledgement(day,
+                               [&day, lost](const std::string& program) { *lost = lose_two_holders(day, program); });
+    world.run(300ms + world.below(700ms));
+    start_all(world, *lost);
+    auto started = world.now();
+    if (!world.until(kCatchUpLimit, [&] { return has_all_copies(world); }))
+      world.fail("a partition lacks copies after the successors' time to catch up");
+    day.exposed.push_back(world.now() - started);
+    world.run(started + kCatchUpLimit - world.now());
   }
 }
 
 /// Two stores of seven lose their disks right after they acknowledged a turn and nobody replaces them. The others take
 /// their places; once that is done two more are lost, and what is left still serves and holds everything.
-void unreplaced(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(80ms, w.now() + 30000ms);
-  w.run(2000ms);
-  for (int round = 0; round < 2; ++round) {
-    lose_after_ack(d, [&](const std::string& program) {
-      auto v = holders(d, program);
-      while (v.size() > 2)
-        v.erase(v.begin() + static_cast<ptrdiff_t>(w.next_random() % v.size()));
-      for (auto& s : v)
-        w.wipe(s);
-      forget_owners(d);
-    });
-    auto lost = w.now();
-    if (round == 0 && !w.until(catch_up, [&] { return whole(w); }))
-      w.fail("the others did not take the places of two lost stores");
-    if (round == 0)
-      d.exposed.push_back(w.now() - lost);
-  }
-  w.run(2000ms);
-  must_serve(d, 5000ms, "the loss of four stores of seven, two and two");
+void unreplaced(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(80ms, world.now() + 30000ms);
+  world.run(2000ms);
+  auto lose = [&day](const std::string& program) {
+    lose_two_holders(day, program);
+  };
+  lose_after_acknowledgement(day, lose);
+  auto lost_at = world.now();
+  if (!world.until(kCatchUpLimit, [&] { return has_all_copies(world); }))
+    world.fail("the others did not take the places of two lost stores");
+  day.exposed.push_back(world.now() - lost_at);
+  lose_after_acknowledgement(day, lose);
+  world.run(2000ms);
+  must_serve(day, 5000ms, "the loss of four stores of seven, two and two");
 }
 
-/// A store is emptied by order. In the middle, at any step, a store that is to take places loses its disk, the leaver
-/// freezes for a while, or the supervisor is lost. As soon as the log says that the store has left, its disk goes; and
-/// once the other loss is made good, another store loses its disk. One loss at a time is borne.
-void leaving(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(80ms, w.now() + 40000ms);
-  w.run(3000ms);
-  auto leaver = d.any(Kind::store);
-  auto id = latest(w)->find_at(leaver)->id;
-  d.c.commit(PrepareDrain{id}, [](const CommitReply&) {});
-  if (!w.until(5000ms, [&] { return latest(w)->sequences.count(id) > 0; }))
-    return w.fail("the drain did not begin");
-  w.run(w.below(400ms));
-  std::string other;
-  switch (w.next_random() % 3) {
-    case 0:
-      while (other.empty() || other == leaver)
-        other = d.any(Kind::store);
-      w.wipe(other);
-      w.at(w.now() + 500ms, [&w, other] { w.start(other); });
-      break;
-    case 1:
-      w.freeze(leaver);
-      w.at(w.now() + 500ms + w.below(4000ms), [&w, leaver] { w.wake(leaver); });
-      break;
-    default:
-      for (auto& s : w.names(Kind::controller))
-        if (auto& m = static_cast<ControllerMachine&>(*w.node(s).machine); m.is_supervisor(w.clock(w.node(s)))) {
-          w.power_off(s);
-          w.at(w.now() + 6000ms, [&w, s] { w.start(s); });
-          break;
-        }
-  }
-  auto gone = [&] {
-    auto v = latest(w);
-    return v && v->find(id)->state == DaemonState::left && !v->holds_partitions(id);
+/// A store is drained by order, and something else goes wrong at any step of it. As soon as the log says that the store
+/// has left, its disk goes; and once the other loss is made good, another store loses its disk. One loss at a time is
+/// borne.
+void leaving(Day& day) {
+  constexpr Duration drain_limit = 20000ms;
+  auto& world = day.world;
+  day.callers.traffic(80ms, world.now() + 40000ms);
+  world.run(3000ms);
+  auto drained = day.any(Kind::store);
+  auto id = latest(world)->find_at(drained)->id;
+  day.callers.commit(PrepareDrain{id}, [](const CommitReply&) {});
+  if (!world.until(5000ms, [&] { return latest(world)->sequences.count(id) > 0; }))
+    return world.fail("the drain did not begin");
+  world.run(world.below(400ms));
+  disturb_drain(day, drained);
+  auto has_left = [&] {
+    auto metadata = latest(world);
+    return metadata && metadata->find(id)->state == DaemonState::left && !metadata->holds_partitions(id);
   };
-  if (!w.until(20000ms, gone))
-    w.fail("the ordered drain did not come to its end");
-  w.wipe(leaver);
-  forget_owners(d);
-  if (!w.until(12000ms, [&] { return whole(w); }))
-    w.fail("a partition lacks copies long after the drain");
-  auto next = leaver;
-  while (next == leaver)
-    next = d.any(Kind::store);
-  w.wipe(next);
-  forget_owners(d);
-  w.run(500ms);
-  w.start(next);
-  auto started = w.now();
-  if (!w.until(12000ms, [&] { return whole(w); }))
-    w.fail("the copies of a lost store were not restored");
-  d.exposed.push_back(w.now() - started);
+  if (!world.until(drain_limit, has_left))
+    world.fail("the ordered drain did not come to its end");
+  world.wipe(drained);
+  forget_owners(day);
+  if (!world.until(kRestoreLimit, [&] { return has_all_copies(world); }))
+    world.fail("a partition lacks copies long after the drain");
+  lose_one_store(day, day.any_store_but(drained));
 }
 
 /// A store freezes and wakes again and again, each time just long enough to be marked down. It must not set off a
 /// repair each time.
-void flapping(Day& d) {
-  constexpr int most_sequences = 8;
-  auto& w = d.w;
-  d.c.traffic(80ms, w.now() + 60000ms);
-  w.run(2000ms);
-  auto store = d.any(Kind::store);
-  std::set<Epoch> begun;
-  for (int i = 0; i < 12; ++i) {
-    w.freeze(store);
-    auto until = w.now() + 3200ms + w.below(1500ms);
-    auto look = [&] {
-      for (auto& [id, sequence] : latest(w)->sequences)
-        begun.insert(sequence.started_epoch);
-      return false;
-    };
-    w.until(until - w.now(), look);
-    w.wake(store);
-    w.until(1000ms + w.below(1000ms), look);
+void flapping(Day& day) {
+  constexpr size_t most_sequences = 8;
+  constexpr int rounds = 12;
+  constexpr Duration marked_down_after = 3200ms;
+  auto& world = day.world;
+  day.callers.traffic(80ms, world.now() + 60000ms);
+  world.run(2000ms);
+  auto store = day.any(Kind::store);
+  std::set<Epoch> sequences;
+  auto note_sequences = [&] {
+    for (const auto& [id, sequence] : latest(world)->sequences)
+      sequences.insert(sequence.started_epoch);
+    return false;
+  };
+  for (int round = 0; round < rounds; ++round) {
+    world.freeze(store);
+    world.until(marked_down_after + world.below(1500ms), note_sequences);
+    world.wake(store);
+    world.until(1000ms + world.below(1000ms), note_sequences);
   }
-  if (begun.size() > most_sequences)
-    w.fail(std::to_string(begun.size()) + " sequences for a store that comes and goes");
+  if (sequences.size() > most_sequences)
+    world.fail(std::to_string(sequences.size()) + " sequences for a store that comes and goes");
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/operator_request.cpp
+++ b/tests/simulation/operator_request.cpp
@@ -1,17 +1,20 @@
 #include "simulation/operator_request.hpp"
+
+#include <algorithm>
+
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
 
 namespace mosskeel::sim {
 
-OperatorRequest::OperatorRequest(World& w, std::string controller, ApiRequest ask, Then then)
-    : w_(w),
+OperatorRequest::OperatorRequest(World& world, std::string controller, ApiRequest request, Then then)
+    : world_(world),
       controller_(std::move(controller)),
-      ask_(std::move(ask)),
+      request_(std::move(request)),
       then_(std::move(then)),
-      life_(w.node(controller_).life),
-      began_(w.now()),
-      session_("local:operator" + std::to_string(w.next_random())) {}
+      life_(world.node(controller_).life),
+      began_(world.now()),
+      session_("local:operator" + std::to_string(world.next_random())) {}
 
 OperatorRequest::~OperatorRequest() {
   abandoned_ = true;
@@ -26,120 +29,137 @@
   resume();
 }
 
-/// Hands the turn to the request and waits until it blocks or ends.
+/// On the world's thread: hands the turn to the request and waits until it blocks or ends.
 void OperatorRequest::resume() {
   if (over_)
     return;
-  std::unique_lock l(lock_);
-  mine_ = true;
-  turn_.notify_all();
-  turn_.wait(l, [this] { return !mine_; });
+  std::unique_lock lock(mutex_);
+  is_my_turn_ = true;
+  turn_changed_.notify_all();
+  turn_changed_.wait(lock, [this] { return !is_my_turn_; });
   if (!over_)
     return;
-  l.unlock();
+  lock.unlock();
   thread_.join();
-  if (!abandoned_)
-    then_(lives() ? answer_ : std::nullopt, was_frozen_ ? 0ms : w_.now() - began_);
+  if (abandoned_)
+    return;
+  auto took = was_frozen_ ? 0ms : world_.now() - began_;
+  then_(runs() ? answer_ : std::nullopt, took);
+}
+
+/// Schedules the end of the wait under way, unless something else ends it before.
+void OperatorRequest::resume_at(TimePoint time) {
+  world_.at(time, [this, number = wait_number_] {
+    if (number == wait_number_)
+      resume();
+  });
 }
 
 void OperatorRequest::serve() {
-  {
-    std::unique_lock l(lock_);
-    turn_.wait(l, [this] { return mine_; });
-  }
-  thaw();
+  await_turn();
+  wait_while_frozen();
   ControlSession session(*this, now());
   if (!stopped())
-    answer_ = find_control_protocol("platform")->answer(ask_, session);
-  thaw();
-  std::lock_guard l(lock_);
+    answer_ = find_control_protocol("platform")->answer(request_, session);
+  wait_while_frozen();
+  std::lock_guard lock(mutex_);
   over_ = true;
-  mine_ = false;
-  turn_.notify_all();
+  is_my_turn_ = false;
+  turn_changed_.notify_all();
 }
 
 void OperatorRequest::wait_until(TimePoint world_time) {
-  auto token = ++wake_;
-  w_.at(std::max(world_time, w_.now() + 1ms), [this, token] {
-    if (token == wake_)
-      resume();
-  });
-  std::unique_lock l(lock_);
-  mine_ = false;
-  turn_.notify_all();
-  turn_.wait(l, [this] { return mine_; });
-  ++wake_;
+  ++wait_number_;
+  resume_at(std::max(world_time, world_.now() + 1ms));
+  hand_over();
+  ++wait_number_;
 }
 
-bool OperatorRequest::lives() {
-  return w_.node(controller_).machine && w_.node(controller_).life == life_;
+void OperatorRequest::hand_over() {
+  std::unique_lock lock(mutex_);
+  is_my_turn_ = false;
+  turn_changed_.notify_all();
+  turn_changed_.wait(lock, [this] { return is_my_turn_; });
+}
+
+void OperatorRequest::await_turn() {
+  std::unique_lock lock(mutex_);
+  turn_changed_.wait(lock, [this] { return is_my_turn_; });
+}
+
+bool OperatorRequest::runs() {
+  const auto& node = world_.node(controller_);
+  return node.machine && node.life == life_;
 }
 
 bool OperatorRequest::stopped() {
-  return abandoned_ || !lives();
+  return abandoned_ || !runs();
 }
 
 /// A frozen process does nothing, though its clock goes on.
-void OperatorRequest::thaw() {
-  while (!stopped() && w_.node(controller_).frozen) {
+void OperatorRequest::wait_while_frozen() {
+  while (!stopped() && world_.node(controller_).frozen) {
     was_frozen_ = true;
-    wait_until(w_.now() + kTickInterval);
+    wait_until(world_.now() + kTickInterval);
   }
 }
 
 TimePoint OperatorRequest::now() {
-  return w_.clock(w_.node(controller_));
+  return world_.clock(world_.node(controller_));
 }
 
-void OperatorRequest::pause(Duration ms) {
+void OperatorRequest::pause(Duration time) {
   if (!stopped())
-    wait_until(w_.now() + ms);
-  thaw();
+    wait_until(world_.now() + time);
+  wait_while_frozen();
 }
 
 void OperatorRequest::inspect(const std::function<void(ControllerMachine&, TimePoint)>& look) {
-  thaw();
+  wait_while_frozen();
   if (!stopped())
-    look(static_cast<ControllerMachine&>(*w_.node(controller_).machine), now());
+    look(static_cast<ControllerMachine&>(*world_.node(controller_).machine), now());
 }
 
-void OperatorRequest::hear(const CommitReply& r) {
+/// The request goes on at this moment, but not from inside the state machine's own step.
+void OperatorRequest::hear(const CommitReply& reply) {
   if (over_ || stopped())
     return;
-  reply_ = r;
-  // Not from inside the machine's own step.
-  w_.at(w_.now(), [this, token = wake_] {
-    if (token == wake_)
-      resume();
-  });
+  reply_ = reply;
+  resume_at(world_.now());
 }
 
-CommitReply OperatorRequest::commit(const Transformation& t, const std::string& id, Duration patience) {
-  auto until = now() + patience;
+CommitReply OperatorRequest::commit(const Transformation& change, const std::string& id, Duration patience) {
+  auto deadline = now() + patience;
   CommitReply last{};
   last.id = id;
   last.outcome = CommitOutcome::unknown;
-  while (!stopped() && now() < until) {
-    auto v = w_.node(controller_).machine->view();
-    Envelope e{};
-    e.from = session_;
-    e.cluster = v->cluster;
-    e.epoch = v->epoch;
-    e.body = Commit{id, t, v->epoch, (until - now()).count()};
+  while (!stopped() && now() < deadline) {
+    auto metadata = world_.node(controller_).machine->view();
     reply_.reset();
-    w_.at(w_.now(), [this, e] {
-      if (lives())
-        w_.post(controller_, e);
-    });
-    wait_until(w_.now() + std::min<Duration>(kCommitAttemptTimeout + kHeartbeatInterval, until - now()));
-    thaw();
-    if (reply_ && reply_->id == id) {
-      last = *reply_;
-      if (last.outcome != CommitOutcome::unknown)
-        break;
-    }
+    send_commit(Commit{id, change, metadata->epoch, (deadline - now()).count()}, metadata);
+    auto wait = std::min<Duration>(kCommitAttemptTimeout + kHeartbeatInterval, deadline - now());
+    wait_until(world_.now() + wait);
+    wait_while_frozen();
+    if (!reply_ || reply_->id != id)
+      continue;
+    last = *reply_;
+    if (last.outcome != CommitOutcome::unknown)
+      break;
   }
   return last;
 }
 
+/// The message is posted by the world's thread.
+void OperatorRequest::send_commit(const Commit& commit, const MetadataSnapshot& metadata) {
+  Envelope envelope{};
+  envelope.from = session_;
+  envelope.cluster = metadata->cluster;
+  envelope.epoch = metadata->epoch;
+  envelope.body = commit;
+  world_.at(world_.now(), [this, envelope] {
+    if (runs())
+      world_.post(controller_, envelope);
+  });
+}
+
 }  // namespace mosskeel::sim
--- /dev/null
+++ b/tests/simulation/ordinary_scenarios.cpp
@@ -0,0 +1,207 @@
+// Scenarios of one kind of trouble each.
+#include "simulation/scenario_functions.hpp"
+
+namespace mosskeel::sim {
+namespace {
+
+/// One random trouble for one daemon, and its end some seconds later. A slow disk stays slow until the day's close.
+void disturb(Day& day, const std::string& name, const std::vector<Kind>& kinds, bool slow_disks) {
+  auto& world = day.world;
+  auto start = [&world, name] {
+    world.start(name);
+  };
+  auto heal = [&world] {
+    world.heal();
+  };
+  switch (world.next_random() % 6) {
+    case 0:
+      world.kill(name);
+      return world.at(world.now() + world.below(4000ms), start);
+    case 1:
+      world.power_off(name);
+      return world.at(world.now() + world.below(4000ms), start);
+    case 2:
+      world.freeze(name);
+      return world.at(world.now() + 200ms + world.below(7000ms), [&world, name] { world.wake(name); });
+    case 3:
+      world.isolate(name);
+      return world.at(world.now() + 200ms + world.below(6000ms), heal);
+    case 4: {
+      auto kind = kinds[world.next_random() % kinds.size()];
+      world.cut(name, day.any(kind));
+      return world.at(world.now() + world.below(5000ms), heal);
+    }
+    default:
+      if (slow_disks)
+        world.node(name).disk.slow = world.below(300ms);
+  }
+}
+
+/// An operator who commits changes one after the other until `end` without waiting for answers.
+void commit_until(Day& day, TimePoint end) {
+  auto& world = day.world;
+  if (world.now() >= end)
+    return;
+  if (const auto& machine = world.node("controller1").machine) {
+    auto metadata = machine->view();
+    auto changed = metadata->configuration;
+    if (!changed.cells.empty())
+      changed.cells[0].retention_ms += 1;
+    day.callers.commit(ApplyConfiguration{metadata->revision, changed}, [](const CommitReply&) {});
+  }
+  world.at(world.now() + 20ms + world.below(150ms), [&day, end] { commit_until(day, end); });
+}
+
+}  // namespace
+
+/// Nothing happens but load.
+void quiet(Day& day) {
+  day.callers.traffic(100ms, day.world.now() + 10000ms);
+  day.world.run(12000ms);
+}
+
+/// Messages are lost, doubled and late.
+void lossy(Day& day) {
+  day.world.net.loss = 0.02;
+  day.world.net.twice = 0.05;
+  day.callers.traffic(100ms, day.world.now() + 15000ms);
+  day.world.run(20000ms);
+}
+
+/// Random daemons of these kinds are killed, frozen, cut off and slowed, a few at a time.
+void havoc(Day& day, const std::vector<Kind>& kinds, bool slow_disks) {
+  auto& world = day.world;
+  auto end = world.now() + 30000ms;
+  day.callers.traffic(80ms, end);
+  while (world.now() < end) {
+    world.run(500ms + world.below(2500ms));
+    auto kind = kinds[world.next_random() % kinds.size()];
+    auto name = day.any(kind);
+    disturb(day, name, kinds, slow_disks);
+  }
+  world.run(3000ms);
+}
+
+/// Replicas break in every way.
+void faults(Day& day) {
+  constexpr ReplicaFault all[] = {ReplicaFault::cut,   ReplicaFault::lost, ReplicaFault::unsealed,
+                                  ReplicaFault::stall, ReplicaFault::skip, ReplicaFault::false_seal};
+  constexpr int faulty_calls = 3;  // one call in so many
+  constexpr uint64_t models = 4;
+  auto& world = day.world;
+  size_t next = 0;
+  for (auto& [name, replica] : day.callers.replicas) {
+    replica.fault = all[next++ % std::size(all)];
+    replica.fault_every = faulty_calls;
+  }
+  day.callers.traffic(80ms, world.now() + 15000ms);
+  for (int round = 0; round < 6; ++round) {
+    world.run(2500ms);
+    auto& replica = day.callers.replicas["model" + std::to_string(1 + world.below(models))];
+    replica.up = !replica.up;
+  }
+  world.run(12000ms);
+}
+
+/// Operators race while controllers lose power; every acknowledged configuration is in force in 2 s everywhere in
+/// touch.
+void storm(Day& day) {
+  auto& world = day.world;
+  auto end = world.now() + 15000ms;
+  day.callers.traffic(150ms, end);
+  commit_until(day, end);
+  commit_until(day, end);
+  world.net.loss = 0.01;
+  for (int round = 0; round < 5; ++round) {
+    world.run(3000ms);
+    auto lost = day.any(Kind::controller);
+    world.power_off(lost);
+    world.at(world.now() + 1500ms, [&world, lost] { world.start(lost); });
+  }
+  world.run(3000ms);
+}
+
+/// Replicas and a zone are drained under load, with gateways cut off.
+void drains(Day& day) {
+  auto& world = day.world;
+  auto& callers = day.callers;
+  callers.traffic(60ms, world.now() + 25000ms);
+  for (int i = 0; i < 3; ++i) {
+    world.run(2000ms);
+    auto gateway = day.any(Kind::gateway);
+    world.isolate(gateway);
+    world.isolate(world.node(gateway).beside);
+    auto replica = std::string(i % 2 ? "app" : "model") + std::to_string(i + 1);
+    callers.set_replica(replica, ReplicaHealth::draining);
+    world.run(4500ms);
+    world.heal();
+    callers.set_replica(replica, ReplicaHealth::ready);
+  }
+  world.run(5000ms);
+  callers.commit(EvacuateZone{"a"}, [](const CommitReply&) {});
+  world.run(9000ms);
+  callers.commit(RestoreZone{"a"}, [](const CommitReply&) {});
+  world.run(3000ms);
+}
+
+/// A store is added, one is drained, one loses its disk, all under load.
+void stores(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(80ms, world.now() + 40000ms);
+  world.run(3000ms);
+  world.add("store9", Kind::store, "a");
+  world.run(6000ms);
+  auto metadata = world.node("controller1").machine->view();
+  const auto* drained = metadata->find_at("store2");
+  day.callers.commit(PrepareDrain{drained ? drained->id : DaemonId{}}, [](const CommitReply&) {});
+  world.run(8000ms);
+  auto lost = day.any(Kind::store);
+  world.wipe(lost);
+  world.run(1000ms);
+  world.start(lost);
+  world.run(20000ms);
+}
+
+/// A controller is lost with its disk and an empty one comes at a new address: it must become a member of the core.
+void core(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(100ms, world.now() + 25000ms);
+  world.run(2000ms);
+  auto lost = day.any(Kind::controller);
+  world.wipe(lost);
+  world.run(1000ms);
+  world.add("controller9", Kind::controller, "b");
+  world.run(15000ms);
+  std::string witness;
+  for (const auto& name : world.names(Kind::controller))
+    if (world.node(name).machine)
+      witness = name;
+  auto metadata = world.node(witness).machine->view();
+  bool admitted = false;
+  for (auto id : metadata->members)
+    admitted = admitted || metadata->find(id)->self.address == "controller9";
+  if (!admitted)
+    world.fail("the empty machine was not brought into the core");
+  world.start(lost);
+  world.run(5000ms);
+}
+
+/// Gateways leave in order, one after the other, and come back: no answer may be lost.
+void rolling(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(60ms, world.now() + 25000ms);
+  for (const auto& name : world.names(Kind::gateway)) {
+    world.run(1500ms);
+    static_cast<GatewayMachine&>(*world.node(name).machine).begin_shutdown();
+    if (!world.until(15000ms, [&] { return !world.node(name).machine; }))
+      world.fail(name + " did not leave in order");
+    world.run(300ms);
+    world.start(name);
+    world.until(10000ms, [&] { return world.ready(name); });
+  }
+  world.run(5000ms);
+  if (auto lost = day.callers.totals.unknowns + day.callers.totals.unknown_counts)
+    world.fail(std::to_string(lost) + " answers were lost in planned restarts");
+}
+
+}  // namespace mosskeel::sim
--- a/tests/simulation/replicas.cpp
+++ b/tests/simulation/replicas.cpp
@@ -1,4 +1,4 @@
-// Simulated replicas, and the checks that only they can make.
+// Simulated replicas, and the checks that only they can make: they see what really runs, and when.
 #include <nlohmann/json.hpp>
 
 #include "metadata/constants.hpp"
@@ -6,209 +6,257 @@
 #include "simulation/callers.hpp"
 
 namespace mosskeel::sim {
+namespace {
+
 using Json = nlohmann::json;
 
+constexpr std::string_view kReplicaPrefix = "replica:";
+/// A call reaches its replica within this time.
+constexpr Duration kWayToReplica = 15ms;
+/// What a replica needs for an answer, or for a chunk beside what the settings add.
+constexpr Duration kLeastWork = 5ms;
+constexpr Duration kAppWork = 20ms;
+/// A draining replica gets no new calls after this time, replicas of an evacuated zone after the longer one.
+constexpr Duration kDrainLimit = 3000ms;
+constexpr Duration kEvacuationLimit = 5000ms;
+/// What was dispatched before the mark may still arrive for this long.
+constexpr Duration kWarmingGrace = 2000ms;
+/// What may run on a cold replica beside its share by the ramp.
+constexpr int64_t kTurnsBesideRamp = 2;
+constexpr uint32_t kFewestChunks = 3;
+/// A response has fewer chunks than this beyond the fewest.
+constexpr uint64_t kChunkVariation = 5;
+/// Where plain applications are faulty: how often, and how often the fault is a reset.
+constexpr double kBrokenAppCalls = 0.3;
+constexpr double kResetsAmongBroken = 0.5;
+
+ReplicaCallResponse reset_response(const std::string& attempt, bool request_sent, const std::string& reason) {
+  return {attempt, request_sent, 0, false, 0, 0, 0, "", reason};
+}
+
+/// The response's head came, but not its seal.
+ReplicaCallResponse unsealed_response(const std::string& attempt, uint32_t chunks, const std::string& text,
+                                      const std::string& reason) {
+  return {attempt, true, kStatusOk, false, chunks, chunks, chunks ? digest(text) : 0, "", reason};
+}
+
+ReplicaCallResponse sealed_response(const std::string& attempt, uint32_t chunks, uint64_t checksum) {
+  return {attempt, true, kStatusOk, true, chunks, chunks, checksum, "", ""};
+}
+
+}  // namespace
+
+void Callers::hear_call(const Node& gateway, const Envelope& envelope) {
+  auto name = envelope.to.substr(kReplicaPrefix.size());
+  auto& replica = replicas[name];
+  if (const auto* cancelled = std::get_if<CancelReplicaCall>(&envelope.body)) {
+    replica.cancelled.insert(cancelled->attempt);
+    return;
+  }
+  const auto* call = std::get_if<ReplicaCall>(&envelope.body);
+  if (!call)
+    return;
+  auto arrival = world_.now() + 1ms + world_.below(kWayToReplica);
+  world_.at(arrival, [this, gateway = gateway.name, life = gateway.life, name, call = *call] {
+    arrive(gateway, life, name, call);
+  });
+}
+
+/// What has left a gateway is at the replica's door; here the limits of drains are measured.
+void Callers::arrive(const std::string& gateway, uint64_t life, const std::string& name, const ReplicaCall& call) {
+  auto& replica = replicas[name];
+  if (!replica.up)
+    return respond(gateway, life, 1ms, reset_response(call.attempt, false, "refused"));
+  check_limits_of_drains(replica);
+  if (replica.kind == "app")
+    run_app_call(replica, gateway, life, call);
+  else
+    run_model_call(replica, gateway, life, call);
+}
+
+/// A response reaches the process that called, if it still runs.
+void Callers::respond(const std::string& gateway, uint64_t life, Duration delay, const ReplicaCallResponse& response) {
+  world_.at(world_.now() + delay, [this, gateway, life, response] {
+    const auto& node = world_.node(gateway);
+    if (node.life != life || !node.machine)
+      return;
+    Envelope envelope{};
+    envelope.from = kReplicaPrefix;
+    envelope.body = response;
+    world_.post(gateway, std::move(envelope));
+  });
+}
+
+void Callers::check_limits_of_drains(const SimReplica& replica) {
+  auto now = world_.now();
+  if (replica.draining_since != TimePoint{} && now > replica.draining_since + kDrainLimit)
+    world_.fail("a leaving replica was reached " + std::to_string((now - replica.draining_since).count()) +
+                " ms after its mark");
+  if (replica.evacuated_since != TimePoint{} && now > replica.evacuated_since + kEvacuationLimit)
+    world_.fail("an evacuated zone was reached after " + std::to_string((now - replica.evacuated_since).count()) +
+                " ms");
+}
+
+void Callers::run_app_call(SimReplica& replica, const std::string& gateway, uint64_t life, const ReplicaCall& call) {
+  constexpr size_t after_scheme = 7;
+  constexpr size_t broken_size = 3;
+  auto path = call.url.substr(call.url.find('/', after_scheme));
+  auto body = call.method + " " + path;
+  if (call.method == "POST")
+    note_count_run(path);
+  bool broken = replica.fault_every && world_.chance(kBrokenAppCalls);
+  bool reset = broken && world_.chance(kResetsAmongBroken);
+  auto delay = kLeastWork + world_.below(kAppWork);
+  if (reset)
+    return respond(gateway, life, delay, reset_response(call.attempt, true, "reset after the work"));
+  auto sent = broken ? body.substr(0, broken_size) : body;
+  respond(gateway, life, delay, {call.attempt, true, kStatusOk, !broken, 0, 0, digest(body), sent, ""});
+}
+
+void Callers::note_count_run(const std::string& path) {
+  if (++runs_["count" + path] > 1)
+    world_.fail("counted twice: " + path);
+  auto found = counts_.find(path);
+  if (found == counts_.end())
+    return;
+  const auto& count = *found->second;
+  if (count.done && count.sure_not_run && !count.success)
+    world_.fail("counted after it was refused as not run: " + path);
+}
+
+void Callers::run_model_call(SimReplica& replica, const std::string& gateway, uint64_t life, const ReplicaCall& call) {
+  auto body = Json::parse(call.body);
+  auto model_call = std::make_shared<ModelCall>();
+  model_call->gateway = gateway;
+  model_call->life = life;
+  model_call->replica = replica.name;
+  model_call->program = body["program"].get<std::string>();
+  model_call->key = body["key"].get<std::string>();
+  model_call->call = call;
+  check_runs_once(*model_call);
+  check_chain(model_call->program, body["thread"].get<std::string>(), call.body);
+  ++replica.running;
+  check_load(replica, gateway);
+  bool faulty = replica.fault_every && world_.next_random() % static_cast<uint64_t>(replica.fault_every) == 0;
+  if (faulty)
+    model_call->fault = replica.fault;
+  model_call->chunk_count = kFewestChunks + static_cast<uint32_t>(world_.below(kChunkVariation));
+  schedule_chunk(model_call);
+}
+
+void Callers::check_runs_once(const ModelCall& call) {
+  auto name = turn_name(call.program, call.key);
+  if (++runs_[name] > 1)
+    world_.fail("ran twice: " + name);
+  for (const auto& turn : turns_[call.program])
+    if (turn->key == call.key && turn->done && turn->sure_not_run)
+      world_.fail("ran after it was refused as not run: " + name);
+}
+
+/// The chain that a model is given holds all successful turns of the thread in their order.
 void Callers::check_chain(const std::string& program, const std::string& thread, const std::string& body) {
-  auto j = Json::parse(body);
-  std::vector<std::string> got;
-  for (auto& c : j["chain"])
-    got.push_back(c["input"].get<std::string>() + "=" + c["output"].get<std::string>());
-  size_t at = 0;
-  for (auto& t : turns_[program]) {
-    if (t->thread != thread || !t->success)
+  auto request = Json::parse(body);
+  std::vector<std::string> chain;
+  for (const auto& link : request["chain"])
+    chain.push_back(link["input"].get<std::string>() + "=" + link["output"].get<std::string>());
+  size_t position = 0;
+  for (const auto& turn : turns_[program]) {
+    if (turn->thread != thread || !turn->success)
       continue;
-    auto want = t->input + "=" + t->output;
-    while (at < got.size() && got[at] != want)
-      ++at;
-    if (at == got.size())
-      return w_.fail("chain of " + program + "/" + thread + " misses " + t->key + " or its order");
-    ++at;
+    auto wanted = turn->input + "=" + turn->output;
+    while (position < chain.size() && chain[position] != wanted)
+      ++position;
+    if (position == chain.size())
+      return world_.fail("chain of " + program + "/" + thread + " misses " + turn->key + " or its order");
+    ++position;
   }
 }
 
-void Callers::on_replica(Node& n, const Envelope& e) {
-  auto name = e.to.substr(8);
-  auto& r = replicas[name];
-  if (auto* s = std::get_if<CancelReplicaCall>(&e.body)) {
-    r.stopped.insert(s->attempt);
-    return;
+/// A cold replica gets as many turns as its ramp allows, from few gateways; a warm one half more than its capacity at
+/// most, since gateways learn of each other's load with a delay.
+void Callers::check_load(SimReplica& replica, const std::string& gateway) {
+  auto cold_for = world_.now() - replica.cold_since;
+  bool is_cold = replica.cold_since != TimePoint{};
+  if (is_cold && cold_for > kWarmingGrace) {
+    auto allowed = kTurnsBesideRamp + cold_for.count() * kDefaultReplicaCapacity / kSlowStartDuration.count();
+    if (replica.running > allowed)
+      world_.fail("cold " + replica.name + " is flooded: " + std::to_string(replica.running) + " turns " +
+                  std::to_string(cold_for.count()) + " ms after its mark");
+    ++replica.calls_while_cold[gateway];
+    if (replica.calls_while_cold.size() > kFrontsPerColdReplica)
+      world_.fail("cold " + replica.name + " is reached by " + std::to_string(replica.calls_while_cold.size()) +
+                  " fronts");
   }
-  auto* a = std::get_if<ReplicaCall>(&e.body);
-  if (a)
-    w_.at(w_.now() + 1ms + w_.below(15ms),
-          [this, front = n.name, life = n.life, name, a = *a] { arrive(front, life, name, a); });
-}
-
-/// What has left a front is at the replica's door; here the limits of drains are measured.
-void Callers::arrive(const std::string& front, uint64_t life, const std::string& name, const ReplicaCall& ask) {
-  auto& r = replicas[name];
-  auto* a = &ask;
-  auto say = [this, front, life](Duration d, Message m) {
-    w_.at(w_.now() + d, [this, front, life, m] {
-      auto& x = w_.node(front);
-      if (x.life != life || !x.machine)
-        return;
-      Envelope e{};
-      e.from = "replica:";
-      e.body = m;
-      w_.post(front, e);
-    });
-  };
-  if (!r.up)
-    return say(1ms, ReplicaCallResponse{a->attempt, false, 0, false, 0, 0, 0, "", "refused"});
-  if (r.leaving_since != TimePoint{} && w_.now() > r.leaving_since + 3000ms)
-    w_.fail("a leaving replica was reached " + std::to_string((w_.now() - r.leaving_since).count()) +
-            " ms after its mark");
-  if (r.evacuated_since != TimePoint{} && w_.now() > r.evacuated_since + 5000ms)
-    w_.fail("an evacuated zone was reached after " + std::to_string((w_.now() - r.evacuated_since).count()) + " ms");
-  if (r.kind == "app") {
-    auto body = a->method + " " + a->url.substr(a->url.find('/', 7));
-    if (a->method == "POST") {
-      auto path = body.substr(5);
-      if (++runs_["count" + path] > 1)
-        w_.fail("counted twice: " + path);
-      if (auto c = counts_.find(path);
-          c != counts_.end() && c->second->done && c->second->sure_not_run && !c->second->success)
-        w_.fail("counted after it was refused as not run: " + path);
-    }
-    bool broken = r.every && w_.chance(0.3);
-    if (broken && w_.chance(0.5))
-      return say(5ms + w_.below(20ms),
-                 ReplicaCallResponse{a->attempt, true, 0, false, 0, 0, 0, "", "reset after the work"});
-    return say(5ms + w_.below(20ms), ReplicaCallResponse{a->attempt, true, 200, !broken, 0, 0, digest(body),
-                                                         broken ? body.substr(0, 3) : body, ""});
+  if (!is_cold && replica.running > static_cast<int>(kDefaultReplicaCapacity) * 3 / 2)
+    world_.fail(replica.name + " runs " + std::to_string(replica.running) + " turns on " +
+                std::to_string(kDefaultReplicaCapacity) + " places");
+}
+
+void Callers::schedule_chunk(const std::shared_ptr<ModelCall>& call) {
+  world_.at(world_.now() + kLeastWork + world_.below(settings.chunk_time), [=, this] { run_chunk(call); });
+}
+
+/// One chunk, or the end of the call.
+void Callers::run_chunk(const std::shared_ptr<ModelCall>& call) {
+  auto& replica = replicas[call->replica];
+  const auto& node = world_.node(call->gateway);
+  const auto& attempt = call->call.attempt;
+  bool caller_runs = node.life == call->life && node.machine;
+  if (!caller_runs || replica.cancelled.count(attempt)) {
+    --replica.running;
+    return;
   }
-  auto j = Json::parse(a->body);
-  auto program = j["program"].get<std::string>();
-  auto key = "news/" + program + "/" + j["key"].get<std::string>();
-  if (++runs_[key] > 1)
-    w_.fail("ran twice: " + key);
-  for (auto& t : turns_[program])
-    if ("news/" + program + "/" + t->key == key && t->done && t->sure_not_run)
-      w_.fail("ran after it was refused as not run: " + key);
-  check_chain(program, j["thread"], a->body);
-  ++r.now;
-  if (r.cold_since != TimePoint{} && w_.now() > r.cold_since + 2000ms) {
-    auto grown = 2 + (w_.now() - r.cold_since).count() * kDefaultReplicaCapacity / kSlowStartDuration.count();
-    if (r.now > grown)
-      w_.fail("cold " + name + " is flooded: " + std::to_string(r.now) + " turns " +
-              std::to_string((w_.now() - r.cold_since).count()) + " ms after its mark");
-    ++r.from[front];
-    if (r.from.size() > kFrontsPerColdReplica)
-      w_.fail("cold " + name + " is reached by " + std::to_string(r.from.size()) + " fronts");
+  if (!replica.up)
+    return finish(*call, reset_response(attempt, true, "reset"));
+  if (call->fault == ReplicaFault::stall) {
+    --replica.running;
+    return;
   }
-  if (r.cold_since == TimePoint{} && r.now > static_cast<int>(kDefaultReplicaCapacity) * 3 / 2)
-    w_.fail(name + " runs " + std::to_string(r.now) + " turns on " + std::to_string(kDefaultReplicaCapacity) +
-            " places");
-  std::string fault = r.every && w_.next_random() % static_cast<uint64_t>(r.every) == 0 ? r.fault : "";
-  piece(front, life, name, *a, 0, 3 + static_cast<uint32_t>(w_.below(uint64_t{5})), fault, "");
-}
-
-void Callers::piece(const std::string& front, uint64_t life, const std::string& rep, const ReplicaCall& a, uint32_t k,
-                    uint32_t n, std::string fault, std::string text) {
-  auto j = Json::parse(a.body);
-  auto program = j["program"].get<std::string>();
-  w_.at(w_.now() + 5ms + w_.below(pace), [=, this] {
-    auto& r = replicas[rep];
-    auto& x = w_.node(front);
-    bool there = x.life == life && x.machine;
-    auto say = [&](Message m) {
-      if (!there)
-        return;
-      Envelope e{};
-      e.from = "replica:";
-      e.body = std::move(m);
-      w_.post(front, e);
-    };
-    auto over = [&](ReplicaCallResponse e) {
-      --r.now;
-      say(std::move(e));
-    };
-    if (!there || r.stopped.count(a.attempt))
-      return void(--r.now);
-    if (!r.up)
-      return over({a.attempt, true, 0, false, 0, 0, 0, "", "reset"});
-    if (fault == "stall")
-      return void(--r.now);
-    if ((fault == "cut" && k == n / 2) || (fault == "lost" && k == n))
-      return over({a.attempt, true, 200, false, 0, 0, 0, "", "reset"});
-    if (k == n) {
-      if (fault == "unsealed")
-        return over({a.attempt, true, 200, false, n, n, digest(text), "", "no seal"});
-      if (fault == "false seal")
-        return over({a.attempt, true, 200, true, n, n, digest(text) + 1, "", ""});
-      whole_["news/" + program + "/" + j["key"].get<std::string>()] = text;
-      return over({a.attempt, true, 200, true, n, n, digest(text), "", ""});
-    }
-    handed_[program] += 1;
-    if (handed_[program] > budget_ + limit_)
-      w_.fail("program " + program + " got " + std::to_string(handed_[program]) + " tokens of " +
-              std::to_string(budget_));
-    auto t = j["key"].get<std::string>() + "." + std::to_string(k) + " ";
-    say(ReplicaCallChunk{a.attempt, fault == "skip" && k == n / 2 ? k + 1 : k, t, 1});
-    piece(front, life, rep, a, k + 1, n, fault, text + t);
-  });
+  bool half_way = call->next_chunk == call->chunk_count / 2;
+  bool at_end = call->next_chunk == call->chunk_count;
+  if ((call->fault == ReplicaFault::cut && half_way) || (call->fault == ReplicaFault::lost && at_end))
+    return finish(*call, unsealed_response(attempt, 0, "", "reset"));
+  if (at_end)
+    return end_model_call(*call);
+  hand_token(call->program);
+  auto text = call->key + "." + std::to_string(call->next_chunk) + " ";
+  bool skips = call->fault == ReplicaFault::skip && half_way;
+  say(*call, ReplicaCallChunk{attempt, call->next_chunk + (skips ? 1 : 0), text, 1});
+  ++call->next_chunk;
+  call->text += text;
+  schedule_chunk(call);
 }
 
-std::vector<std::string> Callers::programs() const {
-  std::vector<std::string> v;
-  for (auto& [p, t] : turns_)
-    for (auto& x : t)
-      if (x->success) {
-        v.push_back(p);
-        break;
-      }
-  return v;
-}
-
-void Callers::judge() {
-  int left = 0;
-  for (auto& p : programs()) {
-    ++left;
-    auto tries = std::make_shared<int>(0);
-    auto go = std::make_shared<std::function<void()>>();
-    *go = [=, this, &left] {
-      auto heard = std::make_shared<bool>(false);
-      std::vector<std::shared_ptr<Turn>> due;
-      for (auto& t : turns_.at(p))
-        if (t->success)
-          due.push_back(t);
-      read_back(p, [=, this, &left](uint32_t status, const std::string& body) {
-        if (*heard)
-          return;
-        *heard = true;
-        if (status == 404) {
-          w_.fail("a kept program was reported missing: " + p);
-          --left;
-        } else if (status == 200) {
-          --left;
-          ++resumed;
-          auto j = Json::parse(body);
-          std::map<std::string, std::string> kept;
-          for (auto& t : j["turns"])
-            if (t["status"] == 200)
-              kept[t["key"]] = t["output"];
-          for (auto& t : due)
-            if (kept[t->key] != t->output)
-              w_.fail("kept turn " + t->key + " of " + p + " is gone or changed");
-        } else if (++*tries > 40) {
-          w_.fail("program " + p + " cannot be read back: " + body);
-          --left;
-        } else {
-          w_.at(w_.now() + 250ms, *go);
-        }
-      });
-    };
-    (*go)();
-  }
-  w_.until(30000ms, [&] { return left <= 0; });
-  judge_counts();
-  if (left > 0)
-    w_.fail(std::to_string(left) + " programs could not be read back in time");
-  for (auto& [p, v] : turns_)
-    for (auto& t : v)
-      if (t->done && t->sure_not_run && !t->success && runs_["news/" + p + "/" + t->key])
-        w_.fail("refused as not run, yet ran: " + t->key);
+void Callers::end_model_call(const ModelCall& call) {
+  const auto& attempt = call.call.attempt;
+  auto checksum = digest(call.text);
+  if (call.fault == ReplicaFault::unsealed)
+    return finish(call, unsealed_response(attempt, call.chunk_count, call.text, "no seal"));
+  if (call.fault == ReplicaFault::false_seal)
+    return finish(call, sealed_response(attempt, call.chunk_count, checksum + 1));
+  sealed_[turn_name(call.program, call.key)] = call.text;
+  finish(call, sealed_response(attempt, call.chunk_count, checksum));
+}
+
+/// Says something to the process that called; it runs at this moment.
+void Callers::say(const ModelCall& call, Message message) {
+  Envelope envelope{};
+  envelope.from = kReplicaPrefix;
+  envelope.body = std::move(message);
+  world_.post(call.gateway, std::move(envelope));
+}
+
+void Callers::finish(const ModelCall& call, ReplicaCallResponse response) {
+  --replicas[call.replica].running;
+  say(call, std::move(response));
+}
+
+/// The budget is reserved before a turn runs, so that one turn's tokens at most go beyond it.
+void Callers::hand_token(const std::string& program) {
+  auto& handed = handed_tokens_[program];
+  ++handed;
+  if (handed > budget_ + turn_limit_)
+    world_.fail("program " + program + " got " + std::to_string(handed) + " tokens of " + std::to_string(budget_));
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/retention.cpp
+++ b/tests/simulation/retention.cpp
@@ -1,209 +1,294 @@
 // Retention runs out, is shortened and lengthened, and cells go and come back, while turns are kept.
+#include <algorithm>
+
 #include "metadata/constants.hpp"
-#include "simulation/day.hpp"
+#include "simulation/scenario_functions.hpp"
 
 namespace mosskeel::sim {
 namespace {
 
-constexpr Duration keep = 20000ms;
+constexpr Duration kShortRetention = 20000ms;
+constexpr Duration kMiddleRetention = 3 * kShortRetention;
+constexpr Duration kLongRetention = 4 * kShortRetention;
+/// To what the long retention is cut.
+constexpr Duration kCutRetention = 1000ms;
+/// The status of a program whose retention is over, and of a fleet that cannot answer now.
+constexpr uint32_t kStatusGone = 410;
+constexpr uint32_t kStatusNotNow = 503;
+/// Histories may outlive their retention by this much: clocks differ, and one store's runs 30 times as fast.
+constexpr Duration kShortRetentionEnd = kShortRetention + 100000ms;
+constexpr Duration kLongRetentionEnd = kLongRetention + 110000ms;
+/// The rate of a store's clock that must not end histories before their time.
+constexpr double kFastClock = 30;
 
-/// One program's conversation, and what it was promised.
-struct Kept {
+/// One program with a turn, and for how long it was promised.
+struct KeptProgram {
   std::string cell, program, key;
-  TimePoint acked{};
-  Duration promise{};
+  TimePoint acknowledged{};
+  Duration promised{};
 };
 
-struct Asker {
-  Day& d;
-  std::vector<Kept> kept;
-  int n = 0;
-
-  ProgramResponse go(ProgramRequest e) {
-    for (int i = 0; i < 20; ++i) {
-      auto r = ask(d, e, d.any(Kind::gateway));
-      if (r.status && r.status != 503)
-        return r;
-      d.w.run(300ms);
-    }
-    return {};
-  }
+/// Asks for turns of programs in several cells and knows which were promised to be kept, and until when.
+class RetentionChecker {
+ public:
+  explicit RetentionChecker(Day& day) : day_(day) {}
+
+  const std::vector<KeptProgram>& programs() const { return programs_; }
+
   ProgramResponse turn(const std::string& cell, const std::string& program, const std::string& key) {
-    ProgramRequest e{};
-    e.kind = "model", e.route = "chat", e.thread = "main";
-    e.cell = cell, e.program = program, e.key = key, e.body = "say " + key;
-    return go(std::move(e));
-  }
-  ProgramResponse read(const Kept& k) {
-    ProgramRequest e{};
-    e.kind = "history";
-    e.cell = k.cell, e.program = k.program;
-    return go(std::move(e));
+    ProgramRequest request{};
+    request.kind = "model";
+    request.route = "chat";
+    request.thread = "main";
+    request.cell = cell;
+    request.program = program;
+    request.key = key;
+    request.body = "say " + key;
+    return ask_until_answered(request);
   }
-  void add(const std::string& cell, Duration promise) {
-    auto name = "r" + std::to_string(++n), key = "key" + std::to_string(n);
-    if (turn(cell, name, key).status == 200)
-      kept.push_back({cell, name, key, d.w.now(), promise});
+
+  /// One turn of a new program, which is promised to be kept for this long.
+  void add(const std::string& cell, Duration promised) {
+    auto number = std::to_string(++last_number_);
+    auto program = "r" + number;
+    auto key = "key" + number;
+    if (turn(cell, program, key).status == kStatusOk)
+      programs_.push_back({cell, program, key, day_.world.now(), promised});
     else
-      d.w.fail("a turn of cell " + cell + " failed");
+      day_.world.fail("a turn of cell " + cell + " failed");
   }
+
   /// Applies this list of cells beside the first one.
-  void cells(const std::vector<Cell>& v) {
-    auto m = latest(d.w)->configuration;
-    m.cells.resize(1);
-    for (auto& c : v)
-      m.cells.push_back(c);
-    auto over = std::make_shared<bool>(false);
-    d.c.commit(ApplyConfiguration{latest(d.w)->revision, m},
-               [over](const CommitReply& r) { *over = r.outcome == CommitOutcome::committed; });
-    if (!d.w.until(10000ms, [over] { return *over; }))
-      d.w.fail("the configuration was not acknowledged");
-    d.w.run(300ms);
+  void apply_cells(const std::vector<Cell>& cells) {
+    auto metadata = latest(day_.world);
+    auto configuration = metadata->configuration;
+    configuration.cells.resize(1);
+    configuration.cells.insert(configuration.cells.end(), cells.begin(), cells.end());
+    auto committed = std::make_shared<bool>(false);
+    day_.callers.commit(ApplyConfiguration{metadata->revision, configuration}, [committed](const CommitReply& reply) {
+      *committed = reply.outcome == CommitOutcome::committed;
+    });
+    if (!day_.world.until(10000ms, [committed] { return *committed; }))
+      day_.world.fail("the configuration was not acknowledged");
+    day_.world.run(300ms);
+  }
+
+  /// Reading the program back must give this status.
+  void expect(const KeptProgram& kept, uint32_t status, const char* when) {
+    ProgramRequest request{};
+    request.kind = "history";
+    request.cell = kept.cell;
+    request.program = kept.program;
+    auto response = ask_until_answered(request);
+    if (response.status == status)
+      return;
+    auto age = day_.world.now() - kept.acknowledged;
+    day_.world.fail(kept.program + " of cell " + kept.cell + " gave " + std::to_string(response.status) + " (" +
+                    response.reason + ") " + when + ", " + std::to_string(age.count()) + " ms after its turn");
+  }
+
+  /// Lets time pass until so long after the first turn.
+  void run_until_age(Duration age) {
+    auto moment = programs_.front().acknowledged + age;
+    day_.world.run(std::max(Duration::zero(), moment - day_.world.now()));
   }
-  void expect(const Kept& k, uint32_t status, const char* when) {
-    if (auto r = read(k); r.status != status)
-      d.w.fail(k.program + " of cell " + k.cell + " gave " + std::to_string(r.status) + " (" + r.reason + ") " + when +
-               ", " + std::to_string((d.w.now() - k.acked).count()) + " ms after its turn");
+
+  bool is_promised(const KeptProgram& kept) const { return day_.world.now() < kept.acknowledged + kept.promised; }
+
+ private:
+  ProgramResponse ask_until_answered(const ProgramRequest& request) {
+    constexpr int most_tries = 20;
+    for (int i = 0; i < most_tries; ++i) {
+      auto response = ask(day_, request, day_.any(Kind::gateway));
+      if (response.status && response.status != kStatusNotNow)
+        return response;
+      day_.world.run(300ms);
+    }
+    return {};
   }
+
+  Day& day_;
+  std::vector<KeptProgram> programs_;
+  int last_number_ = 0;
 };
 
-Cell brief(const std::string& name, Duration ms) {
-  return {name, 400, 10, ms.count(), {{"chat", "model", {}}, {"app", "app", {}}}};
+Cell cell_with(const std::string& name, Duration retention) {
+  return {name, 400, 10, retention.count(), {{"chat", "model", {}}, {"app", "app", {}}}};
 }
 
-}  // namespace
+void restart_a_store(Day& day, Duration pause) {
+  auto store = day.any(Kind::store);
+  day.world.kill(store);
+  day.world.run(pause);
+  day.world.start(store);
+}
 
-void retention(Day& d) {
-  auto& w = d.w;
-  Asker a{d, {}};
-  d.c.traffic(150ms, w.now() + 20000ms);
-  a.cells({brief("plain", keep), brief("cut", 4 * keep), brief("gone", keep)});
+/// Programs in three cells: retention is lengthened in one, cut in another, and the third cell goes and comes back.
+void keep_turns(Day& day, RetentionChecker& checker) {
+  checker.apply_cells(
+      {cell_with("plain", kShortRetention), cell_with("cut", kLongRetention), cell_with("gone", kShortRetention)});
   for (int i = 0; i < 4; ++i)
-    for (auto* c : {"plain", "cut", "gone"})
-      a.add(c, std::string(c) == "cut" ? 4 * keep : keep);
-  a.cells({brief("plain", 3 * keep), brief("cut", 1000ms)});
-  a.add("plain", 3 * keep);
-  auto s = d.any(Kind::store);
-  w.kill(s);
-  w.run(1000ms);
-  w.start(s);
-  a.cells({brief("plain", keep), brief("cut", 1000ms), brief("gone", keep)});
-  for (auto& k : a.kept)
-    if (k.cell == "cut" && a.turn(k.cell, k.program, k.key + "-short").status != 200)
-      w.fail("a second turn failed");
-  w.node(d.any(Kind::store)).rate = 30;
-  auto at = [&](Duration after) {
-    w.run(std::max(Duration::zero(), a.kept.front().acked + after - w.now()));
-  };
-  at(keep - 500ms);
-  for (auto& k : a.kept)
-    if (w.now() < k.acked + k.promise)
-      a.expect(k, 200, "inside its retention");
-  s = d.any(Kind::store);
-  w.kill(s);
-  w.run(200ms);
-  w.start(s);
-  for (auto& f : w.names(Kind::gateway))
-    w.kill(f), w.run(100ms), w.start(f);
-  at(4 * keep - 1500ms);
-  for (auto& k : a.kept)
-    if (k.promise == 4 * keep && w.now() < k.acked + k.promise)
-      a.expect(k, 200, "after its cell's retention was shortened");
-  at(keep + 100000ms);
-  for (auto& k : a.kept) {
-    if (k.promise > keep)
-      continue;
-    a.expect(k, 410, "after its end");
-    auto before = d.c.runs(k.program, k.key);
-    for (auto key : {k.key, k.key + "-new"}) {
-      auto r = a.turn(k.cell, k.program, key);
-      if (r.status != 410)
-        w.fail("an ended program took a turn: " + std::to_string(r.status) + " " + r.reason);
-    }
-    if (d.c.runs(k.program, k.key) != before || d.c.runs(k.program, k.key + "-new"))
-      w.fail("a turn of an ended program ran");
+    for (const std::string cell : {"plain", "cut", "gone"})
+      checker.add(cell, cell == "cut" ? kLongRetention : kShortRetention);
+  checker.apply_cells({cell_with("plain", kMiddleRetention), cell_with("cut", kCutRetention)});
+  checker.add("plain", kMiddleRetention);
+  restart_a_store(day, 1000ms);
+  checker.apply_cells(
+      {cell_with("plain", kShortRetention), cell_with("cut", kCutRetention), cell_with("gone", kShortRetention)});
+  for (const auto& kept : checker.programs())
+    if (kept.cell == "cut" && checker.turn(kept.cell, kept.program, kept.key + "-short").status != kStatusOk)
+      day.world.fail("a second turn failed");
+}
+
+/// A program that is over is told so, and neither its old turn nor a new one runs.
+void must_be_over(Day& day, RetentionChecker& checker, const KeptProgram& kept) {
+  checker.expect(kept, kStatusGone, "after its end");
+  auto new_key = kept.key + "-new";
+  auto runs_before = day.callers.runs(kept.program, kept.key);
+  for (const auto& key : {kept.key, new_key}) {
+    auto response = checker.turn(kept.cell, kept.program, key);
+    if (response.status != kStatusGone)
+      day.world.fail("an ended program took a turn: " + std::to_string(response.status) + " " + response.reason);
   }
-  at(4 * keep + 110000ms);
-  for (auto& k : a.kept)
-    a.expect(k, 410, "at the end");
-  for (auto& n : w.names(Kind::store))
-    for (auto& [id, x] : static_cast<StoreMachine&>(*w.node(n).machine).partitions())
-      for (auto& [l, y] : x.histories)
-        if (l.cell != "news")
-          w.fail(n + " still keeps " + l.cell + "/" + l.program);
+  bool old_ran = day.callers.runs(kept.program, kept.key) != runs_before;
+  if (old_ran || day.callers.runs(kept.program, new_key))
+    day.world.fail("a turn of an ended program ran");
 }
 
-/// A store is away while histories are written; once repair says that nothing is lacking, all stores hold the same.
-void idle_histories(Day& d) {
-  auto& w = d.w;
-  auto stores = w.names(Kind::store);
-  auto away = d.any(Kind::store);
-  d.c.traffic(80ms, w.now() + 8000ms);
-  w.run(500ms + w.below(1500ms));
-  bool frozen = w.chance(0.4);
-  if (frozen)
-    w.freeze(away);
+/// In the end stores hold histories of the callers' cell only.
+void must_keep_nothing_else(World& world) {
+  for (const auto& name : world.names(Kind::store)) {
+    const auto& store = static_cast<StoreMachine&>(*world.node(name).machine);
+    for (const auto& [id, partition] : store.partitions())
+      for (const auto& [history, copy] : partition.histories)
+        if (history.cell != "news")
+          world.fail(name + " still keeps " + history.cell + "/" + history.program);
+  }
+}
+
+StoreMachine& store_machine(World& world, const std::string& name) {
+  return static_cast<StoreMachine&>(*world.node(name).machine);
+}
+
+/// All stores are up, and repair says that nothing is lacking.
+bool is_repaired(World& world) {
+  auto metadata = latest(world);
+  if (!metadata || !metadata->sequences.empty())
+    return false;
+  for (const auto& name : world.names(Kind::store)) {
+    if (!world.node(name).machine)
+      return false;
+    const auto& store = store_machine(world, name);
+    const auto* daemon = store.view()->find(world.node(name).id.self.incarnation);
+    if (!daemon || daemon->state != DaemonState::up || store.repair().incomplete_comparisons())
+      return false;
+  }
+  return true;
+}
+
+/// The histories of a partition on one store.
+std::map<HistoryName, Records> histories_on(World& world, const std::string& store, PartitionId id) {
+  std::map<HistoryName, Records> found;
+  const auto& partitions = store_machine(world, store).partitions();
+  auto partition = partitions.find(id);
+  if (partition == partitions.end())
+    return found;
+  for (const auto& [name, history] : partition->second.histories)
+    found[name] = history.records;
+  return found;
+}
+
+/// Each partition's histories are the same on all stores.
+void must_hold_the_same(World& world) {
+  constexpr size_t fewest_histories = 50;
+  auto stores = world.names(Kind::store);
+  size_t histories = 0;
+  for (uint32_t i = 0; i < kPartitionCount; ++i) {
+    auto first = histories_on(world, stores.front(), PartitionId{i});
+    histories += first.size();
+    for (const auto& store : stores)
+      if (histories_on(world, store, PartitionId{i}) != first)
+        return world.fail(store + " holds other histories of slot " + std::to_string(i) + " than " + stores.front());
+  }
+  if (histories < fewest_histories)
+    world.fail("hardly any histories to compare: " + std::to_string(histories));
+}
+
+void must_be_repaired(World& world, const char* otherwise) {
+  if (world.until(30000ms, [&] { return is_repaired(world); }))
+    must_hold_the_same(world);
   else
-    w.power_off(away);
-  w.run(12000ms);
+    world.fail(otherwise);
+}
+
+/// A random store's disk is lost, but not that of the store that was away.
+void lose_a_disk(Day& day, const std::string& spared) {
+  auto& world = day.world;
+  auto lost = day.any_store_but(spared);
+  world.wipe(lost);
+  world.run(500ms);
+  world.start(lost);
+  world.run(8000ms);
+}
+
+}  // namespace
+
+/// A program is kept for as long as was promised when its turn was acknowledged, also by a store whose clock runs fast,
+/// and is over some time later on all stores.
+void retention(Day& day) {
+  auto& world = day.world;
+  RetentionChecker checker(day);
+  day.callers.traffic(150ms, world.now() + 20000ms);
+  keep_turns(day, checker);
+  world.node(day.any(Kind::store)).rate = kFastClock;
+  checker.run_until_age(kShortRetention - 500ms);
+  for (const auto& kept : checker.programs())
+    if (checker.is_promised(kept))
+      checker.expect(kept, kStatusOk, "inside its retention");
+  restart_a_store(day, 200ms);
+  restart_gateways(world);
+  checker.run_until_age(kLongRetention - 1500ms);
+  for (const auto& kept : checker.programs())
+    if (kept.promised == kLongRetention && checker.is_promised(kept))
+      checker.expect(kept, kStatusOk, "after its cell's retention was shortened");
+  checker.run_until_age(kShortRetentionEnd);
+  for (const auto& kept : checker.programs())
+    if (kept.promised <= kShortRetention)
+      must_be_over(day, checker, kept);
+  checker.run_until_age(kLongRetentionEnd);
+  for (const auto& kept : checker.programs())
+    checker.expect(kept, kStatusGone, "at the end");
+  must_keep_nothing_else(world);
+}
+
+/// A store is away while histories are written; once repair says that nothing is lacking, all stores hold the same,
+/// and again after a disk was lost.
+void idle_histories(Day& day) {
+  constexpr size_t fewest_fetched = 10;
+  auto& world = day.world;
+  auto away = day.any(Kind::store);
+  day.callers.traffic(80ms, world.now() + 8000ms);
+  world.run(500ms + world.below(1500ms));
+  bool frozen = world.chance(0.4);
   if (frozen)
-    w.wake(away);
-  else
-    w.start(away);
-  w.run(1000ms);
-  auto machine = [&](const std::string& s) -> StoreMachine& {
-    return static_cast<StoreMachine&>(*w.node(s).machine);
-  };
-  auto whole = [&] {
-    auto v = latest(w);
-    if (!v || !v->sequences.empty())
-      return false;
-    for (auto& s : stores) {
-      auto* me = w.node(s).machine ? machine(s).view()->find(w.node(s).id.self.incarnation) : nullptr;
-      if (!me || me->state != DaemonState::up || machine(s).repair().incomplete_comparisons())
-        return false;
-    }
-    return true;
-  };
-  auto same = [&] {
-    size_t histories = 0;
-    for (uint32_t i = 0; i < kPartitionCount; ++i) {
-      std::map<HistoryName, Records> first;
-      for (auto& s : stores) {
-        std::map<HistoryName, Records> v;
-        if (auto x = machine(s).partitions().find(PartitionId{i}); x != machine(s).partitions().end())
-          for (auto& [n, l] : x->second.histories)
-            v[n] = l.records;
-        if (s == stores.front())
-          first = v, histories += v.size();
-        else if (v != first)
-          return w.fail(s + " holds other histories of slot " + std::to_string(i) + " than " + stores.front());
-      }
-    }
-    if (histories < 50)
-      w.fail("hardly any histories to compare: " + std::to_string(histories));
-  };
-  if (!w.until(30000ms, whole))
-    w.fail("repair did not come to its end");
+    world.freeze(away);
   else
-    same();
-  if (!frozen && machine(away).repair().fetched() < 10)
-    w.fail("the store that was away fetched hardly anything: " + std::to_string(machine(away).repair().fetched()));
-  for (auto& f : w.names(Kind::gateway))
-    w.kill(f), w.run(100ms), w.start(f);
-  auto lost = stores[w.next_random() % stores.size()];
-  while (lost == away)
-    lost = stores[w.next_random() % stores.size()];
-  w.wipe(lost);
-  w.run(500ms);
-  w.start(lost);
-  w.run(8000ms);
-  if (!w.until(30000ms, whole))
-    w.fail("the copies of the lost disk were not restored");
+    world.power_off(away);
+  world.run(12000ms);
+  if (frozen)
+    world.wake(away);
   else
-    same();
-  for (auto& f : w.names(Kind::gateway))
-    w.until(8000ms, [&] { return w.ready(f); });
+    world.start(away);
+  world.run(1000ms);
+  must_be_repaired(world, "repair did not come to its end");
+  auto fetched = store_machine(world, away).repair().fetched();
+  if (!frozen && fetched < fewest_fetched)
+    world.fail("the store that was away fetched hardly anything: " + std::to_string(fetched));
+  restart_gateways(world);
+  lose_a_disk(day, away);
+  must_be_repaired(world, "the copies of the lost disk were not restored");
+  for (const auto& gateway : world.names(Kind::gateway))
+    world.until(8000ms, [&] { return world.ready(gateway); });
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/scenarios.hpp
+++ b/tests/simulation/scenarios.hpp
@@ -4,7 +4,9 @@
 
 namespace mosskeel::sim {
 
+/// What came of one day.
 struct Verdict {
+  /// Broken promises, and what happened if notes were asked for.
   std::vector<std::string> failures, notes;
   uint64_t successes = 0, refusals = 0, unknowns = 0, resumed = 0, messages = 0, syncs = 0;
   /// Why answers were not known, by reason.
@@ -15,6 +17,7 @@
 
 /// The names of all scenarios.
 std::vector<std::string> scenarios();
+/// Plays a day; the same scenario and seed always play the same day.
 Verdict play(const std::string& scenario, uint64_t seed, bool notes = false);
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/sizes.cpp
+++ b/tests/simulation/sizes.cpp
@@ -1,173 +1,295 @@
-// Days at the deployments' sizes: the brief's troubles under its load, then a closing fault that stays.
+// Days at the sizes of the deployments: two troubles under load, then a closing fault that stays; and planned work.
 #include <algorithm>
 
 #include "metadata/constants.hpp"
-#include "simulation/day.hpp"
+#include "simulation/scenario_functions.hpp"
 
 namespace mosskeel::sim {
 namespace {
 
-std::vector<std::string> of_zone(World& w, const std::string& z) {
-  std::vector<std::string> v;
-  for (auto k : {Kind::controller, Kind::store, Kind::agent, Kind::gateway})
-    for (auto& s : w.names(k))
-      if (w.node(s).id.self.zone == z)
-        v.push_back(s);
-  return v;
+/// Troubles and closing faults are chosen by numbers, which docs/proof.md lists.
+constexpr uint64_t kTroubles = 9;
+constexpr uint64_t kClosingFaults = 7;
+
+void crowd(Day& day) {
+  day.callers.settings.urgent_share = 15;
+  day.callers.traffic(6ms, day.world.now() + 4000ms);
+  day.world.run(6000ms);
 }
 
-void front_down(Day& d, bool freeze) {
-  auto f = d.any(Kind::gateway);
-  for (auto& s : {f, d.w.node(f).beside})
-    freeze ? d.w.freeze(s) : d.w.kill(s);
+void replace_replicas_one_by_one(Day& day) {
+  for (int number = 1; number <= 4; ++number) {
+    auto name = "model" + std::to_string(number);
+    day.callers.set_replica(name, ReplicaHealth::draining);
+    day.world.run(1800ms);
+    day.callers.set_replica(name, ReplicaHealth::warming_up);
+    day.world.run(700ms);
+  }
 }
 
-void replica(Day& d, const std::string& n, ReplicaHealth f) {
-  auto& r = d.c.replicas[n];
-  d.c.commit(SetReplica{{n, r.kind, r.zone, "http://" + n, f, {}, 0}}, [](const CommitReply&) {});
+void lose_gateway_for_a_while(Day& day) {
+  auto gateway = day.any(Kind::gateway);
+  day.world.kill(gateway);
+  day.world.run(4000ms);
+  day.world.start(gateway);
+  day.world.run(4000ms);
 }
 
-/// One of the brief's troubles, begun and left to take its course.
-void trouble(Day& d, uint64_t which) {
-  auto& w = d.w;
-  switch (which % 9) {
-    case 0:  // a crowd at once, urgent jobs among it
-      d.c.urgent_share = 15;
-      d.c.traffic(6ms, w.now() + 4000ms);
-      w.run(6000ms);
-      break;
-    case 1:  // replicas replaced one by one
-      for (int i = 1; i <= 4; ++i) {
-        auto n = "model" + std::to_string(i);
-        replica(d, n, ReplicaHealth::draining);
-        w.run(1800ms);
-        replica(d, n, ReplicaHealth::warming_up);
-        w.run(700ms);
-      }
-      break;
-    case 2: {  // a worker dies and comes back
-      auto f = d.any(Kind::gateway);
-      w.kill(f);
-      w.run(4000ms);
-      w.start(f);
-      w.run(4000ms);
-      break;
-    }
-    case 3: {  // a store's disk is lost
-      auto s = d.any(Kind::store);
-      w.wipe(s);
-      w.run(2000ms);
-      w.start(s);
-      w.run(12000ms);
-      break;
-    }
-    case 4: {  // a zone loses power and comes back
-      auto v = of_zone(w, std::string(1, static_cast<char>('a' + w.below(uint64_t{3}))));
-      for (auto& s : v)
-        w.power_off(s);
-      w.run(8000ms);
-      for (auto& s : v)
-        w.start(s);
-      w.run(8000ms);
-      break;
-    }
-    case 5: {  // an empty core machine at a new address takes a lost one's place
-      auto m = d.any(Kind::controller);
-      w.wipe(m);
-      w.add("controller9", Kind::controller, w.node(m).id.self.zone);
-      w.run(14000ms);
-      break;
+void lose_store_disk(Day& day) {
+  auto store = day.any(Kind::store);
+  day.world.wipe(store);
+  day.world.run(2000ms);
+  day.world.start(store);
+  day.world.run(12000ms);
+}
+
+void lose_zone_for_a_while(World& world) {
+  auto names = names_in_zone(world, world.any_zone());
+  power_off_all(world, names);
+  world.run(8000ms);
+  start_all(world, names);
+  world.run(8000ms);
+}
+
+/// An empty controller at a new address takes a lost one's place.
+void replace_controller(Day& day) {
+  auto& world = day.world;
+  auto lost = day.any(Kind::controller);
+  world.wipe(lost);
+  world.add("controller9", Kind::controller, world.node(lost).id.self.zone);
+  world.run(14000ms);
+}
+
+void add_machines(World& world) {
+  world.add("store9", Kind::store, "a");
+  world.add("agent9", Kind::agent, "b", "gateway9");
+  world.add("gateway9", Kind::gateway, "b", "agent9");
+  world.run(8000ms);
+}
+
+/// The seeds are swapped for other controllers, two of which do not exist, and the agents restart.
+void swap_seeds(World& world) {
+  world.seeds = {world.names(Kind::controller).back(), "controller77", "controller78"};
+  for (const auto& name : world.names(Kind::agent)) {
+    world.kill(name);
+    world.run(300ms);
+    world.start(name);
+    world.run(900ms);
+  }
+}
+
+/// Two operators commit different changes on each revision.
+void race_operators(Day& day) {
+  constexpr int rounds = 20;
+  for (int round = 0; round < rounds; ++round) {
+    auto metadata = latest(day.world);
+    auto changed = metadata->configuration;
+    changed.cells[0].retention_ms += 1 + round;
+    for (int i = 0; i < 2; ++i)
+      day.callers.commit(ApplyConfiguration{metadata->revision, changed}, [](const CommitReply&) {});
+    day.world.run(150ms);
+  }
+}
+
+/// One of the troubles, begun and left to take its course.
+void play_trouble(Day& day, uint64_t number) {
+  switch (number % kTroubles) {
+    case 0:
+      return crowd(day);
+    case 1:
+      return replace_replicas_one_by_one(day);
+    case 2:
+      return lose_gateway_for_a_while(day);
+    case 3:
+      return lose_store_disk(day);
+    case 4:
+      return lose_zone_for_a_while(day.world);
+    case 5:
+      return replace_controller(day);
+    case 6:
+      return add_machines(day.world);
+    case 7:
+      return swap_seeds(day.world);
+    default:
+      return race_operators(day);
+  }
+}
+
+/// A worker's two daemons.
+std::vector<std::string> any_worker(Day& day) {
+  auto gateway = day.any(Kind::gateway);
+  return {gateway, day.world.node(gateway).beside};
+}
+
+void freeze_core_majority(World& world) {
+  auto names = world.names(Kind::controller);
+  for (size_t i = 0; i < majority_of(names.size()); ++i)
+    world.freeze(names[i]);
+}
+
+void cut_off_zone(World& world) {
+  auto inside = names_in_zone(world, world.any_zone());
+  for (const auto& outside : world.all_names()) {
+    if (std::count(inside.begin(), inside.end(), outside))
+      continue;
+    for (const auto& name : inside) {
+      world.cut(name, outside);
+      world.cut(outside, name);
     }
-    case 6:  // machines are added
-      w.add("store9", Kind::store, "a");
-      w.add("agent9", Kind::agent, "b", "gateway9");
-      w.add("gateway9", Kind::gateway, "b", "agent9");
-      w.run(8000ms);
-      break;
-    case 7:  // the seeds are swapped for other core machines
-      w.seeds = {w.names(Kind::controller).back(), "controller77", "controller78"};
-      for (auto& s : w.names(Kind::agent))
-        w.kill(s), w.run(300ms), w.start(s), w.run(900ms);
-      break;
-    case 8:  // two operators race in a storm
-      for (int i = 0; i < 20; ++i) {
-        auto v = latest(w);
-        auto m = v->configuration;
-        m.cells[0].retention_ms += 1 + i;
-        for (int k = 0; k < 2; ++k)
-          d.c.commit(ApplyConfiguration{v->revision, m}, [](const CommitReply&) {});
-        w.run(150ms);
-      }
-      break;
   }
 }
 
-const char* closing_fault(Day& d, uint64_t which) {
-  auto& w = d.w;
-  switch (which % 7) {
+/// A fault that stays until the day's close; what it is, for the report.
+const char* play_closing_fault(Day& day, uint64_t number) {
+  auto& world = day.world;
+  switch (number % kClosingFaults) {
     case 0:
-      return front_down(d, false), "a front killed";
+      for (const auto& name : any_worker(day))
+        world.kill(name);
+      return "a front killed";
     case 1:
-      return front_down(d, true), "a front frozen";
+      for (const auto& name : any_worker(day))
+        world.freeze(name);
+      return "a front frozen";
     case 2:
-      return w.power_off(d.any(Kind::store)), "a store lost";
+      world.power_off(day.any(Kind::store));
+      return "a store lost";
     case 3:
-      return w.wipe(d.any(Kind::controller)), "a core machine lost";
-    case 4: {
-      auto v = w.names(Kind::controller);
-      for (size_t i = 0; i < majority_of(v.size()); ++i)
-        w.freeze(v[i]);
+      world.wipe(day.any(Kind::controller));
+      return "a core machine lost";
+    case 4:
+      freeze_core_majority(world);
       return "a core majority frozen";
-    }
     case 5:
-      for (auto& s : of_zone(w, std::string(1, static_cast<char>('a' + w.below(uint64_t{3})))))
-        w.power_off(s);
+      power_off_all(world, names_in_zone(world, world.any_zone()));
       return "a zone lost";
-    default: {
-      auto v = of_zone(w, std::string(1, static_cast<char>('a' + w.below(uint64_t{3}))));
-      std::set<std::string> in(v.begin(), v.end());
-      for (auto k : {Kind::controller, Kind::store, Kind::agent, Kind::gateway})
-        for (auto& s : w.names(k))
-          if (!in.count(s))
-            for (auto& o : v)
-              w.cut(o, s), w.cut(s, o);
+    default:
+      cut_off_zone(world);
       return "a zone cut off";
-    }
   }
 }
 
-/// By 12 s after the fault, which stays: a new program on every partition, and old conversations are followed on.
-void must_resume(Day& d, const char* what) {
-  auto& w = d.w;
-  std::vector<std::string> ask;
-  std::set<PartitionId> have;
-  for (int i = 0; have.size() < kPartitionCount; ++i)
-    if (auto n = "after" + std::to_string(i); have.insert(partition_of("news", n)).second)
-      ask.push_back(n);
-  auto old = d.c.programs();
-  for (size_t i = 0; i < old.size() && i < 120; ++i)
-    ask.push_back(old[w.next_random() % old.size()]);
-  auto left = std::make_shared<std::map<std::string, int>>();
-  for (auto& p : ask) {
-    ++(*left)[p];
-    w.at(w.now() + w.below(1500ms), [&d, p, left] {
-      d.c.turn(p, "closing", [p, left](const Turn& t) {
-        if (t.success || t.status == 429)
-          --(*left)[p];
+/// A new program for each partition, and some of those that were served before.
+std::vector<std::string> programs_to_resume(Day& day) {
+  constexpr size_t most_old_programs = 120;
+  std::vector<std::string> names;
+  std::set<PartitionId> covered;
+  for (int i = 0; covered.size() < kPartitionCount; ++i) {
+    auto name = "after" + std::to_string(i);
+    if (covered.insert(partition_of("news", name)).second)
+      names.push_back(name);
+  }
+  auto old = day.callers.programs();
+  for (size_t i = 0; i < old.size() && i < most_old_programs; ++i)
+    names.push_back(old[day.world.next_random() % old.size()]);
+  return names;
+}
+
+/// How many turns of each program are not yet served.
+using OpenTurns = std::map<std::string, int>;
+
+/// A program whose budget is spent counts as served, too.
+std::shared_ptr<OpenTurns> ask_all(Day& day, const std::vector<std::string>& programs) {
+  constexpr uint32_t budget_spent = 429;
+  auto open = std::make_shared<OpenTurns>();
+  for (const auto& program : programs) {
+    ++(*open)[program];
+    auto begin = day.world.now() + day.world.below(1500ms);
+    day.world.at(begin, [&day, program, open] {
+      day.callers.turn(program, "closing", [program, open](const Turn& turn) {
+        if (turn.success || turn.status == budget_spent)
+          --(*open)[program];
       });
     });
   }
-  auto open = [left] {
-    return std::count_if(left->begin(), left->end(), [](auto& x) { return x.second > 0; });
+  return open;
+}
+
+std::string list_open(const OpenTurns& open) {
+  constexpr size_t most_characters = 60;
+  std::string list;
+  for (const auto& [program, turns] : open)
+    if (turns > 0 && list.size() < most_characters)
+      list += " " + program;
+  return list;
+}
+
+/// By 12 s after the fault, which stays: a new program on every partition, and old conversations are followed on.
+void must_resume(Day& day, const char* fault) {
+  auto& world = day.world;
+  auto programs = programs_to_resume(day);
+  auto open = ask_all(day, programs);
+  auto count_open = [open] {
+    return std::count_if(open->begin(), open->end(), [](const auto& entry) { return entry.second > 0; });
   };
-  if (w.until(6000ms, [&] { return open() == 0; }))
+  if (world.until(6000ms, [&] { return count_open() == 0; }))
     return;
-  std::string who;
-  for (auto& [p, n] : *left)
-    if (n > 0 && who.size() < 60)
-      who += " " + p;
-  w.fail(std::to_string(open()) + " of " + std::to_string(ask.size()) + " programs not served 12 s after " + what +
-         ":" + who);
+  world.fail(std::to_string(count_open()) + " of " + std::to_string(programs.size()) +
+             " programs not served 12 s after " + fault + ":" + list_open(*open));
+}
+
+/// The change must be acknowledged.
+void must_commit(Day& day, Transformation change, const char* what) {
+  auto committed = std::make_shared<bool>(false);
+  day.callers.commit(std::move(change),
+                     [committed](const CommitReply& reply) { *committed = reply.outcome == CommitOutcome::committed; });
+  if (!day.world.until(10000ms, [committed] { return *committed; }))
+    day.world.fail(std::string(what) + " was not acknowledged");
+  day.world.run(500ms);
+}
+
+/// All daemons are up, and no sequence is under way.
+bool is_calm(World& world) {
+  auto metadata = latest(world);
+  if (!metadata || !metadata->sequences.empty())
+    return false;
+  return std::none_of(metadata->directory.begin(), metadata->directory.end(), [](const auto& entry) {
+    auto state = entry.second.state;
+    return state == DaemonState::down || state == DaemonState::registered;
+  });
+}
+
+void must_be_calm(World& world, const char* after) {
+  if (!world.until(15000ms, [&] { return is_calm(world); }))
+    world.fail(std::string("the fleet is not calm after ") + after);
+}
+
+void restart_in_order(World& world) {
+  for (auto kind : {Kind::controller, Kind::store, Kind::agent}) {
+    for (const auto& name : world.names(kind)) {
+      world.stop(name);
+      world.run(300ms + world.below(400ms));
+      world.start(name);
+      world.run(1500ms);
+      must_be_calm(world, "a restart");
+    }
+  }
+}
+
+/// A store is added, and another one drained and stopped.
+void replace_store_in_order(Day& day) {
+  auto& world = day.world;
+  world.add("store9", Kind::store, "a");
+  world.run(3000ms);
+  must_be_calm(world, "a store was added");
+  must_commit(day, PrepareDrain{latest(world)->find_at("store1")->id}, "the retirement");
+  if (!world.until(15000ms, [&] { return has_no_sequences(world); }))
+    world.fail("the retirement did not end");
+  world.run(1000ms);
+  world.stop("store1");
+}
+
+void evacuate_and_restore(Day& day) {
+  must_commit(day, EvacuateZone{"b"}, "the evacuation");
+  day.world.run(3000ms);
+  must_commit(day, RestoreZone{"b"}, "the restoring");
+  day.world.run(2000ms);
+}
+
+bool counts_on(const Metadata& metadata, DaemonId store) {
+  return std::any_of(metadata.partitions.begin(), metadata.partitions.end(), [&](const auto& partition) {
+    return std::count(partition.stores.begin(), partition.stores.end(), store) > 0;
+  });
 }
 
 }  // namespace
@@ -175,103 +297,72 @@
 /// A store is replaced by an empty one at another address, which joins before the lost one is marked down; later
 /// another one loses its disk. No partition may be left with the lost store in its set, so that the second loss is
 /// borne.
-void successor(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(50ms, w.now() + 40000ms);
-  w.run(3000ms + w.below(1000ms));
-  auto lost = latest(w)->find_at("store1")->id;
-  w.power_off("store1");
-  w.run(300ms + w.below(1000ms));
-  w.add("store9", Kind::store, "a");
-  auto rid = [&] {
-    auto v = latest(w);
-    return v->sequences.empty() && std::none_of(v->partitions.begin(), v->partitions.end(), [&](auto& s) {
-             return std::count(s.stores.begin(), s.stores.end(), lost) > 0;
-           });
+void successor(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(50ms, world.now() + 40000ms);
+  world.run(3000ms + world.below(1000ms));
+  auto lost = latest(world)->find_at("store1")->id;
+  world.power_off("store1");
+  world.run(300ms + world.below(1000ms));
+  world.add("store9", Kind::store, "a");
+  auto is_replaced = [&] {
+    auto metadata = latest(world);
+    return metadata->sequences.empty() && !counts_on(*metadata, lost);
   };
-  if (!w.until(12000ms, rid))
-    w.fail("slots still count on a store that is gone");
-  w.run(1000ms);
-  w.wipe("store2");
-  w.run(1000ms);
-  w.start("store2");
-  w.run(9000ms);
-  if (!latest(w)->sequences.empty())
-    w.fail("the wiped store's join does not end");
+  if (!world.until(12000ms, is_replaced))
+    world.fail("slots still count on a store that is gone");
+  world.run(1000ms);
+  world.wipe("store2");
+  world.run(1000ms);
+  world.start("store2");
+  world.run(9000ms);
+  if (!has_no_sequences(world))
+    world.fail("the wiped store's join does not end");
 }
 
 /// Every kind of planned work under load, one after the other: no answer may be unknown.
-void planned(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(50ms, w.now() + 75000ms);
-  auto yes = [&](Transformation t, const char* what) {
-    auto got = std::make_shared<bool>(false);
-    d.c.commit(std::move(t), [got](const CommitReply& r) { *got = r.outcome == CommitOutcome::committed; });
-    if (!w.until(10000ms, [got] { return *got; }))
-      w.fail(std::string(what) + " was not acknowledged");
-    w.run(500ms);
-  };
-  auto calm = [&](const char* what) {
-    auto good = [&] {
-      auto v = latest(w);
-      if (!v || !v->sequences.empty())
-        return false;
-      for (auto& [id, x] : v->directory)
-        if (x.state == DaemonState::down || x.state == DaemonState::registered)
-          return false;
-      return true;
-    };
-    if (!w.until(15000ms, good))
-      w.fail(std::string("the fleet is not calm after ") + what);
-  };
-  for (auto k : {Kind::controller, Kind::store, Kind::agent})
-    for (auto& s : w.names(k)) {
-      w.stop(s);
-      w.run(300ms + w.below(400ms));
-      w.start(s);
-      w.run(1500ms);
-      calm("a restart");
-    }
-  w.add("store9", Kind::store, "a");
-  w.run(3000ms);
-  calm("a store was added");
-  yes(PrepareDrain{latest(w)->find_at("store1")->id}, "the retirement");
-  if (!w.until(15000ms, [&] { return latest(w)->sequences.empty(); }))
-    w.fail("the retirement did not end");
-  w.run(1000ms);
-  w.stop("store1");
-  yes(EvacuateZone{"b"}, "the evacuation");
-  w.run(3000ms);
-  yes(RestoreZone{"b"}, "the restoring");
-  w.run(2000ms);
-  auto from = latest(w)->find_at("gateway1")->id, to = latest(w)->find_at("gateway3")->id;
-  yes(MoveAllPartitions{from, to}, "the move of routes");
-  if (!change(d, 10000ms))
-    w.fail("a configuration was not acknowledged");
-  w.run(3000ms);
-  if (auto n = d.c.unknowns + d.c.count_unknown) {
-    w.fail(std::to_string(n) + " answers were lost in planned work");
-    for (auto& [r, k] : d.c.reasons)
-      w.fail(std::to_string(k) + " times: " + r);
-  }
+void planned(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(50ms, world.now() + 75000ms);
+  restart_in_order(world);
+  replace_store_in_order(day);
+  evacuate_and_restore(day);
+  auto metadata = latest(world);
+  auto from = metadata->find_at("gateway1")->id;
+  auto to = metadata->find_at("gateway3")->id;
+  must_commit(day, MoveAllPartitions{from, to}, "the move of routes");
+  if (!change_configuration(day, 10000ms))
+    world.fail("a configuration was not acknowledged");
+  world.run(3000ms);
+  const auto& totals = day.callers.totals;
+  auto lost = totals.unknowns + totals.unknown_counts;
+  if (!lost)
+    return;
+  world.fail(std::to_string(lost) + " answers were lost in planned work");
+  for (const auto& [reason, count] : totals.reasons)
+    world.fail(std::to_string(count) + " times: " + reason);
 }
 
-void deployment(Day& d, bool election) {
-  auto& w = d.w;
-  d.c.dives = election ? 6 : 12;
-  d.c.traffic(election ? 38ms : 83ms, w.now() + 80000ms);
-  w.run(2000ms);
-  auto first = w.next_random(), second = w.next_random();
-  trouble(d, first);
-  w.run(1000ms);
-  trouble(d, second % 9 == first % 9 ? second + 1 : second);
-  if (!w.until(20000ms, [&] { return latest(w)->sequences.empty(); }))
-    w.fail("sequences are stuck before the closing fault");
-  w.run(3000ms);
-  auto what = closing_fault(d, w.next_random());
-  w.run(12000ms);
-  d.c.only_ready = true;
-  must_resume(d, what);
+/// Two troubles under a deployment's load, then a fault that stays; 12 s later everybody must be served. On election
+/// day the load is higher and more programs are long.
+void deployment(Day& day, bool election) {
+  auto& world = day.world;
+  day.callers.settings.long_program_share = election ? 6 : 12;
+  day.callers.traffic(election ? 38ms : 83ms, world.now() + 80000ms);
+  world.run(2000ms);
+  auto first = world.next_random();
+  auto second = world.next_random();
+  play_trouble(day, first);
+  world.run(1000ms);
+  bool same = second % kTroubles == first % kTroubles;
+  play_trouble(day, same ? second + 1 : second);
+  if (!world.until(20000ms, [&] { return has_no_sequences(world); }))
+    world.fail("sequences are stuck before the closing fault");
+  world.run(3000ms);
+  const auto* fault = play_closing_fault(day, world.next_random());
+  world.run(12000ms);
+  day.callers.settings.only_ready = true;
+  must_resume(day, fault);
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/troubles.cpp
+++ b/tests/simulation/troubles.cpp
@@ -1,193 +1,218 @@
 // Scenarios of whole zones, stores and crowds.
 #include "metadata/constants.hpp"
 #include "programs/constants.hpp"
-#include "simulation/day.hpp"
+#include "simulation/scenario_functions.hpp"
 
 namespace mosskeel::sim {
+namespace {
+
+/// Cuts the first controllers off from the others; one-way, the others can still be heard.
+void split_core(World& world, size_t first_part, bool one_way) {
+  auto names = world.names(Kind::controller);
+  for (size_t i = 0; i < first_part; ++i) {
+    for (size_t j = first_part; j < names.size(); ++j) {
+      world.cut(names[i], names[j]);
+      if (!one_way)
+        world.cut(names[j], names[i]);
+    }
+  }
+}
+
+void set_replicas_up(Day& day, const std::string& zone, bool up) {
+  for (auto& [name, replica] : day.callers.replicas)
+    if (replica.zone == zone)
+      replica.up = up;
+}
+
+/// Everything in the store's partitions is whole: it is up again, and no partition counts on a store that is not.
+bool is_restored(World& world, const std::string& store) {
+  auto metadata = latest(world);
+  const auto* restored = metadata->find(world.node(store).id.self.incarnation);
+  if (!restored || restored->state != DaemonState::up || !metadata->sequences.empty())
+    return false;
+  for (const auto& partition : metadata->partitions)
+    for (auto id : partition.stores)
+      if (metadata->find(id)->state != DaemonState::up)
+        return false;
+  return true;
+}
+
+/// A replica is marked cold; its ramp must last as long as the configuration says.
+void mark_cold(Day& day, const std::string& name) {
+  constexpr Duration clocks_differ = 500ms;
+  auto& world = day.world;
+  auto& replica = day.callers.replicas[name];
+  day.callers.set_replica(name, ReplicaHealth::warming_up, [&world, &replica](const CommitReply& reply) {
+    if (reply.outcome != CommitOutcome::committed)
+      return;
+    replica.cold_since = world.now();
+    replica.calls_while_cold.clear();
+  });
+  world.run(kSlowStartDuration - clocks_differ);
+  auto metadata = latest(world);
+  if (metadata && metadata->replicas.at(name).health != ReplicaHealth::warming_up)
+    world.fail(name + " was called ready before its ramp was over");
+  replica.cold_since = {};
+}
+
+void power_cycle_stores(Day& day, const std::string& gateway) {
+  auto& world = day.world;
+  power_off_all(world, world.names(Kind::store));
+  world.kill(gateway);
+  world.run(200ms);
+  start_all(world, world.names(Kind::store));
+  world.start(gateway);
+}
+
+}  // namespace
+
 /// The core falls into parts, whole and one-way.
-void split(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(100ms, w.now() + 40000ms);
-  for (int i = 0; i < 4; ++i) {
-    w.run(1500ms);
-    auto v = w.names(Kind::controller);
-    auto k = 1 + w.next_random() % 4;
-    bool one_way = w.chance(0.4);
-    for (size_t a = 0; a < k; ++a)
-      for (size_t b = k; b < v.size(); ++b) {
-        w.cut(v[a], v[b]);
-        if (!one_way)
-          w.cut(v[b], v[a]);
-      }
-    if (auto r = change(d, 4000ms))
-      in_force(d, r, 2000ms);
-    must_serve(d, 2500ms, "a split of the core");
-    w.heal();
+void split(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(100ms, world.now() + 40000ms);
+  for (int round = 0; round < 4; ++round) {
+    world.run(1500ms);
+    auto first_part = 1 + world.next_random() % 4;
+    bool one_way = world.chance(0.4);
+    split_core(world, first_part, one_way);
+    if (auto revision = change_configuration(day, 4000ms))
+      must_be_in_force(day, revision, 2000ms);
+    must_serve(day, 2500ms, "a split of the core");
+    world.heal();
   }
-  w.run(3000ms);
+  world.run(3000ms);
 }
 
 /// Everything in one zone loses power at once and comes back much later.
-void zone_lost(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(100ms, w.now() + 28000ms);
-  w.run(2000ms);
-  std::string z(1, static_cast<char>('a' + w.below(uint64_t{3})));
-  std::vector<std::string> gone;
-  for (auto k : {Kind::controller, Kind::store, Kind::agent, Kind::gateway})
-    for (auto& s : w.names(k))
-      if (w.node(s).id.self.zone == z)
-        w.power_off(s), gone.push_back(s);
-  for (auto& [n, r] : d.c.replicas)
-    if (r.zone == z)
-      r.up = false;
-  w.run(7000ms);
-  must_serve(d, 5000ms, "the loss of a zone");
-  if (auto r = change(d, 8000ms))
-    in_force(d, r, 2000ms);
+void zone_lost(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(100ms, world.now() + 28000ms);
+  world.run(2000ms);
+  auto zone = world.any_zone();
+  auto lost = names_in_zone(world, zone);
+  power_off_all(world, lost);
+  set_replicas_up(day, zone, false);
+  world.run(7000ms);
+  must_serve(day, 5000ms, "the loss of a zone");
+  if (auto revision = change_configuration(day, 8000ms))
+    must_be_in_force(day, revision, 2000ms);
   else
-    w.fail("no change was accepted with one zone lost");
-  for (auto& s : gone)
-    w.start(s);
-  for (auto& [n, r] : d.c.replicas)
-    r.up = true;
-  w.run(10000ms);
+    world.fail("no change was accepted with one zone lost");
+  start_all(world, lost);
+  set_replicas_up(day, zone, true);
+  world.run(10000ms);
 }
 
-/// All controllers are gone for a while; the fleet serves on the last view.
-void coreless(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(100ms, w.now() + 25000ms);
-  w.run(2000ms);
-  for (auto& s : w.names(Kind::controller))
-    w.power_off(s);
-  w.run(4000ms);
-  must_serve(d, 10000ms, "the loss of the whole core");
-  for (auto& s : w.names(Kind::controller))
-    w.start(s);
-  w.run(5000ms);
-  if (!change(d, 10000ms))
-    w.fail("the core did not come back");
+/// All controllers are gone for a while; the fleet serves on the metadata that it has.
+void coreless(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(100ms, world.now() + 25000ms);
+  world.run(2000ms);
+  power_off_all(world, world.names(Kind::controller));
+  world.run(4000ms);
+  must_serve(day, 10000ms, "the loss of the whole core");
+  start_all(world, world.names(Kind::controller));
+  world.run(5000ms);
+  if (!change_configuration(day, 10000ms))
+    world.fail("the core did not come back");
 }
 
 /// Replicas come back cold, one after the other, under load.
-void cold(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(25ms, w.now() + 25000ms);
-  w.run(1000ms);
-  for (int i = 1; i <= 3; ++i) {
-    auto n = "model" + std::to_string(i);
-    auto& r = d.c.replicas[n];
-    d.c.commit(SetReplica{{n, "model", r.zone, "http://" + n, ReplicaHealth::warming_up, {}, 0}},
-               [&](const CommitReply& c) {
-                 if (c.outcome == CommitOutcome::committed)
-                   r.cold_since = w.now(), r.from.clear();
-               });
-    w.run(kSlowStartDuration - 500ms);
-    auto v = latest(w);
-    if (v && v->replicas.at(n).health != ReplicaHealth::warming_up)
-      w.fail(n + " was called ready before its ramp was over");
-    r.cold_since = {};
-  }
-  auto ready = [&] {
-    return latest(w)->replicas.at("model1").health == ReplicaHealth::ready;
+void cold(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(25ms, world.now() + 25000ms);
+  world.run(1000ms);
+  for (int number = 1; number <= 3; ++number)
+    mark_cold(day, "model" + std::to_string(number));
+  auto is_ready = [&] {
+    return latest(world)->replicas.at("model1").health == ReplicaHealth::ready;
   };
-  if (!w.until(10000ms, ready))
-    w.fail("a cold replica never became ready");
+  if (!world.until(10000ms, is_ready))
+    world.fail("a cold replica never became ready");
 }
 
-/// A crowd far beyond what the replicas can do, with urgent jobs among it.
-void rush(Day& d) {
-  auto& w = d.w;
-  d.c.pace = 900ms;
-  d.c.urgent_share = 20;
-  d.c.tries = 3;
-  d.c.helpers = false;
-  d.c.traffic(100ms, w.now() + 5000ms);
-  w.run(5000ms);
-  d.c.traffic(4ms, w.now() + 10000ms);
-  auto before = d.c.successes;
-  w.run(10000ms);
-  auto done = d.c.successes - before;
-  if (done < 200)
-    w.fail("goodput fell under the crowd: " + std::to_string(done));
-  if (d.c.refusals < 50)
-    w.fail("nothing was refused, so this was no crowd");
-  w.run(45000ms);
-  if (d.c.slowest_refusal > kMaxQueueWait + 1000ms)
-    w.fail("a refusal was held back " + std::to_string(d.c.slowest_refusal.count()) + " ms");
-  d.c.tries = 12;
-  d.c.pace = 40ms;
-  if (d.c.urgent_done * 10 < d.c.urgent_asked * 5)
-    w.fail("urgent turns starve: " + std::to_string(d.c.urgent_done) + " of " + std::to_string(d.c.urgent_asked));
+/// A crowd far beyond what the replicas can do, with urgent turns among it: the fleet must go on serving, refuse early
+/// what it cannot serve, and let urgent turns through.
+void rush(Day& day) {
+  constexpr uint64_t least_goodput = 200;
+  constexpr uint64_t fewest_refusals = 50;
+  constexpr Duration refusal_margin = 1000ms;
+  auto& world = day.world;
+  auto& callers = day.callers;
+  auto usual = callers.settings;
+  callers.settings.chunk_time = 900ms;
+  callers.settings.urgent_share = 20;
+  callers.settings.most_tries = 3;
+  callers.settings.sub_agents = false;
+  callers.traffic(100ms, world.now() + 5000ms);
+  world.run(5000ms);
+  callers.traffic(4ms, world.now() + 10000ms);
+  auto before = callers.totals.successes;
+  world.run(10000ms);
+  auto served = callers.totals.successes - before;
+  if (served < least_goodput)
+    world.fail("goodput fell under the crowd: " + std::to_string(served));
+  if (callers.totals.refusals < fewest_refusals)
+    world.fail("nothing was refused, so this was no crowd");
+  world.run(45000ms);
+  if (callers.totals.slowest_refusal > kMaxQueueWait + refusal_margin)
+    world.fail("a refusal was held back " + std::to_string(callers.totals.slowest_refusal.count()) + " ms");
+  callers.settings.most_tries = usual.most_tries;
+  callers.settings.chunk_time = usual.chunk_time;
+  if (callers.totals.urgent_done * 2 < callers.totals.urgent_asked)
+    world.fail("urgent turns starve: " + std::to_string(callers.totals.urgent_done) + " of " +
+               std::to_string(callers.totals.urgent_asked));
 }
 
-/// All stores are slow, fronts die often, and now and then all stores lose power at once.
-void slow_disks(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(80ms, w.now() + 25000ms);
-  for (int i = 0; i < 8; ++i) {
-    for (auto& s : w.names(Kind::store))
-      w.node(s).disk.slow = 100ms + w.below(300ms);
-    w.run(1500ms + w.below(1500ms));
-    if (i % 2) {
-      auto f = d.any(Kind::gateway);
-      for (auto& s : w.names(Kind::store))
-        w.power_off(s);
-      w.kill(f);
-      w.run(200ms);
-      for (auto& s : w.names(Kind::store))
-        w.start(s);
-      w.start(f);
+/// All stores are slow, gateways die often, and now and then all stores lose power at once.
+void slow_disks(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(80ms, world.now() + 25000ms);
+  for (int round = 0; round < 8; ++round) {
+    for (const auto& store : world.names(Kind::store))
+      world.node(store).disk.slow = 100ms + world.below(300ms);
+    world.run(1500ms + world.below(1500ms));
+    auto gateway = day.any(Kind::gateway);
+    if (round % 2) {
+      power_cycle_stores(day, gateway);
     } else {
-      auto f = d.any(Kind::gateway);
-      w.kill(f);
-      w.run(500ms);
-      w.start(f);
+      world.kill(gateway);
+      world.run(500ms);
+      world.start(gateway);
     }
   }
-  w.run(6000ms);
+  world.run(6000ms);
 }
 
-/// Every store loses its disk, one after the other, each only once the one before is repaired;
-/// the fronts restart each time, so that no owner's memory fills the gaps.
-void carousel(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(100ms, w.now() + 20000ms);
-  for (auto& s : w.names(Kind::store)) {
-    w.run(1500ms);
-    for (auto& f : w.names(Kind::gateway))
-      w.kill(f), w.run(100ms), w.start(f);
-    w.wipe(s);
-    w.run(500ms);
-    w.start(s);
-    auto whole = [&] {
-      auto v = latest(w);
-      auto* me = v->find(w.node(s).id.self.incarnation);
-      if (!me || me->state != DaemonState::up || !v->sequences.empty())
-        return false;
-      for (auto& x : v->partitions)
-        for (auto r : x.stores)
-          if (v->find(r)->state != DaemonState::up)
-            return false;
-      return true;
-    };
-    if (!w.until(25000ms, whole))
-      w.fail("the copies of " + s + " were not restored");
+/// Every store loses its disk, one after the other, each only once the one before is repaired; the gateways restart
+/// each time, so that no owner's memory fills the gaps.
+void carousel(Day& day) {
+  auto& world = day.world;
+  day.callers.traffic(100ms, world.now() + 20000ms);
+  for (const auto& store : world.names(Kind::store)) {
+    world.run(1500ms);
+    restart_gateways(world);
+    world.wipe(store);
+    world.run(500ms);
+    world.start(store);
+    if (!world.until(25000ms, [&] { return is_restored(world, store); }))
+      world.fail("the copies of " + store + " were not restored");
   }
 }
 
-/// Programs whose helpers all ask at once, against one small budget.
-void many_helpers(Day& d) {
-  auto& w = d.w;
-  d.c.traffic(200ms, w.now() + 12000ms);
-  for (int i = 0; i < 30; ++i) {
-    auto p = "dive" + std::to_string(i);
-    for (int h = 0; h < 8; ++h)
-      d.c.turn(p, "h" + std::to_string(h), [](const Turn&) {});
-    w.run(300ms);
+/// Programs whose sub-agents all ask at once, against one small budget.
+void many_helpers(Day& day) {
+  constexpr int programs = 30;
+  constexpr int sub_agents = 8;
+  auto& world = day.world;
+  day.callers.traffic(200ms, world.now() + 12000ms);
+  for (int i = 0; i < programs; ++i) {
+    auto program = "dive" + std::to_string(i);
+    for (int j = 0; j < sub_agents; ++j)
+      day.callers.turn(program, "h" + std::to_string(j), [](const Turn&) {});
+    world.run(300ms);
   }
-  w.run(5000ms);
+  world.run(5000ms);
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -2,133 +2,215 @@
 
 #include "net/wire.hpp"
 #include "runtime/constants.hpp"
+#include "simulation/message_detail.hpp"
 
 namespace mosskeel::sim {
+namespace {
 
-World::World(uint64_t seed, Size z) : dice_(seed) {
-  core_size = static_cast<uint32_t>(z.controllers);
-  copies = replication_factor_for(static_cast<uint32_t>(z.tolerated), 1);
-  auto zone = [&](int i) {
-    return std::string(1, static_cast<char>('a' + i % z.zones));
+/// Only the first ones are kept: what follows them is mostly their consequence.
+constexpr size_t kMostFailures = 20;
+/// Controllers that every daemon knows by its settings.
+constexpr int kSeedCount = 3;
+/// Letters a, b and c: the zones from which troubles choose.
+constexpr uint64_t kZonesInTrouble = 3;
+/// The clocks of two processes may be this far apart.
+constexpr Duration kMostClockOffset = 12h;
+/// The rate of a clock is off by up to this many millionths.
+constexpr uint64_t kMostClockDrift = 500;
+/// A sync takes one millisecond and less than this.
+constexpr Duration kSyncVariation = 3ms;
+/// A message that is late like a retransmission takes less than this in addition.
+constexpr Duration kMostLateness = 300ms;
+/// `chance` is this fine.
+constexpr uint64_t kChanceSteps = 1000000;
+
+Role role_of(Kind kind) {
+  switch (kind) {
+    case Kind::controller:
+      return Role::controller;
+    case Kind::store:
+      return Role::store;
+    case Kind::agent:
+    case Kind::gateway:
+      return Role::front;
+  }
+  return Role::front;
+}
+
+/// A name like "store1"; numbers begin with 1.
+std::string numbered(const std::string& name, int index) {
+  return name + std::to_string(index + 1);
+}
+
+}  // namespace
+
+void SimDisk::persist(Batch& batch) {
+  for (auto& record : batch.journal)
+    synced.push_back(std::move(record));
+  if (!batch.checkpoint)
+    return;
+  checkpoint = std::move(batch.checkpoint);
+  synced.clear();
+}
+
+World::World(uint64_t seed, FleetSize size)
+    : random_(seed), agreement_([this] { return holders(); }, [this](const std::string& what) { fail(what); }) {
+  core_size = static_cast<uint32_t>(size.controllers);
+  copies = replication_factor_for(static_cast<uint32_t>(size.tolerated), 1);
+  auto zone = [&](int index) {
+    return std::string(1, static_cast<char>('a' + index % size.zones));
   };
-  for (int i = 0; i < z.controllers && i < 3; ++i)
-    seeds.push_back("controller" + std::to_string(i + 1));
-  for (int i = 0; i < z.controllers; ++i)
-    add("controller" + std::to_string(i + 1), Kind::controller, zone(i));
-  for (int i = 0; i < z.stores; ++i)
-    add("store" + std::to_string(i + 1), Kind::store, zone(i));
-  for (int i = 0; i < z.fronts; ++i) {
-    auto k = std::to_string(i + 1);
-    add("agent" + k, Kind::agent, zone(i), "gateway" + k);
-    add("gateway" + k, Kind::gateway, zone(i), "agent" + k);
+  for (int i = 0; i < size.controllers && i < kSeedCount; ++i)
+    seeds.push_back(numbered("controller", i));
+  for (int i = 0; i < size.controllers; ++i)
+    add(numbered("controller", i), Kind::controller, zone(i));
+  for (int i = 0; i < size.stores; ++i)
+    add(numbered("store", i), Kind::store, zone(i));
+  for (int i = 0; i < size.gateways; ++i) {
+    add(numbered("agent", i), Kind::agent, zone(i), numbered("gateway", i));
+    add(numbered("gateway", i), Kind::gateway, zone(i), numbered("agent", i));
   }
 }
 
-void World::add(const std::string& name, Kind k, const std::string& zone, const Address& beside) {
-  auto n = std::make_unique<Node>();
-  n->name = name;
-  n->kind = k;
-  n->beside = beside;
-  auto role = k == Kind::controller ? Role::controller : k == Kind::store ? Role::store : Role::front;
-  n->id = {{Incarnation{dice_()}, role, zone, name, beside, "http-" + name}, seeds, core_size, dice_()};
-  n->id.replication_factor = copies;
-  by_addr_[name] = name;
-  nodes_[name] = std::move(n);
-  start(name);
+void World::run(Duration time) {
+  until(time, [] { return false; });
+}
+
+bool World::until(Duration time, const std::function<bool()>& condition) {
+  auto end = now() + time;
+  while (scheduler_.has_event_until(end)) {
+    if (condition())
+      return true;
+    scheduler_.run_next();
+  }
+  scheduler_.advance_to(end);
+  return condition();
+}
+
+TimePoint World::clock(const Node& node) const {
+  auto world_age = static_cast<double>((now() - kProcessClockStart).count());
+  return kProcessClockStart + node.clock_offset + Duration(static_cast<int64_t>(world_age * node.rate));
+}
+
+bool World::chance(double probability) {
+  return static_cast<double>(random_() % kChanceSteps) < probability * static_cast<double>(kChanceSteps);
+}
+
+std::string World::any_zone() {
+  return {static_cast<char>('a' + below(kZonesInTrouble))};
 }
 
 Node& World::node(const std::string& name) {
   return *nodes_.at(name);
 }
 
-std::vector<std::string> World::names(Kind k) const {
-  std::vector<std::string> v;
-  for (auto& [s, n] : nodes_)
-    if (n->kind == k)
-      v.push_back(s);
-  return v;
+std::vector<std::string> World::names(Kind kind) const {
+  std::vector<std::string> found;
+  for (const auto& [name, node] : nodes_)
+    if (node->kind == kind)
+      found.push_back(name);
+  return found;
+}
+
+std::vector<std::string> World::all_names() const {
+  std::vector<std::string> found;
+  for (auto kind : kAllKinds)
+    for (const auto& name : names(kind))
+      found.push_back(name);
+  return found;
 }
 
 bool World::alive(const std::string& name) {
   return node(name).machine && !node(name).frozen;
 }
 
-void World::fail(const std::string& what) {
-  if (failures.size() < 20)
-    failures.push_back(std::to_string((now_ - kProcessClockStart).count()) + " ms: " + what);
+bool World::ready(const std::string& gateway) {
+  auto& node = this->node(gateway);
+  return node.machine && static_cast<GatewayMachine&>(*node.machine).ready(clock(node));
+}
+
+void World::add(const std::string& name, Kind kind, const std::string& zone, const Address& beside) {
+  auto added = std::make_unique<Node>();
+  added->name = name;
+  added->kind = kind;
+  added->beside = beside;
+  Incarnation incarnation{random_()};
+  auto random_seed = random_();
+  added->id = {{incarnation, role_of(kind), zone, name, beside, "http-" + name}, seeds, core_size, random_seed};
+  added->id.replication_factor = copies;
+  nodes_[name] = std::move(added);
+  start(name);
 }
 
 void World::start(const std::string& name) {
-  auto& n = node(name);
-  if (n.machine)
+  auto& node = this->node(name);
+  if (node.machine)
     return;
-  bool diskless = n.kind == Kind::agent || n.kind == Kind::gateway;
-  if (diskless && n.life)
-    n.id.self.incarnation = Incarnation{dice_()};
-  n.id.random_seed = dice_();
-  n.id.seeds = seeds;
+  bool ran_before = node.life != 0;
+  if (!node.has_disk() && ran_before)
+    node.id.self.incarnation = Incarnation{random_()};
+  node.id.random_seed = random_();
+  node.id.seeds = seeds;
   if (configure)
-    configure(n.id);
-  n.life = ++seq_;
-  n.seen = {};
-  n.revision = {};
-  n.frozen = n.stopped = false;
-  n.backlog.clear();
-  n.skew = below(Duration(12h));
-  n.rate = 1 + (static_cast<double>(below(uint64_t{1001})) - 500) * 1e-6;
-  auto now = clock(n);
-  Recovered r{n.id.self.incarnation, n.disk.checkpoint, n.disk.synced};
-  switch (n.kind) {
+    configure(node.id);
+  node.life = ++lives_;
+  node.seen = {};
+  node.revision = {};
+  node.frozen = false;
+  node.backlog.clear();
+  node.clock_offset = below(kMostClockOffset);
+  auto drift = static_cast<double>(below(2 * kMostClockDrift + 1)) - static_cast<double>(kMostClockDrift);
+  node.rate = 1 + drift * 1e-6;
+  node.machine = make_machine(node);
+  at(now() + below(kTickInterval), [this, name, life = node.life] { tick(name, life); });
+}
+
+std::unique_ptr<StateMachine> World::make_machine(const Node& node) {
+  Recovered recovered{node.id.self.incarnation, node.disk.checkpoint, node.disk.synced};
+  auto started = clock(node);
+  switch (node.kind) {
     case Kind::controller:
-      n.machine = std::make_unique<ControllerMachine>(n.id, r, now);
-      break;
+      return std::make_unique<ControllerMachine>(node.id, recovered, started);
     case Kind::store:
-      n.machine = std::make_unique<StoreMachine>(n.id, r, now);
-      break;
+      return std::make_unique<StoreMachine>(node.id, recovered, started);
     case Kind::agent:
-      n.machine = std::make_unique<AgentMachine>(n.id, now);
-      break;
+      return std::make_unique<AgentMachine>(node.id, started);
     case Kind::gateway:
-      n.machine = std::make_unique<GatewayMachine>(n.id, now);
-      break;
+      return std::make_unique<GatewayMachine>(node.id, started);
   }
-  at(now_ + below(kTickInterval), [this, name, life = n.life] { tick(name, life); });
+  return nullptr;
 }
 
-void World::die(Node& n) {
-  n.machine.reset();
-  n.disk.waiting.clear();
-  n.disk.in_flight = 0;
-  n.backlog.clear();
-  n.life = 0;
-  n.frozen = false;
+void World::die(Node& node) {
+  node.machine.reset();
+  node.disk.waiting.clear();
+  node.disk.in_flight = 0;
+  node.backlog.clear();
+  node.life = 0;
+  node.frozen = false;
   if (died)
-    died(n);
-  n.life = ++seq_;
+    died(node);
+  node.life = ++lives_;
 }
 
 void World::kill(const std::string& name) {
-  auto& n = node(name);
-  if (!n.machine)
+  auto& node = this->node(name);
+  if (!node.machine)
     return;
-  auto keep = n.disk.waiting.empty() ? 0 : dice_() % (n.disk.waiting.size() + 1);
-  for (size_t i = 0; i < keep; ++i) {
-    auto& b = n.disk.waiting[i];
-    for (auto& s : b.journal)
-      n.disk.synced.push_back(s);
-    if (b.checkpoint)
-      n.disk.checkpoint = b.checkpoint, n.disk.synced.clear();
-  }
-  die(n);
+  auto& waiting = node.disk.waiting;
+  auto survivors = waiting.empty() ? 0 : random_() % (waiting.size() + 1);
+  for (size_t i = 0; i < survivors; ++i)
+    node.disk.persist(waiting[i]);
+  die(node);
 }
 
 void World::stop(const std::string& name) {
-  auto& n = node(name);
-  if (!n.machine)
+  auto& node = this->node(name);
+  if (!node.machine)
     return;
-  n.disk.in_flight = n.disk.waiting.size();
-  flush(n);
-  die(n);
+  node.disk.in_flight = node.disk.waiting.size();
+  finish_sync(node);
+  die(node);
 }
 
 void World::power_off(const std::string& name) {
@@ -137,190 +219,204 @@
 }
 
 void World::wipe(const std::string& name) {
-  auto& n = node(name);
-  if (n.machine)
-    die(n);
-  n.disk = {};
-  n.id.self.incarnation = Incarnation{dice_()};
+  auto& node = this->node(name);
+  if (node.machine)
+    die(node);
+  node.disk = {};
+  node.id.self.incarnation = Incarnation{random_()};
 }
 
 void World::wake(const std::string& name) {
-  auto& n = node(name);
-  if (!n.frozen)
+  auto& node = this->node(name);
+  if (!node.frozen)
     return;
-  n.frozen = false;
-  auto v = std::exchange(n.backlog, {});
-  auto life = n.life;
-  for (auto& e : v)
-    if (n.life == life && n.machine)
-      step(n, e);
-  if (n.machine)
-    flush(n);
-}
-
-void World::cut(const std::string& a, const std::string& b) {
-  net.cuts.insert({a, b});
+  node.frozen = false;
+  auto backlog = std::exchange(node.backlog, {});
+  auto life = node.life;
+  for (const auto& envelope : backlog)
+    if (node.life == life && node.machine)
+      step(node, envelope);
+  if (node.machine)
+    finish_sync(node);
 }
 
 void World::isolate(const std::string& name) {
-  auto& n = node(name);
-  for (auto& [s, x] : nodes_)
-    if (s != name && s != n.beside)
-      cut(s, name), cut(name, s);
-}
-
-TimePoint World::clock(const Node& n) const {
-  auto world_age = static_cast<double>((now_ - kProcessClockStart).count());
-  return kProcessClockStart + n.skew + Duration(static_cast<int64_t>(world_age * n.rate));
+  const auto& beside = node(name).beside;
+  for (const auto& [other, node] : nodes_) {
+    if (other == name || other == beside)
+      continue;
+    cut(other, name);
+    cut(name, other);
+  }
 }
 
-bool World::ready(const std::string& front) {
-  auto& n = node(front);
-  return n.machine && static_cast<GatewayMachine&>(*n.machine).ready(clock(n));
+void World::post(const std::string& name, Envelope envelope) {
+  auto& node = this->node(name);
+  if (!node.machine)
+    return;
+  if (node.frozen)
+    node.backlog.push_back(std::move(envelope));
+  else
+    step(node, envelope);
 }
 
-void World::at(TimePoint when, std::function<void()> f) {
-  items_.push({when, ++seq_, std::move(f)});
+void World::fail(const std::string& what) {
+  if (failures.size() < kMostFailures)
+    failures.push_back(std::to_string((now() - kProcessClockStart).count()) + " ms: " + what);
 }
 
-void World::run(Duration ms) {
-  until(ms, [] { return false; });
+void World::note(const std::string& text) {
+  notes.push_back(std::to_string((now() - kProcessClockStart).count()) + " " + text);
 }
 
-bool World::until(Duration ms, const std::function<bool()>& ok) {
-  auto end = now_ + ms;
-  while (!items_.empty() && items_.top().when <= end) {
-    if (ok())
-      return true;
-    auto f = items_.top().f;
-    now_ = std::max(now_, items_.top().when);
-    items_.pop();
-    f();
-  }
-  now_ = end;
-  return ok();
+void World::step(Node& node, const Envelope& envelope) {
+  if (keep_notes)
+    note(node.name + " <- " + envelope.from + " " + kind_name(envelope.body) + describe_contents(envelope.body));
+  carry_out(node, node.machine->step(envelope, clock(node)));
 }
 
 void World::tick(const std::string& name, uint64_t life) {
-  auto& n = node(name);
-  if (n.life != life || !n.machine)
-    return;
-  if (!n.frozen)
-    act(n, n.machine->tick(clock(n)));
-  if (!n.frozen && n.machine && n.kind == Kind::controller &&
-      static_cast<ControllerMachine&>(*n.machine).is_supervisor(clock(n)))
-    for (auto& [s, x] : nodes_)
-      if (s != name && x->machine && !x->frozen && x->kind == Kind::controller &&
-          static_cast<ControllerMachine&>(*x->machine).is_supervisor(clock(*x)))
-        fail("two supervisors at once: " + name + " and " + s);
-  at(now_ + kTickInterval, [this, name, life] { tick(name, life); });
-}
-
-void World::post(const std::string& name, Envelope e) {
-  auto& n = node(name);
-  if (!n.machine)
+  auto& node = this->node(name);
+  if (node.life != life || !node.machine)
     return;
-  if (n.frozen)
-    n.backlog.push_back(std::move(e));
-  else
-    step(n, e);
+  if (!node.frozen)
+    carry_out(node, node.machine->tick(clock(node)));
+  check_one_supervisor(node);
+  at(now() + kTickInterval, [this, name, life] { tick(name, life); });
 }
 
-void World::step(Node& n, const Envelope& e) {
+/// Does what a step of the state machine asks for: writes, messages, the end of the process.
+void World::carry_out(Node& node, Actions actions) {
   if (keep_notes)
-    notes.push_back(std::to_string((now_ - kProcessClockStart).count()) + " " + n.name + " <- " + e.from + " " +
-                    kind_name(e.body) + detail(e.body));
-  act(n, n.machine->step(e, clock(n)));
+    for (const auto& entry : actions.notes)
+      note(node.name + " " + std::to_string(static_cast<int>(entry.event)) + " " + entry.text);
+  check_metadata(node);
+  send_all(node, actions.now);
+  write(node, actions);
+  if (actions.stop && node.machine)
+    die(node);
 }
 
-void World::act(Node& n, Actions a) {
-  if (keep_notes)
-    for (auto& x : a.notes)
-      notes.push_back(std::to_string((now_ - kProcessClockStart).count()) + " " + n.name + " " +
-                      std::to_string(static_cast<int>(x.event)) + " " + x.text);
-  look(n);
-  for (auto& e : a.now)
-    send(n, e);
-  bool diskless = n.kind == Kind::agent || n.kind == Kind::gateway;
-  if (diskless) {
-    for (auto& e : a.synced)
-      send(n, e);
-  } else if (!a.journal.empty() || !a.synced.empty() || a.checkpoint) {
-    bool idle = n.disk.waiting.empty() && a.journal.empty() && !a.checkpoint;
-    if (idle) {
-      for (auto& e : a.synced)
-        send(n, e);
-    } else {
-      n.disk.waiting.push_back({std::move(a.journal), std::move(a.checkpoint), std::move(a.synced)});
-      if (!n.disk.in_flight)
-        begin_sync(n);
-    }
-  }
-  if (a.stop && n.machine)
-    n.stopped = true, die(n);
+/// Messages that wait for the disk leave at once where nothing is to be synced.
+void World::write(Node& node, Actions& actions) {
+  bool writes = !actions.journal.empty() || actions.checkpoint;
+  if (!node.has_disk() || (node.disk.waiting.empty() && !writes))
+    return send_all(node, actions.synced);
+  if (!writes && actions.synced.empty())
+    return;
+  node.disk.waiting.push_back({std::move(actions.journal), std::move(actions.checkpoint), std::move(actions.synced)});
+  if (!node.disk.in_flight)
+    begin_sync(node);
 }
 
 /// One sync at a time; it covers all that waits when it begins.
-void World::begin_sync(Node& n) {
-  n.disk.in_flight = n.disk.waiting.size();
-  at(now_ + 1ms + below(3ms) + n.disk.slow, [this, name = n.name, life = n.life] {
-    auto& n = node(name);
-    if (n.life == life && n.machine)
-      flush(n);
+void World::begin_sync(Node& node) {
+  node.disk.in_flight = node.disk.waiting.size();
+  auto end = now() + 1ms + below(kSyncVariation) + node.disk.slow;
+  at(end, [this, name = node.name, life = node.life] {
+    auto& node = this->node(name);
+    if (node.life == life && node.machine)
+      finish_sync(node);
   });
 }
 
-void World::flush(Node& n) {
-  if (n.frozen || !n.disk.in_flight)
+void World::finish_sync(Node& node) {
+  if (node.frozen || !node.disk.in_flight)
     return;
   ++syncs;
   std::vector<Envelope> sends;
-  for (; n.disk.in_flight; --n.disk.in_flight) {
-    auto b = std::move(n.disk.waiting.front());
-    n.disk.waiting.pop_front();
-    for (auto& s : b.journal)
-      n.disk.synced.push_back(std::move(s));
-    if (b.checkpoint)
-      n.disk.checkpoint = std::move(b.checkpoint), n.disk.synced.clear();
-    for (auto& e : b.sends)
-      sends.push_back(std::move(e));
+  for (; node.disk.in_flight; --node.disk.in_flight) {
+    auto batch = std::move(node.disk.waiting.front());
+    node.disk.waiting.pop_front();
+    node.disk.persist(batch);
+    for (auto& envelope : batch.sends)
+      sends.push_back(std::move(envelope));
   }
-  if (!n.disk.waiting.empty())
-    begin_sync(n);
-  for (auto& e : sends)
-    send(n, e);
+  if (!node.disk.waiting.empty())
+    begin_sync(node);
+  send_all(node, sends);
+}
+
+void World::send_all(Node& node, const std::vector<Envelope>& envelopes) {
+  for (const auto& envelope : envelopes)
+    send(node, envelope);
 }
 
-void World::send(Node& n, const Envelope& e) {
-  if (e.to.starts_with("local:"))
-    return local ? local(n, e) : void();
-  if (e.to.starts_with("replica:"))
-    return replica ? replica(n, e) : void();
+void World::send(Node& node, const Envelope& envelope) {
+  if (envelope.to.starts_with("local:"))
+    return local ? local(node, envelope) : void();
+  if (envelope.to.starts_with("replica:"))
+    return replica ? replica(node, envelope) : void();
   ++messages;
-  if (e.to != n.id.self.address) {
-    if (net.cuts.count({n.name, e.to}) || chance(net.loss))
-      return;
-  }
-  int copies = e.to != n.id.self.address && chance(net.twice) ? 2 : 1;
-  for (int i = 0; i < copies; ++i) {
-    Duration delay{};
-    if (e.to != n.id.self.address) {
-      // The draws stand in statements of their own: the operands of `+` may be evaluated in any order.
-      delay = 1ms + below(net.delay);
-      if (chance(net.twice))
-        delay += below(300ms);
-    }
-    at(now_ + delay, [this, e] { deliver(e.to, e); });
-  }
+  if (envelope.to == node.id.self.address)
+    return at(now(), [this, envelope] { deliver(envelope); });
+  if (net.cuts.count({node.name, envelope.to}) || chance(net.loss))
+    return;
+  int arrivals = chance(net.twice) ? 2 : 1;
+  for (int i = 0; i < arrivals; ++i)
+    at(now() + network_delay(), [this, envelope] { deliver(envelope); });
+}
+
+/// Each number is drawn in a statement of its own: the operands of `+` may be evaluated in any order.
+Duration World::network_delay() {
+  auto delay = 1ms + below(net.delay);
+  if (chance(net.twice))
+    delay += below(kMostLateness);
+  return delay;
+}
+
+void World::deliver(const Envelope& envelope) {
+  if (!nodes_.count(envelope.to))
+    return;
+  if (arriving && alive(envelope.to))
+    arriving(envelope);
+  post(envelope.to, envelope);
+}
+
+bool World::is_supervisor(const Node& node) const {
+  bool runs = node.kind == Kind::controller && node.machine && !node.frozen;
+  return runs && static_cast<ControllerMachine&>(*node.machine).is_supervisor(clock(node));
 }
 
-void World::deliver(const Address& to, const Envelope& e) {
-  auto i = by_addr_.find(to);
-  if (i == by_addr_.end())
+void World::check_one_supervisor(const Node& node) {
+  if (!is_supervisor(node))
     return;
-  if (arriving && alive(i->second))
-    arriving(e);
-  post(i->second, e);
+  for (const auto& [name, other] : nodes_)
+    if (name != node.name && is_supervisor(*other))
+      fail("two supervisors at once: " + node.name + " and " + name);
+}
+
+/// Compares what a process shows now with what it showed before, and with what others have shown.
+void World::check_metadata(Node& node) {
+  auto metadata = node.machine->view();
+  if (metadata->epoch == node.seen)
+    return;
+  if (metadata->epoch < node.seen)
+    fail(node.name + " went back from epoch " + std::to_string(node.seen.value()) + " to " +
+         std::to_string(metadata->epoch.value()));
+  if (metadata->revision < node.revision)
+    fail(node.name + " slid back from revision " + std::to_string(node.revision.value()));
+  node.seen = metadata->epoch;
+  node.revision = metadata->revision;
+  agreement_.observe(node.name, *metadata);
+}
+
+std::vector<MetadataAgreement::Holder> World::holders() const {
+  std::vector<MetadataAgreement::Holder> running;
+  for (const auto& [name, node] : nodes_)
+    if (node->machine)
+      running.push_back({name, node->machine->view()});
+  return running;
+}
+
+MetadataSnapshot latest(World& world) {
+  MetadataSnapshot newest;
+  for (const auto& name : world.names(Kind::controller)) {
+    auto& node = world.node(name);
+    if (node.machine && (!newest || node.machine->view()->epoch > newest->epoch))
+      newest = node.machine->view();
+  }
+  return newest;
 }
 
 }  // namespace mosskeel::sim
