--- a/tests/model/bytes.cpp
+++ b/tests/model/bytes.cpp
@@ -1,25 +1,27 @@
+// The encodings of messages, journal records and checkpoints, as far as the model looks into them.
 #include "model/bytes.hpp"
 
 #include "net/wire.hpp"
 
 namespace mosskeel::model {
 
-uint64_t hash_of(const Envelope& e) {
-  auto x = e;
-  x.id = 0;
-  return digest(encode(x));
+uint64_t hash_of(const Envelope& envelope) {
+  auto unnumbered = envelope;
+  unnumbered.id = 0;
+  return digest(encode(unnumbered));
 }
 
 bool is_vote(const std::string& record) {
-  auto r = codec::decode<ControllerRecord>(record);
-  return r && (std::holds_alternative<PromiseRecord>(*r) || std::holds_alternative<AcceptRecord>(*r));
+  auto decoded = codec::decode<ControllerRecord>(record);
+  return decoded && (std::holds_alternative<PromiseRecord>(*decoded) || std::holds_alternative<AcceptRecord>(*decoded));
 }
 
-Durable durable(const ControllerMachine& m) {
-  auto c = codec::decode<ControllerCheckpoint>(m.checkpoint());
-  if (!c)
+Durable durable(const ControllerMachine& machine) {
+  auto checkpoint = codec::decode<ControllerCheckpoint>(machine.checkpoint());
+  if (!checkpoint)
     return {};
-  return {c->metadata.generation, c->metadata.epoch, c->open, c->promised, c->accepted};
+  return {checkpoint->metadata.generation, checkpoint->metadata.epoch, checkpoint->open, checkpoint->promised,
+          checkpoint->accepted};
 }
 
 }  // namespace mosskeel::model
--- a/tests/model/cluster.hpp
+++ b/tests/model/cluster.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // A few real controller machines with their disks and the messages between them, as one state that can be copied,
-// stepped by one action and hashed. Machines can't be copied: a copy rebuilds each one from its inputs when needed.
+// stepped by one action and hashed. Machines cannot be copied: a copy rebuilds each one from its inputs when needed.
 #include <deque>
 
 #include "consensus/controller_machine.hpp"
@@ -29,12 +29,13 @@
 struct Action {
   Kind kind = Kind::deliver;
   size_t node = 0, index = 0;
+  /// How far clocks move.
   Duration ms{};
   bool operator==(const Action&) const = default;
 };
 using Trace = std::vector<Action>;
-std::string describe(const Action& a);
-std::string describe(const Trace& t);
+std::string describe(const Action& action);
+std::string describe(const Trace& trace);
 
 /// A fault planted between the machines; the machines themselves stay as they are.
 enum class Fault {
@@ -62,27 +63,31 @@
   Duration quiet_step = 400ms;
   /// How far a single clock may run ahead.
   Duration lone_step = 450ms;
-  /// Whether the supervisor's lease is asked for; without it members don't change by themselves.
+  /// Whether the supervisor's lease is asked for; without it members do not change by themselves.
   bool leases = false;
   /// Whether a restart is compared with what the node told; off, only what follows from a lapse is noticed.
   bool watch_restarts = true;
 };
 
+/// The state of the model: controllers, their disks and the messages in flight. A copy is a state of its own.
+///
+/// Invariant: the same actions from the same start lead to the same state and fingerprint, also after copies; all that
+/// is random comes from the machines' seeds. The observer is told of whatever nodes show, send, answer and write.
 class Cluster {
  public:
-  explicit Cluster(Options o) : options_(o) {}
+  explicit Cluster(Options options) : options_(options) {}
   /// Starts a controller on an empty disk; returns its index.
   size_t add(const Address& address, const Addresses& seeds, uint32_t core_size);
   /// All that may happen now; the first is what happens in a world without trouble.
   std::vector<Action> enabled() const;
-  bool possible(const Action& a) const;
-  void apply(const Action& a);
+  bool possible(const Action& action) const;
+  void apply(const Action& action);
   /// Two states with one fingerprint go on alike, but for the order in which messages without effect came.
   uint64_t fingerprint() const;
 
-  void submit(Order o) { orders_.push_back(std::move(o)); }
+  void submit(Order order) { orders_.push_back(std::move(order)); }
   /// Puts a message of somebody outside the model before a node.
-  void inject(size_t node, Envelope e);
+  void inject(size_t node, Envelope envelope);
   MetadataSnapshot view(size_t node) const { return nodes_[node].view; }
   size_t size() const { return nodes_.size(); }
   TimePoint clock(size_t node) const { return nodes_[node].clock; }
@@ -95,20 +100,28 @@
   Options& options() { return options_; }
 
  private:
+  using SharedEnvelope = std::shared_ptr<const Envelope>;
+  /// What a machine was given; the inputs of a node form a list from the last to the first.
   struct Input {
-    std::shared_ptr<const Envelope> envelope;  ///< null for a tick
+    SharedEnvelope envelope;  ///< null for a tick
     TimePoint now;
     std::shared_ptr<const Input> before;
   };
   /// Holds the machine; a copy holds none and is rebuilt.
   struct Running {
     Running() = default;
+    ~Running() = default;
     Running(const Running&) {}
-    Running& operator=(const Running&) { return machine.reset(), *this; }
+    Running& operator=(const Running& other) {
+      if (this != &other)
+        machine.reset();
+      return *this;
+    }
     Running(Running&&) = default;
     Running& operator=(Running&&) = default;
     std::unique_ptr<ControllerMachine> machine;
   };
+  /// What one step writes, and the messages that may leave only after the sync.
   struct Batch {
     std::vector<std::string> journal;
     std::optional<std::string> checkpoint;
@@ -121,7 +134,9 @@
   };
   struct Node {
     Identity identity;
+    /// The disk that was wiped, with its incarnation.
     std::optional<Disk> lost;
+    /// What the running process found on its disk.
     Recovered found;
     TimePoint started{}, clock{};
     std::shared_ptr<const Input> inputs;
@@ -132,40 +147,62 @@
     std::vector<Batch> unsynced;
     Durable durable;  ///< what the synced part of that says
     bool held = false;
+    /// Hashes of the inputs so far, and of those since whose order does not matter.
     uint64_t history = 0, unordered = 0;
   };
   struct Flying {
-    std::shared_ptr<const Envelope> envelope;
+    SharedEnvelope envelope;
     size_t to;
     uint64_t hash;
   };
+  /// From a process to a node.
+  struct Link {
+    Incarnation from{};
+    size_t to = 0;
+    auto operator<=>(const Link&) const = default;
+  };
+  struct LocalMessage {
+    size_t node;
+    SharedEnvelope envelope;
+  };
 
-  ControllerMachine& machine(Node& n) const;
-  std::optional<size_t> at(const Address& a) const;
+  // actions.cpp
+  void add_network_actions(std::vector<Action>& candidates) const;
+  void add_node_actions(std::vector<Action>& candidates, size_t node) const;
+  void carry_out(const Action& action);
+  void deliver_and_crash(const Action& action);
+  void tick_all(Duration time);
+  void cut_off(size_t nodes);
+  void submit_to(size_t node, size_t order);
+
+  // cluster.cpp
+  ControllerMachine& machine(Node& node) const;
+  std::optional<size_t> at(const Address& address) const;
   void start(size_t node);
   void crash(size_t node);
   void wipe(size_t node);
   void return_disk(size_t node);
-  bool severed(size_t a, size_t b) const { return ((cut_ >> a) & 1) != ((cut_ >> b) & 1); }
-  void receive(size_t node, std::shared_ptr<const Envelope> e);
-  void tick(size_t node, Duration ms);
-  void carry_out(const Action& a);
-  void carry_out(size_t node, Actions a, const std::shared_ptr<const Envelope>& cause);
-  void remember(Node& n, const Actions& a, const std::shared_ptr<const Envelope>& cause, bool moved);
+  bool severed(size_t one, size_t other) const { return ((cut_ >> one) & 1) != ((cut_ >> other) & 1); }
+  void receive(size_t node, SharedEnvelope envelope);
+  void tick(size_t node, Duration time);
+  void carry_out(size_t node, Actions actions, const SharedEnvelope& cause);
+  void plant_fault(Actions& actions) const;
+  void remember(Node& node, const Actions& actions, const SharedEnvelope& cause, bool moved);
   void sync(size_t node);
-  void send(size_t node, Envelope e);
-  bool forged(size_t node, const Envelope& e);
+  void send(size_t node, Envelope envelope);
+  void answer_operator(const CommitReply& reply);
+  void transmit(Envelope envelope, size_t to);
+  bool forged(size_t node, const Envelope& envelope);
   void look(size_t node);
   void drain();
-  void submit_to(size_t node, size_t order);
   std::map<Incarnation, Durable> disks() const;
-  std::shared_ptr<const Envelope> take(size_t index);
+  SharedEnvelope take(size_t index);
 
   Options options_;
   std::vector<Node> nodes_;
   std::vector<Flying> network_;
   /// What a node has sent to itself in the action under way: its process hands it over in order, never losing it.
-  std::deque<std::pair<size_t, std::shared_ptr<const Envelope>>> local_;
+  std::deque<LocalMessage> local_;
   std::vector<Order> orders_;
   /// A bit for each node that is cut off from those without.
   size_t cut_ = 0;
--- a/tests/model/explorer.cpp
+++ b/tests/model/explorer.cpp
@@ -1,44 +1,50 @@
 #include "model/explorer.hpp"
 
 #include <ctime>
+#include <random>
 #include <unordered_set>
 
 namespace mosskeel::model {
 namespace {
 
+/// The processor time is looked at once in so many steps, since that costs a system call.
+constexpr uint64_t kStepsBetweenClockReads = 64;
+/// Of ten choices in a walk so many are what happens in a world without trouble.
+constexpr uint64_t kUsualChoicesOfTen = 6;
+/// Keeps fingerprints of different counts of deviations apart.
+constexpr uint64_t kFingerprintFactor = 31;
+
 double processor_seconds() {
-  timespec t{};
-  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
-  return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) * 1e-9;
+  constexpr double nanosecond = 1e-9;
+  timespec time{};
+  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
+  return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * nanosecond;
+}
+
+bool is_broken(const Cluster& state) {
+  return !state.observer().broken().empty();
+}
+
+void note_orders(Report& report, const Cluster& state) {
+  report.acknowledged = std::max(report.acknowledged, state.observer().acknowledged());
+  report.rejected = std::max(report.rejected, state.observer().rejected());
 }
 
+/// A depth-first search. It ends at the first broken invariant and then holds the trace to it.
 class Search {
  public:
-  explicit Search(const Bounds& b) : bounds_(b), began_(processor_seconds()) {}
+  explicit Search(const Bounds& bounds) : bounds_(bounds), began_(processor_seconds()) {}
 
+  /// May move the state away.
   void visit(Cluster& state, int depth, int deviations) {
     ++report_.steps;
-    if (!state.observer().broken().empty())
+    if (is_broken(state))
       return stop(state);
-    if (!fresh(state, depth, deviations))
-      return;
-    report_.acknowledged = std::max(report_.acknowledged, state.observer().acknowledged());
-    report_.rejected = std::max(report_.rejected, state.observer().rejected());
-    if (depth == 0)
+    if (!is_fresh(state, depth, deviations))
       return;
-    auto actions = state.enabled();
-    for (size_t i = 0; i < actions.size() && report_.broken.empty(); ++i) {
-      if (i > 0 && deviations == 0)
-        break;
-      if (over())
-        return;
-      trace_.push_back(actions[i]);
-      bool last = i + 1 == actions.size() || deviations == 0;
-      auto child = last ? std::move(state) : state;
-      child.apply(actions[i]);
-      visit(child, depth - 1, i > 0 && deviations > 0 ? deviations - 1 : deviations);
-      trace_.pop_back();
-    }
+    note_orders(report_, state);
+    if (depth > 0)
+      visit_successors(state, depth, deviations);
   }
 
   Report take() {
@@ -48,25 +54,45 @@
   }
 
  private:
+  /// The first action is what happens without trouble; each other one is a deviation.
+  void visit_successors(Cluster& state, int depth, int deviations) {
+    auto actions = state.enabled();
+    for (size_t i = 0; i < actions.size() && report_.broken.empty(); ++i) {
+      bool deviates = i > 0;
+      if (deviates && deviations == 0)
+        break;
+      if (is_over())
+        return;
+      trace_.push_back(actions[i]);
+      bool is_last = i + 1 == actions.size() || deviations == 0;
+      auto successor = is_last ? std::move(state) : state;
+      successor.apply(actions[i]);
+      visit(successor, depth - 1, deviates && deviations > 0 ? deviations - 1 : deviations);
+      trace_.pop_back();
+    }
+  }
+
   /// A state that was visited with as much depth left needs no second visit.
-  bool fresh(const Cluster& state, int depth, int deviations) {
-    auto key = state.fingerprint() * 31 + static_cast<uint64_t>(deviations + 1);
-    auto [i, first] = seen_.emplace(key, depth);
+  bool is_fresh(const Cluster& state, int depth, int deviations) {
+    auto key = state.fingerprint() * kFingerprintFactor + static_cast<uint64_t>(deviations + 1);
+    auto [visited, first] = seen_.emplace(key, depth);
     if (first)
       return true;
-    if (i->second >= depth)
+    if (visited->second >= depth)
       return false;
-    i->second = depth;
+    visited->second = depth;
     return true;
   }
-  bool over() {
-    bool full = bounds_.states && seen_.size() >= bounds_.states;
-    if (!full && bounds_.seconds > 0 && report_.steps % 64 == 0)
-      late_ = processor_seconds() - began_ > bounds_.seconds;
-    if (full || late_)
+
+  bool is_over() {
+    bool is_full = bounds_.states && seen_.size() >= bounds_.states;
+    if (!is_full && bounds_.seconds > 0 && report_.steps % kStepsBetweenClockReads == 0)
+      is_late_ = processor_seconds() - began_ > bounds_.seconds;
+    if (is_full || is_late_)
       report_.complete = false;
-    return full || late_;
+    return is_full || is_late_;
   }
+
   void stop(const Cluster& state) {
     report_.broken = state.observer().broken();
     report_.trace = trace_;
@@ -75,19 +101,47 @@
 
   Bounds bounds_;
   double began_;
-  bool late_ = false;
+  bool is_late_ = false;
   Report report_;
   Trace trace_;
+  /// The greatest depth that was left when a state was visited, by its fingerprint.
   std::unordered_map<uint64_t, int> seen_;
 };
 
 /// Mostly what happens without trouble, at times anything else.
 size_t choose(std::mt19937_64& random, size_t count) {
-  if (count == 1 || random() % 10 < 6)
+  if (count == 1 || random() % 10 < kUsualChoicesOfTen)
     return 0;
   return random() % count;
 }
 
+/// One walk; it ends early where an invariant is broken.
+void walk_once(const Cluster& start, uint64_t seed, int steps, Report& report, std::unordered_set<uint64_t>& seen) {
+  std::mt19937_64 random(seed);
+  auto state = start;
+  Trace trace;
+  for (int i = 0; i < steps && !is_broken(state); ++i) {
+    auto actions = state.enabled();
+    trace.push_back(actions[choose(random, actions.size())]);
+    state.apply(trace.back());
+    seen.insert(state.fingerprint());
+    ++report.steps;
+  }
+  ++report.runs;
+  note_orders(report, state);
+  if (!is_broken(state))
+    return;
+  report.broken = state.observer().broken();
+  report.trace = trace;
+}
+
+Trace without(const Trace& trace, size_t first, size_t length) {
+  auto begin = trace.begin() + static_cast<ptrdiff_t>(first);
+  Trace rest(trace.begin(), begin);
+  rest.insert(rest.end(), begin + static_cast<ptrdiff_t>(length), trace.end());
+  return rest;
+}
+
 }  // namespace
 
 Report explore(const Cluster& start, const Bounds& bounds) {
@@ -106,23 +160,7 @@
       report.complete = false;
       break;
     }
-    std::mt19937_64 random(seed);
-    auto state = start;
-    Trace trace;
-    for (int i = 0; i < steps && state.observer().broken().empty(); ++i) {
-      auto actions = state.enabled();
-      trace.push_back(actions[choose(random, actions.size())]);
-      state.apply(trace.back());
-      seen.insert(state.fingerprint());
-      ++report.steps;
-    }
-    ++report.runs;
-    report.acknowledged = std::max(report.acknowledged, state.observer().acknowledged());
-    report.rejected = std::max(report.rejected, state.observer().rejected());
-    if (state.observer().broken().empty())
-      continue;
-    report.broken = state.observer().broken();
-    report.trace = trace;
+    walk_once(start, seed, steps, report, seen);
   }
   report.states = seen.size();
   return report;
@@ -130,24 +168,24 @@
 
 std::optional<Cluster> replay(const Cluster& start, const Trace& trace) {
   auto state = start;
-  for (auto& a : trace) {
-    if (!state.possible(a))
+  for (const auto& action : trace) {
+    if (!state.possible(action))
       return std::nullopt;
-    if (!state.observer().broken().empty())
+    if (is_broken(state))
       return state;
-    state.apply(a);
+    state.apply(action);
   }
   return state;
 }
 
+/// Takes parts of halving lengths away, as long as the rest still breaks an invariant.
 Trace shorten(const Cluster& start, Trace trace) {
   for (size_t length = trace.size() / 2; length > 0; length /= 2) {
     for (size_t i = 0; i + length <= trace.size();) {
-      Trace less(trace.begin(), trace.begin() + static_cast<ptrdiff_t>(i));
-      less.insert(less.end(), trace.begin() + static_cast<ptrdiff_t>(i + length), trace.end());
-      auto end = replay(start, less);
-      if (end && !end->observer().broken().empty())
-        trace = std::move(less);
+      auto shorter = without(trace, i, length);
+      auto end = replay(start, shorter);
+      if (end && is_broken(*end))
+        trace = std::move(shorter);
       else
         ++i;
     }
--- a/tests/model/starts.cpp
+++ b/tests/model/starts.cpp
@@ -1,158 +1,193 @@
+// The scripts that lead to the starts of searches.
 #include "model/starts.hpp"
+
 #include "consensus/constants.hpp"
 #include "runtime/constants.hpp"
 
 namespace mosskeel::model {
 namespace {
 
-constexpr int patience = 6000;  // actions; a script that needs more has gone wrong
+/// Actions; a script that needs more has gone wrong.
+constexpr int kMostScriptActions = 6000;
+/// How far the clocks move in scripts when nothing is in flight: finer than any time-out, and coarser with leases.
+constexpr Duration kFineStep = 100ms;
+constexpr Duration kLeaseStep = 150ms;
+constexpr uint32_t kCoreSize = 3;
+/// The nodes of the first three controllers, and of the newcomer.
+constexpr size_t kFirst = 0;
+constexpr size_t kSecond = 1;
+constexpr size_t kThird = 2;
+constexpr size_t kNewcomer = 3;
 
-const Addresses seeds{"c1", "c2", "c3"};
+const Addresses kSeeds{"c1", "c2", "c3"};
 
 Order order(const std::string& id, const std::string& cell) {
   return {id, ApplyConfiguration{Revision{0}, {{Cell{cell, 1000, 100, 60000, {{"chat", "model", {}}}}}}}};
 }
 
-bool same_epoch(const Cluster& c, size_t nodes) {
+/// Two orders on one base; each is sent by its index.
+void submit_two_orders(Cluster& cluster) {
+  cluster.submit(order("first", "a"));
+  cluster.submit(order("second", "b"));
+}
+
+void send_order(Cluster& cluster, size_t node, size_t index) {
+  cluster.apply({Kind::order, node, index, {}});
+}
+
+void restart(Cluster& cluster, size_t node) {
+  cluster.apply({Kind::restart, node, 0, {}});
+}
+
+void wipe(Cluster& cluster, size_t node) {
+  cluster.apply({Kind::wipe, node, 0, {}});
+}
+
+bool have_same_epoch(const Cluster& cluster, size_t nodes) {
   for (size_t i = 0; i < nodes; ++i)
-    if (!c.view(i)->cluster || c.view(i)->epoch != c.view(0)->epoch)
+    if (!cluster.view(i)->cluster || cluster.view(i)->epoch != cluster.view(0)->epoch)
       return false;
   return true;
 }
 
-void need(bool reached, const char* what) {
-  if (!reached)
-    throw std::runtime_error(std::string("the script of a start didn't reach: ") + what);
+/// Goes on without trouble until the condition holds; the script has gone wrong if it never does.
+void must_reach(Cluster& cluster, const char* what, const std::function<bool(const Cluster&)>& done) {
+  if (!settle(cluster, kMostScriptActions, done))
+    throw std::runtime_error(std::string("the script of a start did not reach: ") + what);
 }
 
-/// Puts back the options that only the script had changed.
-class Script {
+/// Sets options for a script, and puts back at its end those that only the script had changed.
+class ScriptOptions {
  public:
-  Script(Cluster& c, Duration quiet_step, bool leases) : cluster_(c), kept_(c.options()) {
-    c.options().fault = Fault::none;
-    c.options().quiet_step = quiet_step;
-    c.options().leases = leases;
+  ScriptOptions(Cluster& cluster, Duration quiet_step, bool leases) : cluster_(cluster), kept_(cluster.options()) {
+    cluster.options().fault = Fault::none;
+    cluster.options().quiet_step = quiet_step;
+    cluster.options().leases = leases;
   }
-  ~Script() { cluster_.options() = kept_; }
+  ScriptOptions(const ScriptOptions&) = delete;
+  ScriptOptions& operator=(const ScriptOptions&) = delete;
+  ~ScriptOptions() { cluster_.options() = kept_; }
 
  private:
   Cluster& cluster_;
   Options kept_;
 };
 
-Cluster founded(Options o) {
-  Cluster c(o);
-  Script s(c, 100ms, false);
-  for (auto& a : seeds)
-    c.add(a, seeds, 3);
-  need(settle(c, patience, [](auto& x) { return same_epoch(x, 3) && x.in_flight() == 0; }), "founding");
-  return c;
+void add_seeds(Cluster& cluster) {
+  for (const auto& address : kSeeds)
+    cluster.add(address, kSeeds, kCoreSize);
+}
+
+void add_newcomer(Cluster& cluster) {
+  cluster.add("c4", kSeeds, kCoreSize);
+}
+
+Cluster founded(Options options) {
+  Cluster cluster(options);
+  ScriptOptions script(cluster, kFineStep, false);
+  add_seeds(cluster);
+  must_reach(cluster, "founding",
+             [](const auto& state) { return have_same_epoch(state, kCoreSize) && state.in_flight() == 0; });
+  return cluster;
+}
+
+/// The first request for a vote that is on its way to the second controller.
+std::optional<size_t> find_vote_request(const Cluster& cluster) {
+  for (size_t i = 0; i < cluster.in_flight(); ++i) {
+    const auto& message = cluster.message(i);
+    if (std::holds_alternative<Accept>(message.body) && message.to == kSeeds[kSecond])
+      return i;
+  }
+  return std::nullopt;
 }
 
 }  // namespace
 
-bool settle(Cluster& c, int actions, const std::function<bool(const Cluster&)>& done) {
-  for (int i = 0; i < actions && !done(c); ++i)
-    c.apply(c.enabled().front());
-  return done(c);
-}
-
-Cluster before_founding(Options o) {
-  o.quiet_step = 100ms;
-  Cluster c(o);
-  Script s(c, 100ms, false);
-  for (auto& a : seeds)
-    c.add(a, seeds, 3);
-  c.add("c4", seeds, 3);
-  auto age = [](const Cluster& x) {
-    return x.clock(0) - kProcessClockStart;
-  };
-  need(settle(c, patience, [&](auto& x) { return age(x) >= kFoundingDelay && x.in_flight() == 0; }), "age");
-  c.submit(order("first", "a"));
-  return c;
-}
-
-Cluster after_founding(Options o) {
-  auto c = founded(o);
-  c.submit(order("first", "a"));
-  c.submit(order("second", "b"));
-  for (size_t i = 0; i < c.size(); ++i)
-    c.apply({Kind::restart, i, 0, {}});
-  c.add("c4", seeds, 3);
-  c.apply({Kind::order, 0, 0, {}});
-  c.apply({Kind::order, 1, 1, {}});
-  c.budget = {};
-  return c;
-}
-
-Cluster open_proposal(Options o) {
-  auto c = founded(o);
-  c.submit(order("first", "a"));
-  c.submit(order("second", "b"));
-  for (size_t i = 0; i < c.size(); ++i)
-    c.apply({Kind::restart, i, 0, {}});
-  c.apply({Kind::order, 0, 0, {}});
-  auto voting = [](const Cluster& x) {
-    for (size_t i = 0; i < x.in_flight(); ++i)
-      if (std::holds_alternative<Accept>(x.message(i).body) && x.message(i).to == "c2")
-        return true;
-    return false;
-  };
-  need(settle(c, patience, voting), "a vote under way");
-  for (size_t i = 0; i < c.in_flight(); ++i)
-    if (std::holds_alternative<Accept>(c.message(i).body) && c.message(i).to == "c2") {
-      c.apply({Kind::deliver, 1, i, {}});
-      break;
-    }
-  while (c.in_flight())
-    c.apply({Kind::lose, 0, 0, {}});
-  c.apply({Kind::restart, 0, 0, {}});
-  c.apply({Kind::order, 2, 1, {}});
-  c.budget = {};
-  return c;
-}
-
-Cluster member_replaced(Options o) {
-  o.leases = true;
-  o.quiet_step = 150ms;
-  Cluster c(o);
-  Script s(c, 150ms, true);
-  for (auto& a : seeds)
-    c.add(a, seeds, 3);
-  need(settle(c, patience, [](auto& x) { return same_epoch(x, 3); }), "founding");
-  c.add("c4", seeds, 3);
-  need(settle(c, patience, [](auto& x) { return same_epoch(x, 4) && x.view(0)->find(x.incarnation(3)); }), "newcomer");
-  c.budget.wipes = 1;
-  auto lost = c.incarnation(2);
-  c.apply({Kind::wipe, 2, 0, {}});
-  auto down = [&](const Cluster& x) {
-    return x.view(0)->find(lost)->state == DaemonState::down;
-  };
-  need(settle(c, patience, down), "a member down");
-  c.submit(order("first", "a"));
-  c.submit(order("second", "b"));
-  c.apply({Kind::order, 0, 0, {}});
-  c.apply({Kind::order, 1, 1, {}});
-  c.budget = {};
-  return c;
-}
-
-Cluster before_refounding(Options o) {
-  o.quiet_step = 150ms;
-  auto c = founded(o);
-  Script s(c, 150ms, true);
-  c.submit(order("first", "a"));
-  c.submit(order("second", "b"));
-  c.apply({Kind::order, 0, 0, {}});
-  need(settle(c, patience, [](auto& x) { return x.observer().acknowledged() == 1; }), "an acknowledgement");
-  c.budget.wipes = 2;
-  c.apply({Kind::wipe, 1, 0, {}});
-  c.apply({Kind::wipe, 2, 0, {}});
-  auto began = c.clock(0);
-  need(settle(c, patience, [&](auto& x) { return x.clock(0) - began >= kCoreLossTimeout; }), "silence");
-  c.budget = {};
-  c.budget.returns = 1;
-  return c;
+bool settle(Cluster& cluster, int actions, const std::function<bool(const Cluster&)>& done) {
+  for (int i = 0; i < actions && !done(cluster); ++i)
+    cluster.apply(cluster.enabled().front());
+  return done(cluster);
+}
+
+Cluster before_founding(Options options) {
+  options.quiet_step = kFineStep;
+  Cluster cluster(options);
+  ScriptOptions script(cluster, kFineStep, false);
+  add_seeds(cluster);
+  add_newcomer(cluster);
+  must_reach(cluster, "age", [](const Cluster& state) {
+    return state.clock(kFirst) - kProcessClockStart >= kFoundingDelay && state.in_flight() == 0;
+  });
+  cluster.submit(order("first", "a"));
+  return cluster;
+}
+
+Cluster after_founding(Options options) {
+  auto cluster = founded(options);
+  submit_two_orders(cluster);
+  for (size_t i = 0; i < cluster.size(); ++i)
+    restart(cluster, i);
+  add_newcomer(cluster);
+  send_order(cluster, kFirst, 0);
+  send_order(cluster, kSecond, 1);
+  cluster.budget = {};
+  return cluster;
+}
+
+Cluster open_proposal(Options options) {
+  auto cluster = founded(options);
+  submit_two_orders(cluster);
+  for (size_t i = 0; i < cluster.size(); ++i)
+    restart(cluster, i);
+  send_order(cluster, kFirst, 0);
+  must_reach(cluster, "a vote under way", [](const Cluster& state) { return find_vote_request(state).has_value(); });
+  cluster.apply({Kind::deliver, kSecond, *find_vote_request(cluster), {}});
+  while (cluster.in_flight())
+    cluster.apply({Kind::lose, 0, 0, {}});
+  restart(cluster, kFirst);
+  send_order(cluster, kThird, 1);
+  cluster.budget = {};
+  return cluster;
+}
+
+Cluster member_replaced(Options options) {
+  options.leases = true;
+  options.quiet_step = kLeaseStep;
+  Cluster cluster(options);
+  ScriptOptions script(cluster, kLeaseStep, true);
+  add_seeds(cluster);
+  must_reach(cluster, "founding", [](const auto& state) { return have_same_epoch(state, kCoreSize); });
+  add_newcomer(cluster);
+  must_reach(cluster, "newcomer", [](const auto& state) {
+    return have_same_epoch(state, kCoreSize + 1) && state.view(kFirst)->find(state.incarnation(kNewcomer));
+  });
+  cluster.budget.wipes = 1;
+  auto lost = cluster.incarnation(kThird);
+  wipe(cluster, kThird);
+  must_reach(cluster, "a member down",
+             [&](const Cluster& state) { return state.view(kFirst)->find(lost)->state == DaemonState::down; });
+  submit_two_orders(cluster);
+  send_order(cluster, kFirst, 0);
+  send_order(cluster, kSecond, 1);
+  cluster.budget = {};
+  return cluster;
+}
+
+Cluster before_refounding(Options options) {
+  options.quiet_step = kLeaseStep;
+  auto cluster = founded(options);
+  ScriptOptions script(cluster, kLeaseStep, true);
+  submit_two_orders(cluster);
+  send_order(cluster, kFirst, 0);
+  must_reach(cluster, "an acknowledgement", [](const auto& state) { return state.observer().acknowledged() == 1; });
+  cluster.budget.wipes = 2;
+  wipe(cluster, kSecond);
+  wipe(cluster, kThird);
+  auto began = cluster.clock(kFirst);
+  must_reach(cluster, "silence", [&](const auto& state) { return state.clock(kFirst) - began >= kCoreLossTimeout; });
+  cluster.budget = {};
+  cluster.budget.returns = 1;
+  return cluster;
 }
 
 const std::vector<Start>& starts() {
