--- a/tests/simulation/cores.cpp
+++ b/tests/simulation/cores.cpp
@@ -37,6 +37,7 @@
 /// A re-founding must be refused while a majority lives or a silent member is not named, and be done otherwise.
 void refound(World& world, const std::string& survivor, const std::vector<std::string>& others) {
   std::vector<DaemonId> lost;
+  lost.reserve(others.size());
   for (const auto& name : others)
     lost.push_back(latest(world)->find_at(name)->id);
   if (request_refounding(world, survivor, lost).outcome != CommitOutcome::rejected)
