--- a/tools/simulate/main.cpp
+++ b/tools/simulate/main.cpp
@@ -103,6 +103,7 @@
 
   void play_all() {
     std::vector<std::thread> threads;
+    threads.reserve(static_cast<size_t>(std::max(0, options_.threads)));
     for (int number = 0; number < options_.threads; ++number)
       threads.emplace_back([this] { work(); });
     for (auto& thread : threads)
