--- a/tests/unit/routing/load_balancer_test.cpp
+++ b/tests/unit/routing/load_balancer_test.cpp
@@ -16,7 +16,11 @@
 
   /// Lets the balancer of this gateway see `metadata`.
   void update(uint64_t gateway = 1) {
-    balancer.update({std::make_shared<Metadata>(metadata), DaemonId{gateway}, TimePoint{1000000ms}, true, false}, now);
+    balancer.update({.view = std::make_shared<Metadata>(metadata),
+                     .self_id = DaemonId{gateway},
+                     .dispatch_until = TimePoint{1000000ms},
+                     .ready = true},
+                    now);
   }
   /// Starts an attempt and returns the replica's name; "later" where none is free now, "none" where there is none.
   std::string start_attempt(uint64_t affinity_hash = 0) {
