--- a/src/consensus/controller_records.hpp
+++ b/src/consensus/controller_records.hpp
@@ -36,8 +36,8 @@
 /// All that the journal before it says. `open` is the epoch of the Paxos instance that `promised` and `accepted` belong
 /// to; `recent` is always empty and kept for the format.
 struct ControllerCheckpoint {
-  MOSSKEEL_FIELDS(ControllerCheckpoint, (Metadata, metadata), (Entries, recent), (Epoch, open),
-                           (Ballot, promised), (std::optional<AcceptedProposal>, accepted));
+  MOSSKEEL_FIELDS(ControllerCheckpoint, (Metadata, metadata), (Entries, recent), (Epoch, open), (Ballot, promised),
+                  (std::optional<AcceptedProposal>, accepted));
 };
 
 }  // namespace mosskeel
--- a/src/history/store_records.hpp
+++ b/src/history/store_records.hpp
@@ -18,7 +18,7 @@
 /// What another store sent and this one did not have; histories of the same name are replaced.
 struct MergeRecord {
   MOSSKEEL_FIELDS(MergeRecord, (PartitionId, partition), (Epoch, fence), (std::vector<HistoryCopy>, histories),
-                           (std::vector<uint64_t>, tombstones));
+                  (std::vector<uint64_t>, tombstones));
 
   bool empty() const { return fence == Epoch{} && histories.empty() && tombstones.empty(); }
 };
--- a/src/messages/consensus_messages.hpp
+++ b/src/messages/consensus_messages.hpp
@@ -25,7 +25,7 @@
 /// founding has `cluster` 0 and names the candidates that it knows.
 struct DiscoverReply {
   MOSSKEEL_FIELDS(DiscoverReply, (Candidate, self), (uint64_t, cluster), (Epoch, epoch), (Addresses, core),
-                           (Candidates, candidates));
+                  (Candidates, candidates));
 };
 
 /// Paxos phase 1: asks an acceptor to promise `ballot` for the instance of `epoch`.
@@ -43,7 +43,7 @@
 /// it. Sent once the promise is durable.
 struct Promise {
   MOSSKEEL_FIELDS(Promise, (Epoch, epoch), (Ballot, ballot), (bool, granted), (Ballot, promised),
-                           (std::optional<AcceptedProposal>, accepted));
+                  (std::optional<AcceptedProposal>, accepted));
 };
 
 /// Paxos phase 2: asks an acceptor to accept `entry` under `ballot`; the instance is the entry's epoch.
@@ -75,16 +75,14 @@
 /// that the reply brings what it lacks. `timeout_ms` (0 for the controller's own) ends before the sender turns to
 /// another controller: the change is not proposed later than that.
 struct Commit {
-  MOSSKEEL_FIELDS(Commit, (std::string, id), (Transformation, change), (Epoch, known_epoch),
-                           (int64_t, timeout_ms));
+  MOSSKEEL_FIELDS(Commit, (std::string, id), (Transformation, change), (Epoch, known_epoch), (int64_t, timeout_ms));
 };
 
 /// What became of a commit, with the log that the sender lacks. For `rejected`, `rejection` and `reason` say why, at
 /// `epoch`, which a majority has confirmed as the newest since the commit came.
 struct CommitReply {
-  MOSSKEEL_FIELDS(CommitReply, (std::string, id), (CommitOutcome, outcome), (std::string, reason),
-                           (Epoch, epoch), (std::optional<Metadata>, checkpoint), (Entries, entries),
-                           (Rejection, rejection));
+  MOSSKEEL_FIELDS(CommitReply, (std::string, id), (CommitOutcome, outcome), (std::string, reason), (Epoch, epoch),
+                  (std::optional<Metadata>, checkpoint), (Entries, entries), (Rejection, rejection));
 };
 
 /// Time since each daemon's last heartbeat (ms), as one controller has received them.
--- a/src/messages/history_messages.hpp
+++ b/src/messages/history_messages.hpp
@@ -15,10 +15,9 @@
 /// request under the same key; `tokens` are reserved or spent; `turn` counts the history's turns; `status` is the
 /// HTTP status of an outcome; `runner` is the gateway that dispatches; `parent` is the turn that it continues.
 struct Record {
-  MOSSKEEL_FIELDS(Record, (RecordKind, kind), (std::string, key), (std::string, thread),
-                           (uint64_t, body_digest), (uint64_t, tokens), (uint32_t, turn), (uint32_t, status),
-                           (DaemonId, runner), (int64_t, retention_ms), (std::string, input), (std::string, output),
-                           (std::string, parent));
+  MOSSKEEL_FIELDS(Record, (RecordKind, kind), (std::string, key), (std::string, thread), (uint64_t, body_digest),
+                  (uint64_t, tokens), (uint32_t, turn), (uint32_t, status), (DaemonId, runner), (int64_t, retention_ms),
+                  (std::string, input), (std::string, output), (std::string, parent));
   bool operator==(const Record&) const = default;
 };
 using Records = std::vector<Record>;
@@ -37,21 +36,21 @@
 /// `term` is that of the request. Not `granted`: a higher term fences it off, or the sender does not own the partition.
 /// `history_term` is the term under which the records were last written as a whole.
 struct ReadHistoryReply {
-  MOSSKEEL_FIELDS(ReadHistoryReply, (HistoryName, history), (Epoch, term), (bool, granted),
-                           (Epoch, history_term), (bool, has_tombstone), (Records, records));
+  MOSSKEEL_FIELDS(ReadHistoryReply, (HistoryName, history), (Epoch, term), (bool, granted), (Epoch, history_term),
+                  (bool, has_tombstone), (Records, records));
 };
 
 /// Appends the records at the index `from`, or with `replace` replaces the whole history by them.
 struct AppendHistory {
-  MOSSKEEL_FIELDS(AppendHistory, (HistoryName, history), (PartitionId, partition), (Epoch, term),
-                           (bool, replace), (uint64_t, from), (Records, records));
+  MOSSKEEL_FIELDS(AppendHistory, (HistoryName, history), (PartitionId, partition), (Epoch, term), (bool, replace),
+                  (uint64_t, from), (Records, records));
 };
 
 /// Sent once the records are durable; `length` counts the store's records. `gap` says that it lacks records before
 /// `from`, or holds the history under another term: the owner then sends all of it.
 struct AppendHistoryReply {
   MOSSKEEL_FIELDS(AppendHistoryReply, (HistoryName, history), (Epoch, term), (bool, granted), (bool, gap),
-                           (uint64_t, length));
+                  (uint64_t, length));
 };
 
 /// A store tells the owner that, by its own clock, the history of this length has outlived its retention.
@@ -68,7 +67,7 @@
 /// digest `after_tombstone`. `sequence` is the epoch of the move.
 struct StreamPartition {
   MOSSKEEL_FIELDS(StreamPartition, (PartitionId, partition), (Epoch, sequence), (HistoryName, after),
-                           (uint64_t, after_tombstone));
+                  (uint64_t, after_tombstone));
 };
 
 /// A complete history as one store holds it.
@@ -79,8 +78,8 @@
 /// One page. `fence` is the highest term that the sender has fenced; `more` says that another page follows.
 struct StreamPartitionReply {
   MOSSKEEL_FIELDS(StreamPartitionReply, (PartitionId, partition), (Epoch, sequence), (HistoryName, after),
-                           (uint64_t, after_tombstone), (Epoch, fence), (std::vector<HistoryCopy>, histories),
-                           (std::vector<uint64_t>, tombstones), (bool, more));
+                  (uint64_t, after_tombstone), (Epoch, fence), (std::vector<HistoryCopy>, histories),
+                  (std::vector<uint64_t>, tombstones), (bool, more));
 };
 
 /// Anti-entropy: a store sends the checksum of a partition's histories to a peer; `stores_epoch` is the epoch of the
@@ -106,7 +105,7 @@
 
 struct ListHistoriesReply {
   MOSSKEEL_FIELDS(ListHistoriesReply, (PartitionId, partition), (HistoryName, after),
-                           (std::vector<HistorySummary>, summaries), (bool, more));
+                  (std::vector<HistorySummary>, summaries), (bool, more));
 };
 
 /// Asks a peer for these histories.
--- a/src/messages/replication_messages.hpp
+++ b/src/messages/replication_messages.hpp
@@ -26,7 +26,7 @@
 /// how many of a store's partitions are not compared with their peers yet.
 struct Heartbeat {
   MOSSKEEL_FIELDS(Heartbeat, (Candidate, self), (Epoch, known), (uint32_t, load), (Epoch, streamed),
-                           (uint32_t, running), (int64_t, sent), (bool, leaving), (uint32_t, incomplete_comparisons));
+                  (uint32_t, running), (int64_t, sent), (bool, leaving), (uint32_t, incomplete_comparisons));
 };
 
 /// The reply: `sent` is the heartbeat's, so that contact counts from the sending. `touched_ms` is how long ago the
@@ -34,7 +34,7 @@
 /// than the sender's.
 struct HeartbeatReply {
   MOSSKEEL_FIELDS(HeartbeatReply, (Epoch, epoch), (std::optional<Metadata>, checkpoint), (Entries, entries),
-                           (int64_t, touched_ms), (bool, confirmed), (int64_t, sent));
+                  (int64_t, touched_ms), (bool, confirmed), (int64_t, sent));
 };
 
 }  // namespace mosskeel
--- a/src/messages/request_messages.hpp
+++ b/src/messages/request_messages.hpp
@@ -9,10 +9,10 @@
 /// left.
 struct ProgramRequest {
   MOSSKEEL_FIELDS(ProgramRequest, (std::string, attempt), (std::string, cell), (std::string, route),
-                           (std::string, program), (std::string, thread), (std::string, key), (std::string, kind),
-                           (std::string, method), (std::string, path), (std::string, prefix), (std::string, body),
-                           (uint64_t, max_tokens), (std::optional<uint32_t>, expected_turns), (bool, urgent),
-                           (bool, bulk), (bool, idempotent), (int64_t, deadline_ms));
+                  (std::string, program), (std::string, thread), (std::string, key), (std::string, kind),
+                  (std::string, method), (std::string, path), (std::string, prefix), (std::string, body),
+                  (uint64_t, max_tokens), (std::optional<uint32_t>, expected_turns), (bool, urgent), (bool, bulk),
+                  (bool, idempotent), (int64_t, deadline_ms));
 };
 
 /// The owner has a forwarded request and will answer it.
@@ -29,28 +29,27 @@
 /// program; `chunks` how many chunks it has in all, `retry_ms` when the caller may try again (0: not said).
 struct ProgramResponse {
   MOSSKEEL_FIELDS(ProgramResponse, (std::string, attempt), (uint32_t, status), (Outcome, executed),
-                           (std::string, reason), (std::string, body), (uint32_t, turn), (uint64_t, tokens),
-                           (uint32_t, retry_ms), (bool, wrong_owner), (uint32_t, chunks));
+                  (std::string, reason), (std::string, body), (uint32_t, turn), (uint64_t, tokens),
+                  (uint32_t, retry_ms), (bool, wrong_owner), (uint32_t, chunks));
 };
 
 /// A gateway's call of a replica, to be sent once.
 struct ReplicaCall {
-  MOSSKEEL_FIELDS(ReplicaCall, (std::string, attempt), (std::string, kind), (std::string, url),
-                           (std::string, method), (std::string, body), (int64_t, deadline_ms), (bool, idempotent));
+  MOSSKEEL_FIELDS(ReplicaCall, (std::string, attempt), (std::string, kind), (std::string, url), (std::string, method),
+                  (std::string, body), (int64_t, deadline_ms), (bool, idempotent));
 };
 
 /// A chunk of the replica's response; `tokens` are those in this chunk.
 struct ReplicaCallChunk {
-  MOSSKEEL_FIELDS(ReplicaCallChunk, (std::string, attempt), (uint32_t, index), (std::string, text),
-                           (uint64_t, tokens));
+  MOSSKEEL_FIELDS(ReplicaCallChunk, (std::string, attempt), (uint32_t, index), (std::string, text), (uint64_t, tokens));
 };
 
 /// The end of a call. `request_sent` says whether anything may have reached the replica; `complete` that the replica
 /// itself ended its response, whose `checksum` and number of `chunks` it states.
 struct ReplicaCallResponse {
   MOSSKEEL_FIELDS(ReplicaCallResponse, (std::string, attempt), (bool, request_sent), (uint32_t, status),
-                           (bool, complete), (uint32_t, chunks), (uint64_t, tokens), (uint64_t, checksum),
-                           (std::string, body), (std::string, reason));
+                  (bool, complete), (uint32_t, chunks), (uint64_t, tokens), (uint64_t, checksum), (std::string, body),
+                  (std::string, reason));
 };
 
 /// The caller has left, or its time is over: ends the call.
--- a/src/messages/turn_messages.hpp
+++ b/src/messages/turn_messages.hpp
@@ -9,21 +9,21 @@
 /// times in ms.
 struct ReserveTurn {
   MOSSKEEL_FIELDS(ReserveTurn, (std::string, attempt), (std::string, program), (std::string, parent),
-                           (std::string, input), (uint64_t, budget), (uint64_t, max_tokens), (bool, keep_history),
-                           (int64_t, retention_ms), (int64_t, timeout_ms));
+                  (std::string, input), (uint64_t, budget), (uint64_t, max_tokens), (bool, keep_history),
+                  (int64_t, retention_ms), (int64_t, timeout_ms));
 };
 
 /// 200 grants the turn, with the text of the chain before the input; anything else is final: the turn has not run.
 struct ReserveTurnReply {
   MOSSKEEL_FIELDS(ReserveTurnReply, (std::string, attempt), (uint32_t, status), (uint32_t, retry_after_ms),
-                           (std::string, reason), (std::string, chain));
+                  (std::string, reason), (std::string, chain));
 };
 
 /// What became of a granted turn: status 200 complete, 0 not run, 502 unknown or broken off. `tokens` were handed to
 /// the caller.
 struct CommitTurn {
-  MOSSKEEL_FIELDS(CommitTurn, (std::string, attempt), (std::string, program), (uint32_t, status),
-                           (uint64_t, tokens), (bool, keep_output), (std::string, output));
+  MOSSKEEL_FIELDS(CommitTurn, (std::string, attempt), (std::string, program), (uint32_t, status), (uint64_t, tokens),
+                  (bool, keep_output), (std::string, output));
 };
 
 /// The outcome is on a quorum; or `committed` is false, and it cannot be there any more.
--- a/src/metadata/configuration.hpp
+++ b/src/metadata/configuration.hpp
@@ -16,8 +16,8 @@
 
 /// A tenant with its own programs. `budget` and `turn_limit` count tokens, of a program and of one turn of it.
 struct Cell {
-  MOSSKEEL_FIELDS(Cell, (std::string, name), (uint64_t, budget), (uint64_t, turn_limit),
-                           (int64_t, retention_ms), (std::vector<Route>, routes));
+  MOSSKEEL_FIELDS(Cell, (std::string, name), (uint64_t, budget), (uint64_t, turn_limit), (int64_t, retention_ms),
+                  (std::vector<Route>, routes));
   bool operator==(const Cell&) const = default;
   static std::set<std::string> optional_fields() { return {}; }
 };
@@ -37,9 +37,9 @@
 /// many replicas one request may be sent to; `kept` stores turns and their chains for `retention_ms`.
 struct Path {
   MOSSKEEL_FIELDS(Path, (std::string, name), (std::string, host), (std::string, prefix), (std::string, kind),
-                           (int64_t, timeout_ms), (int64_t, target_ms), (uint32_t, rank), (uint32_t, attempts),
-                           (bool, kept), (int64_t, retention_ms), (bool, sticky), (bool, resumable), (int64_t, gap_ms),
-                           (std::vector<Share>, shares));
+                  (int64_t, timeout_ms), (int64_t, target_ms), (uint32_t, rank), (uint32_t, attempts), (bool, kept),
+                  (int64_t, retention_ms), (bool, sticky), (bool, resumable), (int64_t, gap_ms),
+                  (std::vector<Share>, shares));
   bool operator==(const Path&) const = default;
   static std::set<std::string> optional_fields() {
     return {"target_ms", "rank", "attempts", "kept", "retention_ms", "sticky", "resumable", "gap_ms"};
@@ -50,9 +50,8 @@
 /// The capacity of each replica of one service: sessions, and requests a second during the `cold_ms` of its slow start.
 /// `slots`, `cache_tokens` and `event_tokens` describe a model's batch, its prefix cache and the tokens of one event.
 struct Service {
-  MOSSKEEL_FIELDS(Service, (std::string, name), (std::string, health_path), (uint32_t, sessions),
-                           (int64_t, cold_ms), (double, cold_per_s), (uint32_t, slots), (uint64_t, cache_tokens),
-                           (uint32_t, event_tokens));
+  MOSSKEEL_FIELDS(Service, (std::string, name), (std::string, health_path), (uint32_t, sessions), (int64_t, cold_ms),
+                  (double, cold_per_s), (uint32_t, slots), (uint64_t, cache_tokens), (uint32_t, event_tokens));
   bool operator==(const Service&) const = default;
   static std::set<std::string> optional_fields() {
     return {"health_path", "sessions", "cold_ms", "cold_per_s", "slots", "cache_tokens", "event_tokens"};
@@ -61,8 +60,7 @@
 
 /// Limits of one caller's connection: bytes of a head and of a body, milliseconds for a head and without any traffic.
 struct CallerLimits {
-  MOSSKEEL_FIELDS(CallerLimits, (uint32_t, head_bytes), (uint32_t, body_bytes), (int64_t, head_ms),
-                           (int64_t, idle_ms));
+  MOSSKEEL_FIELDS(CallerLimits, (uint32_t, head_bytes), (uint32_t, body_bytes), (int64_t, head_ms), (int64_t, idle_ms));
   bool operator==(const CallerLimits&) const = default;
   static std::set<std::string> optional_fields() { return {"head_bytes", "body_bytes", "head_ms", "idle_ms"}; }
 };
@@ -70,7 +68,7 @@
 /// What operators configure. `document` is the operator's own document, verbatim, where that was not this JSON.
 struct Configuration {
   MOSSKEEL_FIELDS(Configuration, (std::vector<Cell>, cells), (std::vector<Path>, paths),
-                           (std::vector<Service>, services), (CallerLimits, callers), (std::string, document));
+                  (std::vector<Service>, services), (CallerLimits, callers), (std::string, document));
   bool operator==(const Configuration&) const = default;
   static std::set<std::string> optional_fields() { return {"paths", "services", "callers", "document"}; }
   /// Null where there is none of this name.
--- a/src/metadata/daemon.hpp
+++ b/src/metadata/daemon.hpp
@@ -20,7 +20,7 @@
 struct Candidate {
   /// `agent_address` is set for a gateway only: its agent receives for it. `http_address` is empty without HTTP.
   MOSSKEEL_FIELDS(Candidate, (Incarnation, incarnation), (Role, role), (std::string, zone), (Address, address),
-                           (Address, agent_address), (Address, http_address), (std::string, machine));
+                  (Address, agent_address), (Address, http_address), (std::string, machine));
   bool operator==(const Candidate&) const = default;
 };
 
--- a/src/metadata/metadata.hpp
+++ b/src/metadata/metadata.hpp
@@ -31,14 +31,13 @@
   ///   consensus, begun at `quorum_change_epoch`) also a majority of `incoming_quorum_members`, else empty
   /// - `configured_replication_factor`: as founded; see `replication_factor()`
   MOSSKEEL_FIELDS(Metadata, (Epoch, epoch), (uint64_t, cluster), (uint32_t, core_size), (uint64_t, generation),
-                           (std::vector<DaemonId>, members), (Directory, directory), (uint64_t, next_id),
-                           (Replicas, replicas), (std::vector<Partition>, partitions), (Locks, locks),
-                           (Sequences, sequences), (Revision, revision), (Configuration, configuration),
-                           (std::set<std::string>, evacuated), (std::vector<AppliedCommit>, applied_commits),
-                           (std::vector<uint64_t>, former_clusters), (std::vector<DaemonId>, quorum_members),
-                           (std::vector<DaemonId>, incoming_quorum_members), (Epoch, quorum_change_epoch),
-                           (uint32_t, max_core_size), (uint32_t, configured_replication_factor),
-                           (std::vector<AppliedConfiguration>, applied_configurations));
+                  (std::vector<DaemonId>, members), (Directory, directory), (uint64_t, next_id), (Replicas, replicas),
+                  (std::vector<Partition>, partitions), (Locks, locks), (Sequences, sequences), (Revision, revision),
+                  (Configuration, configuration), (std::set<std::string>, evacuated),
+                  (std::vector<AppliedCommit>, applied_commits), (std::vector<uint64_t>, former_clusters),
+                  (std::vector<DaemonId>, quorum_members), (std::vector<DaemonId>, incoming_quorum_members),
+                  (Epoch, quorum_change_epoch), (uint32_t, max_core_size), (uint32_t, configured_replication_factor),
+                  (std::vector<AppliedConfiguration>, applied_configurations));
   bool operator==(const Metadata&) const = default;
 
   /// Null where the directory has no such daemon.
--- a/src/metadata/partition.hpp
+++ b/src/metadata/partition.hpp
@@ -13,7 +13,7 @@
   /// - `pending_stores`: the next set while a sequence moves the partition between stores, else empty
   /// - `stores_epoch`: epoch of the last change of either set
   MOSSKEEL_FIELDS(Partition, (DaemonId, owner), (Epoch, term), (std::vector<DaemonId>, stores),
-                           (std::vector<DaemonId>, pending_stores), (Epoch, stores_epoch));
+                  (std::vector<DaemonId>, pending_stores), (Epoch, stores_epoch));
   bool operator==(const Partition&) const = default;
 };
 
@@ -35,8 +35,8 @@
 /// A multi-step change of placement under way. Its partitions are locked until it finishes or is cancelled.
 struct Sequence {
   /// `last_step_epoch` is the epoch that enacted the step before `next_step`.
-  MOSSKEEL_FIELDS(Sequence, (DaemonId, node), (SequenceKind, kind), (SequenceStep, next_step),
-                           (Epoch, started_epoch), (Epoch, last_step_epoch), (std::vector<PartitionMove>, moves));
+  MOSSKEEL_FIELDS(Sequence, (DaemonId, node), (SequenceKind, kind), (SequenceStep, next_step), (Epoch, started_epoch),
+                  (Epoch, last_step_epoch), (std::vector<PartitionMove>, moves));
   bool operator==(const Sequence&) const = default;
 };
 
--- a/src/metadata/replica.hpp
+++ b/src/metadata/replica.hpp
@@ -18,8 +18,8 @@
   /// - `service`: the service of the configuration that it belongs to; empty for a replica of a cell's own
   /// - `warm_up_ms`: remaining slow start, counted from the reading of the replica list that reported it
   MOSSKEEL_FIELDS(Replica, (std::string, name), (std::string, kind), (std::string, zone), (std::string, url),
-                           (ReplicaHealth, health), (Epoch, since), (uint32_t, capacity), (std::string, service),
-                           (int64_t, warm_up_ms));
+                  (ReplicaHealth, health), (Epoch, since), (uint32_t, capacity), (std::string, service),
+                  (int64_t, warm_up_ms));
   bool operator==(const Replica&) const = default;
 };
 
--- a/src/metadata/transformation.hpp
+++ b/src/metadata/transformation.hpp
@@ -12,7 +12,7 @@
 /// `replication_factor` how many stores keep each history (0: `kDefaultHistoryReplicas`).
 struct FoundCluster {
   MOSSKEEL_FIELDS(FoundCluster, (uint64_t, cluster), (uint32_t, core_size), (std::vector<Candidate>, members),
-                           (uint32_t, max_core_size), (uint32_t, replication_factor));
+                  (uint32_t, max_core_size), (uint32_t, replication_factor));
   bool operator==(const FoundCluster&) const = default;
 };
 
@@ -119,7 +119,7 @@
 /// changes. `generation` guards against a second re-founding of the same loss.
 struct RefoundCluster {
   MOSSKEEL_FIELDS(RefoundCluster, (uint64_t, generation), (std::vector<DaemonId>, lost),
-                           (std::vector<Candidate>, fresh));
+                  (std::vector<Candidate>, fresh));
   bool operator==(const RefoundCluster&) const = default;
 };
 
--- a/src/runtime/settings.hpp
+++ b/src/runtime/settings.hpp
@@ -14,12 +14,11 @@
 /// `later_start` forbids founding; `core_most` and `copies` are the largest core and the number of stores that keep a
 /// history, 0 for the default; `tolerated_machines` and `tolerated_zones` are what may be lost at once.
 struct Settings {
-  MOSSKEEL_FIELDS(Settings, (std::string, listen), (std::string, http), (std::string, agent),
-                           (std::string, zone), (std::vector<std::string>, seeds), (std::string, data),
-                           (uint32_t, core_size), (int64_t, tcm_await_ms), (int64_t, tcm_rpc_ms),
-                           (std::string, machine), (std::string, ready), (std::string, dialect), (std::string, list),
-                           (bool, later_start), (uint32_t, core_most), (uint32_t, copies),
-                           (uint32_t, tolerated_machines), (uint32_t, tolerated_zones));
+  MOSSKEEL_FIELDS(Settings, (std::string, listen), (std::string, http), (std::string, agent), (std::string, zone),
+                  (std::vector<std::string>, seeds), (std::string, data), (uint32_t, core_size),
+                  (int64_t, tcm_await_ms), (int64_t, tcm_rpc_ms), (std::string, machine), (std::string, ready),
+                  (std::string, dialect), (std::string, list), (bool, later_start), (uint32_t, core_most),
+                  (uint32_t, copies), (uint32_t, tolerated_machines), (uint32_t, tolerated_zones));
   /// Every field may be left out of the file.
   static std::set<std::string> optional_fields() {
     return {"listen",
--- a/src/storage/log_frame.hpp
+++ b/src/storage/log_frame.hpp
@@ -40,8 +40,7 @@
 /// Says that the first `synced` bytes of segment `sequence` of this daemon were durable before the mark was written.
 /// A record by its form, which begins with an index that no kind of record has: daemons that do not know it skip it.
 struct SyncMark {
-  MOSSKEEL_FIELDS(SyncMark, (uint64_t, magic), (Incarnation, incarnation), (uint64_t, sequence),
-                           (uint64_t, synced));
+  MOSSKEEL_FIELDS(SyncMark, (uint64_t, magic), (Incarnation, incarnation), (uint64_t, sequence), (uint64_t, synced));
   static constexpr uint64_t kMagic = 0x6b72616d2d79ffff;
   /// Size of its encoding, without and with the frame.
   static constexpr size_t kBytes = 32, kFramedBytes = kBytes + kFrameHeaderBytes;
--- a/tools/simulate/main.cpp
+++ b/tools/simulate/main.cpp
@@ -5,7 +5,10 @@
 #include <atomic>
 #include <cstdio>
 #include <mutex>
+#include <optional>
+#include <string>
 #include <thread>
+#include <vector>
 
 #include "simulation/scenarios.hpp"
 
