--- a/tests/unit/simulation/sim_test.cpp
+++ b/tests/unit/simulation/sim_test.cpp
@@ -1,4 +1,10 @@
+// Simulated days with fixed seeds: none breaks a rule, and a seed gives the same day again.
 #include "simulation/scenarios.hpp"
+
+#include <set>
+#include <string>
+#include <vector>
+
 #include "unit/catch.hpp"
 
 using namespace mosskeel;
