--- a/src/messages/message.hpp
+++ b/src/messages/message.hpp
@@ -23,7 +23,7 @@
                  CommitTurn, CommitTurnReply, FindChain, FindChainReply>;
 
 /// A message as it travels: `protocol` is kProtocolRevision, `cluster` 0 before the sender knows one, `epoch` what the
-/// sender knows, `id` random, `from_inc` and `to_inc` the incarnations of both ends (0: whoever has the address).
+/// sender knows, `id` random; `to_incarnation` 0 means whoever has the address.
 struct Envelope {
   MOSSKEEL_FIELDS(Envelope, (uint16_t, protocol), (uint64_t, cluster), (Epoch, epoch), (uint64_t, id), (Address, from),
                   (Incarnation, from_incarnation), (Address, to), (Incarnation, to_incarnation), (Message, body));
