--- a/src/base/queue.hpp
+++ b/src/base/queue.hpp
@@ -13,10 +13,14 @@
 template <class T>
 class Queue {
  public:
-  void push(T item) {
+  /// @return false where the queue is closed; the item is dropped.
+  bool push(T item) {
     std::lock_guard lock(mutex_);
+    if (closed_)
+      return false;
     items_.push_back(std::move(item));
     changed_.notify_one();
+    return true;
   }
 
   /// Everything that is there; waits up to `timeout` for the first item. Empty after a time-out or once closed.
@@ -37,7 +41,7 @@
     return item;
   }
 
-  /// Wakes all who wait; what is in the queue can still be taken.
+  /// Wakes all who wait. What is in the queue can still be taken; nothing more is added.
   void close() {
     std::lock_guard lock(mutex_);
     closed_ = true;
--- a/src/daemons/controller/main.cpp
+++ b/src/daemons/controller/main.cpp
@@ -85,6 +85,7 @@
     return false;
   };
   auto exit_code = run_until_stopped(host, kProgram, begin_shutdown);
+  mailboxes.shut_down();
   replica_poller.reset();
   server.value().reset();
   return exit_code;
--- a/src/daemons/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -105,6 +105,7 @@
       routing_thread->begin_draining();
     return false;
   });
+  mailboxes.shut_down();
   wait_for_sessions(mailboxes);
   http_server.reset();
   routing_thread.reset();
--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -39,6 +39,28 @@
   return http;
 }
 
+/// To a caller whose request was handed to the state machine, which never replied.
+ProgramResponse lost_response(const std::string& attempt) {
+  ProgramResponse response{};
+  response.attempt = attempt;
+  response.status = 504;
+  response.executed = Outcome::unknown;
+  response.reason = "this worker lost sight of the request";
+  response.retry_ms = kDefaultRetryAfter;
+  return response;
+}
+
+/// To a caller whose request came after the state machine's end.
+ProgramResponse stopped_response(const std::string& attempt) {
+  ProgramResponse response{};
+  response.attempt = attempt;
+  response.status = 503;
+  response.executed = Outcome::no;
+  response.reason = "this worker has stopped";
+  response.retry_ms = kDefaultRetryAfter;
+  return response;
+}
+
 ApiResponse unknown_path(const ApiRequest& request) {
   return ApiResponse::error(404, "unknown_path", request.method + " " + request.path + " is nothing here");
 }
@@ -48,13 +70,8 @@
 ApiResponse ProgramApi::run(ProgramRequest request, Delivery delivery) {
   auto answered_by = process_now() + request_timeout(request) + kOutcomeTransferTimeout;
   auto session = std::make_shared<CallerSession>(mailboxes_, answered_by);
-
-  ProgramResponse lost{};
-  lost.attempt = request.attempt;
-  lost.status = 504;
-  lost.executed = Outcome::unknown;
-  lost.reason = "this worker lost sight of the request";
-  lost.retry_ms = kDefaultRetryAfter;
+  auto attempt = request.attempt;
+  auto lost = lost_response(attempt);
 
   auto view = host_.view();
   Envelope envelope{};
@@ -62,7 +79,8 @@
   envelope.cluster = view->cluster;
   envelope.epoch = view->epoch;
   envelope.body = std::move(request);
-  host_.post(std::move(envelope));
+  if (!host_.post(std::move(envelope)))
+    return failure_response(stopped_response(attempt));
 
   while (true) {
     auto message = session->receive();
--- a/src/net/local_mailboxes.cpp
+++ b/src/net/local_mailboxes.cpp
@@ -6,6 +6,9 @@
   std::lock_guard lock(mutex_);
   auto address = "local:" + std::to_string(++last_number_);
   auto mailbox = std::make_shared<Mailbox>();
+  if (is_shut_down_) {
+    mailbox->close();
+  }
   mailboxes_[address] = mailbox;
   return {address, mailbox};
 }
@@ -28,6 +31,14 @@
   mailbox->push(envelope.body);
 }
 
+void LocalMailboxes::shut_down() {
+  std::lock_guard lock(mutex_);
+  is_shut_down_ = true;
+  for (auto& [_, mailbox] : mailboxes_) {
+    mailbox->close();
+  }
+}
+
 size_t LocalMailboxes::size() const {
   std::lock_guard lock(mutex_);
   return mailboxes_.size();
--- a/src/runtime/host.cpp
+++ b/src/runtime/host.cpp
@@ -14,8 +14,6 @@
 
 /// How long the disk's thread waits for work before it looks whether it is to end.
 constexpr Duration kDiskQueueWait = 200ms;
-/// How often a caller of `ask` looks whether the host is ending.
-constexpr Duration kAskPollInterval = 50ms;
 
 size_t bytes_in_memory(const Batch& batch) {
   size_t bytes = batch.checkpoint ? batch.checkpoint->size() : 0;
@@ -57,8 +55,9 @@
 
 void Host::stop() {
   stopped_ = true;
-  halting_ = true;
+  // Closed before the machine's thread is told to end: what that thread finds last is all there will ever be.
   inbox_.close();
+  halting_ = true;
   if (machine_thread_.joinable())
     machine_thread_.join();
   disk_queue_.close();
@@ -75,11 +74,12 @@
 void Host::ask(const std::function<void(StateMachine&, TimePoint)>& function) {
   auto done = std::make_shared<std::promise<void>>();
   auto finished = done->get_future();
-  inbox_.call([function, done](StateMachine& machine, TimePoint now) {
+  // The call alone owns the promise: where it is dropped, the promise is broken, which ends the wait too.
+  inbox_.call([&function, done = std::move(done)](StateMachine& machine, TimePoint now) {
     function(machine, now);
     done->set_value();
   });
-  while (!halting_ && finished.wait_for(kAskPollInterval) != std::future_status::ready) {}
+  finished.wait();
 }
 
 void Host::send(Envelope message) {
@@ -149,6 +149,7 @@
     }
     publish_view();
   }
+  handle_inbox(Duration::zero());
 }
 
 /// Made in the state machine's thread, so that it stands for all that was enqueued before it.
--- a/src/runtime/host.hpp
+++ b/src/runtime/host.hpp
@@ -32,7 +32,7 @@
 
   /// Errors where the address cannot be listened on; nothing runs then.
   Errors start(const Make& make);
-  /// Ends all threads, after the journal is written; may be called twice.
+  /// Ends all threads: handles what was posted before, and writes the journal. May be called twice.
   void stop();
   /// The state machine has asked to end, or the disk has failed.
   bool stopped() const { return stopped_; }
@@ -41,9 +41,9 @@
   void route(const std::string& prefix, Deliver deliver) { local_routes_[prefix] = std::move(deliver); }
   /// Called after each batch of steps.
   void watch(Watch watch);
-  /// Hands the state machine a message from inside the process.
-  void post(Envelope message) { inbox_.post(std::move(message)); }
-  /// Runs `function` in the state machine's thread and waits for its end, or for the host's.
+  /// Hands the state machine a message from inside the process. False where the host has ended: the message is dropped.
+  bool post(Envelope message) { return inbox_.post(std::move(message)); }
+  /// Runs `function` in the state machine's thread and waits for its end. Not run where the host has ended.
   void ask(const std::function<void(StateMachine&, TimePoint)>& function);
   /// The metadata that the state machine knew after its last batch of steps.
   MetadataSnapshot view() const { return std::atomic_load(&view_); }
--- a/src/runtime/inbox.hpp
+++ b/src/runtime/inbox.hpp
@@ -22,24 +22,25 @@
 
   explicit Inbox(size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  /// A message from another process; false where too much waits: it counts as lost on the way.
+  /// A message from another process; false where too much waits or the inbox is closed: it counts as lost on the way.
   bool hear(Envelope message, size_t bytes) {
     if (bytes > kSmallMessageBytes && bytes_ + bytes > max_bytes_) {
       ++refused_;
       return false;
     }
     bytes_ += bytes;
-    items_.push({std::move(message), bytes});
-    return true;
+    return items_.push({std::move(message), bytes});
   }
 
-  /// A message from inside the process; not bounded.
-  void post(Envelope message) { items_.push({std::move(message), 0}); }
+  /// A message from inside the process; not bounded. False where the inbox is closed.
+  bool post(Envelope message) { return items_.push({std::move(message), 0}); }
+  /// Dropped, uncalled, where the inbox is closed.
   void call(Call function) { items_.push({std::move(function), 0}); }
 
   /// Everything that waits; each item counts against the bound until it is said to be `done`.
   std::deque<Item> take(Duration timeout) { return items_.take(timeout); }
   void done(const Item& item) { bytes_ -= item.bytes; }
+  /// What is in the inbox can still be taken; nothing more is added.
   void close() { items_.close(); }
 
   size_t bytes() const { return bytes_; }
--- a/tests/unit/net/local_mailboxes_test.cpp
+++ b/tests/unit/net/local_mailboxes_test.cpp
@@ -38,3 +38,17 @@
   CHECK(mailboxes.size() == 0);
   CHECK_FALSE(opened.mailbox->pop(0ms));
 }
+
+TEST_CASE("LocalMailboxes that are shut down end each wait at once, also one that begins later") {
+  LocalMailboxes mailboxes;
+  auto opened_before = mailboxes.open();
+  mailboxes.deliver(envelope_to(opened_before.address, 7));
+
+  mailboxes.shut_down();
+  auto opened_after = mailboxes.open();
+  mailboxes.deliver(envelope_to(opened_after.address, 8));
+
+  CHECK(opened_before.mailbox->pop(10s));
+  CHECK_FALSE(opened_before.mailbox->pop(10s));
+  CHECK_FALSE(opened_after.mailbox->pop(10s));
+}
--- /dev/null
+++ b/tests/unit/runtime/silent_machine.hpp
@@ -0,0 +1,25 @@
+#pragma once
+// A state machine that counts the messages that it gets and replies to none.
+#include <atomic>
+
+#include "runtime/state_machine.hpp"
+
+namespace mosskeel::test {
+
+class SilentMachine : public StateMachine {
+ public:
+  /// @param steps is set to the number of messages handled; must outlive the machine.
+  explicit SilentMachine(std::atomic<int>& steps) : steps_(steps) {}
+  Actions step(const Envelope&, TimePoint) override {
+    ++steps_;
+    return {};
+  }
+  Actions tick(TimePoint) override { return {}; }
+  MetadataSnapshot view() const override { return metadata_; }
+
+ private:
+  std::atomic<int>& steps_;
+  MetadataSnapshot metadata_ = std::make_shared<Metadata>();
+};
+
+}  // namespace mosskeel::test
