--- /dev/null
+++ b/tests/unit/programs/turn_owner_test.cpp
@@ -0,0 +1,112 @@
+// What the owner of a program answers to a key that was used before.
+#include "programs/turn_owner.hpp"
+
+#include "programs/program_request.hpp"
+#include "unit/routing/turn_owner_fixture.hpp"
+
+using namespace mosskeel;
+
+namespace {
+
+constexpr const char* kKey = "key";
+constexpr const char* kOutput = "output";
+
+/// Gateway 1 with the history of one program, which holds the reservation of one turn.
+struct OwningGateway {
+  GatewayContext context{Identity{test::candidate(1, Role::front, "z1"), {}}};
+  OpenRequests requests;
+  RecentResponses recent_responses;
+  ReplicaSelector replica_selector;
+  RequestResponder responder{context, requests, recent_responses, replica_selector};
+  HistoryWriter history_writer{context.outbox, context.metadata_log};
+  TurnClient turn_client{context.outbox, context.metadata_log};
+  TurnRunners turn_runners{context, requests, turn_client};
+  OutcomeSender outcome_sender{context, requests, responder};
+  TurnOwner turn_owner{context, history_writer, requests, replica_selector, responder, turn_runners, outcome_sender};
+  HistoryName history{turn_history_name("p")};
+  TimePoint now{1000ms};
+
+  OwningGateway() {
+    auto metadata = test::small_fleet();
+    Cell cell{};
+    cell.name = "lab";
+    cell.budget = 1000;
+    metadata.configuration.cells = {cell};
+    context.metadata_log.install_snapshot(metadata);
+    history_writer.open(history, now);
+    for (uint64_t store : {11, 12})
+      receive(store, ReadHistoryReply{history, history_writer.term(history), true, {}, false, {}});
+    acknowledge(0);
+    REQUIRE(history_writer.open(history, now) == HistoryWriter::State::open);
+  }
+
+  void receive(uint64_t store, Message reply) {
+    history_writer.handle(test::Owner::from(store, std::move(reply)), now);
+  }
+  /// A majority of the stores has synced so many records.
+  void acknowledge(uint64_t length) {
+    for (uint64_t store : {11, 12})
+      receive(store, AppendHistoryReply{history, history_writer.term(history), true, false, length});
+  }
+  /// Appends a record of the turn, which is not committed yet. Returns the history's length then.
+  uint64_t append(RecordKind kind, uint32_t status) {
+    Record record{};
+    record.kind = kind;
+    record.key = kKey;
+    record.body_digest = body_digest(request());
+    record.turn = 1;
+    record.runner = DaemonId{1};
+    record.status = status;
+    record.output = kOutput;
+    return history_writer.append(history, record, now);
+  }
+  static ProgramRequest request() {
+    ProgramRequest request{};
+    request.attempt = "second attempt";
+    request.cell = "lab";
+    request.program = "p";
+    request.kind = kModelRequest;
+    request.key = kKey;
+    request.body = "input";
+    return request;
+  }
+  /// The second request under the key.
+  ProgramResponse repeat() {
+    OpenRequest repeated;
+    repeated.request = request();
+    repeated.reply_to = "local:1";
+    repeated.history = history;
+    CHECK_FALSE(turn_owner.admit(requests.add(std::move(repeated)), now));
+    auto sent = test::take_sent<ProgramResponse>(context.outbox);
+    REQUIRE(sent.size() == 1);
+    return sent[0].second;
+  }
+};
+
+}  // namespace
+
+TEST_CASE("TurnOwner tells a recorded answer once a majority of the stores has it, and not before") {
+  OwningGateway gateway;
+  gateway.acknowledge(gateway.append(RecordKind::reservation, 0));
+  auto length = gateway.append(RecordKind::outcome, 200);
+
+  auto before = gateway.repeat();
+  gateway.acknowledge(length);
+  auto after = gateway.repeat();
+
+  CHECK(before.status == 409);
+  CHECK(before.body.empty());
+  CHECK(before.retry_ms > 0);
+  CHECK(after.status == 200);
+  CHECK(after.body == kOutput);
+}
+
+TEST_CASE("TurnOwner does not run a turn again whose outcome was lost with its gateway's memory") {
+  OwningGateway gateway;
+  gateway.acknowledge(gateway.append(RecordKind::reservation, 0));
+
+  auto response = gateway.repeat();
+
+  CHECK(response.status == 502);
+  CHECK(response.executed == Outcome::unknown);
+}
