--- a/tests/unit/platform/protocol_codec_test.cpp
+++ b/tests/unit/platform/protocol_codec_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const ProtocolCodec& codec() {
+const ProtocolCodec& platform_codec() {
   const auto* found = find_protocol_codec("platform");
   REQUIRE(found);
   return *found;
@@ -35,7 +35,7 @@
                              {"Mosskeel-Program-Time-Left", "5200.75"}},
                             "body"};
 
-  auto parsed = codec().parse_request(request);
+  auto parsed = platform_codec().parse_request(request);
 
   REQUIRE(parsed.ok());
   const auto& headers = parsed.value();
@@ -54,13 +54,13 @@
 }
 
 TEST_CASE("Missing request headers leave values unset, and a negative time left is zero") {
-  auto parsed = codec().parse_request(get_request({}));
+  auto parsed = platform_codec().parse_request(get_request({}));
   REQUIRE(parsed.ok());
   CHECK(parsed.value().time_left == std::nullopt);
   CHECK(parsed.value().program_time_left == std::nullopt);
   CHECK_FALSE(parsed.value().token_budget);
 
-  auto late = codec().parse_request(get_request({{"Mosskeel-Time-Left", "-3"}}));
+  auto late = platform_codec().parse_request(get_request({{"Mosskeel-Time-Left", "-3"}}));
   REQUIRE(late.ok());
   CHECK(late.value().time_left == 0ms);
 }
@@ -74,7 +74,7 @@
   for (const auto& [name, text] : table) {
     INFO(name << ": " << text);
 
-    auto parsed = codec().parse_request(get_request({{name, text}}));
+    auto parsed = platform_codec().parse_request(get_request({{name, text}}));
 
     REQUIRE_FALSE(parsed.ok());
     REQUIRE(parsed.errors().size() == 1);
@@ -83,7 +83,7 @@
 }
 
 TEST_CASE("Response headers tell the attempt, whether it ran, and the replica's load") {
-  auto complete = codec().parse_response(200, {{"Mosskeel-Attempt-Id", "a1"},
+  auto complete = platform_codec().parse_response(200, {{"Mosskeel-Attempt-Id", "a1"},
                                                {"Mosskeel-Server-Seal", "3e1b.07.5a2.600.0.c9f2a4d1"},
                                                {"Mosskeel-Replica-Load", "3,0,8"}});
   CHECK(complete.attempt_id == "a1");
@@ -92,37 +92,37 @@
   REQUIRE(complete.load);
   CHECK(*complete.load == ReplicaLoad{.running = 3, .waiting = 0, .capacity = 8});
 
-  CHECK(codec().parse_response(503, {{"Mosskeel-Not-Run", "1"}}).not_run);
-  CHECK_FALSE(codec().parse_response(503, {}).not_run);
-  CHECK(codec().parse_response(421, {}).not_run);
+  CHECK(platform_codec().parse_response(503, {{"Mosskeel-Not-Run", "1"}}).not_run);
+  CHECK_FALSE(platform_codec().parse_response(503, {}).not_run);
+  CHECK(platform_codec().parse_response(421, {}).not_run);
 }
 
 TEST_CASE("An unreadable replica load is ignored") {
   for (const auto* load : {"", "3", "3,0", "3,0,", "a,b,c", "3,0,8,9"}) {
     INFO(load);
-    CHECK_FALSE(codec().parse_response(200, {{"Mosskeel-Replica-Load", load}}).load);
+    CHECK_FALSE(platform_codec().parse_response(200, {{"Mosskeel-Replica-Load", load}}).load);
   }
 }
 
 TEST_CASE("Upstream headers replace those that the caller sent") {
   HeaderFields forged{{"mosskeel-target-replica", "forged"}, {"Mosskeel-Time-Left", "9000"}, {"Accept", "*/*"}};
-  codec().set_upstream_headers(forged, "i-7f3a91c2", 1200ms, 3);
+  platform_codec().set_upstream_headers(forged, "i-7f3a91c2", 1200ms, 3);
   CHECK(forged == HeaderFields{{"Accept", "*/*"},
                                {"Mosskeel-Target-Replica", "i-7f3a91c2"},
                                {"Mosskeel-Time-Left", "1200"},
                                {"Mosskeel-Urgency", "3"}});
 
   HeaderFields with_urgency{{"Mosskeel-Urgency", "7"}};
-  codec().set_upstream_headers(with_urgency, "i-1", std::nullopt, std::nullopt);
+  platform_codec().set_upstream_headers(with_urgency, "i-1", std::nullopt, std::nullopt);
   CHECK(with_urgency == HeaderFields{{"Mosskeel-Urgency", "7"}, {"Mosskeel-Target-Replica", "i-1"}});
 }
 
 TEST_CASE("Rejection headers carry Retry-After in seconds, and readiness checks are recognized") {
-  CHECK(codec().rejection_headers(250ms) == HeaderFields{{"Retry-After", "0.250"}});
-  CHECK(codec().rejection_headers(0ms).empty());
+  CHECK(platform_codec().rejection_headers(250ms) == HeaderFields{{"Retry-After", "0.250"}});
+  CHECK(platform_codec().rejection_headers(0ms).empty());
 
-  CHECK(codec().is_readiness_probe({"GET", "/v1/ready", "", {}, ""}));
-  CHECK(codec().is_readiness_probe({"GET", "/v1/ready?x", "", {}, ""}));
-  CHECK_FALSE(codec().is_readiness_probe({"POST", "/v1/ready", "", {}, ""}));
-  CHECK_FALSE(codec().is_readiness_probe({"GET", "/v1/ready/2", "", {}, ""}));
+  CHECK(platform_codec().is_readiness_probe({"GET", "/v1/ready", "", {}, ""}));
+  CHECK(platform_codec().is_readiness_probe({"GET", "/v1/ready?x", "", {}, ""}));
+  CHECK_FALSE(platform_codec().is_readiness_probe({"POST", "/v1/ready", "", {}, ""}));
+  CHECK_FALSE(platform_codec().is_readiness_probe({"GET", "/v1/ready/2", "", {}, ""}));
 }
