--- a/src/consensus/founding.cpp
+++ b/src/consensus/founding.cpp
@@ -10,7 +10,7 @@
 void Founding::initialize(const Recovered& recovered) {
   const Identity& id = outbox_.id();
   bool empty_disk = !recovered.checkpoint && recovered.journal.empty();
-  if (id.later_start || !empty_disk)
+  if (id.forbid_founding || !empty_disk)
     return;
   founders_ = id.seeds;
   if (founders_.empty())
--- a/src/daemons/agent/main.cpp
+++ b/src/daemons/agent/main.cpp
@@ -24,13 +24,13 @@
   identity.self.incarnation = Incarnation{random_number()};
   identity.self.role = Role::front;
   identity.self.zone = settings.zone;
-  identity.self.address = settings.listen;
-  identity.self.agent_address = settings.agent;
+  identity.self.address = settings.listen_address;
+  identity.self.agent_address = settings.agent_address;
   identity.self.machine = settings.machine;
   identity.seeds = settings.seeds;
   identity.core_size = 0;
   identity.random_seed = random_number();
-  identity.commit_attempt_timeout = Duration(settings.tcm_rpc_ms);
+  identity.commit_attempt_timeout = settings.commit_attempt_timeout;
   return identity;
 }
 
--- a/src/daemons/controller/main.cpp
+++ b/src/daemons/controller/main.cpp
@@ -29,17 +29,18 @@
   identity.self.incarnation = incarnation;
   identity.self.role = Role::controller;
   identity.self.zone = settings.zone;
-  identity.self.address = settings.listen;
-  identity.self.http_address = settings.http;
+  identity.self.address = settings.listen_address;
+  identity.self.http_address = settings.http_address;
   identity.self.machine = settings.machine;
   identity.seeds = settings.seeds;
   identity.core_size = settings.core_size;
   identity.random_seed = random_number();
-  identity.commit_attempt_timeout = Duration(settings.tcm_rpc_ms);
-  identity.later_start = settings.later_start;
-  identity.max_core_size = settings.core_most;
-  identity.replication_factor =
-      settings.copies ? settings.copies : replication_factor_for(settings.tolerated_machines, settings.tolerated_zones);
+  identity.commit_attempt_timeout = settings.commit_attempt_timeout;
+  identity.forbid_founding = settings.forbid_founding;
+  identity.max_core_size = settings.max_core_size;
+  identity.replication_factor = settings.replication_factor;
+  if (identity.replication_factor == 0)
+    identity.replication_factor = replication_factor_for(settings.tolerated_machines, settings.tolerated_zones);
   return identity;
 }
 
@@ -54,13 +55,13 @@
   block_signals();
   curl_global_init(CURL_GLOBAL_DEFAULT);
 
-  auto opened_disk = open_disk(settings.data);
+  auto opened_disk = open_disk(settings.data_directory);
   if (auto* exit_code = std::get_if<int>(&opened_disk))
     return *exit_code;
   auto disk = std::get<std::shared_ptr<Disk>>(opened_disk);
   const auto identity = make_identity(settings, disk->recovered().incarnation);
 
-  Host host(disk, settings.listen);
+  Host host(disk, settings.listen_address);
   LocalMailboxes mailboxes;
   host.route("local", [&](const Envelope& envelope) { mailboxes.deliver(envelope); });
   auto start_errors = host.start([&](const Recovered& recovered, TimePoint now) {
@@ -69,15 +70,16 @@
   if (!start_errors.empty())
     return cannot_start(kProgram, start_errors);
 
-  const auto* protocol = find_control_protocol(settings.dialect);
-  HostControllerAccess controller(host, mailboxes, Duration(settings.tcm_rpc_ms));
-  AdminApi admin_api(host, controller, Duration(settings.tcm_await_ms), protocol);
-  auto server = HttpServer::open(settings.http, [&](const ApiRequest& request) { return admin_api.handle(request); });
+  const auto* protocol = find_control_protocol(settings.platform_protocol);
+  HostControllerAccess controller(host, mailboxes, settings.commit_attempt_timeout);
+  AdminApi admin_api(host, controller, settings.commit_timeout, protocol);
+  auto server =
+      HttpServer::open(settings.http_address, [&](const ApiRequest& request) { return admin_api.handle(request); });
   if (!server.ok())
     return cannot_start(kProgram, server.errors());
   std::unique_ptr<ReplicaPoller> replica_poller;
-  if (protocol && !settings.list.empty())
-    replica_poller = std::make_unique<ReplicaPoller>(controller, *protocol, settings.list);
+  if (protocol && !settings.replica_list_address.empty())
+    replica_poller = std::make_unique<ReplicaPoller>(controller, *protocol, settings.replica_list_address);
 
   auto begin_shutdown = [&] {
     host.ask(
--- a/src/daemons/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -16,16 +16,11 @@
 
 Identity identity_from(const Settings& settings) {
   Identity identity{};
-  identity.self = {Incarnation{random_number()},
-                   Role::front,
-                   settings.zone,
-                   settings.listen,
-                   settings.agent,
-                   settings.http,
-                   settings.machine};
+  identity.self = {Incarnation{random_number()}, Role::front,           settings.zone,   settings.listen_address,
+                   settings.agent_address,       settings.http_address, settings.machine};
   identity.core_size = 0;
   identity.random_seed = random_number();
-  identity.commit_attempt_timeout = Duration(settings.tcm_rpc_ms);
+  identity.commit_attempt_timeout = settings.commit_attempt_timeout;
   return identity;
 }
 
@@ -63,17 +58,17 @@
   curl_global_init(CURL_GLOBAL_DEFAULT);
 
   auto identity = identity_from(settings);
-  Host host(nullptr, settings.listen);
+  Host host(nullptr, settings.listen_address);
   LocalMailboxes mailboxes;
   ReplicaClient replicas([&](Message message) { host.post(from_replicas(std::move(message))); });
 
   // Where a protocol codec is set, callers speak the platform's protocol; else the product's own.
   std::unique_ptr<RoutingThread> routing_thread;
-  if (!settings.dialect.empty()) {
-    const auto* codec = find_protocol_codec(settings.dialect);
+  if (!settings.platform_protocol.empty()) {
+    const auto* codec = find_protocol_codec(settings.platform_protocol);
     if (!codec)
-      return cannot_start("gateway", {{"dialect", "'" + settings.dialect + "' is not known"}});
-    auto started = RoutingThread::start(host, *codec, settings.http, settings.ready);
+      return cannot_start("gateway", {{"dialect", "'" + settings.platform_protocol + "' is not known"}});
+    auto started = RoutingThread::start(host, *codec, settings.http_address, settings.readiness_address);
     if (!started.ok())
       return cannot_start("gateway", started.errors());
     routing_thread = std::move(started).value();
@@ -93,7 +88,7 @@
     auto answer = [&](const ApiRequest& request) {
       return program_api.answer(request);
     };
-    auto opened = HttpServer::open(settings.http, answer);
+    auto opened = HttpServer::open(settings.http_address, answer);
     if (!opened.ok())
       return cannot_start("gateway", opened.errors());
     http_server = std::move(opened).value();
--- a/src/daemons/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -17,11 +17,12 @@
 
 Identity identity_of(const Settings& settings, Incarnation incarnation) {
   Identity identity;
-  identity.self = {incarnation, Role::store, settings.zone, settings.listen, "", settings.http, settings.machine};
+  identity.self = {incarnation, Role::store,           settings.zone,   settings.listen_address,
+                   "",          settings.http_address, settings.machine};
   identity.seeds = settings.seeds;
   identity.core_size = 0;
   identity.random_seed = random_number();
-  identity.commit_attempt_timeout = Duration(settings.tcm_rpc_ms);
+  identity.commit_attempt_timeout = settings.commit_attempt_timeout;
   return identity;
 }
 
@@ -86,7 +87,7 @@
   auto incarnation = disk->recovered().incarnation;
   auto identity = identity_of(settings, incarnation);
   return_large_blocks();
-  Host host(disk, settings.listen, kStoreInboxBytes);
+  Host host(disk, settings.listen_address, kStoreInboxBytes);
   host.watch(LoadMonitor(host));
   auto errors = host.start([&](Recovered recovered, TimePoint now) {
     return std::make_unique<StoreMachine>(identity, std::move(recovered), now);
@@ -94,9 +95,9 @@
   if (!errors.empty())
     return cannot_start(kProgram, errors);
   Result<std::unique_ptr<HttpServer>> server = std::unique_ptr<HttpServer>{};
-  if (!settings.http.empty())
-    server =
-        HttpServer::open(settings.http, [&](const ApiRequest& request) { return respond(host, incarnation, request); });
+  if (!settings.http_address.empty())
+    server = HttpServer::open(settings.http_address,
+                              [&](const ApiRequest& request) { return respond(host, incarnation, request); });
   if (!server.ok())
     return cannot_start(kProgram, server.errors());
   auto exit_code = run_until_stopped(host, kProgram, [] { return true; });
@@ -115,7 +116,7 @@
     return *exit_code;
   start_log(kProgram);
   block_signals();
-  auto disk = open_disk(std::get<Settings>(settings).data);
+  auto disk = open_disk(std::get<Settings>(settings).data_directory);
   if (auto* exit_code = std::get_if<int>(&disk))
     return *exit_code;
   return run(std::get<Settings>(settings), std::get<std::shared_ptr<Disk>>(disk));
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -10,6 +10,7 @@
 #include "base/json.hpp"
 #include "base/log.hpp"
 #include "runtime/constants.hpp"
+#include "runtime/settings_file.hpp"
 
 namespace mosskeel {
 namespace {
@@ -102,19 +103,14 @@
   text << file.rdbuf();
   if (!file)
     return {{path, "cannot be read"}};
-  auto parsed = json::parse<Settings>(text.str());
+  auto parsed = json::parse<SettingsFile>(text.str());
   if (!parsed.ok()) {
     Errors errors;
     for (const auto& error : parsed.errors())
       errors.push_back({std::string(path) + ": " + error.location, error.message});
     return errors;
   }
-  auto from_file = parsed.value();
-  if (from_file.tcm_await_ms == 0)
-    from_file.tcm_await_ms = settings.tcm_await_ms;
-  if (from_file.tcm_rpc_ms == 0)
-    from_file.tcm_rpc_ms = settings.tcm_rpc_ms;
-  settings = from_file;
+  settings = settings_from(parsed.value());
   return {};
 }
 
@@ -132,17 +128,17 @@
 }
 
 void apply_flags(const Flags& flags, Settings& settings) {
-  set_if_given(settings.listen, flags.listen);
-  set_if_given(settings.http, flags.http);
-  set_if_given(settings.agent, flags.agent);
+  set_if_given(settings.listen_address, flags.listen);
+  set_if_given(settings.http_address, flags.http);
+  set_if_given(settings.agent_address, flags.agent);
   set_if_given(settings.zone, flags.zone);
-  set_if_given(settings.data, flags.data);
+  set_if_given(settings.data_directory, flags.data);
   if (flags.core_size)
     settings.core_size = static_cast<uint32_t>(flags.core_size < 0 ? 0 : flags.core_size);
   if (flags.commit_timeout)
-    settings.tcm_await_ms = flags.commit_timeout;
+    settings.commit_timeout = Duration(flags.commit_timeout);
   if (flags.commit_attempt_timeout)
-    settings.tcm_rpc_ms = flags.commit_attempt_timeout;
+    settings.commit_attempt_timeout = Duration(flags.commit_attempt_timeout);
   if (flags.seeds)
     settings.seeds = split_at_commas(flags.seeds);
 }
@@ -153,17 +149,17 @@
 }
 
 void check_addresses(const Settings& settings, const RequiredSettings& needs, bool from_source, Errors& errors) {
-  bool may_lack_http = from_source && settings.http.empty();
+  bool may_lack_http = from_source && settings.http_address.empty();
   if (needs.listen)
-    check_address("listen", settings.listen, errors);
+    check_address("listen", settings.listen_address, errors);
   if (needs.http && !may_lack_http)
-    check_address("http", settings.http, errors);
-  if (!settings.ready.empty())
-    check_address("ready", settings.ready, errors);
-  if (!settings.list.empty())
-    check_address("list", settings.list, errors);
+    check_address("http", settings.http_address, errors);
+  if (!settings.readiness_address.empty())
+    check_address("ready", settings.readiness_address, errors);
+  if (!settings.replica_list_address.empty())
+    check_address("list", settings.replica_list_address, errors);
   if (needs.agent)
-    check_address("agent", settings.agent, errors);
+    check_address("agent", settings.agent_address, errors);
 }
 
 Errors check(const Settings& settings, const RequiredSettings& needs, bool from_source) {
@@ -171,7 +167,7 @@
   check_addresses(settings, needs, from_source, errors);
   if (needs.zone && settings.zone.empty())
     errors.push_back({"zone", "is missing"});
-  if (needs.data && settings.data.empty())
+  if (needs.data && settings.data_directory.empty())
     errors.push_back({"data", "is missing"});
   if (needs.seeds && settings.seeds.empty())
     errors.push_back({"seeds", "are missing"});
@@ -181,11 +177,10 @@
   bool is_even = !from_source && settings.core_size % 2 == 0;
   if (needs.core_size && (is_out_of_range || is_even))
     errors.push_back({"core_size", "must be an odd number from 1 to 9"});
-  Duration commit_attempt_timeout{settings.tcm_rpc_ms};
-  Duration commit_timeout{settings.tcm_await_ms};
-  if (commit_attempt_timeout < kMinCommitAttemptTimeout || commit_attempt_timeout > kMaxCommitAttemptTimeout)
+  if (settings.commit_attempt_timeout < kMinCommitAttemptTimeout ||
+      settings.commit_attempt_timeout > kMaxCommitAttemptTimeout)
     errors.push_back({"tcm_rpc_ms", "must be from 100 to 30000"});
-  if (commit_timeout < commit_attempt_timeout || commit_timeout > kMaxCommitTimeout)
+  if (settings.commit_timeout < settings.commit_attempt_timeout || settings.commit_timeout > kMaxCommitTimeout)
     errors.push_back({"tcm_await_ms", "must be from tcm_rpc_ms to 60000"});
   return errors;
 }
@@ -231,8 +226,6 @@
       return report(needs, read.errors());
     settings = read.value();
   }
-  settings.tcm_await_ms = kCommitTimeout.count();
-  settings.tcm_rpc_ms = kCommitAttemptTimeout.count();
   if (flags.file)
     append(errors, read_file(flags.file, settings));
   apply_flags(flags, settings);
--- a/src/runtime/settings.hpp
+++ b/src/runtime/settings.hpp
@@ -1,45 +1,49 @@
 #pragma once
 // A daemon's settings: a JSON file, command-line flags over it, all errors at once.
-#include "base/fields.hpp"
-
 #include "base/address.hpp"
+#include "mosskeel/common.hpp"
+#include "runtime/constants.hpp"
 
 namespace mosskeel {
 
-/// Field names are the names in the JSON file. Addresses are "IP:port", times in ms.
-///
-/// `listen` is for other daemons; `agent` is a gateway's agent, or an agent's gateway; `seeds` are controllers;
-/// `ready` is where a gateway tells if it is ready, empty for its own HTTP; `dialect` names the protocol codec that
-/// speaks for a platform, empty for the product's own interface; `list` is where the replicas are listed;
-/// `later_start` forbids founding; `core_most` and `copies` are the largest core and the number of stores that keep a
-/// history, 0 for the default; `tolerated_machines` and `tolerated_zones` are what may be lost at once.
+/// A daemon's settings, as it uses them. Addresses are "IP:port".
 struct Settings {
-  MOSSKEEL_FIELDS(Settings, (std::string, listen), (std::string, http), (std::string, agent), (std::string, zone),
-                  (std::vector<std::string>, seeds), (std::string, data), (uint32_t, core_size),
-                  (int64_t, tcm_await_ms), (int64_t, tcm_rpc_ms), (std::string, machine), (std::string, ready),
-                  (std::string, dialect), (std::string, list), (bool, later_start), (uint32_t, core_most),
-                  (uint32_t, copies), (uint32_t, tolerated_machines), (uint32_t, tolerated_zones));
-  /// Every field may be left out of the file.
-  static std::set<std::string> optional_fields() {
-    return {"listen",
-            "http",
-            "agent",
-            "zone",
-            "seeds",
-            "data",
-            "core_size",
-            "tcm_await_ms",
-            "tcm_rpc_ms",
-            "machine",
-            "ready",
-            "dialect",
-            "list",
-            "later_start",
-            "core_most",
-            "copies",
-            "tolerated_machines",
-            "tolerated_zones"};
-  }
+  /// Where other daemons reach this one.
+  std::string listen_address;
+  /// Where this daemon serves HTTP: callers, operators or metrics, by program.
+  std::string http_address;
+  /// A gateway's agent, or an agent's gateway.
+  std::string agent_address;
+  /// The zone of this machine.
+  std::string zone;
+  /// Controllers, for the first contact only.
+  std::vector<std::string> seeds;
+  /// The folder in which a controller or a store keeps its data.
+  std::string data_directory;
+  /// How many controllers make the core at the founding.
+  uint32_t core_size = 0;
+  /// How long a commit may take as a whole, all attempts included.
+  Duration commit_timeout = kCommitTimeout;
+  /// How long one controller may work on one commit request.
+  Duration commit_attempt_timeout = kCommitAttemptTimeout;
+  /// The machine's name.
+  std::string machine;
+  /// Where a gateway tells whether it is ready; empty for its own HTTP.
+  std::string readiness_address;
+  /// Names the platform's protocol codec and control protocol; empty for the product's own interface.
+  std::string platform_protocol;
+  /// Where the platform lists the replicas; empty where no list is read.
+  std::string replica_list_address;
+  /// Whether this start must not found a cluster.
+  bool forbid_founding = false;
+  /// Controllers; the size up to which the core grows, 0 for the default.
+  uint32_t max_core_size = 0;
+  /// Stores that keep a history; 0 where it follows from the tolerated losses.
+  uint32_t replication_factor = 0;
+  /// Machines that may be lost at once.
+  uint32_t tolerated_machines = 0;
+  /// Zones that may be lost at once.
+  uint32_t tolerated_zones = 0;
 };
 
 /// What a program needs of the settings.
--- /dev/null
+++ b/src/runtime/settings_file.hpp
@@ -0,0 +1,69 @@
+#pragma once
+// The JSON file of a daemon's settings.
+#include <cstdint>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "base/fields.hpp"
+#include "runtime/settings.hpp"
+
+namespace mosskeel {
+
+/// The settings as the file spells them: field names are the names in the JSON object. Every field may be left out and
+/// is zero or empty then. Times are in milliseconds.
+struct SettingsFile {
+  MOSSKEEL_FIELDS(SettingsFile, (std::string, listen), (std::string, http), (std::string, agent), (std::string, zone),
+                  (std::vector<std::string>, seeds), (std::string, data), (uint32_t, core_size),
+                  (int64_t, tcm_await_ms), (int64_t, tcm_rpc_ms), (std::string, machine), (std::string, ready),
+                  (std::string, dialect), (std::string, list), (bool, later_start), (uint32_t, core_most),
+                  (uint32_t, copies), (uint32_t, tolerated_machines), (uint32_t, tolerated_zones));
+  static std::set<std::string> optional_fields() {
+    return {"listen",
+            "http",
+            "agent",
+            "zone",
+            "seeds",
+            "data",
+            "core_size",
+            "tcm_await_ms",
+            "tcm_rpc_ms",
+            "machine",
+            "ready",
+            "dialect",
+            "list",
+            "later_start",
+            "core_most",
+            "copies",
+            "tolerated_machines",
+            "tolerated_zones"};
+  }
+};
+
+/// The settings that a file gives; times of 0 stand for the defaults.
+inline Settings settings_from(const SettingsFile& file) {
+  Settings settings;
+  settings.listen_address = file.listen;
+  settings.http_address = file.http;
+  settings.agent_address = file.agent;
+  settings.zone = file.zone;
+  settings.seeds = file.seeds;
+  settings.data_directory = file.data;
+  settings.core_size = file.core_size;
+  if (file.tcm_await_ms != 0)
+    settings.commit_timeout = Duration(file.tcm_await_ms);
+  if (file.tcm_rpc_ms != 0)
+    settings.commit_attempt_timeout = Duration(file.tcm_rpc_ms);
+  settings.machine = file.machine;
+  settings.readiness_address = file.ready;
+  settings.platform_protocol = file.dialect;
+  settings.replica_list_address = file.list;
+  settings.forbid_founding = file.later_start;
+  settings.max_core_size = file.core_most;
+  settings.replication_factor = file.copies;
+  settings.tolerated_machines = file.tolerated_machines;
+  settings.tolerated_zones = file.tolerated_zones;
+  return settings;
+}
+
+}  // namespace mosskeel
--- a/src/runtime/state_machine.hpp
+++ b/src/runtime/state_machine.hpp
@@ -34,7 +34,7 @@
   uint64_t random_seed = 1;
   Duration commit_attempt_timeout = kCommitAttemptTimeout;
   /// Forbids founding: an empty disk at a later start joins or waits.
-  bool later_start = false;
+  bool forbid_founding = false;
   /// As in `FoundCluster`.
   uint32_t max_core_size = 0, replication_factor = 0;
 };
--- a/tests/model/cluster.cpp
+++ b/tests/model/cluster.cpp
@@ -121,7 +121,7 @@
   wiped.checkpoint.reset();
   wiped.journal.clear();
   wiped.identity.self.incarnation = Incarnation{next_incarnation_++};
-  wiped.identity.later_start = true;
+  wiped.identity.forbid_founding = true;
   crash(node);
 }
 
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -24,12 +24,12 @@
 struct SimulatedControllers {
   World world;
 
-  SimulatedControllers(uint64_t seed, int controllers, uint32_t core_size = 3, bool later_start = false)
+  SimulatedControllers(uint64_t seed, int controllers, uint32_t core_size = 3, bool forbid_founding = false)
       : world(seed, {controllers, 0, 0, 0, 3, 0}) {
     world.configure = [=](Identity& identity) {
       identity.core_size = core_size;
       identity.max_core_size = kMaxCoreSize;
-      identity.later_start = later_start;
+      identity.forbid_founding = forbid_founding;
     };
     for (const std::string& name : names()) {
       world.wipe(name);
@@ -45,7 +45,7 @@
     auto first_settings = world.configure;
     world.configure = [first_settings](Identity& identity) {
       first_settings(identity);
-      identity.later_start = true;
+      identity.forbid_founding = true;
     };
   }
 
--- a/tests/unit/messages/field_values_test.cpp
+++ b/tests/unit/messages/field_values_test.cpp
@@ -7,7 +7,7 @@
 #include "history/store_records.hpp"
 #include "messages/message.hpp"
 #include "metadata/transformation.hpp"
-#include "runtime/settings.hpp"
+#include "runtime/settings_file.hpp"
 
 using namespace mosskeel;
 
@@ -53,5 +53,5 @@
   CHECK(is_zero_when_declared<Replica>());
   CHECK(is_zero_when_declared<Envelope>());
   CHECK(is_zero_when_declared<Record>());
-  CHECK(is_zero_when_declared<Settings>());
+  CHECK(is_zero_when_declared<SettingsFile>());
 }
--- a/tests/unit/platform/settings_test.cpp
+++ b/tests/unit/platform/settings_test.cpp
@@ -87,18 +87,18 @@
   auto agent = accepted(parse_settings(kFile, "agent"));
   auto store = accepted(parse_settings(kFile, "store"));
 
-  CHECK(controller.listen == "10.1.0.32:7380");
-  CHECK(gateway.listen == "10.1.0.32:7381");
-  CHECK(agent.listen == "10.1.0.32:7382");
-  CHECK(store.listen == "10.1.0.32:7383");
-  CHECK(gateway.agent == agent.listen);
-  CHECK(agent.agent == gateway.listen);
-  CHECK(controller.http == "10.1.0.33:8144");
-  CHECK(gateway.http == "10.1.0.30:8149");
-  CHECK(gateway.ready == "10.1.0.30:8141");
-  CHECK(agent.http.empty());
-  CHECK(store.http.empty());
-  CHECK(store.data == "/data/my-storage");
+  CHECK(controller.listen_address == "10.1.0.32:7380");
+  CHECK(gateway.listen_address == "10.1.0.32:7381");
+  CHECK(agent.listen_address == "10.1.0.32:7382");
+  CHECK(store.listen_address == "10.1.0.32:7383");
+  CHECK(gateway.agent_address == agent.listen_address);
+  CHECK(agent.agent_address == gateway.listen_address);
+  CHECK(controller.http_address == "10.1.0.33:8144");
+  CHECK(gateway.http_address == "10.1.0.30:8149");
+  CHECK(gateway.readiness_address == "10.1.0.30:8141");
+  CHECK(agent.http_address.empty());
+  CHECK(store.http_address.empty());
+  CHECK(store.data_directory == "/data/my-storage");
 }
 
 TEST_CASE("All programs share the settings of their machine and cluster") {
@@ -109,15 +109,15 @@
     CHECK(settings.seeds == std::vector<std::string>{"10.1.0.33:7380", "10.2.0.38:7380", "10.3.0.36:7380"});
     CHECK(settings.zone == "hafnarfj-a");
     CHECK(settings.machine == "storage-hafnarfj-a-1");
-    CHECK(settings.dialect == "platform");
-    CHECK(settings.list == "10.200.0.100:8142");
-    CHECK_FALSE(settings.later_start);
+    CHECK(settings.platform_protocol == "platform");
+    CHECK(settings.replica_list_address == "10.200.0.100:8142");
+    CHECK_FALSE(settings.forbid_founding);
     CHECK(settings.core_size == 3);
-    CHECK(settings.core_most == 9);
+    CHECK(settings.max_core_size == 9);
     CHECK(settings.tolerated_machines == 2);
     CHECK(settings.tolerated_zones == 1);
   }
-  CHECK(accepted(parse_settings(file_with("FirstStart = true", "FirstStart = false"), "controller")).later_start);
+  CHECK(accepted(parse_settings(file_with("FirstStart = true", "FirstStart = false"), "controller")).forbid_founding);
   auto one_seed = file_with(",\"10.2.0.38:8144\",\"10.3.0.36:8144\"", "");
   CHECK(accepted(parse_settings(one_seed, "controller")).core_size == 1);
 }
@@ -146,8 +146,8 @@
 
     auto settings = read_settings(1, no_flags, store);
     REQUIRE(std::holds_alternative<Settings>(settings));
-    CHECK(std::get<Settings>(settings).listen == "10.1.0.32:7383");
-    CHECK(std::get<Settings>(settings).tcm_await_ms == kCommitTimeout.count());
+    CHECK(std::get<Settings>(settings).listen_address == "10.1.0.32:7383");
+    CHECK(std::get<Settings>(settings).commit_timeout == kCommitTimeout);
     CHECK(std::get<int>(read_settings(3, zone_flag, store)) == 2);
 
     file.remove();
