--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -54,7 +54,7 @@
   lost.status = 504;
   lost.executed = Outcome::unknown;
   lost.reason = "this worker lost sight of the request";
-  lost.retry_ms = kDefaultRetryAfter;
+  lost.retry_ms = static_cast<uint32_t>(kDefaultRetryAfter.count());
 
   auto view = host_.view();
   Envelope envelope{};
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -151,13 +151,14 @@
   return response;
 }
 
-ApiResponse ApiResponse::error(uint32_t status, const std::string& code, const std::string& reason, uint32_t retry_ms) {
+ApiResponse ApiResponse::error(uint32_t status, const std::string& code, const std::string& reason,
+                               Duration retry_after) {
   nlohmann::json body{{"error", code}, {"reason", reason}};
   ApiResponse response;
   response.status = status;
-  if (retry_ms) {
-    body["retry_after_ms"] = retry_ms;
-    response.headers["Retry-After"] = std::to_string((retry_ms + 999) / 1000);
+  if (retry_after > 0ms) {
+    body["retry_after_ms"] = retry_after.count();
+    response.headers["Retry-After"] = std::to_string(std::chrono::ceil<std::chrono::seconds>(retry_after).count());
   }
   response.body = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
   return response;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -26,8 +26,9 @@
   std::function<StreamState(std::string& bytes)> next_chunk;
 
   /// @param code names the kind of error to programs, `reason` tells people.
-  /// @param retry_ms when the caller may come back; 0 says nothing.
-  static ApiResponse error(uint32_t status, const std::string& code, const std::string& reason, uint32_t retry_ms = 0);
+  /// @param retry_after the time after which the caller may come back; 0 says nothing.
+  static ApiResponse error(uint32_t status, const std::string& code, const std::string& reason,
+                           Duration retry_after = {});
   static ApiResponse error(uint32_t status, const std::string& code, const Errors& errors);
 };
 
--- a/src/programs/admission_policy.cpp
+++ b/src/programs/admission_policy.cpp
@@ -13,8 +13,8 @@
   return policies;
 }
 
-RequestRejection unavailable(std::string reason, uint32_t retry_after_ms) {
-  return {503, std::move(reason), retry_after_ms};
+RequestRejection unavailable(std::string reason, Duration retry_after) {
+  return {503, std::move(reason), retry_after};
 }
 
 /// The gateway must be fit to judge anything: its view confirmed and recent, and itself in service.
@@ -96,12 +96,11 @@
     if (!context.is_served_here)
       return std::nullopt;
     auto wait = request.urgent ? context.expected_urgent_wait : context.expected_wait;
-    auto retry_after = std::clamp(wait, Duration(kDefaultRetryAfter), kMaxQueueWait * 2);
-    auto retry_after_ms = static_cast<uint32_t>(retry_after.count());
+    auto retry_after = std::clamp(wait, kDefaultRetryAfter, kMaxQueueWait * 2);
     if (context.queued >= queue_capacity(request))
-      return unavailable("the queue is full", retry_after_ms);
+      return unavailable("the queue is full", retry_after);
     if (wait > std::min(kMaxQueueWait / 2, Duration(request.deadline_ms) / 2))
-      return unavailable("it would wait " + std::to_string(wait.count()) + " ms for a replica", retry_after_ms);
+      return unavailable("it would wait " + std::to_string(wait.count()) + " ms for a replica", retry_after);
     return std::nullopt;
   }
 };
--- a/src/programs/open_request.hpp
+++ b/src/programs/open_request.hpp
@@ -28,8 +28,8 @@
 struct RequestRejection {
   uint32_t status = 503;
   std::string reason;
-  /// Milliseconds after which a retry makes sense; 0 where it makes none.
-  uint32_t retry_after_ms = 0;
+  /// The time after which a retry makes sense; 0 where it makes none.
+  Duration retry_after{};
   /// Whether the request has run.
   Outcome executed = Outcome::no;
 };
--- a/src/programs/request_pipeline.cpp
+++ b/src/programs/request_pipeline.cpp
@@ -196,7 +196,7 @@
 
 void RequestPipeline::advance_transferring_outcome(OpenRequest& open, TimePoint now) {
   if (now - open.waiting_since > kOutcomeTransferTimeout)
-    return responder_.reject(open, {502, "the outcome could not be kept", 0, Outcome::unknown}, now);
+    return responder_.reject(open, {502, "the outcome could not be kept", 0ms, Outcome::unknown}, now);
   if (now - open.last_activity >= kStoreRetryInterval)
     outcome_sender_.send(open, now);
 }
--- a/src/programs/request_responder.cpp
+++ b/src/programs/request_responder.cpp
@@ -44,15 +44,15 @@
   auto executed = rejection.executed;
   if (executed == Outcome::no && (open.outcome_unknown || open.is_forwarded))
     executed = Outcome::unknown;
-  auto retry_after = rejection.retry_after_ms;
+  auto retry_after = rejection.retry_after;
   // Callers who were rejected at the same time shall not come back at the same time.
-  if (retry_after)
-    retry_after += static_cast<uint32_t>(context_.outbox.jitter(Duration(retry_after)).count()) / 2;
+  if (retry_after > 0ms)
+    retry_after += context_.outbox.jitter(retry_after) / 2;
   auto& response = open.response;
   response.status = rejection.status;
   response.executed = executed;
   response.reason = std::move(rejection.reason);
-  response.retry_ms = retry_after;
+  response.retry_ms = static_cast<uint32_t>(retry_after.count());
   response.chunks = open.streamed_chunks;
   context_.count(executed == Outcome::unknown ? "requests_outcome_unknown" : "requests_rejected");
   respond(open, now);
@@ -61,7 +61,7 @@
 void RequestResponder::reject_ended_program(OpenRequest& open, TimePoint now) {
   bool is_first_attempt = open.request.kind == kHistoryRequest || open.request.key == open.request.attempt;
   auto executed = is_first_attempt ? Outcome::no : Outcome::unknown;
-  reject(open, {410, "the program has ended: its retention is over", 0, executed}, now);
+  reject(open, {410, "the program has ended: its retention is over", 0ms, executed}, now);
 }
 
 }  // namespace mosskeel
--- a/src/programs/turn_owner.cpp
+++ b/src/programs/turn_owner.cpp
@@ -74,7 +74,7 @@
       turn_runners_.may_run_elsewhere(open.history, latest, now))
     return turn_is_running();
   context_.outbox.log_event(Event::reservation_without_outcome, open.history.program + " key " + open.request.key);
-  return RequestRejection{502, "the outcome of this turn is unknown; it will not be run again", 0, Outcome::unknown};
+  return RequestRejection{502, "the outcome of this turn is unknown; it will not be run again", 0ms, Outcome::unknown};
 }
 
 TurnOwner::Decision TurnOwner::decide_new_turn(const OpenRequest& open, const TurnsByKey& turns, const Cell& cell,
@@ -146,7 +146,8 @@
   response.body = succeeded ? open.streamed_text : "";
   response.turn = open.turn_number;
   response.tokens = result.tokens;
-  response.retry_ms = has_not_run ? kDefaultRetryAfter : 0;
+  Duration retry_after = has_not_run ? kDefaultRetryAfter : 0ms;
+  response.retry_ms = static_cast<uint32_t>(retry_after.count());
   response.chunks = open.streamed_chunks;
   open.response = std::move(response);
   if (open.is_stateless)
--- a/src/routing/request_router.cpp
+++ b/src/routing/request_router.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /// When a caller may come back that was rejected for want of majority contact.
-constexpr Duration kRetryAfterNoContact{kDefaultRetryAfter / 2};
+constexpr Duration kRetryAfterNoContact = kDefaultRetryAfter / 2;
 /// When a caller may come back that found no replica: shorter, for capacity frees up fast.
-constexpr Duration kRetryAfterNoReplica{kDefaultRetryAfter / 4};
+constexpr Duration kRetryAfterNoReplica = kDefaultRetryAfter / 4;
 
 /// The status of a reservation's reply that was granted.
 constexpr uint32_t kGranted = 200;
--- a/src/routing/turn_client.cpp
+++ b/src/routing/turn_client.cpp
@@ -131,8 +131,9 @@
     auto& commit = commits_[request.attempt];
     commit = {CommitTurn{request.attempt, request.program, 0, 0, false, {}}, now, {}, {}};
     send(commit, now);
+    auto retry_after_ms = static_cast<uint32_t>(kDefaultRetryAfter.count());
     outbox_.send(kRoutingAddress,
-                 ReserveTurnReply{request.attempt, 503, kDefaultRetryAfter, "the program's owner does not answer", {}});
+                 ReserveTurnReply{request.attempt, 503, retry_after_ms, "the program's owner does not answer", {}});
   }
 }
 
--- a/src/routing/turn_coordinator.cpp
+++ b/src/routing/turn_coordinator.cpp
@@ -204,7 +204,8 @@
 }
 
 TurnCoordinator::Progress TurnCoordinator::reject(const PendingReservation& pending, uint32_t status,
-                                                  std::string reason, uint32_t retry_after_ms) {
+                                                  std::string reason, Duration retry_after) {
+  auto retry_after_ms = static_cast<uint32_t>(retry_after.count());
   outbox_.send(pending.from, ReserveTurnReply{pending.body.attempt, status, retry_after_ms, std::move(reason), {}},
                pending.incarnation);
   return Progress::answered;
--- a/src/routing/turn_coordinator.hpp
+++ b/src/routing/turn_coordinator.hpp
@@ -61,7 +61,7 @@
   /// Looks at the turn before this one; nothing where the turn may go on from it.
   std::optional<Progress> check_parent(PendingReservation& pending, const TurnIndex& index, TimePoint now);
   Progress search_chain(PendingReservation& pending, TimePoint now);
-  Progress reject(const PendingReservation& pending, uint32_t status, std::string reason, uint32_t retry_after_ms = 0);
+  Progress reject(const PendingReservation& pending, uint32_t status, std::string reason, Duration retry_after = {});
   void import_chain(const PendingReservation& pending, const FindChainReply& reply, TimePoint now);
 
   Progress advance(PendingCommit& pending, TimePoint now);
--- a/src/runtime/constants.hpp
+++ b/src/runtime/constants.hpp
@@ -24,8 +24,8 @@
 constexpr uint32_t kMaxCoreSize = 9;
 /// Bytes; journal growth that calls for a checkpoint.
 constexpr size_t kCheckpointJournalBytes = 16u << 20;
-/// Milliseconds; when a rejected caller may try again, unless something better is known.
-constexpr uint32_t kDefaultRetryAfter = 500;
+/// When a rejected caller may try again, unless something better is known.
+constexpr Duration kDefaultRetryAfter = 500ms;
 /// Exit code of a daemon whose settings are wrong.
 constexpr int kExitBadSettings = 2;
 
--- a/tests/unit/programs/admission_policy_test.cpp
+++ b/tests/unit/programs/admission_policy_test.cpp
@@ -130,6 +130,6 @@
 
   REQUIRE(here);
   CHECK(here->status == 503);
-  CHECK(here->retry_after_ms == (kMaxQueueWait / 2 + 1ms).count());
+  CHECK(here->retry_after == kMaxQueueWait / 2 + 1ms);
   CHECK_FALSE(elsewhere);
 }
