--- a/src/consensus/in_force.cpp
+++ b/src/consensus/in_force.cpp
@@ -25,7 +25,7 @@
   if (!metadata.has_quorum(knows))
     return "no majority of the fleet has it; missing:" + missing;
   for (const auto& [id, daemon] : metadata.directory) {
-    bool has_disk = daemon.self.role != Role::front && daemon.state == DaemonState::up;
+    bool has_disk = daemon.self.role != Role::gateway && daemon.state == DaemonState::up;
     bool in_touch = detector.heartbeat_age(daemon, now) < kHeartbeatTimeout;
     if (has_disk && in_touch && !knows(daemon))
       return "a disk in touch lacks it; missing:" + missing;
--- a/src/control/admin_api.cpp
+++ b/src/control/admin_api.cpp
@@ -144,7 +144,7 @@
   auto gateways = json::Json::array();
   controller_.inspect([&](ControllerMachine& machine, TimePoint now) {
     for (const auto& [id, daemon] : metadata.directory) {
-      if (daemon.self.role != Role::front || daemon.state == DaemonState::left)
+      if (daemon.self.role != Role::gateway || daemon.state == DaemonState::left)
         continue;
       gateways.push_back(
           gateway_json(daemon, metadata, machine.failure_detector().status_of(daemon.self.incarnation), now));
--- a/src/daemons/agent/main.cpp
+++ b/src/daemons/agent/main.cpp
@@ -22,7 +22,7 @@
 Identity identity_from(const Settings& settings) {
   Identity identity{};
   identity.self.incarnation = Incarnation{random_number()};
-  identity.self.role = Role::front;
+  identity.self.role = Role::gateway;
   identity.self.zone = settings.zone;
   identity.self.address = settings.listen_address;
   identity.self.agent_address = settings.agent_address;
--- a/src/daemons/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -16,7 +16,7 @@
 
 Identity identity_from(const Settings& settings) {
   Identity identity{};
-  identity.self = {Incarnation{random_number()}, Role::front,           settings.zone,   settings.listen_address,
+  identity.self = {Incarnation{random_number()}, Role::gateway,         settings.zone,   settings.listen_address,
                    settings.agent_address,       settings.http_address, settings.machine};
   identity.core_size = 0;
   identity.random_seed = random_number();
@@ -48,8 +48,8 @@
 
 int main(int argc, const char** argv) {
   auto parsed = read_settings(argc, argv,
-                              {"gateway", "A front worker: takes callers' requests, owns programs, asks replicas.",
-                               true, true, true, true, false, false, false});
+                              {"gateway", "A gateway: takes callers' requests, owns programs, asks replicas.", true,
+                               true, true, true, false, false, false});
   if (const auto* exit_code = std::get_if<int>(&parsed))
     return *exit_code;
   auto& settings = std::get<Settings>(parsed);
--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -53,7 +53,7 @@
   lost.attempt = request.attempt;
   lost.status = 504;
   lost.executed = Outcome::unknown;
-  lost.reason = "this worker lost sight of the request";
+  lost.reason = "this gateway lost sight of the request";
   lost.retry_ms = static_cast<uint32_t>(kDefaultRetryAfter.count());
 
   auto view = host_.view();
@@ -114,7 +114,7 @@
   bool is_ready = false;
   host_.ask([&](StateMachine& machine, TimePoint now) { is_ready = static_cast<GatewayMachine&>(machine).ready(now); });
   if (!is_ready)
-    return ApiResponse::error(503, "not_ready", "this worker is not ready", kDefaultRetryAfter);
+    return ApiResponse::error(503, "not_ready", "this gateway is not ready", kDefaultRetryAfter);
   ApiResponse response;
   response.body = "{\"ready\":true}\n";
   return response;
--- a/src/metadata/configuration_transformations.cpp
+++ b/src/metadata/configuration_transformations.cpp
@@ -98,9 +98,9 @@
     return reject(zone, "is unknown");
   metadata.evacuated.insert(change.zone);
   if (placement::partitions_per_gateway(metadata).empty())
-    return reject(zone, "holds the last front workers");
+    return reject(zone, "holds the last gateways");
   for (auto& [id, daemon] : metadata.directory)
-    if (daemon.self.role == Role::front && daemon.self.zone == change.zone)
+    if (daemon.self.role == Role::gateway && daemon.self.zone == change.zone)
       scatter_ownership(metadata, id);
   return metadata;
 }
--- a/src/metadata/daemon.hpp
+++ b/src/metadata/daemon.hpp
@@ -6,7 +6,7 @@
 
 namespace mosskeel {
 
-enum class Role : uint8_t { controller, front, store };
+enum class Role : uint8_t { controller, gateway, store };
 
 /// `registered`: in the directory, without a share of the work yet. `up`: in service. `draining`: its partitions move
 /// away. `down`: a majority of the controllers misses its heartbeats. `left`: for good; it counts nowhere any more.
--- a/src/metadata/daemon_transformations.cpp
+++ b/src/metadata/daemon_transformations.cpp
@@ -7,7 +7,7 @@
 /// Whether a daemon of the directory provably no longer runs once another one registers at its address. A gateway holds
 /// no state on disk, and a controller's disk tells a restart from a new controller; only a store has to be down.
 bool ends_with_registration(const Daemon& earlier, const Candidate& registering) {
-  if (earlier.state == DaemonState::down || earlier.self.role == Role::front)
+  if (earlier.state == DaemonState::down || earlier.self.role == Role::gateway)
     return true;
   return registering.role == Role::controller && earlier.self.role == Role::controller;
 }
@@ -26,7 +26,7 @@
 /// A gateway that starts again takes over the partitions of the one that ran at its address; the new term fences that.
 void supersede_gateways(Metadata& metadata, const Address& address, DaemonId successor) {
   for (auto& [id, daemon] : metadata.directory) {
-    if (daemon.self.address != address || daemon.self.role != Role::front || daemon.state == DaemonState::left)
+    if (daemon.self.address != address || daemon.self.role != Role::gateway || daemon.state == DaemonState::left)
       continue;
     set_state(metadata, daemon, DaemonState::left);
     end_sequence(metadata, id);
@@ -62,7 +62,7 @@
   if (self.role == Role::controller)
     supersede_controllers(metadata, self.address, new_id);
   for (auto& [id, daemon] : metadata.directory)
-    if (daemon.self.address == self.address && (daemon.state == DaemonState::down || daemon.self.role == Role::front))
+    if (daemon.self.address == self.address && (daemon.state == DaemonState::down || daemon.self.role == Role::gateway))
       metadata.replace_in_quorum(id, new_id);
   supersede_gateways(metadata, self.address, new_id);
   auto state = self.role == Role::controller ? DaemonState::up : DaemonState::registered;
@@ -77,7 +77,7 @@
   auto& daemon = entry->second;
   if (daemon.state == DaemonState::down || daemon.state == DaemonState::left)
     return reject(to_text(change.node), std::string("is ") + name(daemon.state) + " already");
-  bool is_gateway = daemon.self.role == Role::front;
+  bool is_gateway = daemon.self.role == Role::gateway;
   // A drained gateway stays until its last turns are over, and then falls silent.
   bool has_drained = is_gateway && daemon.state == DaemonState::draining && !metadata.sequences.count(change.node);
   set_state(metadata, daemon, has_drained ? DaemonState::left : DaemonState::down);
@@ -94,7 +94,7 @@
     return reject(to_text(change.node), "is not down");
   auto& daemon = entry->second;
   bool joins_anew =
-      daemon.self.role == Role::front || (daemon.self.role == Role::store && !metadata.holds_partitions(change.node));
+      daemon.self.role == Role::gateway || (daemon.self.role == Role::store && !metadata.holds_partitions(change.node));
   set_state(metadata, daemon, joins_anew ? DaemonState::registered : DaemonState::up);
   return metadata;
 }
--- a/src/metadata/gateway_placement.cpp
+++ b/src/metadata/gateway_placement.cpp
@@ -79,7 +79,7 @@
       continue;
     auto new_owner = least_loaded_gateway(load, leaving.id);
     if (new_owner.value() == 0)
-      return Errors{{"daemon " + std::to_string(leaving.id.value()), "no other front worker could take its partitions",
+      return Errors{{"daemon " + std::to_string(leaving.id.value()), "no other gateway could take its partitions",
                      ErrorCode::rejected}};
     ++load[new_owner];
     moves.push_back({PartitionId{i}, new_owner, partition.stores});
@@ -102,7 +102,7 @@
 LoadByDaemon partitions_per_gateway(const Metadata& metadata) {
   LoadByDaemon load;
   for (auto& [id, daemon] : metadata.directory) {
-    bool may_own = daemon.self.role == Role::front && daemon.state == DaemonState::up;
+    bool may_own = daemon.self.role == Role::gateway && daemon.state == DaemonState::up;
     if (may_own && !metadata.evacuated.count(daemon.self.zone))
       load[id] = 0;
   }
@@ -121,13 +121,13 @@
 }
 
 std::vector<PartitionMove> plan_join(const Metadata& metadata, const Daemon& joining) {
-  if (joining.self.role == Role::front)
+  if (joining.self.role == Role::gateway)
     return GatewayJoinPlan(metadata, joining).make();
   return plan_store_join(metadata, joining);
 }
 
 Result<std::vector<PartitionMove>> plan_drain(const Metadata& metadata, const Daemon& leaving) {
-  if (leaving.self.role == Role::front)
+  if (leaving.self.role == Role::gateway)
     return plan_gateway_drain(metadata, leaving);
   return plan_store_drain(metadata, leaving);
 }
--- a/src/metadata/names.cpp
+++ b/src/metadata/names.cpp
@@ -7,7 +7,7 @@
   switch (role) {
     case Role::controller:
       return "controller";
-    case Role::front:
+    case Role::gateway:
       return "front";
     case Role::store:
       return "store";
--- a/src/metadata/partition_transformations.cpp
+++ b/src/metadata/partition_transformations.cpp
@@ -34,7 +34,7 @@
   if (auto lock = metadata.locks.find(change.partition); lock != metadata.locks.end())
     return reject(name, "is locked by the sequence of " + to_text(lock->second));
   if (!placement::partitions_per_gateway(metadata).count(change.owner))
-    return reject(to_text(change.owner), "is no front worker that may own partitions");
+    return reject(to_text(change.owner), "is no gateway that may own partitions");
   auto& partition = metadata.partitions[change.partition.value()];
   if (partition.owner == change.owner)
     return reject(name, "is owned by " + to_text(change.owner) + " already");
@@ -48,7 +48,7 @@
   if (change.from == change.to)
     return reject(to_text(change.to), "is the same node");
   if (!placement::partitions_per_gateway(metadata).count(change.to))
-    return reject(to_text(change.to), "is no front worker that may own partitions");
+    return reject(to_text(change.to), "is no gateway that may own partitions");
   for (auto& [partition, holder] : metadata.locks)
     if (metadata.partitions[partition.value()].owner == change.from)
       return reject(to_text(partition), "is locked by the sequence of " + to_text(holder));
--- a/src/metadata/sequence_transformations.cpp
+++ b/src/metadata/sequence_transformations.cpp
@@ -13,7 +13,7 @@
 std::optional<std::string> reason_against(const Metadata& metadata, DaemonId node, SequenceKind kind) {
   auto* daemon = metadata.find(node);
   if (!daemon || daemon->self.role == Role::controller)
-    return "is no front worker or store";
+    return "is no gateway or store";
   if (metadata.sequences.count(node))
     return "has a sequence in progress";
   if (daemon->state == DaemonState::left)
@@ -99,7 +99,7 @@
       return is_down ? DaemonState::down : DaemonState::up;
     case SequenceKind::drain:
       // A gateway stays in the directory until its last turns are over.
-      return daemon.self.role != Role::front || is_down ? DaemonState::left : daemon.state;
+      return daemon.self.role != Role::gateway || is_down ? DaemonState::left : daemon.state;
     case SequenceKind::repair:
       // A store that came back meanwhile joins anew, if nothing is left to it.
       if (daemon.state == DaemonState::up && !metadata.holds_partitions(daemon.id))
@@ -174,7 +174,7 @@
   }
   // A store's drain is an order and begins anew; `since` stays as it was before the drain.
   auto& daemon = metadata.directory[change.node];
-  if (daemon.state == DaemonState::draining && daemon.self.role == Role::front)
+  if (daemon.state == DaemonState::draining && daemon.self.role == Role::gateway)
     daemon.state = DaemonState::up;
   end_sequence(metadata, change.node);
   return metadata;
--- a/src/programs/admission_policy.cpp
+++ b/src/programs/admission_policy.cpp
@@ -25,16 +25,16 @@
 
   std::optional<RequestRejection> evaluate(ProgramRequest&, const AdmissionContext& context) const override {
     if (!context.is_confirmed || !context.self)
-      return unavailable("this worker is not ready yet", kDefaultRetryAfter);
+      return unavailable("this gateway is not ready yet", kDefaultRetryAfter);
     if (context.is_shutting_down && !context.is_forwarded)
-      return unavailable("this worker is stopping", kDefaultRetryAfter);
+      return unavailable("this gateway is stopping", kDefaultRetryAfter);
     if (!context.has_majority_contact)
-      return unavailable("this worker is out of touch with the fleet", kDefaultRetryAfter * 2);
+      return unavailable("this gateway is out of touch with the fleet", kDefaultRetryAfter * 2);
     if (context.metadata.evacuated.count(context.self->self.zone))
-      return unavailable("this worker's zone is evacuated", kDefaultRetryAfter);
+      return unavailable("this gateway's zone is evacuated", kDefaultRetryAfter);
     auto state = context.self->state;
     if (state == DaemonState::down || state == DaemonState::left)
-      return unavailable("this worker is marked down", kDefaultRetryAfter);
+      return unavailable("this gateway is marked down", kDefaultRetryAfter);
     return std::nullopt;
   }
 };
--- a/src/programs/constants.hpp
+++ b/src/programs/constants.hpp
@@ -37,6 +37,6 @@
 /// Bulk requests that one gateway runs on one replica at once.
 constexpr uint32_t kMaxBulkRequestsPerReplica = 4;
 /// Gateways that may use a replica which is warming up.
-constexpr uint32_t kFrontsPerColdReplica = 1;
+constexpr uint32_t kGatewaysPerColdReplica = 1;
 
 }  // namespace mosskeel
--- a/src/programs/replica_selector.cpp
+++ b/src/programs/replica_selector.cpp
@@ -24,7 +24,7 @@
 
 bool may_use_replicas(const Daemon& daemon, const Metadata& metadata) {
   bool in_service = daemon.state == DaemonState::up || daemon.state == DaemonState::draining;
-  return daemon.self.role == Role::front && in_service && !metadata.evacuated.count(daemon.self.zone);
+  return daemon.self.role == Role::gateway && in_service && !metadata.evacuated.count(daemon.self.zone);
 }
 
 /// Nothing where this gateway may not use replicas.
@@ -71,7 +71,7 @@
     uint32_t remainder = own->rank < replica.capacity % own->gateways ? 1 : 0;
     return std::max(1u, replica.capacity / own->gateways + remainder);
   }
-  if (own->rank >= kFrontsPerColdReplica)
+  if (own->rank >= kGatewaysPerColdReplica)
     return 0;
   auto& slow_start = slow_starts_[replica.name];
   if (slow_start.cold_since_epoch != replica.since)
--- a/src/programs/request_intake.cpp
+++ b/src/programs/request_intake.cpp
@@ -22,7 +22,7 @@
     auto epoch = std::to_string(envelope.epoch.value());
     context_.outbox.log_event(Event::stale_epoch_rejected, request.attempt + " placed at " + epoch);
     open.response.wrong_owner = true;
-    responder_.reject(open, {503, "placed at an epoch too old for its slot"}, now);
+    responder_.reject(open, {503, "placed at an epoch too old for its partition"}, now);
     return nullptr;
   }
   if (is_forwarded)
--- a/src/programs/request_pipeline.cpp
+++ b/src/programs/request_pipeline.cpp
@@ -104,7 +104,7 @@
   }
   if (!open.is_from_local_caller()) {
     open.response.wrong_owner = true;
-    return responder_.reject(open, {503, "this worker does not own the program"}, now);
+    return responder_.reject(open, {503, "this gateway does not own the program"}, now);
   }
   request_forwarder_.start(open, now);
 }
--- a/src/replication/heartbeat_acknowledgements.cpp
+++ b/src/replication/heartbeat_acknowledgements.cpp
@@ -44,7 +44,7 @@
     auto entry = acknowledgements_.find(heartbeat_address(*daemon));
     // A gateway's agent answers under an incarnation of its own.
     bool is_from_it = entry != acknowledgements_.end() &&
-                      (daemon->self.role == Role::front || entry->second.incarnation == daemon->self.incarnation);
+                      (daemon->self.role == Role::gateway || entry->second.incarnation == daemon->self.incarnation);
     times.push_back(is_from_it ? entry->second.sent : kNeverAcknowledged);
   }
   if (times.empty())
--- a/src/routing/load_balancer.cpp
+++ b/src/routing/load_balancer.cpp
@@ -21,7 +21,7 @@
 
 /// Whether the daemon is a gateway that carries requests.
 bool is_serving_gateway(const Daemon& daemon) {
-  return daemon.self.role == Role::front && daemon.state != DaemonState::down && daemon.state != DaemonState::left;
+  return daemon.self.role == Role::gateway && daemon.state != DaemonState::down && daemon.state != DaemonState::left;
 }
 
 /// The gateway that alone sends to a replica in slow start: the first by rendezvous hashing.
--- a/src/routing/request_router.cpp
+++ b/src/routing/request_router.cpp
@@ -46,7 +46,7 @@
   if (headers.attempt_id.empty())
     return send_error(id, {400, "the attempt has no id"});
   if (!dispatcher_.has_majority_contact(now))
-    return send_error(id, {503, "this front is out of touch", kRetryAfterNoContact});
+    return send_error(id, {503, "this gateway is out of touch", kRetryAfterNoContact});
   auto& routes = dispatcher_.routes();
   auto* path = routes.find(event.request.host, event.request.target);
   if (!path)
--- a/src/routing/turn_coordinator.cpp
+++ b/src/routing/turn_coordinator.cpp
@@ -134,14 +134,14 @@
 
 std::optional<TurnCoordinator::Progress> TurnCoordinator::open_history(PendingReservation& pending, TimePoint now) {
   if (!is_owner(pending.history))
-    return reject(pending, 0, "another front owns the program");
+    return reject(pending, 0, "another gateway owns the program");
   switch (history_writer_.open(pending.history, now)) {
     case HistoryWriter::State::open:
       break;
     case HistoryWriter::State::unavailable:
       return reject(pending, 503, "too few stores answer", kDefaultRetryAfter);
     case HistoryWriter::State::fenced:
-      return reject(pending, 0, "another front owns the program");
+      return reject(pending, 0, "another gateway owns the program");
     case HistoryWriter::State::opening:
       return Progress::waiting;
   }
@@ -159,7 +159,7 @@
     if (turn->outcome)
       return reject(pending, 409, "this attempt has an outcome already");
     if (!is_granted_to(pending.history, *turn->reservation, pending.incarnation))
-      return reject(pending, 409, "this attempt was granted to another front");
+      return reject(pending, 409, "this attempt was granted to another gateway");
     pending.required_length = *turn->reservation + 1;
   }
   if (pending.required_length > 0)
--- a/tests/platform_stub/app_replica.cpp
+++ b/tests/platform_stub/app_replica.cpp
@@ -32,7 +32,7 @@
   auto attempt = admit(exchange, request);
   if (!attempt)
     return;
-  if (executing_.size() >= kReplicaSlots) {
+  if (executing_.size() >= kReplicaCapacity) {
     send_not_executed(exchange, 503, *attempt);
     return;
   }
--- a/tests/platform_stub/listed_replica.hpp
+++ b/tests/platform_stub/listed_replica.hpp
@@ -5,7 +5,7 @@
 namespace mosskeel::platform_stub {
 
 /// Requests that a replica executes at once.
-inline constexpr uint32_t kReplicaSlots = 8;
+inline constexpr uint32_t kReplicaCapacity = 8;
 /// Tokens in one event of a model's stream.
 inline constexpr uint32_t kTokensPerEvent = 4;
 /// Requests a second that a cold replica is configured to bear.
--- a/tests/platform_stub/model_replica.cpp
+++ b/tests/platform_stub/model_replica.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Requests that wait for a slot; more are rejected.
+/// Requests that wait for capacity; more are rejected.
 constexpr size_t kMaxQueued = 4;
 constexpr size_t kMaxCachedParts = 200;
 /// A step lasts this long, and `kStepTimePerRequest` longer for each request in the batch.
@@ -51,7 +51,7 @@
   auto attempt = admit(exchange, request);
   if (!attempt)
     return;
-  if (batch_.size() + queue_.size() >= kReplicaSlots + kMaxQueued) {
+  if (batch_.size() + queue_.size() >= kReplicaCapacity + kMaxQueued) {
     send_not_executed(exchange, 503, *attempt);
     return;
   }
@@ -75,7 +75,7 @@
 }
 
 void ModelReplica::step() {
-  while (batch_.size() < kReplicaSlots && !queue_.empty())
+  while (batch_.size() < kReplicaCapacity && !queue_.empty())
     batch_.insert(queue_.extract(queue_.begin()));
   for (auto entry = batch_.begin(); entry != batch_.end();) {
     bool goes_on = advance(entry->first, entry->second);
--- a/tests/platform_stub/model_replica.hpp
+++ b/tests/platform_stub/model_replica.hpp
@@ -6,7 +6,7 @@
 
 namespace mosskeel::platform_stub {
 
-/// Executes up to `kReplicaSlots` requests in one batch: each step brings all of them forward by a piece of their
+/// Executes up to `kReplicaCapacity` requests in one batch: each step brings all of them forward by a piece of their
 /// prompt or by one event. Parts of prompts that it has read before are cached and not read again.
 class ModelReplica : public Replica {
  public:
--- a/tests/platform_stub/platform_configuration.cpp
+++ b/tests/platform_stub/platform_configuration.cpp
@@ -45,7 +45,8 @@
 
 Json model_service() {
   auto model = service("model");
-  model["Runtime"] = {{"SlotCount", kReplicaSlots}, {"CacheTokens", kCacheTokens}, {"TokensPerEvent", kTokensPerEvent}};
+  model["Runtime"] = {
+      {"SlotCount", kReplicaCapacity}, {"CacheTokens", kCacheTokens}, {"TokensPerEvent", kTokensPerEvent}};
   return model;
 }
 
--- a/tests/simulation/cuts.cpp
+++ b/tests/simulation/cuts.cpp
@@ -29,7 +29,7 @@
   }
 }
 
-/// The two daemons of a worker go together.
+/// A gateway and its agent go together.
 void join(World& world, std::set<std::string>& group, const std::string& name) {
   group.insert(name);
   const auto& beside = world.node(name).beside;
--- a/tests/simulation/replicas.cpp
+++ b/tests/simulation/replicas.cpp
@@ -183,9 +183,9 @@
       world_.fail("cold " + replica.name + " is flooded: " + std::to_string(replica.running) + " turns " +
                   std::to_string(cold_for.count()) + " ms after its mark");
     ++replica.calls_while_cold[gateway];
-    if (replica.calls_while_cold.size() > kFrontsPerColdReplica)
+    if (replica.calls_while_cold.size() > kGatewaysPerColdReplica)
       world_.fail("cold " + replica.name + " is reached by " + std::to_string(replica.calls_while_cold.size()) +
-                  " fronts");
+                  " gateways");
   }
   if (!is_cold && replica.running > static_cast<int>(kDefaultReplicaCapacity) * 3 / 2)
     world_.fail(replica.name + " runs " + std::to_string(replica.running) + " turns on " +
--- a/tests/simulation/retention.cpp
+++ b/tests/simulation/retention.cpp
@@ -208,7 +208,8 @@
     histories += first.size();
     for (const auto& store : stores)
       if (histories_on(world, store, PartitionId{i}) != first)
-        return world.fail(store + " holds other histories of slot " + std::to_string(i) + " than " + stores.front());
+        return world.fail(store + " holds other histories of partition " + std::to_string(i) + " than " +
+                          stores.front());
   }
   if (histories < fewest_histories)
     world.fail("hardly any histories to compare: " + std::to_string(histories));
--- a/tests/simulation/sizes.cpp
+++ b/tests/simulation/sizes.cpp
@@ -115,8 +115,8 @@
   }
 }
 
-/// A worker's two daemons.
-std::vector<std::string> any_worker(Day& day) {
+/// A gateway and its agent.
+std::vector<std::string> any_gateway_machine(Day& day) {
   auto gateway = day.any(Kind::gateway);
   return {gateway, day.world.node(gateway).beside};
 }
@@ -144,13 +144,13 @@
   auto& world = day.world;
   switch (number % kClosingFaults) {
     case 0:
-      for (const auto& name : any_worker(day))
+      for (const auto& name : any_gateway_machine(day))
         world.kill(name);
-      return "a front killed";
+      return "a gateway killed";
     case 1:
-      for (const auto& name : any_worker(day))
+      for (const auto& name : any_gateway_machine(day))
         world.freeze(name);
-      return "a front frozen";
+      return "a gateway frozen";
     case 2:
       world.power_off(day.any(Kind::store));
       return "a store lost";
@@ -310,7 +310,7 @@
     return metadata->sequences.empty() && !counts_on(*metadata, lost);
   };
   if (!world.until(12000ms, is_replaced))
-    world.fail("slots still count on a store that is gone");
+    world.fail("partitions still count on a store that is gone");
   world.run(1000ms);
   world.wipe("store2");
   world.run(1000ms);
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -32,9 +32,9 @@
       return Role::store;
     case Kind::agent:
     case Kind::gateway:
-      return Role::front;
+      return Role::gateway;
   }
-  return Role::front;
+  return Role::gateway;
 }
 
 /// A name like "store1"; numbers begin with 1.
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -44,7 +44,7 @@
   std::string name;
   Kind kind = Kind::controller;
   Identity id;
-  /// The other daemon of the same worker: an agent's gateway, a gateway's agent.
+  /// The other daemon of the same machine: an agent's gateway, a gateway's agent.
   Address beside;
   /// Null while no process runs.
   std::unique_ptr<StateMachine> machine;
--- a/tests/unit/consensus/in_force_test.cpp
+++ b/tests/unit/consensus/in_force_test.cpp
@@ -24,7 +24,7 @@
     metadata.cluster = 7;
     metadata.epoch = kEpoch;
     for (uint64_t number = 1; number <= 7; ++number) {
-      Role role = number <= 3 ? Role::controller : number <= 6 ? Role::front : Role::store;
+      Role role = number <= 3 ? Role::controller : number <= 6 ? Role::gateway : Role::store;
       DaemonId id{number};
       metadata.directory[id] = {id, candidate(number, role), DaemonState::up, Epoch{1}};
       metadata.quorum_members.push_back(id);
--- a/tests/unit/history/store_fixture.hpp
+++ b/tests/unit/history/store_fixture.hpp
@@ -29,7 +29,7 @@
   metadata.cluster = kCluster;
   for (uint64_t store = 1; store <= 4; ++store)
     metadata.directory[DaemonId{store}] = daemon_of(store, Incarnation{store}, Role::store);
-  metadata.directory[DaemonId{9}] = daemon_of(9, kOwner, Role::front);
+  metadata.directory[DaemonId{9}] = daemon_of(9, kOwner, Role::gateway);
   std::vector<DaemonId> stores{DaemonId{2}, DaemonId{3}, DaemonId{4}};
   std::vector<DaemonId> pending_stores{DaemonId{1}, DaemonId{3}, DaemonId{4}};
   metadata.partitions.assign(kPartitionCount, {DaemonId{9}, kFirstTerm, stores, pending_stores, kPendingEpoch});
--- a/tests/unit/messages/golden_data_test.cpp
+++ b/tests/unit/messages/golden_data_test.cpp
@@ -170,7 +170,7 @@
   std::vector<Enumeration> enumerators;
 };
 
-const EnumerationExample<Role> roles{"enumerations/role.hex", {Role::controller, Role::front, Role::store}};
+const EnumerationExample<Role> roles{"enumerations/role.hex", {Role::controller, Role::gateway, Role::store}};
 const EnumerationExample<DaemonState> daemon_states{
     "enumerations/daemon-state.hex",
     {DaemonState::registered, DaemonState::up, DaemonState::draining, DaemonState::down, DaemonState::left}};
--- a/tests/unit/messages/golden_examples.cpp
+++ b/tests/unit/messages/golden_examples.cpp
@@ -83,9 +83,9 @@
 Directory directory(uint64_t base) {
   Directory daemons;
   daemons[DaemonId{base + 13}] = daemon(base, Role::controller, DaemonState::registered);
-  daemons[DaemonId{base + 113}] = daemon(base + 100, Role::front, DaemonState::up);
+  daemons[DaemonId{base + 113}] = daemon(base + 100, Role::gateway, DaemonState::up);
   daemons[DaemonId{base + 213}] = daemon(base + 200, Role::store, DaemonState::draining);
-  daemons[DaemonId{base + 313}] = daemon(base + 300, Role::front, DaemonState::down);
+  daemons[DaemonId{base + 313}] = daemon(base + 300, Role::gateway, DaemonState::down);
   daemons[DaemonId{base + 413}] = daemon(base + 400, Role::store, DaemonState::left);
   return daemons;
 }
@@ -240,7 +240,7 @@
                              .cluster = 401,
                              .epoch = Epoch{402},
                              .core = {"core-a", "core-b"},
-                             .candidates = {candidate(500, Role::controller), candidate(600, Role::front)}})},
+                             .candidates = {candidate(500, Role::controller), candidate(600, Role::gateway)}})},
       {3, "prepare", message(Prepare{.epoch = Epoch{301}, .ballot = ballot(400)})},
       {4, "promise",
        message(Promise{.epoch = Epoch{301},
@@ -299,7 +299,7 @@
                            .entries = {},
                            .rejection = Rejection::revision_conflict})},
       {14, "heartbeat",
-       message(Heartbeat{.self = candidate(300, Role::front),
+       message(Heartbeat{.self = candidate(300, Role::gateway),
                          .known = Epoch{401},
                          .load = 402,
                          .streamed = Epoch{403},
@@ -511,7 +511,7 @@
       {18, "refound",
        entry_with(RefoundCluster{.generation = 301,
                                  .lost = {DaemonId{302}, DaemonId{303}},
-                                 .fresh = {candidate(400, Role::controller), candidate(500, Role::front)}})},
+                                 .fresh = {candidate(400, Role::controller), candidate(500, Role::gateway)}})},
       {19, "recount", entry_with(BeginQuorumChange{})},
       {20, "recounted", entry_with(FinishQuorumChange{.since = Epoch{301}})},
       {22, "drop-core", entry_with(RemoveCoreMember{.node = DaemonId{301}})},
--- a/tests/unit/metadata/store_fleet_fixture.hpp
+++ b/tests/unit/metadata/store_fleet_fixture.hpp
@@ -11,7 +11,7 @@
  public:
   explicit StoreFleet(uint64_t stores, uint32_t replication_factor = replication_factor_for(2, 1)) {
     commit(FoundCluster{7, 3, {candidate(1, Role::controller, "a")}, 0, replication_factor});
-    commit(Register{candidate(2, Role::front, "a")});
+    commit(Register{candidate(2, Role::gateway, "a")});
     run_sequence(PrepareJoin{id("front2")}, "front2");
     for (uint64_t number = 11; number < 11 + stores; ++number)
       add_store(number);
--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -22,7 +22,7 @@
 
 /// A front with another incarnation at the address of "front21".
 Candidate restarted_front21() {
-  return {Incarnation{99}, Role::front, "a", "front21", "", "", ""};
+  return {Incarnation{99}, Role::gateway, "a", "front21", "", "", ""};
 }
 
 std::vector<Candidate> three_controllers() {
@@ -41,9 +41,9 @@
     must(Register{candidate(13, Role::store, "c")});
     for (auto* store : {"store11", "store12", "store13"})
       join(store);
-    must(Register{candidate(21, Role::front, "a")});
+    must(Register{candidate(21, Role::gateway, "a")});
     join("front21");
-    must(Register{candidate(22, Role::front, "b")});
+    must(Register{candidate(22, Role::gateway, "b")});
     join("front22");
   }
 
@@ -138,7 +138,7 @@
     return !is_controller(daemon);
   };
   auto is_no_front = [](const Daemon& daemon) {
-    return daemon.self.role != Role::front;
+    return daemon.self.role != Role::gateway;
   };
   CHECK(fleet.metadata.quorum_members.size() == 3);
   CHECK(fleet.metadata.has_quorum(is_controller));
@@ -179,7 +179,7 @@
 
 TEST_CASE("A join locks its partitions and runs start, mid and finish only in this order") {
   Fleet fleet;
-  fleet.must(Register{candidate(23, Role::front, "c")});
+  fleet.must(Register{candidate(23, Role::gateway, "c")});
   auto node = fleet.id("front23");
 
   fleet.must(PrepareJoin{node});
@@ -208,7 +208,7 @@
 
 TEST_CASE("A sequence whose partitions overlap locked ones is rejected") {
   Fleet fleet;
-  fleet.must(Register{candidate(23, Role::front, "c")});
+  fleet.must(Register{candidate(23, Role::gateway, "c")});
   auto joining = fleet.id("front23");
   auto other = fleet.id("front21");
 
@@ -256,14 +256,14 @@
       {ReplaceCoreMember{controller, front}, "is not a spare controller"},
       {AddCoreMember{front}, "is not a registered controller"},
       {AddCoreMember{controller}, "is a core member already"},
-      {PrepareDrain{controller}, "is no front worker or store"},
+      {PrepareDrain{controller}, "is no gateway or store"},
       {MarkDown{DaemonId{99}}, "is unknown"},
       {MarkUp{front}, "is not down"},
       {AdvanceSequence{front, SequenceStep::start}, "has no sequence in progress"},
       {CancelSequence{front, ""}, "has no sequence in progress"},
       {EvacuateZone{"q"}, "is unknown"},
       {RestoreZone{"a"}, "is not evacuated"},
-      {MovePartition{PartitionId{1}, store}, "is no front worker"},
+      {MovePartition{PartitionId{1}, store}, "is no gateway"},
       {MoveAllPartitions{front, front}, "is the same node"},
       {RemoveReplica{"m"}, "is no replica"},
       {SetReplica{{"m", "modal", "a", "ftp://x", ReplicaHealth::ready, {}, 0, "", 0}},
@@ -273,7 +273,7 @@
       {FinishQuorumChange{Epoch{3}}, "none of epoch 3 is under way"},
       {ApplyConfiguration{Revision{3}, {}, {}}, "built on 3, in force is 0"},
       {FoundCluster{8, 3, {}, 0, 0}, "is founded already"},
-      {Register{candidate(21, Role::front, "a")}, "is registered already"},
+      {Register{candidate(21, Role::gateway, "a")}, "is registered already"},
   };
 
   for (auto& row : rows) {
--- a/tests/unit/programs/gateway_shutdown_test.cpp
+++ b/tests/unit/programs/gateway_shutdown_test.cpp
@@ -10,7 +10,7 @@
 
 Identity unregistered_gateway() {
   Identity identity{};
-  identity.self = {Incarnation{1}, Role::front, "z1", "10.0.0.1:1", "10.0.0.1:2", "", "machine-1"};
+  identity.self = {Incarnation{1}, Role::gateway, "z1", "10.0.0.1:1", "10.0.0.1:2", "", "machine-1"};
   identity.random_seed = 99;
   return identity;
 }
--- a/tests/unit/programs/majority_contact_test.cpp
+++ b/tests/unit/programs/majority_contact_test.cpp
@@ -50,7 +50,7 @@
   }
 
   Metadata metadata_{};
-  Candidate self_ = candidate(21, Role::front, "gateway", "agent");
+  Candidate self_ = candidate(21, Role::gateway, "gateway", "agent");
 
  public:
   GatewayMachine machine{Identity{self_, {}}, kStart};
--- a/tests/unit/programs/replica_selector_test.cpp
+++ b/tests/unit/programs/replica_selector_test.cpp
@@ -8,7 +8,7 @@
   Metadata metadata;
   for (uint64_t number = 1; number <= 6; ++number) {
     DaemonId id{number};
-    Candidate self{Incarnation{number}, Role::front, "a", "f" + std::to_string(number), "", ""};
+    Candidate self{Incarnation{number}, Role::gateway, "a", "f" + std::to_string(number), "", ""};
     metadata.directory[id] = {id, self, DaemonState::up, {}};
   }
   constexpr TimePoint kStart{1000ms};
--- a/tests/unit/replication/agent_shutdown_test.cpp
+++ b/tests/unit/replication/agent_shutdown_test.cpp
@@ -12,12 +12,12 @@
 constexpr const char* kAgentAddress = "10.0.0.1:2";
 
 Candidate gateway_of_incarnation(uint64_t incarnation) {
-  return {Incarnation{incarnation}, Role::front, "z1", kGatewayAddress, kAgentAddress, "", "machine-1"};
+  return {Incarnation{incarnation}, Role::gateway, "z1", kGatewayAddress, kAgentAddress, "", "machine-1"};
 }
 
 Identity agent_identity() {
   Identity identity{};
-  identity.self = {Incarnation{1}, Role::front, "z1", kAgentAddress, kGatewayAddress, "", "machine-1"};
+  identity.self = {Incarnation{1}, Role::gateway, "z1", kAgentAddress, kGatewayAddress, "", "machine-1"};
   identity.random_seed = 99;
   return identity;
 }
--- a/tests/unit/routing/turn_client_test.cpp
+++ b/tests/unit/routing/turn_client_test.cpp
@@ -11,7 +11,7 @@
 
 /// Gateway 2, which has callers; gateway 1 owns all programs.
 struct ClientFixture {
-  Identity identity{candidate(2, Role::front, "z2"), {}, 0, 99};
+  Identity identity{candidate(2, Role::gateway, "z2"), {}, 0, 99};
   Outbox outbox{identity};
   MetadataLog metadata_log;
   TurnClient client{outbox, metadata_log};
--- a/tests/unit/routing/turn_owner_fixture.hpp
+++ b/tests/unit/routing/turn_owner_fixture.hpp
@@ -21,7 +21,7 @@
   metadata.cluster = 7;
   metadata.configured_replication_factor = 3;
   for (uint64_t daemon : {1, 2, 3, 11, 12, 13}) {
-    auto role = daemon < 10 ? Role::front : Role::store;
+    auto role = daemon < 10 ? Role::gateway : Role::store;
     auto self = candidate(daemon, role, "z" + std::to_string(daemon));
     metadata.directory[DaemonId{daemon}] = {DaemonId{daemon}, self, DaemonState::up, Epoch{2}};
   }
@@ -43,7 +43,7 @@
 
 /// Gateway 1.
 struct Owner {
-  Identity identity{candidate(1, Role::front, "z1"), {}, 0, 99};
+  Identity identity{candidate(1, Role::gateway, "z1"), {}, 0, 99};
   Outbox outbox{identity};
   MetadataLog metadata_log;
   HistoryWriter history_writer{outbox, metadata_log};
--- a/tests/unit/runtime/golden_folders.cpp
+++ b/tests/unit/runtime/golden_folders.cpp
@@ -26,7 +26,7 @@
 Candidate front(uint64_t number, const std::string& zone) {
   auto address = "gateway" + std::to_string(number);
   return {.incarnation = Incarnation{200 + number},
-          .role = Role::front,
+          .role = Role::gateway,
           .zone = zone,
           .address = address,
           .agent_address = "agent" + std::to_string(number),
--- a/tests/unit/tools/capacity_test.cpp
+++ b/tests/unit/tools/capacity_test.cpp
@@ -61,7 +61,7 @@
 TEST_CASE("A daemon that hears the core sends no heartbeat to other daemons") {
   SimulatedFleet fleet(small_plan(), 1);
   fleet.run(scale::kSettlingTime);
-  REQUIRE(fleet.all_fronts_ready());
+  REQUIRE(fleet.all_gateways_ready());
   fleet.reset_counters();
   fleet.run(3000ms);
   CHECK(fleet.sum(ProcessKind::agent).received["heartbeat"].messages == 0);
@@ -73,13 +73,13 @@
   SimulatedFleet fleet(small_plan(), 1);
   fleet.run(scale::kSettlingTime);
   fleet.run(3000ms);
-  REQUIRE(fleet.all_fronts_ready());
+  REQUIRE(fleet.all_gateways_ready());
   fleet.reset_counters();
   for (auto index : fleet.indices_of(ProcessKind::controller))
     fleet.stop(index);
   for (int look = 0; look < 40; ++look) {
     fleet.run(100ms);
-    CHECK(fleet.all_fronts_ready());
+    CHECK(fleet.all_gateways_ready());
   }
   CHECK(fleet.sum(ProcessKind::agent).received["heartbeat"].messages > 0);
   CHECK(fleet.failures.empty());
--- a/tools/loadgen/checks.cpp
+++ b/tools/loadgen/checks.cpp
@@ -34,7 +34,7 @@
 /// False, with the reason, if the history could not be read.
 bool LoadGenerator::check_history_once(const std::string& program, const TurnResults& turns, std::string& reason) {
   FetchRequest request;
-  request.url = "http://" + fronts_.any() + "/v1/cells/" + plan_.cell + "/programs/" + program;
+  request.url = "http://" + gateways_.any() + "/v1/cells/" + plan_.cell + "/programs/" + program;
   auto response = http_fetch(request);
   if (response.status == 404) {
     report_.add_violation("a kept program was reported missing: " + program);
--- a/tools/loadgen/har.cpp
+++ b/tools/loadgen/har.cpp
@@ -118,10 +118,10 @@
 }
 
 /// Sends one request; whether the answer is as recorded.
-bool replay(const HarRequest& recorded, const Address& front, LoadReport& report) {
+bool replay(const HarRequest& recorded, const Address& gateway, LoadReport& report) {
   FetchRequest request;
   request.method = recorded.method;
-  request.url = "http://" + front + recorded.path;
+  request.url = "http://" + gateway + recorded.path;
   request.headers = recorded.headers;
   request.body = recorded.body;
   auto begun = clock_ms();
@@ -169,7 +169,7 @@
   return requests;
 }
 
-int replay_har(const std::string& file, const Address& front, ReplayScope scope) {
+int replay_har(const std::string& file, const Address& gateway, ReplayScope scope) {
   auto text = read_text(file);
   if (!text.ok())
     return print_errors("", text.errors());
@@ -182,7 +182,7 @@
     bool is_safe = request.method == "GET" || request.method == "HEAD";
     if (scope == ReplayScope::safe_methods && !is_safe)
       report.count("left out, not repeatable");
-    else if (!replay(request, front, report))
+    else if (!replay(request, gateway, report))
       differs = true;
   }
   fputs(report.as_text().c_str(), stdout);
--- a/tools/loadgen/har.hpp
+++ b/tools/loadgen/har.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Reads an HTTP archive (HAR 1.2) and replays it against a front worker.
+// Reads an HTTP archive (HAR 1.2) and replays it against a gateway.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel::loadgen {
@@ -25,6 +25,6 @@
 };
 /// Replays a file's requests in order and prints which answers differ. 0 if none does, 1 if any does, 2 if the file
 /// cannot be read.
-int replay_har(const std::string& file, const Address& front, ReplayScope scope);
+int replay_har(const std::string& file, const Address& gateway, ReplayScope scope);
 
 }  // namespace mosskeel::loadgen
--- a/tools/loadgen/load_generator.cpp
+++ b/tools/loadgen/load_generator.cpp
@@ -25,11 +25,11 @@
   return failure;
 }
 
-Address LoadGenerator::ready_front() {
-  auto front = fronts_.any();
-  if (front.empty())
+Address LoadGenerator::ready_gateway() {
+  auto gateway = gateways_.any();
+  if (gateway.empty())
     sleep_for(kDefaultRetryDelay);
-  return front;
+  return gateway;
 }
 
 void LoadGenerator::note_not_run(const std::string& request) {
--- a/tools/loadgen/load_generator.hpp
+++ b/tools/loadgen/load_generator.hpp
@@ -4,7 +4,7 @@
 
 #include "load_report.hpp"
 #include "plan.hpp"
-#include "ready_fronts.hpp"
+#include "ready_gateways.hpp"
 
 namespace mosskeel::loadgen {
 
@@ -45,7 +45,7 @@
 /// One run of the load. Each program and each of its threads has a thread of its own.
 class LoadGenerator {
  public:
-  explicit LoadGenerator(const Plan& plan) : plan_(plan), fronts_(plan.controllers) {}
+  explicit LoadGenerator(const Plan& plan) : plan_(plan), gateways_(plan.controllers) {}
   /// Runs the whole plan; 0 if nothing happened that must not.
   int run();
 
@@ -76,13 +76,13 @@
 
   void run_load();
   void write_report();
-  /// The HTTP address of a ready front; waits a moment and gives an empty one if there is none.
-  Address ready_front();
+  /// The HTTP address of a ready gateway; waits a moment and gives an empty one if there is none.
+  Address ready_gateway();
   void note_not_run(const std::string& request);
   void count_attempt(const std::string& what, long status, const std::string& ran);
 
   Plan plan_;
-  ReadyFronts fronts_;
+  ReadyGateways gateways_;
   LoadReport report_;
   std::mutex mutex_;
   std::map<std::string, TurnResults> turns_by_program_;
--- a/tools/loadgen/main.cpp
+++ b/tools/loadgen/main.cpp
@@ -19,7 +19,7 @@
 
 struct Options {
   loadgen::Plan plan;
-  /// An archive to be replayed instead of the plan, and the front worker that it goes to.
+  /// An archive to be replayed instead of the plan, and the gateway that it goes to.
   std::string har_file;
   Address replay_target;
   loadgen::ReplayScope replay_scope = loadgen::ReplayScope::safe_methods;
@@ -83,7 +83,7 @@
       {"control", 0, POPT_ARG_STRING, &control, 0, "the local cluster's control address, for harm", "IP:PORT"},
       {"seed", 0, POPT_ARG_LONG, &plan.fault_seed, 0, "seed of the random harm", "N"},
       {"har", 0, POPT_ARG_STRING, &har, 0, "replay this HTTP archive instead", "FILE"},
-      {"to", 0, POPT_ARG_STRING, &to, 0, "the front worker that the replay goes to", "IP:PORT"},
+      {"to", 0, POPT_ARG_STRING, &to, 0, "the gateway that the replay goes to", "IP:PORT"},
       {"all", 0, POPT_ARG_NONE, &all, 0, "replay also what may not be repeated", nullptr},
       {"version", 'V', POPT_ARG_NONE, &version, 0, "print the version, then exit", nullptr},
       POPT_AUTOHELP POPT_TABLEEND};
--- a/tools/loadgen/ready_fronts.cpp
+++ b/tools/loadgen/ready_gateways.cpp
@@ -1,4 +1,4 @@
-#include "ready_fronts.hpp"
+#include "ready_gateways.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-ReadyFronts::ReadyFronts(const std::vector<Address>& controllers) : controllers_(controllers) {
+ReadyGateways::ReadyGateways(const std::vector<Address>& controllers) : controllers_(controllers) {
   refresh();
   thread_ = std::thread([this] {
     while (!stop_) {
@@ -23,13 +23,13 @@
   });
 }
 
-ReadyFronts::~ReadyFronts() {
+ReadyGateways::~ReadyGateways() {
   stop_ = true;
   thread_.join();
 }
 
 /// Takes the list of the first controller that answers with one.
-void ReadyFronts::refresh() {
+void ReadyGateways::refresh() {
   for (const auto& controller : controllers_) {
     FetchRequest request;
     request.url = "http://" + controller + "/v1/fronts";
@@ -38,9 +38,9 @@
     if (!answer.is_object() || !answer.contains("fronts"))
       continue;
     std::vector<Address> ready;
-    for (const auto& front : answer["fronts"]) {
-      if (front["ready"] == true)
-        ready.push_back(front["http"]);
+    for (const auto& gateway : answer["fronts"]) {
+      if (gateway["ready"] == true)
+        ready.push_back(gateway["http"]);
     }
     std::lock_guard lock(mutex_);
     ready_ = std::move(ready);
@@ -48,7 +48,7 @@
   }
 }
 
-Address ReadyFronts::any() {
+Address ReadyGateways::any() {
   std::lock_guard lock(mutex_);
   if (ready_.empty())
     return "";
--- a/tools/loadgen/ready_fronts.hpp
+++ b/tools/loadgen/ready_gateways.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The front workers that the controllers call ready.
+// The gateways that the controllers call ready.
 #include <atomic>
 #include <mutex>
 #include <thread>
@@ -9,11 +9,11 @@
 namespace mosskeel::loadgen {
 
 /// Keeps the list up to date on a thread of its own. Any thread may ask.
-class ReadyFronts {
+class ReadyGateways {
  public:
   /// HTTP addresses of controllers.
-  explicit ReadyFronts(const std::vector<Address>& controllers);
-  ~ReadyFronts();
+  explicit ReadyGateways(const std::vector<Address>& controllers);
+  ~ReadyGateways();
   /// The HTTP address of a random one; empty if none is ready.
   Address any();
 
--- a/tools/loadgen/tool_calls.cpp
+++ b/tools/loadgen/tool_calls.cpp
@@ -48,11 +48,11 @@
 
 void LoadGenerator::get(const std::string& path, const std::string& what, const std::string& request_class) {
   for (int number = 0; number < kAttemptLimit; ++number) {
-    auto front = ready_front();
-    if (front.empty())
+    auto gateway = ready_gateway();
+    if (gateway.empty())
       continue;
     FetchRequest request;
-    request.url = "http://" + front + "/v1/cells/" + plan_.cell + "/app" + path;
+    request.url = "http://" + gateway + "/v1/cells/" + plan_.cell + "/app" + path;
     request.headers["X-Class"] = request_class;
     auto begun = clock_ms();
     auto response = http_fetch(request);
@@ -72,12 +72,12 @@
   auto id = "count-" + std::to_string(number) + "-" + hex(random_number());
   bool may_have_run = false;
   for (int attempt = 0; attempt < kAttemptLimit; ++attempt) {
-    auto front = ready_front();
-    if (front.empty())
+    auto gateway = ready_gateway();
+    if (gateway.empty())
       continue;
     FetchRequest request;
     request.method = "POST";
-    request.url = "http://" + front + "/v1/cells/" + plan_.cell + "/app/count";
+    request.url = "http://" + gateway + "/v1/cells/" + plan_.cell + "/app/count";
     request.headers["Idempotency-Key"] = id;
     request.body = id;
     auto begun = clock_ms();
--- a/tools/loadgen/turns.cpp
+++ b/tools/loadgen/turns.cpp
@@ -114,7 +114,7 @@
 }  // namespace
 
 struct TurnAttempt {
-  Address front;
+  Address gateway;
   double begun = clock_ms();
   TurnStream stream{begun};
   FetchResponse response;
@@ -134,7 +134,7 @@
                                  TurnAttempt& attempt) {
   FetchRequest request;
   request.method = "POST";
-  request.url = "http://" + attempt.front + "/v1/cells/" + plan_.cell + "/programs/" + program + "/turns";
+  request.url = "http://" + attempt.gateway + "/v1/cells/" + plan_.cell + "/programs/" + program + "/turns";
   request.headers["Idempotency-Key"] = turn.key;
   request.headers["X-Deadline-Ms"] = kTurnDeadlineMs;
   if (random_number() % kUrgentEvery == 0)
@@ -195,8 +195,8 @@
   turn.input = "question " + turn.key + " " + std::string(kQuestionBytes, 'x');
   bool may_have_run = false;
   for (int number = 0; number < kAttemptLimit; ++number) {
-    TurnAttempt attempt{.front = ready_front()};
-    if (attempt.front.empty())
+    TurnAttempt attempt{.gateway = ready_gateway()};
+    if (attempt.gateway.empty())
       continue;
     send_attempt(program, turn, earlier, attempt);
     if (number == 0)
--- a/tools/local-cluster/fleet.cpp
+++ b/tools/local-cluster/fleet.cpp
@@ -66,7 +66,7 @@
 Fleet::Fleet(Plan plan) : plan_(std::move(plan)), next_port_(plan_.first_port) {
   add_controllers();
   add_stores();
-  add_fronts();
+  add_gateways();
   add_replicas("model", plan_.models, plan_.model_chunk_interval);
   add_replicas("app", plan_.apps, kAppChunkInterval);
 }
@@ -119,8 +119,8 @@
   }
 }
 
-void Fleet::add_fronts() {
-  for (int index = 0; index < plan_.fronts; ++index) {
+void Fleet::add_gateways() {
+  for (int index = 0; index < plan_.gateways; ++index) {
     auto agent_address = next_address();
     auto gateway_address = next_address();
     auto& agent = add(numbered("agent", index), "agent", index);
--- a/tools/local-cluster/fleet.hpp
+++ b/tools/local-cluster/fleet.hpp
@@ -11,7 +11,7 @@
 /// How many processes of each kind there are, and where they live.
 struct Plan {
   int controllers = 3;
-  int fronts = 6;
+  int gateways = 6;
   int stores = 3;
   /// Stand-in replicas of both kinds.
   int models = 9;
@@ -63,7 +63,7 @@
  private:
   void add_controllers();
   void add_stores();
-  void add_fronts();
+  void add_gateways();
   void add_replicas(const std::string& kind, int count, const std::string& chunk_interval);
   Process& add(const std::string& name, const std::string& program, int zone);
   Address next_address();
--- a/tools/local-cluster/main.cpp
+++ b/tools/local-cluster/main.cpp
@@ -21,7 +21,7 @@
 
 constexpr int kExitFailed = 1;
 constexpr int kExitUsage = 2;
-/// Fronts that are not ready by then are reported as they are.
+/// Gateways that are not ready by then are reported as they are.
 constexpr Duration kReadyTimeout = 60000ms;
 constexpr int kReadyProbeTimeout = 1000;
 constexpr Duration kPollInterval = 100ms;
@@ -34,7 +34,7 @@
     plan.models = 18;
     plan.apps = 8;
   } else if (name == "small") {
-    plan.fronts = 2;
+    plan.gateways = 2;
     plan.models = 2;
     plan.apps = 1;
   } else if (name != "catania") {
@@ -44,7 +44,7 @@
 }
 
 int port_count(const local_cluster::Plan& plan) {
-  return 2 * plan.controllers + 2 * plan.stores + 3 * plan.fronts + plan.models + plan.apps;
+  return 2 * plan.controllers + 2 * plan.stores + 3 * plan.gateways + plan.models + plan.apps;
 }
 
 struct Options {
@@ -69,7 +69,7 @@
                          "first port; the control port is the one before; 0 finds free ones", "PORT"},
                         {"controllers", 0, POPT_ARG_INT, &plan.controllers, 0, "how many controllers", "N"},
                         {"stores", 0, POPT_ARG_INT, &plan.stores, 0, "how many stores", "N"},
-                        {"fronts", 0, POPT_ARG_INT, &plan.fronts, 0, "how many gateways", "N"},
+                        {"fronts", 0, POPT_ARG_INT, &plan.gateways, 0, "how many gateways", "N"},
                         {"pace", 0, POPT_ARG_STRING, &chunk_interval, 0, "milliseconds between a model's chunks", "MS"},
                         {"keep", 'k', POPT_ARG_NONE, &keep, 0, "keep the folder of an earlier run", nullptr},
                         {"version", 'V', POPT_ARG_NONE, &version, 0, "print the version, then exit", nullptr},
@@ -151,7 +151,7 @@
   for (const auto& address : fleet.controllers())
     controllers += (controllers.empty() ? "" : ",") + address;
   printf("local-cluster: %d of %d fronts ready after %lld ms; controllers %s; control 127.0.0.1:%d\n",
-         count_ready_gateways(fleet), plan.fronts, static_cast<long long>(duration.count()), controllers.c_str(),
+         count_ready_gateways(fleet), plan.gateways, static_cast<long long>(duration.count()), controllers.c_str(),
          plan.first_port - 1);
   fflush(stdout);
 }
@@ -168,7 +168,7 @@
     return fail(errors, kExitUsage);
   if (auto errors = fleet.configure(); !errors.empty())
     return fail(errors, kExitFailed);
-  while (count_ready_gateways(fleet) < plan.fronts && process_now() - begun < kReadyTimeout) {
+  while (count_ready_gateways(fleet) < plan.gateways && process_now() - begun < kReadyTimeout) {
     if (wait_for_signal(kPollInterval))
       return kExitFailed;
   }
--- a/tools/scale/churn.cpp
+++ b/tools/scale/churn.cpp
@@ -1,4 +1,4 @@
-// Experiments of what happens to a fleet: new fronts, restarts, a zone that fails, regions that are cut off.
+// Experiments of what happens to a fleet: new gateways, restarts, a zone that fails, regions that are cut off.
 #include <algorithm>
 
 #include "consensus/constants.hpp"
@@ -23,17 +23,17 @@
 }
 
 /// An agent and its gateway, which `fleet_processes` puts next to each other.
-void stop_front(SimulatedFleet& fleet, size_t agent) {
+void stop_gateway(SimulatedFleet& fleet, size_t agent) {
   fleet.stop(agent);
   fleet.stop(agent + 1);
 }
 
-void start_front(SimulatedFleet& fleet, size_t agent) {
+void start_gateway(SimulatedFleet& fleet, size_t agent) {
   fleet.start(agent, true);
   fleet.start(agent + 1, true);
 }
 
-/// Whether all running daemons are up and know the newest epoch, nothing is under way, and all fronts serve.
+/// Whether all running daemons are up and know the newest epoch, nothing is under way, and all gateways serve.
 bool is_calm(SimulatedFleet& fleet) {
   auto view = controller_view(fleet);
   if (!view->sequences.empty() || !view->incoming_quorum_members.empty())
@@ -48,7 +48,7 @@
     if (process.machine && process.known_epoch != view->epoch)
       return false;
   }
-  return fleet.all_fronts_ready();
+  return fleet.all_gateways_ready();
 }
 
 bool run_until_calm(SimulatedFleet& fleet) {
@@ -165,16 +165,16 @@
 
 }  // namespace
 
-Measurement new_front(const Plan& plan, uint64_t seed, double size) {
+Measurement new_gateway(const Plan& plan, uint64_t seed, double size) {
   Measurement measurement{.experiment = "newcomer", .size = size, .seed = seed, .counts = {}, .times = {}};
   SimulatedFleet fleet(plan, seed);
   fleet.run(kSettlingTime);
   auto agent = fleet.indices_of(ProcessKind::agent).front();
-  stop_front(fleet, agent);
+  stop_gateway(fleet, agent);
   run_until_calm(fleet);
   fleet.reset_counters();
   auto start = begin(fleet);
-  start_front(fleet, agent);
+  start_gateway(fleet, agent);
   const auto& process = fleet.processes()[agent];
   fleet.run_until(kCalmTimeout, [&] { return process.known_epoch.value() > 0; });
   measurement.counts["value_after.ms"] = as_milliseconds(fleet.now() - start.time);
@@ -190,7 +190,7 @@
   return measurement;
 }
 
-Measurement front_restarts(const Plan& plan, int count, uint64_t seed, double size) {
+Measurement gateway_restarts(const Plan& plan, int count, uint64_t seed, double size) {
   Measurement measurement{.experiment = "restarts", .size = size, .seed = seed, .counts = {}, .times = {}};
   SimulatedFleet fleet(plan, seed);
   fleet.run(kSettlingTime);
@@ -202,10 +202,10 @@
   bool calm = true;
   for (int number = 0; number < count && calm; ++number) {
     auto agent = agents[static_cast<size_t>(number) % agents.size()];
-    stop_front(fleet, agent);
+    stop_gateway(fleet, agent);
     fleet.run(kHeartbeatInterval);
     auto started = fleet.now();
-    start_front(fleet, agent);
+    start_gateway(fleet, agent);
     calm = run_until_calm(fleet);
     durations.push_back(fleet.now() - started);
   }
--- a/tools/scale/control_plane.cpp
+++ b/tools/scale/control_plane.cpp
@@ -190,7 +190,7 @@
   Measurement measurement{.experiment = "rest", .size = size, .seed = seed, .counts = {}, .times = {}};
   SimulatedFleet fleet(plan, seed);
   fleet.run(kSettlingTime);
-  measurement.counts["fronts.ready"] = fleet.all_fronts_ready();
+  measurement.counts["fronts.ready"] = fleet.all_gateways_ready();
   fleet.reset_counters();
   fleet.run(kMeasuringWindow);
   add_rates(measurement, fleet, as_seconds(kMeasuringWindow));
@@ -235,7 +235,7 @@
       cpu_milliseconds_each(repetitions, [&](int) { (void)apply(metadata, small_entry); });
   measure_encoding(measurement, metadata, repetitions);
   Daemon joining{.id = DaemonId{metadata.next_id},
-                 .self = additional_front(plan, 1, seed).gateway.identity.self,
+                 .self = additional_gateway(plan, 1, seed).gateway.identity.self,
                  .state = DaemonState::registered,
                  .since = metadata.epoch};
   measurement.times["plan_join.ms"] = cpu_milliseconds([&] { placement::plan_join(metadata, joining); });
@@ -247,8 +247,8 @@
   constexpr int repetitions = 10;
   Measurement measurement{.experiment = "selection", .size = size, .seed = seed, .counts = {}, .times = {}};
   auto metadata = metadata_at_rest(plan, fleet_processes(plan, seed));
-  auto front = std::find_if(metadata.directory.begin(), metadata.directory.end(),
-                            [](const auto& entry) { return entry.second.self.role == Role::front; });
+  auto gateway = std::find_if(metadata.directory.begin(), metadata.directory.end(),
+                              [](const auto& entry) { return entry.second.self.role == Role::gateway; });
   ReplicaSelector selector;
   ProgramRequest request{};
   request.cell = metadata.configuration.cells.at(0).name;
@@ -257,7 +257,7 @@
   ReplicaSelection selection;
   measurement.times["select_replica.ms"] = cpu_milliseconds_each(repetitions, [&](int number) {
     request.program = "p" + std::to_string(number);
-    selection = selector.select(request, metadata, front->second, TimePoint{1ms});
+    selection = selector.select(request, metadata, gateway->second, TimePoint{1ms});
   });
   measurement.counts["found"] = selection.any_eligible;
   return measurement;
--- a/tools/scale/data_plane.cpp
+++ b/tools/scale/data_plane.cpp
@@ -1,4 +1,4 @@
-// Experiments of the data plane: conversations through fronts and stores, and what stores hold.
+// Experiments of the data plane: conversations through gateways and stores, and what stores hold.
 #include <algorithm>
 #include <ctime>
 
@@ -222,7 +222,7 @@
 Measurement conversations(int programs, int turns, uint64_t seed, double size) {
   Measurement measurement{.experiment = "conversation", .size = size, .seed = seed, .counts = {}, .times = {}};
   SimulatedFleet fleet(small_plan(), seed);
-  fleet.run_until(kConversationTimeout, [&] { return fleet.all_fronts_ready(); });
+  fleet.run_until(kConversationTimeout, [&] { return fleet.all_gateways_ready(); });
   ConversationDriver driver(fleet, programs);
   auto all_turns = static_cast<size_t>(turns);
   auto turns_before = all_turns - std::min(all_turns, kMeasuredTurns);
--- a/tools/scale/experiments.hpp
+++ b/tools/scale/experiments.hpp
@@ -39,10 +39,10 @@
 Measurement conversations(int programs, int turns, uint64_t seed, double size);
 /// Stores at rest that hold so many histories of so many turns.
 Measurement stored_histories(int histories, int turns, uint64_t seed, double size);
-/// A front that comes new, until it has joined.
-Measurement new_front(const Plan& plan, uint64_t seed, double size);
-/// So many fronts restarted one after the other.
-Measurement front_restarts(const Plan& plan, int count, uint64_t seed, double size);
+/// A gateway that comes new, until it has joined.
+Measurement new_gateway(const Plan& plan, uint64_t seed, double size);
+/// So many gateways restarted one after the other.
+Measurement gateway_restarts(const Plan& plan, int count, uint64_t seed, double size);
 /// A zone that fails as a whole and comes back.
 Measurement zone_failure(const Plan& plan, uint64_t seed, double size);
 /// `changes` changes are committed while the network between the regions is cut.
--- a/tools/scale/fleet_faults.cpp
+++ b/tools/scale/fleet_faults.cpp
@@ -1,4 +1,4 @@
-// The steps of a fleet run in which something happens to it: a new front, a zone that fails, restarts in a row, a
+// The steps of a fleet run in which something happens to it: a new gateway, a zone that fails, restarts in a row, a
 // region that is cut off.
 #include <algorithm>
 #include <sstream>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void FleetRun::add_new_front() {
+void FleetRun::add_new_gateway() {
   auto& process = *hollow_processes_.back();
   process.execute("stop 0");
   sleep_for(kHeartbeatTimeout * 2);
@@ -77,7 +77,7 @@
   record("zone", "back.epochs", static_cast<double>(client_.view()->epoch.value() - epoch_down.value()));
 }
 
-void FleetRun::restart_fronts() {
+void FleetRun::restart_gateways() {
   auto before = client_.view();
   std::vector<double> durations;
   for (int number = 0; number < options_.restarts; ++number) {
--- a/tools/scale/fleet_run.cpp
+++ b/tools/scale/fleet_run.cpp
@@ -19,7 +19,7 @@
 local_cluster::Plan real_fleet_plan(const FleetOptions& options) {
   local_cluster::Plan plan;
   plan.controllers = options.plan.controllers;
-  plan.fronts = kRealFronts;
+  plan.gateways = kRealGateways;
   plan.stores = kRealStores;
   plan.models = 0;
   plan.apps = 0;
@@ -60,9 +60,9 @@
   apply_first_configuration();
   measure_at_rest("rest");
   measure_changes();
-  add_new_front();
+  add_new_gateway();
   fail_zone();
-  restart_fronts();
+  restart_gateways();
   cut_region();
   measure_at_rest("rest_after");
   check_values();
@@ -123,7 +123,7 @@
 }
 
 void FleetRun::found_and_grow() {
-  auto daemons = static_cast<size_t>(options_.plan.controllers) + kRealStores + kRealFronts;
+  auto daemons = static_cast<size_t>(options_.plan.controllers) + kRealStores + kRealGateways;
   auto begun = machine_now();
   record("founding", "real.ms", as_milliseconds(wait_until_calm("founding", daemons)));
   for (auto& process : hollow_processes_) {
@@ -269,7 +269,7 @@
 int run_fleet(const FleetOptions& options) {
   start_log("scale");
   auto least_options = options;
-  least_options.plan.daemons = std::max(options.plan.daemons, kRealStores + kRealFronts + 1);
+  least_options.plan.daemons = std::max(options.plan.daemons, kRealStores + kRealGateways + 1);
   return FleetRun(least_options).run();
 }
 
--- a/tools/scale/fleet_run.hpp
+++ b/tools/scale/fleet_run.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Real controllers, stores and fronts on this machine, beside hollow daemons over the daemons' own transport.
+// Real controllers, stores and gateways on this machine, beside hollow daemons over the daemons' own transport.
 #include <fstream>
 
 #include "local-cluster/fleet.hpp"
@@ -10,7 +10,7 @@
 namespace mosskeel::scale {
 
 constexpr int kRealStores = 3;
-constexpr int kRealFronts = 2;
+constexpr int kRealGateways = 2;
 /// A fleet that is not calm by then has failed.
 constexpr Duration kFleetCalmTimeout = 900000ms;
 /// Between two looks at the fleet.
@@ -40,9 +40,9 @@
   void measure_changes();
 
   // What happens to a fleet in a year (fleet_faults.cpp).
-  void add_new_front();
+  void add_new_gateway();
   void fail_zone();
-  void restart_fronts();
+  void restart_gateways();
   void cut_region();
   void check_values();
 
@@ -54,7 +54,7 @@
   size_t all_daemons() const {
     return static_cast<size_t>(options_.plan.controllers) + static_cast<size_t>(options_.plan.daemons);
   }
-  int hollow_daemons() const { return options_.plan.daemons - kRealStores - kRealFronts; }
+  int hollow_daemons() const { return options_.plan.daemons - kRealStores - kRealGateways; }
   /// Whether so many daemons are up and nothing is under way.
   bool is_calm(size_t daemons);
   /// Waits until the fleet is calm, or fails; how long it took.
--- a/tools/scale/hollow_daemons.cpp
+++ b/tools/scale/hollow_daemons.cpp
@@ -111,7 +111,7 @@
       return;
     Identity identity;
     identity.self = {.incarnation = Incarnation{random_()},
-                     .role = Role::front,
+                     .role = Role::gateway,
                      .zone = daemon.zone,
                      .address = daemon.address,
                      .agent_address = daemon.gateway_address,
@@ -121,7 +121,7 @@
     identity.core_size = 0;
     identity.random_seed = random_();
     daemon.gateway = {.incarnation = Incarnation{random_()},
-                      .role = Role::front,
+                      .role = Role::gateway,
                       .zone = daemon.zone,
                       .address = daemon.gateway_address,
                       .agent_address = daemon.address,
--- a/tools/scale/hollow_daemons.hpp
+++ b/tools/scale/hollow_daemons.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A process of hollow daemons: fronts of which only the agent is real. It speaks over the daemons' own transport.
+// A process of hollow daemons: gateways of which only the agent is real. It speaks over the daemons' own transport.
 #include "scale/fleet_options.hpp"
 
 namespace mosskeel::scale {
--- a/tools/scale/plan.cpp
+++ b/tools/scale/plan.cpp
@@ -43,9 +43,9 @@
       return Role::store;
     case ProcessKind::agent:
     case ProcessKind::gateway:
-      return Role::front;
+      return Role::gateway;
   }
-  return Role::front;
+  return Role::gateway;
 }
 
 Address companion_address(ProcessKind kind, size_t zone, size_t machine) {
@@ -173,7 +173,7 @@
     seeds.push_back(processes[index].identity.self.address);
   for (int machine = 0; machine < plan.stores(); ++machine)
     add(ProcessKind::store, machine);
-  for (int machine = 0; machine < plan.fronts(); ++machine) {
+  for (int machine = 0; machine < plan.gateways(); ++machine) {
     add(ProcessKind::agent, machine);
     add(ProcessKind::gateway, machine);
   }
@@ -182,7 +182,7 @@
   return processes;
 }
 
-FrontSpec additional_front(const Plan& plan, size_t machine, uint64_t seed) {
+GatewaySpec additional_gateway(const Plan& plan, size_t machine, uint64_t seed) {
   return {.agent = make_process(plan, ProcessKind::agent, machine, digest("newcomer", seed)),
           .gateway = make_process(plan, ProcessKind::gateway, machine, digest("beside", seed))};
 }
--- a/tools/scale/plan.hpp
+++ b/tools/scale/plan.hpp
@@ -12,7 +12,7 @@
 /// How many of everything there are. The defaults are the capacity target of two years.
 struct Plan {
   int controllers = 3;
-  /// Fronts and stores together; one daemon in ten is a store.
+  /// Gateways and stores together; one daemon in ten is a store.
   int daemons = 340;
   int replicas = 600;
   int paths = 200;
@@ -27,7 +27,7 @@
   int departed_daemons = 0;
 
   int stores() const { return std::max(3, daemons / 10); }
-  int fronts() const { return daemons - stores(); }
+  int gateways() const { return daemons - stores(); }
 };
 
 /// One process of the fleet: what it is, and where it runs.
@@ -40,8 +40,8 @@
   Address companion;
 };
 
-/// The two processes of one front.
-struct FrontSpec {
+/// The two processes of one gateway machine: the gateway and its agent.
+struct GatewaySpec {
   ProcessSpec agent;
   ProcessSpec gateway;
 };
@@ -49,8 +49,8 @@
 /// Every process of the plan's fleet: controllers first, then stores, then each agent followed by its gateway.
 std::vector<ProcessSpec> fleet_processes(const Plan& plan, uint64_t seed);
 
-/// One more front beside those of `fleet_processes`, on the machine of this number.
-FrontSpec additional_front(const Plan& plan, size_t machine, uint64_t seed);
+/// One more gateway machine beside those of `fleet_processes`, on the machine of this number.
+GatewaySpec additional_gateway(const Plan& plan, size_t machine, uint64_t seed);
 
 Configuration make_configuration(const Plan& plan);
 std::vector<Replica> make_replicas(const Plan& plan);
--- a/tools/scale/simulated_fleet.cpp
+++ b/tools/scale/simulated_fleet.cpp
@@ -255,7 +255,7 @@
   return sum;
 }
 
-bool SimulatedFleet::all_fronts_ready() {
+bool SimulatedFleet::all_gateways_ready() {
   return std::all_of(processes_.begin(), processes_.end(), [&](const SimulatedProcess& process) {
     if (process.spec.kind != ProcessKind::gateway || !process.machine)
       return true;
--- a/tools/scale/simulated_fleet.hpp
+++ b/tools/scale/simulated_fleet.hpp
@@ -77,7 +77,7 @@
 
   void reset_counters();
   Counters sum(ProcessKind kind) const;
-  bool all_fronts_ready();
+  bool all_gateways_ready();
 
   /// Called with messages to addresses "local:...": answers to what `deliver_locally` brought.
   ProcessMessage on_local_message;
--- a/tools/scale/slopes.cpp
+++ b/tools/scale/slopes.cpp
@@ -132,13 +132,13 @@
 Experiments churn_experiments(int largest) {
   auto rollout_size = static_cast<double>(std::min(largest, kTargetDaemons));
   return {
-      experiment_over("newcomer.daemons", new_front, &Plan::daemons, fleet_sizes(largest)),
-      experiment_over("newcomer.cells", new_front, &Plan::cells, kCellCounts),
+      experiment_over("newcomer.daemons", new_gateway, &Plan::daemons, fleet_sizes(largest)),
+      experiment_over("newcomer.cells", new_gateway, &Plan::cells, kCellCounts),
       {.name = "restarts.daemons",
        .sizes = fleet_sizes(largest),
        .run =
            [](double size, uint64_t seed) {
-             return front_restarts(plan_with(&Plan::daemons, size), 5, seed, size);
+             return gateway_restarts(plan_with(&Plan::daemons, size), 5, seed, size);
            }},
       {.name = "row_of_130_restarts",
        .sizes = {rollout_size},
@@ -146,7 +146,7 @@
            [](double size, uint64_t seed) {
              auto plan = plan_with(&Plan::daemons, size);
              plan.replicas = kTargetReplicas;
-             return front_restarts(plan, kRestartsOfARollout, seed, size);
+             return gateway_restarts(plan, kRestartsOfARollout, seed, size);
            }},
       experiment_over("zone.daemons", zone_failure, &Plan::daemons, fleet_sizes(largest)),
       {.name = "region.daemons",
