--- a/src/base/codec.hpp
+++ b/src/base/codec.hpp
@@ -17,14 +17,14 @@
 
 /// The bytes of an encoding that are still to be read.
 struct Reader {
-  std::string_view s;
+  std::string_view remaining;
 
   /// Copies the next `size` bytes to `target`; false, and nothing is read, where there are fewer.
   bool take(void* target, size_t size) {
-    if (s.size() < size)
+    if (remaining.size() < size)
       return false;
-    std::memcpy(target, s.data(), size);
-    s.remove_prefix(size);
+    std::memcpy(target, remaining.data(), size);
+    remaining.remove_prefix(size);
     return true;
   }
 };
@@ -77,10 +77,10 @@
 
 inline bool get(Reader& reader, std::string& value) {
   uint32_t size = 0;
-  if (!get(reader, size) || reader.s.size() < size)
+  if (!get(reader, size) || reader.remaining.size() < size)
     return false;
-  value.assign(reader.s.data(), size);
-  reader.s.remove_prefix(size);
+  value.assign(reader.remaining.data(), size);
+  reader.remaining.remove_prefix(size);
   return true;
 }
 
@@ -134,7 +134,7 @@
 bool get(Reader& reader, std::vector<T>& values) {
   uint32_t count = 0;
   // Each element takes a byte or more, so a count beyond the bytes left is damage and must not allocate.
-  if (!get(reader, count) || count > reader.s.size())
+  if (!get(reader, count) || count > reader.remaining.size())
     return false;
   values.clear();
   for (uint32_t index = 0; index < count; ++index) {
@@ -251,7 +251,7 @@
 std::optional<T> decode(std::string_view bytes) {
   Reader reader{bytes};
   T value{};
-  if (!get(reader, value) || !reader.s.empty())
+  if (!get(reader, value) || !reader.remaining.empty())
     return std::nullopt;
   return value;
 }
--- a/src/consensus/refounding.cpp
+++ b/src/consensus/refounding.cpp
@@ -8,10 +8,6 @@
 namespace mosskeel {
 namespace {
 
-bool contains(const std::vector<DaemonId>& ids, DaemonId id) {
-  return std::find(ids.begin(), ids.end(), id) != ids.end();
-}
-
 std::string daemon_name(DaemonId id) {
   return "daemon " + std::to_string(id.value());
 }
--- a/src/consensus/sequence_barrier.cpp
+++ b/src/consensus/sequence_barrier.cpp
@@ -49,7 +49,7 @@
   for (const auto& move : sequence.moves) {
     const auto& present = metadata.partitions[move.partition.value()].stores;
     for (DaemonId id : move.stores)
-      if (std::find(present.begin(), present.end(), id) == present.end())
+      if (!contains(present, id))
         ids.insert(id);
   }
   return ids;
--- a/src/control/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -24,10 +24,6 @@
   return latest;
 }
 
-bool contains(const std::vector<DaemonId>& ids, DaemonId id) {
-  return std::find(ids.begin(), ids.end(), id) != ids.end();
-}
-
 /// Whether a store has left, and no partition keeps histories on it or is about to.
 bool is_emptied(const Metadata& metadata, const Daemon& store) {
   if (store.state != DaemonState::left || metadata.sequences.count(store.id))
--- a/src/history/moved_partitions.cpp
+++ b/src/history/moved_partitions.cpp
@@ -32,7 +32,7 @@
   if (!partition)
     return false;
   bool is_settled = partition->pending_stores.empty() && !partition->stores.empty();
-  return is_settled && !contains_store(partition->stores, self);
+  return is_settled && !contains(partition->stores, self);
 }
 
 }  // namespace mosskeel
--- a/src/history/partition_lookup.hpp
+++ b/src/history/partition_lookup.hpp
@@ -1,7 +1,5 @@
 #pragma once
 // Small queries on the metadata value that stores and owners of histories share.
-#include <algorithm>
-
 #include "metadata/metadata.hpp"
 
 namespace mosskeel {
@@ -17,9 +15,4 @@
   return partition ? metadata.find(partition->owner) : nullptr;
 }
 
-/// Whether a store is one of a partition's set.
-inline bool contains_store(const std::vector<DaemonId>& stores, DaemonId store) {
-  return std::find(stores.begin(), stores.end(), store) != stores.end();
-}
-
 }  // namespace mosskeel
--- a/src/history/partition_repair.cpp
+++ b/src/history/partition_repair.cpp
@@ -27,7 +27,7 @@
     return all;
   for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
     auto& partition = metadata.partitions[i];
-    if (!partition.pending_stores.empty() || !contains_store(partition.stores, self->id))
+    if (!partition.pending_stores.empty() || !contains(partition.stores, self->id))
       continue;
     for (auto id : partition.stores) {
       auto* peer = metadata.find(id);
--- a/src/history/partition_streams.cpp
+++ b/src/history/partition_streams.cpp
@@ -55,7 +55,7 @@
   for (uint32_t i = 0; i < partitions.size(); ++i) {
     auto& partition = partitions[i];
     PartitionId id{i};
-    if (!contains_store(partition.pending_stores, self) || contains_store(partition.stores, self)) {
+    if (!contains(partition.pending_stores, self) || contains(partition.stores, self)) {
       streams_.erase(id);
       continue;
     }
--- a/src/history/store_machine.cpp
+++ b/src/history/store_machine.cpp
@@ -43,7 +43,7 @@
     readable = codec::get(reader, id) && codec::get(reader, partitions[id]);
   }
   Duration uptime{};
-  bool complete = readable && codec::get(reader, uptime) && reader.s.empty();
+  bool complete = readable && codec::get(reader, uptime) && reader.remaining.empty();
   if (!complete)
     return;
   metadata_log_.install_snapshot(metadata);
@@ -150,7 +150,7 @@
   auto* partition = find_partition(metadata, id);
   if (!self || !sender || !partition)
     return false;
-  bool lies_here = contains_store(partition->stores, self->id) || contains_store(partition->pending_stores, self->id);
+  bool lies_here = contains(partition->stores, self->id) || contains(partition->pending_stores, self->id);
   bool knows_stores = envelope.epoch >= std::max(partition->term, partition->stores_epoch);
   return lies_here && knows_stores && partition->owner == sender->id;
 }
--- a/src/metadata/core_transformations.cpp
+++ b/src/metadata/core_transformations.cpp
@@ -8,10 +8,6 @@
 namespace mosskeel::transformations {
 namespace {
 
-bool contains(const std::vector<DaemonId>& ids, DaemonId id) {
-  return std::find(ids.begin(), ids.end(), id) != ids.end();
-}
-
 /// Why a daemon is no member that could be taken out of the core; nothing where it is.
 std::optional<std::string> reason_against_removal(const Metadata& metadata, DaemonId id) {
   auto* daemon = metadata.find(id);
--- a/src/metadata/daemon.hpp
+++ b/src/metadata/daemon.hpp
@@ -1,7 +1,8 @@
 #pragma once
 // The daemons of a cluster, as the directory of the metadata keeps them.
-#include "base/fields.hpp"
+#include <algorithm>
 
+#include "base/fields.hpp"
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
@@ -15,6 +16,10 @@
 const char* name(Role role);
 const char* name(DaemonState state);
 
+inline bool contains(const std::vector<DaemonId>& ids, DaemonId id) {
+  return std::find(ids.begin(), ids.end(), id) != ids.end();
+}
+
 /// How a daemon describes itself, before and after the log knows it.
 /// The order of the fields is the format on the wire and on disk.
 struct Candidate {
--- a/src/metadata/metadata.cpp
+++ b/src/metadata/metadata.cpp
@@ -5,13 +5,6 @@
 #include "metadata/constants.hpp"
 
 namespace mosskeel {
-namespace {
-
-bool contains(const std::vector<DaemonId>& ids, DaemonId id) {
-  return std::find(ids.begin(), ids.end(), id) != ids.end();
-}
-
-}  // namespace
 
 const Daemon* Metadata::find(DaemonId id) const {
   auto entry = directory.find(id);
--- a/src/metadata/store_placement.cpp
+++ b/src/metadata/store_placement.cpp
@@ -13,10 +13,6 @@
   return daemon ? daemon->self.zone : "";
 }
 
-bool contains(const StoreSet& set, DaemonId id) {
-  return std::find(set.begin(), set.end(), id) != set.end();
-}
-
 /// How many partitions each store keeps; all stores that are up are there, also without any.
 LoadByDaemon partitions_per_store(const Metadata& metadata) {
   LoadByDaemon load;
--- a/src/storage/disk_recovery.cpp
+++ b/src/storage/disk_recovery.cpp
@@ -51,7 +51,7 @@
 /// `rest` begins at `damaged_at`, an offset in segment `sequence`.
 bool proves_corruption(codec::Reader rest, size_t damaged_at, bool segment_has_marks, Incarnation incarnation,
                        uint64_t sequence) {
-  for (auto position = damaged_at; rest.s.size() > kFrameHeaderBytes; ++position) {
+  for (auto position = damaged_at; rest.remaining.size() > kFrameHeaderBytes; ++position) {
     auto size_probe = rest;
     uint32_t record_size = 0;
     codec::get(size_probe, record_size);
@@ -64,7 +64,7 @@
           return true;
       }
     }
-    rest.s.remove_prefix(1);
+    rest.remaining.remove_prefix(1);
   }
   return false;
 }
@@ -135,7 +135,7 @@
   auto bytes = read_file(path("checkpoint", sequence));
   codec::Reader reader{bytes};
   auto checkpoint = unframe(reader);
-  if (!checkpoint || !reader.s.empty())
+  if (!checkpoint || !reader.remaining.empty())
     return corrupted(path("checkpoint", sequence), std::string("is damaged; ") + kHowToReplace);
   recovered_.checkpoint = std::move(*checkpoint);
   checkpoint_size_ = bytes.size();
@@ -159,15 +159,15 @@
   codec::Reader reader{bytes};
   reclaimable_bytes_ += bytes.size();
   begins_with_mark_ = false;
-  while (!reader.s.empty()) {
-    auto position = bytes.size() - reader.s.size();
+  while (!reader.remaining.empty()) {
+    auto position = bytes.size() - reader.remaining.size();
     auto record = unframe(reader);
     if (!record) {
       if (!is_last || proves_corruption(reader, position, begins_with_mark_, recovered_.incarnation, sequence)) {
         return corrupted(path("log", sequence),
                          "is damaged at byte " + std::to_string(position) + "; " + kHowToReplace);
       }
-      return truncate_tail(sequence, position, reader.s.size());
+      return truncate_tail(sequence, position, reader.remaining.size());
     }
     ends_with_mark_ = mark_of(*record, recovered_.incarnation, sequence).has_value();
     if (position == 0)
--- a/src/storage/log_frame.hpp
+++ b/src/storage/log_frame.hpp
@@ -27,12 +27,12 @@
   auto rest = reader;
   uint32_t size = 0;
   uint64_t checksum = 0;
-  if (!codec::get(rest, size) || !codec::get(rest, checksum) || size == 0 || rest.s.size() < size)
+  if (!codec::get(rest, size) || !codec::get(rest, checksum) || size == 0 || rest.remaining.size() < size)
     return std::nullopt;
-  std::string record(rest.s.substr(0, size));
+  std::string record(rest.remaining.substr(0, size));
   if (digest(record, size) != checksum)
     return std::nullopt;
-  rest.s.remove_prefix(size);
+  rest.remaining.remove_prefix(size);
   reader = rest;
   return record;
 }
--- a/tests/unit/messages/golden_data_test.cpp
+++ b/tests/unit/messages/golden_data_test.cpp
@@ -265,7 +265,7 @@
   CHECK(golden::to_hex_lines(frame(framed_record)) == golden::to_hex_lines(bytes));
   codec::Reader reader{bytes};
   CHECK(unframe(reader) == framed_record);
-  CHECK(reader.s.empty());
+  CHECK(reader.remaining.empty());
 }
 
 TEST_CASE("enumerators keep their golden numbers") {
