--- a/src/control/admin_api.cpp
+++ b/src/control/admin_api.cpp
@@ -19,11 +19,11 @@
 }
 
 /// The commit id that the caller chose, so that it can repeat a request safely, or a new one.
-std::string commit_id_of(const ApiRequest& request) {
+std::string commit_id_of(const ApiRequest& request, ControllerAccess& controller) {
   auto header = request.headers.find("idempotency-key");
   if (header != request.headers.end() && !header->second.empty())
     return header->second;
-  return "op-" + hex(random_number());
+  return controller.new_commit_id("op");
 }
 
 std::optional<Revision> base_revision_of(const ApiRequest& request) {
@@ -104,7 +104,8 @@
     return describe_outcome(controller_.refound(rebuild->lost));
   auto view = linearizable_read(controller_, kOperatorRequestTimeout);
   if (!view)
-    return describe_outcome(CommitReply{commit_id_of(request), CommitOutcome::unknown, kNoMajorityReason, {}, {}, {}});
+    return describe_outcome(
+        CommitReply{commit_id_of(request, controller_), CommitOutcome::unknown, kNoMajorityReason, {}, {}, {}});
   return execute(command, *view, request);
 }
 
@@ -117,7 +118,7 @@
   auto change = command_language::to_transformation(command, metadata);
   if (!change.ok())
     return "no: " + to_string(change.errors());
-  return describe_outcome(commit_if_safe(change.value(), commit_id_of(request)));
+  return describe_outcome(commit_if_safe(change.value(), commit_id_of(request, controller_)));
 }
 
 ApiResponse AdminApi::put_configuration(const ApiRequest& request) {
@@ -171,7 +172,7 @@
 }
 
 ApiResponse AdminApi::commit_and_respond(const Transformation& change, const ApiRequest& request) {
-  auto reply = commit_if_safe(change, commit_id_of(request));
+  auto reply = commit_if_safe(change, commit_id_of(request, controller_));
   auto response = commit_response(reply, host_.view()->revision);
   log_event(Event::platform_request, describe(change) + ": " + describe_outcome(reply));
   return response;
--- a/src/control/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -106,7 +106,7 @@
 /// A rejection is confirmed by a majority at the highest epoch, and nothing is logged. So asking for what is always
 /// rejected, to forget a replica without a name, reads the newest metadata.
 MetadataSnapshot linearizable_read(ControllerAccess& controller, Duration timeout) {
-  auto reply = controller.commit(RemoveReplica{""}, "read-" + hex(random_number()), timeout);
+  auto reply = controller.commit(RemoveReplica{""}, controller.new_commit_id("read"), timeout);
   if (reply.outcome != CommitOutcome::rejected)
     return nullptr;
   MetadataSnapshot view;
@@ -194,11 +194,11 @@
 }
 
 CommandResult ControlSession::evacuate(const std::string& zone) {
-  return execute(EvacuateZone{zone}, "evacuate-" + hex(random_number()));
+  return execute(EvacuateZone{zone}, controller_.new_commit_id("evacuate"));
 }
 
 CommandResult ControlSession::restore(const std::string& zone) {
-  return execute(RestoreZone{zone}, "restore-" + hex(random_number()));
+  return execute(RestoreZone{zone}, controller_.new_commit_id("restore"));
 }
 
 CommandResult ControlSession::retire(const std::string& machine) {
@@ -216,7 +216,7 @@
   bool applicable = apply(*view, {next(view->epoch), "", drain}).ok();
   if (hazard && applicable)
     return {Code::outcome_unknown, *hazard};
-  return execute(drain, "retire-" + hex(random_number()));
+  return execute(drain, controller_.new_commit_id("retire"));
 }
 
 RetirementState ControlSession::retirement_state(const std::string& machine) {
--- a/src/control/control_session.hpp
+++ b/src/control/control_session.hpp
@@ -10,6 +10,8 @@
 class ControllerAccess {
  public:
   virtual ~ControllerAccess() = default;
+  /// An id that no other commit has: what the commit is for, and random digits.
+  virtual std::string new_commit_id(const std::string& purpose) = 0;
   /// Commits a change under this id; returns at a known outcome or after `timeout`, then with an unknown one.
   virtual CommitReply commit(const Transformation& change, const std::string& commit_id, Duration timeout) = 0;
   /// Calls `look` on the state machine, on its own thread, and waits for it to return.
--- a/src/control/host_controller_access.cpp
+++ b/src/control/host_controller_access.cpp
@@ -3,6 +3,7 @@
 #include <thread>
 
 #include "replication/constants.hpp"
+#include "runtime/settings.hpp"
 
 namespace mosskeel {
 namespace {
@@ -42,6 +43,10 @@
 
 }  // namespace
 
+std::string HostControllerAccess::new_commit_id(const std::string& purpose) {
+  return purpose + "-" + hex(random_number());
+}
+
 CommitReply HostControllerAccess::commit(const Transformation& change, const std::string& commit_id, Duration timeout) {
   OpenMailbox mailbox(mailboxes_);
   const auto deadline = process_now() + timeout;
--- a/src/control/host_controller_access.hpp
+++ b/src/control/host_controller_access.hpp
@@ -14,6 +14,7 @@
   HostControllerAccess(Host& host, LocalMailboxes& mailboxes, Duration attempt_timeout)
       : host_(host), mailboxes_(mailboxes), attempt_timeout_(attempt_timeout) {}
 
+  std::string new_commit_id(const std::string& purpose) override;
   CommitReply commit(const Transformation& change, const std::string& commit_id, Duration timeout) override;
   void inspect(const std::function<void(ControllerMachine&, TimePoint now)>& look) override;
   TimePoint now() override;
--- a/src/control/replica_poller.cpp
+++ b/src/control/replica_poller.cpp
@@ -54,7 +54,7 @@
   auto change = reconciler_.reconcile(metadata->replicas, replicas.value(), controller_.now());
   if (!change)
     return;
-  auto reply = controller_.commit(*change, "list-" + hex(random_number()), kCommitAttemptTimeout);
+  auto reply = controller_.commit(*change, controller_.new_commit_id("list"), kCommitAttemptTimeout);
   if (reply.outcome != CommitOutcome::committed)
     log_event(Event::platform_request, describe(*change) + ": " + reply.reason);
 }
--- a/src/net/http_fetch.cpp
+++ b/src/net/http_fetch.cpp
@@ -63,7 +63,7 @@
   curl_easy_setopt(easy, CURLOPT_PROXY, "");
   curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request.method.c_str());
   curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, static_cast<long>(kFetchConnectTimeout.count()));
-  curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, request.timeout_ms);
+  curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(request.timeout.count()));
   if (request.method != "GET") {
     curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, static_cast<long>(request.body.size()));
     curl_easy_setopt(easy, CURLOPT_POSTFIELDS, request.body.c_str());
--- a/src/net/http_fetch.hpp
+++ b/src/net/http_fetch.hpp
@@ -7,7 +7,8 @@
 struct FetchRequest {
   std::string method = "GET", url, body;
   std::map<std::string, std::string> headers;
-  long timeout_ms = 15000;
+  /// How long the whole exchange may take.
+  Duration timeout = 15000ms;
   /// Called with the body's bytes as they come; the response has them too.
   std::function<void(const std::string& bytes)> on_body;
 };
--- a/tests/simulation/operator_request.cpp
+++ b/tests/simulation/operator_request.cpp
@@ -128,6 +128,12 @@
   resume_at(world_.now());
 }
 
+/// The session's address comes from the world's seed, so a seed gives the same ids each time.
+std::string OperatorRequest::new_commit_id(const std::string& purpose) {
+  ++commit_id_number_;
+  return purpose + "-" + hex(digest(session_, commit_id_number_));
+}
+
 CommitReply OperatorRequest::commit(const Transformation& change, const std::string& id, Duration patience) {
   auto deadline = now() + patience;
   CommitReply last{};
--- a/tests/simulation/operator_request.hpp
+++ b/tests/simulation/operator_request.hpp
@@ -31,6 +31,7 @@
   const Address& session() const { return session_; }
 
   // What the control protocol asks of the controller; called on the request's thread.
+  std::string new_commit_id(const std::string& purpose) override;
   CommitReply commit(const Transformation& change, const std::string& id, Duration patience) override;
   void inspect(const std::function<void(ControllerMachine&, TimePoint)>& look) override;
   TimePoint now() override;
@@ -58,6 +59,8 @@
   uint64_t wait_number_ = 0;
   TimePoint began_;
   Address session_;
+  /// Counts the ids of commits.
+  uint64_t commit_id_number_ = 0;
   std::optional<CommitReply> reply_;
   std::optional<ApiResponse> answer_;
   bool over_ = false, abandoned_ = false, was_frozen_ = false;
--- a/tests/unit/control/control_session_test.cpp
+++ b/tests/unit/control/control_session_test.cpp
@@ -29,6 +29,7 @@
   Duration delay{};
   std::vector<CommitReply> replies;
 
+  std::string new_commit_id(const std::string& purpose) override { return purpose + "-1"; }
   CommitReply commit(const Transformation&, const std::string&, Duration timeout) override {
     clock += std::min(delay, timeout);
     auto reply = make_reply(CommitOutcome::unknown);
--- a/tools/loadgen/ready_gateways.cpp
+++ b/tools/loadgen/ready_gateways.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration kRefreshInterval = 250ms;
-constexpr long kRequestTimeout = 1000;
+constexpr Duration kRequestTimeout = 1000ms;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
   for (const auto& controller : controllers_) {
     FetchRequest request;
     request.url = "http://" + controller + "/v1/fronts";
-    request.timeout_ms = kRequestTimeout;
+    request.timeout = kRequestTimeout;
     auto answer = nlohmann::json::parse(http_fetch(request).body, nullptr, false);
     if (!answer.is_object() || !answer.contains("fronts"))
       continue;
--- a/tools/loadgen/turns.cpp
+++ b/tools/loadgen/turns.cpp
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-constexpr long kTurnTimeout = 60000;
+constexpr Duration kTurnTimeout = 60000ms;
 constexpr const char* kTurnDeadlineMs = "30000";
 /// One turn in so many is urgent.
 constexpr uint64_t kUrgentEvery = 20;
@@ -147,7 +147,7 @@
   if (knows_thread(earlier, turn.thread))
     body["after"] = count_successes(earlier);
   request.body = body.dump();
-  request.timeout_ms = kTurnTimeout;
+  request.timeout = kTurnTimeout;
   request.on_body = [&](const std::string& bytes) {
     attempt.stream.feed(bytes);
   };
--- a/tools/local-cluster/main.cpp
+++ b/tools/local-cluster/main.cpp
@@ -23,7 +23,7 @@
 constexpr int kExitUsage = 2;
 /// Gateways that are not ready by then are reported as they are.
 constexpr Duration kReadyTimeout = 60000ms;
-constexpr int kReadyProbeTimeout = 1000;
+constexpr Duration kReadyProbeTimeout = 1000ms;
 constexpr Duration kPollInterval = 100ms;
 constexpr Duration kSignalPollInterval = 1000ms;
 
@@ -108,7 +108,7 @@
       continue;
     FetchRequest request;
     request.url = "http://" + process.http_address + "/ready";
-    request.timeout_ms = kReadyProbeTimeout;
+    request.timeout = kReadyProbeTimeout;
     ready += http_fetch(request).status == 200;
   }
   return ready;
