--- a/include/mosskeel/ids.hpp
+++ b/include/mosskeel/ids.hpp
@@ -29,7 +29,7 @@
 using PartitionId = Strong<struct PartitionTag, uint32_t>;
 /// Version of the configuration, as operators number it.
 using Revision = Strong<struct RevisionTag, uint64_t>;
-/// One life of a daemon: kept on its disk where it has one, else drawn at each start.
+/// Tells a daemon from earlier ones at its address: kept on its disk where it has one, else drawn at each start.
 using Incarnation = Strong<struct IncarnationTag, uint64_t>;
 /// "IP:port" of a daemon, or the name of an endpoint inside a process.
 using Address = std::string;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -20,7 +20,7 @@
 constexpr int kExitUsage = 2;
 constexpr int kExitUnknown = 3;
 
-/// What the command line says.
+/// The options of the command line.
 struct Options {
   /// HTTP addresses, in the order in which they are tried.
   std::vector<std::string> controllers;
--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -271,7 +271,8 @@
     registration_.request_if_needed(now);
 }
 
-/// The other members hear at once that this one stops: they take the lease over and need not wait for its silence.
+/// The other members are told at once that this one stops: they take the lease over without waiting for the heartbeat
+/// time-out.
 void ControllerMachine::begin_shutdown(TimePoint now) {
   if (shutdown_.in_progress())
     return;
--- a/src/consensus/controller_records.hpp
+++ b/src/consensus/controller_records.hpp
@@ -33,8 +33,8 @@
 /// Append only: the index is what the disk keeps.
 using ControllerRecord = std::variant<PromiseRecord, AcceptRecord, DecidedRecord, JumpRecord, FoundersRecord>;
 
-/// All that the journal before it says. `open` is the epoch of the Paxos instance that `promised` and `accepted` belong
-/// to; `recent` is always empty and kept for the format.
+/// Stands for the whole journal before it. `open` is the epoch of the Paxos instance that `promised` and `accepted`
+/// belong to; `recent` is always empty and kept for the format.
 struct ControllerCheckpoint {
   MOSSKEEL_FIELDS(ControllerCheckpoint, (Metadata, metadata), (Entries, recent), (Epoch, open), (Ballot, promised),
                   (std::optional<AcceptedProposal>, accepted));
--- a/src/consensus/core_membership_policy.cpp
+++ b/src/consensus/core_membership_policy.cpp
@@ -15,13 +15,13 @@
   return status && status->known_epoch >= metadata_log_.epoch();
 }
 
-/// A controller outside the core that a majority of the members hears and that holds the whole log.
+/// A controller outside the core that is in contact with a majority of the members and holds the whole log.
 const Daemon* CoreMembershipPolicy::find_newcomer(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   for (const auto& [id, daemon] : metadata.directory) {
     bool spare = daemon.self.role == Role::controller && daemon.state == DaemonState::up &&
                  !metadata.is_core_member(daemon.self.incarnation);
-    if (spare && majority_.is_heard(daemon, now) && holds_log(daemon))
+    if (spare && majority_.has_majority_contact(daemon, now) && holds_log(daemon))
       return &daemon;
   }
   return nullptr;
@@ -33,7 +33,7 @@
   const PeerStatus* status = detector_.status_of(member.self.incarnation);
   bool announced = status && status->leaving;
   bool replaced = metadata_log_.view()->find_at(member.self.address) != &member;
-  return announced || replaced || !majority_.is_heard(member, now);
+  return announced || replaced || !majority_.has_majority_contact(member, now);
 }
 
 const Daemon* CoreMembershipPolicy::find_lost_member(TimePoint now) const {
@@ -46,15 +46,15 @@
   return nullptr;
 }
 
-bool CoreMembershipPolicy::all_members_heard(TimePoint now) const {
+bool CoreMembershipPolicy::all_members_have_contact(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   return std::all_of(metadata.members.begin(), metadata.members.end(),
-                     [&](DaemonId id) { return majority_.is_heard(*metadata.find(id), now); });
+                     [&](DaemonId id) { return majority_.has_majority_contact(*metadata.find(id), now); });
 }
 
 /// What a controller sent before it was marked down proves nothing.
 bool CoreMembershipPolicy::has_returned(const Daemon& daemon, TimePoint now) const {
-  if (!majority_.is_heard(daemon, now))
+  if (!majority_.has_majority_contact(daemon, now))
     return false;
   if (daemon.self.role != Role::controller)
     return true;
@@ -80,7 +80,7 @@
     // A loss before the newcomer came is marked by then; and a lease granted by a smaller core has ended.
     TimePoint not_before =
         growth_not_before_.try_emplace(newcomer->id, now + kHeartbeatTimeout + kHeartbeatInterval).first->second;
-    if (now < not_before || !all_members_heard(now))
+    if (now < not_before || !all_members_have_contact(now))
       return std::nullopt;
   }
   return AddCoreMember{newcomer->id};
--- a/src/consensus/core_membership_policy.hpp
+++ b/src/consensus/core_membership_policy.hpp
@@ -25,7 +25,7 @@
   const Daemon* find_newcomer(TimePoint now) const;
   bool is_gone(const Daemon& member, TimePoint now) const;
   const Daemon* find_lost_member(TimePoint now) const;
-  bool all_members_heard(TimePoint now) const;
+  bool all_members_have_contact(TimePoint now) const;
 
   const MetadataLog& metadata_log_;
   const FailureDetector& detector_;
--- a/src/consensus/discovered_controllers.cpp
+++ b/src/consensus/discovered_controllers.cpp
@@ -12,7 +12,7 @@
 
 void DiscoveredControllers::expire(TimePoint now) {
   std::erase_if(sightings_, [&](const auto& sighting) {
-    return now - sighting.second.heard_at > kDiscoveryInterval * kDiscoveryMemoryIntervals;
+    return now - sighting.second.last_seen_at > kDiscoveryInterval * kDiscoveryMemoryIntervals;
   });
 }
 
--- a/src/consensus/discovered_controllers.hpp
+++ b/src/consensus/discovered_controllers.hpp
@@ -10,7 +10,7 @@
  public:
   struct Sighting {
     Candidate candidate{};
-    TimePoint heard_at{};
+    TimePoint last_seen_at{};
   };
 
   explicit DiscoveredControllers(Incarnation self) : self_(self) {}
--- a/src/consensus/failure_detector.hpp
+++ b/src/consensus/failure_detector.hpp
@@ -5,7 +5,7 @@
 
 namespace mosskeel {
 
-/// What the heartbeats of one incarnation of a daemon have said, the latest first.
+/// What the heartbeats of one incarnation of a daemon have reported, the latest first.
 struct PeerStatus {
   TimePoint last_heartbeat_at{};
   /// The highest epoch that it has reported; a daemon with a disk has synced the log up to it.
--- a/src/consensus/founding.cpp
+++ b/src/consensus/founding.cpp
@@ -58,7 +58,7 @@
     if (!is_founder(address) || address == self.address)
       continue;
     DiscoveredControllers::Sighting& known = latest[address];
-    if (sighting.heard_at > known.heard_at)
+    if (sighting.last_seen_at > known.last_seen_at)
       known = sighting;
   }
   Candidates candidates{self};
--- a/src/consensus/majority_observation.cpp
+++ b/src/consensus/majority_observation.cpp
@@ -24,7 +24,7 @@
   return majority_agrees(daemon, now, [&](Duration heartbeat_age) { return heartbeat_age >= timeout; });
 }
 
-bool MajorityObservation::is_heard(const Daemon& daemon, TimePoint now) const {
+bool MajorityObservation::has_majority_contact(const Daemon& daemon, TimePoint now) const {
   return majority_agrees(daemon, now, [](Duration heartbeat_age) { return heartbeat_age < kHeartbeatInterval * 3; });
 }
 
--- a/src/consensus/majority_observation.hpp
+++ b/src/consensus/majority_observation.hpp
@@ -14,7 +14,7 @@
   /// Whether a majority has had no heartbeat of the daemon for `timeout`.
   bool is_silent(const Daemon& daemon, Duration timeout, TimePoint now) const;
   /// Whether a majority has had one within the last three intervals.
-  bool is_heard(const Daemon& daemon, TimePoint now) const;
+  bool has_majority_contact(const Daemon& daemon, TimePoint now) const;
 
  private:
   bool majority_agrees(const Daemon& daemon, TimePoint now,
--- a/src/consensus/refounding.hpp
+++ b/src/consensus/refounding.hpp
@@ -7,7 +7,7 @@
 namespace mosskeel {
 
 /// Watches the core, and proposes its re-founding under a new cluster id when a majority is provably lost, or when an
-/// operator says so.
+/// operator demands it.
 ///
 /// A silent member is provably lost only when another controller runs at its address that registered later, or not yet:
 /// its disk is gone, so it can no longer vote. Before the proposal this controller gathers the longest log that any
--- a/src/consensus/sequence_barrier.cpp
+++ b/src/consensus/sequence_barrier.cpp
@@ -11,7 +11,7 @@
   return !daemon || daemon->state == DaemonState::down || daemon->state == DaemonState::left;
 }
 
-/// What a daemon has reported, if lately; what it reported before a silence proves nothing about what it holds now.
+/// What a daemon has reported, if within the heartbeat time-out; older reports prove nothing about what it holds now.
 const PeerStatus* recent_status(const Daemon* daemon, const FailureDetector& detector, TimePoint now) {
   const PeerStatus* status = daemon ? detector.status_of(daemon->self.incarnation) : nullptr;
   bool recent = status && now - status->last_heartbeat_at < kHeartbeatTimeout;
--- a/src/consensus/sequence_coordinator.cpp
+++ b/src/consensus/sequence_coordinator.cpp
@@ -92,7 +92,7 @@
   for (const auto& [id, daemon] : metadata.directory) {
     if (daemon.self.role == Role::controller || daemon.state != DaemonState::registered)
       continue;
-    if (!majority_.is_heard(daemon, now) || is_backing_off(id, now))
+    if (!majority_.has_majority_contact(daemon, now) || is_backing_off(id, now))
       continue;
     if (daemon.self.role == Role::store && any_store_suspected(now))
       continue;
--- a/src/consensus/supervisor.cpp
+++ b/src/consensus/supervisor.cpp
@@ -38,7 +38,7 @@
   return sequences_.next_change(now);
 }
 
-/// Marks daemons down that a majority misses, and up again when a majority hears them.
+/// Marks daemons down that a majority misses, and up again when a majority gets their heartbeats.
 std::optional<Transformation> Supervisor::update_daemon_states(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   // Where this controller itself misses most of the fleet, it may be the one that is cut off.
--- a/src/control/admin_json.cpp
+++ b/src/control/admin_json.cpp
@@ -134,13 +134,13 @@
 }
 
 Json gateway_json(const Daemon& daemon, const Metadata& metadata, const PeerStatus* status, TimePoint now) {
-  bool heard_lately = status && now - status->last_heartbeat_at < kHeartbeatInterval * kMaxMissedHeartbeats;
+  bool has_recent_heartbeat = status && now - status->last_heartbeat_at < kHeartbeatInterval * kMaxMissedHeartbeats;
   bool evacuated = metadata.evacuated.count(daemon.self.zone) > 0;
   return {{"id", daemon.id.value()},
           {"http", daemon.self.http_address},
           {"zone", daemon.self.zone},
           {"state", name(daemon.state)},
-          {"ready", heard_lately && daemon.state == DaemonState::up && !evacuated},
+          {"ready", has_recent_heartbeat && daemon.state == DaemonState::up && !evacuated},
           {"load", status ? status->load : 0},
           {"epoch", status ? status->known_epoch.value() : 0}};
 }
--- a/src/control/admin_json.hpp
+++ b/src/control/admin_json.hpp
@@ -20,7 +20,7 @@
 
 ApiResponse show_configuration(const Metadata& metadata);
 ApiResponse list_replicas(const Metadata& metadata);
-/// One gateway's entry in the list of gateways. `status` is what its heartbeats told; null where it was never heard.
+/// One gateway's entry in the list of gateways. `status` is what its heartbeats told; null where it never sent any.
 json::Json gateway_json(const Daemon& daemon, const Metadata& metadata, const PeerStatus* status, TimePoint now);
 
 }  // namespace mosskeel
--- a/src/control/constants.hpp
+++ b/src/control/constants.hpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-/// An operator turns to another controller after a second of silence.
+/// An operator turns to another controller after a second without an answer.
 constexpr Duration kOperatorRequestTimeout = 900ms;
 /// When an operator without a clear answer may ask again.
 constexpr Duration kOperatorRetryDelay = 200ms;
--- a/src/control/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -65,18 +65,18 @@
   return Code::outcome_unknown;
 }
 
-bool majority_heard(const ControllerMachine& controller, const Metadata& metadata, TimePoint now) {
-  auto heard_lately = [&](DaemonId id) {
+bool has_majority_contact(const ControllerMachine& controller, const Metadata& metadata, TimePoint now) {
+  auto has_recent_heartbeat = [&](DaemonId id) {
     const auto* daemon = metadata.find(id);
     return daemon &&
            controller.failure_detector().heartbeat_age(*daemon, now) < kHeartbeatInterval * kMaxMissedHeartbeats;
   };
-  auto heard = std::count_if(metadata.members.begin(), metadata.members.end(), heard_lately);
-  return static_cast<size_t>(heard) >= majority_of(metadata.members.size());
+  auto reporting = std::count_if(metadata.members.begin(), metadata.members.end(), has_recent_heartbeat);
+  return static_cast<size_t>(reporting) >= majority_of(metadata.members.size());
 }
 
-/// A member that hears no majority can do nothing, and a controller that is no member yet names one. Checking this
-/// first only spares the wait: whoever passes has still to be confirmed by a majority before any result.
+/// A member without contact to a majority can do nothing, and a controller that is no member yet names one. Checking
+/// this first only spares the wait: whoever passes has still to be confirmed by a majority before any result.
 std::optional<ClusterControl::Unavailable> find_unavailability(const ControllerMachine& controller, TimePoint now) {
   const auto view = controller.view();
   if (controller.removed_by_refounding())
@@ -85,7 +85,7 @@
     return {{"", "the cluster is not founded yet"}};
   if (!view->is_core_member(controller.self().incarnation))
     return {{random_member_address(*view), "this controller is not a core member yet"}};
-  if (!majority_heard(controller, *view, now))
+  if (!has_majority_contact(controller, *view, now))
     return {{"", "cut off from a majority of the core"}};
   return std::nullopt;
 }
--- a/src/control/replica_poller.hpp
+++ b/src/control/replica_poller.hpp
@@ -24,7 +24,7 @@
 
   ControllerAccess& controller_;
   ReplicaListClient client_;
-  /// What earlier readings said; used by the poller's thread alone.
+  /// The state of earlier readings; used by the poller's thread alone.
   ReplicaListReconciler reconciler_;
   /// The last member: its destructor stops and joins the thread before the others go.
   std::jthread thread_;
--- a/src/daemons/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -32,9 +32,9 @@
   explicit LoadMonitor(const Host& host) : host_(host) {}
 
   void operator()(StateMachine& machine, TimePoint now) {
-    if (now < next_look_at_)
+    if (now < next_sample_at_)
       return;
-    next_look_at_ = now + kStoreLoadInterval;
+    next_sample_at_ = now + kStoreLoadInterval;
     bool journal_held_back = host_.journal()->pending_bytes() > kMaxBytesWaitingForDisk;
     StoreLoad load;
     load.memory_short = journal_held_back || process_memory().over(kStoreMemoryShare);
@@ -44,7 +44,7 @@
 
  private:
   const Host& host_;
-  TimePoint next_look_at_{};
+  TimePoint next_sample_at_{};
 };
 
 ApiResponse metrics_response(Host& host) {
--- a/src/history/history_expiry.hpp
+++ b/src/history/history_expiry.hpp
@@ -6,7 +6,7 @@
 namespace mosskeel {
 
 /// Scans one partition after the other and tells its owner of the histories that have outlived their retention by this
-/// store's own uptime. The owner ends a history once a quorum of its stores says so: no clock decides alone.
+/// store's own uptime. The owner ends a history once a quorum of its stores reports that: no clock decides alone.
 class HistoryExpiry {
  public:
   HistoryExpiry(Outbox& out, const MetadataLog& metadata_log, const HistoryTable& table, const UptimeClock& clock)
--- a/src/history/history_table.hpp
+++ b/src/history/history_table.hpp
@@ -43,7 +43,7 @@
   void replay(const DropPartitionRecord& record) { partitions_[record.partition].histories.clear(); }
 
  private:
-  /// What a write changed here, and so what the journal must say.
+  /// What a write changed here, and so what the journal must record.
   enum class Change { none, term, records };
   struct AppendResult {
     AppendHistoryReply reply{};
--- a/src/history/load_shedder.hpp
+++ b/src/history/load_shedder.hpp
@@ -12,8 +12,8 @@
   bool disk_behind = false;
 };
 
-/// Rejects requests that the store's memory or disk cannot bear. A rejected write is retried by its owner, who answers
-/// 503 if no quorum takes it in time; pages and reads are requested again.
+/// Rejects requests that the store's memory or disk has no room for. A rejected write is retried by its owner, who
+/// answers 503 if no quorum takes it in time; pages and reads are requested again.
 class LoadShedder {
  public:
   LoadShedder(Outbox& out, const HistoryTable& table) : out_(out), table_(table) {}
--- a/src/history/moved_partitions.hpp
+++ b/src/history/moved_partitions.hpp
@@ -5,7 +5,7 @@
 
 namespace mosskeel {
 
-/// Drops the histories of partitions that have lain on other stores for a while. A store that gets such a partition
+/// Drops the histories of partitions that other stores have kept for a while. A store that gets such a partition
 /// again later streams it anew from those that hold it; only the fence and the tombstones stay.
 class MovedPartitions {
  public:
@@ -16,7 +16,7 @@
 
  private:
   void scan(DaemonId self, TimePoint now);
-  /// Whether the partition lies on other stores for good: nobody reads it here any more.
+  /// Whether the partition's move to other stores has ended: nobody reads it here any more.
   bool has_moved(PartitionId id, DaemonId self) const;
 
   const Outbox& out_;
--- a/src/history/open_history.cpp
+++ b/src/history/open_history.cpp
@@ -134,7 +134,7 @@
   return committed_length_;
 }
 
-/// What a store said before it knew of the set in force does not tell what it holds as a member of that set.
+/// An answer that a store gave before it knew the set in force does not count for what it holds as a member of it.
 bool OpenHistory::has_read(const Partition& partition, const StoreProgress& progress) {
   return progress.has_answered_read && progress.read_epoch >= partition.stores_epoch;
 }
--- a/src/history/open_history.hpp
+++ b/src/history/open_history.hpp
@@ -61,7 +61,7 @@
  private:
   /// What one store has of the history.
   struct StoreProgress {
-    /// The store's life that this holds for.
+    /// The incarnation of the store that this holds for.
     Incarnation incarnation{};
     /// Records that it has synced, and records that it was sent.
     uint64_t synced_length = 0;
@@ -84,7 +84,7 @@
   uint64_t synced_by_quorum(const Metadata& metadata) const;
   const Partition& partition_in(const Metadata& metadata) const { return metadata.partitions[partition_.value()]; }
   static bool has_read(const Partition& partition, const StoreProgress& progress);
-  /// The same predicate over the stores that this history has heard of or written to.
+  /// The same predicate over the stores whose progress this history has tracked.
   StorePredicate by_progress(ProgressPredicate holds) const;
 
   HistoryName name_;
--- a/src/history/store_machine.cpp
+++ b/src/history/store_machine.cpp
@@ -150,9 +150,9 @@
   auto* partition = find_partition(metadata, id);
   if (!self || !sender || !partition)
     return false;
-  bool lies_here = contains(partition->stores, self->id) || contains(partition->pending_stores, self->id);
+  bool keeps_partition = contains(partition->stores, self->id) || contains(partition->pending_stores, self->id);
   bool knows_stores = envelope.epoch >= std::max(partition->term, partition->stores_epoch);
-  return lies_here && knows_stores && partition->owner == sender->id;
+  return keeps_partition && knows_stores && partition->owner == sender->id;
 }
 
 /// A read raises the fence: from then on no earlier owner writes to the partition here.
--- a/src/history/store_machine.hpp
+++ b/src/history/store_machine.hpp
@@ -9,8 +9,8 @@
 
 namespace mosskeel {
 
-/// The state machine of a storage daemon. It follows the metadata log, serves the owners of the partitions that lie
-/// here, and in the background streams new partitions, compares old ones with other stores, reports expired histories
+/// The state machine of a storage daemon. It follows the metadata log, serves the owners of the partitions that it
+/// keeps, and in the background streams new partitions, compares old ones with other stores, reports expired histories
 /// and drops what moved away. Invariant: whatever it answers for is synced before the answer leaves.
 class StoreMachine : public StateMachine {
  public:
--- a/src/history/store_records.hpp
+++ b/src/history/store_records.hpp
@@ -33,7 +33,7 @@
   MOSSKEEL_FIELDS(HistoryTermRecord, (PartitionId, partition), (HistoryName, history), (Epoch, term));
 };
 
-/// The partition's histories were dropped because it lies on other stores; its fence and tombstones stay.
+/// The partition's histories were dropped because other stores keep it; its fence and tombstones stay.
 struct DropPartitionRecord {
   MOSSKEEL_FIELDS(DropPartitionRecord, (PartitionId, partition));
 };
--- a/src/messages/consensus_messages.hpp
+++ b/src/messages/consensus_messages.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What controllers say to each other and to those who ask for commits: discovery, Paxos, quorum reads, commits, the
+// Messages between controllers, and with those who ask for commits: discovery, Paxos, quorum reads, commits, the
 // supervisor lease.
 #include "base/codec.hpp"
 #include "metadata/rejection.hpp"
@@ -62,7 +62,7 @@
   MOSSKEEL_FIELDS(QuorumRead, (uint64_t, id));
 };
 
-/// `open` says that the member has accepted a proposal for the epoch after `epoch`, whose fate it does not know.
+/// `open` says that the member has accepted a proposal for the epoch after `epoch`, whose outcome it does not know.
 struct QuorumReadReply {
   MOSSKEEL_FIELDS(QuorumReadReply, (uint64_t, id), (Epoch, epoch), (bool, open));
 };
@@ -78,7 +78,7 @@
   MOSSKEEL_FIELDS(Commit, (std::string, id), (Transformation, change), (Epoch, known_epoch), (int64_t, timeout_ms));
 };
 
-/// What became of a commit, with the log that the sender lacks. For `rejected`, `rejection` and `reason` say why, at
+/// What became of a commit, with the log that the sender lacks. For `rejected`, `rejection` and `reason` tell why, at
 /// `epoch`, which a majority has confirmed as the newest since the commit came.
 struct CommitReply {
   MOSSKEEL_FIELDS(CommitReply, (std::string, id), (CommitOutcome, outcome), (std::string, reason), (Epoch, epoch),
--- a/src/messages/history_messages.hpp
+++ b/src/messages/history_messages.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What the owners of programs and the stores of their histories say to each other.
+// Messages between the owners of programs and the stores of their histories.
 #include "base/codec.hpp"
 
 namespace mosskeel {
--- a/src/messages/request_messages.hpp
+++ b/src/messages/request_messages.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Callers' requests between gateways, and what a gateway and its replicas say to each other.
+// Callers' requests between gateways, and the messages between a gateway and its replicas.
 #include "messages/history_messages.hpp"
 
 namespace mosskeel {
@@ -26,7 +26,7 @@
 };
 
 /// The final response. `executed` says what is known of its execution; `wrong_owner` that another gateway owns the
-/// program; `chunks` how many chunks it has in all, `retry_ms` when the caller may try again (0: not said).
+/// program; `chunks` how many chunks it has in all, `retry_ms` when the caller may try again (0: not known).
 struct ProgramResponse {
   MOSSKEEL_FIELDS(ProgramResponse, (std::string, attempt), (uint32_t, status), (Outcome, executed),
                   (std::string, reason), (std::string, body), (uint32_t, turn), (uint64_t, tokens),
--- a/src/messages/turn_messages.hpp
+++ b/src/messages/turn_messages.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What the gateways that serve callers' turns, the owners of their programs and the stores say to each other.
+// Messages between the gateways that serve callers' turns, the owners of their programs and the stores.
 #include "base/codec.hpp"
 
 namespace mosskeel {
--- a/src/metadata/constants.hpp
+++ b/src/metadata/constants.hpp
@@ -14,7 +14,7 @@
 constexpr size_t kRememberedCommits = 4096;
 /// Acknowledged configuration changes that are remembered, 24 bytes each; 10 busy days.
 constexpr size_t kRememberedConfigurationChanges = 4096;
-/// Requests that all gateways together run on one replica, unless its record says.
+/// Requests that all gateways together run on one replica whose record names no other number.
 constexpr uint32_t kDefaultReplicaCapacity = 32;
 /// Requests; a larger capacity in a record is an error.
 constexpr uint32_t kMaxReplicaCapacity = 4096;
--- a/src/metadata/names.cpp
+++ b/src/metadata/names.cpp
@@ -32,7 +32,7 @@
 }
 
 const char* name(ReplicaHealth health) {
-  // The admin API's JSON fixes these words.
+  // These names are part of the admin API's JSON.
   switch (health) {
     case ReplicaHealth::warming_up:
       return "cold";
--- a/src/metadata/replica_list_reconciler.hpp
+++ b/src/metadata/replica_list_reconciler.hpp
@@ -4,8 +4,8 @@
 
 namespace mosskeel {
 
-/// Finds what readings of the replica list say beyond the log. Remembers of earlier readings what a single one can't
-/// tell. Owned by the poller, on its thread; nothing is on disk.
+/// Finds how the log differs from what was read of the replica list. Keeps the part of earlier readings that a single
+/// one does not show. Owned by the poller, on its thread; nothing is on disk.
 class ReplicaListReconciler {
  public:
   /// The change that the log lacks after a complete reading at `now`, or nothing.
@@ -13,7 +13,7 @@
   /// A replica is removed once two readings in a row lack it, since the list may shift between its pages. A replica
   /// that a restored zone left warming up stays so for `kMaxReplicaListLag`, until the list has had time to report it.
   std::optional<UpdateReplicas> reconcile(const Replicas& log, const std::vector<Replica>& listed, TimePoint now);
-  /// Drops the memory: another reader has been active meanwhile.
+  /// Drops what is kept: another reader has been active meanwhile.
   void reset() { seen_.clear(); }
 
  private:
@@ -27,7 +27,7 @@
     /// Readings in a row that lack it.
     uint32_t missing = 0;
   };
-  /// Whether the log lacks what the list says of one replica. `logged` is null where the log has it not, or otherwise.
+  /// Whether the log differs from the list in one replica. `logged` is null where the log has it not, or otherwise.
   bool needs_update(Seen& seen, bool first_seen, const Replica* logged, const Replica& listed, TimePoint now);
 
   std::map<std::string, Seen> seen_;
--- a/src/metadata/transformation.hpp
+++ b/src/metadata/transformation.hpp
@@ -42,7 +42,7 @@
   bool operator==(const MarkDown&) const = default;
 };
 
-/// The daemon is heard again. One without partitions joins anew.
+/// The daemon sends heartbeats again. One without partitions joins anew.
 struct MarkUp {
   MOSSKEEL_FIELDS(MarkUp, (DaemonId, node));
   bool operator==(const MarkUp&) const = default;
@@ -135,7 +135,7 @@
   bool operator==(const FinishQuorumChange&) const = default;
 };
 
-/// What a replica list says beyond the log, in one epoch: replicas to add or change, and names to remove.
+/// How the log differs from a replica list, in one epoch: replicas to add or change, and names to remove.
 struct UpdateReplicas {
   MOSSKEEL_FIELDS(UpdateReplicas, (std::vector<Replica>, updated), (std::vector<std::string>, removed));
   bool operator==(const UpdateReplicas&) const = default;
--- a/src/net/http_listener.hpp
+++ b/src/net/http_listener.hpp
@@ -9,8 +9,8 @@
 /// Malformed, too large and too slow requests are rejected here and their connection is closed.
 ///
 /// Everything, callbacks too, happens on the loop's thread. It must not be destroyed in a callback. After `finish`,
-/// `send_response`, `abort` or `on_disconnected` the id of an exchange is dead: it has no more callbacks, and calls
-/// with it do nothing.
+/// `send_response`, `abort` or `on_disconnected` the id of an exchange is no longer valid: it has no more callbacks,
+/// and calls with it do nothing.
 class HttpListener final : private HttpConnectionOwner {
  public:
   struct Callbacks {
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -26,7 +26,7 @@
   std::function<StreamState(std::string& bytes)> next_chunk;
 
   /// @param code names the kind of error to programs, `reason` tells people.
-  /// @param retry_after the time after which the caller may come back; 0 says nothing.
+  /// @param retry_after the time after which the caller may retry; 0 for none.
   static ApiResponse error(uint32_t status, const std::string& code, const std::string& reason,
                            Duration retry_after = {});
   static ApiResponse error(uint32_t status, const std::string& code, const Errors& errors);
--- a/src/net/protocol_codec.hpp
+++ b/src/net/protocol_codec.hpp
@@ -33,7 +33,7 @@
   bool operator==(const PromptPart&) const = default;
 };
 
-/// What the headers of a caller's request say. Texts are empty where they say nothing.
+/// The headers of a caller's request. Texts are empty where a header is missing.
 struct RequestHeaders {
   std::string attempt_id, program_id, session_id;
   /// The turn that this one goes on from.
@@ -51,20 +51,20 @@
   std::vector<PromptPart> prompt_parts;
 };
 
-/// What a replica says of its load, in requests.
+/// The load that a replica reports, in requests.
 struct ReplicaLoad {
   uint32_t running = 0, waiting = 0, capacity = 0;
   bool operator==(const ReplicaLoad&) const = default;
 };
 
-/// What the head of a replica's response says.
+/// The headers of a replica's response.
 struct ResponseHeaders {
   std::string attempt_id;
   /// This replica has not run the request and never will.
   bool not_run = false;
   /// The response carries the replica's seal.
   bool sealed = false;
-  /// Nothing where the replica does not say it.
+  /// Nothing where the replica does not report it.
   std::optional<ReplicaLoad> load;
 };
 
@@ -78,12 +78,12 @@
   virtual ResponseHeaders parse_response(uint32_t status, const HeaderFields& fields) const = 0;
   /// Sets the fields that are meant for the replica, in place of such that the caller sent.
   /// @param replica the one that the request is meant for.
-  /// @param time_left until the caller's deadline; nothing says nothing.
+  /// @param time_left until the caller's deadline; nothing where there is none.
   /// @param urgency 0 is served first, 9 last.
   virtual void set_upstream_headers(HeaderFields& fields, const std::string& replica, std::optional<Duration> time_left,
                                     std::optional<uint32_t> urgency) const = 0;
   /// The fields of a rejection.
-  /// @param retry_after the time after which the caller may come back; 0 says nothing.
+  /// @param retry_after the time after which the caller may retry; 0 for none.
   virtual HeaderFields rejection_headers(Duration retry_after) const = 0;
   /// Whether the request asks if this gateway is ready.
   virtual bool is_readiness_probe(const HttpRequest& request) const = 0;
--- a/src/net/upstream_client.hpp
+++ b/src/net/upstream_client.hpp
@@ -8,8 +8,8 @@
 /// whether one that failed may be retried is for its sender to decide.
 ///
 /// Everything, callbacks too, happens on the loop's thread. No callback comes from within `send_request`. It must not
-/// be destroyed in a callback. After `on_complete`, `on_failure` or `cancel` a request's id is dead: it has no more
-/// callbacks, and calls with it do nothing.
+/// be destroyed in a callback. After `on_complete`, `on_failure` or `cancel` a request's id is no longer valid: it has
+/// no more callbacks, and calls with it do nothing.
 class UpstreamClient final : private UpstreamConnectionOwner {
  public:
   using Delivery = UpstreamDelivery;
--- a/src/programs/gateway_machine.hpp
+++ b/src/programs/gateway_machine.hpp
@@ -12,7 +12,7 @@
 /// turns that gateways carry for callers of the platform's.
 ///
 /// Runs on one thread, its host's; other threads see it by RoutingSnapshot only. Nothing of it is on disk: what must
-/// survive it lies on the stores of its programs' histories.
+/// survive it is kept by the stores of its programs' histories.
 class GatewayMachine : public StateMachine {
  public:
   /// `id.self.agent_address` is where the agent listens.
--- a/src/programs/history_closer.hpp
+++ b/src/programs/history_closer.hpp
@@ -5,7 +5,7 @@
 
 namespace mosskeel {
 
-/// Ends a history once a quorum of its stores says, each by its own clock, that it has outlived its retention at its
+/// Ends a history once a quorum of its stores reports, each by its own clock, that its retention is over at its
 /// present length, and nothing is under way on it. Once its end is committed, the stores that still report it are told
 /// to replace it by a tombstone.
 class HistoryCloser {
--- a/src/programs/outcome_transfer.cpp
+++ b/src/programs/outcome_transfer.cpp
@@ -7,7 +7,7 @@
 namespace mosskeel {
 namespace {
 
-/// What the history says of the key of a transferred outcome.
+/// The records of a transferred outcome's key in the history.
 struct RecordedTurn {
   /// The newest record under the key, or null.
   const Record* latest = nullptr;
@@ -115,7 +115,7 @@
   }
   auto turn = find_turn(history_writer_.records(history), outcome);
   if (!turn.latest) {
-    // Without a reservation the turn has not run, as the old owner says where the status is 0.
+    // Without a reservation the turn has not run, which the old owner reports by the status 0.
     return recorded_if(outcome.status == 0);
   }
   if (turn.latest->kind == RecordKind::outcome) {
--- a/src/programs/outcome_transfer.hpp
+++ b/src/programs/outcome_transfer.hpp
@@ -48,7 +48,7 @@
   enum class Progress { must_append, must_wait, recorded, refused };
   /// Whether the transfer is over: answered, or given up.
   bool try_complete(Transfer& transfer, TimePoint now);
-  /// What the open history says of the transfer.
+  /// The state of the transfer by the open history.
   Progress evaluate(const Transfer& transfer) const;
   static Progress recorded_if(bool condition);
 
--- a/src/programs/turn_log.hpp
+++ b/src/programs/turn_log.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What the records of a program's history say of its turns.
+// The turns of a program, read from the records of its history.
 #include <map>
 #include <span>
 #include <string>
@@ -35,7 +35,7 @@
 std::vector<ChainLink> conversation(const Records& records, const std::string& thread);
 
 /// The body of the response to a history request: the turns that ended, and the tokens that are spent, reserved and
-/// allowed. `committed` are the records that lie on a write quorum; others must not be shown.
+/// allowed. `committed` are the records that a write quorum has; others must not be shown.
 std::string history_json(const std::string& program, std::span<const Record> committed, uint64_t budget);
 
 }  // namespace mosskeel
--- a/src/programs/turn_owner.hpp
+++ b/src/programs/turn_owner.hpp
@@ -33,8 +33,8 @@
         turn_runners_(turn_runners),
         outcome_sender_(outcome_sender) {}
 
-  /// Whether the turn may be queued or dispatched by what its open history says now. Otherwise it was answered, which
-  /// closes the request, or it waits for the turn before it.
+  /// Whether the turn may be queued or dispatched by the present state of its open history. Otherwise it was answered,
+  /// which closes the request, or it waits for the turn before it.
   bool admit(OpenRequest& open, TimePoint now);
   /// Appends the reservation of an admitted turn.
   void reserve(OpenRequest& open, TimePoint now);
--- a/src/programs/turn_runners.hpp
+++ b/src/programs/turn_runners.hpp
@@ -5,8 +5,8 @@
 
 namespace mosskeel {
 
-/// Answers for this gateway whether it runs a turn, and asks the gateways that reserved others. Only their own word
-/// counts, or the directory's that they are gone; never the age of a record.
+/// Answers for this gateway whether it runs a turn, and asks the gateways that reserved others. Only their own
+/// answer counts, or a directory without them; never the age of a record.
 class TurnRunners {
  public:
   TurnRunners(GatewayContext& context, const OpenRequests& requests, const TurnClient& turn_client)
--- a/src/replication/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -33,18 +33,18 @@
   if (leaving_ && is_another)
     gateway_replaced_ = true;
   gateway_heartbeat_ = heartbeat;
-  gateway_heard_at_ = now;
+  last_gateway_contact_at_ = now;
 }
 
 Actions AgentMachine::tick(TimePoint now) {
-  if (leaving_ && (gateway_replaced_ || now - gateway_heard_at_ > kAgentShutdownDelay))
+  if (leaving_ && (gateway_replaced_ || now - last_gateway_contact_at_ > kAgentShutdownDelay))
     outbox_.act.stop = true;
   follow(now);
   return outbox_.take();
 }
 
 void AgentMachine::follow(TimePoint now) {
-  bool is_recent = gateway_heartbeat_ && now - gateway_heard_at_ < kHeartbeatInterval * 3;
+  bool is_recent = gateway_heartbeat_ && now - last_gateway_contact_at_ < kHeartbeatInterval * 3;
   follower_.tick(now, is_recent ? &*gateway_heartbeat_ : nullptr);
   if (!is_recent || !gateway_heartbeat_->leaving || now < next_drain_request_at_)
     return;
--- a/src/replication/agent_machine.hpp
+++ b/src/replication/agent_machine.hpp
@@ -29,7 +29,7 @@
   Follower follower_;
   /// The last heartbeat of the gateway, and when it came.
   std::optional<Heartbeat> gateway_heartbeat_;
-  TimePoint gateway_heard_at_{};
+  TimePoint last_gateway_contact_at_{};
   TimePoint next_drain_request_at_{};
   bool leaving_ = false;
   /// Since `leaving_`, a newer gateway has taken the place of the one that this agent waits for.
--- a/src/routing/chain_search.hpp
+++ b/src/routing/chain_search.hpp
@@ -5,8 +5,8 @@
 
 namespace mosskeel {
 
-/// Asks every store for a turn that its owner does not know, until one has it or all have said that they don't: only
-/// then the turn is known to be missing.
+/// Asks every store for a turn that its owner does not know, until one has it or all have answered that they don't:
+/// only then the turn is known to be missing.
 class ChainSearch {
  public:
   enum class State { searching, missing, timed_out };
--- a/src/routing/constants.hpp
+++ b/src/routing/constants.hpp
@@ -14,7 +14,7 @@
 constexpr Duration kMaxReplicaWait = 400ms;
 /// A replica that accepts no connection is avoided this long.
 constexpr Duration kConnectFailureBackoff = 1000ms;
-/// A replica that says it is full is avoided this long.
+/// A replica that reports that it is full is avoided this long.
 constexpr Duration kReplicaFullBackoff = 60ms;
 /// A replica that lost an answer is avoided this long.
 constexpr Duration kLostResponseBackoff = 300ms;
--- a/src/routing/request_router.hpp
+++ b/src/routing/request_router.hpp
@@ -11,9 +11,9 @@
 /// A request waits for a replica, is sent, and its response is passed on; a failed attempt is followed by another where
 /// that can't make a request run twice. A turn is reserved at its owner before, and committed there after.
 ///
-/// Invariants: what is not idempotent is at one replica at most, unless the one before has said that it did not run it;
-/// a caller that is told "not run" (a 503 with a time to come back) can rely on it; a response that was begun and is
-/// not complete ends in a reset.
+/// Invariants: what is not idempotent is at one replica at most, unless the one before has reported that it did not run
+/// it; a caller that is told "not run" (a 503 with a time for the retry) can rely on it; a response that was begun and
+/// is not complete ends in a reset.
 ///
 /// All calls on the routing thread.
 class RequestRouter {
@@ -22,7 +22,7 @@
   RequestRouter(const RequestRouter&) = delete;
   RequestRouter& operator=(const RequestRouter&) = delete;
 
-  /// Adopts what the control state says now; to be called before each event and tick.
+  /// Adopts the present control state; to be called before each event and tick.
   void update(std::shared_ptr<const RoutingSnapshot> snapshot, TimePoint now) {
     dispatcher_.update(std::move(snapshot), now);
   }
@@ -37,7 +37,7 @@
   struct ErrorResponse {
     uint32_t status{};
     std::string reason;
-    /// The time after which the caller may come back; 0 says nothing.
+    /// The time after which the caller may retry; 0 for none.
     Duration retry_after{};
   };
 
--- a/src/storage/log_frame.hpp
+++ b/src/storage/log_frame.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// How records lie in a log segment: a header with size and checksum before each, and marks between them that say how
-// far the segment was synced.
+// The layout of records in a log segment: a header with size and checksum before each, and marks between them that
+// record how far the segment was synced.
 #include "base/codec.hpp"
 
 namespace mosskeel {
@@ -16,7 +16,7 @@
   return header;
 }
 
-/// A record as it lies in a segment.
+/// A record as it is stored in a segment.
 inline std::string frame(const std::string& record) {
   return frame_header(record) + record;
 }
@@ -37,7 +37,7 @@
   return record;
 }
 
-/// Says that the first `synced` bytes of segment `sequence` of this daemon were durable before the mark was written.
+/// Records that the first `synced` bytes of segment `sequence` of this daemon were durable before the mark was written.
 /// A record by its form, which begins with an index that no kind of record has: daemons that do not know it skip it.
 struct SyncMark {
   MOSSKEEL_FIELDS(SyncMark, (uint64_t, magic), (Incarnation, incarnation), (uint64_t, sequence), (uint64_t, synced));
--- a/tools/loadgen/load_generator.hpp
+++ b/tools/loadgen/load_generator.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Drives a fleet with a deployment's mix of requests, and holds what it hears against what must never happen.
+// Drives a fleet with a deployment's mix of requests, and checks the answers for what must never happen.
 #include <mutex>
 
 #include "load_report.hpp"
@@ -15,7 +15,7 @@
   std::string input;
   std::string output;
   bool success = false;
-  /// Every answer said that the turn had not run. Where neither this nor `success` holds, the outcome is unknown.
+  /// Every answer reported that the turn had not run. Where neither this nor `success` holds, the outcome is unknown.
   bool not_run = false;
   /// The program's budget is spent.
   bool budget_spent = false;
@@ -30,7 +30,7 @@
 
 /// One answer of the fleet that is not a success, as far as the caller goes by it.
 struct Failure {
-  /// "no", "unknown" or empty, as the answer says whether the request ran.
+  /// "no", "unknown" or empty, as the answer reports whether the request ran.
   std::string ran;
   std::string reason;
   Duration retry_after{};
@@ -86,11 +86,11 @@
   LoadReport report_;
   std::mutex mutex_;
   std::map<std::string, TurnResults> turns_by_program_;
-  /// Requests that the fleet said had not run, as the replicas' run files name them.
+  /// Requests that the fleet reported as not run, as the replicas' run files name them.
   std::set<std::string> not_run_;
 };
 
-/// What a failed answer says, by its body.
+/// What the body of a failed answer reports.
 Failure read_failure(const std::string& body);
 
 /// A caller comes back so often before it gives up.
--- a/tools/loadgen/turns.cpp
+++ b/tools/loadgen/turns.cpp
@@ -46,7 +46,7 @@
 
   std::string text;
   uint32_t chunks = 0;
-  /// The last line said that the turn is done, or that it failed; `last_line` has the rest.
+  /// The last line reported that the turn is done, or that it failed; `last_line` has the rest.
   bool done = false;
   bool failed = false;
   Json last_line;
@@ -126,7 +126,7 @@
       return "ok";
     return response.status ? std::to_string(response.status) : "no session";
   }
-  /// What the answer says of its failure: in a stream's last line, else in its body.
+  /// The failure that the answer reports: in a stream's last line, else in its body.
   Failure failure() const { return read_failure(stream.failed ? stream.last_line.dump() : response.body); }
 };
 
--- a/tools/local-cluster/fleet.hpp
+++ b/tools/local-cluster/fleet.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// A whole fleet on one machine: which processes there are, their lives, and the faults that are done to them.
+// A whole fleet on one machine: which processes there are, how they start and stop, and the faults that they are put
+// through.
 #include <sys/types.h>
 
 #include <mutex>
--- a/tools/scale/control_plane.cpp
+++ b/tools/scale/control_plane.cpp
@@ -88,7 +88,7 @@
   Duration acknowledged{};
   std::vector<Duration> in_force;
 
-  /// In milliseconds; -1 where no gateway heard of the change.
+  /// In milliseconds; -1 where no gateway received the change.
   double quantile(double share) const {
     if (in_force.empty())
       return -1;
--- a/tools/scale/fleet_faults.cpp
+++ b/tools/scale/fleet_faults.cpp
@@ -104,7 +104,7 @@
   record("restarts", "value_bytes.one", bytes / count);
 }
 
-/// The last hollow process is a region of its own: it hears nobody, and one controller is frozen.
+/// The last hollow process is a region of its own: it receives nothing, and one controller is frozen.
 void FleetRun::cut_region() {
   auto& region = *hollow_processes_.back();
   std::string cut_all = "cut";
--- a/tools/scale/simulated_fleet.cpp
+++ b/tools/scale/simulated_fleet.cpp
@@ -81,12 +81,12 @@
   if (new_incarnation && !has_disk(process.spec.kind))
     identity.self.incarnation = Incarnation{random_()};
   identity.random_seed = random_();
-  process.life = ++last_life_;
+  process.run_number = ++last_run_number_;
   process.known_epoch = {};
   Recovered recovered{identity.self.incarnation, process.checkpoint, process.synced_records};
   process.machine = make_machine(process.spec, recovered, now_);
   auto first_tick = now_ + Duration(random_() % static_cast<uint64_t>(kTickInterval.count()));
-  schedule(first_tick, [this, index, life = process.life] { tick(index, life); });
+  schedule(first_tick, [this, index, run_number = process.run_number] { tick(index, run_number); });
 }
 
 void SimulatedFleet::stop(size_t index) {
@@ -94,7 +94,7 @@
   process.machine.reset();
   process.pending_writes.clear();
   process.writes_in_sync = 0;
-  process.life = ++last_life_;
+  process.run_number = ++last_run_number_;
 }
 
 void SimulatedFleet::schedule(TimePoint when, std::function<void()> action) {
@@ -139,12 +139,12 @@
   events_[now_].push_back({.action = nullptr, .receiver = index, .message = std::move(shared_message)});
 }
 
-void SimulatedFleet::tick(size_t index, uint64_t life) {
+void SimulatedFleet::tick(size_t index, uint64_t run_number) {
   auto& process = processes_[index];
-  if (process.life != life || !process.machine)
+  if (process.run_number != run_number || !process.machine)
     return;
   perform(process, timed(process, [&] { return process.machine->tick(now_); }));
-  schedule(now_ + kTickInterval, [this, index, life] { tick(index, life); });
+  schedule(now_ + kTickInterval, [this, index, run_number] { tick(index, run_number); });
 }
 
 template <class Step>
@@ -213,9 +213,9 @@
 
 void SimulatedFleet::begin_sync(SimulatedProcess& process) {
   process.writes_in_sync = process.pending_writes.size();
-  schedule(now_ + kSyncDuration, [this, index = index_of(process), life = process.life] {
+  schedule(now_ + kSyncDuration, [this, index = index_of(process), run_number = process.run_number] {
     auto& same_process = processes_[index];
-    if (same_process.life == life && same_process.machine)
+    if (same_process.run_number == run_number && same_process.machine)
       finish_sync(same_process);
   });
 }
--- a/tools/scale/simulated_fleet.hpp
+++ b/tools/scale/simulated_fleet.hpp
@@ -25,8 +25,8 @@
   ProcessSpec spec;
   /// Nothing while the process is stopped.
   std::unique_ptr<StateMachine> machine;
-  /// Changes with each start and stop, so that events of an earlier life are dropped.
-  uint64_t life = 0;
+  /// Changes with each start and stop, so that events of an earlier run are dropped.
+  uint64_t run_number = 0;
   /// The newest epoch that the machine has shown.
   Epoch known_epoch{};
   /// What is on disk: the newest checkpoint and the synced journal records after it.
@@ -99,7 +99,7 @@
   };
 
   void execute(const Event& event);
-  void tick(size_t index, uint64_t life);
+  void tick(size_t index, uint64_t run_number);
   template <class Step>
   Actions timed(SimulatedProcess& process, Step step);
   void perform(SimulatedProcess& process, Actions actions);
@@ -115,7 +115,7 @@
 
   std::mt19937_64 random_;
   TimePoint now_ = kProcessClockStart;
-  uint64_t last_life_ = 0;
+  uint64_t last_run_number_ = 0;
   std::map<TimePoint, std::vector<Event>> events_;
   std::vector<SimulatedProcess> processes_;
   std::unordered_map<Address, size_t> index_by_address_;
