--- a/src/history/constants.hpp
+++ b/src/history/constants.hpp
@@ -52,7 +52,7 @@
 constexpr size_t kStoreInboxBytes = 4u << 20;
 /// Bytes; while more waits for the disk, no history is sent.
 constexpr size_t kMaxBytesWaitingForDisk = 4u << 20;
-/// Between two looks at a store's own load.
+/// Between two measurements of a store's own load.
 constexpr Duration kStoreLoadInterval = 100ms;
 /// Bytes of a record beside its text, encoded or in memory.
 constexpr size_t kRecordOverheadBytes = 128;
--- a/src/metadata/daemon.hpp
+++ b/src/metadata/daemon.hpp
@@ -16,6 +16,7 @@
 const char* name(Role role);
 const char* name(DaemonState state);
 
+/// Whether `id` is one of `ids`.
 inline bool contains(const std::vector<DaemonId>& ids, DaemonId id) {
   return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
--- a/src/net/http_fetch.hpp
+++ b/src/net/http_fetch.hpp
@@ -4,6 +4,7 @@
 
 namespace mosskeel {
 
+/// What to send, and how to receive the response.
 struct FetchRequest {
   std::string method = "GET", url, body;
   std::map<std::string, std::string> headers;
--- a/tools/loadgen/turns.cpp
+++ b/tools/loadgen/turns.cpp
@@ -11,6 +11,7 @@
 
 using Json = nlohmann::json;
 
+/// How long a turn's whole answer may take.
 constexpr Duration kTurnTimeout = 60000ms;
 constexpr const char* kTurnDeadlineMs = "30000";
 /// One turn in so many is urgent.
--- a/tools/scale/fleet_run.hpp
+++ b/tools/scale/fleet_run.hpp
@@ -13,7 +13,7 @@
 constexpr int kRealGateways = 2;
 /// A fleet that is not calm by then has failed.
 constexpr Duration kFleetCalmTimeout = 900000ms;
-/// Between two looks at the fleet.
+/// Between two polls of the fleet.
 constexpr Duration kFleetPollInterval = 50ms;
 /// For so long a fleet at rest is measured.
 constexpr Duration kRestWindow = 20000ms;
