--- a/src/consensus/founding.cpp
+++ b/src/consensus/founding.cpp
@@ -10,7 +10,7 @@
 void Founding::initialize(const Recovered& recovered) {
   const Identity& id = outbox_.id();
   bool empty_disk = !recovered.checkpoint && recovered.journal.empty();
-  if (id.later_start || !empty_disk)
+  if (id.forbid_founding || !empty_disk)
     return;
   founders_ = id.seeds;
   if (founders_.empty())
@@ -58,7 +58,7 @@
     if (!is_founder(address) || address == self.address)
       continue;
     DiscoveredControllers::Sighting& known = latest[address];
-    if (sighting.heard_at > known.heard_at)
+    if (sighting.last_seen_at > known.last_seen_at)
       known = sighting;
   }
   Candidates candidates{self};
--- a/src/control/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -24,10 +24,6 @@
   return latest;
 }
 
-bool contains(const std::vector<DaemonId>& ids, DaemonId id) {
-  return std::find(ids.begin(), ids.end(), id) != ids.end();
-}
-
 /// Whether a store has left, and no partition keeps histories on it or is about to.
 bool is_emptied(const Metadata& metadata, const Daemon& store) {
   if (store.state != DaemonState::left || metadata.sequences.count(store.id))
@@ -69,18 +65,18 @@
   return Code::outcome_unknown;
 }
 
-bool majority_heard(const ControllerMachine& controller, const Metadata& metadata, TimePoint now) {
-  auto heard_lately = [&](DaemonId id) {
+bool has_majority_contact(const ControllerMachine& controller, const Metadata& metadata, TimePoint now) {
+  auto has_recent_heartbeat = [&](DaemonId id) {
     const auto* daemon = metadata.find(id);
     return daemon &&
            controller.failure_detector().heartbeat_age(*daemon, now) < kHeartbeatInterval * kMaxMissedHeartbeats;
   };
-  auto heard = std::count_if(metadata.members.begin(), metadata.members.end(), heard_lately);
-  return static_cast<size_t>(heard) >= majority_of(metadata.members.size());
+  auto reporting = std::count_if(metadata.members.begin(), metadata.members.end(), has_recent_heartbeat);
+  return static_cast<size_t>(reporting) >= majority_of(metadata.members.size());
 }
 
-/// A member that hears no majority can do nothing, and a controller that is no member yet names one. Checking this
-/// first only spares the wait: whoever passes has still to be confirmed by a majority before any result.
+/// A member without contact to a majority can do nothing, and a controller that is no member yet names one. Checking
+/// this first only spares the wait: whoever passes has still to be confirmed by a majority before any result.
 std::optional<ClusterControl::Unavailable> find_unavailability(const ControllerMachine& controller, TimePoint now) {
   const auto view = controller.view();
   if (controller.removed_by_refounding())
@@ -89,7 +85,7 @@
     return {{"", "the cluster is not founded yet"}};
   if (!view->is_core_member(controller.self().incarnation))
     return {{random_member_address(*view), "this controller is not a core member yet"}};
-  if (!majority_heard(controller, *view, now))
+  if (!has_majority_contact(controller, *view, now))
     return {{"", "cut off from a majority of the core"}};
   return std::nullopt;
 }
@@ -110,7 +106,7 @@
 /// A rejection is confirmed by a majority at the highest epoch, and nothing is logged. So asking for what is always
 /// rejected, to forget a replica without a name, reads the newest metadata.
 MetadataSnapshot linearizable_read(ControllerAccess& controller, Duration timeout) {
-  auto reply = controller.commit(RemoveReplica{""}, "read-" + hex(random_number()), timeout);
+  auto reply = controller.commit(RemoveReplica{""}, controller.new_commit_id("read"), timeout);
   if (reply.outcome != CommitOutcome::rejected)
     return nullptr;
   MetadataSnapshot view;
@@ -198,11 +194,11 @@
 }
 
 CommandResult ControlSession::evacuate(const std::string& zone) {
-  return execute(EvacuateZone{zone}, "evacuate-" + hex(random_number()));
+  return execute(EvacuateZone{zone}, controller_.new_commit_id("evacuate"));
 }
 
 CommandResult ControlSession::restore(const std::string& zone) {
-  return execute(RestoreZone{zone}, "restore-" + hex(random_number()));
+  return execute(RestoreZone{zone}, controller_.new_commit_id("restore"));
 }
 
 CommandResult ControlSession::retire(const std::string& machine) {
@@ -220,7 +216,7 @@
   bool applicable = apply(*view, {next(view->epoch), "", drain}).ok();
   if (hazard && applicable)
     return {Code::outcome_unknown, *hazard};
-  return execute(drain, "retire-" + hex(random_number()));
+  return execute(drain, controller_.new_commit_id("retire"));
 }
 
 RetirementState ControlSession::retirement_state(const std::string& machine) {
--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -45,8 +45,8 @@
   response.attempt = attempt;
   response.status = 504;
   response.executed = Outcome::unknown;
-  response.reason = "this worker lost sight of the request";
-  response.retry_ms = kDefaultRetryAfter;
+  response.reason = "this gateway lost sight of the request";
+  response.retry_ms = static_cast<uint32_t>(kDefaultRetryAfter.count());
   return response;
 }
 
@@ -56,8 +56,8 @@
   response.attempt = attempt;
   response.status = 503;
   response.executed = Outcome::no;
-  response.reason = "this worker has stopped";
-  response.retry_ms = kDefaultRetryAfter;
+  response.reason = "this gateway has stopped";
+  response.retry_ms = static_cast<uint32_t>(kDefaultRetryAfter.count());
   return response;
 }
 
@@ -132,7 +132,7 @@
   bool is_ready = false;
   host_.ask([&](StateMachine& machine, TimePoint now) { is_ready = static_cast<GatewayMachine&>(machine).ready(now); });
   if (!is_ready)
-    return ApiResponse::error(503, "not_ready", "this worker is not ready", kDefaultRetryAfter);
+    return ApiResponse::error(503, "not_ready", "this gateway is not ready", kDefaultRetryAfter);
   ApiResponse response;
   response.body = "{\"ready\":true}\n";
   return response;
--- a/src/metadata/daemon.hpp
+++ b/src/metadata/daemon.hpp
@@ -1,12 +1,13 @@
 #pragma once
 // The daemons of a cluster, as the directory of the metadata keeps them.
-#include "base/fields.hpp"
+#include <algorithm>
 
+#include "base/fields.hpp"
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
-enum class Role : uint8_t { controller, front, store };
+enum class Role : uint8_t { controller, gateway, store };
 
 /// `registered`: in the directory, without a share of the work yet. `up`: in service. `draining`: its partitions move
 /// away. `down`: a majority of the controllers misses its heartbeats. `left`: for good; it counts nowhere any more.
@@ -15,6 +16,11 @@
 const char* name(Role role);
 const char* name(DaemonState state);
 
+/// Whether `id` is one of `ids`.
+inline bool contains(const std::vector<DaemonId>& ids, DaemonId id) {
+  return std::find(ids.begin(), ids.end(), id) != ids.end();
+}
+
 /// How a daemon describes itself, before and after the log knows it.
 /// The order of the fields is the format on the wire and on disk.
 struct Candidate {
--- a/src/routing/request_router.cpp
+++ b/src/routing/request_router.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /// When a caller may come back that was rejected for want of majority contact.
-constexpr Duration kRetryAfterNoContact{kDefaultRetryAfter / 2};
+constexpr Duration kRetryAfterNoContact = kDefaultRetryAfter / 2;
 /// When a caller may come back that found no replica: shorter, for capacity frees up fast.
-constexpr Duration kRetryAfterNoReplica{kDefaultRetryAfter / 4};
+constexpr Duration kRetryAfterNoReplica = kDefaultRetryAfter / 4;
 
 /// The status of a reservation's reply that was granted.
 constexpr uint32_t kGranted = 200;
@@ -46,7 +46,7 @@
   if (headers.attempt_id.empty())
     return send_error(id, {400, "the attempt has no id"});
   if (!dispatcher_.has_majority_contact(now))
-    return send_error(id, {503, "this front is out of touch", kRetryAfterNoContact});
+    return send_error(id, {503, "this gateway is out of touch", kRetryAfterNoContact});
   auto& routes = dispatcher_.routes();
   auto* path = routes.find(event.request.host, event.request.target);
   if (!path)
--- a/tests/unit/programs/request_forwarder_test.cpp
+++ b/tests/unit/programs/request_forwarder_test.cpp
@@ -15,7 +15,7 @@
 
 /// Gateway 2 with one request that it forwards to gateway 1.
 struct ForwardingGateway {
-  GatewayContext context{Identity{test::candidate(kForwardingGateway, Role::front, "z2"), {}}};
+  GatewayContext context{Identity{test::candidate(kForwardingGateway, Role::gateway, "z2"), {}}};
   OpenRequests requests;
   RecentResponses recent_responses;
   ReplicaSelector replica_selector;
--- a/tests/unit/programs/turn_owner_test.cpp
+++ b/tests/unit/programs/turn_owner_test.cpp
@@ -13,7 +13,7 @@
 
 /// Gateway 1 with the history of one program, which holds the reservation of one turn.
 struct OwningGateway {
-  GatewayContext context{Identity{test::candidate(1, Role::front, "z1"), {}}};
+  GatewayContext context{Identity{test::candidate(1, Role::gateway, "z1"), {}}};
   OpenRequests requests;
   RecentResponses recent_responses;
   ReplicaSelector replica_selector;
--- a/tools/loadgen/load_generator.hpp
+++ b/tools/loadgen/load_generator.hpp
@@ -1,10 +1,10 @@
 #pragma once
-// Drives a fleet with a deployment's mix of requests, and holds what it hears against what must never happen.
+// Drives a fleet with a deployment's mix of requests, and checks the answers for what must never happen.
 #include <mutex>
 
 #include "load_report.hpp"
 #include "plan.hpp"
-#include "ready_fronts.hpp"
+#include "ready_gateways.hpp"
 
 namespace mosskeel::loadgen {
 
@@ -15,7 +15,7 @@
   std::string input;
   std::string output;
   bool success = false;
-  /// Every answer said that the turn had not run. Where neither this nor `success` holds, the outcome is unknown.
+  /// Every answer reported that the turn had not run. Where neither this nor `success` holds, the outcome is unknown.
   bool not_run = false;
   /// The program's budget is spent.
   bool budget_spent = false;
@@ -30,7 +30,7 @@
 
 /// One answer of the fleet that is not a success, as far as the caller goes by it.
 struct Failure {
-  /// "no", "unknown" or empty, as the answer says whether the request ran.
+  /// "no", "unknown" or empty, as the answer reports whether the request ran.
   std::string ran;
   std::string reason;
   Duration retry_after{};
@@ -45,7 +45,7 @@
 /// One run of the load. Each program and each of its threads has a thread of its own.
 class LoadGenerator {
  public:
-  explicit LoadGenerator(const Plan& plan) : plan_(plan), fronts_(plan.controllers) {}
+  explicit LoadGenerator(const Plan& plan) : plan_(plan), gateways_(plan.controllers) {}
   /// Runs the whole plan; 0 if nothing happened that must not.
   int run();
 
@@ -76,21 +76,21 @@
 
   void run_load();
   void write_report();
-  /// The HTTP address of a ready front; waits a moment and gives an empty one if there is none.
-  Address ready_front();
+  /// The HTTP address of a ready gateway; waits a moment and gives an empty one if there is none.
+  Address ready_gateway();
   void note_not_run(const std::string& request);
   void count_attempt(const std::string& what, long status, const std::string& ran);
 
   Plan plan_;
-  ReadyFronts fronts_;
+  ReadyGateways gateways_;
   LoadReport report_;
   std::mutex mutex_;
   std::map<std::string, TurnResults> turns_by_program_;
-  /// Requests that the fleet said had not run, as the replicas' run files name them.
+  /// Requests that the fleet reported as not run, as the replicas' run files name them.
   std::set<std::string> not_run_;
 };
 
-/// What a failed answer says, by its body.
+/// What the body of a failed answer reports.
 Failure read_failure(const std::string& body);
 
 /// A caller comes back so often before it gives up.
--- a/tools/loadgen/turns.cpp
+++ b/tools/loadgen/turns.cpp
@@ -11,7 +11,8 @@
 
 using Json = nlohmann::json;
 
-constexpr long kTurnTimeout = 60000;
+/// How long a turn's whole answer may take.
+constexpr Duration kTurnTimeout = 60000ms;
 constexpr const char* kTurnDeadlineMs = "30000";
 /// One turn in so many is urgent.
 constexpr uint64_t kUrgentEvery = 20;
@@ -46,7 +47,7 @@
 
   std::string text;
   uint32_t chunks = 0;
-  /// The last line said that the turn is done, or that it failed; `last_line` has the rest.
+  /// The last line reported that the turn is done, or that it failed; `last_line` has the rest.
   bool done = false;
   bool failed = false;
   Json last_line;
@@ -114,7 +115,7 @@
 }  // namespace
 
 struct TurnAttempt {
-  Address front;
+  Address gateway;
   double begun = clock_ms();
   TurnStream stream{begun};
   FetchResponse response;
@@ -126,7 +127,7 @@
       return "ok";
     return response.status ? std::to_string(response.status) : "no session";
   }
-  /// What the answer says of its failure: in a stream's last line, else in its body.
+  /// The failure that the answer reports: in a stream's last line, else in its body.
   Failure failure() const { return read_failure(stream.failed ? stream.last_line.dump() : response.body); }
 };
 
@@ -134,7 +135,7 @@
                                  TurnAttempt& attempt) {
   FetchRequest request;
   request.method = "POST";
-  request.url = "http://" + attempt.front + "/v1/cells/" + plan_.cell + "/programs/" + program + "/turns";
+  request.url = "http://" + attempt.gateway + "/v1/cells/" + plan_.cell + "/programs/" + program + "/turns";
   request.headers["Idempotency-Key"] = turn.key;
   request.headers["X-Deadline-Ms"] = kTurnDeadlineMs;
   if (random_number() % kUrgentEvery == 0)
@@ -147,7 +148,7 @@
   if (knows_thread(earlier, turn.thread))
     body["after"] = count_successes(earlier);
   request.body = body.dump();
-  request.timeout_ms = kTurnTimeout;
+  request.timeout = kTurnTimeout;
   request.on_body = [&](const std::string& bytes) {
     attempt.stream.feed(bytes);
   };
@@ -195,8 +196,8 @@
   turn.input = "question " + turn.key + " " + std::string(kQuestionBytes, 'x');
   bool may_have_run = false;
   for (int number = 0; number < kAttemptLimit; ++number) {
-    TurnAttempt attempt{.front = ready_front()};
-    if (attempt.front.empty())
+    TurnAttempt attempt{.gateway = ready_gateway()};
+    if (attempt.gateway.empty())
       continue;
     send_attempt(program, turn, earlier, attempt);
     if (number == 0)
--- a/tools/scale/fleet_faults.cpp
+++ b/tools/scale/fleet_faults.cpp
@@ -1,4 +1,4 @@
-// The steps of a fleet run in which something happens to it: a new front, a zone that fails, restarts in a row, a
+// The steps of a fleet run in which something happens to it: a new gateway, a zone that fails, restarts in a row, a
 // region that is cut off.
 #include <algorithm>
 #include <sstream>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void FleetRun::add_new_front() {
+void FleetRun::add_new_gateway() {
   auto& process = *hollow_processes_.back();
   process.execute("stop 0");
   sleep_for(kHeartbeatTimeout * 2);
@@ -77,7 +77,7 @@
   record("zone", "back.epochs", static_cast<double>(client_.view()->epoch.value() - epoch_down.value()));
 }
 
-void FleetRun::restart_fronts() {
+void FleetRun::restart_gateways() {
   auto before = client_.view();
   std::vector<double> durations;
   for (int number = 0; number < options_.restarts; ++number) {
@@ -104,7 +104,7 @@
   record("restarts", "value_bytes.one", bytes / count);
 }
 
-/// The last hollow process is a region of its own: it hears nobody, and one controller is frozen.
+/// The last hollow process is a region of its own: it receives nothing, and one controller is frozen.
 void FleetRun::cut_region() {
   auto& region = *hollow_processes_.back();
   std::string cut_all = "cut";
