--- a/tests/unit/consensus/sequence_barrier_test.cpp
+++ b/tests/unit/consensus/sequence_barrier_test.cpp
@@ -2,7 +2,7 @@
 #include "unit/catch.hpp"
 
 #include "consensus/constants.hpp"
-#include "unit/metadata/store_fleet_fixture.hpp"
+#include "unit/metadata/metadata_fixture.hpp"
 
 using namespace mosskeel;
 using mosskeel::test::StoreFleet;
@@ -14,24 +14,24 @@
   auto leaver = fleet.id("store11");
   fleet.commit(PrepareDrain{leaver});
   fleet.commit(AdvanceSequence{leaver, SequenceStep::start});
-  auto started_epoch = fleet.metadata().epoch;
+  auto started_epoch = fleet.metadata.epoch;
   auto sequence = [&] {
-    return fleet.metadata().sequences.at(leaver);
+    return fleet.metadata.sequences.at(leaver);
   };
-  auto new_stores = sequence_barrier::newcomers(fleet.metadata(), sequence());
+  auto new_stores = sequence_barrier::newcomers(fleet.metadata, sequence());
   REQUIRE(new_stores.size() > 1);
   CHECK(new_stores.count(leaver) == 0);
   auto all_report = [&](Epoch streamed) {
     for (auto id : new_stores) {
       Heartbeat heartbeat{};
-      heartbeat.self = fleet.metadata().find(id)->self;
-      heartbeat.known = fleet.metadata().epoch;
+      heartbeat.self = fleet.metadata.find(id)->self;
+      heartbeat.known = fleet.metadata.epoch;
       heartbeat.streamed = streamed;
       detector.record(heartbeat, now);
     }
   };
   auto is_streamed = [&] {
-    return sequence_barrier::is_streamed(fleet.metadata(), sequence(), detector, now);
+    return sequence_barrier::is_streamed(fleet.metadata, sequence(), detector, now);
   };
 
   all_report(Epoch{started_epoch.value() - 1});
@@ -45,5 +45,5 @@
   CHECK(is_streamed());
   fleet.commit(MarkDown{*new_stores.begin()});
   CHECK_FALSE(is_streamed());
-  CHECK(sequence_barrier::has_lost_target(fleet.metadata(), sequence()));
+  CHECK(sequence_barrier::has_lost_target(fleet.metadata, sequence()));
 }
--- a/tests/unit/metadata/replica_sets_test.cpp
+++ b/tests/unit/metadata/replica_sets_test.cpp
@@ -3,7 +3,7 @@
 
 #include "metadata/constants.hpp"
 #include "unit/catch.hpp"
-#include "unit/metadata/store_fleet_fixture.hpp"
+#include "unit/metadata/metadata_fixture.hpp"
 
 using namespace mosskeel;
 using mosskeel::test::StoreFleet;
@@ -45,19 +45,19 @@
   StoreFleet default_fleet(2, 0);
   StoreFleet wide_fleet(2);
 
-  CHECK(default_fleet.metadata().replication_factor() == kDefaultHistoryReplicas);
-  CHECK(default_fleet.metadata().write_quorum(1) == 2);
-  CHECK(default_fleet.metadata().write_quorum(2) == 2);
-  CHECK(wide_fleet.metadata().write_quorum(2) == 3);
+  CHECK(default_fleet.metadata.replication_factor() == kDefaultHistoryReplicas);
+  CHECK(default_fleet.metadata.write_quorum(1) == 2);
+  CHECK(default_fleet.metadata.write_quorum(2) == 2);
+  CHECK(wide_fleet.metadata.write_quorum(2) == 3);
 }
 
 TEST_CASE("Each partition has its full number of stores, and no zone holds more than may be lost") {
   StoreFleet fleet(8);
 
   std::map<DaemonId, int> replicas_by_store;
-  for (auto& partition : fleet.metadata().partitions) {
+  for (auto& partition : fleet.metadata.partitions) {
     CHECK(partition.stores.size() == 5);
-    CHECK(most_in_one_zone(fleet.metadata(), partition) <= 2);
+    CHECK(most_in_one_zone(fleet.metadata, partition) <= 2);
     for (auto id : partition.stores)
       ++replicas_by_store[id];
   }
@@ -75,23 +75,23 @@
   fleet.commit(MarkDown{second});
   fleet.commit(PrepareRepair{first});
   fleet.commit(PrepareRepair{second});
-  CHECK(fleet.metadata().sequences.size() == 2);
-  fleet.finish_sequence("store11");
-  fleet.finish_sequence("store12");
+  CHECK(fleet.metadata.sequences.size() == 2);
+  fleet.finish_sequence(first);
+  fleet.finish_sequence(second);
 
-  for (auto& partition : fleet.metadata().partitions) {
+  for (auto& partition : fleet.metadata.partitions) {
     CHECK(partition.stores.size() == 5);
-    CHECK(most_in_one_zone(fleet.metadata(), partition) <= 3);
+    CHECK(most_in_one_zone(fleet.metadata, partition) <= 3);
     CHECK(count_of(partition, first) == 0);
     CHECK(count_of(partition, second) == 0);
   }
-  CHECK(fleet.daemon("store11").state == DaemonState::down);
+  CHECK(fleet.state(first) == DaemonState::down);
   fleet.commit(MarkUp{first});
-  CHECK(fleet.daemon("store11").state == DaemonState::registered);
-  fleet.run_sequence(PrepareJoin{first}, "store11");
-  CHECK(fleet.metadata().holds_partitions(first));
+  CHECK(fleet.state(first) == DaemonState::registered);
+  fleet.run_sequence(PrepareJoin{first}, first);
+  CHECK(fleet.metadata.holds_partitions(first));
   fleet.commit(ForgetStore{second});
-  CHECK(fleet.metadata().find(second)->state == DaemonState::left);
+  CHECK(fleet.state(second) == DaemonState::left);
 }
 
 TEST_CASE("A store that holds partitions is not forgotten, nor one that is up") {
@@ -102,7 +102,7 @@
   fleet.commit(MarkDown{store});
   CHECK(fleet.is_rejected(ForgetStore{store}));
   fleet.commit(MarkUp{store});
-  CHECK(fleet.daemon("store11").state == DaemonState::up);
+  CHECK(fleet.state(store) == DaemonState::up);
 }
 
 TEST_CASE("A store whose drain was cancelled stays draining, and can be drained again") {
@@ -113,8 +113,8 @@
 
   fleet.commit(CancelSequence{store, "a store that was to take partitions is lost"});
 
-  CHECK(fleet.daemon("store11").state == DaemonState::draining);
-  CHECK(fleet.metadata().holds_partitions(store));
-  fleet.run_sequence(PrepareDrain{store}, "store11");
-  CHECK(fleet.metadata().find(store)->state == DaemonState::left);
+  CHECK(fleet.state(store) == DaemonState::draining);
+  CHECK(fleet.metadata.holds_partitions(store));
+  fleet.run_sequence(PrepareDrain{store}, store);
+  CHECK(fleet.state(store) == DaemonState::left);
 }
--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -7,82 +7,55 @@
 #include "base/codec.hpp"
 #include "metadata/constants.hpp"
 #include "metadata/rejection.hpp"
+#include "unit/metadata/metadata_fixture.hpp"
 
 using namespace mosskeel;
+using mosskeel::test::MetadataFixture;
+using mosskeel::test::numbered_daemon;
 
 namespace {
 
-constexpr SequenceStep kAllSteps[] = {SequenceStep::start, SequenceStep::mid, SequenceStep::finish};
-
-/// A daemon whose address is its role and number, "front21".
-Candidate candidate(uint64_t number, Role role, const std::string& zone) {
-  auto address = std::string(name(role)) + std::to_string(number);
-  return {Incarnation{number}, role, zone, address, "", "http-" + address, ""};
-}
-
 /// A front with another incarnation at the address of "front21".
 Candidate restarted_front21() {
   return {Incarnation{99}, Role::front, "a", "front21", "", "", ""};
 }
 
 std::vector<Candidate> three_controllers() {
-  return {candidate(1, Role::controller, "a"), candidate(2, Role::controller, "b"),
-          candidate(3, Role::controller, "c")};
+  return {numbered_daemon(1, Role::controller, "a"), numbered_daemon(2, Role::controller, "b"),
+          numbered_daemon(3, Role::controller, "c")};
 }
 
-/// Three controllers, stores 11 to 13 and fronts 21 and 22, all joined; a daemon of each role in zones a, b and c.
-struct Fleet {
-  Metadata metadata{};
-
+/// Three controllers, stores 11 to 13 and gateways 21 and 22, all joined; a daemon of each role in zones a and b, all
+/// but a gateway in c.
+struct Fleet : MetadataFixture {
   Fleet() {
-    must(FoundCluster{7, 3, three_controllers(), 0, 0});
-    must(Register{candidate(11, Role::store, "a")});
-    must(Register{candidate(12, Role::store, "b")});
-    must(Register{candidate(13, Role::store, "c")});
+    commit(FoundCluster{7, 3, three_controllers(), 0, 0});
+    commit(Register{numbered_daemon(11, Role::store, "a")});
+    commit(Register{numbered_daemon(12, Role::store, "b")});
+    commit(Register{numbered_daemon(13, Role::store, "c")});
     for (auto* store : {"store11", "store12", "store13"})
       join(store);
-    must(Register{candidate(21, Role::front, "a")});
-    join("front21");
-    must(Register{candidate(22, Role::front, "b")});
-    join("front22");
+    register_and_join(numbered_daemon(21, Role::front, "a"));
+    register_and_join(numbered_daemon(22, Role::front, "b"));
   }
 
-  /// Applies a change; a rejected one leaves the value as it is.
-  Result<Metadata> commit(const Transformation& change, const std::string& commit_id = "") {
-    auto result = apply(metadata, {next(metadata.epoch), commit_id, change});
-    if (result.ok())
-      metadata = result.value();
-    return result;
-  }
-  void must(const Transformation& change) {
-    auto result = commit(change);
-    INFO(describe(change) << (result.ok() ? "" : ": " + to_string(result.errors())));
-    REQUIRE(result.ok());
-  }
-  /// The errors of a change that must be rejected.
-  std::string rejected(const Transformation& change) {
+  /// The errors of a transformation, which must be rejected and change nothing.
+  std::string rejection(const Transformation& change) {
     auto before = metadata;
-    auto result = commit(change);
+    auto result = try_commit(change);
     REQUIRE_FALSE(result.ok());
     CHECK(metadata == before);
     return to_string(result.errors());
   }
-  bool rejected_with(const Transformation& change, const std::string& reason) {
-    return rejected(change).find(reason) != std::string::npos;
-  }
 
-  DaemonId id(const std::string& address) { return metadata.find_at(address)->id; }
-  DaemonState state(DaemonId daemon) { return metadata.find(daemon)->state; }
-  void run_all_steps(DaemonId node) {
-    for (auto step : kAllSteps)
-      must(AdvanceSequence{node, step});
-  }
-  void join(const std::string& address) {
-    must(PrepareJoin{id(address)});
-    run_all_steps(id(address));
+  bool is_rejected_with(const Transformation& change, const std::string& reason) {
+    return rejection(change).find(reason) != std::string::npos;
   }
-  /// How many zones the stores of a partition are in.
-  size_t zones_of(const Partition& partition) {
+
+  void join(const std::string& address) { run_sequence(PrepareJoin{id(address)}, id(address)); }
+
+  /// In how many zones the stores of a partition are.
+  size_t zone_count(const Partition& partition) const {
     std::set<std::string> zones;
     for (auto store : partition.stores)
       zones.insert(metadata.find(store)->self.zone);
@@ -97,7 +70,7 @@
   auto old_id = fleet.id("front21");
   auto before = fleet.metadata.partitions;
 
-  fleet.must(Register{restarted_front21()});
+  fleet.commit(Register{restarted_front21()});
 
   auto new_id = fleet.id("front21");
   REQUIRE(new_id != old_id);
@@ -114,7 +87,7 @@
     CHECK(partition.term == fleet.metadata.epoch);
   }
   CHECK(taken_over > 0);
-  fleet.must(PrepareJoin{new_id});
+  fleet.commit(PrepareJoin{new_id});
   CHECK(fleet.metadata.sequences.at(new_id).moves.size() <= 1);
 }
 
@@ -122,7 +95,7 @@
   Fleet fleet;
   auto epoch = fleet.metadata.epoch;
 
-  fleet.must(EvacuateZone{"a"});
+  fleet.commit(EvacuateZone{"a"});
 
   CHECK(fleet.metadata.epoch == next(epoch));
   for (uint64_t other : {epoch.value(), epoch.value() + 1, epoch.value() + 3, uint64_t{0}})
@@ -143,22 +116,22 @@
   CHECK(fleet.metadata.quorum_members.size() == 3);
   CHECK(fleet.metadata.has_quorum(is_controller));
 
-  fleet.must(BeginQuorumChange{});
+  fleet.commit(BeginQuorumChange{});
 
   CHECK(fleet.metadata.incoming_quorum_members.size() == 8);
   CHECK_FALSE(fleet.metadata.has_quorum(is_controller));
   CHECK(fleet.metadata.has_quorum(is_no_front));
   CHECK_FALSE(fleet.metadata.has_quorum(is_no_controller));
-  CHECK(fleet.rejected_with(BeginQuorumChange{}, "is not over"));
+  CHECK(fleet.is_rejected_with(BeginQuorumChange{}, "is not over"));
 
-  fleet.must(FinishQuorumChange{fleet.metadata.quorum_change_epoch});
+  fleet.commit(FinishQuorumChange{fleet.metadata.quorum_change_epoch});
 
   CHECK(fleet.metadata.quorum_members.size() == 8);
-  fleet.must(MarkDown{fleet.id("front21")});
-  CHECK(fleet.rejected_with(BeginQuorumChange{}, "nobody came or left"));
+  fleet.commit(MarkDown{fleet.id("front21")});
+  CHECK(fleet.is_rejected_with(BeginQuorumChange{}, "nobody came or left"));
 
   auto old_id = fleet.id("front21");
-  fleet.must(Register{restarted_front21()});
+  fleet.commit(Register{restarted_front21()});
 
   auto new_id = fleet.id("front21");
   auto& members = fleet.metadata.quorum_members;
@@ -171,31 +144,31 @@
   std::vector<Transformation> changes{EvacuateZone{"a"}, RestoreZone{"a"}, MarkDown{one.id("front21")}};
 
   for (auto& change : changes) {
-    one.must(change);
-    other.must(change);
+    one.commit(change);
+    other.commit(change);
     CHECK(codec::encode(one.metadata) == codec::encode(other.metadata));
   }
 }
 
 TEST_CASE("A join locks its partitions and runs start, mid and finish only in this order") {
   Fleet fleet;
-  fleet.must(Register{candidate(23, Role::front, "c")});
+  fleet.commit(Register{numbered_daemon(23, Role::front, "c")});
   auto node = fleet.id("front23");
 
-  fleet.must(PrepareJoin{node});
+  fleet.commit(PrepareJoin{node});
 
   CHECK(fleet.metadata.locks.size() == fleet.metadata.sequences.at(node).moves.size());
   CHECK(fleet.metadata.locks.size() >= kPartitionCount / 3 - 1);
-  CHECK(fleet.rejected(AdvanceSequence{node, SequenceStep::mid}) ==
+  CHECK(fleet.rejection(AdvanceSequence{node, SequenceStep::mid}) ==
         "daemon " + std::to_string(node.value()) + ": its next step is start, not mid");
-  CHECK(fleet.rejected_with(PrepareJoin{node}, "has a sequence in progress"));
-  fleet.must(AdvanceSequence{node, SequenceStep::start});
-  fleet.rejected(AdvanceSequence{node, SequenceStep::start});
-  fleet.must(AdvanceSequence{node, SequenceStep::mid});
+  CHECK(fleet.is_rejected_with(PrepareJoin{node}, "has a sequence in progress"));
+  fleet.commit(AdvanceSequence{node, SequenceStep::start});
+  fleet.rejection(AdvanceSequence{node, SequenceStep::start});
+  fleet.commit(AdvanceSequence{node, SequenceStep::mid});
   for (auto& partition : fleet.metadata.partitions)
     CHECK(partition.owner != node);
 
-  fleet.must(AdvanceSequence{node, SequenceStep::finish});
+  fleet.commit(AdvanceSequence{node, SequenceStep::finish});
 
   CHECK(fleet.metadata.locks.empty());
   CHECK(fleet.metadata.sequences.empty());
@@ -208,33 +181,33 @@
 
 TEST_CASE("A sequence whose partitions overlap locked ones is rejected") {
   Fleet fleet;
-  fleet.must(Register{candidate(23, Role::front, "c")});
+  fleet.commit(Register{numbered_daemon(23, Role::front, "c")});
   auto joining = fleet.id("front23");
   auto other = fleet.id("front21");
 
-  fleet.must(PrepareJoin{joining});
+  fleet.commit(PrepareJoin{joining});
 
-  CHECK(fleet.rejected_with(PrepareDrain{other},
-                            "is locked by the sequence of daemon " + std::to_string(joining.value())));
-  CHECK(fleet.rejected_with(MoveAllPartitions{other, fleet.id("front22")}, "is locked by"));
-  fleet.must(CancelSequence{joining, "test"});
-  fleet.must(PrepareDrain{other});
+  CHECK(fleet.is_rejected_with(PrepareDrain{other},
+                               "is locked by the sequence of daemon " + std::to_string(joining.value())));
+  CHECK(fleet.is_rejected_with(MoveAllPartitions{other, fleet.id("front22")}, "is locked by"));
+  fleet.commit(CancelSequence{joining, "test"});
+  fleet.commit(PrepareDrain{other});
 }
 
 TEST_CASE("Stores of a moving partition are pending from start on, and a cancelled sequence gives back the old ones") {
   Fleet fleet;
-  fleet.must(Register{candidate(14, Role::store, "a")});
+  fleet.commit(Register{numbered_daemon(14, Role::store, "a")});
   auto node = fleet.id("store14");
   auto before = fleet.metadata.partitions;
-  fleet.must(PrepareJoin{node});
+  fleet.commit(PrepareJoin{node});
 
-  fleet.must(AdvanceSequence{node, SequenceStep::start});
+  fleet.commit(AdvanceSequence{node, SequenceStep::start});
 
   auto moving = std::count_if(fleet.metadata.partitions.begin(), fleet.metadata.partitions.end(),
                               [](const Partition& partition) { return !partition.pending_stores.empty(); });
   CHECK(moving == static_cast<long>(fleet.metadata.sequences.at(node).moves.size()));
 
-  fleet.must(CancelSequence{node, "test"});
+  fleet.commit(CancelSequence{node, "test"});
 
   for (size_t i = 0; i < before.size(); ++i) {
     CHECK(fleet.metadata.partitions[i].pending_stores.empty());
@@ -273,32 +246,32 @@
       {FinishQuorumChange{Epoch{3}}, "none of epoch 3 is under way"},
       {ApplyConfiguration{Revision{3}, {}, {}}, "built on 3, in force is 0"},
       {FoundCluster{8, 3, {}, 0, 0}, "is founded already"},
-      {Register{candidate(21, Role::front, "a")}, "is registered already"},
+      {Register{numbered_daemon(21, Role::front, "a")}, "is registered already"},
   };
 
   for (auto& row : rows) {
     INFO(describe(row.change));
-    CHECK(fleet.rejected_with(row.change, row.reason));
+    CHECK(fleet.is_rejected_with(row.change, row.reason));
   }
 }
 
 TEST_CASE("Register rejects a store at the address of one that may still run") {
   Fleet fleet;
-  auto newcomer = candidate(31, Role::store, "a");
+  auto newcomer = numbered_daemon(31, Role::store, "a");
   newcomer.address = "store11";
 
-  CHECK(fleet.rejected_with(Register{newcomer}, "not known to be down"));
+  CHECK(fleet.is_rejected_with(Register{newcomer}, "not known to be down"));
 }
 
 TEST_CASE("ReplaceCoreMember swaps only a member that is down") {
   Fleet fleet;
   auto member = fleet.id("controller1");
-  fleet.must(Register{candidate(4, Role::controller, "a")});
+  fleet.commit(Register{numbered_daemon(4, Role::controller, "a")});
   auto spare = fleet.id("controller4");
 
-  CHECK(fleet.rejected_with(ReplaceCoreMember{member, spare}, "is a live member"));
-  fleet.must(MarkDown{member});
-  fleet.must(ReplaceCoreMember{member, spare});
+  CHECK(fleet.is_rejected_with(ReplaceCoreMember{member, spare}, "is a live member"));
+  fleet.commit(MarkDown{member});
+  fleet.commit(ReplaceCoreMember{member, spare});
 
   CHECK(fleet.metadata.members.front() == spare);
 }
@@ -308,9 +281,9 @@
   Cell cell{"news", 400, 40, 60000, {{"chat", "model", {}}}};
   Configuration configuration{{cell}, {}, {}, {}, ""};
 
-  fleet.must(ApplyConfiguration{Revision{0}, configuration, {}});
+  fleet.commit(ApplyConfiguration{Revision{0}, configuration, {}});
 
-  CHECK(fleet.rejected(ApplyConfiguration{Revision{0}, configuration, {}}) == "revision: built on 0, in force is 1");
+  CHECK(fleet.rejection(ApplyConfiguration{Revision{0}, configuration, {}}) == "revision: built on 0, in force is 1");
 }
 
 TEST_CASE("A rejected configuration reports all of its errors") {
@@ -319,7 +292,7 @@
   Cell invalid{"", 0, 50, 10, {{"", "x", {}}, {"", "app", {}}}};
   Configuration configuration{{cell, cell, invalid}, {}, {}, {}, ""};
 
-  auto errors = fleet.rejected(ApplyConfiguration{Revision{0}, configuration, {}});
+  auto errors = fleet.rejection(ApplyConfiguration{Revision{0}, configuration, {}});
 
   for (auto* error : {"cells[1].name: 'news' is there twice", "cells[2].name: must be",
                       "cells[2].budget: must be above", "cells[2].turn_limit: exceeds", "cells[2].retention_ms: must",
@@ -331,11 +304,11 @@
   Fleet fleet;
   auto front = fleet.id("front21");
 
-  fleet.must(MarkDown{front});
+  fleet.commit(MarkDown{front});
 
   for (auto& partition : fleet.metadata.partitions)
     CHECK(partition.owner == fleet.id("front22"));
-  fleet.must(MarkUp{front});
+  fleet.commit(MarkUp{front});
   CHECK(fleet.state(front) == DaemonState::registered);
   fleet.join("front21");
   CHECK(placement::partitions_per_gateway(fleet.metadata).at(front) == kPartitionCount / 2);
@@ -345,35 +318,35 @@
   Fleet fleet;
   auto front = fleet.id("front21");
 
-  fleet.must(PrepareDrain{front});
-  fleet.run_all_steps(front);
+  fleet.commit(PrepareDrain{front});
+  fleet.finish_sequence(front);
 
   CHECK(fleet.state(front) == DaemonState::draining);
-  fleet.must(MarkDown{front});
+  fleet.commit(MarkDown{front});
   CHECK(fleet.state(front) == DaemonState::left);
 }
 
 TEST_CASE("Histories are spread over as many zones as there are") {
   Fleet fleet;
   for (auto& partition : fleet.metadata.partitions)
-    CHECK(fleet.zones_of(partition) == 3);
+    CHECK(fleet.zone_count(partition) == 3);
 
-  fleet.must(Register{candidate(14, Role::store, "a")});
+  fleet.commit(Register{numbered_daemon(14, Role::store, "a")});
   fleet.join("store14");
   auto leaving = fleet.id("store11");
-  fleet.must(PrepareDrain{leaving});
-  fleet.run_all_steps(leaving);
+  fleet.commit(PrepareDrain{leaving});
+  fleet.finish_sequence(leaving);
 
   for (auto& partition : fleet.metadata.partitions)
-    CHECK(fleet.zones_of(partition) == 3);
+    CHECK(fleet.zone_count(partition) == 3);
 }
 
 TEST_CASE("The log remembers commit ids, so that a retry finds its first outcome") {
   Fleet fleet;
-  REQUIRE(fleet.commit(EvacuateZone{"a"}, "once").ok());
+  REQUIRE(fleet.try_commit(EvacuateZone{"a"}, "once").ok());
   auto epoch = fleet.metadata.epoch;
 
-  fleet.must(RestoreZone{"a"});
+  fleet.commit(RestoreZone{"a"});
 
   CHECK(fleet.metadata.epoch_of_commit("once") == epoch);
   CHECK_FALSE(fleet.metadata.epoch_of_commit("twice"));
@@ -418,32 +391,32 @@
 
 TEST_CASE("Two replacements in a row: the majorities of each epoch and the next one meet") {
   Fleet fleet;
-  auto must_keep_majorities = [&](const Transformation& change) {
+  auto commit_and_check_majorities = [&](const Transformation& change) {
     auto before = fleet.metadata.members;
-    fleet.must(change);
+    fleet.commit(change);
     INFO(describe(change));
     CHECK(majorities_meet(before, fleet.metadata.members));
   };
 
   for (uint64_t number : {1, 2}) {
     auto old_member = fleet.id("controller" + std::to_string(number));
-    fleet.must(Register{candidate(number + 3, Role::controller, "a")});
+    fleet.commit(Register{numbered_daemon(number + 3, Role::controller, "a")});
     auto new_member = fleet.id("controller" + std::to_string(number + 3));
-    CHECK(fleet.rejected_with(AddCoreMember{new_member}, "full number"));
-    must_keep_majorities(MarkDown{old_member});
-    must_keep_majorities(AddCoreMember{new_member});
+    CHECK(fleet.is_rejected_with(AddCoreMember{new_member}, "full number"));
+    commit_and_check_majorities(MarkDown{old_member});
+    commit_and_check_majorities(AddCoreMember{new_member});
     CHECK(fleet.metadata.members.size() == 4);
-    CHECK(fleet.rejected_with(RemoveCoreMember{new_member}, "is a live member"));
-    must_keep_majorities(RemoveCoreMember{old_member});
+    CHECK(fleet.is_rejected_with(RemoveCoreMember{new_member}, "is a live member"));
+    commit_and_check_majorities(RemoveCoreMember{old_member});
     CHECK(fleet.metadata.members.size() == 3);
     CHECK(fleet.metadata.core_size == 3);
     CHECK(fleet.state(old_member) == DaemonState::left);
   }
 
   auto first = fleet.metadata.members[0];
-  CHECK(fleet.rejected_with(RemoveCoreMember{first}, "is a live member"));
-  must_keep_majorities(MarkDown{first});
-  CHECK(fleet.rejected_with(RemoveCoreMember{first}, "too small"));
+  CHECK(fleet.is_rejected_with(RemoveCoreMember{first}, "is a live member"));
+  commit_and_check_majorities(MarkDown{first});
+  CHECK(fleet.is_rejected_with(RemoveCoreMember{first}, "too small"));
 }
 
 TEST_CASE("No addition or removal that the log takes parts the majorities of the two cores") {
@@ -464,7 +437,7 @@
         spare = id;
     switch (random_below(6)) {
       case 0:
-        return Register{candidate(next_controller++, Role::controller, "b")};
+        return Register{numbered_daemon(next_controller++, Role::controller, "b")};
       case 1:
         return MarkDown{member};
       case 2:
@@ -479,7 +452,7 @@
   size_t changes = 0;
   for (int i = 0; i < 300; ++i) {
     auto before = fleet.metadata.members;
-    std::ignore = fleet.commit(random_change());
+    std::ignore = fleet.try_commit(random_change());
     if (before == fleet.metadata.members)
       continue;
     ++changes;
@@ -491,20 +464,20 @@
 TEST_CASE("A controller that starts at a member's address replaces it, and one taken out may come back") {
   Fleet fleet;
   auto old_member = fleet.id("controller1");
-  auto original = candidate(1, Role::controller, "a");
-  CHECK(fleet.rejected_with(Register{original}, "is registered already"));
+  auto original = numbered_daemon(1, Role::controller, "a");
+  CHECK(fleet.is_rejected_with(Register{original}, "is registered already"));
   auto replacement = original;
   replacement.incarnation = Incarnation{91};
 
-  fleet.must(Register{replacement});
+  fleet.commit(Register{replacement});
 
   CHECK(fleet.state(old_member) == DaemonState::down);
-  fleet.must(AddCoreMember{fleet.id("controller1")});
-  fleet.must(RemoveCoreMember{old_member});
-  CHECK(fleet.rejected_with(Register{original}, "belongs to"));
+  fleet.commit(AddCoreMember{fleet.id("controller1")});
+  fleet.commit(RemoveCoreMember{old_member});
+  CHECK(fleet.is_rejected_with(Register{original}, "belongs to"));
 
-  fleet.must(MarkDown{fleet.metadata.find(replacement.incarnation)->id});
-  fleet.must(Register{original});
+  fleet.commit(MarkDown{fleet.metadata.find(replacement.incarnation)->id});
+  fleet.commit(Register{original});
 
   CHECK(fleet.state(old_member) == DaemonState::up);
   CHECK_FALSE(fleet.metadata.is_core_member(original.incarnation));
@@ -512,13 +485,13 @@
 
 TEST_CASE("An applied configuration is found after all other commits of its time are forgotten") {
   Fleet fleet;
-  REQUIRE(fleet.commit(ApplyConfiguration{fleet.metadata.revision, {}, {}}, "first").ok());
+  REQUIRE(fleet.try_commit(ApplyConfiguration{fleet.metadata.revision, {}, {}}, "first").ok());
   auto epoch = fleet.metadata.epoch;
   auto store = fleet.id("store11");
 
   for (size_t i = 0; i <= kRememberedCommits; ++i) {
-    std::ignore = fleet.commit(MarkDown{store}, "m" + std::to_string(i));
-    std::ignore = fleet.commit(MarkUp{store}, "u" + std::to_string(i));
+    std::ignore = fleet.try_commit(MarkDown{store}, "m" + std::to_string(i));
+    std::ignore = fleet.try_commit(MarkUp{store}, "u" + std::to_string(i));
   }
 
   CHECK(fleet.metadata.applied_commits.front().id != "first");
@@ -532,11 +505,11 @@
     return ApplyConfiguration{Revision{base}, {}, {}};
   };
   for (uint64_t revision = 0; revision < kRememberedConfigurationChanges; ++revision)
-    REQUIRE(fleet.commit(on_revision(revision), "o" + std::to_string(revision)).ok());
+    REQUIRE(fleet.try_commit(on_revision(revision), "o" + std::to_string(revision)).ok());
   CHECK(fleet.metadata.epoch_of_commit("o0"));
   CHECK(rejection_reason(fleet.metadata, on_revision(0)) == Rejection::revision_conflict);
 
-  REQUIRE(fleet.commit(on_revision(kRememberedConfigurationChanges), "last").ok());
+  REQUIRE(fleet.try_commit(on_revision(kRememberedConfigurationChanges), "last").ok());
 
   CHECK(fleet.metadata.applied_configurations.size() == kRememberedConfigurationChanges);
   CHECK(rejection_reason(fleet.metadata, on_revision(0)) == Rejection::forgotten);
@@ -550,14 +523,14 @@
   auto configuration = [](uint64_t base, uint64_t revision) {
     return ApplyConfiguration{Revision{base}, {}, Revision{revision}};
   };
-  REQUIRE(fleet.commit(ApplyConfiguration{fleet.metadata.revision, {}, Revision{7}}, "first").ok());
+  REQUIRE(fleet.try_commit(ApplyConfiguration{fleet.metadata.revision, {}, Revision{7}}, "first").ok());
 
   CHECK(rejection_reason(fleet.metadata, configuration(7, 7)) == Rejection::invalid);
   CHECK(rejection_reason(fleet.metadata, configuration(5, 8)) == Rejection::revision_conflict);
   CHECK(rejection_reason(fleet.metadata, configuration(9, 10)) == Rejection::revision_conflict);
   CHECK(rejection_reason(fleet.metadata, EvacuateZone{"nowhere"}) == Rejection::unknown_target);
   CHECK(rejection_reason(fleet.metadata, RestoreZone{"a"}) == Rejection::already_in_effect);
-  fleet.must(EvacuateZone{"a"});
+  fleet.commit(EvacuateZone{"a"});
   CHECK(rejection_reason(fleet.metadata, EvacuateZone{"a"}) == Rejection::already_in_effect);
   CHECK(rejection_reason(fleet.metadata, PrepareDrain{DaemonId{999}}) == Rejection::unknown_target);
 }
