--- a/tests/unit/metadata/replica_list_reconciler_test.cpp
+++ b/tests/unit/metadata/replica_list_reconciler_test.cpp
@@ -1,4 +1,4 @@
-// What a platform's list of replicas says beyond the log.
+// Which readings of the platform's replica list lead to a change of the log.
 #include "metadata/replica_list_reconciler.hpp"
 #include "metadata/constants.hpp"
 #include "runtime/constants.hpp"
@@ -10,16 +10,17 @@
 
 constexpr TimePoint kStart = kProcessClockStart;
 
-Replica listed(const std::string& name, ReplicaHealth health, Duration cold = {}) {
-  return {name, "listed", "z", "http://10.0.0.1:80", health, {}, 8, "s", cold.count()};
+/// A replica on the platform's list; `warm_up` is the time until it serves its full share.
+Replica listed(const std::string& name, ReplicaHealth health, Duration warm_up = {}) {
+  return {name, "listed", "z", "http://10.0.0.1:80", health, {}, 8, "s", warm_up.count()};
 }
 
-/// A log that takes every change.
-struct Log {
+/// A metadata value on which every change that the reconciler asks for is committed.
+struct ReconciledMetadata {
   Metadata metadata{};
   ReplicaListReconciler reconciler;
 
-  /// Compares a reading with the log and commits the difference.
+  /// Compares a reading with the metadata and commits the difference, if there is one.
   std::optional<UpdateReplicas> read(const std::vector<Replica>& replicas, TimePoint now) {
     auto change = reconciler.reconcile(metadata.replicas, replicas, now);
     if (change)
@@ -30,67 +31,94 @@
 
 }  // namespace
 
-TEST_CASE("Replica list comparison commits only what the log lacks") {
-  Log log;
-  auto first = log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 3000ms)}, kStart);
-  REQUIRE(first);
-  CHECK(first->updated.size() == 2);
+TEST_CASE("A reading of the replica list commits the replicas that the log lacks") {
+  ReconciledMetadata log;
+
+  auto change = log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 3000ms)}, kStart);
+
+  REQUIRE(change);
+  CHECK(change->updated.size() == 2);
+}
+
+TEST_CASE("A warm-up time is committed only where it has not run down as expected") {
+  ReconciledMetadata log;
+  log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 3000ms)}, kStart);
 
-  // The cold time runs down as expected.
   CHECK_FALSE(
       log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 2500ms)}, kStart + 500ms));
   CHECK_FALSE(
       log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 2400ms)}, kStart + 1000ms));
 
-  auto longer =
+  auto change =
       log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 3000ms)}, kStart + 1500ms);
-  REQUIRE(longer);
-  CHECK(longer->updated == std::vector<Replica>{listed("b", ReplicaHealth::warming_up, 3000ms)});
+  REQUIRE(change);
+  CHECK(change->updated == std::vector<Replica>{listed("b", ReplicaHealth::warming_up, 3000ms)});
+}
+
+TEST_CASE("A changed health of replicas is committed once") {
+  ReconciledMetadata log;
+  log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 3000ms)}, kStart);
 
-  auto changed_health =
-      log.read({listed("a", ReplicaHealth::draining), listed("b", ReplicaHealth::ready)}, kStart + 2000ms);
-  REQUIRE(changed_health);
-  CHECK(changed_health->updated.size() == 2);
+  auto change = log.read({listed("a", ReplicaHealth::draining), listed("b", ReplicaHealth::ready)}, kStart + 2000ms);
+
+  REQUIRE(change);
+  CHECK(change->updated.size() == 2);
   CHECK_FALSE(log.read({listed("a", ReplicaHealth::draining), listed("b", ReplicaHealth::ready)}, kStart + 2500ms));
+}
 
-  auto moved = listed("b", ReplicaHealth::ready);
+TEST_CASE("A replica that moves to another service is committed") {
+  ReconciledMetadata log;
+  auto replica = listed("b", ReplicaHealth::ready);
+  log.read({listed("a", ReplicaHealth::draining), replica}, kStart + 2500ms);
+  auto moved = replica;
   moved.service = "other";
-  auto changed_service = log.read({listed("a", ReplicaHealth::draining), moved}, kStart + 3000ms);
-  REQUIRE(changed_service);
-  CHECK(changed_service->updated == std::vector<Replica>{moved});
+
+  auto change = log.read({listed("a", ReplicaHealth::draining), moved}, kStart + 3000ms);
+
+  REQUIRE(change);
+  CHECK(change->updated == std::vector<Replica>{moved});
 }
 
-TEST_CASE("A listed replica is removed after two readings without it, a configured one never") {
-  Log log;
+TEST_CASE("A listed replica is removed after two consecutive readings without it, a configured one never") {
+  ReconciledMetadata log;
   log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::ready)}, kStart);
   log.metadata.replicas["own"] = {"own", "model", "z", "http://x", ReplicaHealth::ready, {}, 8, "", 0};
 
   CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready)}, kStart + 500ms));
   CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::ready)}, kStart + 1000ms));
   CHECK_FALSE(log.read({listed("a", ReplicaHealth::ready)}, kStart + 1500ms));
-  auto second_in_a_row = log.read({listed("a", ReplicaHealth::ready)}, kStart + 2000ms);
+  auto change = log.read({listed("a", ReplicaHealth::ready)}, kStart + 2000ms);
 
-  REQUIRE(second_in_a_row);
-  CHECK(second_in_a_row->removed == std::vector<std::string>{"b"});
+  REQUIRE(change);
+  CHECK(change->removed == std::vector<std::string>{"b"});
   CHECK(log.metadata.replicas.count("own"));
 }
 
-TEST_CASE("Replica list comparison recovers after a change of reader and a lost commit") {
-  Log log;
+TEST_CASE("After a change of the reader, a shorter remaining warm-up time is not a change") {
+  ReconciledMetadata log;
   log.read({listed("b", ReplicaHealth::warming_up, 3000ms)}, kStart);
 
   log.reconciler.reset();
+
   CHECK_FALSE(log.read({listed("b", ReplicaHealth::warming_up, 1000ms)}, kStart + 2000ms));
+}
 
-  auto before_the_commit = log.metadata;
+TEST_CASE("A change whose commit was lost is requested again") {
+  ReconciledMetadata log;
+  log.read({listed("b", ReplicaHealth::warming_up, 3000ms)}, kStart);
+  log.reconciler.reset();
+  REQUIRE_FALSE(log.read({listed("b", ReplicaHealth::warming_up, 1000ms)}, kStart + 2000ms));
+  auto before_commit = log.metadata;
   REQUIRE(log.read({listed("b", ReplicaHealth::warming_up, 3000ms)}, kStart + 2500ms));
-  log.metadata = before_the_commit;
+
+  log.metadata = before_commit;
+
   CHECK(log.read({listed("b", ReplicaHealth::warming_up, 2500ms)}, kStart + 3000ms));
   CHECK_FALSE(log.read({listed("b", ReplicaHealth::warming_up, 2000ms)}, kStart + 3500ms));
 }
 
-TEST_CASE("A replica of a restored zone stays cold until the list can have caught up") {
-  Log log;
+TEST_CASE("A replica of a restored zone keeps warming up until the replica list can have caught up") {
+  ReconciledMetadata log;
   log.read({listed("a", ReplicaHealth::ready)}, kStart);
   log.metadata.replicas["a"].health = ReplicaHealth::warming_up;
 
--- a/tests/unit/metadata/replica_sets_test.cpp
+++ b/tests/unit/metadata/replica_sets_test.cpp
@@ -1,4 +1,4 @@
-// How many stores hold a partition, which ones, and the quorums that follow from that.
+// How many stores keep the replicas of a partition, which ones, and the quorums that follow from that.
 #include <algorithm>
 
 #include "metadata/constants.hpp"
@@ -10,6 +10,10 @@
 
 namespace {
 
+constexpr uint64_t kStores = 8;
+/// Of the default fleet, whose histories outlive the loss of two machines at once.
+constexpr size_t kReplicationFactor = 5;
+
 /// The most replicas of one partition that lie in one zone.
 long most_in_one_zone(const Metadata& metadata, const Partition& partition) {
   std::map<std::string, long> replicas_by_zone;
@@ -21,23 +25,34 @@
   return most;
 }
 
-long count_of(const Partition& partition, DaemonId store) {
+long replicas_on(const Partition& partition, DaemonId store) {
   return std::count(partition.stores.begin(), partition.stores.end(), store);
 }
 
+/// Marks the stores as down and moves their partitions to the others.
+void repair_lost_stores(StoreFleet& fleet, const std::vector<DaemonId>& stores) {
+  for (auto store : stores)
+    fleet.commit(MarkDown{store});
+  for (auto store : stores)
+    fleet.commit(PrepareRepair{store});
+  for (auto store : stores)
+    fleet.finish_sequence(store);
+}
+
 }  // namespace
 
 TEST_CASE("Read and write quorums intersect, and a committed record outlives the tolerated losses") {
-  for (uint32_t tolerated = 0; tolerated <= 3; ++tolerated) {
+  for (uint32_t tolerated_losses = 0; tolerated_losses <= 3; ++tolerated_losses) {
     Metadata metadata{};
-    metadata.configured_replication_factor = replication_factor_for(tolerated, 1);
-    for (size_t set = metadata.write_quorum(0); set <= metadata.configured_replication_factor + 1; ++set) {
-      CHECK(metadata.write_quorum(set) + metadata.read_quorum(set) > set);
-      CHECK(metadata.write_quorum(set) > tolerated);
+    metadata.configured_replication_factor = replication_factor_for(tolerated_losses, 1);
+
+    for (size_t stores = metadata.write_quorum(0); stores <= metadata.configured_replication_factor + 1; ++stores) {
+      CHECK(metadata.write_quorum(stores) + metadata.read_quorum(stores) > stores);
+      CHECK(metadata.write_quorum(stores) > tolerated_losses);
     }
-    auto full = metadata.replication_factor();
-    CHECK(metadata.write_quorum(full) <= full - tolerated);
-    CHECK(metadata.read_quorum(full) <= full - tolerated);
+    auto all_stores = metadata.replication_factor();
+    CHECK(metadata.write_quorum(all_stores) <= all_stores - tolerated_losses);
+    CHECK(metadata.read_quorum(all_stores) <= all_stores - tolerated_losses);
   }
 }
 
@@ -51,28 +66,35 @@
   CHECK(wide_fleet.metadata.write_quorum(2) == 3);
 }
 
-TEST_CASE("Each partition has its full number of stores, and no zone holds more than may be lost") {
-  StoreFleet fleet(8);
+TEST_CASE("Each partition has its full number of stores, spread evenly and over the zones") {
+  StoreFleet fleet(kStores);
 
-  std::map<DaemonId, int> replicas_by_store;
+  std::map<DaemonId, size_t> replicas_by_store;
   for (auto& partition : fleet.metadata.partitions) {
-    CHECK(partition.stores.size() == 5);
+    CHECK(partition.stores.size() == kReplicationFactor);
     CHECK(most_in_one_zone(fleet.metadata, partition) <= 2);
     for (auto id : partition.stores)
       ++replicas_by_store[id];
   }
+
+  constexpr size_t kEvenShare = kPartitionCount * kReplicationFactor / kStores;
   for (auto& [id, replicas] : replicas_by_store)
-    CHECK(replicas >= static_cast<int>(kPartitionCount) * 5 / 8 / 2);
+    CHECK(replicas >= kEvenShare / 2);
 }
 
-TEST_CASE("The partitions of two lost stores are repaired by sequences beside each other") {
-  StoreFleet fleet(8);
+TEST_CASE("A store that is up is not repaired") {
+  StoreFleet fleet(kStores);
+
+  CHECK(fleet.is_rejected(PrepareRepair{fleet.id("store11")}));
+}
+
+TEST_CASE("The partitions of two lost stores are repaired by concurrent sequences") {
+  StoreFleet fleet(kStores);
   auto first = fleet.id("store11");
   auto second = fleet.id("store12");
-
-  CHECK(fleet.is_rejected(PrepareRepair{first}));
   fleet.commit(MarkDown{first});
   fleet.commit(MarkDown{second});
+
   fleet.commit(PrepareRepair{first});
   fleet.commit(PrepareRepair{second});
   CHECK(fleet.metadata.sequences.size() == 2);
@@ -80,22 +102,38 @@
   fleet.finish_sequence(second);
 
   for (auto& partition : fleet.metadata.partitions) {
-    CHECK(partition.stores.size() == 5);
+    CHECK(partition.stores.size() == kReplicationFactor);
     CHECK(most_in_one_zone(fleet.metadata, partition) <= 3);
-    CHECK(count_of(partition, first) == 0);
-    CHECK(count_of(partition, second) == 0);
+    CHECK(replicas_on(partition, first) == 0);
+    CHECK(replicas_on(partition, second) == 0);
   }
-  CHECK(fleet.state(first) == DaemonState::down);
-  fleet.commit(MarkUp{first});
-  CHECK(fleet.state(first) == DaemonState::registered);
-  fleet.run_sequence(PrepareJoin{first}, first);
-  CHECK(fleet.metadata.holds_partitions(first));
-  fleet.commit(ForgetStore{second});
-  CHECK(fleet.state(second) == DaemonState::left);
 }
 
-TEST_CASE("A store that holds partitions is not forgotten, nor one that is up") {
-  StoreFleet fleet(8);
+TEST_CASE("A store that returns after its partitions were repaired is registered, and joins anew") {
+  StoreFleet fleet(kStores);
+  auto store = fleet.id("store11");
+  repair_lost_stores(fleet, {store, fleet.id("store12")});
+  CHECK(fleet.state(store) == DaemonState::down);
+
+  fleet.commit(MarkUp{store});
+
+  CHECK(fleet.state(store) == DaemonState::registered);
+  fleet.run_sequence(PrepareJoin{store}, store);
+  CHECK(fleet.metadata.holds_partitions(store));
+}
+
+TEST_CASE("A lost store is forgotten once its partitions are repaired") {
+  StoreFleet fleet(kStores);
+  auto store = fleet.id("store12");
+  repair_lost_stores(fleet, {fleet.id("store11"), store});
+
+  fleet.commit(ForgetStore{store});
+
+  CHECK(fleet.state(store) == DaemonState::left);
+}
+
+TEST_CASE("A store that is up, or keeps replicas of partitions, is not forgotten") {
+  StoreFleet fleet(kStores);
   auto store = fleet.id("store11");
 
   CHECK(fleet.is_rejected(ForgetStore{store}));
@@ -106,7 +144,7 @@
 }
 
 TEST_CASE("A store whose drain was cancelled stays draining, and can be drained again") {
-  StoreFleet fleet(8);
+  StoreFleet fleet(kStores);
   auto store = fleet.id("store11");
   fleet.commit(PrepareDrain{store});
   fleet.commit(AdvanceSequence{store, SequenceStep::start});
--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// A front with another incarnation at the address of "front21".
-Candidate restarted_front21() {
+/// A gateway with another incarnation at the address of "front21".
+Candidate restarted_gateway21() {
   return {Incarnation{99}, Role::front, "a", "front21", "", "", ""};
 }
 
@@ -65,16 +65,16 @@
 
 }  // namespace
 
-TEST_CASE("Register gives a front that restarts at its address the partitions it owned, under a new term") {
+TEST_CASE("Register gives a gateway that restarts at its address the partitions it owned, under a new term") {
   Fleet fleet;
   auto old_id = fleet.id("front21");
   auto before = fleet.metadata.partitions;
 
-  fleet.commit(Register{restarted_front21()});
+  fleet.commit(Register{restarted_gateway21()});
 
   auto new_id = fleet.id("front21");
   REQUIRE(new_id != old_id);
-  size_t taken_over = 0;
+  size_t inherited = 0;
   for (size_t i = 0; i < fleet.metadata.partitions.size(); ++i) {
     auto& partition = fleet.metadata.partitions[i];
     CHECK(partition.owner != old_id);
@@ -82,11 +82,12 @@
       CHECK(partition == before[i]);
       continue;
     }
-    ++taken_over;
+    ++inherited;
     CHECK(partition.owner == new_id);
     CHECK(partition.term == fleet.metadata.epoch);
   }
-  CHECK(taken_over > 0);
+  CHECK(inherited > 0);
+
   fleet.commit(PrepareJoin{new_id});
   CHECK(fleet.metadata.sequences.at(new_id).moves.size() <= 1);
 }
@@ -102,36 +103,66 @@
     CHECK_FALSE(apply(fleet.metadata, {Epoch{other}, "", RestoreZone{"a"}}).ok());
 }
 
+namespace {
+
+bool is_controller(const Daemon& daemon) {
+  return daemon.self.role == Role::controller;
+}
+
+bool is_not_controller(const Daemon& daemon) {
+  return !is_controller(daemon);
+}
+
+bool is_not_gateway(const Daemon& daemon) {
+  return daemon.self.role != Role::front;
+}
+
+/// The fleet's daemons: three controllers, three stores, two gateways.
+constexpr size_t kFleetSize = 8;
+
+/// Makes all daemons of the fleet quorum members.
+void change_quorum(Fleet& fleet) {
+  fleet.commit(BeginQuorumChange{});
+  fleet.commit(FinishQuorumChange{fleet.metadata.quorum_change_epoch});
+}
+
+}  // namespace
+
 TEST_CASE("A change of the quorum members needs majorities of the old and the new set until it is finished") {
   Fleet fleet;
-  auto is_controller = [](const Daemon& daemon) {
-    return daemon.self.role == Role::controller;
-  };
-  auto is_no_controller = [&](const Daemon& daemon) {
-    return !is_controller(daemon);
-  };
-  auto is_no_front = [](const Daemon& daemon) {
-    return daemon.self.role != Role::front;
-  };
   CHECK(fleet.metadata.quorum_members.size() == 3);
   CHECK(fleet.metadata.has_quorum(is_controller));
 
   fleet.commit(BeginQuorumChange{});
 
-  CHECK(fleet.metadata.incoming_quorum_members.size() == 8);
+  CHECK(fleet.metadata.incoming_quorum_members.size() == kFleetSize);
   CHECK_FALSE(fleet.metadata.has_quorum(is_controller));
-  CHECK(fleet.metadata.has_quorum(is_no_front));
-  CHECK_FALSE(fleet.metadata.has_quorum(is_no_controller));
+  CHECK(fleet.metadata.has_quorum(is_not_gateway));
+  CHECK_FALSE(fleet.metadata.has_quorum(is_not_controller));
   CHECK(fleet.is_rejected_with(BeginQuorumChange{}, "is not over"));
 
   fleet.commit(FinishQuorumChange{fleet.metadata.quorum_change_epoch});
 
-  CHECK(fleet.metadata.quorum_members.size() == 8);
+  CHECK(fleet.metadata.quorum_members.size() == kFleetSize);
+}
+
+TEST_CASE("A daemon that is down stays a quorum member") {
+  Fleet fleet;
+  change_quorum(fleet);
+  REQUIRE(fleet.metadata.quorum_members.size() == kFleetSize);
+
   fleet.commit(MarkDown{fleet.id("front21")});
+
   CHECK(fleet.is_rejected_with(BeginQuorumChange{}, "nobody came or left"));
+}
 
+TEST_CASE("A gateway that restarts at its address takes its predecessor's place among the quorum members") {
+  Fleet fleet;
+  change_quorum(fleet);
   auto old_id = fleet.id("front21");
-  fleet.commit(Register{restarted_front21()});
+  fleet.commit(MarkDown{old_id});
+
+  fleet.commit(Register{restarted_gateway21()});
 
   auto new_id = fleet.id("front21");
   auto& members = fleet.metadata.quorum_members;
@@ -140,7 +171,8 @@
 }
 
 TEST_CASE("Transformations are pure: the same input gives the same bytes") {
-  Fleet one, other;
+  Fleet one;
+  Fleet other;
   std::vector<Transformation> changes{EvacuateZone{"a"}, RestoreZone{"a"}, MarkDown{one.id("front21")}};
 
   for (auto& change : changes) {
@@ -153,33 +185,43 @@
 TEST_CASE("A join locks its partitions and runs start, mid and finish only in this order") {
   Fleet fleet;
   fleet.commit(Register{numbered_daemon(23, Role::front, "c")});
-  auto node = fleet.id("front23");
+  auto joining = fleet.id("front23");
 
-  fleet.commit(PrepareJoin{node});
+  fleet.commit(PrepareJoin{joining});
 
-  CHECK(fleet.metadata.locks.size() == fleet.metadata.sequences.at(node).moves.size());
+  CHECK(fleet.metadata.locks.size() == fleet.metadata.sequences.at(joining).moves.size());
   CHECK(fleet.metadata.locks.size() >= kPartitionCount / 3 - 1);
-  CHECK(fleet.rejection(AdvanceSequence{node, SequenceStep::mid}) ==
-        "daemon " + std::to_string(node.value()) + ": its next step is start, not mid");
-  CHECK(fleet.is_rejected_with(PrepareJoin{node}, "has a sequence in progress"));
-  fleet.commit(AdvanceSequence{node, SequenceStep::start});
-  fleet.rejection(AdvanceSequence{node, SequenceStep::start});
-  fleet.commit(AdvanceSequence{node, SequenceStep::mid});
+  CHECK(fleet.rejection(AdvanceSequence{joining, SequenceStep::mid}) ==
+        "daemon " + std::to_string(joining.value()) + ": its next step is start, not mid");
+  CHECK(fleet.is_rejected_with(PrepareJoin{joining}, "has a sequence in progress"));
+
+  fleet.commit(AdvanceSequence{joining, SequenceStep::start});
+
+  fleet.rejection(AdvanceSequence{joining, SequenceStep::start});
+}
+
+TEST_CASE("A joining gateway owns its partitions, unlocked and under a new term, from the last step on") {
+  Fleet fleet;
+  fleet.commit(Register{numbered_daemon(23, Role::front, "c")});
+  auto joining = fleet.id("front23");
+  fleet.commit(PrepareJoin{joining});
+  fleet.commit(AdvanceSequence{joining, SequenceStep::start});
+  fleet.commit(AdvanceSequence{joining, SequenceStep::mid});
   for (auto& partition : fleet.metadata.partitions)
-    CHECK(partition.owner != node);
+    CHECK(partition.owner != joining);
 
-  fleet.commit(AdvanceSequence{node, SequenceStep::finish});
+  fleet.commit(AdvanceSequence{joining, SequenceStep::finish});
 
   CHECK(fleet.metadata.locks.empty());
   CHECK(fleet.metadata.sequences.empty());
-  auto owned_in_new_term = [&](const Partition& partition) {
-    return partition.owner == node && partition.term == fleet.metadata.epoch;
+  auto is_owned_in_new_term = [&](const Partition& partition) {
+    return partition.owner == joining && partition.term == fleet.metadata.epoch;
   };
-  CHECK(std::count_if(fleet.metadata.partitions.begin(), fleet.metadata.partitions.end(), owned_in_new_term) >=
-        kPartitionCount / 3 - 1);
+  auto& partitions = fleet.metadata.partitions;
+  CHECK(std::count_if(partitions.begin(), partitions.end(), is_owned_in_new_term) >= kPartitionCount / 3 - 1);
 }
 
-TEST_CASE("A sequence whose partitions overlap locked ones is rejected") {
+TEST_CASE("A sequence whose partitions overlap locked ones is rejected until the locks are released") {
   Fleet fleet;
   fleet.commit(Register{numbered_daemon(23, Role::front, "c")});
   auto joining = fleet.id("front23");
@@ -194,20 +236,24 @@
   fleet.commit(PrepareDrain{other});
 }
 
-TEST_CASE("Stores of a moving partition are pending from start on, and a cancelled sequence gives back the old ones") {
+TEST_CASE(
+    "The first step of a sequence makes the new stores of its partitions pending, and cancelling it undoes that") {
   Fleet fleet;
   fleet.commit(Register{numbered_daemon(14, Role::store, "a")});
-  auto node = fleet.id("store14");
+  auto joining = fleet.id("store14");
   auto before = fleet.metadata.partitions;
-  fleet.commit(PrepareJoin{node});
+  fleet.commit(PrepareJoin{joining});
 
-  fleet.commit(AdvanceSequence{node, SequenceStep::start});
+  fleet.commit(AdvanceSequence{joining, SequenceStep::start});
 
-  auto moving = std::count_if(fleet.metadata.partitions.begin(), fleet.metadata.partitions.end(),
-                              [](const Partition& partition) { return !partition.pending_stores.empty(); });
-  CHECK(moving == static_cast<long>(fleet.metadata.sequences.at(node).moves.size()));
+  auto has_pending_stores = [](const Partition& partition) {
+    return !partition.pending_stores.empty();
+  };
+  auto& partitions = fleet.metadata.partitions;
+  auto moving = std::count_if(partitions.begin(), partitions.end(), has_pending_stores);
+  CHECK(moving == static_cast<long>(fleet.metadata.sequences.at(joining).moves.size()));
 
-  fleet.commit(CancelSequence{node, "test"});
+  fleet.commit(CancelSequence{joining, "test"});
 
   for (size_t i = 0; i < before.size(); ++i) {
     CHECK(fleet.metadata.partitions[i].pending_stores.empty());
@@ -215,29 +261,29 @@
   }
 }
 
-TEST_CASE("Misuse is rejected with its reason and changes nothing") {
+TEST_CASE("An invalid transformation is rejected with its reason and changes nothing") {
   Fleet fleet;
   struct Row {
     Transformation change;
     const char* reason;
   };
   auto store = fleet.id("store11");
-  auto front = fleet.id("front21");
+  auto gateway = fleet.id("front21");
   auto controller = fleet.id("controller1");
   const Row rows[] = {
       {PrepareDrain{store}, "would leave 2 of 3 copies"},
-      {ReplaceCoreMember{controller, front}, "is not a spare controller"},
-      {AddCoreMember{front}, "is not a registered controller"},
+      {ReplaceCoreMember{controller, gateway}, "is not a spare controller"},
+      {AddCoreMember{gateway}, "is not a registered controller"},
       {AddCoreMember{controller}, "is a core member already"},
       {PrepareDrain{controller}, "is no front worker or store"},
       {MarkDown{DaemonId{99}}, "is unknown"},
-      {MarkUp{front}, "is not down"},
-      {AdvanceSequence{front, SequenceStep::start}, "has no sequence in progress"},
-      {CancelSequence{front, ""}, "has no sequence in progress"},
+      {MarkUp{gateway}, "is not down"},
+      {AdvanceSequence{gateway, SequenceStep::start}, "has no sequence in progress"},
+      {CancelSequence{gateway, ""}, "has no sequence in progress"},
       {EvacuateZone{"q"}, "is unknown"},
       {RestoreZone{"a"}, "is not evacuated"},
       {MovePartition{PartitionId{1}, store}, "is no front worker"},
-      {MoveAllPartitions{front, front}, "is the same node"},
+      {MoveAllPartitions{gateway, gateway}, "is the same node"},
       {RemoveReplica{"m"}, "is no replica"},
       {SetReplica{{"m", "modal", "a", "ftp://x", ReplicaHealth::ready, {}, 0, "", 0}},
        "kind: is neither model nor app; url: does not begin with http://"},
@@ -300,30 +346,34 @@
     CHECK(errors.find(error) != std::string::npos);
 }
 
-TEST_CASE("A front that goes down loses its partitions to the others, and joins anew when it is back") {
+TEST_CASE("A gateway that goes down loses its partitions to the others, and joins anew when it is back") {
   Fleet fleet;
-  auto front = fleet.id("front21");
+  auto gateway = fleet.id("front21");
 
-  fleet.commit(MarkDown{front});
+  fleet.commit(MarkDown{gateway});
 
   for (auto& partition : fleet.metadata.partitions)
     CHECK(partition.owner == fleet.id("front22"));
-  fleet.commit(MarkUp{front});
-  CHECK(fleet.state(front) == DaemonState::registered);
+
+  fleet.commit(MarkUp{gateway});
+
+  CHECK(fleet.state(gateway) == DaemonState::registered);
   fleet.join("front21");
-  CHECK(placement::partitions_per_gateway(fleet.metadata).at(front) == kPartitionCount / 2);
+  CHECK(placement::partitions_per_gateway(fleet.metadata).at(gateway) == kPartitionCount / 2);
 }
 
-TEST_CASE("A drained front stays in the directory while its turns end, and leaves once it is silent") {
+TEST_CASE("A drained gateway stays in the directory while its turns end, and leaves once it is down") {
   Fleet fleet;
-  auto front = fleet.id("front21");
+  auto gateway = fleet.id("front21");
+
+  fleet.commit(PrepareDrain{gateway});
+  fleet.finish_sequence(gateway);
 
-  fleet.commit(PrepareDrain{front});
-  fleet.finish_sequence(front);
+  CHECK(fleet.state(gateway) == DaemonState::draining);
 
-  CHECK(fleet.state(front) == DaemonState::draining);
-  fleet.commit(MarkDown{front});
-  CHECK(fleet.state(front) == DaemonState::left);
+  fleet.commit(MarkDown{gateway});
+
+  CHECK(fleet.state(gateway) == DaemonState::left);
 }
 
 TEST_CASE("Histories are spread over as many zones as there are") {
@@ -379,7 +429,7 @@
 }
 
 /// Whether each majority of one set shares a member with each majority of the other, by trying all of them.
-bool majorities_meet(const std::vector<DaemonId>& one, const std::vector<DaemonId>& other) {
+bool majorities_intersect(const std::vector<DaemonId>& one, const std::vector<DaemonId>& other) {
   for (auto left : majorities_of(one))
     for (auto right : majorities_of(other))
       if ((left & right) == 0)
@@ -387,57 +437,60 @@
   return true;
 }
 
+/// Commits a change after which no two majorities, one of the core before it and one of that after it, may be disjoint.
+void commit_and_check_majorities(Fleet& fleet, const Transformation& change) {
+  auto before = fleet.metadata.members;
+  fleet.commit(change);
+  INFO(describe(change));
+  CHECK(majorities_intersect(before, fleet.metadata.members));
+}
+
 }  // namespace
 
-TEST_CASE("Two replacements in a row: the majorities of each epoch and the next one meet") {
+TEST_CASE("Majorities of the core before and after each step of two replacements share a member") {
   Fleet fleet;
-  auto commit_and_check_majorities = [&](const Transformation& change) {
-    auto before = fleet.metadata.members;
-    fleet.commit(change);
-    INFO(describe(change));
-    CHECK(majorities_meet(before, fleet.metadata.members));
-  };
-
   for (uint64_t number : {1, 2}) {
     auto old_member = fleet.id("controller" + std::to_string(number));
     fleet.commit(Register{numbered_daemon(number + 3, Role::controller, "a")});
     auto new_member = fleet.id("controller" + std::to_string(number + 3));
     CHECK(fleet.is_rejected_with(AddCoreMember{new_member}, "full number"));
-    commit_and_check_majorities(MarkDown{old_member});
-    commit_and_check_majorities(AddCoreMember{new_member});
+
+    commit_and_check_majorities(fleet, MarkDown{old_member});
+    commit_and_check_majorities(fleet, AddCoreMember{new_member});
+
     CHECK(fleet.metadata.members.size() == 4);
     CHECK(fleet.is_rejected_with(RemoveCoreMember{new_member}, "is a live member"));
-    commit_and_check_majorities(RemoveCoreMember{old_member});
+
+    commit_and_check_majorities(fleet, RemoveCoreMember{old_member});
+
     CHECK(fleet.metadata.members.size() == 3);
     CHECK(fleet.metadata.core_size == 3);
     CHECK(fleet.state(old_member) == DaemonState::left);
   }
+}
 
+TEST_CASE("A core of the least size keeps a member that is down until another one is added") {
+  Fleet fleet;
+  REQUIRE(fleet.metadata.members.size() == kMinCoreSize);
   auto first = fleet.metadata.members[0];
   CHECK(fleet.is_rejected_with(RemoveCoreMember{first}, "is a live member"));
-  commit_and_check_majorities(MarkDown{first});
+
+  commit_and_check_majorities(fleet, MarkDown{first});
+
   CHECK(fleet.is_rejected_with(RemoveCoreMember{first}, "too small"));
 }
 
-TEST_CASE("No addition or removal that the log takes parts the majorities of the two cores") {
-  uint64_t state = 7;
-  auto random_below = [&](size_t bound) {
-    state = digest("roll", state);
-    return state % bound;
-  };
-  Fleet fleet;
-  fleet.metadata.max_core_size = 7;
-  uint64_t next_controller = 4;
-  auto random_change = [&]() -> Transformation {
-    auto& members = fleet.metadata.members;
-    auto member = members[random_below(members.size())];
-    auto spare = members.front();
-    for (auto& [id, daemon] : fleet.metadata.directory)
-      if (daemon.self.role == Role::controller && !fleet.metadata.is_core_member(daemon.self.incarnation))
-        spare = id;
+namespace {
+
+/// Changes of the core and its members at random, the same for each run.
+class RandomCoreChanges {
+ public:
+  Transformation next(const Metadata& metadata) {
+    auto member = metadata.members[random_below(metadata.members.size())];
+    auto spare = spare_controller(metadata);
     switch (random_below(6)) {
       case 0:
-        return Register{numbered_daemon(next_controller++, Role::controller, "b")};
+        return Register{numbered_daemon(next_controller_++, Role::controller, "b")};
       case 1:
         return MarkDown{member};
       case 2:
@@ -447,36 +500,68 @@
       default:
         return AddCoreMember{spare};
     }
-  };
+  }
 
-  size_t changes = 0;
-  for (int i = 0; i < 300; ++i) {
+ private:
+  size_t random_below(size_t bound) {
+    random_state_ = digest("roll", random_state_);
+    return random_state_ % bound;
+  }
+
+  /// The last controller that is no core member; the first member where all controllers are.
+  static DaemonId spare_controller(const Metadata& metadata) {
+    auto spare = metadata.members.front();
+    for (auto& [id, daemon] : metadata.directory)
+      if (is_controller(daemon) && !metadata.is_core_member(daemon.self.incarnation))
+        spare = id;
+    return spare;
+  }
+
+  uint64_t random_state_ = 7;
+  uint64_t next_controller_ = 4;
+};
+
+}  // namespace
+
+TEST_CASE("Majorities of the core before and after any committed change share a member") {
+  constexpr int kAttempts = 300;
+  constexpr size_t kMinChangesOfMembers = 30;
+  Fleet fleet;
+  fleet.metadata.max_core_size = 7;
+  RandomCoreChanges random_changes;
+
+  size_t changes_of_members = 0;
+  for (int i = 0; i < kAttempts; ++i) {
     auto before = fleet.metadata.members;
-    std::ignore = fleet.try_commit(random_change());
+    std::ignore = fleet.try_commit(random_changes.next(fleet.metadata));
     if (before == fleet.metadata.members)
       continue;
-    ++changes;
-    CHECK(majorities_meet(before, fleet.metadata.members));
+    ++changes_of_members;
+    CHECK(majorities_intersect(before, fleet.metadata.members));
   }
-  CHECK(changes > 30);
+
+  CHECK(changes_of_members > kMinChangesOfMembers);
 }
 
-TEST_CASE("A controller that starts at a member's address replaces it, and one taken out may come back") {
+TEST_CASE("A controller that starts at a member's address replaces it, and the replaced one may come back") {
   Fleet fleet;
   auto old_member = fleet.id("controller1");
   auto original = numbered_daemon(1, Role::controller, "a");
-  CHECK(fleet.is_rejected_with(Register{original}, "is registered already"));
   auto replacement = original;
   replacement.incarnation = Incarnation{91};
+  CHECK(fleet.is_rejected_with(Register{original}, "is registered already"));
 
   fleet.commit(Register{replacement});
 
   CHECK(fleet.state(old_member) == DaemonState::down);
-  fleet.commit(AddCoreMember{fleet.id("controller1")});
+
+  auto new_member = fleet.id("controller1");
+  fleet.commit(AddCoreMember{new_member});
   fleet.commit(RemoveCoreMember{old_member});
+
   CHECK(fleet.is_rejected_with(Register{original}, "belongs to"));
 
-  fleet.commit(MarkDown{fleet.metadata.find(replacement.incarnation)->id});
+  fleet.commit(MarkDown{new_member});
   fleet.commit(Register{original});
 
   CHECK(fleet.state(old_member) == DaemonState::up);
@@ -490,44 +575,46 @@
   auto store = fleet.id("store11");
 
   for (size_t i = 0; i <= kRememberedCommits; ++i) {
-    std::ignore = fleet.try_commit(MarkDown{store}, "m" + std::to_string(i));
-    std::ignore = fleet.try_commit(MarkUp{store}, "u" + std::to_string(i));
+    std::ignore = fleet.try_commit(MarkDown{store}, "down " + std::to_string(i));
+    std::ignore = fleet.try_commit(MarkUp{store}, "up " + std::to_string(i));
   }
 
   CHECK(fleet.metadata.applied_commits.front().id != "first");
   CHECK(fleet.metadata.epoch_of_commit("first") == epoch);
-  CHECK_FALSE(fleet.metadata.epoch_of_commit("rival"));
+  CHECK_FALSE(fleet.metadata.epoch_of_commit("never committed"));
 }
 
+namespace {
+
+ApplyConfiguration configuration_on(uint64_t base, Revision revision = {}) {
+  return {Revision{base}, {}, revision};
+}
+
+}  // namespace
+
 TEST_CASE("A configuration on a revision older than all that are remembered is rejected as forgotten") {
   Fleet fleet;
-  auto on_revision = [](uint64_t base) {
-    return ApplyConfiguration{Revision{base}, {}, {}};
-  };
   for (uint64_t revision = 0; revision < kRememberedConfigurationChanges; ++revision)
-    REQUIRE(fleet.try_commit(on_revision(revision), "o" + std::to_string(revision)).ok());
-  CHECK(fleet.metadata.epoch_of_commit("o0"));
-  CHECK(rejection_reason(fleet.metadata, on_revision(0)) == Rejection::revision_conflict);
+    REQUIRE(fleet.try_commit(configuration_on(revision), "on " + std::to_string(revision)).ok());
+  CHECK(fleet.metadata.epoch_of_commit("on 0"));
+  CHECK(rejection_reason(fleet.metadata, configuration_on(0)) == Rejection::revision_conflict);
 
-  REQUIRE(fleet.try_commit(on_revision(kRememberedConfigurationChanges), "last").ok());
+  REQUIRE(fleet.try_commit(configuration_on(kRememberedConfigurationChanges), "last").ok());
 
   CHECK(fleet.metadata.applied_configurations.size() == kRememberedConfigurationChanges);
-  CHECK(rejection_reason(fleet.metadata, on_revision(0)) == Rejection::forgotten);
-  CHECK(rejection_reason(fleet.metadata, on_revision(1)) == Rejection::revision_conflict);
-  CHECK(rejection_reason(fleet.metadata, on_revision(kRememberedConfigurationChanges + 9)) ==
+  CHECK(rejection_reason(fleet.metadata, configuration_on(0)) == Rejection::forgotten);
+  CHECK(rejection_reason(fleet.metadata, configuration_on(1)) == Rejection::revision_conflict);
+  CHECK(rejection_reason(fleet.metadata, configuration_on(kRememberedConfigurationChanges + 9)) ==
         Rejection::revision_conflict);
 }
 
 TEST_CASE("rejection_reason tells why a change is rejected") {
   Fleet fleet;
-  auto configuration = [](uint64_t base, uint64_t revision) {
-    return ApplyConfiguration{Revision{base}, {}, Revision{revision}};
-  };
   REQUIRE(fleet.try_commit(ApplyConfiguration{fleet.metadata.revision, {}, Revision{7}}, "first").ok());
 
-  CHECK(rejection_reason(fleet.metadata, configuration(7, 7)) == Rejection::invalid);
-  CHECK(rejection_reason(fleet.metadata, configuration(5, 8)) == Rejection::revision_conflict);
-  CHECK(rejection_reason(fleet.metadata, configuration(9, 10)) == Rejection::revision_conflict);
+  CHECK(rejection_reason(fleet.metadata, configuration_on(7, Revision{7})) == Rejection::invalid);
+  CHECK(rejection_reason(fleet.metadata, configuration_on(5, Revision{8})) == Rejection::revision_conflict);
+  CHECK(rejection_reason(fleet.metadata, configuration_on(9, Revision{10})) == Rejection::revision_conflict);
   CHECK(rejection_reason(fleet.metadata, EvacuateZone{"nowhere"}) == Rejection::unknown_target);
   CHECK(rejection_reason(fleet.metadata, RestoreZone{"a"}) == Rejection::already_in_effect);
   fleet.commit(EvacuateZone{"a"});
