--- a/tests/unit/consensus/acceptor_test.cpp
+++ b/tests/unit/consensus/acceptor_test.cpp
@@ -1,16 +1,13 @@
-// The Paxos acceptor alone: what it promises, accepts and keeps.
+// The Paxos acceptor alone: what it promises, accepts and recovers.
 #include "consensus/acceptor.hpp"
 #include "unit/catch.hpp"
+#include "unit/consensus/controllers_fixture.hpp"
 
 using namespace mosskeel;
+using namespace mosskeel::test;
 
 namespace {
 
-Candidate controller(uint64_t number) {
-  std::string address = "controller" + std::to_string(number);
-  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
-}
-
 Entry registration(Epoch epoch, uint64_t number) {
   return {epoch, "register-" + std::to_string(number), Register{controller(number)}};
 }
@@ -20,19 +17,20 @@
   Outbox outbox{Identity{controller(1), {}}};
   MetadataLog metadata_log;
   Acceptor acceptor{outbox, metadata_log};
-  Envelope from_2;
+  /// Of controller 2, which proposes.
+  Envelope proposer;
 
   FoundedAcceptor() {
-    FoundCluster founding{7, 3, {controller(1), controller(2), controller(3)}, 3, 0};
+    FoundCluster founding{7, 3, three_controllers(), 3, 0};
     REQUIRE(metadata_log.add({Epoch{1}, "found", founding}).size() == 1);
-    from_2.from = "controller2";
-    from_2.from_incarnation = Incarnation{2};
+    proposer.from = "controller2";
+    proposer.from_incarnation = Incarnation{2};
   }
 
   /// The reply to a prepare or accept request; it must wait for the journal.
   template <class Reply, class Request>
-  Reply request(const Request& request) {
-    acceptor.handle(from_2, request);
+  Reply reply_to(const Request& request) {
+    acceptor.handle(proposer, request);
     Actions actions = outbox.take();
     journal.insert(journal.end(), actions.journal.begin(), actions.journal.end());
     CHECK(actions.now.empty());
@@ -40,32 +38,34 @@
     return std::get<Reply>(actions.synced.front().body);
   }
 
+  /// The records of all requests.
   std::vector<std::string> journal;
 };
 
-constexpr Epoch kOpen{2};
+/// Of the open instance.
+constexpr Epoch kOpenEpoch{2};
 
 }  // namespace
 
 TEST_CASE("Acceptor promises a ballot and rejects lower ones afterwards") {
   FoundedAcceptor founded;
 
-  Promise promise = founded.request<Promise>(Prepare{kOpen, {5, 2}});
+  Promise promise = founded.reply_to<Promise>(Prepare{kOpenEpoch, {5, 2}});
   CHECK(promise.granted);
   CHECK(promise.promised == Ballot{5, 2});
   CHECK_FALSE(promise.accepted);
 
-  CHECK_FALSE(founded.request<Promise>(Prepare{kOpen, {4, 3}}).granted);
-  CHECK_FALSE(founded.request<Accepted>(Accept{{4, 3}, registration(kOpen, 4)}).granted);
+  CHECK_FALSE(founded.reply_to<Promise>(Prepare{kOpenEpoch, {4, 3}}).granted);
+  CHECK_FALSE(founded.reply_to<Accepted>(Accept{{4, 3}, registration(kOpenEpoch, 4)}).granted);
   CHECK_FALSE(founded.acceptor.has_accepted());
 }
 
 TEST_CASE("Acceptor reports the proposal that it accepted to a higher ballot") {
   FoundedAcceptor founded;
-  Entry entry = registration(kOpen, 4);
+  Entry entry = registration(kOpenEpoch, 4);
 
-  CHECK(founded.request<Accepted>(Accept{{5, 2}, entry}).granted);
-  Promise promise = founded.request<Promise>(Prepare{kOpen, {6, 3}});
+  CHECK(founded.reply_to<Accepted>(Accept{{5, 2}, entry}).granted);
+  Promise promise = founded.reply_to<Promise>(Prepare{kOpenEpoch, {6, 3}});
 
   CHECK(promise.granted);
   REQUIRE(promise.accepted);
@@ -75,8 +75,8 @@
 
 TEST_CASE("Acceptor recovers what it promised and accepted from its journal") {
   FoundedAcceptor founded;
-  founded.request<Accepted>(Accept{{5, 2}, registration(kOpen, 4)});
-  founded.request<Promise>(Prepare{kOpen, {6, 3}});
+  founded.reply_to<Accepted>(Accept{{5, 2}, registration(kOpenEpoch, 4)});
+  founded.reply_to<Promise>(Prepare{kOpenEpoch, {6, 3}});
 
   FoundedAcceptor restarted;
   for (const std::string& bytes : founded.journal) {
@@ -90,13 +90,13 @@
 
   CHECK(restarted.acceptor.promised() == Ballot{6, 3});
   CHECK(restarted.acceptor.has_accepted());
-  CHECK_FALSE(restarted.request<Promise>(Prepare{kOpen, {5, 9}}).granted);
+  CHECK_FALSE(restarted.reply_to<Promise>(Prepare{kOpenEpoch, {5, 9}}).granted);
 }
 
 TEST_CASE("Acceptor sends a proposer of a decided instance what it lacks, and promises nothing") {
   FoundedAcceptor founded;
 
-  founded.acceptor.handle(founded.from_2, Prepare{Epoch{1}, {5, 2}});
+  founded.acceptor.handle(founded.proposer, Prepare{Epoch{1}, {5, 2}});
 
   Actions actions = founded.outbox.take();
   CHECK(actions.synced.empty());
@@ -108,7 +108,7 @@
 TEST_CASE("Acceptor asks a proposer that is ahead for entries, and promises nothing") {
   FoundedAcceptor founded;
 
-  founded.acceptor.handle(founded.from_2, Prepare{Epoch{3}, {5, 2}});
+  founded.acceptor.handle(founded.proposer, Prepare{Epoch{3}, {5, 2}});
 
   Actions actions = founded.outbox.take();
   CHECK(actions.synced.empty());
--- a/tests/unit/consensus/commit_queue_test.cpp
+++ b/tests/unit/consensus/commit_queue_test.cpp
@@ -1,33 +1,27 @@
-// When the commit queue answers which requester, and how.
-#include <catch2/catch.hpp>
-
+// When the commit queue answers a requester, and with which outcome.
 #include "consensus/commit_queue.hpp"
 #include "runtime/constants.hpp"
+#include "unit/catch.hpp"
+#include "unit/consensus/controllers_fixture.hpp"
 
 using namespace mosskeel;
+using namespace mosskeel::test;
 
 namespace {
 
-constexpr TimePoint kQueueStart = kProcessClockStart;
+constexpr TimePoint kStart = kProcessClockStart;
 constexpr Duration kAttemptTimeout = kCommitAttemptTimeout;
 
-Candidate queue_controller(uint64_t number) {
-  std::string address = "controller" + std::to_string(number);
-  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
-}
-
 /// A queue beside a founded log. What an epoch lacks to be in force is `missing`.
 struct QueueWithLog {
-  Outbox outbox{Identity{queue_controller(1), {}}};
+  Outbox outbox{Identity{controller(1), {}}};
   MetadataLog metadata_log;
   std::string missing;
   CommitQueue queue{outbox, metadata_log, [this](Epoch, TimePoint) {
                       return missing;
                     }};
 
-  QueueWithLog() {
-    append("found", FoundCluster{7, 3, {queue_controller(1), queue_controller(2), queue_controller(3)}});
-  }
+  QueueWithLog() { append("found", FoundCluster{7, 3, three_controllers()}); }
 
   void append(const std::string& commit_id, const Transformation& change) {
     REQUIRE(metadata_log.add({next(metadata_log.epoch()), commit_id, change}).size() == 1);
@@ -49,7 +43,7 @@
   }
 };
 
-ApplyConfiguration queued_configuration() {
+ApplyConfiguration empty_configuration() {
   return {Revision{0}, {}, Revision{1}};
 }
 
@@ -57,26 +51,26 @@
 
 TEST_CASE("CommitQueue gives a repeated request a later deadline and does not queue it twice") {
   QueueWithLog fixture;
-  CHECK(fixture.add("a", RemoveReplica{""}, kQueueStart));
-  CHECK_FALSE(fixture.add("a", RemoveReplica{""}, kQueueStart + 500ms));
+  CHECK(fixture.add("a", RemoveReplica{""}, kStart));
+  CHECK_FALSE(fixture.add("a", RemoveReplica{""}, kStart + 500ms));
   // Another requester of the same commit is answered separately.
-  CHECK(fixture.add("a", RemoveReplica{""}, kQueueStart + 500ms, 0, "local:2"));
+  CHECK(fixture.add("a", RemoveReplica{""}, kStart + 500ms, 0, "local:2"));
 
-  CHECK(fixture.queue.expire(kQueueStart + kAttemptTimeout).empty());
-  CHECK(fixture.queue.expire(kQueueStart + kAttemptTimeout + 499ms).empty());
-  CHECK(fixture.queue.expire(kQueueStart + kAttemptTimeout + 500ms).size() == 2);
+  CHECK(fixture.queue.expire(kStart + kAttemptTimeout).empty());
+  CHECK(fixture.queue.expire(kStart + kAttemptTimeout + 499ms).empty());
+  CHECK(fixture.queue.expire(kStart + kAttemptTimeout + 500ms).size() == 2);
   CHECK(fixture.queue.empty());
 }
 
 TEST_CASE("CommitQueue takes a requester's time-out only where it is shorter than the controller's") {
   QueueWithLog fixture;
-  fixture.add("short", RemoveReplica{""}, kQueueStart, 100);
-  fixture.add("long", RemoveReplica{""}, kQueueStart, kAttemptTimeout.count() * 10);
+  fixture.add("short", RemoveReplica{""}, kStart, 100);
+  fixture.add("long", RemoveReplica{""}, kStart, kAttemptTimeout.count() * 10);
 
-  auto expired = fixture.queue.expire(kQueueStart + 100ms);
+  auto expired = fixture.queue.expire(kStart + 100ms);
   REQUIRE(expired.size() == 1);
   CHECK(expired.front().id == "short");
-  CHECK(fixture.queue.expire(kQueueStart + kAttemptTimeout).size() == 1);
+  CHECK(fixture.queue.expire(kStart + kAttemptTimeout).size() == 1);
   auto replies = fixture.take_replies();
   REQUIRE(replies.size() == 2);
   CHECK(replies[0].outcome == CommitOutcome::unknown);
@@ -85,12 +79,12 @@
 
 TEST_CASE("CommitQueue does not expire a request that it has proposed and that is appended") {
   QueueWithLog fixture;
-  fixture.add("a", queued_configuration(), kQueueStart);
+  fixture.add("a", empty_configuration(), kStart);
   fixture.queue.first().proposed = true;
-  fixture.append("a", queued_configuration());
+  fixture.append("a", empty_configuration());
 
-  CHECK(fixture.queue.expire(kQueueStart + kAttemptTimeout).empty());
-  fixture.queue.acknowledge_first(kQueueStart + kAttemptTimeout);
+  CHECK(fixture.queue.expire(kStart + kAttemptTimeout).empty());
+  fixture.queue.acknowledge_first(kStart + kAttemptTimeout);
   auto replies = fixture.take_replies();
   REQUIRE(replies.size() == 1);
   CHECK(replies.front().outcome == CommitOutcome::committed);
@@ -99,49 +93,49 @@
 TEST_CASE("CommitQueue acknowledges a configuration once it is in force, or with an unknown outcome at its deadline") {
   QueueWithLog fixture;
   fixture.missing = "daemon 3";
-  fixture.add("a", queued_configuration(), kQueueStart);
-  fixture.append("a", queued_configuration());
-  fixture.queue.acknowledge_first(kQueueStart + 1ms);
-  fixture.queue.acknowledge_in_force(kQueueStart + kAttemptTimeout - 1ms);
+  fixture.add("a", empty_configuration(), kStart);
+  fixture.append("a", empty_configuration());
+  fixture.queue.acknowledge_first(kStart + 1ms);
+  fixture.queue.acknowledge_in_force(kStart + kAttemptTimeout - 1ms);
   CHECK(fixture.take_replies().empty());
 
   SECTION("in force in time") {
     fixture.missing.clear();
-    fixture.queue.acknowledge_in_force(kQueueStart + kAttemptTimeout - 1ms);
+    fixture.queue.acknowledge_in_force(kStart + kAttemptTimeout - 1ms);
     auto replies = fixture.take_replies();
     REQUIRE(replies.size() == 1);
     CHECK(replies.front().outcome == CommitOutcome::committed);
     CHECK(replies.front().epoch == Epoch{2});
   }
   SECTION("not in force in time") {
-    fixture.queue.acknowledge_in_force(kQueueStart + kAttemptTimeout);
+    fixture.queue.acknowledge_in_force(kStart + kAttemptTimeout);
     auto replies = fixture.take_replies();
     REQUIRE(replies.size() == 1);
     CHECK(replies.front().outcome == CommitOutcome::unknown);
   }
   // Nobody is answered twice.
-  fixture.queue.acknowledge_in_force(kQueueStart + kAttemptTimeout * 2);
+  fixture.queue.acknowledge_in_force(kStart + kAttemptTimeout * 2);
   CHECK(fixture.take_replies().empty());
 }
 
 TEST_CASE("CommitQueue rejects no request that came after the confirmed ones, and none behind one that applies") {
   QueueWithLog fixture;
-  fixture.add("bad", RemoveReplica{""}, kQueueStart);
+  fixture.add("bad", RemoveReplica{""}, kStart);
   uint64_t confirmed = fixture.queue.last_ticket();
-  fixture.add("later", RemoveReplica{""}, kQueueStart);
+  fixture.add("later", RemoveReplica{""}, kStart);
 
-  fixture.queue.answer_up_to(confirmed, kQueueStart);
+  fixture.queue.answer_up_to(confirmed, kStart);
   auto replies = fixture.take_replies();
   REQUIRE(replies.size() == 1);
   CHECK(replies.front().id == "bad");
   CHECK(replies.front().outcome == CommitOutcome::rejected);
   CHECK(fixture.queue.first().id == "later");
 
-  fixture.queue.expire(kQueueStart + kAttemptTimeout);
+  fixture.queue.expire(kStart + kAttemptTimeout);
   fixture.take_replies();
-  fixture.add("good", queued_configuration(), kQueueStart);
-  fixture.add("bad again", RemoveReplica{""}, kQueueStart);
-  fixture.queue.answer_up_to(fixture.queue.last_ticket(), kQueueStart);
+  fixture.add("good", empty_configuration(), kStart);
+  fixture.add("bad again", RemoveReplica{""}, kStart);
+  fixture.queue.answer_up_to(fixture.queue.last_ticket(), kStart);
   CHECK(fixture.take_replies().empty());
   CHECK(fixture.queue.first().id == "good");
 }
--- /dev/null
+++ b/tests/unit/consensus/controllers_fixture.hpp
@@ -0,0 +1,17 @@
+#pragma once
+// The controllers that the tests of the consensus classes play.
+#include "metadata/daemon.hpp"
+
+namespace mosskeel::test {
+
+/// Controller `number`, whose incarnation is its number, too.
+inline Candidate controller(uint64_t number) {
+  std::string address = "controller" + std::to_string(number);
+  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
+}
+
+inline std::vector<Candidate> three_controllers() {
+  return {controller(1), controller(2), controller(3)};
+}
+
+}  // namespace mosskeel::test
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -1,4 +1,4 @@
-// Who makes the core: founding, growth, replacement, re-founding; on simulated machines and on the log's value.
+// Which controllers form the core: founding, growth, replacement and re-founding, on simulated controllers.
 #include <algorithm>
 
 #include "consensus/constants.hpp"
@@ -256,7 +256,8 @@
   CHECK(longest <= kCatchUpTime);
 }
 
-TEST_CASE("CoreMembershipPolicy leaves a core of living members after two replacements that bears a third loss") {
+TEST_CASE(
+    "CoreMembershipPolicy replaces two lost members, one after the other, by live ones that outlive a third loss") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
@@ -291,7 +292,7 @@
   }
 }
 
-TEST_CASE("A member that is frozen for a minute or flaps neither forks the log nor stays outside the core") {
+TEST_CASE("A member that is frozen for a minute or repeatedly neither forks the log nor stays outside the core") {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 4);
@@ -344,9 +345,9 @@
     SimulatedControllers cluster(seed, 3);
     cluster.forbid_founding_on_empty_disks();
     cluster.world.run(kFoundingTime);
-    std::vector<Candidate> earlier;
+    std::vector<Candidate> predecessors;
     for (const std::string name : {"controller2", "controller3"}) {
-      earlier.push_back(cluster.world.node(name).id.self);
+      predecessors.push_back(cluster.world.node(name).id.self);
       cluster.world.wipe(name);
       cluster.world.run(500ms);
       cluster.world.start(name);
@@ -355,14 +356,14 @@
     REQUIRE(cluster.members() == kFirstThree);
     cluster.partition({"controller1"}, {"controller2", "controller3"});
     for (int i = 0; i < 100; ++i) {
-      for (const Candidate& old : earlier) {
+      for (const Candidate& predecessor : predecessors) {
         Envelope envelope{};
         envelope.protocol = kProtocolRevision;
         envelope.cluster = cluster.metadata()->cluster;
-        envelope.from = old.address;
-        envelope.from_incarnation = old.incarnation;
+        envelope.from = predecessor.address;
+        envelope.from_incarnation = predecessor.incarnation;
         envelope.to = "controller1";
-        envelope.body = Discover{old};
+        envelope.body = Discover{predecessor};
         cluster.world.post("controller1", envelope);
       }
       cluster.world.run(100ms);
@@ -377,9 +378,10 @@
 
 namespace {
 
-/// Wipes these, waits for the re-founding that follows, and puts the old disks back at the old addresses.
-void refound_and_put_back(SimulatedControllers& cluster, const std::vector<std::string>& lost,
-                          const std::vector<std::string>& back, Duration pause) {
+/// Wipes the disks of `lost`, waits for the re-founding that follows and, after a pause, gives `restored` their old
+/// disks.
+void refound_and_restore_disks(SimulatedControllers& cluster, const std::vector<std::string>& lost,
+                               const std::vector<std::string>& restored, Duration pause) {
   struct OldDisk {
     Incarnation incarnation;
     sim::SimDisk content;
@@ -394,7 +396,7 @@
   }
   REQUIRE(cluster.world.until(15000ms, [&] { return cluster.metadata()->generation == 2; }));
   cluster.world.run(pause);
-  for (const std::string& name : back) {
+  for (const std::string& name : restored) {
     cluster.world.wipe(name);
     sim::Node& node = cluster.world.node(name);
     node.id.self.incarnation = old_disks[name].incarnation;
@@ -411,7 +413,7 @@
     SimulatedControllers cluster(seed, 3);
     cluster.forbid_founding_on_empty_disks();
     cluster.world.run(kFoundingTime);
-    refound_and_put_back(cluster, {"controller2", "controller3"}, {"controller3"}, seed % 2 ? 5000ms : 200ms);
+    refound_and_restore_disks(cluster, {"controller2", "controller3"}, {"controller3"}, seed % 2 ? 5000ms : 200ms);
     cluster.world.run(20000ms);
     CHECK(cluster.metadata()->generation == 2);
     CHECK(cluster.members() == kFirstThree);
@@ -427,8 +429,8 @@
     SimulatedControllers cluster(seed, 3);
     cluster.forbid_founding_on_empty_disks();
     cluster.world.run(kFoundingTime);
-    refound_and_put_back(cluster, {"controller2", "controller3"}, {"controller2", "controller3"},
-                         seed % 2 ? 5000ms : 200ms);
+    refound_and_restore_disks(cluster, {"controller2", "controller3"}, {"controller2", "controller3"},
+                              seed % 2 ? 5000ms : 200ms);
     cluster.world.run(20000ms);
     CHECK(cluster.metadata()->generation >= 2);
     CHECK(cluster.clusters().size() == 1);
--- a/tests/unit/consensus/in_force_test.cpp
+++ b/tests/unit/consensus/in_force_test.cpp
@@ -9,12 +9,13 @@
 constexpr TimePoint kStart{1000ms};
 constexpr Epoch kEpoch{5};
 
-Candidate candidate(uint64_t number, Role role) {
+/// Daemon `number`, whose incarnation is its number, too.
+Candidate numbered_daemon(uint64_t number, Role role) {
   std::string address = "daemon" + std::to_string(number);
   return {Incarnation{number}, role, "zone", address, "", "", address};
 }
 
-/// Three controllers (1 to 3), three fronts (4 to 6) and one store (7), seen by controller 1, which knows the epoch.
+/// Three controllers (1 to 3), three gateways (4 to 6) and one store (7), seen by controller 1, which knows the epoch.
 struct Fleet {
   Metadata metadata;
   FailureDetector detector{kStart};
@@ -24,23 +25,32 @@
     metadata.cluster = 7;
     metadata.epoch = kEpoch;
     for (uint64_t number = 1; number <= 7; ++number) {
-      Role role = number <= 3 ? Role::controller : number <= 6 ? Role::front : Role::store;
+      Role role = role_of(number);
       DaemonId id{number};
-      metadata.directory[id] = {id, candidate(number, role), DaemonState::up, Epoch{1}};
+      metadata.directory[id] = {id, numbered_daemon(number, role), DaemonState::up, Epoch{1}};
       metadata.quorum_members.push_back(id);
       if (role == Role::controller)
         metadata.members.push_back(id);
     }
   }
 
-  void report(uint64_t number, Epoch known) {
+  /// The controller receives a heartbeat of a daemon, which knows this epoch.
+  void receive_heartbeat(uint64_t number, Epoch known) {
     Heartbeat heartbeat{};
     heartbeat.self = metadata.directory.at(DaemonId{number}).self;
     heartbeat.known = known;
     detector.record(heartbeat, now);
   }
 
+  /// What the epoch lacks to be in force; empty where it is.
   std::string missing() { return missing_acknowledgements(metadata, Incarnation{1}, detector, kEpoch, now); }
+
+ private:
+  static Role role_of(uint64_t number) {
+    if (number <= 3)
+      return Role::controller;
+    return number <= 6 ? Role::front : Role::store;
+  }
 };
 
 }  // namespace
@@ -48,25 +58,25 @@
 TEST_CASE("An epoch is not in force without a majority of the core") {
   Fleet fleet;
   for (uint64_t number = 4; number <= 7; ++number)
-    fleet.report(number, kEpoch);
+    fleet.receive_heartbeat(number, kEpoch);
 
   CHECK(fleet.missing() == "no majority of the core has it; missing: 2 3");
 }
 
 TEST_CASE("An epoch is not in force without a majority of the fleet") {
   Fleet fleet;
-  fleet.report(2, kEpoch);
-  fleet.report(7, kEpoch);
+  fleet.receive_heartbeat(2, kEpoch);
+  fleet.receive_heartbeat(7, kEpoch);
 
   CHECK(fleet.missing() == "no majority of the fleet has it; missing: 3 4 5 6");
 }
 
-TEST_CASE("An epoch is not in force while a reachable disk lacks it, and is once that is silent") {
+TEST_CASE("An epoch is not in force while a reachable store lacks it, and is once its heartbeats are missed") {
   Fleet fleet;
-  fleet.report(7, Epoch{kEpoch.value() - 1});
+  fleet.receive_heartbeat(7, Epoch{kEpoch.value() - 1});
   fleet.now += kHeartbeatTimeout - 1ms;
   for (uint64_t number = 2; number <= 5; ++number)
-    fleet.report(number, kEpoch);
+    fleet.receive_heartbeat(number, kEpoch);
 
   CHECK_FALSE(fleet.missing().empty());
   fleet.now += 1ms;
@@ -76,18 +86,18 @@
 TEST_CASE("An epoch stays in force when a late heartbeat reports an earlier epoch") {
   Fleet fleet;
   for (uint64_t number = 2; number <= 7; ++number)
-    fleet.report(number, kEpoch);
+    fleet.receive_heartbeat(number, kEpoch);
   REQUIRE(fleet.missing().empty());
 
-  fleet.report(2, Epoch{1});
+  fleet.receive_heartbeat(2, Epoch{1});
 
   CHECK(fleet.missing().empty());
 }
 
-TEST_CASE("FailureDetector takes a daemon as superseded once another incarnation speaks at its address") {
+TEST_CASE("FailureDetector takes a daemon as superseded once another incarnation sends heartbeats from its address") {
   Fleet fleet;
   const Daemon& store = fleet.metadata.directory.at(DaemonId{7});
-  fleet.report(7, kEpoch);
+  fleet.receive_heartbeat(7, kEpoch);
   CHECK_FALSE(fleet.detector.superseded(store, fleet.now));
 
   fleet.now += 1ms;
@@ -99,6 +109,6 @@
   CHECK(fleet.detector.superseded(store, fleet.now));
   CHECK_FALSE(fleet.detector.superseded(store, fleet.now + kHeartbeatTimeout));
   fleet.now += 1ms;
-  fleet.report(7, kEpoch);
+  fleet.receive_heartbeat(7, kEpoch);
   CHECK_FALSE(fleet.detector.superseded(store, fleet.now));
 }
--- a/tests/unit/consensus/proposer_test.cpp
+++ b/tests/unit/consensus/proposer_test.cpp
@@ -1,4 +1,5 @@
-// What the proposer answers whom, over every point of a network partition, on real controllers in a simulated world.
+// How the proposer answers commit requests wherever a network partition falls, on real controllers in a simulated
+// world.
 #include "simulation/world.hpp"
 #include "unit/catch.hpp"
 
@@ -9,8 +10,8 @@
 
 constexpr Duration kFoundingTimeout = 30000ms;
 constexpr Duration kSettleTime = 3000ms;
-/// As an operator's request has it.
-constexpr Duration kCommitTimeoutOfOperators = 900ms;
+/// Of an operator's request.
+constexpr Duration kOperatorCommitTimeout = 900ms;
 
 /// A small cluster with three controllers that know each other, and the replies that their local requesters got.
 struct SimulatedCore {
@@ -26,13 +27,13 @@
     world.run(kSettleTime);
   }
 
-  void commit(const std::string& controller, const Address& requester, const std::string& id,
+  void commit(const std::string& controller, const Address& requester, const std::string& commit_id,
               const Transformation& change, Duration timeout = {}) {
     Envelope envelope{};
     envelope.from = requester;
     envelope.cluster = view(controller)->cluster;
     envelope.epoch = view(controller)->epoch;
-    envelope.body = Commit{id, change, envelope.epoch, timeout.count()};
+    envelope.body = Commit{commit_id, change, envelope.epoch, timeout.count()};
     world.post(controller, envelope);
   }
 
@@ -81,7 +82,7 @@
   }
 }
 
-TEST_CASE("Proposer never proposes a commit again whose outcome was told to be unknown before any accept request") {
+TEST_CASE("Proposer does not propose a commit whose outcome it has answered as unknown before any accept request") {
   for (int i = 0; i < 40; ++i) {
     Duration healed_after = 930ms + 10ms * i;
     INFO("healed " << healed_after.count() << " ms after the commit");
@@ -89,7 +90,7 @@
     core.world.isolate("controller1");
 
     core.commit("controller1", "local:a", "a", empty_configuration(core.view("controller1")->revision, 9),
-                kCommitTimeoutOfOperators);
+                kOperatorCommitTimeout);
     core.world.run(healed_after);
     core.world.heal();
     core.world.run(5000ms);
@@ -99,7 +100,7 @@
   }
 }
 
-TEST_CASE("Proposer acknowledges one of two changes on one base, wherever a network partition falls") {
+TEST_CASE("Proposer commits one of two changes on one base, wherever a network partition falls") {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
     for (Duration isolated_after{}; isolated_after <= 16ms; ++isolated_after) {
       INFO("seed " << seed << ", isolated after " << isolated_after.count() << " ms");
@@ -108,16 +109,16 @@
       ApplyConfiguration first = empty_configuration(base, base.value() + 2);
       ApplyConfiguration second = empty_configuration(base, base.value() + 3);
 
-      core.commit("controller1", "local:first", "first", first, kCommitTimeoutOfOperators);
+      core.commit("controller1", "local:first", "first", first, kOperatorCommitTimeout);
       core.world.run(isolated_after);
       core.world.isolate("controller1");
       core.world.run(1000ms - isolated_after);
-      core.commit("controller2", "local:second", "second", second, kCommitTimeoutOfOperators);
+      core.commit("controller2", "local:second", "second", second, kOperatorCommitTimeout);
       core.world.run(Duration(200 * seed));
       core.world.heal();
       core.world.run(2000ms);
-      core.commit("controller3", "local:first again", "first", first, kCommitTimeoutOfOperators);
-      core.commit("controller1", "local:second again", "second", second, kCommitTimeoutOfOperators);
+      core.commit("controller3", "local:first again", "first", first, kOperatorCommitTimeout);
+      core.commit("controller1", "local:second again", "second", second, kOperatorCommitTimeout);
       core.world.run(2000ms);
 
       auto first_has = [&](CommitOutcome outcome) {
@@ -138,7 +139,7 @@
   }
 }
 
-TEST_CASE("Proposer acknowledges a repeated commit only after it has heard a majority, and never rejects it") {
+TEST_CASE("Proposer acknowledges a repeated commit only after a majority has answered, and never rejects it") {
   SimulatedCore core(3);
   Revision base = core.view("controller1")->revision;
   core.commit("controller2", "local:first", "a", empty_configuration(base, 9));
@@ -146,8 +147,8 @@
   REQUIRE(core.count_replies("local:first", CommitOutcome::committed) == 1);
 
   core.world.isolate("controller1");
-  core.commit("controller1", "local:repeated", "a", empty_configuration(base, 9), kCommitTimeoutOfOperators);
-  core.commit("controller1", "local:rival", "b", empty_configuration(base, 9), kCommitTimeoutOfOperators);
+  core.commit("controller1", "local:repeated", "a", empty_configuration(base, 9), kOperatorCommitTimeout);
+  core.commit("controller1", "local:rival", "b", empty_configuration(base, 9), kOperatorCommitTimeout);
   core.world.run(2000ms);
 
   CHECK(core.count_replies("local:repeated", CommitOutcome::committed) == 0);
@@ -156,8 +157,8 @@
 
   core.world.heal();
   core.world.run(2000ms);
-  core.commit("controller1", "local:repeated", "a", empty_configuration(base, 9), kCommitTimeoutOfOperators);
-  core.commit("controller1", "local:rival", "b", empty_configuration(base, 9), kCommitTimeoutOfOperators);
+  core.commit("controller1", "local:repeated", "a", empty_configuration(base, 9), kOperatorCommitTimeout);
+  core.commit("controller1", "local:rival", "b", empty_configuration(base, 9), kOperatorCommitTimeout);
   core.world.run(2000ms);
 
   CHECK(core.count_replies("local:repeated", CommitOutcome::committed) == 1);
@@ -173,11 +174,11 @@
       std::string number = std::to_string(i);
       std::string controller = "controller" + std::to_string(1 + i % 3);
       core.commit(controller, "local:change" + number, "change" + number, empty_configuration(base, 20 + i),
-                  kCommitTimeoutOfOperators);
-      core.commit(controller, "local:read" + number, "read" + number, RemoveReplica{""}, kCommitTimeoutOfOperators);
+                  kOperatorCommitTimeout);
+      core.commit(controller, "local:read" + number, "read" + number, RemoveReplica{""}, kOperatorCommitTimeout);
     }
 
-    core.world.run(kCommitTimeoutOfOperators);
+    core.world.run(kOperatorCommitTimeout);
 
     size_t committed = 0;
     size_t rejected = 0;
--- a/tests/unit/consensus/quorum_reader_test.cpp
+++ b/tests/unit/consensus/quorum_reader_test.cpp
@@ -1,46 +1,43 @@
-// What a quorum read takes for a confirmation.
-#include <catch2/catch.hpp>
-
-#include "consensus/constants.hpp"
+// Which replies confirm a quorum read.
 #include "consensus/quorum_reader.hpp"
+#include "consensus/constants.hpp"
 #include "runtime/constants.hpp"
+#include "unit/catch.hpp"
+#include "unit/consensus/controllers_fixture.hpp"
 
 using namespace mosskeel;
+using namespace mosskeel::test;
 
 namespace {
 
-constexpr TimePoint kReadStart = kProcessClockStart;
+constexpr TimePoint kStart = kProcessClockStart;
 constexpr uint64_t kLastTicket = 5;
 
-Candidate read_controller(uint64_t number) {
-  std::string address = "controller" + std::to_string(number);
-  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
-}
-
 /// A quorum read of three members that is under way at epoch 1.
 struct ReadInProgress {
-  Outbox outbox{Identity{read_controller(1), {}}};
+  Outbox outbox{Identity{controller(1), {}}};
   MetadataLog metadata_log;
   QuorumReader reader{outbox, metadata_log};
-  uint64_t id{};
+  /// Of the read's requests.
+  uint64_t read_id{};
 
   ReadInProgress() {
-    std::vector<Candidate> members{read_controller(1), read_controller(2), read_controller(3)};
+    std::vector<Candidate> members = three_controllers();
     metadata_log.add({Epoch{1}, "found", FoundCluster{7, 3, members}});
     std::map<Incarnation, Address> addresses;
     for (const Candidate& member : members)
       addresses[member.incarnation] = member.address;
-    reader.begin(addresses, kLastTicket, kReadStart);
+    reader.begin(addresses, kLastTicket, kStart);
     auto requests = outbox.take().now;
     REQUIRE(requests.size() == 3);
-    id = std::get<QuorumRead>(requests.front().body).id;
+    read_id = std::get<QuorumRead>(requests.front().body).id;
   }
 
-  std::optional<QuorumReader::Result> reply(uint64_t member, Epoch epoch, bool open = false) {
+  std::optional<QuorumReader::Result> reply(uint64_t member, Epoch epoch, bool instance_open = false) {
     Envelope envelope{};
     envelope.from = "controller" + std::to_string(member);
     envelope.from_incarnation = Incarnation{member};
-    return reader.handle(envelope, QuorumReadReply{id, epoch, open});
+    return reader.handle(envelope, QuorumReadReply{read_id, epoch, instance_open});
   }
 };
 
@@ -79,12 +76,12 @@
 
 TEST_CASE("QuorumReader times out, and is outdated once the log has moved on") {
   ReadInProgress read;
-  CHECK_FALSE(read.reader.is_timed_out(kReadStart + kProposalTimeout - 1ms));
-  CHECK(read.reader.is_timed_out(kReadStart + kProposalTimeout));
+  CHECK_FALSE(read.reader.is_timed_out(kStart + kProposalTimeout - 1ms));
+  CHECK(read.reader.is_timed_out(kStart + kProposalTimeout));
   CHECK_FALSE(read.reader.is_outdated());
   read.metadata_log.add({Epoch{2}, "a", ApplyConfiguration{Revision{0}, {}, Revision{1}}});
   CHECK(read.reader.is_outdated());
   read.reader.abandon();
-  CHECK_FALSE(read.reader.is_timed_out(kReadStart + kProposalTimeout));
+  CHECK_FALSE(read.reader.is_timed_out(kStart + kProposalTimeout));
   CHECK_FALSE(read.reply(2, Epoch{1}));
 }
--- a/tests/unit/consensus/stale_log_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -1,11 +1,13 @@
-// A controller that starts again with an old log decides and answers nothing before it holds the newest epoch.
+// A controller that restarts with an old log neither leads nor decides anything before it has caught up.
 #include "base/codec.hpp"
 #include "consensus/controller_machine.hpp"
 #include "messages/constants.hpp"
 #include "runtime/constants.hpp"
 #include "unit/catch.hpp"
+#include "unit/consensus/controllers_fixture.hpp"
 
 using namespace mosskeel;
+using namespace mosskeel::test;
 
 namespace {
 
@@ -13,11 +15,6 @@
 constexpr Duration kSeveralLeases = 10000ms;
 constexpr uint64_t kCluster = 7;
 
-Candidate controller(uint64_t number) {
-  std::string address = "controller" + std::to_string(number);
-  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
-}
-
 std::unique_ptr<ControllerMachine> start_controller_1(const ControllerCheckpoint& checkpoint,
                                                       std::vector<std::string> journal = {}) {
   Recovered recovered{Incarnation{1}, codec::encode(checkpoint), std::move(journal)};
@@ -33,7 +30,7 @@
   TimePoint now = kStart;
 
   RestartedController() {
-    apply_entry(old_metadata, {Epoch{1}, "", FoundCluster{kCluster, 3, {controller(1), controller(2), controller(3)}}});
+    apply_entry(old_metadata, {Epoch{1}, "", FoundCluster{kCluster, 3, three_controllers()}});
     newest_metadata = old_metadata;
     for (uint64_t number = 11; number <= 13; ++number) {
       Candidate store{Incarnation{number}, Role::store, "zone", "store" + std::to_string(number), "", "", ""};
@@ -111,7 +108,7 @@
   CHECK(controller.becomes_supervisor_with_grants_at(newest));
 }
 
-TEST_CASE("Proposer with an old log rejects no commit by it: it reads from a majority first") {
+TEST_CASE("Proposer with an old log reads from a majority before it rejects a commit") {
   RestartedController controller;
   Epoch old_epoch = controller.old_metadata.epoch;
   Epoch newest = controller.newest_metadata.epoch;
@@ -136,7 +133,7 @@
   CHECK(prepare->epoch == next(newest));
 }
 
-TEST_CASE("ControllerMachine with an old log takes nobody back by its answer to a catch-up request") {
+TEST_CASE("ControllerMachine with an old log sends no older value in reply to a catch-up request") {
   RestartedController controller;
   const Metadata& newest = controller.newest_metadata;
 
@@ -153,23 +150,23 @@
   CHECK(*log.view() == newest);
 }
 
-TEST_CASE("ControllerMachine does not take a snapshot of a generation that is over, and takes a later one") {
+TEST_CASE("ControllerMachine installs no snapshot of an earlier generation, but one of a later generation") {
   RestartedController controller;
-  Metadata over = controller.newest_metadata;
-  over.cluster = 6;
-  over.epoch = Epoch{100};
+  Metadata earlier_generation = controller.newest_metadata;
+  earlier_generation.cluster = 6;
+  earlier_generation.epoch = Epoch{100};
 
-  controller.receive(2, controller.old_metadata.epoch, CatchupReply{over.epoch, over, {}});
+  controller.receive(2, controller.old_metadata.epoch, CatchupReply{earlier_generation.epoch, earlier_generation, {}});
 
   CHECK(controller.machine->view()->cluster == kCluster);
   CHECK(controller.machine->view()->epoch == controller.old_metadata.epoch);
 
-  Metadata later = controller.newest_metadata;
-  later.cluster = next_cluster_id(kCluster, later.generation);
-  ++later.generation;
-  controller.receive(2, controller.old_metadata.epoch, CatchupReply{later.epoch, later, {}});
+  Metadata later_generation = controller.newest_metadata;
+  later_generation.cluster = next_cluster_id(kCluster, later_generation.generation);
+  ++later_generation.generation;
+  controller.receive(2, controller.old_metadata.epoch, CatchupReply{later_generation.epoch, later_generation, {}});
 
-  CHECK(*controller.machine->view() == later);
+  CHECK(*controller.machine->view() == later_generation);
 }
 
 TEST_CASE("ControllerMachine recovers the value before or after a snapshot that was being synced, never a mixture") {
@@ -181,7 +178,7 @@
   checkpoint.metadata = controller.old_metadata;
   checkpoint.open = next(controller.old_metadata.epoch);
   checkpoint.promised = {9, 9};
-  checkpoint.accepted = AcceptedProposal{{9, 9}, {checkpoint.open, "open", Register{::controller(4)}}};
+  checkpoint.accepted = AcceptedProposal{{9, 9}, {checkpoint.open, "open", Register{test::controller(4)}}};
 
   auto before_sync = start_controller_1(checkpoint);
   auto after_sync = start_controller_1(checkpoint, actions.journal);
--- a/tests/unit/consensus/supervisor_lease_test.cpp
+++ b/tests/unit/consensus/supervisor_lease_test.cpp
@@ -1,18 +1,15 @@
 // The supervisor's lease alone: grants of a member, and the holder's own time.
 #include "consensus/supervisor_lease.hpp"
 #include "unit/catch.hpp"
+#include "unit/consensus/controllers_fixture.hpp"
 
 using namespace mosskeel;
+using namespace mosskeel::test;
 
 namespace {
 
 constexpr TimePoint kStart{1000ms};
 
-Candidate controller(uint64_t number) {
-  std::string address = "controller" + std::to_string(number);
-  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
-}
-
 /// The lease of controller 1 in a core of three.
 struct LeaseOfMember {
   Outbox outbox{Identity{controller(1), {}}};
@@ -21,7 +18,7 @@
   SupervisorLease lease{outbox, metadata_log, detector, kStart};
 
   LeaseOfMember() {
-    FoundCluster founding{7, 3, {controller(1), controller(2), controller(3)}, 3, 0};
+    FoundCluster founding{7, 3, three_controllers(), 3, 0};
     REQUIRE(metadata_log.add({Epoch{1}, "found", founding}).size() == 1);
   }
 
