--- a/tests/unit/consensus/acceptor_test.cpp
+++ b/tests/unit/consensus/acceptor_test.cpp
@@ -65,9 +65,11 @@
   Entry entry = registration(kOpenEpoch, 4);
 
   CHECK(founded.reply_to<Accepted>(Accept{{5, 2}, entry}).granted);
+
   Promise promise = founded.reply_to<Promise>(Prepare{kOpenEpoch, {6, 3}});
 
   CHECK(promise.granted);
+
   REQUIRE(promise.accepted);
   CHECK(promise.accepted->ballot == Ballot{5, 2});
   CHECK(promise.accepted->entry == entry);
@@ -100,6 +102,7 @@
 
   Actions actions = founded.outbox.take();
   CHECK(actions.synced.empty());
+
   REQUIRE(actions.now.size() == 1);
   CHECK(std::get<CatchupReply>(actions.now.front().body).entries.size() == 1);
   CHECK(founded.acceptor.promised() == Ballot{});
@@ -112,6 +115,7 @@
 
   Actions actions = founded.outbox.take();
   CHECK(actions.synced.empty());
+
   REQUIRE(actions.now.size() == 1);
   CHECK(std::get<Catchup>(actions.now.front().body).known == Epoch{1});
   CHECK(founded.acceptor.promised() == Ballot{});
--- a/tests/unit/consensus/commit_queue_test.cpp
+++ b/tests/unit/consensus/commit_queue_test.cpp
@@ -43,6 +43,9 @@
   }
 };
 
+/// Rejected by every log.
+const RemoveReplica kInvalidChange{""};
+
 ApplyConfiguration empty_configuration() {
   return {Revision{0}, {}, Revision{1}};
 }
@@ -51,10 +54,12 @@
 
 TEST_CASE("CommitQueue gives a repeated request a later deadline and does not queue it twice") {
   QueueWithLog fixture;
-  CHECK(fixture.add("a", RemoveReplica{""}, kStart));
-  CHECK_FALSE(fixture.add("a", RemoveReplica{""}, kStart + 500ms));
+  CHECK(fixture.add("a", kInvalidChange, kStart));
+
+  CHECK_FALSE(fixture.add("a", kInvalidChange, kStart + 500ms));
+
   // Another requester of the same commit is answered separately.
-  CHECK(fixture.add("a", RemoveReplica{""}, kStart + 500ms, 0, "local:2"));
+  CHECK(fixture.add("a", kInvalidChange, kStart + 500ms, 0, "local:2"));
 
   CHECK(fixture.queue.expire(kStart + kAttemptTimeout).empty());
   CHECK(fixture.queue.expire(kStart + kAttemptTimeout + 499ms).empty());
@@ -64,15 +69,18 @@
 
 TEST_CASE("CommitQueue takes a requester's time-out only where it is shorter than the controller's") {
   QueueWithLog fixture;
-  fixture.add("short", RemoveReplica{""}, kStart, 100);
-  fixture.add("long", RemoveReplica{""}, kStart, kAttemptTimeout.count() * 10);
+  fixture.add("short", kInvalidChange, kStart, 100);
+  fixture.add("long", kInvalidChange, kStart, kAttemptTimeout.count() * 10);
 
   auto expired = fixture.queue.expire(kStart + 100ms);
+
   REQUIRE(expired.size() == 1);
   CHECK(expired.front().id == "short");
   CHECK(fixture.queue.expire(kStart + kAttemptTimeout).size() == 1);
+
   auto replies = fixture.take_replies();
   REQUIRE(replies.size() == 2);
+
   CHECK(replies[0].outcome == CommitOutcome::unknown);
   CHECK(replies[1].outcome == CommitOutcome::unknown);
 }
@@ -84,9 +92,12 @@
   fixture.append("a", empty_configuration());
 
   CHECK(fixture.queue.expire(kStart + kAttemptTimeout).empty());
+
   fixture.queue.acknowledge_first(kStart + kAttemptTimeout);
+
   auto replies = fixture.take_replies();
   REQUIRE(replies.size() == 1);
+
   CHECK(replies.front().outcome == CommitOutcome::committed);
 }
 
@@ -97,6 +108,7 @@
   fixture.append("a", empty_configuration());
   fixture.queue.acknowledge_first(kStart + 1ms);
   fixture.queue.acknowledge_in_force(kStart + kAttemptTimeout - 1ms);
+
   CHECK(fixture.take_replies().empty());
 
   SECTION("in force in time") {
@@ -104,6 +116,7 @@
     fixture.queue.acknowledge_in_force(kStart + kAttemptTimeout - 1ms);
     auto replies = fixture.take_replies();
     REQUIRE(replies.size() == 1);
+
     CHECK(replies.front().outcome == CommitOutcome::committed);
     CHECK(replies.front().epoch == Epoch{2});
   }
@@ -111,31 +124,38 @@
     fixture.queue.acknowledge_in_force(kStart + kAttemptTimeout);
     auto replies = fixture.take_replies();
     REQUIRE(replies.size() == 1);
+
     CHECK(replies.front().outcome == CommitOutcome::unknown);
   }
+
   // Nobody is answered twice.
   fixture.queue.acknowledge_in_force(kStart + kAttemptTimeout * 2);
   CHECK(fixture.take_replies().empty());
 }
 
-TEST_CASE("CommitQueue rejects no request that came after the confirmed ones, and none behind one that applies") {
+TEST_CASE("CommitQueue rejects an invalid request that is confirmed, and none that came after the confirmed ones") {
   QueueWithLog fixture;
-  fixture.add("bad", RemoveReplica{""}, kStart);
+  fixture.add("bad", kInvalidChange, kStart);
   uint64_t confirmed = fixture.queue.last_ticket();
-  fixture.add("later", RemoveReplica{""}, kStart);
+  fixture.add("later", kInvalidChange, kStart);
 
   fixture.queue.answer_up_to(confirmed, kStart);
+
   auto replies = fixture.take_replies();
   REQUIRE(replies.size() == 1);
+
   CHECK(replies.front().id == "bad");
   CHECK(replies.front().outcome == CommitOutcome::rejected);
   CHECK(fixture.queue.first().id == "later");
+}
 
-  fixture.queue.expire(kStart + kAttemptTimeout);
-  fixture.take_replies();
+TEST_CASE("CommitQueue rejects no request behind a valid one") {
+  QueueWithLog fixture;
   fixture.add("good", empty_configuration(), kStart);
-  fixture.add("bad again", RemoveReplica{""}, kStart);
+  fixture.add("bad", kInvalidChange, kStart);
+
   fixture.queue.answer_up_to(fixture.queue.last_ticket(), kStart);
+
   CHECK(fixture.take_replies().empty());
   CHECK(fixture.queue.first().id == "good");
 }
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -17,6 +17,13 @@
 constexpr Duration kCatchUpTime = 4200ms;
 /// A cluster is founded and its supervisor at work by then.
 constexpr Duration kFoundingTime = 8000ms;
+/// A core of four is founded and complete within this time of the first start.
+constexpr Duration kFullCoreTimeout = 12000ms;
+/// A member that returns is in the core again within this time.
+constexpr Duration kReadmissionTimeout = 8000ms;
+
+/// Members with which a cluster is founded.
+constexpr uint32_t kCoreSize = 3;
 
 const std::set<std::string> kFirstThree{"controller1", "controller2", "controller3"};
 
@@ -24,12 +31,14 @@
 struct SimulatedControllers {
   World world;
 
-  SimulatedControllers(uint64_t seed, int controllers, uint32_t core_size = 3, bool later_start = false)
+  enum class Start { first, later };
+
+  SimulatedControllers(uint64_t seed, int controllers, Start start = Start::first)
       : world(seed, {controllers, 0, 0, 0, 3, 0}) {
     world.configure = [=](Identity& identity) {
-      identity.core_size = core_size;
+      identity.core_size = kCoreSize;
       identity.max_core_size = kMaxCoreSize;
-      identity.later_start = later_start;
+      identity.later_start = start == Start::later;
     };
     for (const std::string& name : names()) {
       world.wipe(name);
@@ -110,9 +119,12 @@
     SimulatedControllers cluster(seed, 5);
     cluster.partition({"controller1", "controller2"}, {"controller3", "controller4", "controller5"});
     cluster.world.run(20000ms);
+
     CHECK(cluster.clusters().size() == 1);
+
     cluster.world.heal();
     cluster.world.run(10000ms);
+
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
   }
@@ -138,14 +150,17 @@
     cluster.world.heal();
     cluster.world.net.loss = 0;
     cluster.world.run(10000ms);
+
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
   }
 }
 
 TEST_CASE("Founding never happens on empty disks at a later start") {
-  SimulatedControllers cluster(3, 3, 3, true);
+  SimulatedControllers cluster(3, 3, SimulatedControllers::Start::later);
+
   cluster.world.run(60000ms);
+
   CHECK(cluster.clusters().empty());
 }
 
@@ -179,6 +194,7 @@
     cluster.world.run(15000ms);
     cluster.world.heal();
     cluster.world.run(10000ms);
+
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
   }
@@ -186,9 +202,8 @@
 
 TEST_CASE("CoreMembershipPolicy admits all running controllers, one at a time, each with the log on its disk") {
   SimulatedControllers cluster(5, 5);
-  std::set<std::string> all;
-  for (const std::string& name : cluster.names())
-    all.insert(name);
+  auto names = cluster.names();
+  std::set<std::string> all(names.begin(), names.end());
   size_t members_before = 0;
   auto grows_by_one_to_five = [&] {
     MetadataSnapshot metadata = cluster.metadata();
@@ -201,11 +216,14 @@
       members_before = members;
     return members == 5;
   };
+
   CHECK(cluster.world.until(15000ms, grows_by_one_to_five));
   CHECK(cluster.members() == all);
+
   for (int i = 6; i <= 11; ++i)
     cluster.world.add("controller" + std::to_string(i), Kind::controller, "a");
   cluster.world.run(30000ms);
+
   CHECK(cluster.members().size() == kMaxCoreSize);
   cluster.check_no_failures();
 }
@@ -226,6 +244,7 @@
     expected.erase(lost);
     expected.insert("controller9");
     TimePoint start = cluster.world.now();
+
     CHECK(cluster.wait_for_members(2 * kCatchUpTime, expected));
     longest = std::max(longest, cluster.world.now() - start);
     cluster.check_no_failures();
@@ -248,6 +267,7 @@
     cluster.world.start(lost);
     TimePoint start = cluster.world.now();
     Incarnation incarnation = cluster.world.node(lost).id.self.incarnation;
+
     CHECK(cluster.world.until(2 * kCatchUpTime, [&] { return cluster.metadata()->is_core_member(incarnation); }));
     longest = std::max(longest, cluster.world.now() - start);
     cluster.check_no_failures();
@@ -269,9 +289,12 @@
       cluster.world.add("controller" + std::to_string(6 + i), Kind::controller, "a");
       cluster.world.run(kCatchUpTime);
     }
+
     CHECK(cluster.members() == std::set<std::string>{"controller3", "controller7", "controller8"});
-    cluster.world.power_off("controller3");
+
     Epoch before = cluster.metadata()->epoch;
+    cluster.world.power_off("controller3");
+
     CHECK(cluster.world.until(6000ms, [&] { return cluster.metadata()->epoch > before; }));
     cluster.check_no_failures();
   }
@@ -282,12 +305,14 @@
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 4);
     cluster.forbid_founding_on_empty_disks();
-    REQUIRE(cluster.wait_for_member_count(12000ms, 4));
+    REQUIRE(cluster.wait_for_member_count(kFullCoreTimeout, 4));
     std::string lost = "controller" + std::to_string(1 + seed % 4);
     cluster.world.power_off(lost);
+
     CHECK(cluster.wait_for_member_count(5000ms, 3));
+
     cluster.world.start(lost);
-    CHECK(cluster.wait_for_member_count(8000ms, 4));
+    CHECK(cluster.wait_for_member_count(kReadmissionTimeout, 4));
     cluster.check_no_failures();
   }
 }
@@ -297,12 +322,14 @@
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 4);
     cluster.forbid_founding_on_empty_disks();
-    REQUIRE(cluster.wait_for_member_count(12000ms, 4));
+    REQUIRE(cluster.wait_for_member_count(kFullCoreTimeout, 4));
     std::string frozen = "controller" + std::to_string(1 + seed % 4);
     cluster.world.freeze(frozen);
     cluster.world.run(60000ms);
     cluster.world.wake(frozen);
-    CHECK(cluster.world.until(8000ms, [&] { return cluster.members().size() == 4; }));
+
+    CHECK(cluster.world.until(kReadmissionTimeout, [&] { return cluster.members().size() == 4; }));
+
     Epoch epoch = cluster.metadata()->epoch;
     for (int i = 0; i < 10; ++i) {
       cluster.world.freeze(frozen);
@@ -310,7 +337,9 @@
       cluster.world.wake(frozen);
       cluster.world.run(300ms);
     }
+
     CHECK(cluster.metadata()->epoch.value() <= epoch.value() + 4);
+
     cluster.world.run(8000ms);
     CHECK(cluster.members().size() == 4);
     CHECK(cluster.clusters().size() == 1);
@@ -329,9 +358,12 @@
     cluster.world.run(1000ms);
     cluster.world.start("controller2");
     cluster.world.run(60000ms);
+
     CHECK(cluster.metadata()->generation == 1);
+
     cluster.world.wake("controller1");
     cluster.world.run(10000ms);
+
     CHECK(cluster.metadata()->generation == 1);
     CHECK(cluster.members() == kFirstThree);
     CHECK(cluster.clusters().size() == 1);
@@ -339,6 +371,21 @@
   }
 }
 
+namespace {
+
+void send_discover(SimulatedControllers& cluster, const Candidate& sender, const std::string& receiver) {
+  Envelope envelope{};
+  envelope.protocol = kProtocolRevision;
+  envelope.cluster = cluster.metadata()->cluster;
+  envelope.from = sender.address;
+  envelope.from_incarnation = sender.incarnation;
+  envelope.to = receiver;
+  envelope.body = Discover{sender};
+  cluster.world.post(receiver, envelope);
+}
+
+}  // namespace
+
 TEST_CASE("Refounding does not take late messages of an earlier controller at a member's address as its loss") {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
@@ -355,22 +402,18 @@
     }
     REQUIRE(cluster.members() == kFirstThree);
     cluster.partition({"controller1"}, {"controller2", "controller3"});
+
     for (int i = 0; i < 100; ++i) {
-      for (const Candidate& predecessor : predecessors) {
-        Envelope envelope{};
-        envelope.protocol = kProtocolRevision;
-        envelope.cluster = cluster.metadata()->cluster;
-        envelope.from = predecessor.address;
-        envelope.from_incarnation = predecessor.incarnation;
-        envelope.to = "controller1";
-        envelope.body = Discover{predecessor};
-        cluster.world.post("controller1", envelope);
-      }
+      for (const Candidate& predecessor : predecessors)
+        send_discover(cluster, predecessor, "controller1");
       cluster.world.run(100ms);
     }
+
     CHECK(cluster.metadata()->generation == 1);
+
     cluster.world.heal();
     cluster.world.run(10000ms);
+
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
   }
@@ -415,6 +458,7 @@
     cluster.world.run(kFoundingTime);
     refound_and_restore_disks(cluster, {"controller2", "controller3"}, {"controller3"}, seed % 2 ? 5000ms : 200ms);
     cluster.world.run(20000ms);
+
     CHECK(cluster.metadata()->generation == 2);
     CHECK(cluster.members() == kFirstThree);
     CHECK(cluster.metadata()->is_core_member(cluster.world.node("controller3").id.self.incarnation));
@@ -432,6 +476,7 @@
     refound_and_restore_disks(cluster, {"controller2", "controller3"}, {"controller2", "controller3"},
                               seed % 2 ? 5000ms : 200ms);
     cluster.world.run(20000ms);
+
     CHECK(cluster.metadata()->generation >= 2);
     CHECK(cluster.clusters().size() == 1);
     cluster.check_no_failures();
@@ -444,18 +489,22 @@
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 4);
     cluster.forbid_founding_on_empty_disks();
-    REQUIRE(cluster.wait_for_member_count(12000ms, 4));
+    REQUIRE(cluster.wait_for_member_count(kFullCoreTimeout, 4));
     REQUIRE(cluster.world.until(5000ms, [&] { return !cluster.supervisor().empty(); }));
     std::string leaver = cluster.supervisor();
     TimePoint start = cluster.world.now();
     sim::Node& node = cluster.world.node(leaver);
     static_cast<ControllerMachine&>(*node.machine).begin_shutdown(cluster.world.clock(node));
+
     CHECK(cluster.world.until(1000ms, [&] { return !node.machine; }));
     CHECK(cluster.world.until(2000ms,
                               [&] { return cluster.members().count(leaver) == 0 && !cluster.supervisor().empty(); }));
+
     longest = std::max(longest, cluster.world.now() - start);
+
     cluster.world.start(leaver);
-    CHECK(cluster.wait_for_member_count(8000ms, 4));
+
+    CHECK(cluster.wait_for_member_count(kReadmissionTimeout, 4));
     cluster.check_no_failures();
   }
   INFO("longest " << longest.count() << " ms");
--- a/tests/unit/consensus/in_force_test.cpp
+++ b/tests/unit/consensus/in_force_test.cpp
@@ -8,6 +8,8 @@
 
 constexpr TimePoint kStart{1000ms};
 constexpr Epoch kEpoch{5};
+/// The number of the only store.
+constexpr uint64_t kStore = 7;
 
 /// Daemon `number`, whose incarnation is its number, too.
 Candidate numbered_daemon(uint64_t number, Role role) {
@@ -79,7 +81,9 @@
     fleet.receive_heartbeat(number, kEpoch);
 
   CHECK_FALSE(fleet.missing().empty());
+
   fleet.now += 1ms;
+
   CHECK(fleet.missing().empty());
 }
 
@@ -94,21 +98,24 @@
   CHECK(fleet.missing().empty());
 }
 
-TEST_CASE("FailureDetector takes a daemon as superseded once another incarnation sends heartbeats from its address") {
+TEST_CASE("FailureDetector takes a daemon as superseded while another incarnation sends heartbeats from its address") {
   Fleet fleet;
-  const Daemon& store = fleet.metadata.directory.at(DaemonId{7});
-  fleet.receive_heartbeat(7, kEpoch);
+  const Daemon& store = fleet.metadata.directory.at(DaemonId{kStore});
+  fleet.receive_heartbeat(kStore, kEpoch);
+
   CHECK_FALSE(fleet.detector.superseded(store, fleet.now));
 
   fleet.now += 1ms;
-  Heartbeat successor{};
-  successor.self = store.self;
-  successor.self.incarnation = Incarnation{70};
-  fleet.detector.record(successor, fleet.now);
+  Heartbeat of_successor{};
+  of_successor.self = store.self;
+  of_successor.self.incarnation = Incarnation{70};
+  fleet.detector.record(of_successor, fleet.now);
 
   CHECK(fleet.detector.superseded(store, fleet.now));
   CHECK_FALSE(fleet.detector.superseded(store, fleet.now + kHeartbeatTimeout));
+
   fleet.now += 1ms;
-  fleet.receive_heartbeat(7, kEpoch);
+  fleet.receive_heartbeat(kStore, kEpoch);
+
   CHECK_FALSE(fleet.detector.superseded(store, fleet.now));
 }
--- a/tests/unit/consensus/proposer_test.cpp
+++ b/tests/unit/consensus/proposer_test.cpp
@@ -63,17 +63,18 @@
 }  // namespace
 
 TEST_CASE("Proposer rejects no commit that came after the quorum read began") {
+  constexpr Duration kSecondCommitAfter = 1500ms;
   for (int i = 0; i < 60; ++i) {
-    Duration healed_after = 1500ms + 10ms * i;
+    Duration healed_after = kSecondCommitAfter + 10ms * i;
     INFO("healed " << healed_after.count() << " ms after the first commit");
     SimulatedCore core(7);
     core.world.net.delay = 100ms;
     core.world.isolate("controller1");
 
     core.commit("controller1", "local:bad", "bad", RemoveReplica{""});
-    core.world.run(1500ms);
+    core.world.run(kSecondCommitAfter);
     core.commit("controller1", "local:good", "good", empty_configuration(core.view("controller1")->revision, 9));
-    core.world.run(healed_after - 1500ms);
+    core.world.run(healed_after - kSecondCommitAfter);
     core.world.heal();
     core.world.run(5000ms);
 
@@ -128,6 +129,7 @@
         return core.count_replies("local:second", outcome) + core.count_replies("local:second again", outcome) > 0;
       };
       bool first_committed = first_has(CommitOutcome::committed);
+
       CHECK(first_committed != second_has(CommitOutcome::committed));
       CHECK(first_committed != first_has(CommitOutcome::rejected));
       CHECK(first_committed == second_has(CommitOutcome::rejected));
@@ -166,11 +168,12 @@
 }
 
 TEST_CASE("Proposer commits one of eight changes at once on one base, and answers them and as many reads") {
+  constexpr uint64_t kChanges = 8;
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     INFO("seed " << seed);
     SimulatedCore core(seed);
     Revision base = core.view("controller1")->revision;
-    for (uint64_t i = 0; i < 8; ++i) {
+    for (uint64_t i = 0; i < kChanges; ++i) {
       std::string number = std::to_string(i);
       std::string controller = "controller" + std::to_string(1 + i % 3);
       core.commit(controller, "local:change" + number, "change" + number, empty_configuration(base, 20 + i),
@@ -183,12 +186,13 @@
     size_t committed = 0;
     size_t rejected = 0;
     size_t reads = 0;
-    for (uint64_t i = 0; i < 8; ++i) {
+    for (uint64_t i = 0; i < kChanges; ++i) {
       std::string number = std::to_string(i);
       committed += core.count_replies("local:change" + number, CommitOutcome::committed);
       rejected += core.count_replies("local:change" + number, CommitOutcome::rejected);
       reads += core.count_replies("local:read" + number, CommitOutcome::rejected);
     }
+
     CHECK(committed == 1);
     CHECK(rejected == 7);
     CHECK(reads == 8);
--- a/tests/unit/consensus/quorum_reader_test.cpp
+++ b/tests/unit/consensus/quorum_reader_test.cpp
@@ -12,6 +12,8 @@
 
 constexpr TimePoint kStart = kProcessClockStart;
 constexpr uint64_t kLastTicket = 5;
+/// The number of a controller outside the core.
+constexpr uint64_t kNoMember = 9;
 
 /// A quorum read of three members that is under way at epoch 1.
 struct ReadInProgress {
@@ -47,8 +49,10 @@
   ReadInProgress read;
   CHECK_FALSE(read.reply(2, Epoch{1}));
   CHECK_FALSE(read.reply(2, Epoch{1}));
-  CHECK_FALSE(read.reply(9, Epoch{1}));
+  CHECK_FALSE(read.reply(kNoMember, Epoch{1}));
+
   auto result = read.reply(3, Epoch{1});
+
   REQUIRE(result);
   CHECK(result->epoch == Epoch{1});
   CHECK(result->last_ticket == kLastTicket);
@@ -59,29 +63,46 @@
 TEST_CASE("QuorumReader reports an open instance where one member has accepted a proposal") {
   ReadInProgress read;
   CHECK_FALSE(read.reply(2, Epoch{1}, true));
+
   auto result = read.reply(3, Epoch{1});
+
   REQUIRE(result);
   CHECK(result->instance_open);
 }
 
 TEST_CASE("QuorumReader is not confirmed by a member with a later epoch, but asks it for the entries") {
   ReadInProgress read;
+
   CHECK_FALSE(read.reply(2, Epoch{2}));
+
   auto messages = read.outbox.take().now;
   REQUIRE(messages.size() == 1);
+
   CHECK(std::get<Catchup>(messages.front().body).known == Epoch{1});
   CHECK_FALSE(read.reply(1, Epoch{1}));
   CHECK(read.reader.in_progress());
 }
 
-TEST_CASE("QuorumReader times out, and is outdated once the log has moved on") {
+TEST_CASE("QuorumReader times out after the proposal time-out") {
   ReadInProgress read;
   CHECK_FALSE(read.reader.is_timed_out(kStart + kProposalTimeout - 1ms));
   CHECK(read.reader.is_timed_out(kStart + kProposalTimeout));
+}
+
+TEST_CASE("QuorumReader is outdated once the log has a later epoch") {
+  ReadInProgress read;
   CHECK_FALSE(read.reader.is_outdated());
+
   read.metadata_log.add({Epoch{2}, "a", ApplyConfiguration{Revision{0}, {}, Revision{1}}});
+
   CHECK(read.reader.is_outdated());
+}
+
+TEST_CASE("QuorumReader that was abandoned neither times out nor takes replies") {
+  ReadInProgress read;
+
   read.reader.abandon();
+
   CHECK_FALSE(read.reader.is_timed_out(kStart + kProposalTimeout));
   CHECK_FALSE(read.reply(2, Epoch{1}));
 }
--- a/tests/unit/consensus/sequence_barrier_test.cpp
+++ b/tests/unit/consensus/sequence_barrier_test.cpp
@@ -7,43 +7,67 @@
 using namespace mosskeel;
 using mosskeel::test::StoreFleet;
 
-TEST_CASE("A step that moves partitions needs a recent heartbeat of each new store that has streamed this sequence") {
-  StoreFleet fleet(8);
+namespace {
+
+/// Eight stores of which "store11" drains; the sequence has taken its first step.
+struct DrainingStore {
+  StoreFleet fleet{8};
   TimePoint now{1000ms};
-  FailureDetector detector(now);
-  auto leaver = fleet.id("store11");
-  fleet.commit(PrepareDrain{leaver});
-  fleet.commit(AdvanceSequence{leaver, SequenceStep::start});
-  auto started_epoch = fleet.metadata.epoch;
-  auto sequence = [&] {
-    return fleet.metadata.sequences.at(leaver);
-  };
-  auto new_stores = sequence_barrier::newcomers(fleet.metadata, sequence());
-  REQUIRE(new_stores.size() > 1);
-  CHECK(new_stores.count(leaver) == 0);
-  auto all_report = [&](Epoch streamed) {
-    for (auto id : new_stores) {
+  FailureDetector detector{now};
+  DaemonId draining = fleet.id("store11");
+  Epoch started_epoch;
+  /// The stores that are to take the partitions.
+  std::set<DaemonId> new_stores;
+
+  DrainingStore() {
+    fleet.commit(PrepareDrain{draining});
+    fleet.commit(AdvanceSequence{draining, SequenceStep::start});
+    started_epoch = fleet.metadata.epoch;
+    new_stores = sequence_barrier::newcomers(fleet.metadata, sequence());
+    REQUIRE(new_stores.size() > 1);
+    CHECK(new_stores.count(draining) == 0);
+  }
+
+  const Sequence& sequence() const { return fleet.metadata.sequences.at(draining); }
+
+  /// A heartbeat of each new store, which has streamed the sequence of this epoch.
+  void receive_heartbeats(Epoch streamed) {
+    for (DaemonId id : new_stores) {
       Heartbeat heartbeat{};
       heartbeat.self = fleet.metadata.find(id)->self;
       heartbeat.known = fleet.metadata.epoch;
       heartbeat.streamed = streamed;
       detector.record(heartbeat, now);
     }
-  };
-  auto is_streamed = [&] {
-    return sequence_barrier::is_streamed(fleet.metadata, sequence(), detector, now);
-  };
-
-  all_report(Epoch{started_epoch.value() - 1});
-  CHECK_FALSE(is_streamed());
-  all_report(started_epoch);
-  CHECK(is_streamed());
-  now += kHeartbeatTimeout + 1ms;
-  CHECK_FALSE(is_streamed());
-  all_report(started_epoch);
-  fleet.commit(AdvanceSequence{leaver, SequenceStep::mid});
-  CHECK(is_streamed());
-  fleet.commit(MarkDown{*new_stores.begin()});
-  CHECK_FALSE(is_streamed());
-  CHECK(sequence_barrier::has_lost_target(fleet.metadata, sequence()));
+  }
+
+  bool is_streamed() const { return sequence_barrier::is_streamed(fleet.metadata, sequence(), detector, now); }
+};
+
+}  // namespace
+
+TEST_CASE("A step that moves partitions needs a recent heartbeat of each new store that has streamed this sequence") {
+  DrainingStore drain;
+
+  drain.receive_heartbeats(Epoch{drain.started_epoch.value() - 1});
+  CHECK_FALSE(drain.is_streamed());
+
+  drain.receive_heartbeats(drain.started_epoch);
+  CHECK(drain.is_streamed());
+
+  drain.now += kHeartbeatTimeout + 1ms;
+  CHECK_FALSE(drain.is_streamed());
+}
+
+TEST_CASE("The last step of a sequence needs that all new stores are up") {
+  DrainingStore drain;
+  drain.receive_heartbeats(drain.started_epoch);
+  drain.fleet.commit(AdvanceSequence{drain.draining, SequenceStep::mid});
+
+  CHECK(drain.is_streamed());
+
+  drain.fleet.commit(MarkDown{*drain.new_stores.begin()});
+
+  CHECK_FALSE(drain.is_streamed());
+  CHECK(sequence_barrier::has_lost_target(drain.fleet.metadata, drain.sequence()));
 }
--- a/tests/unit/consensus/stale_log_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -14,6 +14,8 @@
 constexpr TimePoint kStart = kProcessClockStart;
 constexpr Duration kSeveralLeases = 10000ms;
 constexpr uint64_t kCluster = 7;
+/// The id of another cluster, no successor of `kCluster`.
+constexpr uint64_t kEarlierCluster = 6;
 
 std::unique_ptr<ControllerMachine> start_controller_1(const ControllerCheckpoint& checkpoint,
                                                       std::vector<std::string> journal = {}) {
@@ -105,6 +107,7 @@
   Epoch newest = controller.newest_metadata.epoch;
   controller.receive(2, newest, CatchupReply{newest, std::nullopt, controller.missing_entries});
   REQUIRE(controller.machine->view()->epoch == newest);
+
   CHECK(controller.becomes_supervisor_with_grants_at(newest));
 }
 
@@ -118,18 +121,22 @@
 
   Actions actions = controller.receive(2, old_epoch, Commit{"change", MarkDown{store}, {}, 0});
   CHECK(find_message<CommitReply>(actions.synced) == nullptr);
+
   const QuorumRead* read = find_message<QuorumRead>(actions.now);
   REQUIRE(read != nullptr);
   uint64_t read_id = read->id;
 
   controller.receive(1, old_epoch, QuorumReadReply{read_id, old_epoch, false});
   actions = controller.receive(2, newest, QuorumReadReply{read_id, newest, false});
+
   CHECK(find_message<CommitReply>(actions.synced) == nullptr);
 
   actions = controller.receive(2, newest, CatchupReply{newest, std::nullopt, controller.missing_entries});
   CHECK(find_message<CommitReply>(actions.synced) == nullptr);
+
   const Prepare* prepare = find_message<Prepare>(actions.now);
   REQUIRE(prepare != nullptr);
+
   CHECK(prepare->epoch == next(newest));
 }
 
@@ -140,30 +147,40 @@
   Actions actions = controller.receive(2, newest.epoch, Catchup{newest.epoch});
   const CatchupReply* reply = find_message<CatchupReply>(actions.now);
   REQUIRE(reply != nullptr);
+
   CHECK_FALSE(reply->checkpoint);
   CHECK(reply->entries.empty());
+}
 
+TEST_CASE("MetadataLog neither installs an older snapshot nor adds an entry that it has") {
+  RestartedController controller;
+  const Metadata& newest = controller.newest_metadata;
   MetadataLog log;
   REQUIRE(log.install_snapshot(newest));
+
   CHECK_FALSE(log.install_snapshot(controller.old_metadata));
   CHECK(log.add(controller.missing_entries.front()).empty());
   CHECK(*log.view() == newest);
 }
 
-TEST_CASE("ControllerMachine installs no snapshot of an earlier generation, but one of a later generation") {
+TEST_CASE("ControllerMachine installs no snapshot of an earlier generation") {
   RestartedController controller;
   Metadata earlier_generation = controller.newest_metadata;
-  earlier_generation.cluster = 6;
+  earlier_generation.cluster = kEarlierCluster;
   earlier_generation.epoch = Epoch{100};
 
   controller.receive(2, controller.old_metadata.epoch, CatchupReply{earlier_generation.epoch, earlier_generation, {}});
 
   CHECK(controller.machine->view()->cluster == kCluster);
   CHECK(controller.machine->view()->epoch == controller.old_metadata.epoch);
+}
 
+TEST_CASE("ControllerMachine installs a snapshot of a later generation") {
+  RestartedController controller;
   Metadata later_generation = controller.newest_metadata;
   later_generation.cluster = next_cluster_id(kCluster, later_generation.generation);
   ++later_generation.generation;
+
   controller.receive(2, controller.old_metadata.epoch, CatchupReply{later_generation.epoch, later_generation, {}});
 
   CHECK(*controller.machine->view() == later_generation);
@@ -185,9 +202,11 @@
 
   CHECK(*before_sync->view() == controller.old_metadata);
   CHECK(*after_sync->view() == newest);
-  // The instance that was open at the old epoch is over with the snapshot: its promise and acceptance count no more.
+
+  // The snapshot ends the instance that was open at the old epoch: its promise and acceptance count no more.
   auto kept = codec::decode<ControllerCheckpoint>(after_sync->checkpoint());
   REQUIRE(kept);
+
   CHECK(kept->open == next(newest.epoch));
   CHECK_FALSE(kept->accepted);
   CHECK(kept->promised == Ballot{});
--- a/tests/unit/consensus/supervisor_lease_test.cpp
+++ b/tests/unit/consensus/supervisor_lease_test.cpp
@@ -57,8 +57,10 @@
   LeaseOfMember member;
 
   CHECK_FALSE(member.grants(2, kStart + kSupervisorLeaseDuration - 1ms));
+
   TimePoint granted_at = kStart + kSupervisorLeaseDuration;
   CHECK(member.grants(2, granted_at));
+
   CHECK_FALSE(member.grants(3, granted_at + kSupervisorLeaseDuration - 1ms));
   CHECK(member.grants(2, granted_at + kSupervisorLeaseDuration - 1ms));
   CHECK(member.grants(3, granted_at + 2 * kSupervisorLeaseDuration));
@@ -81,6 +83,7 @@
 
   holder.receive_grant(1, request_id, requested_at + 10ms);
   CHECK_FALSE(holder.lease.is_held(requested_at + 10ms));
+
   holder.receive_grant(2, request_id, requested_at + 20ms);
 
   TimePoint end = requested_at + kSupervisorLeaseDuration - kSupervisorLeaseMargin;
@@ -115,6 +118,7 @@
   holder.lease.resign();
 
   CHECK_FALSE(holder.lease.is_held(requested_at + 10ms));
+
   holder.lease.tick(requested_at + kSupervisorLeaseRenewInterval);
   CHECK(holder.outbox.take().now.empty());
 }
