--- a/tests/unit/replication/agent_shutdown_test.cpp
+++ b/tests/unit/replication/agent_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// When an agent that was told to shut down stops: it is its gateway's link to the core and outlives it.
+// When an agent that shuts down stops: not before its gateway, whose connection to the core it is.
 #include "replication/agent_machine.hpp"
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
@@ -60,6 +60,7 @@
   AgentMachine agent(agent_identity(), now);
   agent.step(heartbeat_of(gateway_of_incarnation(1), true, now), now);
   agent.leave();
+
   CHECK_FALSE(stops_within(agent, now, 3 * kTickInterval));
 
   agent.step(heartbeat_of(gateway_of_incarnation(2), false, now), now);
--- a/tests/unit/replication/catchup_test.cpp
+++ b/tests/unit/replication/catchup_test.cpp
@@ -1,4 +1,4 @@
-// Members that come back, or come new, after many changes while further ones go on: how soon and for how many bytes.
+// How soon, and for how many bytes, a daemon that returns or is new catches up with the log while changes go on.
 #include "base/codec.hpp"
 #include "messages/constants.hpp"
 #include "simulation/world.hpp"
@@ -9,22 +9,22 @@
 
 namespace {
 
-/// Between changes, as in a storm of an operator's.
+/// Between changes, as when an operator changes a lot at once.
 constexpr Duration kChangeInterval = 120ms;
 /// For one change, elections included.
 constexpr Duration kChangeTimeout = 10000ms;
 /// A heartbeat, a lost request and the reply.
 constexpr Duration kMaxCatchUpTime = 1500ms;
-/// Discovery and registration come before.
-constexpr Duration kMaxNewMemberCatchUpTime = 4000ms;
-/// Changes that go on while a member catches up.
+/// Of a daemon with an empty disk: discovery and registration come first.
+constexpr Duration kMaxNewDaemonCatchUpTime = 4000ms;
+/// Changes that are committed while a daemon catches up.
 constexpr int kChangesMeanwhile = 8;
-/// Changes after which a member that has not caught up is given up.
+/// Changes after which a daemon that has not caught up is given up.
 constexpr int kMaxChangesMeanwhile = 60;
 
-enum class Absence { killed, frozen, wiped, cut_off, not_there_yet };
+enum class Absence { killed, frozen, wiped, isolated, not_added_yet };
 
-/// What it took a member to catch up.
+/// What it took a daemon to catch up.
 struct CatchUpCost {
   /// From its return; unset while it has not caught up.
   std::optional<Duration> time;
@@ -38,57 +38,43 @@
 class Fleet {
  public:
   explicit Fleet(size_t paths) : world_(1, {3, 3, 2}) {
-    world_.local = [this](sim::Node&, const Envelope& e) {
-      if (auto* r = std::get_if<CommitReply>(&e.body); r && r->id == commit_id_)
-        outcome_ = r->outcome;
+    world_.local = [this](sim::Node&, const Envelope& envelope) {
+      auto* reply = std::get_if<CommitReply>(&envelope.body);
+      if (reply && reply->id == commit_id_)
+        outcome_ = reply->outcome;
     };
     configuration_.cells = {{"cell", 1000, 1000, 60000, {}}};
     configuration_.services = {{"service", "/health", 4, 0, 1.0, 0, 0, 0}};
     for (size_t i = 0; i < paths; ++i)
-      configuration_.paths.push_back({"path " + std::to_string(i),
-                                      "host",
-                                      "/prefix/" + std::to_string(i) + "/",
-                                      "safe",
-                                      1000,
-                                      500,
-                                      0,
-                                      2,
-                                      false,
-                                      0,
-                                      false,
-                                      false,
-                                      0,
-                                      {{"service", 1}}});
+      configuration_.paths.push_back(numbered_path(i));
     REQUIRE(world_.until(10000ms, [this] { return world_.ready("gateway1") && world_.ready("gateway2"); }));
     world_.run(3000ms);
   }
 
-  sim::World& world() { return world_; }
+  /// The latest metadata that any daemon knows.
   MetadataSnapshot newest() {
-    MetadataSnapshot best = std::make_shared<Metadata>();
-    for (auto kind : {Kind::controller, Kind::store, Kind::agent})
-      for (auto& name : world_.names(kind))
-        if (auto* machine = world_.node(name).machine.get(); machine && machine->view()->epoch > best->epoch)
-          best = machine->view();
-    return best;
+    MetadataSnapshot newest = std::make_shared<Metadata>();
+    for (auto kind : {Kind::controller, Kind::store, Kind::agent}) {
+      for (auto& name : world_.names(kind)) {
+        auto* machine = world_.node(name).machine.get();
+        if (machine && machine->view()->epoch > newest->epoch)
+          newest = machine->view();
+      }
+    }
+    return newest;
   }
 
-  /// One acknowledged change, asked of the controllers in turn as an operator does.
+  /// Commits one change; asks the controllers in turn until one acknowledges it, as an operator does.
   void commit_change() {
     configuration_.cells[0].budget += 1;
     commit_id_ = "change-" + std::to_string(configuration_.cells[0].budget);
-    auto base = newest()->revision;
+    ApplyConfiguration change{newest()->revision, configuration_, {}};
     outcome_.reset();
     auto controllers = world_.names(Kind::controller);
-    for (size_t i = 0; i < controllers.size() * 4 && outcome_ != CommitOutcome::committed; ++i) {
+    for (size_t i = 0; i < controllers.size() * kAttemptsPerController && outcome_ != CommitOutcome::committed; ++i) {
       auto& controller = controllers[i % controllers.size()];
-      if (!world_.alive(controller) || absent_ == controller)
-        continue;
-      Envelope envelope{kProtocolRevision, 0, {}, world_.next_random(), "local:operator", {}, controller, {}, {}};
-      envelope.body = Commit{commit_id_, ApplyConfiguration{base, configuration_, {}}, {}};
-      outcome_.reset();
-      world_.post(controller, std::move(envelope));
-      world_.until(kChangeTimeout, [this] { return outcome_.has_value(); });
+      if (world_.alive(controller) && absent_ != controller)
+        request_commit(controller, change);
     }
     REQUIRE(outcome_ == CommitOutcome::committed);
   }
@@ -102,73 +88,114 @@
     }
   }
 
-  /// Takes a member away, makes that many changes, brings it back and follows it while further changes go on.
-  CatchUpCost measure_absence(const std::string& name, Absence how, int missed_changes) {
-    begin_absence(name, how);
+  /// Takes a daemon away, commits that many changes, brings the daemon back and follows it while changes go on.
+  CatchUpCost measure_absence(const std::string& name, Absence absence, int missed_changes) {
+    begin_absence(name, absence);
     commit_changes(missed_changes);
+    CatchUpCost cost = follow_return(name, absence);
+
+    CHECK(world_.until(kMaxCatchUpTime, [&] { return epoch_of(name) == newest()->epoch; }));
+    for (auto& failure : world_.failures)
+      FAIL_CHECK(failure);
+    return cost;
+  }
+
+ private:
+  static constexpr size_t kAttemptsPerController = 4;
+
+  static Path numbered_path(size_t number) {
+    Path path{};
+    path.name = "path " + std::to_string(number);
+    path.host = "host";
+    path.prefix = "/prefix/" + std::to_string(number) + "/";
+    path.kind = "safe";
+    path.timeout_ms = 1000;
+    path.target_ms = 500;
+    path.attempts = 2;
+    path.shares = {{"service", 1}};
+    return path;
+  }
+
+  /// Sends the change to one controller and waits for its reply.
+  void request_commit(const std::string& controller, const ApplyConfiguration& change) {
+    Envelope envelope{kProtocolRevision, 0, {}, world_.next_random(), "local:operator", {}, controller, {}, {}};
+    envelope.body = Commit{commit_id_, change, {}};
+    outcome_.reset();
+    world_.post(controller, std::move(envelope));
+    world_.until(kChangeTimeout, [this] { return outcome_.has_value(); });
+  }
+
+  /// Brings a daemon back, and measures until it knows the epoch of its return.
+  CatchUpCost follow_return(const std::string& name, Absence absence) {
     CatchUpCost cost;
-    world_.arriving = [&](const Envelope& e) {
-      if (e.to == name && !cost.time)
-        cost.bytes += payload(e.body);
+    world_.arriving = [&](const Envelope& envelope) {
+      if (envelope.to == name && !cost.time)
+        cost.bytes += payload_bytes(envelope.body);
     };
-    auto since = world_.now();
-    auto goal = newest()->epoch;
-    end_absence(name, how);
+    auto returned_at = world_.now();
+    auto epoch_at_return = newest()->epoch;
+    end_absence(name, absence);
     for (int i = 0; i < kChangesMeanwhile || (!cost.time && i < kMaxChangesMeanwhile); ++i) {
       auto has_caught_up = [&] {
-        return world_.node(name).machine->view()->epoch >= goal;
+        return epoch_of(name) >= epoch_at_return;
       };
       if (!cost.time && world_.until(kChangeInterval, has_caught_up))
-        cost.time = world_.now() - since;
+        cost.time = world_.now() - returned_at;
       commit_change();
     }
     world_.arriving = nullptr;
-    cost.entry_bytes = codec::encode(Entry{goal, commit_id_, ApplyConfiguration{{}, configuration_, {}}}).size();
+
+    Entry last_change{epoch_at_return, commit_id_, ApplyConfiguration{{}, configuration_, {}}};
+    cost.entry_bytes = codec::encode(last_change).size();
     cost.snapshot_bytes = codec::encode(*newest()).size();
-    CHECK(world_.until(kMaxCatchUpTime, [&] { return world_.node(name).machine->view()->epoch == newest()->epoch; }));
-    for (auto& failure : world_.failures)
-      FAIL_CHECK(failure);
     return cost;
   }
 
- private:
-  /// Bytes of entries and whole values in a message.
-  static size_t payload(const Message& m) {
-    auto payload_of = [](auto& x) {
-      return codec::encode(x.entries).size() + (x.checkpoint ? codec::encode(*x.checkpoint).size() : 0);
-    };
-    if (auto* x = std::get_if<CatchupReply>(&m))
-      return payload_of(*x);
-    if (auto* x = std::get_if<HeartbeatReply>(&m))
-      return payload_of(*x);
-    if (auto* x = std::get_if<CommitReply>(&m))
-      return payload_of(*x);
-    if (auto* x = std::get_if<Decided>(&m))
-      return codec::encode(*x).size();
+  Epoch epoch_of(const std::string& name) { return world_.node(name).machine->view()->epoch; }
+
+  /// Bytes of the entries and snapshots in a message.
+  static size_t payload_bytes(const Message& message) {
+    if (auto* catchup = std::get_if<CatchupReply>(&message))
+      return update_bytes(*catchup);
+    if (auto* heartbeat = std::get_if<HeartbeatReply>(&message))
+      return update_bytes(*heartbeat);
+    if (auto* commit = std::get_if<CommitReply>(&message))
+      return update_bytes(*commit);
+    if (auto* decided = std::get_if<Decided>(&message))
+      return codec::encode(*decided).size();
     return 0;
   }
-  void begin_absence(const std::string& name, Absence how) {
+
+  template <class Reply>
+  static size_t update_bytes(const Reply& reply) {
+    size_t snapshot_bytes = reply.checkpoint ? codec::encode(*reply.checkpoint).size() : 0;
+    return codec::encode(reply.entries).size() + snapshot_bytes;
+  }
+
+  void begin_absence(const std::string& name, Absence absence) {
     absent_ = name;
-    if (how == Absence::killed)
+    if (absence == Absence::killed)
       world_.kill(name);
-    if (how == Absence::frozen)
+    if (absence == Absence::frozen)
       world_.freeze(name);
-    if (how == Absence::wiped)
+    if (absence == Absence::wiped)
       world_.wipe(name);
-    if (how == Absence::cut_off)
+    if (absence == Absence::isolated)
       world_.isolate(name);
   }
-  void end_absence(const std::string& name, Absence how) {
+
+  void end_absence(const std::string& name, Absence absence) {
     absent_.clear();
-    if (how == Absence::not_there_yet)
+    if (absence == Absence::not_added_yet)
       world_.add(name, kind_of(name), "a", "");
-    if (how == Absence::killed || how == Absence::wiped)
+    if (absence == Absence::killed || absence == Absence::wiped)
       world_.start(name);
-    if (how == Absence::frozen)
+    if (absence == Absence::frozen)
       world_.wake(name);
-    if (how == Absence::cut_off)
+    if (absence == Absence::isolated)
       world_.heal();
   }
+
   static Kind kind_of(const std::string& name) {
     return name.starts_with("controller") ? Kind::controller : Kind::store;
   }
@@ -176,45 +203,46 @@
   sim::World world_;
   Configuration configuration_;
   std::string commit_id_;
-  /// The member that is away, or empty.
+  /// The daemon that is absent; empty if there is none.
   std::string absent_;
   std::optional<CommitOutcome> outcome_;
 };
 
-void check_catch_up(size_t paths, const std::string& name, Absence how, int missed_changes) {
-  INFO(name << ", absence " << static_cast<int>(how) << ", " << missed_changes << " changes, " << paths << " paths");
+void check_catch_up(size_t paths, const std::string& name, Absence absence, int missed_changes) {
+  INFO(name << ", absence " << static_cast<int>(absence) << ", " << missed_changes << " changes, " << paths
+            << " paths");
   Fleet fleet(paths);
-  auto cost = fleet.measure_absence(name, how, missed_changes);
-  bool is_new = how == Absence::wiped || how == Absence::not_there_yet;
+  auto cost = fleet.measure_absence(name, absence, missed_changes);
+  bool is_new = absence == Absence::wiped || absence == Absence::not_added_yet;
   REQUIRE(cost.time);
   REQUIRE(*cost.time >= 0ms);
-  CHECK(*cost.time <= (is_new ? kMaxNewMemberCatchUpTime : kMaxCatchUpTime));
-  // Whoever answers it may send what it lacks once each; the changes that go on meanwhile come besides.
-  constexpr size_t kMaxAnswers = 4;
-  auto lack = std::min(cost.entry_bytes * static_cast<size_t>(missed_changes), cost.snapshot_bytes);
-  auto meanwhile = cost.entry_bytes * static_cast<size_t>(*cost.time / kChangeInterval + 3) * 2;
-  WARN(name << " absence " << static_cast<int>(how) << " after " << missed_changes << " changes of " << paths
+  CHECK(*cost.time <= (is_new ? kMaxNewDaemonCatchUpTime : kMaxCatchUpTime));
+  // Each daemon that replies may send what it lacks once; the changes that go on meanwhile come besides.
+  constexpr size_t kMaxReplies = 4;
+  auto missed_bytes = std::min(cost.entry_bytes * static_cast<size_t>(missed_changes), cost.snapshot_bytes);
+  auto bytes_meanwhile = cost.entry_bytes * static_cast<size_t>(*cost.time / kChangeInterval + 3) * 2;
+  WARN(name << " absence " << static_cast<int>(absence) << " after " << missed_changes << " changes of " << paths
             << " paths: " << cost.time->count() << " ms, " << cost.bytes << " bytes; entry " << cost.entry_bytes
             << ", snapshot " << cost.snapshot_bytes);
-  CHECK(cost.bytes <= kMaxAnswers * std::max(lack, cost.entry_bytes) + meanwhile);
+  CHECK(cost.bytes <= kMaxReplies * std::max(missed_bytes, cost.entry_bytes) + bytes_meanwhile);
 }
 
 }  // namespace
 
-TEST_CASE("Members of each role come back after 10, 300 and 1,000 changes while changes go on") {
+TEST_CASE("A daemon of each role catches up after 10, 300 and 1,000 changes while changes go on") {
   for (int missed_changes : {10, 300, 1000}) {
     check_catch_up(20, "controller2", Absence::killed, missed_changes);
     check_catch_up(20, "store2", Absence::frozen, missed_changes);
-    check_catch_up(20, "agent2", Absence::cut_off, missed_changes);
+    check_catch_up(20, "agent2", Absence::isolated, missed_changes);
   }
-  for (auto how : {Absence::frozen, Absence::wiped, Absence::cut_off, Absence::not_there_yet}) {
-    check_catch_up(20, how == Absence::not_there_yet ? "controller9" : "controller2", how, 10);
-    check_catch_up(20, how == Absence::not_there_yet ? "store9" : "store2", how, 300);
+  for (auto absence : {Absence::frozen, Absence::wiped, Absence::isolated, Absence::not_added_yet}) {
+    check_catch_up(20, absence == Absence::not_added_yet ? "controller9" : "controller2", absence, 10);
+    check_catch_up(20, absence == Absence::not_added_yet ? "store9" : "store2", absence, 300);
   }
   check_catch_up(20, "gateway2", Absence::killed, 300);
 }
 
-TEST_CASE("Members come back after changes of a large configuration") {
+TEST_CASE("A daemon of each role catches up after changes of a large configuration") {
   for (auto* name : {"controller2", "store2", "agent2"})
-    check_catch_up(2000, name, Absence::cut_off, 20);
+    check_catch_up(2000, name, Absence::isolated, 20);
 }
