--- a/tests/unit/history/partition_streams_test.cpp
+++ b/tests/unit/history/partition_streams_test.cpp
@@ -1,4 +1,4 @@
-// How a store streams the partitions that it is about to hold.
+// How a store streams the partitions that move to it.
 #include "history/partition_streams.hpp"
 #include "unit/catch.hpp"
 
@@ -10,7 +10,10 @@
 
 namespace {
 
-/// Store 1, which joins, and its sources 2 to 4, which all hold the same histories.
+/// Stores from which the joining one streams; one page of each is in flight at a time.
+constexpr size_t kSources = 3;
+
+/// Store 1, which joins, and its sources, stores 2 to 4, which all keep the same histories.
 class StreamingStore {
  public:
   StreamingStore(size_t histories, size_t turns, size_t output_bytes) {
@@ -21,24 +24,17 @@
     }
   }
 
-  /// Lets the store's timers run; the pages that it requests.
+  /// Lets the joining store's timers run. Returns the pages that it requests.
   std::vector<Envelope> tick(TimePoint now) { return take_requests(store_.tick(now)); }
 
-  /// The same, and carries requests and pages until none is in flight. Silent sources answer nothing.
-  void tick_and_stream(TimePoint now, const std::set<Address>& silent_sources = {}) {
+  /// Lets the joining store's timers run, and delivers requests and pages until none is in flight.
+  /// @param lost_sources stores that answer nothing.
+  void tick_and_stream(TimePoint now, const std::set<Address>& lost_sources = {}) {
     auto requests = tick(now);
     while (!requests.empty()) {
       most_pages_in_flight_ = std::max(most_pages_in_flight_, store_.streams().pages_in_flight(now));
-      std::vector<Envelope> next_requests;
-      for (auto& request : requests) {
-        if (silent_sources.count(request.to))
-          continue;
-        for (auto& page : sources_.at(request.to)->step(request, now).now) {
-          auto more = take_requests(store_.step(page, now));
-          next_requests.insert(next_requests.end(), more.begin(), more.end());
-        }
-      }
-      requests = std::move(next_requests);
+      std::erase_if(requests, [&](const Envelope& request) { return lost_sources.count(request.to) > 0; });
+      requests = stream_pages(requests, now);
     }
   }
 
@@ -49,17 +45,30 @@
   const std::map<Address, size_t>& most_requests_at_once() const { return most_requests_at_once_; }
 
  private:
+  /// Delivers the requests to their sources and the pages to the joining store. Returns the next requests.
+  std::vector<Envelope> stream_pages(const std::vector<Envelope>& requests, TimePoint now) {
+    std::vector<Envelope> next_requests;
+    for (auto& request : requests) {
+      for (auto& page : sources_.at(request.to)->step(request, now).now) {
+        auto more = take_requests(store_.step(page, now));
+        next_requests.insert(next_requests.end(), more.begin(), more.end());
+      }
+    }
+    return next_requests;
+  }
+
   std::vector<Envelope> take_requests(const Actions& actions) {
     std::vector<Envelope> requests;
     std::map<Address, size_t> by_source;
     journaled_bytes_ += journaled_bytes(actions);
-    for (auto* messages : {&actions.now, &actions.synced})
+    for (auto* messages : {&actions.now, &actions.synced}) {
       for (auto& envelope : *messages) {
         if (!std::holds_alternative<StreamPartition>(envelope.body))
           continue;
         requests.push_back(envelope);
         ++by_source[envelope.to];
       }
+    }
     for (auto& [source, count] : by_source)
       most_requests_at_once_[source] = std::max(most_requests_at_once_[source], count);
     return requests;
@@ -81,30 +90,34 @@
 
   CHECK(streaming.store().streams().completed_sequence() == kPendingEpoch);
   CHECK(streaming.store().history_count() == 400);
-  CHECK(streaming.most_pages_in_flight() <= 3);
+  CHECK(streaming.most_pages_in_flight() <= kSources);
   for (auto& [source, count] : streaming.most_requests_at_once())
     CHECK(count == 1);
 }
 
 TEST_CASE("A history that two sources sent is journaled once") {
-  StreamingStore streaming(200, 2, 4000);
+  constexpr size_t kHistories = 200;
+  constexpr size_t kTurns = 2;
+  constexpr size_t kOutputBytes = 4000;
+  constexpr size_t kAllOutputBytes = kHistories * kTurns * kOutputBytes;
+  StreamingStore streaming(kHistories, kTurns, kOutputBytes);
 
   streaming.tick_and_stream(kStart + kTickInterval);
 
-  CHECK(streaming.journaled() > 200 * 2 * 4000);
-  CHECK(streaming.journaled() < 200 * 2 * 4000 * 5 / 4);
+  CHECK(streaming.journaled() > kAllOutputBytes);
+  CHECK(streaming.journaled() < kAllOutputBytes * 5 / 4);
 }
 
 TEST_CASE("A page in flight is not requested again before its time-out") {
   StreamingStore streaming(50, 2, 1000);
 
-  CHECK(streaming.tick(kStart + kTickInterval).size() == 3);
+  CHECK(streaming.tick(kStart + kTickInterval).size() == kSources);
   for (Duration elapsed = 2 * kTickInterval; elapsed < kStreamPageTimeout; elapsed += kTickInterval)
     CHECK(streaming.tick(kStart + elapsed).empty());
-  CHECK(streaming.tick(kStart + kTickInterval + kStreamPageTimeout).size() == 3);
+  CHECK(streaming.tick(kStart + kTickInterval + kStreamPageTimeout).size() == kSources);
 }
 
-TEST_CASE("Partitions are streamed though one of their stores is silent") {
+TEST_CASE("Partitions are streamed though one of their sources does not answer") {
   StreamingStore streaming(100, 2, 4000);
 
   for (Duration elapsed = kTickInterval; elapsed < 4 * kStreamPageTimeout; elapsed += kTickInterval)
--- a/tests/unit/history/store_fixture.hpp
+++ b/tests/unit/history/store_fixture.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Stores with histories, recovered from a journal, in a directory of four stores and one owner.
+// Stores with histories, recovered from a journal, in a cluster of four stores and one gateway, which owns all
+// histories.
 #include "history/store_machine.hpp"
 #include "messages/constants.hpp"
 #include "metadata/constants.hpp"
@@ -13,7 +14,7 @@
 const Epoch kCurrentEpoch{50};
 /// The epoch at which the pending stores of `joining_fleet` were set.
 const Epoch kPendingEpoch{40};
-/// The term under which `recovered_store` holds its histories.
+/// The term of the histories of `recovered_store`.
 const Epoch kFirstTerm{2};
 
 inline Daemon daemon_of(uint64_t id, Incarnation incarnation, Role role) {
@@ -22,7 +23,7 @@
   return {DaemonId{id}, self, DaemonState::up, Epoch{1}};
 }
 
-/// Store 1 is about to hold every partition; they lie on stores 2 to 4, and store 2 is to lose them.
+/// All partitions are on stores 2 to 4 and move from store 2 to store 1.
 inline Metadata joining_fleet() {
   Metadata metadata;
   metadata.epoch = kCurrentEpoch;
@@ -97,7 +98,7 @@
 }
 
 inline Envelope from_owner(Message body) {
-  return {kProtocolRevision, kCluster, kCurrentEpoch, 1, "front", kOwner, "store", {}, std::move(body)};
+  return {kProtocolRevision, kCluster, kCurrentEpoch, 1, "gateway", kOwner, "store", {}, std::move(body)};
 }
 
 /// The disk of a store whose histories have `turns` outcomes of `output_bytes` each, all of it in its journal.
--- a/tests/unit/history/store_memory_test.cpp
+++ b/tests/unit/history/store_memory_test.cpp
@@ -1,4 +1,4 @@
-// The memory and the pauses that a store's start and its checkpoints take.
+// The memory that a store's start and its checkpoints take, and how long they block the store.
 #include <malloc.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -23,6 +23,7 @@
   return 0;
 }
 
+/// Memory in KB and times in milliseconds.
 struct Usage {
   size_t state_kb;
   size_t peak_kb;
@@ -32,20 +33,20 @@
 
 /// Runs `measure` in a child process, so that its peak of memory is its own.
 Usage in_child(const std::function<Usage()>& measure) {
-  int ends[2];
-  REQUIRE(::pipe(ends) == 0);
+  int pipe_ends[2];
+  REQUIRE(::pipe(pipe_ends) == 0);
   auto child = ::fork();
   if (child == 0) {
     auto usage = measure();
-    auto written = ::write(ends[1], &usage, sizeof usage);
+    auto written = ::write(pipe_ends[1], &usage, sizeof usage);
     ::_exit(written == sizeof usage ? 0 : 1);
   }
   Usage usage{};
-  auto bytes_read = ::read(ends[0], &usage, sizeof usage);
+  auto bytes_read = ::read(pipe_ends[0], &usage, sizeof usage);
   int status = 0;
   ::waitpid(child, &status, 0);
-  ::close(ends[0]);
-  ::close(ends[1]);
+  ::close(pipe_ends[0]);
+  ::close(pipe_ends[1]);
   REQUIRE(bytes_read == sizeof usage);
   REQUIRE(status == 0);
   return usage;
@@ -53,9 +54,9 @@
 
 size_t milliseconds_of(const std::function<void()>& work) {
   using namespace std::chrono;
-  auto begun = steady_clock::now();
+  auto started_at = steady_clock::now();
   work();
-  return static_cast<size_t>(duration_cast<milliseconds>(steady_clock::now() - begun).count());
+  return static_cast<size_t>(duration_cast<milliseconds>(steady_clock::now() - started_at).count());
 }
 
 /// What it takes to start from a checkpoint of these histories, and to encode the next checkpoint.
--- a/tests/unit/history/store_quorum_test.cpp
+++ b/tests/unit/history/store_quorum_test.cpp
@@ -1,7 +1,8 @@
+// Which stores of a partition make a write or a read quorum, also while its set of stores changes.
 #include "history/store_quorum.hpp"
+#include "unit/catch.hpp"
 
 #include <algorithm>
-#include <catch2/catch.hpp>
 
 using namespace mosskeel;
 
@@ -53,7 +54,7 @@
   CHECK_FALSE(is_write_quorum(metadata, partition, one_of(stores({11, 14, 15}))));
 }
 
-TEST_CASE("While the set of stores changes, a write quorum is one of both sets") {
+TEST_CASE("While the set of stores changes, a write quorum is one of each set") {
   auto metadata = five_stores();
   Partition partition{};
   partition.stores = stores({11, 12, 13});
@@ -65,7 +66,7 @@
   CHECK(is_write_quorum(metadata, partition, one_of(stores({11, 13, 14}))));
 }
 
-TEST_CASE("A read quorum is one of the set in force, whatever the pending set says") {
+TEST_CASE("A read quorum is one of the set in force, whichever stores of the pending set have answered") {
   auto metadata = five_stores();
   Partition partition{};
   partition.stores = stores({11, 12, 13});
@@ -75,7 +76,7 @@
   CHECK_FALSE(is_read_quorum(metadata, partition, one_of(stores({13, 14, 15}))));
 }
 
-TEST_CASE("A set smaller than a write quorum has no read quorum, also where all of it answered") {
+TEST_CASE("A set of stores smaller than a write quorum has no read quorum, even where all of them have answered") {
   auto metadata = five_stores();
   Partition partition{};
   partition.stores = stores({11});
--- a/tests/unit/history/turn_chain_test.cpp
+++ b/tests/unit/history/turn_chain_test.cpp
@@ -1,3 +1,4 @@
+// The text of a chain: what a turn continues.
 #include "history/turn_chain.hpp"
 #include "unit/catch.hpp"
 
@@ -33,7 +34,7 @@
   CHECK(chain_text(records, "a") == "in a;out a;");
 }
 
-TEST_CASE("A chain begins with an outcome taken over from another program") {
+TEST_CASE("A chain may begin with an outcome imported from another program") {
   Records records{outcome_of("old", 200, "all before;"), reservation_of("b", "old", "in b;"),
                   outcome_of("b", 200, "out b;")};
 
@@ -42,17 +43,17 @@
 
 TEST_CASE("A chain with a turn that failed, has no outcome or is missing has no text") {
   Records failed{reservation_of("a", "", "in;"), outcome_of("a", 502, "reason")};
-  Records open{reservation_of("a", "", "in;")};
-  Records orphan{reservation_of("b", "a", "in;"), outcome_of("b", 200, "out;")};
+  Records without_outcome{reservation_of("a", "", "in;")};
+  Records without_parent{reservation_of("b", "a", "in;"), outcome_of("b", 200, "out;")};
 
   CHECK_FALSE(chain_text(failed, "a"));
-  CHECK_FALSE(chain_text(open, "a"));
-  CHECK_FALSE(chain_text(orphan, "b"));
+  CHECK_FALSE(chain_text(without_outcome, "a"));
+  CHECK_FALSE(chain_text(without_parent, "b"));
 }
 
-TEST_CASE("A chain that damaged records close to a ring ends") {
-  Records ring{reservation_of("a", "b", "in a;"), outcome_of("a", 200, "out a;"), reservation_of("b", "a", "in b;"),
-               outcome_of("b", 200, "out b;")};
+TEST_CASE("The text of a chain whose damaged records form a cycle is found without an endless loop") {
+  Records cycle{reservation_of("a", "b", "in a;"), outcome_of("a", 200, "out a;"), reservation_of("b", "a", "in b;"),
+                outcome_of("b", 200, "out b;")};
 
-  CHECK(chain_text(ring, "a"));
+  CHECK(chain_text(cycle, "a"));
 }
