--- a/tests/unit/programs/admission_policy_test.cpp
+++ b/tests/unit/programs/admission_policy_test.cpp
@@ -1,4 +1,4 @@
-// What a request meets on its arrival at a gateway.
+// Which requests a gateway admits on their arrival, and with which values of its own.
 #include "programs/admission_policy.hpp"
 #include "programs/constants.hpp"
 #include "unit/catch.hpp"
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// A gateway in service whose cluster has one cell, "news", with one route to models, "chat".
+/// A request that arrives at a gateway in service, whose cluster has one cell, "news", with one route to models,
+/// "chat".
 struct Arrival {
   Arrival() {
     metadata.configuration.cells.push_back({"news", 400, 10, 60000, {{"chat", "model", {}}}});
@@ -19,6 +20,7 @@
     request.route = "chat";
     request.program = "p";
   }
+
   AdmissionContext context() const {
     AdmissionContext context{.metadata = metadata};
     context.self = &self;
@@ -27,6 +29,7 @@
     context.is_served_here = true;
     return context;
   }
+
   std::optional<RequestRejection> evaluate(const AdmissionContext& context) {
     return evaluate_admission(request, context);
   }
@@ -48,7 +51,7 @@
   CHECK(arrival.request.deadline_ms == kDefaultRequestTimeout.count());
 }
 
-TEST_CASE("Admission rejects callers of a gateway that shuts down, and takes what other gateways forward") {
+TEST_CASE("Admission rejects callers of a gateway that shuts down, and accepts what other gateways forward") {
   Arrival arrival;
   auto context = arrival.context();
   context.is_shutting_down = true;
@@ -73,6 +76,7 @@
 
   REQUIRE(turn);
   CHECK(turn->status == 503);
+
   REQUIRE(history);
   CHECK(history->status == 503);
 }
@@ -86,6 +90,7 @@
 
   REQUIRE(unknown_route);
   CHECK(unknown_route->status == 404);
+
   REQUIRE(unknown_cell);
   CHECK(unknown_cell->status == 404);
 }
@@ -93,9 +98,9 @@
 TEST_CASE("Admission sheds bulk requests first and urgent ones last as the queue grows") {
   struct Row {
     size_t queued;
-    bool takes_bulk;
-    bool takes_normal;
-    bool takes_urgent;
+    bool admits_bulk;
+    bool admits_normal;
+    bool admits_urgent;
   };
   const Row rows[] = {{kMaxQueuedRequests / 4 - 1, true, true, true},
                       {kMaxQueuedRequests / 4, false, true, true},
@@ -108,28 +113,29 @@
     Arrival urgent;
     bulk.request.bulk = true;
     urgent.request.urgent = true;
-    auto takes = [&](Arrival& arrival) {
+    auto is_admitted = [&](Arrival& arrival) {
       auto context = arrival.context();
       context.queued = row.queued;
       return !arrival.evaluate(context);
     };
-    CHECK(takes(bulk) == row.takes_bulk);
-    CHECK(takes(normal) == row.takes_normal);
-    CHECK(takes(urgent) == row.takes_urgent);
+
+    CHECK(is_admitted(bulk) == row.admits_bulk);
+    CHECK(is_admitted(normal) == row.admits_normal);
+    CHECK(is_admitted(urgent) == row.admits_urgent);
   }
 }
 
-TEST_CASE("Admission rejects at once what would wait longer than its share of time, unless it waits elsewhere") {
+TEST_CASE("Admission rejects a request that would wait too long here, but not one that waits at another gateway") {
   Arrival arrival;
   auto context = arrival.context();
   context.expected_wait = kMaxQueueWait / 2 + 1ms;
 
-  auto here = arrival.evaluate(context);
+  auto waiting_here = arrival.evaluate(context);
   context.is_served_here = false;
-  auto elsewhere = arrival.evaluate(context);
+  auto waiting_elsewhere = arrival.evaluate(context);
 
-  REQUIRE(here);
-  CHECK(here->status == 503);
-  CHECK(here->retry_after_ms == (kMaxQueueWait / 2 + 1ms).count());
-  CHECK_FALSE(elsewhere);
+  REQUIRE(waiting_here);
+  CHECK(waiting_here->status == 503);
+  CHECK(waiting_here->retry_after_ms == (kMaxQueueWait / 2 + 1ms).count());
+  CHECK_FALSE(waiting_elsewhere);
 }
--- a/tests/unit/programs/gateway_shutdown_test.cpp
+++ b/tests/unit/programs/gateway_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// When a gateway that was told to shut down stops.
+// When a gateway that shuts down stops.
 #include "programs/constants.hpp"
 #include "programs/gateway_machine.hpp"
 #include "runtime/constants.hpp"
@@ -30,10 +30,13 @@
   TimePoint now = kProcessClockStart;
   GatewayMachine gateway(unregistered_gateway(), now);
   gateway.set_open_routing_sessions(1);
+
   gateway.begin_shutdown();
+
   CHECK_FALSE(stops_within(gateway, now, 10 * kShutdownGracePeriod));
 
   gateway.set_open_routing_sessions(0);
+
   CHECK_FALSE(stops_within(gateway, now, kShutdownGracePeriod));
   CHECK(stops_within(gateway, now, 10 * kTickInterval));
 }
--- a/tests/unit/programs/majority_contact_test.cpp
+++ b/tests/unit/programs/majority_contact_test.cpp
@@ -1,4 +1,4 @@
-// How long a gateway dispatches while the metadata log moves on ahead of it.
+// How long a gateway dispatches after it has learned that its metadata is outdated.
 #include "messages/constants.hpp"
 #include "programs/gateway_machine.hpp"
 #include "replication/constants.hpp"
@@ -27,15 +27,17 @@
   Epoch epoch() const { return metadata_.epoch; }
   Entry next_entry() const { return {next(metadata_.epoch), "", Register{candidate(31, Role::store, "store")}}; }
 
-  /// The agent's answer to a heartbeat that was sent then.
+  /// The agent's reply to a heartbeat that was sent at this time.
   void answer_heartbeat(TimePoint sent, Epoch epoch, std::optional<Metadata> checkpoint = std::nullopt) {
     HeartbeatReply reply{epoch, std::move(checkpoint), {}, 0, true, to_milliseconds(sent)};
     machine.step(envelope(epoch, std::move(reply)), sent);
   }
-  /// A message that is stamped with an epoch which the gateway does not have.
-  Actions receive_stamped(Epoch epoch, TimePoint now) {
+
+  /// A message from a daemon that knows this epoch, which the gateway may lack.
+  Actions receive_at_epoch(Epoch epoch, TimePoint now) {
     return machine.step(envelope(epoch, ProgramRequestAcknowledgement{"unknown attempt"}), now);
   }
+
   void receive_entry(const Entry& entry, TimePoint now) { machine.step(envelope(entry.epoch, Decided{entry}), now); }
 
  private:
@@ -44,6 +46,7 @@
     REQUIRE(result.ok());
     metadata_ = result.value();
   }
+
   Envelope envelope(Epoch epoch, Message body) const {
     return {kProtocolRevision, metadata_.cluster, epoch,          1, "agent", Incarnation{},
             "gateway",         self_.incarnation, std::move(body)};
@@ -64,12 +67,13 @@
 
 }  // namespace
 
-TEST_CASE("GatewayMachine dispatches for a limited time after it has heard of a later epoch") {
+TEST_CASE("GatewayMachine dispatches for a limited time after it has learned of a later epoch") {
   ConnectedGateway gateway;
   const auto& machine = gateway.machine;
+
   CHECK(machine.has_majority_contact(kStart));
 
-  gateway.receive_stamped(next(gateway.epoch()), kStart + 10ms);
+  gateway.receive_at_epoch(next(gateway.epoch()), kStart + 10ms);
 
   auto limit = kStart + 10ms + kIsolationTimeout / 2;
   CHECK(machine.has_majority_contact(kStart + 11ms));
@@ -78,18 +82,18 @@
   CHECK(machine.routing_snapshot(kStart + 11ms).dispatch_until <= limit);
 }
 
-TEST_CASE("GatewayMachine does not extend that time when it hears of ever later epochs") {
+TEST_CASE("GatewayMachine does not extend that time when it learns of ever later epochs") {
   ConnectedGateway gateway;
 
   for (uint64_t i = 0; i < 20; ++i) {
     Epoch later{gateway.epoch().value() + 1 + i};
-    gateway.receive_stamped(later, kStart + 10ms + Duration(50 * i));
+    gateway.receive_at_epoch(later, kStart + 10ms + Duration(50 * i));
   }
 
   CHECK_FALSE(gateway.machine.has_majority_contact(kStart + 10ms + kIsolationTimeout / 2));
 }
 
-TEST_CASE("GatewayMachine counts contact at an epoch ahead of its entry once the entry is there, and not before") {
+TEST_CASE("GatewayMachine counts contact at an epoch that it lacks once it has the entry, and not before") {
   ConnectedGateway gateway;
   const auto& machine = gateway.machine;
   auto entry = gateway.next_entry();
@@ -103,14 +107,14 @@
   CHECK_FALSE(machine.has_majority_contact(kStart + 1500ms + kIsolationTimeout));
 }
 
-TEST_CASE("GatewayMachine asks once for a missing epoch, and again when nothing comes") {
+TEST_CASE("GatewayMachine requests a missing epoch once, and again when no reply comes") {
   ConnectedGateway gateway;
   auto missing = next(gateway.epoch());
 
   size_t requests = 0;
-  for (Duration i{}; i < 100ms; ++i)
-    requests += catchup_requests(gateway.receive_stamped(missing, kStart + 10ms + i));
-  auto requests_later = catchup_requests(gateway.receive_stamped(missing, kStart + 10ms + kCatchUpInterval));
+  for (Duration elapsed{}; elapsed < 100ms; ++elapsed)
+    requests += catchup_requests(gateway.receive_at_epoch(missing, kStart + 10ms + elapsed));
+  auto requests_later = catchup_requests(gateway.receive_at_epoch(missing, kStart + 10ms + kCatchUpInterval));
 
   CHECK(requests == 1);
   CHECK(requests_later == 1);
--- a/tests/unit/programs/program_requests_test.cpp
+++ b/tests/unit/programs/program_requests_test.cpp
@@ -1,4 +1,4 @@
-// Requests to programs end to end, in a simulated cluster without faults: keys, order, retention, lost stores.
+// Requests of programs end to end in a simulated cluster: keys, order of turns, retention, lost stores.
 #include "history/constants.hpp"
 #include "simulation/callers.hpp"
 #include "unit/catch.hpp"
@@ -10,8 +10,11 @@
 
 constexpr const char* kTestSession = "local:test";
 constexpr Duration kResponseTimeout = 20000ms;
+constexpr Duration kRetention = 5000ms;
+/// A history is deleted within this time after its retention and margin are over.
+constexpr Duration kMaxExpiryDelay = 40000ms;
 
-/// A cluster that serves the cell "news", and a caller that asks one thing after the other.
+/// A cluster that serves the cell "news", and a caller that sends one request after the other.
 class ProgramCluster {
  public:
   ProgramCluster() { REQUIRE(callers.introduce()); }
@@ -81,7 +84,7 @@
 
 }  // namespace
 
-TEST_CASE("A key runs once: its second request gets the recorded answer, or 409 with another body") {
+TEST_CASE("A key is executed once: its second request gets the recorded response, or 409 with another body") {
   ProgramCluster cluster;
 
   auto first = cluster.send_turn("p", "k", "question");
@@ -96,7 +99,7 @@
   CHECK(cluster.world.failures.empty());
 }
 
-TEST_CASE("A follow-on turn runs only if it names the number of turns before it") {
+TEST_CASE("A turn is executed only if it expects the number of turns that its history has") {
   ProgramCluster cluster;
 
   CHECK(cluster.send_turn("p", "k1", "a", 1).status == 404);
@@ -106,28 +109,31 @@
   CHECK(cluster.send_turn("p", "k5", "c", 3).status == 409);
 }
 
-TEST_CASE("A conversation is kept for its retention after the last turn and has then ended") {
+TEST_CASE("A history is kept for its retention after the last turn, and is then deleted") {
   ProgramCluster cluster;
   auto& world = cluster.world;
-  cluster.set_retention(5000ms);
+  cluster.set_retention(kRetention);
   world.run(1000ms);
 
   CHECK(cluster.send_turn("p", "k1", "a").status == 200);
+
   world.run(4000ms);
   CHECK(cluster.read_history("p").status == 200);
   CHECK(cluster.send_turn("p", "k2", "b", 1).status == 200);
+
   world.run(4500ms);
   CHECK(cluster.read_history("p").status == 200);
 
-  world.run(5000ms + kRetentionMargin + 40000ms);
+  world.run(kRetention + kRetentionMargin + kMaxExpiryDelay);
   CHECK(cluster.read_history("p").status == 410);
   CHECK(cluster.send_turn("p", "k3", "c", 2).status == 410);
   CHECK(cluster.send_turn("p", "k1", "a").executed == Outcome::unknown);
 }
 
-TEST_CASE("No conversation is reported missing while too few stores answer") {
+TEST_CASE("No history is reported missing while too few stores answer") {
   ProgramCluster cluster;
   auto& world = cluster.world;
+
   CHECK(cluster.send_turn("p", "k1", "a").status == 200);
 
   world.power_off("store1");
@@ -135,11 +141,13 @@
   cluster.restart_gateways();
   world.run(6000ms);
   auto unavailable = cluster.read_history("p");
+
   CHECK(unavailable.status == 503);
   CHECK(unavailable.retry_ms > 0);
   CHECK(cluster.send_turn("p", "k2", "b", 1).status == 503);
 
   world.start("store1");
   world.run(6000ms);
+
   CHECK(cluster.read_history("p").status == 200);
 }
--- a/tests/unit/programs/replica_selector_test.cpp
+++ b/tests/unit/programs/replica_selector_test.cpp
@@ -1,17 +1,35 @@
+// How the capacity of a replica is shared out over the gateways.
 #include "programs/replica_selector.hpp"
 #include "metadata/constants.hpp"
 #include "unit/catch.hpp"
 
 using namespace mosskeel;
 
-TEST_CASE("A replica's capacity is shared out over the fronts, and grows from one while it warms up") {
+namespace {
+
+constexpr TimePoint kStart{1000ms};
+
+Metadata six_gateways() {
   Metadata metadata;
   for (uint64_t number = 1; number <= 6; ++number) {
     DaemonId id{number};
-    Candidate self{Incarnation{number}, Role::front, "a", "f" + std::to_string(number), "", ""};
+    Candidate self{Incarnation{number}, Role::front, "a", "gateway" + std::to_string(number), "", ""};
     metadata.directory[id] = {id, self, DaemonState::up, {}};
   }
-  constexpr TimePoint kStart{1000ms};
+  return metadata;
+}
+
+/// The capacity of the replica for one gateway, which has known the replica for this long.
+uint32_t capacity_for(const Daemon& gateway, const Metadata& metadata, const Replica& replica, Duration elapsed) {
+  ReplicaSelector selector;
+  selector.usable_capacity(replica, metadata, gateway, kStart);
+  return selector.usable_capacity(replica, metadata, gateway, kStart + elapsed);
+}
+
+}  // namespace
+
+TEST_CASE("A replica's capacity is shared out over the gateways, and grows from one while it warms up") {
+  Metadata metadata = six_gateways();
   struct Row {
     ReplicaHealth health;
     uint32_t capacity;
@@ -26,13 +44,12 @@
                       {ReplicaHealth::warming_up, 32, kSlowStartDuration / 2, 16},
                       {ReplicaHealth::warming_up, 32, kSlowStartDuration * 2, 32}};
   for (auto& row : rows) {
+    Replica replica{"model1", "model", "a", "http://x", row.health, Epoch{9}, row.capacity};
+
     uint32_t sum = 0;
-    for (auto& [id, front] : metadata.directory) {
-      ReplicaSelector selector;
-      Replica replica{"model1", "model", "a", "http://x", row.health, Epoch{9}, row.capacity};
-      selector.usable_capacity(replica, metadata, front, kStart);
-      sum += selector.usable_capacity(replica, metadata, front, kStart + row.elapsed);
-    }
+    for (auto& [id, gateway] : metadata.directory)
+      sum += capacity_for(gateway, metadata, replica, row.elapsed);
+
     INFO(name(row.health) << " " << row.capacity << " after " << row.elapsed.count() << " ms");
     CHECK(sum == row.expected_sum);
   }
--- a/tests/unit/programs/request_queue_test.cpp
+++ b/tests/unit/programs/request_queue_test.cpp
@@ -7,14 +7,16 @@
 
 namespace {
 
+constexpr TimePoint kArrivedAt{1000ms};
+
 OpenRequest& queue_request(OpenRequests& requests, RequestQueue& queue, const std::string& attempt, bool is_urgent) {
-  OpenRequest open;
-  open.request.attempt = attempt;
-  open.request.kind = "model";
-  open.request.urgent = is_urgent;
-  open.arrival_number = requests.size() + 1;
-  open.arrived_at = TimePoint{1000ms};
-  auto& added = requests.add(std::move(open));
+  OpenRequest queued;
+  queued.request.attempt = attempt;
+  queued.request.kind = "model";
+  queued.request.urgent = is_urgent;
+  queued.arrival_number = requests.size() + 1;
+  queued.arrived_at = kArrivedAt;
+  auto& added = requests.add(std::move(queued));
   queue.push(added);
   return added;
 }
@@ -38,23 +40,25 @@
   OpenRequests requests;
   RequestQueue queue(requests);
 
-  auto& open = queue_request(requests, queue, "attempt", false);
-  CHECK(open.waiting_since == TimePoint{1000ms});
+  auto& request = queue_request(requests, queue, "attempt", false);
+  CHECK(request.waiting_since == kArrivedAt);
+
+  request.waiting_since = TimePoint{1500ms};
+  queue.push(request);
 
-  open.waiting_since = TimePoint{1500ms};
-  queue.push(open);
-  CHECK(open.waiting_since == TimePoint{1500ms});
+  CHECK(request.waiting_since == TimePoint{1500ms});
 }
 
-TEST_CASE("RequestQueue expects a wait by the requests ahead and the pace at which others left") {
+TEST_CASE("RequestQueue expects a wait by the requests ahead and the rate at which others departed") {
   OpenRequests requests;
   RequestQueue queue(requests);
   for (int i = 0; i < 4; ++i)
     queue_request(requests, queue, "attempt " + std::to_string(i), i == 0);
+
   CHECK(queue.expected_wait("model", false) == 0ms);
 
   queue.record_departure("model", TimePoint{2000ms});
-  queue.record_departure("model", TimePoint{2000ms + 1000ms});
+  queue.record_departure("model", TimePoint{3000ms});
 
   auto interval = 1000 * kQueuePaceSmoothing;
   CHECK(queue.expected_wait("model", false) == Duration(static_cast<int64_t>(4 * interval)));
--- a/tests/unit/programs/turn_log_test.cpp
+++ b/tests/unit/programs/turn_log_test.cpp
@@ -1,4 +1,4 @@
-// What is read out of a history's records.
+// How turns are reconstructed from the records of a history.
 #include <nlohmann/json.hpp>
 
 #include "programs/turn_log.hpp"
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("turns_by_key tells open turns, ended turns and turns that have not run") {
+TEST_CASE("turns_by_key tells open turns, completed turns and turns that were not executed") {
   Records records{reservation("open", "main", "a", 10), reservation("done", "main", "b", 10),
                   outcome("done", "main", 200, "B", 4), reservation("not-run", "main", "c", 10),
                   outcome("not-run", "main", 0, "", 0)};
@@ -49,7 +49,7 @@
   CHECK(turns["not-run"].has_not_run());
 }
 
-TEST_CASE("turns_by_key sees a key as open again once it is reserved after a turn that has not run") {
+TEST_CASE("turns_by_key takes a key that is reserved again after a turn that was not executed as open") {
   Records records{reservation("k", "main", "a", 10), outcome("k", "main", 0, "", 0), reservation("k", "main", "a", 10)};
 
   auto turns = turns_by_key(records);
@@ -59,10 +59,10 @@
 }
 
 TEST_CASE("conversation holds the successful turns of one thread in their order") {
-  Records records{reservation("k1", "main", "a", 10),   outcome("k1", "main", 200, "A", 4),
-                  reservation("h1", "helper", "x", 10), outcome("h1", "helper", 200, "X", 4),
-                  reservation("k2", "main", "b", 10),   outcome("k2", "main", 502, "broken", 10),
-                  reservation("k3", "main", "c", 10),   outcome("k3", "main", 200, "C", 4),
+  Records records{reservation("k1", "main", "a", 10),      outcome("k1", "main", 200, "A", 4),
+                  reservation("h1", "sub-agent", "x", 10), outcome("h1", "sub-agent", 200, "X", 4),
+                  reservation("k2", "main", "b", 10),      outcome("k2", "main", 502, "broken", 10),
+                  reservation("k3", "main", "c", 10),      outcome("k3", "main", 200, "C", 4),
                   reservation("k4", "main", "d", 10)};
 
   auto turns = conversation(records, "main");
@@ -74,13 +74,14 @@
   CHECK(turns[1].output == "C");
 }
 
-TEST_CASE("history_json lists ended turns and adds up what is spent and reserved") {
+TEST_CASE("history_json lists completed turns and sums the tokens that are spent and reserved") {
   Records records{reservation("k1", "main", "a", 10), outcome("k1", "main", 200, "A", 4),
                   reservation("k2", "main", "b", 10)};
 
   auto json = nlohmann::json::parse(history_json("p", records, 100));
 
   CHECK(json["program"] == "p");
+
   REQUIRE(json["turns"].size() == 1);
   CHECK(json["turns"][0]["key"] == "k1");
   CHECK(json["turns"][0]["input"] == "a");
