--- a/tests/unit/routing/event_reader_test.cpp
+++ b/tests/unit/routing/event_reader_test.cpp
@@ -1,3 +1,4 @@
+// How a stream's events are counted and, where that is wanted, their data kept.
 #include "routing/event_reader.hpp"
 #include "unit/catch.hpp"
 
@@ -13,6 +14,7 @@
     EventReader reader(true);
     reader.read(std::string_view(text).substr(0, split));
     reader.read(std::string_view(text).substr(split));
+
     CHECK(reader.events() == 3);
     CHECK(reader.data() == "one\ntwo\nlines\n\n");
     CHECK(reader.last_id() == "3");
@@ -20,9 +22,12 @@
   EventReader by_byte(true);
   for (char byte : text)
     by_byte.read(std::string_view(&byte, 1));
+
   CHECK(by_byte.data() == "one\ntwo\nlines\n\n");
+
   EventReader counting;
   counting.read(text);
+
   CHECK(counting.events() == 3);
   CHECK(counting.data().empty());
 }
--- a/tests/unit/routing/load_balancer_test.cpp
+++ b/tests/unit/routing/load_balancer_test.cpp
@@ -1,3 +1,4 @@
+// Which replica the load balancer of a gateway chooses for an attempt.
 #include "routing/load_balancer.hpp"
 
 #include <cmath>
@@ -14,7 +15,7 @@
   LoadBalancer balancer;
   TimePoint now{1000ms};
 
-  /// Lets the balancer of this gateway see `metadata`.
+  /// Gives `metadata` to the balancer, as that of this gateway.
   void update(uint64_t gateway = 1) {
     balancer.update({.view = std::make_shared<Metadata>(metadata),
                      .self_id = DaemonId{gateway},
@@ -22,7 +23,9 @@
                      .ready = true},
                     now);
   }
-  /// Starts an attempt and returns the replica's name; "later" where none is free now, "none" where there is none.
+
+  /// Starts an attempt. Returns the replica's name, "later" where no replica is free now, or "none" where there is
+  /// none.
   std::string start_attempt(uint64_t affinity_hash = 0) {
     auto choice = balancer.choose({"app", affinity_hash, nullptr}, now);
     if (!choice.replica)
@@ -34,30 +37,34 @@
 
 }  // namespace
 
-TEST_CASE("LoadBalancer prefers its own zone and uses another one when it is loaded") {
+TEST_CASE("LoadBalancer prefers replicas in its own zone, and uses others when those are loaded") {
   BalancerFixture fixture;
   for (auto* name : {"app2", "app3"})
     fixture.metadata.replicas[name].zone = "z2";
   fixture.update();
 
   CHECK(fixture.start_attempt() == "app1");
+
   std::set<std::string> used;
   for (int attempt = 0; attempt < 20; ++attempt)
     used.insert(fixture.start_attempt());
+
   CHECK(used.size() == 3);
 }
 
-TEST_CASE("LoadBalancer gives no replica more than this front's share of its capacity") {
+TEST_CASE("LoadBalancer gives no replica more than this gateway's share of its capacity") {
   BalancerFixture fixture;
   fixture.update();
 
+  constexpr int kAttempts = 100;
   std::map<std::string, int> attempts;
-  for (int attempt = 0; attempt < 100; ++attempt)
+  for (int attempt = 0; attempt < kAttempts; ++attempt)
     ++attempts[fixture.start_attempt(7)];
 
-  auto share = static_cast<int>(std::ceil(8 * kCapacityShareFactor / 2));
+  auto share = static_cast<int>(std::ceil(kReplicaCapacity * kCapacityShareFactor / kGateways));
   CHECK(attempts["app1"] == share);
-  CHECK(attempts["later"] == 100 - 3 * share);
+  CHECK(attempts["later"] == kAttempts - 3 * share);
+
   fixture.balancer.on_attempt_finished("app2");
   CHECK(fixture.start_attempt() == "app2");
 }
@@ -66,18 +73,23 @@
   BalancerFixture fixture;
   fixture.update();
   auto first = fixture.start_attempt(99);
+
   CHECK(fixture.start_attempt(99) == first);
+
   fixture.metadata.replicas["spare3"] = listed("spare3", "spare", "z1", 8);
   fixture.update();
+
   CHECK(fixture.start_attempt(99) == first);
 }
 
-TEST_CASE("LoadBalancer skips replicas that are backed off, leaving or evacuated") {
+TEST_CASE("LoadBalancer skips replicas that are backed off, draining or in an evacuated zone") {
   BalancerFixture fixture;
   fixture.update();
   for (auto* name : {"app1", "app2", "app3"})
     fixture.balancer.back_off(name, fixture.now + 50ms);
+
   CHECK(fixture.start_attempt() == "later");
+
   fixture.now += 50ms;
   CHECK(fixture.start_attempt().starts_with("app"));
 
@@ -85,22 +97,24 @@
   fixture.metadata.replicas["app2"].zone = "z9";
   fixture.metadata.evacuated = {"z9"};
   fixture.update();
+
   for (int attempt = 0; attempt < 4; ++attempt)
     CHECK(fixture.start_attempt() == "app3");
 
   fixture.metadata.replicas.erase("app3");
   fixture.update();
+
   CHECK(fixture.start_attempt() == "none");
 }
 
-TEST_CASE("LoadBalancer lets one front send to a cold replica and stays within its rate") {
-  constexpr int permitted_per_second = 19;
+TEST_CASE("LoadBalancer lets one gateway send to a replica that warms up, and stays within the rate for it") {
+  constexpr int kPermittedPerSecond = 19;
   int gateways_that_sent = 0;
   for (uint64_t gateway : {1, 2}) {
     BalancerFixture fixture;
     fixture.metadata.replicas = {{"app1", listed("app1", "app", "z1", 1000)}};
     fixture.metadata.replicas["app1"].health = ReplicaHealth::warming_up;
-    fixture.metadata.configuration.services[0].cold_per_s = permitted_per_second;
+    fixture.metadata.configuration.services[0].cold_per_s = kPermittedPerSecond;
     fixture.update(gateway);
 
     std::vector<TimePoint> sent_at;
@@ -113,9 +127,11 @@
     for (auto first = sent_at.begin(), last = first; last != sent_at.end(); ++last) {
       while (*last - *first >= 1000ms)
         ++first;
-      CHECK(last - first < permitted_per_second);
+      CHECK(last - first < kPermittedPerSecond);
     }
-    CHECK((sent_at.empty() || sent_at.size() > 5 * permitted_per_second / 2));
+
+    CHECK((sent_at.empty() || sent_at.size() > 5 * kPermittedPerSecond / 2));
   }
+
   CHECK(gateways_that_sent == 1);
 }
--- a/tests/unit/routing/recent_attempts_test.cpp
+++ b/tests/unit/routing/recent_attempts_test.cpp
@@ -1,3 +1,4 @@
+// How many attempt ids a gateway remembers.
 #include "routing/recent_attempts.hpp"
 #include "unit/catch.hpp"
 
@@ -7,6 +8,7 @@
   RecentAttempts attempts;
   for (size_t number = 0; number <= kRecentAttempts; ++number)
     attempts.add("a" + std::to_string(number));
+
   CHECK_FALSE(attempts.contains("a0"));
   CHECK(attempts.contains("a1"));
   CHECK(attempts.contains("a" + std::to_string(kRecentAttempts)));
@@ -17,5 +19,6 @@
   attempts.add("first");
   for (size_t repetition = 0; repetition <= kRecentAttempts; ++repetition)
     attempts.add("second");
+
   CHECK(attempts.contains("first"));
 }
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A request router whose callers, replicas and owners of turns are played by the test, in the platform's headers.
+// A request router whose callers, replicas and owners of turns are played by the test.
 #include "routing/constants.hpp"
 #include "routing/request_router.hpp"
 #include "unit/catch.hpp"
@@ -35,13 +35,17 @@
   return service;
 }
 
-/// Gateways 1 and 2 in zone z1; three replicas of `app`, three of `model`, two of `spare`, of capacity 8. Paths are
-/// named by their kind; `turn` keeps its history, `brief` does not.
+/// Requests that each replica of `served` can run.
+inline constexpr uint32_t kReplicaCapacity = 8;
+inline constexpr uint32_t kGateways = 2;
+
+/// Gateways 1 and 2 in zone z1; three replicas of `app`, three of `model`, two of `spare`. Paths are named by their
+/// kind; `turn` keeps its history, `brief` does not.
 inline Metadata served() {
   Metadata metadata{};
   metadata.epoch = Epoch{5};
   metadata.revision = Revision{1};
-  for (uint64_t id : {1, 2}) {
+  for (uint64_t id = 1; id <= kGateways; ++id) {
     auto number = std::to_string(id);
     Candidate gateway{Incarnation{id}, Role::front, "z1", "10.0.0." + number + ":1", "", "", "machine-" + number};
     metadata.directory[DaemonId{id}] = {DaemonId{id}, gateway, DaemonState::up, Epoch{2}};
@@ -50,7 +54,7 @@
     int replicas = service_name == "spare" ? 2 : 3;
     for (int number = 1; number <= replicas; ++number) {
       auto name = service_name + std::to_string(number);
-      metadata.replicas[name] = listed(name, service_name, "z1", 8);
+      metadata.replicas[name] = listed(name, service_name, "z1", kReplicaCapacity);
     }
   }
   metadata.configuration.services = {service("app", 0), service("model", 4), service("spare", 0)};
@@ -67,6 +71,7 @@
   return path_name == "turn" || path_name == "brief";
 }
 
+/// The router of gateway 1.
 struct RouterFixture {
   Metadata metadata = served();
   RequestRouter router{*find_protocol_codec("platform")};
@@ -76,12 +81,15 @@
   RequestId last_request_id = 0;
 
   RouterFixture() { publish(); }
+
   /// Lets the router see `metadata`, with majority contact until `dispatch_until`.
   void publish(TimePoint dispatch_until = TimePoint{1000000ms}) {
     RoutingSnapshot snapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, dispatch_until, true};
     router.update(std::make_shared<RoutingSnapshot>(std::move(snapshot)), now);
   }
+
   void handle(Event event) { actions = router.handle(std::move(event), now); }
+
   void advance(Duration elapsed) {
     now += elapsed;
     actions = router.tick(now);
@@ -96,12 +104,14 @@
         selected.push_back(*alternative);
     return selected;
   }
+
   template <class Kind>
   Kind one() const {
     auto selected = all<Kind>();
     REQUIRE(selected.size() == 1);
     return selected[0];
   }
+
   template <class Kind>
   bool none() const {
     return all<Kind>().empty();
@@ -109,11 +119,11 @@
 
   /// A caller's request on the path of that name; a turn of program p where the path is one of turns. Returns the
   /// attempt's id.
-  std::string receive(const std::string& path_name, HeaderFields more = {}, const std::string& id = "") {
+  std::string receive(const std::string& path_name, HeaderFields more_fields = {}, const std::string& id = "") {
     auto request_id = ++last_request_id;
     auto attempt_id = id.empty() ? "a" + std::to_string(request_id) : id;
     HttpRequest request{"POST", "/" + path_name + "/1?q=2", "h.example", {{"Mosskeel-Attempt-Id", attempt_id}}, "new;"};
-    request.fields.insert(request.fields.end(), more.begin(), more.end());
+    request.fields.insert(request.fields.end(), more_fields.begin(), more_fields.end());
     if (is_turn(path_name)) {
       request.fields.push_back({"Mosskeel-Program-Id", "p"});
       request.fields.push_back({"Mosskeel-Token-Budget", "1000"});
@@ -122,36 +132,43 @@
     handle(RequestReceived{request_id, std::move(request)});
     return attempt_id;
   }
+
   /// The owner's reply to a reservation.
   void reply_to_reservation(const std::string& attempt_id, uint32_t status = 200, const std::string& chain = "",
                             uint32_t retry_after_ms = 0) {
     handle(ReserveTurnReply{attempt_id, status, retry_after_ms, "for a reason", chain});
   }
+
   /// Receives a request, grants it where it is a turn, and returns what was sent to a replica.
-  SendToReplica receive_and_send(const std::string& path_name, HeaderFields more = {}) {
-    auto attempt_id = receive(path_name, std::move(more));
+  SendToReplica receive_and_send(const std::string& path_name, HeaderFields more_fields = {}) {
+    auto attempt_id = receive(path_name, std::move(more_fields));
     if (is_turn(path_name))
       reply_to_reservation(attempt_id);
     return one<SendToReplica>();
   }
+
   /// The head of the replica's response, with the attempt's id.
-  void respond(const SendToReplica& sent, uint32_t status, HeaderFields more = {}, bool sealed = true) {
+  void respond(const SendToReplica& sent, uint32_t status, HeaderFields more_fields = {}, bool sealed = true) {
     HeaderFields fields{{"Mosskeel-Attempt-Id", std::string(header_value(sent.fields, "Mosskeel-Attempt-Id"))}};
     if (sealed)
       fields.push_back({"Mosskeel-Server-Seal", "s.1"});
-    fields.insert(fields.end(), more.begin(), more.end());
+    fields.insert(fields.end(), more_fields.begin(), more_fields.end());
     handle(ResponseHeadersReceived{sent.attempt, status, fields, ""});
   }
+
   void respond_with_stream(const SendToReplica& sent) { respond(sent, 200, {{"Content-Type", "text/event-stream"}}); }
+
   /// The events first to last - 1 of the replica's stream.
   void stream_events(const SendToReplica& sent, int first, int last) {
-    for (int number = first; number < last; ++number) {
-      auto text = std::to_string(number);
-      handle(ResponseDataReceived{sent.attempt, "id: " + text + "\ndata: w" + text + "\n\n"});
+    for (int event = first; event < last; ++event) {
+      auto number = std::to_string(event);
+      handle(ResponseDataReceived{sent.attempt, "id: " + number + "\ndata: w" + number + "\n\n"});
     }
   }
+
   /// The outcome of a turn that its owner was told.
   CommitTurn outcome() const { return std::get<CommitTurn>(one<SendToOwner>().message); }
+
   /// When the caller that was rejected may come back; empty where it was not told so.
   std::string retry_after() const { return std::string(header_value(one<SendResponse>().fields, "Retry-After")); }
 };
--- a/tests/unit/routing/request_router_test.cpp
+++ b/tests/unit/routing/request_router_test.cpp
@@ -1,4 +1,4 @@
-// Every point at which an attempt can fail: what is known then, and what the caller is told.
+// How the request router answers a caller for each way in which an attempt can fail.
 #include "routing/constants.hpp"
 #include "unit/routing/request_router_fixture.hpp"
 
@@ -7,26 +7,29 @@
 
 namespace {
 
+/// A request of the paths of `path()` waits this long for a replica: a quarter of its latency target.
+constexpr Duration kMaxPathWait = 200ms;
+
 const char* const kPathNames[] = {"safe", "unsafe", "stream", "resume", "turn", "brief"};
 
 bool is_idempotent_path(const std::string& path_name) {
   return path_name == "safe" || path_name == "resume";
 }
 
-/// A way for an attempt to fail before anything of its response was passed on.
+/// A way for an attempt to fail before any byte of its response was passed on.
 struct Failure {
   const char* name;
-  /// Whether the attempt is known not to have run.
-  bool not_run;
-  std::function<void(RouterFixture&, const SendToReplica&)> play;
+  /// Whether the attempt is known not to have been executed.
+  bool not_executed;
+  std::function<void(RouterFixture&, const SendToReplica&)> occur;
 };
 
 const Failure kFailures[] = {
-    {"full", true,
+    {"replica full", true,
      [](RouterFixture& fixture, const SendToReplica& sent) {
        fixture.respond(sent, 503, {{"Mosskeel-Not-Run", "full"}}, false);
      }},
-    {"over its rate", true,
+    {"replica over its rate", true,
      [](RouterFixture& fixture, const SendToReplica& sent) {
        fixture.respond(sent, 429, {{"Mosskeel-Not-Run", "1"}}, false);
      }},
@@ -70,43 +73,50 @@
 
 }  // namespace
 
-TEST_CASE("RequestRouter retries a failed attempt where allowed and rejects by what is known of it") {
+TEST_CASE(
+    "RequestRouter retries a failed attempt where allowed, and else rejects the request by what is known of the "
+    "attempt") {
   for (std::string path_name : kPathNames) {
     for (auto& failure : kFailures) {
       INFO(path_name << ": " << failure.name);
       RouterFixture fixture;
       auto first = fixture.receive_and_send(path_name);
 
-      failure.play(fixture, first);
-      if (failure.not_run || is_idempotent_path(path_name)) {
+      failure.occur(fixture, first);
+      if (failure.not_executed || is_idempotent_path(path_name)) {
         CHECK(fixture.none<SendResponse>());
         CHECK(fixture.none<SendToOwner>());
+
         auto second = fixture.one<SendToReplica>();
         CHECK(second.to != first.to);
         CHECK(std::string(header_value(second.fields, "Mosskeel-Target-Replica")) + ":1" == second.to);
         CHECK(second.body == first.body);
-        failure.play(fixture, second);
+
+        failure.occur(fixture, second);
         // An attempt that was not sent does not count, so a third one follows.
         if (std::string(failure.name) == "not sent")
-          failure.play(fixture, fixture.one<SendToReplica>());
+          failure.occur(fixture, fixture.one<SendToReplica>());
       }
 
-      CHECK(fixture.one<SendResponse>().status == (failure.not_run ? 503 : 502));
-      CHECK(fixture.retry_after().empty() != failure.not_run);
+      CHECK(fixture.one<SendResponse>().status == (failure.not_executed ? 503 : 502));
+      CHECK(fixture.retry_after().empty() != failure.not_executed);
       CHECK(fixture.none<SendToReplica>());
       if (is_turn(path_name))
-        CHECK(fixture.outcome().status == (failure.not_run ? 0 : 502));
+        CHECK(fixture.outcome().status == (failure.not_executed ? 0 : 502));
       CHECK(fixture.router.active_requests() == 0);
     }
   }
 }
 
-TEST_CASE("RequestRouter does not report not run once a replica may have run it, whatever another says") {
+TEST_CASE(
+    "RequestRouter reports an unknown outcome once a replica may have executed the request, whatever another replica "
+    "says") {
   for (std::string path_name : {"safe", "resume"}) {
     RouterFixture fixture;
     auto sent = fixture.receive_and_send(path_name);
     fixture.handle(AttemptFailed{sent.attempt, true, "reset"});
     fixture.respond(fixture.one<SendToReplica>(), 503, {{"Mosskeel-Not-Run", "full"}}, false);
+
     CHECK(fixture.one<SendResponse>().status == 502);
     CHECK(fixture.retry_after().empty());
   }
@@ -117,9 +127,12 @@
   auto sent = fixture.receive_and_send("unsafe");
   fixture.handle(
       ResponseHeadersReceived{sent.attempt, 200, {{"Mosskeel-Attempt-Id", "x"}, {"Mosskeel-Server-Seal", "s"}}, ""});
+
   CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+
   fixture.handle(ResponseDataReceived{sent.attempt, "late"});
   CHECK(fixture.actions.empty());
+
   fixture.handle(ResponseCompleted{sent.attempt});
   CHECK(fixture.actions.empty());
 }
@@ -129,12 +142,15 @@
   auto sent = fixture.receive_and_send("unsafe");
   HeaderFields stale{{"Mosskeel-Attempt-Id", "before"}, {"Mosskeel-Server-Seal", "s.0"}};
   fixture.handle(ResponseHeadersReceived{sent.attempt, 200, stale, "before"});
+
   CHECK(fixture.one<SkipStaleResponse>().attempt == sent.attempt);
   CHECK(fixture.actions.size() == 1);
+
   SECTION("its own response comes") {
     fixture.respond(sent, 200);
     fixture.handle(ResponseDataReceived{sent.attempt, "own"});
     fixture.handle(ResponseCompleted{sent.attempt});
+
     CHECK(fixture.one<SendResponse>().body == "own");
   }
   SECTION("a second stale response comes") {
@@ -149,6 +165,7 @@
   auto sent = fixture.receive_and_send("unsafe");
   HeaderFields other{{"Mosskeel-Attempt-Id", "stranger"}, {"Mosskeel-Server-Seal", "s.0"}};
   fixture.handle(ResponseHeadersReceived{sent.attempt, 200, other, GENERATE("", "before")});
+
   CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
   CHECK(fixture.one<SendResponse>().status == 502);
 }
@@ -157,11 +174,12 @@
   RouterFixture fixture;
   auto sent = fixture.receive_and_send("unsafe");
   fixture.handle(ResponseHeadersReceived{sent.attempt, 503, {{"Mosskeel-Not-Run", "1"}}, ""});
+
   CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
   CHECK(fixture.all<SendToReplica>().size() == 1);
 }
 
-TEST_CASE("RequestRouter sends what is not idempotent only on a new connection or one that was just used") {
+TEST_CASE("RequestRouter sends requests that are not idempotent only on a new connection or one that was just used") {
   RouterFixture fixture;
   CHECK(fixture.receive_and_send("unsafe").max_idle == kMaxReuseIdle);
   CHECK(fixture.receive_and_send("stream").max_idle == kMaxReuseIdle);
@@ -170,7 +188,7 @@
   CHECK(fixture.receive_and_send("resume").max_idle == Duration::max());
 }
 
-TEST_CASE("RequestRouter bounds the memory held for an error response") {
+TEST_CASE("RequestRouter buffers no more of an error response than its bound") {
   RouterFixture fixture;
   auto is_turn = GENERATE(false, true);
   auto sent = fixture.receive_and_send(is_turn ? "turn" : "unsafe");
@@ -180,21 +198,25 @@
   if (is_turn) {
     CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
     CHECK(fixture.one<SendResponse>().status == 502);
+
     return;
   }
+
   CHECK(fixture.one<SendResponseHeaders>().status == 400);
   CHECK(fixture.one<SendResponseData>().bytes == large);
+
   fixture.handle(ResponseCompleted{sent.attempt});
   CHECK(fixture.all<EndResponse>().size() == 1);
 }
 
-TEST_CASE("RequestRouter reports an unknown outcome for a rejection that does not say not run") {
+TEST_CASE("RequestRouter reports an unknown outcome for a rejection that does not exclude an execution") {
   for (std::string path_name : {"unsafe", "stream", "turn", "brief"})
     for (uint32_t status : {408u, 429u, 503u}) {
       INFO(path_name << " " << status);
       RouterFixture fixture;
       auto sent = fixture.receive_and_send(path_name);
       fixture.respond(sent, status);
+
       CHECK(fixture.one<SendResponse>().status == 502);
       CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
       if (is_turn(path_name))
@@ -206,15 +228,20 @@
   for (std::string path_name : {"safe", "unsafe"}) {
     RouterFixture fixture;
     auto sent = fixture.receive_and_send(path_name);
+
     CHECK(sent.method == "POST");
     CHECK(sent.target == "/" + path_name + "/1?q=2");
     CHECK(sent.body == "new;");
+
     fixture.respond(sent, 200, {{"X-A", "b"}});
     fixture.handle(ResponseDataReceived{sent.attempt, "one "});
     fixture.handle(ResponseDataReceived{sent.attempt, "two"});
+
     CHECK(fixture.actions.empty());
+
     fixture.handle(ResponseCompleted{sent.attempt});
     auto response = fixture.one<SendResponse>();
+
     CHECK(response.status == 200);
     CHECK(response.body == "one two");
     CHECK(header_value(response.fields, "Mosskeel-Server-Seal") == "s.1");
@@ -235,25 +262,31 @@
     fixture.handle(ResponseDataReceived{sent.attempt, std::string(kMaxBufferedResponseBytes, 'x')});
     CHECK(fixture.one<SendResponseHeaders>().status == 200);
     CHECK(fixture.one<SendResponseData>().bytes.size() == kMaxBufferedResponseBytes + 4);
+
     fixture.handle(AttemptFailed{sent.attempt, true, "cut"});
     fixture.one<ResetResponse>();
+
     CHECK(fixture.none<EndResponse>());
   }
 }
 
-TEST_CASE("RequestRouter resets a broken stream, and neither ends nor retries it") {
+TEST_CASE("RequestRouter resets an interrupted stream, and neither ends nor retries it") {
   for (std::string path_name : {"stream", "resume", "turn", "brief"})
     for (int streamed_events : {0, 2}) {
       INFO(path_name << " after " << streamed_events);
       RouterFixture fixture;
       auto sent = fixture.receive_and_send(path_name);
       fixture.respond_with_stream(sent);
+
       CHECK(fixture.one<SendResponseHeaders>().status == 200);
+
       fixture.stream_events(sent, 0, streamed_events);
       fixture.handle(AttemptFailed{sent.attempt, true, "reset"});
       fixture.one<ResetResponse>();
+
       CHECK(fixture.none<EndResponse>());
       CHECK(fixture.none<SendToReplica>());
+
       if (!is_turn(path_name))
         continue;
       CHECK(fixture.outcome().status == 502);
@@ -264,9 +297,12 @@
 TEST_CASE("RequestRouter answers 404 without a route, 503 without majority contact and 400 to malformed headers") {
   RouterFixture fixture;
   fixture.receive("nowhere");
+
   CHECK(fixture.one<SendResponse>().status == 404);
+
   fixture.receive("safe", {{"Mosskeel-Time-Left", "soon"}});
   CHECK(fixture.one<SendResponse>().status == 400);
+
   fixture.publish(fixture.now);
   for (auto* path_name : kPathNames) {
     fixture.receive(path_name);
@@ -277,13 +313,16 @@
   CHECK(fixture.one<SendResponse>().status == 503);
 }
 
-TEST_CASE("RequestRouter sends nothing without majority contact, and rejects a waiting request when its wait is over") {
+TEST_CASE(
+    "RequestRouter dispatches nothing without majority contact, and rejects a queued request after its maximum wait") {
   RouterFixture fixture;
   auto attempt_id = fixture.receive("turn");
   fixture.publish(fixture.now);
   fixture.reply_to_reservation(attempt_id);
+
   CHECK(fixture.actions.empty());
-  fixture.advance(200ms);
+
+  fixture.advance(kMaxPathWait);
   CHECK(fixture.one<SendResponse>().status == 503);
   CHECK(fixture.outcome().status == 0);
 }
--- a/tests/unit/routing/response_check_test.cpp
+++ b/tests/unit/routing/response_check_test.cpp
@@ -1,3 +1,4 @@
+// Which responses of a replica are passed on to the caller.
 #include "routing/response_check.hpp"
 
 #include "unit/routing/request_router_fixture.hpp"
@@ -10,10 +11,12 @@
 /// A request whose attempt "own" is at a replica, on a connection that the attempt "before" has used.
 struct CheckFixture {
   ActiveRequest request;
+
   CheckFixture() {
     request.headers.attempt_id = "own";
     request.attempt.emplace();
   }
+
   ResponseVerdict check(uint32_t status, const ResponseHeaders& headers) const {
     return check_response(request, ResponseHeadersReceived{1, status, {}, "before"}, headers);
   }
@@ -37,7 +40,7 @@
   CHECK(fixture.check(200, headers_of("other", false, true)) == ResponseVerdict::not_trustable);
 }
 
-TEST_CASE("check_response accepts an error without a seal, unless it promises that nothing has run") {
+TEST_CASE("check_response accepts an error without a seal, unless its status means that the request was not executed") {
   CheckFixture fixture;
   for (uint32_t status : {400u, 404u, 500u, 502u})
     CHECK(fixture.check(status, headers_of("own", false, false)) == ResponseVerdict::accepted);
@@ -45,16 +48,17 @@
     CHECK(fixture.check(status, headers_of("own", false, true)) == ResponseVerdict::not_trustable);
 }
 
-TEST_CASE("check_response believes the mark for not run, also without an id, but not with another's") {
+TEST_CASE("check_response takes the header of a request that was not executed without an id, but not with another id") {
   CheckFixture fixture;
   CHECK(fixture.check(503, headers_of("own", true, false)) == ResponseVerdict::not_run);
   CHECK(fixture.check(503, headers_of("", true, false)) == ResponseVerdict::not_run);
   CHECK(fixture.check(503, headers_of("other", true, false)) == ResponseVerdict::not_trustable);
 }
 
-TEST_CASE("check_response skips one response to the attempt before on the connection") {
+TEST_CASE("check_response skips one stale response to the previous attempt on the connection") {
   CheckFixture fixture;
   CHECK(fixture.check(200, headers_of("before", false, true)) == ResponseVerdict::stale);
+
   fixture.request.attempt->skipped_stale_response = true;
   CHECK(fixture.check(200, headers_of("before", false, true)) == ResponseVerdict::not_trustable);
 }
--- a/tests/unit/routing/route_table_test.cpp
+++ b/tests/unit/routing/route_table_test.cpp
@@ -1,3 +1,4 @@
+// Which route a request takes, and which service of the route.
 #include "routing/route_table.hpp"
 
 #include "unit/routing/request_router_fixture.hpp"
@@ -35,5 +36,6 @@
   std::map<std::string, int> requests;
   for (uint64_t hash = 0; hash < 1000; ++hash)
     ++requests[*select_service(weighted, hash)];
+
   CHECK(requests == std::map<std::string, int>{{"app", 900}, {"model", 100}});
 }
--- a/tests/unit/routing/token_bucket_test.cpp
+++ b/tests/unit/routing/token_bucket_test.cpp
@@ -1,3 +1,4 @@
+// The rate limit of a replica that warms up.
 #include "routing/token_bucket.hpp"
 #include "unit/catch.hpp"
 
@@ -8,11 +9,14 @@
   bucket.set_rate(10);
   bucket.reset(TimePoint{1000ms});
   bucket.refill(TimePoint{1000ms});
+
   CHECK(bucket.has_token());
 
   bucket.take();
   bucket.refill(TimePoint{1099ms});
+
   CHECK_FALSE(bucket.has_token());
+
   bucket.refill(TimePoint{1101ms});
   CHECK(bucket.has_token());
 }
@@ -23,14 +27,18 @@
   bucket.reset(TimePoint{1000ms});
   bucket.refill(TimePoint{61000ms});
   int taken = 0;
-  for (; bucket.has_token(); ++taken)
+  while (bucket.has_token()) {
     bucket.take();
+    ++taken;
+  }
+
   CHECK(taken == 5);
 }
 
 TEST_CASE("TokenBucket without a rate limits nothing") {
   TokenBucket bucket;
   CHECK_FALSE(bucket.is_limited());
+
   bucket.set_rate(0.5);
   CHECK(bucket.is_limited());
 }
--- a/tests/unit/routing/turn_client_test.cpp
+++ b/tests/unit/routing/turn_client_test.cpp
@@ -1,3 +1,4 @@
+// How a gateway with callers reserves and commits turns at their owner, another gateway.
 #include "routing/turn_client.hpp"
 
 #include "history/constants.hpp"
@@ -18,63 +19,73 @@
   TimePoint now{1000ms};
 
   ClientFixture() { metadata_log.install_snapshot(small_fleet()); }
+
   void receive_from_router(Message body) {
     Envelope envelope{};
     envelope.from = kRoutingAddress;
     envelope.body = std::move(body);
     client.handle(envelope, now);
   }
+
   void receive_from_owner(Message body) { client.handle(Owner::from(1, std::move(body)), now); }
-  /// Takes what was sent of one kind, whoever it is for.
+
   template <class Body>
   std::vector<Body> take() {
-    std::vector<Body> bodies;
-    for (auto& [receiver, body] : take_sent<Body>(outbox))
-      bodies.push_back(body);
-    return bodies;
+    return take_bodies<Body>(outbox);
   }
 };
 
 }  // namespace
 
-TEST_CASE("TurnClient releases a reservation that is granted after its turn is gone") {
+TEST_CASE("TurnClient releases a reservation that is granted after its turn has ended") {
   ClientFixture fixture;
   fixture.receive_from_router(turn("a"));
+
   CHECK(fixture.take<ReserveTurn>().size() == 1);
+
   fixture.receive_from_router(CommitTurn{"a", "p", 0, 0, false, ""});
   CHECK(fixture.take<CommitTurn>().size() == 1);
-  SECTION("before the owner has answered the outcome") {
+
+  SECTION("before the owner has replied to the outcome") {
     fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
     fixture.now += kStoreRetryInterval;
     fixture.client.tick(fixture.now);
+
     CHECK(fixture.take<CommitTurn>().size() == 1);
   }
-  SECTION("after the owner knew of no such turn, for the reservation came behind the outcome") {
+  SECTION("after the owner did not know the turn, since the reservation arrived after the outcome") {
     fixture.receive_from_owner(CommitTurnReply{"a", false});
     fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
     auto outcomes = fixture.take<CommitTurn>();
     REQUIRE(outcomes.size() == 1);
+
     CHECK(outcomes[0].attempt == "a");
     CHECK(outcomes[0].program == "p");
     CHECK(outcomes[0].status == 0);
+
     fixture.receive_from_owner(CommitTurnReply{"a", true});
     CHECK(fixture.client.waiting() == 0);
   }
+
   CHECK(fixture.take<ReserveTurnReply>().empty());
 }
 
-TEST_CASE("TurnClient ignores a second grant of a turn that runs or has ended") {
+TEST_CASE("TurnClient ignores a second grant of a turn that is in progress or has ended") {
   ClientFixture fixture;
   fixture.receive_from_router(turn("a"));
   fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
+
   CHECK(fixture.take<ReserveTurnReply>().size() == 1);
+
   fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
   CHECK(fixture.take<CommitTurn>().empty());
 
   fixture.receive_from_router(CommitTurn{"a", "p", 200, 8, true, "x\n"});
   CHECK(fixture.take<CommitTurn>().size() == 1);
+
   fixture.receive_from_owner(CommitTurnReply{"a", true});
   fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
+
   CHECK(fixture.take<CommitTurn>().empty());
 
   fixture.receive_from_owner(ReserveTurnReply{"never", 200, 0, "", ""});
@@ -82,15 +93,18 @@
   CHECK(fixture.take<ReserveTurnReply>().empty());
 }
 
-TEST_CASE("TurnClient rejects a turn whose owner is silent, and tells the owner that it has not run") {
+TEST_CASE("TurnClient rejects a turn whose owner does not reply, and commits it there as not executed") {
   ClientFixture fixture;
   fixture.receive_from_router(turn("a"));
   fixture.now += kTurnReservationTimeout + 1ms;
   fixture.client.tick(fixture.now);
   auto rejections = fixture.take<ReserveTurnReply>();
   REQUIRE(rejections.size() == 1);
+
   CHECK(rejections[0].status == 503);
+
   auto outcomes = fixture.take<CommitTurn>();
   REQUIRE(outcomes.size() == 1);
+
   CHECK(outcomes[0].status == 0);
 }
--- a/tests/unit/routing/turn_coordinator_test.cpp
+++ b/tests/unit/routing/turn_coordinator_test.cpp
@@ -1,3 +1,4 @@
+// When the owner of a program grants a turn, and when it acknowledges the turn's outcome.
 #include "routing/turn_coordinator.hpp"
 
 #include "unit/routing/turn_owner_fixture.hpp"
@@ -5,9 +6,10 @@
 using namespace mosskeel;
 using namespace mosskeel::test;
 
-TEST_CASE("TurnCoordinator grants a turn only once its reservation is on a majority") {
+TEST_CASE("TurnCoordinator grants a turn only once a majority of the stores has its reservation") {
   Owner owner;
   owner.receive(2, turn("a"));
+
   CHECK(owner.take<ReserveTurnReply>().empty());
 
   auto written = owner.complete_writes();
@@ -18,16 +20,19 @@
   CHECK(owner.take_one<ReserveTurnReply>().status == 200);
 }
 
-TEST_CASE("TurnCoordinator sends the chain of a follow-on turn in order, also to several of one turn") {
+TEST_CASE(
+    "TurnCoordinator sends the chain with the grant of a turn that continues another, also to several such turns") {
   Owner owner;
   for (auto [attempt, parent] : {std::pair{"a", ""}, {"b", "a"}, {"c", "a"}}) {
     owner.receive(2, turn(attempt, parent));
     owner.complete_writes();
-    bool follows = parent[0] != '\0';
-    CHECK(owner.take_one<ReserveTurnReply>().chain == (follows ? "in:a;out:a\n" : ""));
+    std::string expected_chain = std::string(parent).empty() ? "" : "in:a;out:a\n";
+
+    CHECK(owner.take_one<ReserveTurnReply>().chain == expected_chain);
 
     owner.receive(2, CommitTurn{attempt, "p", 200, 40, true, std::string("out:") + attempt + "\n"});
     CHECK(owner.take<CommitTurnReply>().empty());
+
     owner.complete_writes();
     CHECK(owner.take_one<CommitTurnReply>().committed);
   }
@@ -38,9 +43,12 @@
   owner.receive(2, turn("a", "", 150));
   owner.complete_writes();
   owner.receive(2, turn("b", "", 150));
+
   CHECK(owner.complete_writes().empty());
+
   auto replies = owner.take<ReserveTurnReply>();
   REQUIRE(replies.size() == 2);
+
   CHECK(replies[1].status == 402);
 
   // The outcome gives back what was reserved and not spent.
@@ -48,12 +56,14 @@
   owner.complete_writes();
   owner.receive(2, turn("c", "", 150));
   owner.complete_writes();
+
   CHECK(owner.take<ReserveTurnReply>().at(0).status == 200);
 }
 
 TEST_CASE("TurnCoordinator imports the chain of another program's turn in one record") {
   Owner owner;
   owner.receive(2, turn("n", "old"));
+
   CHECK(owner.complete_writes().empty());
   CHECK(owner.take<FindChain>().size() == 3);
 
@@ -61,59 +71,69 @@
 
   auto written = owner.complete_writes();
   REQUIRE(written.size() == 2);
+
   CHECK(written[0].kind == RecordKind::outcome);
   CHECK(written[0].key == "old");
   CHECK(owner.take_one<ReserveTurnReply>().chain == "what was said");
 }
 
-TEST_CASE("TurnCoordinator reports a previous turn as missing only when every store says so") {
+TEST_CASE("TurnCoordinator reports a turn to continue as missing only when every store says so") {
   Owner owner;
   owner.receive(2, turn("n", "never"));
   owner.complete_writes();
   owner.receive(11, FindChainReply{"never", false, ""});
   owner.receive(12, FindChainReply{"never", false, ""});
+
   CHECK(owner.take<ReserveTurnReply>().empty());
-  SECTION("all answer") {
+
+  SECTION("all reply") {
     owner.receive(13, FindChainReply{"never", false, ""});
     CHECK(owner.take<ReserveTurnReply>().at(0).status == 404);
   }
-  SECTION("one is silent") {
+  SECTION("one does not reply") {
     owner.now += 1200ms;
     owner.coordinator.tick(owner.now);
+
     CHECK(owner.take<ReserveTurnReply>().at(0).status == 503);
   }
 }
 
-TEST_CASE("TurnCoordinator acknowledges an outcome only from a majority, and a second one changes nothing") {
+TEST_CASE("TurnCoordinator acknowledges an outcome once a majority has it, and a repeated outcome changes nothing") {
   Owner owner;
   owner.receive(2, turn("a"));
   owner.complete_writes();
   owner.receive(2, CommitTurn{"a", "p", 200, 40, true, "x\n"});
+
   CHECK(owner.take<CommitTurnReply>().empty());
+
   owner.complete_writes();
 
   owner.receive(2, CommitTurn{"a", "p", 200, 40, true, "x\n"});
   CHECK(owner.complete_writes().empty());
   CHECK(owner.take<CommitTurnReply>().size() == 2);
+
   owner.receive(2, CommitTurn{"never", "p", 200, 40, true, "x\n"});
   CHECK_FALSE(owner.take<CommitTurnReply>().at(0).committed);
 }
 
-TEST_CASE("TurnCoordinator neither grants nor commits a turn for a second front") {
+TEST_CASE("TurnCoordinator neither grants nor commits a turn for a second gateway") {
   Owner owner;
   owner.receive(2, turn("a"));
   owner.complete_writes();
+
   CHECK(owner.take<ReserveTurnReply>().size() == 1);
 
   owner.receive(3, turn("a"));
   CHECK(owner.complete_writes().empty());
   CHECK(owner.take_one<ReserveTurnReply>().status == 409);
+
   owner.receive(3, CommitTurn{"a", "p", 0, 0, false, ""});
   CHECK(owner.complete_writes().empty());
   CHECK_FALSE(owner.take_one<CommitTurnReply>().committed);
 
   owner.receive(2, turn("a"));
   CHECK(owner.take<ReserveTurnReply>().at(0).status == 200);
+
   owner.receive(2, CommitTurn{"a", "p", 200, 40, true, "out"});
   CHECK(owner.complete_writes().size() == 1);
   CHECK(owner.take<CommitTurnReply>().at(0).committed);
--- a/tests/unit/routing/turn_index_test.cpp
+++ b/tests/unit/routing/turn_index_test.cpp
@@ -1,3 +1,4 @@
+// What the owner of a program knows of its turns, from the records of the history.
 #include "routing/turn_index.hpp"
 #include "unit/catch.hpp"
 
@@ -27,17 +28,20 @@
 
 }  // namespace
 
-TEST_CASE("TurnIndex counts a turn's reservation until its outcome, and then what was spent") {
+TEST_CASE("TurnIndex counts a turn's reserved tokens until its outcome, and its spent tokens from then on") {
   Records records{reservation("a", "", 100)};
   TurnIndex index(Epoch{4});
   index.update(records);
+
   CHECK(index.reserved_tokens() == 100);
   CHECK(index.spent_tokens() == 0);
 
   records.push_back(outcome("a", 40, 502));
   index.update(records);
+
   CHECK(index.reserved_tokens() == 0);
   CHECK(index.spent_tokens() == 40);
+
   REQUIRE(index.find("a"));
   CHECK(index.find("a")->status == 502);
   CHECK(index.find("a")->reservation == 0u);
@@ -45,34 +49,38 @@
   CHECK(index.length() == 2);
 }
 
-TEST_CASE("TurnIndex counts a doubled record once") {
+TEST_CASE("TurnIndex counts a duplicate record once") {
   Records records{reservation("a", "", 100), reservation("a", "", 100), outcome("a", 40), outcome("a", 40)};
   TurnIndex index(Epoch{4});
   index.update(records);
+
   CHECK(index.reserved_tokens() == 0);
   CHECK(index.spent_tokens() == 40);
   CHECK(index.find("a")->outcome == 2u);
 }
 
-TEST_CASE("TurnIndex gives the chain of a turn from its first turn on, whatever came between") {
+TEST_CASE("TurnIndex gives the chain of a turn without the turns of other chains between") {
   Records records{reservation("a", "", 1),  outcome("a", 1), reservation("x", "", 1),
                   reservation("b", "a", 1), outcome("x", 1), outcome("b", 1)};
   TurnIndex index(Epoch{4});
   index.update(records);
+
   CHECK(index.chain_text(records, "b") == "in:a;out:a;in:b;out:b;");
   CHECK(index.chain_text(records, "never").empty());
 }
 
-TEST_CASE("TurnIndex takes an outcome without a reservation as the whole chain before it") {
+TEST_CASE("TurnIndex takes an outcome without a reservation as an imported chain") {
   Records records{outcome("imported", 0), reservation("b", "imported", 1), outcome("b", 1)};
   TurnIndex index(Epoch{4});
   index.update(records);
+
   CHECK(index.chain_text(records, "b") == "out:imported;in:b;out:b;");
 }
 
-TEST_CASE("TurnIndex ends a chain whose turns name each other") {
+TEST_CASE("TurnIndex gives the chain of turns that name each other as parent without an endless loop") {
   Records records{reservation("a", "b", 1), outcome("a", 1), reservation("b", "a", 1), outcome("b", 1)};
   TurnIndex index(Epoch{4});
   index.update(records);
+
   CHECK_FALSE(index.chain_text(records, "b").empty());
 }
--- a/tests/unit/routing/turn_owner_fixture.hpp
+++ b/tests/unit/routing/turn_owner_fixture.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// The owner of all programs, with three stores and two other gateways that the test plays.
+// The gateway that owns all programs; the test plays three stores and two other gateways.
+#include "metadata/constants.hpp"
 #include "routing/turn_coordinator.hpp"
 #include "unit/catch.hpp"
 
@@ -26,11 +27,11 @@
     metadata.directory[DaemonId{daemon}] = {DaemonId{daemon}, self, DaemonState::up, Epoch{2}};
   }
   Partition partition{DaemonId{1}, Epoch{4}, {DaemonId{11}, DaemonId{12}, DaemonId{13}}, {}, Epoch{3}};
-  metadata.partitions.assign(64, partition);
+  metadata.partitions.assign(kPartitionCount, partition);
   return metadata;
 }
 
-/// Takes the messages of one kind that an outbox holds, with their receivers.
+/// Takes the messages of one kind out of an outbox, with their receivers.
 template <class Body>
 std::vector<std::pair<Address, Body>> take_sent(Outbox& outbox) {
   std::vector<std::pair<Address, Body>> taken;
@@ -41,6 +42,15 @@
   return taken;
 }
 
+/// Takes the messages of one kind out of an outbox, whoever their receivers are.
+template <class Body>
+std::vector<Body> take_bodies(Outbox& outbox) {
+  std::vector<Body> bodies;
+  for (auto& [receiver, body] : take_sent<Body>(outbox))
+    bodies.push_back(body);
+  return bodies;
+}
+
 /// Gateway 1.
 struct Owner {
   Identity identity{candidate(1, Role::front, "z1"), {}, 0, 99};
@@ -55,6 +65,7 @@
     outbox.cluster = 7;
     outbox.epoch = metadata_log.epoch();
   }
+
   static Envelope from(uint64_t sender, Message body) {
     Envelope envelope{};
     envelope.cluster = 7;
@@ -64,6 +75,7 @@
     envelope.body = std::move(body);
     return envelope;
   }
+
   void receive(uint64_t sender, Message body) {
     auto envelope = from(sender, std::move(body));
     if (!history_writer.handle(envelope, now))
@@ -71,14 +83,11 @@
     coordinator.advance(history_writer.take_changed(), now);
   }
 
-  /// Takes what was sent of one kind, whoever it is for.
   template <class Body>
   std::vector<Body> take() {
-    std::vector<Body> bodies;
-    for (auto& [receiver, body] : take_sent<Body>(outbox))
-      bodies.push_back(body);
-    return bodies;
+    return take_bodies<Body>(outbox);
   }
+
   template <class Body>
   Body take_one() {
     auto bodies = take<Body>();
@@ -86,7 +95,7 @@
     return bodies[0];
   }
 
-  /// Lets two stores, a majority, answer until nothing is under way. Returns the records that they were sent.
+  /// Lets two stores, a majority, reply until no request is in flight. Returns the records that they were sent.
   Records complete_writes() {
     constexpr int kMaxRounds = 20;
     Records written;
@@ -99,14 +108,14 @@
         if (receiver == address_of(11))
           written.insert(written.end(), append.records.begin(), append.records.end());
       for (uint64_t store : {11, 12})
-        answer(store, reads, appends);
+        reply(store, reads, appends);
     }
     return written;
   }
 
  private:
-  void answer(uint64_t store, const std::vector<std::pair<Address, ReadHistory>>& reads,
-              const std::vector<std::pair<Address, AppendHistory>>& appends) {
+  void reply(uint64_t store, const std::vector<std::pair<Address, ReadHistory>>& reads,
+             const std::vector<std::pair<Address, AppendHistory>>& appends) {
     for (auto& [receiver, read] : reads)
       if (receiver == address_of(store))
         receive(store, ReadHistoryReply{read.history, read.term, true, {}, false, {}});
