--- a/tests/unit/routing/event_reader_test.cpp
+++ b/tests/unit/routing/event_reader_test.cpp
@@ -4,30 +4,45 @@
 
 using namespace mosskeel;
 
+namespace {
+
+/// Three complete events, of which one has no data, and the beginning of a fourth.
+constexpr std::string_view kStream =
+    ": a comment\r\nid: 1\r\ndata: one\r\n\r\n"
+    "mosskeel-weight-versions: 3\nid: 2\ndata: two\ndata:lines\n\n"
+    "event: x\n\n"
+    "data\nid: 3\n\ndata: cut";
+constexpr const char* kData = "one\ntwo\nlines\n\n";
+
+}  // namespace
+
 TEST_CASE("EventReader reads the same events wherever their bytes are split") {
-  const std::string text =
-      ": a comment\r\nid: 1\r\ndata: one\r\n\r\n"
-      "mosskeel-weight-versions: 3\nid: 2\ndata: two\ndata:lines\n\n"
-      "event: x\n\n"
-      "data\nid: 3\n\ndata: cut";
-  for (size_t split = 0; split <= text.size(); ++split) {
+  for (size_t split = 0; split <= kStream.size(); ++split) {
     EventReader reader(true);
-    reader.read(std::string_view(text).substr(0, split));
-    reader.read(std::string_view(text).substr(split));
+
+    reader.read(kStream.substr(0, split));
+    reader.read(kStream.substr(split));
 
     CHECK(reader.events() == 3);
-    CHECK(reader.data() == "one\ntwo\nlines\n\n");
+    CHECK(reader.data() == kData);
     CHECK(reader.last_id() == "3");
   }
-  EventReader by_byte(true);
-  for (char byte : text)
-    by_byte.read(std::string_view(&byte, 1));
+}
+
+TEST_CASE("EventReader reads a stream that comes byte by byte") {
+  EventReader reader(true);
+
+  for (char byte : kStream)
+    reader.read(std::string_view(&byte, 1));
+
+  CHECK(reader.data() == kData);
+}
 
-  CHECK(by_byte.data() == "one\ntwo\nlines\n\n");
+TEST_CASE("EventReader that counts events keeps no data") {
+  EventReader reader;
 
-  EventReader counting;
-  counting.read(text);
+  reader.read(kStream);
 
-  CHECK(counting.events() == 3);
-  CHECK(counting.data().empty());
+  CHECK(reader.events() == 3);
+  CHECK(reader.data().empty());
 }
--- a/tests/unit/routing/load_balancer_test.cpp
+++ b/tests/unit/routing/load_balancer_test.cpp
@@ -1,6 +1,7 @@
 // Which replica the load balancer of a gateway chooses for an attempt.
 #include "routing/load_balancer.hpp"
 
+#include <algorithm>
 #include <cmath>
 
 #include "unit/routing/request_router_fixture.hpp"
@@ -35,6 +36,34 @@
   }
 };
 
+/// The rate of requests for a replica that warms up.
+constexpr size_t kPermittedPerSecond = 19;
+
+/// When a gateway can start an attempt in five seconds, in which the only replica of the service warms up.
+std::vector<TimePoint> attempts_on_warming_replica(uint64_t gateway) {
+  BalancerFixture fixture;
+  fixture.metadata.replicas = {{"app1", listed("app1", "app", "z1", 1000)}};
+  fixture.metadata.replicas["app1"].health = ReplicaHealth::warming_up;
+  fixture.metadata.configuration.services[0].cold_per_s = kPermittedPerSecond;
+  fixture.update(gateway);
+  std::vector<TimePoint> sent_at;
+  for (; fixture.now < TimePoint{6000ms}; fixture.now += 1ms)
+    while (fixture.start_attempt() == "app1")
+      sent_at.push_back(fixture.now);
+  return sent_at;
+}
+
+/// The most of these times that precede another one by less than a second.
+size_t most_within_a_second(const std::vector<TimePoint>& times) {
+  size_t most = 0;
+  for (auto first = times.begin(), last = first; last != times.end(); ++last) {
+    while (*last - *first >= 1000ms)
+      ++first;
+    most = std::max(most, static_cast<size_t>(last - first));
+  }
+  return most;
+}
+
 }  // namespace
 
 TEST_CASE("LoadBalancer prefers replicas in its own zone, and uses others when those are loaded") {
@@ -82,7 +111,7 @@
   CHECK(fixture.start_attempt(99) == first);
 }
 
-TEST_CASE("LoadBalancer skips replicas that are backed off, draining or in an evacuated zone") {
+TEST_CASE("LoadBalancer skips replicas until their backoff is over") {
   BalancerFixture fixture;
   fixture.update();
   for (auto* name : {"app1", "app2", "app3"})
@@ -91,8 +120,12 @@
   CHECK(fixture.start_attempt() == "later");
 
   fixture.now += 50ms;
+
   CHECK(fixture.start_attempt().starts_with("app"));
+}
 
+TEST_CASE("LoadBalancer skips replicas that drain or are in an evacuated zone") {
+  BalancerFixture fixture;
   fixture.metadata.replicas["app1"].health = ReplicaHealth::draining;
   fixture.metadata.replicas["app2"].zone = "z9";
   fixture.metadata.evacuated = {"z9"};
@@ -108,29 +141,16 @@
 }
 
 TEST_CASE("LoadBalancer lets one gateway send to a replica that warms up, and stays within the rate for it") {
-  constexpr int kPermittedPerSecond = 19;
-  int gateways_that_sent = 0;
+  size_t gateways_that_sent = 0;
   for (uint64_t gateway : {1, 2}) {
-    BalancerFixture fixture;
-    fixture.metadata.replicas = {{"app1", listed("app1", "app", "z1", 1000)}};
-    fixture.metadata.replicas["app1"].health = ReplicaHealth::warming_up;
-    fixture.metadata.configuration.services[0].cold_per_s = kPermittedPerSecond;
-    fixture.update(gateway);
-
-    std::vector<TimePoint> sent_at;
-    for (; fixture.now < TimePoint{6000ms}; fixture.now += 1ms)
-      while (fixture.start_attempt() == "app1")
-        sent_at.push_back(fixture.now);
-
-    gateways_that_sent += !sent_at.empty();
-    // Never as many as permitted within any second.
-    for (auto first = sent_at.begin(), last = first; last != sent_at.end(); ++last) {
-      while (*last - *first >= 1000ms)
-        ++first;
-      CHECK(last - first < kPermittedPerSecond);
-    }
+    auto sent_at = attempts_on_warming_replica(gateway);
+
+    CHECK(most_within_a_second(sent_at) < kPermittedPerSecond);
 
+    // At least half as many as permitted over five seconds.
     CHECK((sent_at.empty() || sent_at.size() > 5 * kPermittedPerSecond / 2));
+
+    gateways_that_sent += sent_at.empty() ? 0 : 1;
   }
 
   CHECK(gateways_that_sent == 1);
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -8,15 +8,20 @@
 
 using namespace routing;
 
-/// A path "/NAME/" of the host h.example with one service, 4 s of time and two attempts.
+/// Of the paths of `path()`. A request waits for a replica for a quarter of the path's latency target.
+inline constexpr Duration kPathTimeout = 4000ms;
+inline constexpr Duration kPathLatencyTarget = 800ms;
+inline constexpr Duration kMaxPathWait = kPathLatencyTarget / 4;
+
+/// A path "/NAME/" of the host h.example with one service and two attempts.
 inline Path path(const std::string& name, const std::string& kind, const std::string& service) {
   Path path{};
   path.name = name;
   path.host = "h.example";
   path.prefix = "/" + name + "/";
   path.kind = kind;
-  path.timeout_ms = 4000;
-  path.target_ms = 800;
+  path.timeout_ms = kPathTimeout.count();
+  path.target_ms = kPathLatencyTarget.count();
   path.rank = 1;
   path.attempts = 2;
   path.retention_ms = 60000;
--- a/tests/unit/routing/request_router_test.cpp
+++ b/tests/unit/routing/request_router_test.cpp
@@ -7,9 +7,6 @@
 
 namespace {
 
-/// A request of the paths of `path()` waits this long for a replica: a quarter of its latency target.
-constexpr Duration kMaxPathWait = 200ms;
-
 const char* const kPathNames[] = {"safe", "unsafe", "stream", "resume", "turn", "brief"};
 
 bool is_idempotent_path(const std::string& path_name) {
@@ -71,32 +68,52 @@
      }},
 };
 
+bool may_retry(const std::string& path_name, const Failure& failure) {
+  return failure.not_executed || is_idempotent_path(path_name);
+}
+
+/// Lets the same failure occur to all further attempts of a request.
+void fail_retries(RouterFixture& fixture, const Failure& failure) {
+  failure.occur(fixture, fixture.one<SendToReplica>());
+  // An attempt that was not sent does not count, so a third one follows.
+  if (std::string(failure.name) == "not sent")
+    failure.occur(fixture, fixture.one<SendToReplica>());
+}
+
 }  // namespace
 
-TEST_CASE(
-    "RequestRouter retries a failed attempt where allowed, and else rejects the request by what is known of the "
-    "attempt") {
+TEST_CASE("RequestRouter sends a failed attempt to another replica where it was not executed or is idempotent") {
   for (std::string path_name : kPathNames) {
     for (auto& failure : kFailures) {
+      if (!may_retry(path_name, failure))
+        continue;
       INFO(path_name << ": " << failure.name);
       RouterFixture fixture;
       auto first = fixture.receive_and_send(path_name);
 
       failure.occur(fixture, first);
-      if (failure.not_executed || is_idempotent_path(path_name)) {
-        CHECK(fixture.none<SendResponse>());
-        CHECK(fixture.none<SendToOwner>());
 
-        auto second = fixture.one<SendToReplica>();
-        CHECK(second.to != first.to);
-        CHECK(std::string(header_value(second.fields, "Mosskeel-Target-Replica")) + ":1" == second.to);
-        CHECK(second.body == first.body);
+      CHECK(fixture.none<SendResponse>());
+      CHECK(fixture.none<SendToOwner>());
 
-        failure.occur(fixture, second);
-        // An attempt that was not sent does not count, so a third one follows.
-        if (std::string(failure.name) == "not sent")
-          failure.occur(fixture, fixture.one<SendToReplica>());
-      }
+      auto second = fixture.one<SendToReplica>();
+      CHECK(second.to != first.to);
+      CHECK(std::string(header_value(second.fields, "Mosskeel-Target-Replica")) + ":1" == second.to);
+      CHECK(second.body == first.body);
+    }
+  }
+}
+
+TEST_CASE("RequestRouter rejects a request after its last attempt by whether the attempts may have been executed") {
+  for (std::string path_name : kPathNames) {
+    for (auto& failure : kFailures) {
+      INFO(path_name << ": " << failure.name);
+      RouterFixture fixture;
+      auto first = fixture.receive_and_send(path_name);
+
+      failure.occur(fixture, first);
+      if (may_retry(path_name, failure))
+        fail_retries(fixture, failure);
 
       CHECK(fixture.one<SendResponse>().status == (failure.not_executed ? 503 : 502));
       CHECK(fixture.retry_after().empty() != failure.not_executed);
@@ -188,27 +205,33 @@
   CHECK(fixture.receive_and_send("resume").max_idle == Duration::max());
 }
 
-TEST_CASE("RequestRouter buffers no more of an error response than its bound") {
+TEST_CASE("RequestRouter streams an error response that is larger than its buffer") {
   RouterFixture fixture;
-  auto is_turn = GENERATE(false, true);
-  auto sent = fixture.receive_and_send(is_turn ? "turn" : "unsafe");
+  auto sent = fixture.receive_and_send("unsafe");
   fixture.respond(sent, 400);
   std::string large(kMaxBufferedResponseBytes + 1, 'x');
-  fixture.handle(ResponseDataReceived{sent.attempt, large});
-  if (is_turn) {
-    CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
-    CHECK(fixture.one<SendResponse>().status == 502);
 
-    return;
-  }
+  fixture.handle(ResponseDataReceived{sent.attempt, large});
 
   CHECK(fixture.one<SendResponseHeaders>().status == 400);
   CHECK(fixture.one<SendResponseData>().bytes == large);
 
   fixture.handle(ResponseCompleted{sent.attempt});
+
   CHECK(fixture.all<EndResponse>().size() == 1);
 }
 
+TEST_CASE("RequestRouter cancels a turn whose error response is larger than its buffer") {
+  RouterFixture fixture;
+  auto sent = fixture.receive_and_send("turn");
+  fixture.respond(sent, 400);
+
+  fixture.handle(ResponseDataReceived{sent.attempt, std::string(kMaxBufferedResponseBytes + 1, 'x')});
+
+  CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+  CHECK(fixture.one<SendResponse>().status == 502);
+}
+
 TEST_CASE("RequestRouter reports an unknown outcome for a rejection that does not exclude an execution") {
   for (std::string path_name : {"unsafe", "stream", "turn", "brief"})
     for (uint32_t status : {408u, 429u, 503u}) {
@@ -294,16 +317,26 @@
     }
 }
 
-TEST_CASE("RequestRouter answers 404 without a route, 503 without majority contact and 400 to malformed headers") {
+TEST_CASE("RequestRouter responds 404 to a request without a route") {
   RouterFixture fixture;
+
   fixture.receive("nowhere");
 
   CHECK(fixture.one<SendResponse>().status == 404);
+}
+
+TEST_CASE("RequestRouter responds 400 to malformed headers") {
+  RouterFixture fixture;
 
   fixture.receive("safe", {{"Mosskeel-Time-Left", "soon"}});
+
   CHECK(fixture.one<SendResponse>().status == 400);
+}
 
+TEST_CASE("RequestRouter responds 503 to each request without majority contact, also to one without a route") {
+  RouterFixture fixture;
   fixture.publish(fixture.now);
+
   for (auto* path_name : kPathNames) {
     fixture.receive(path_name);
     CHECK(fixture.one<SendResponse>().status == 503);
--- a/tests/unit/routing/turn_client_test.cpp
+++ b/tests/unit/routing/turn_client_test.cpp
@@ -70,7 +70,7 @@
   CHECK(fixture.take<ReserveTurnReply>().empty());
 }
 
-TEST_CASE("TurnClient ignores a second grant of a turn that is in progress or has ended") {
+TEST_CASE("TurnClient ignores a second grant of a turn that is in progress") {
   ClientFixture fixture;
   fixture.receive_from_router(turn("a"));
   fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
@@ -78,17 +78,33 @@
   CHECK(fixture.take<ReserveTurnReply>().size() == 1);
 
   fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
+
   CHECK(fixture.take<CommitTurn>().empty());
+  CHECK(fixture.take<ReserveTurnReply>().empty());
+}
 
+TEST_CASE("TurnClient ignores a second grant of a turn that has ended") {
+  ClientFixture fixture;
+  fixture.receive_from_router(turn("a"));
+  fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
+  REQUIRE(fixture.take<ReserveTurnReply>().size() == 1);
   fixture.receive_from_router(CommitTurn{"a", "p", 200, 8, true, "x\n"});
+
   CHECK(fixture.take<CommitTurn>().size() == 1);
 
   fixture.receive_from_owner(CommitTurnReply{"a", true});
+
   fixture.receive_from_owner(ReserveTurnReply{"a", 200, 0, "", ""});
 
   CHECK(fixture.take<CommitTurn>().empty());
+  CHECK(fixture.take<ReserveTurnReply>().empty());
+}
+
+TEST_CASE("TurnClient ignores a grant of a turn that it never requested") {
+  ClientFixture fixture;
 
   fixture.receive_from_owner(ReserveTurnReply{"never", 200, 0, "", ""});
+
   CHECK(fixture.take<CommitTurn>().empty());
   CHECK(fixture.take<ReserveTurnReply>().empty());
 }
--- a/tests/unit/routing/turn_coordinator_test.cpp
+++ b/tests/unit/routing/turn_coordinator_test.cpp
@@ -6,6 +6,13 @@
 using namespace mosskeel;
 using namespace mosskeel::test;
 
+namespace {
+
+/// Tokens; enough for the reservation of one turn, but not for that of two.
+constexpr uint64_t kBudgetOfOneTurn = 150;
+
+}  // namespace
+
 TEST_CASE("TurnCoordinator grants a turn only once a majority of the stores has its reservation") {
   Owner owner;
   owner.receive(2, turn("a"));
@@ -40,9 +47,10 @@
 
 TEST_CASE("TurnCoordinator rejects a turn beyond the budget with 402 and writes nothing") {
   Owner owner;
-  owner.receive(2, turn("a", "", 150));
+  owner.receive(2, turn("a", "", kBudgetOfOneTurn));
   owner.complete_writes();
-  owner.receive(2, turn("b", "", 150));
+
+  owner.receive(2, turn("b", "", kBudgetOfOneTurn));
 
   CHECK(owner.complete_writes().empty());
 
@@ -50,11 +58,19 @@
   REQUIRE(replies.size() == 2);
 
   CHECK(replies[1].status == 402);
+}
+
+TEST_CASE("TurnCoordinator returns the tokens that a turn has reserved and not spent to the budget") {
+  Owner owner;
+  owner.receive(2, turn("a", "", kBudgetOfOneTurn));
+  owner.complete_writes();
+  owner.receive(2, turn("b", "", kBudgetOfOneTurn));
+  owner.complete_writes();
+  REQUIRE(owner.take<ReserveTurnReply>().size() == 2);
 
-  // The outcome gives back what was reserved and not spent.
   owner.receive(2, CommitTurn{"a", "p", 502, 40, false, ""});
   owner.complete_writes();
-  owner.receive(2, turn("c", "", 150));
+  owner.receive(2, turn("c", "", kBudgetOfOneTurn));
   owner.complete_writes();
 
   CHECK(owner.take<ReserveTurnReply>().at(0).status == 200);
@@ -98,7 +114,7 @@
   }
 }
 
-TEST_CASE("TurnCoordinator acknowledges an outcome once a majority has it, and a repeated outcome changes nothing") {
+TEST_CASE("TurnCoordinator acknowledges an outcome once a majority has it, and a repeated outcome writes nothing") {
   Owner owner;
   owner.receive(2, turn("a"));
   owner.complete_writes();
@@ -109,10 +125,18 @@
   owner.complete_writes();
 
   owner.receive(2, CommitTurn{"a", "p", 200, 40, true, "x\n"});
+
   CHECK(owner.complete_writes().empty());
   CHECK(owner.take<CommitTurnReply>().size() == 2);
+}
+
+TEST_CASE("TurnCoordinator does not commit the outcome of a turn that was never reserved") {
+  Owner owner;
+  owner.receive(2, turn("a"));
+  owner.complete_writes();
 
   owner.receive(2, CommitTurn{"never", "p", 200, 40, true, "x\n"});
+
   CHECK_FALSE(owner.take<CommitTurnReply>().at(0).committed);
 }
 
@@ -124,17 +148,34 @@
   CHECK(owner.take<ReserveTurnReply>().size() == 1);
 
   owner.receive(3, turn("a"));
+
   CHECK(owner.complete_writes().empty());
   CHECK(owner.take_one<ReserveTurnReply>().status == 409);
 
   owner.receive(3, CommitTurn{"a", "p", 0, 0, false, ""});
+
   CHECK(owner.complete_writes().empty());
   CHECK_FALSE(owner.take_one<CommitTurnReply>().committed);
+}
+
+TEST_CASE("TurnCoordinator goes on with a turn of the first gateway after a second one has requested it") {
+  Owner owner;
+  owner.receive(2, turn("a"));
+  owner.complete_writes();
+  REQUIRE(owner.take<ReserveTurnReply>().size() == 1);
+  owner.receive(3, turn("a"));
+  owner.complete_writes();
+  owner.receive(3, CommitTurn{"a", "p", 0, 0, false, ""});
+  owner.complete_writes();
+  REQUIRE(owner.take<ReserveTurnReply>().size() == 1);
+  REQUIRE(owner.take<CommitTurnReply>().size() == 1);
 
   owner.receive(2, turn("a"));
+
   CHECK(owner.take<ReserveTurnReply>().at(0).status == 200);
 
   owner.receive(2, CommitTurn{"a", "p", 200, 40, true, "out"});
+
   CHECK(owner.complete_writes().size() == 1);
   CHECK(owner.take<CommitTurnReply>().at(0).committed);
 }
--- a/tests/unit/routing/turn_request_test.cpp
+++ b/tests/unit/routing/turn_request_test.cpp
@@ -9,9 +9,10 @@
 
 enum class Stage { reserving, waiting, sent, streaming, committing };
 
-const Stage kStages[] = {Stage::reserving, Stage::waiting, Stage::sent, Stage::streaming, Stage::committing};
+/// Of the events that `bring_to` streams: four of four tokens each.
+constexpr uint64_t kStreamedTokens = 16;
 
-/// Brings a turn with kept history to a stage; from `streaming` on, four events of four tokens each were passed on.
+/// Brings a turn with kept history to a stage; from `streaming` on, four events were passed on.
 /// Returns what was sent to the replica, if anything.
 SendToReplica bring_to(RouterFixture& fixture, Stage stage) {
   if (stage == Stage::waiting)
@@ -33,6 +34,28 @@
   return sent;
 }
 
+/// Lets time pass until the turn's deadline, before which nothing may happen.
+void reach_deadline(RouterFixture& fixture) {
+  fixture.advance(kPathTimeout - 1ms);
+  CHECK(fixture.actions.empty());
+  fixture.advance(1ms);
+}
+
+void check_rejected_before_dispatch(RouterFixture& fixture) {
+  CHECK(fixture.one<SendResponse>().status == 503);
+  CHECK_FALSE(fixture.retry_after().empty());
+  CHECK(fixture.outcome().status == 0);
+  CHECK(fixture.router.active_requests() == 0);
+}
+
+/// The turn is over, its caller was sent nothing, and it counts no more that the caller disconnected.
+void check_ended_without_response(RouterFixture& fixture) {
+  CHECK(fixture.none<SendResponse>());
+  CHECK(fixture.router.active_requests() == 0);
+  fixture.handle(CallerDisconnected{fixture.last_request_id});
+  CHECK(fixture.actions.empty());
+}
+
 }  // namespace
 
 TEST_CASE("A stream with kept history ends only once its outcome is committed") {
@@ -93,75 +116,107 @@
   CHECK(fixture.outcome().output.empty());
 }
 
-TEST_CASE("A turn whose caller disconnects was not executed before its dispatch, and may have been from then on") {
-  for (auto stage : kStages) {
+TEST_CASE("A turn whose caller disconnects before its dispatch is committed as not executed") {
+  for (auto stage : {Stage::reserving, Stage::waiting}) {
     INFO("stage " << static_cast<int>(stage));
     RouterFixture fixture;
-    auto sent = bring_to(fixture, stage);
-    fixture.handle(CallerDisconnected{fixture.last_request_id});
-    if (stage == Stage::committing) {
-      CHECK(fixture.actions.empty());
-    } else {
-      bool at_replica = stage == Stage::sent || stage == Stage::streaming;
-      CHECK(fixture.outcome().status == (at_replica ? 502 : 0));
-      CHECK(fixture.outcome().tokens == (stage == Stage::streaming ? 16 : 0));
-      CHECK(fixture.all<CancelAttempt>().size() == (at_replica ? 1 : 0));
-    }
-
-    CHECK(fixture.none<SendResponse>());
-    CHECK(fixture.router.active_requests() == 0);
+    bring_to(fixture, stage);
 
     fixture.handle(CallerDisconnected{fixture.last_request_id});
-    CHECK(fixture.actions.empty());
+
+    CHECK(fixture.outcome().status == 0);
+    CHECK(fixture.outcome().tokens == 0);
+    CHECK(fixture.none<CancelAttempt>());
+
+    check_ended_without_response(fixture);
   }
 }
 
-TEST_CASE("A turn that reaches its deadline ends by what is known at its stage") {
-  for (auto stage : kStages) {
+TEST_CASE("A turn whose caller disconnects after its dispatch is cancelled and committed as failed") {
+  for (auto stage : {Stage::sent, Stage::streaming}) {
     INFO("stage " << static_cast<int>(stage));
     RouterFixture fixture;
-    auto sent = bring_to(fixture, stage);
-    if (stage == Stage::waiting) {
-      fixture.advance(201ms);
-    } else {
-      fixture.advance(3999ms);
-      CHECK(fixture.actions.empty());
-
-      fixture.advance(1ms);
-    }
-    switch (stage) {
-      case Stage::reserving:
-      case Stage::waiting:
-        CHECK(fixture.one<SendResponse>().status == 503);
-        CHECK_FALSE(fixture.retry_after().empty());
-        CHECK(fixture.outcome().status == 0);
-
-        break;
-      case Stage::sent:
-        CHECK(fixture.one<SendResponse>().status == 504);
-        CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
-        CHECK(fixture.outcome().status == 502);
-
-        break;
-      case Stage::streaming:
-        fixture.one<ResetResponse>();
-        CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
-        CHECK(fixture.outcome().status == 502);
-        CHECK(fixture.outcome().tokens == 16);
-
-        break;
-      case Stage::committing:
-        CHECK(fixture.actions.empty());
-        fixture.advance(kTurnCommitGrace);
-        fixture.one<ResetResponse>();
-
-        CHECK(fixture.none<EndResponse>());
-    }
-
-    CHECK(fixture.router.active_requests() == 0);
+    bring_to(fixture, stage);
+
+    fixture.handle(CallerDisconnected{fixture.last_request_id});
+
+    CHECK(fixture.outcome().status == 502);
+    CHECK(fixture.outcome().tokens == (stage == Stage::streaming ? kStreamedTokens : 0));
+    CHECK(fixture.all<CancelAttempt>().size() == 1);
+
+    check_ended_without_response(fixture);
   }
 }
 
+TEST_CASE("A turn whose caller disconnects while its outcome is committed keeps that outcome") {
+  RouterFixture fixture;
+  bring_to(fixture, Stage::committing);
+
+  fixture.handle(CallerDisconnected{fixture.last_request_id});
+
+  CHECK(fixture.actions.empty());
+
+  check_ended_without_response(fixture);
+}
+
+TEST_CASE("A turn that reaches its deadline before its reservation is rejected and committed as not executed") {
+  RouterFixture fixture;
+  bring_to(fixture, Stage::reserving);
+
+  reach_deadline(fixture);
+
+  check_rejected_before_dispatch(fixture);
+}
+
+TEST_CASE("A turn that waits too long for a replica is rejected and committed as not executed") {
+  RouterFixture fixture;
+  bring_to(fixture, Stage::waiting);
+
+  fixture.advance(kMaxPathWait + 1ms);
+
+  check_rejected_before_dispatch(fixture);
+}
+
+TEST_CASE("A turn that reaches its deadline after its dispatch is answered 504, cancelled and committed as failed") {
+  RouterFixture fixture;
+  auto sent = bring_to(fixture, Stage::sent);
+
+  reach_deadline(fixture);
+
+  CHECK(fixture.one<SendResponse>().status == 504);
+  CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+  CHECK(fixture.outcome().status == 502);
+  CHECK(fixture.router.active_requests() == 0);
+}
+
+TEST_CASE("A stream that reaches its deadline is reset, cancelled and committed as failed with the tokens so far") {
+  RouterFixture fixture;
+  auto sent = bring_to(fixture, Stage::streaming);
+
+  reach_deadline(fixture);
+
+  fixture.one<ResetResponse>();
+  CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
+  CHECK(fixture.outcome().status == 502);
+  CHECK(fixture.outcome().tokens == kStreamedTokens);
+  CHECK(fixture.router.active_requests() == 0);
+}
+
+TEST_CASE("A turn whose outcome is not committed at its deadline is reset after a grace period") {
+  RouterFixture fixture;
+  bring_to(fixture, Stage::committing);
+
+  reach_deadline(fixture);
+
+  CHECK(fixture.actions.empty());
+
+  fixture.advance(kTurnCommitGrace);
+
+  fixture.one<ResetResponse>();
+  CHECK(fixture.none<EndResponse>());
+  CHECK(fixture.router.active_requests() == 0);
+}
+
 TEST_CASE("An owner's rejection of a turn is passed on, and nothing is sent to a replica") {
   for (auto [status, retry_after_ms, expected_status] :
        {std::tuple{402u, 0u, 402u}, {404u, 0u, 404u}, {503u, 500u, 503u}, {409u, 0u, 502u}}) {
@@ -263,39 +318,61 @@
   }
 }
 
-TEST_CASE("Queued requests are dispatched by priority, then age, and rejected after their maximum wait") {
-  RouterFixture fixture;
-  fixture.metadata.configuration.paths[0].rank = 2;
-  for (auto* name : {"app2", "app3"})
-    fixture.metadata.replicas.erase(name);
-  fixture.metadata.replicas["app1"].capacity = 1;
-  fixture.metadata.revision = Revision{2};
-  fixture.publish();
-  auto first = fixture.receive_and_send("unsafe");
-  while (!fixture.actions.empty())
-    fixture.receive("unsafe");
-  auto oldest = fixture.last_request_id;
-  fixture.now += 10ms;
-  fixture.receive("safe");
-  fixture.now += 10ms;
-  fixture.receive("unsafe");
-  fixture.respond(first, 200);
-  fixture.handle(ResponseCompleted{first.attempt});
-  auto next = fixture.one<SendToReplica>();
-
-  CHECK(header_value(next.fields, "Mosskeel-Attempt-Id") == "a" + std::to_string(oldest));
-
-  fixture.respond(next, 200);
-  fixture.handle(ResponseCompleted{next.attempt});
-
-  CHECK(header_value(fixture.one<SendToReplica>().fields, "Mosskeel-Attempt-Id") ==
-        "a" + std::to_string(fixture.last_request_id));
-
-  fixture.advance(189ms);
-  CHECK(fixture.actions.empty());
+namespace {
 
-  fixture.advance(1ms);
-  CHECK(fixture.one<SendResponse>().request_id == oldest + 1);
-  CHECK(fixture.one<SendResponse>().status == 503);
-  CHECK_FALSE(fixture.retry_after().empty());
+/// The only replica of `app`, which runs one request; others are queued: an unsafe one, a safe one of lower priority,
+/// another unsafe one, 10 ms apart.
+struct QueuedRequests : RouterFixture {
+  SendToReplica running;
+  RequestId oldest = 0;
+
+  QueuedRequests() {
+    metadata.configuration.paths[0].rank = 2;
+    for (auto* name : {"app2", "app3"})
+      metadata.replicas.erase(name);
+    metadata.replicas["app1"].capacity = 1;
+    metadata.revision = Revision{2};
+    publish();
+    running = receive_and_send("unsafe");
+    while (!actions.empty())
+      receive("unsafe");
+    oldest = last_request_id;
+    now += 10ms;
+    receive("safe");
+    now += 10ms;
+    receive("unsafe");
+  }
+
+  /// Completes a request. Returns the attempt id of the one that is dispatched then.
+  std::string complete(const SendToReplica& sent) {
+    respond(sent, 200);
+    handle(ResponseCompleted{sent.attempt});
+    return std::string(header_value(one<SendToReplica>().fields, "Mosskeel-Attempt-Id"));
+  }
+};
+
+}  // namespace
+
+TEST_CASE("Queued requests are dispatched by priority, then by age") {
+  QueuedRequests queued;
+
+  CHECK(queued.complete(queued.running) == "a" + std::to_string(queued.oldest));
+
+  auto next = queued.one<SendToReplica>();
+  CHECK(queued.complete(next) == "a" + std::to_string(queued.last_request_id));
+}
+
+TEST_CASE("A queued request is rejected after its maximum wait") {
+  QueuedRequests queued;
+  queued.complete(queued.running);
+  queued.complete(queued.one<SendToReplica>());
+
+  // The request of lower priority has waited for 10 ms so far.
+  queued.advance(kMaxPathWait - 11ms);
+  CHECK(queued.actions.empty());
+
+  queued.advance(1ms);
+  CHECK(queued.one<SendResponse>().request_id == queued.oldest + 1);
+  CHECK(queued.one<SendResponse>().status == 503);
+  CHECK_FALSE(queued.retry_after().empty());
 }
