--- a/tests/unit/control/admin_json_test.cpp
+++ b/tests/unit/control/admin_json_test.cpp
@@ -1,3 +1,4 @@
+// The text and the JSON in which operators get the outcome of a commit, and in which they describe a replica.
 #include "control/admin_json.hpp"
 #include "metadata/constants.hpp"
 #include "unit/catch.hpp"
@@ -25,19 +26,26 @@
   CHECK(describe_outcome(make_reply(CommitOutcome::unknown, "cut off")) == "unknown: retry with op-1 (cut off)");
 }
 
-TEST_CASE("A commit's outcome becomes a status and a JSON body") {
-  auto committed = commit_response(make_reply(CommitOutcome::committed, ""), Revision{4});
-  CHECK(committed.status == 200);
-  CHECK(Json::parse(committed.body) == Json{{"id", "op-1"}, {"outcome", "yes"}, {"epoch", 9}, {"revision", 4}});
+TEST_CASE("A committed change becomes 200 and its epoch and revision in JSON") {
+  auto response = commit_response(make_reply(CommitOutcome::committed, ""), Revision{4});
 
-  auto rejected = commit_response(make_reply(CommitOutcome::rejected, "too few stores"), Revision{4});
-  CHECK(rejected.status == 409);
-  CHECK(Json::parse(rejected.body) == Json{{"id", "op-1"}, {"outcome", "no"}, {"reason", "too few stores"}});
+  CHECK(response.status == 200);
+  CHECK(Json::parse(response.body) == Json{{"id", "op-1"}, {"outcome", "yes"}, {"epoch", 9}, {"revision", 4}});
+}
+
+TEST_CASE("A rejected change becomes 409 and its reason in JSON") {
+  auto response = commit_response(make_reply(CommitOutcome::rejected, "too few stores"), Revision{4});
+
+  CHECK(response.status == 409);
+  CHECK(Json::parse(response.body) == Json{{"id", "op-1"}, {"outcome", "no"}, {"reason", "too few stores"}});
+}
+
+TEST_CASE("A change of unknown outcome becomes 503 with a time to retry after") {
+  auto response = commit_response(make_reply(CommitOutcome::unknown, "cut off"), Revision{4});
 
-  auto unknown = commit_response(make_reply(CommitOutcome::unknown, "cut off"), Revision{4});
-  CHECK(unknown.status == 503);
-  CHECK(unknown.headers.at("Retry-After") == "1");
-  CHECK(Json::parse(unknown.body) ==
+  CHECK(response.status == 503);
+  CHECK(response.headers.at("Retry-After") == "1");
+  CHECK(Json::parse(response.body) ==
         Json{{"id", "op-1"}, {"outcome", "unknown"}, {"reason", "retry with the same id: cut off"}});
 }
 
--- a/tests/unit/control/command_language_test.cpp
+++ b/tests/unit/control/command_language_test.cpp
@@ -1,3 +1,4 @@
+// The operators' language: sentences, the commands that they mean, and the errors of those that mean none.
 #include "control/command_language.hpp"
 #include "unit/catch.hpp"
 
@@ -45,23 +46,29 @@
   }
 }
 
-TEST_CASE("Commands translate into the transformations they name") {
+TEST_CASE("A command translates into the transformation that it names, whatever the spaces between its words") {
+  CHECK(transformation_of("retire  store 7", Metadata{}) == Transformation{PrepareDrain{DaemonId{7}}});
+}
+
+TEST_CASE("A command that creates a cell translates into a configuration on the present revision") {
   Metadata metadata{};
   metadata.revision = Revision{4};
 
-  CHECK(transformation_of("retire  store 7", Metadata{}) == Transformation{PrepareDrain{DaemonId{7}}});
-
   auto change = transformation_of("create cell news budget 400 turn 40 retention 60000", metadata);
+
   const auto& apply = std::get<ApplyConfiguration>(change);
   CHECK(apply.base == Revision{4});
   CHECK(apply.configuration.cells.at(0).budget == 400);
+}
 
+TEST_CASE("A command that drops an unknown cell does not translate") {
   auto drop = command_language::parse("drop cell news");
   REQUIRE(drop.ok());
-  CHECK_FALSE(command_language::to_transformation(drop.value(), metadata).ok());
+
+  CHECK_FALSE(command_language::to_transformation(drop.value(), Metadata{}).ok());
 }
 
-TEST_CASE("Every sentence of the grammar parses into its command") {
+TEST_CASE("Each sentence that names a transformation translates into it") {
   const std::pair<const char*, Transformation> changes[] = {
       {"drain zone a", EvacuateZone{"a"}},
       {"restore zone a", RestoreZone{"a"}},
@@ -76,8 +83,11 @@
     INFO(sentence);
     CHECK(transformation_of(sentence, Metadata{}) == expected);
   }
+}
 
+TEST_CASE("The sentence that rebuilds the core names all lost members") {
   auto rebuild = command_language::parse("rebuild core without 1 2");
+
   REQUIRE(rebuild.ok());
   CHECK(std::get<command_language::RebuildCore>(rebuild.value()).lost ==
         std::vector<DaemonId>{DaemonId{1}, DaemonId{2}});
@@ -96,7 +106,7 @@
   CHECK(std::get<ApplyConfiguration>(transformation_of("drop cell news", metadata)).configuration.cells.empty());
 }
 
-TEST_CASE("Queries that name nothing are refused with the reason") {
+TEST_CASE("Queries for what does not exist are rejected with the reason") {
   using command_language::ExplainQuery;
   using command_language::ShowQuery;
   Metadata metadata{};
--- a/tests/unit/control/control_session_test.cpp
+++ b/tests/unit/control/control_session_test.cpp
@@ -1,4 +1,4 @@
-// Results of commands come out of the commit's own reply, and one deadline covers a whole request.
+// How an operator's commands are answered: by the commit's own reply, and within one deadline for a whole request.
 #include "control/control_session.hpp"
 #include "control/constants.hpp"
 #include "control/control_protocol.hpp"
@@ -16,12 +16,12 @@
   CommitReply reply{};
   reply.outcome = outcome;
   reply.rejection = rejection;
-  reply.reason = "so it is";
+  reply.reason = "a reason";
   return reply;
 }
 
 /// Gives the scripted replies in order, then unknown outcomes. Its state machine's metadata is empty, so that no
-/// result can be read off it.
+/// result can come from there.
 struct ScriptedController : ControllerAccess {
   ControllerMachine machine{Identity{{Incarnation{1}, Role::controller, "z", "c1", "", ""}, {}, 3, 1}, {}, kStart};
   TimePoint clock = kStart;
@@ -31,17 +31,26 @@
 
   CommitReply commit(const Transformation&, const std::string&, Duration timeout) override {
     clock += std::min(delay, timeout);
-    auto reply = make_reply(CommitOutcome::unknown);
-    if (!replies.empty()) {
-      reply = replies.front();
-      replies.erase(replies.begin());
-    }
+    auto reply = take_reply();
     return delay > timeout ? make_reply(CommitOutcome::unknown) : reply;
   }
-  void inspect(const std::function<void(ControllerMachine&, TimePoint)>& look) override { look(machine, clock); }
+
+  void inspect(const std::function<void(ControllerMachine&, TimePoint)>& inspection) override {
+    inspection(machine, clock);
+  }
+
   TimePoint now() override { return clock; }
   void pause(Duration duration) override { clock += duration; }
   bool stopped() override { return false; }
+
+ private:
+  CommitReply take_reply() {
+    if (replies.empty())
+      return make_reply(CommitOutcome::unknown);
+    auto reply = replies.front();
+    replies.erase(replies.begin());
+    return reply;
+  }
 };
 
 }  // namespace
@@ -59,7 +68,7 @@
     controller.replies.assign(3, make_reply(CommitOutcome::rejected, rejection));
     ControlSession session(controller, controller.clock);
 
-    // The machine's own revision is 0, the base of this very command: a later look would call it invalid.
+    // The machine's own revision is 0, the base of this very command: by its metadata the command would be invalid.
     CHECK(session.apply_configuration("id", Revision{0}, Revision{1}, {}).code == code);
     CHECK(session.evacuate("z").code == code);
     CHECK(session.restore("z").code == code);
