--- a/tests/unit/platform/admin_api_test.cpp
+++ b/tests/unit/platform/admin_api_test.cpp
@@ -1,4 +1,4 @@
-// The operator's requests, and the statuses that the results of commands become.
+// The operators' HTTP requests in the platform's format: the commands that they issue, and the statuses of the results.
 #include "control/control_protocol.hpp"
 #include "unit/catch.hpp"
 
@@ -10,6 +10,9 @@
 constexpr const char* kConfigPath = "/v1/config";
 const char* const kDocument = R"({"Revision":7,"Routes":[],"Services":[{"Name":"s"}]})";
 
+/// A patch that adds the service "t".
+const char* const kAddService = R"({"Revision":9,"Upsert":{"Services":[{"Name":"t"}]}})";
+
 const ControlProtocol& protocol() {
   const auto* found = find_control_protocol("platform");
   REQUIRE(found);
@@ -23,26 +26,29 @@
   CommandResult result{Code::done, ""};
   RetirementState state = RetirementState::serving;
   /// Whether no majority answers a read.
-  bool cut_off = false;
-  /// Commit ids of configurations, and the words of all other commands.
+  bool is_isolated = false;
+  /// Commit ids of configurations, and the text of all other commands.
   std::vector<std::string> commands;
   Revision base{};
   Revision revision{};
   Configuration configuration{};
 
   std::optional<Unavailable> unavailability() override { return unavailable; }
-  MetadataSnapshot read_metadata() override { return cut_off ? nullptr : std::make_shared<Metadata>(metadata); }
+  MetadataSnapshot read_metadata() override { return is_isolated ? nullptr : std::make_shared<Metadata>(metadata); }
+
   CommandResult wait_until_in_force() override {
     commands.push_back("wait");
     return {Code::done, ""};
   }
-  CommandResult apply_configuration(const std::string& commit_id, Revision on, Revision own,
+
+  CommandResult apply_configuration(const std::string& commit_id, Revision base_revision, Revision own_revision,
                                     const Configuration& applied) override {
-    base = on;
-    revision = own;
+    base = base_revision;
+    revision = own_revision;
     configuration = applied;
     return record(commit_id);
   }
+
   CommandResult evacuate(const std::string& zone) override { return record("evacuate " + zone); }
   CommandResult restore(const std::string& zone) override { return record("restore " + zone); }
   CommandResult retire(const std::string& machine) override { return record("retire " + machine); }
@@ -62,9 +68,11 @@
     REQUIRE(response);
     return *response;
   }
+
   ApiResponse put(const std::string& body, const std::string& if_match) {
     return request("PUT", kConfigPath, body, if_match);
   }
+
   ApiResponse patch(const std::string& body, const std::string& if_match) {
     return request("PATCH", kConfigPath, body, if_match);
   }
@@ -84,22 +92,34 @@
   FakeCluster cluster;
 
   CHECK(cluster.put(kDocument, "5").status == 200);
+
   CHECK(cluster.base == Revision{5});
   CHECK(cluster.revision == Revision{7});
   CHECK(cluster.configuration.document == kDocument);
+}
+
+TEST_CASE("PUT config gives equal requests equal commit ids, however their revision is quoted") {
+  FakeCluster cluster;
 
-  // The commit id depends on what is asked for alone, however the revision is quoted.
+  cluster.put(kDocument, "5");
   cluster.put(kDocument, "\"5\"");
   REQUIRE(cluster.commands.size() == 2);
+
   CHECK(cluster.commands[0] == cluster.commands[1]);
+
   cluster.put(kDocument, "6");
   REQUIRE(cluster.commands.size() == 3);
+
   CHECK(cluster.commands[2] != cluster.commands[0]);
+}
+
+TEST_CASE("PUT config rejects a request without a revision in If-Match or with a truncated document") {
+  FakeCluster cluster;
 
   CHECK(cluster.put(kDocument, "").status == 400);
   CHECK(cluster.put(kDocument, "five").status == 400);
   CHECK(cluster.put("{\"Rev", "5").status == 400);
-  CHECK(cluster.commands.size() == 3);
+  CHECK(cluster.commands.empty());
 }
 
 TEST_CASE("Invalid configuration requests return 400 and issue no command") {
@@ -171,37 +191,53 @@
   }
 }
 
-TEST_CASE("PUT and PATCH config accept unknown fields and thousands of routes") {
+TEST_CASE("PUT config accepts unknown fields") {
   FakeCluster cluster;
   auto with_unknown_fields = R"({"Revision":7,"Routes":[],"Services":[{"Name":"s","New":{"a":[1]}}],"Later":1})";
+
   CHECK(cluster.put(with_unknown_fields, "5").status == 200);
+}
+
+namespace {
 
+constexpr size_t kManyRoutes = 3000;
+
+/// A document of revision 8 with routes "r0" to "r2999".
+std::string document_with_many_routes() {
   std::string routes;
-  for (int i = 0; i < 3000; ++i) {
+  for (size_t i = 0; i < kManyRoutes; ++i) {
     auto number = std::to_string(i);
     routes += (i ? "," : "") + std::string(R"({"Name":"r)") + number + R"(","Host":"h)" + number +
               R"(.example","PathPrefix":"/p/","RouteKind":"safe","TimeoutMs":1000,"MaxAttempts":2,"Service":"s"})";
   }
-  auto document = R"({"Revision":8,"Routes":[)" + routes + R"(],"Services":[{"Name":"s"}]})";
+  return R"({"Revision":8,"Routes":[)" + routes + R"(],"Services":[{"Name":"s"}]})";
+}
+
+}  // namespace
+
+TEST_CASE("PUT and PATCH config accept thousands of routes") {
+  FakeCluster cluster;
+  auto document = document_with_many_routes();
+
   CHECK(cluster.put(document, "7").status == 200);
-  CHECK(cluster.configuration.paths.size() == 3000);
+  CHECK(cluster.configuration.paths.size() == kManyRoutes);
 
   cluster.metadata.configuration.document = document;
   cluster.metadata.revision = Revision{8};
+
   CHECK(cluster.patch(R"({"Revision":9,"Remove":{"Routes":["r17"]}})", "8").status == 200);
-  CHECK(cluster.configuration.paths.size() == 2999);
+  CHECK(cluster.configuration.paths.size() == kManyRoutes - 1);
 }
 
 TEST_CASE("PATCH config returns 412 for another revision and 503 for a forgotten one") {
-  const char* patch = R"({"Revision":9,"Upsert":{"Services":[{"Name":"t"}]}})";
   auto cluster = configured_cluster();
   cluster.metadata.applied_configurations = {{Revision{5}, Epoch{3}, 1}};
 
-  CHECK(cluster.patch(patch, "6").status == 412);
-  CHECK(cluster.patch(patch, "5").status == 412);
-  CHECK(cluster.patch(patch, "8").status == 412);
-  CHECK(cluster.patch(patch, "18446744073709551615").status == 412);
-  CHECK(cluster.patch(patch, "4").status == 503);
+  CHECK(cluster.patch(kAddService, "6").status == 412);
+  CHECK(cluster.patch(kAddService, "5").status == 412);
+  CHECK(cluster.patch(kAddService, "8").status == 412);
+  CHECK(cluster.patch(kAddService, "18446744073709551615").status == 412);
+  CHECK(cluster.patch(kAddService, "4").status == 503);
   CHECK(cluster.commands.empty());
 }
 
@@ -217,6 +253,7 @@
     CHECK(cluster.put(kDocument, "5").status == status);
     CHECK(cluster.request("POST", "/v1/evacuate/a").status == status);
     CHECK(cluster.request("DELETE", "/v1/evacuate/a").status == status);
+
     auto retirement = cluster.request("POST", "/v1/retire/store-1", "{\"DeadlineS\":10}");
     CHECK(retirement.status == status);
     CHECK(retirement.headers.count("Retry-After") == (status == 503));
@@ -226,36 +263,48 @@
 TEST_CASE("PUT config acknowledges a document already in force on another revision") {
   FakeCluster cluster;
   cluster.result.code = Code::revision_mismatch;
-
   cluster.metadata.configuration.document = R"({ "Revision": 7, "Services": [{"Name":"s"}], "Routes": [] })";
+
   CHECK(cluster.put(kDocument, "5").status == 200);
   CHECK(cluster.commands.back() == "wait");
+}
 
+TEST_CASE("PUT config on another revision returns 412, and 503 where it is unknown what is in force") {
+  FakeCluster cluster;
+  cluster.result.code = Code::revision_mismatch;
   cluster.metadata.configuration.document = "{}";
+
   CHECK(cluster.put(kDocument, "5").status == 412);
 
-  cluster.cut_off = true;
+  cluster.is_isolated = true;
+
   CHECK(cluster.put(kDocument, "5").status == 503);
 }
 
-TEST_CASE("PATCH config changes named items and acknowledges a retry") {
-  const char* patch = R"({"Revision":9,"Upsert":{"Services":[{"Name":"t"}]}})";
+TEST_CASE("PATCH config changes the named items on the revision in If-Match") {
   auto cluster = configured_cluster();
 
-  CHECK(cluster.patch(patch, "7").status == 200);
+  CHECK(cluster.patch(kAddService, "7").status == 200);
   CHECK(cluster.revision == Revision{9});
   CHECK(cluster.configuration.services.size() == 2);
-  CHECK(cluster.patch(patch, "6").status == 412);
+
+  CHECK(cluster.patch(kAddService, "6").status == 412);
   CHECK(cluster.patch("{}", "7").status == 400);
+}
 
+TEST_CASE("PATCH config acknowledges a retry, and returns 503 where it is unknown whether it is one") {
+  auto cluster = configured_cluster();
+  REQUIRE(cluster.patch(kAddService, "7").status == 200);
   auto commit_id = cluster.commands.front();
   cluster.metadata.revision = Revision{9};
   cluster.metadata.applied_commits.push_back({commit_id, Epoch{3}});
-  CHECK(cluster.patch(patch, "7").status == 200);
+
+  CHECK(cluster.patch(kAddService, "7").status == 200);
   CHECK(cluster.commands.back() == commit_id);
 
-  cluster.cut_off = true;
-  CHECK(cluster.patch(patch, "7").status == 503);
+  cluster.is_isolated = true;
+
+  CHECK(cluster.patch(kAddService, "7").status == 503);
 }
 
 TEST_CASE("GET config returns the document only after a linearizable read") {
@@ -265,28 +314,42 @@
   cluster.metadata.configuration.document = kDocument;
   CHECK(cluster.request("GET", kConfigPath).body == kDocument);
 
-  cluster.cut_off = true;
+  cluster.is_isolated = true;
   CHECK(cluster.request("GET", kConfigPath).status == 503);
 }
 
-TEST_CASE("Retirement states, redirects and foreign paths map to HTTP responses") {
+TEST_CASE("Each retirement state maps to an HTTP response") {
   FakeCluster cluster;
+
   CHECK(cluster.request("GET", "/v1/retire/store-1").body == "{\"State\":\"serving\"}\n");
+
   cluster.state = RetirementState::finished;
   CHECK(cluster.request("GET", "/v1/retire/store-1").body == "{\"State\":\"finished\"}\n");
+
   cluster.state = RetirementState::unknown_machine;
   CHECK(cluster.request("GET", "/v1/retire/store-1").status == 404);
+
   cluster.state = RetirementState::unconfirmed;
   CHECK(cluster.request("GET", "/v1/retire/store-1").status == 503);
+}
 
+TEST_CASE("A controller outside the core redirects requests to a member, and returns 503 where it knows none") {
+  FakeCluster cluster;
   cluster.unavailable = ClusterControl::Unavailable{"10.0.0.4:8080", "no member"};
+
   auto redirected = cluster.request("POST", "/v1/evacuate/a");
+
   CHECK(redirected.status == 307);
   CHECK(redirected.headers["Location"] == "http://10.0.0.4:8080/v1/evacuate/a");
+
   cluster.unavailable->redirect_to.clear();
+
   CHECK(cluster.request("GET", kConfigPath).status == 503);
   CHECK(cluster.commands.empty());
+}
 
+TEST_CASE("Requests for paths of no operator's request are not answered") {
+  FakeCluster cluster;
   for (const auto* path : {"/v1/cluster/configuration", "/v1/evacuate/", "/v1/retire/a/b", "/v1/say"}) {
     INFO(path);
     CHECK_FALSE(protocol().answer({"POST", path, "", {}, {}}, cluster));
--- a/tests/unit/platform/configuration_test.cpp
+++ b/tests/unit/platform/configuration_test.cpp
@@ -1,4 +1,4 @@
-// The operator's configurations: complete, patched, and wrong.
+// The operators' configuration documents: complete, patched, and invalid.
 #include <nlohmann/json.hpp>
 
 #include "platform/configuration.hpp"
@@ -79,21 +79,26 @@
   CHECK(parsed.revision == Revision{7});
   CHECK(configuration.document == kDocument);
   CHECK(configuration.cells.empty());
+
   REQUIRE(configuration.paths.size() == 2);
   CHECK(configuration.paths[0] == streaming_path());
   CHECK(configuration.paths[1] == split_path());
+
   REQUIRE(configuration.services.size() == 2);
   CHECK(configuration.services[0] == Service{"huvo11a", "/health", 230, 3250, 19.5, 32, 197627, 4});
   CHECK(configuration.services[1] == Service{"wuno96b", "/health", 96, 0, 0, 0, 0, 0});
   CHECK(configuration.callers == CallerLimits{16384, 4194304, 3000, 15000});
 }
 
-TEST_CASE("Each invalid configuration is rejected with the place of the error") {
+TEST_CASE("A body that is no JSON object is rejected as a configuration") {
   const std::string document = kDocument;
+
   CHECK(rejection_of(parse_configuration(document.substr(0, document.size() / 2))).starts_with("body"));
   CHECK(rejection_of(parse_configuration(document + "}")).starts_with("body"));
   CHECK(rejection_of(parse_configuration("[]")).starts_with("body"));
+}
 
+TEST_CASE("Each invalid configuration is rejected with the location of the error") {
   // Each row damages the document by a JSON patch.
   const std::pair<const char*, const char*> table[] = {
       {R"([{"op":"replace","path":"/Routes/0/Service","value":"nowhere"}])", "service 'nowhere' is unknown"},
@@ -129,15 +134,16 @@
   auto result = parse_configuration(
       R"({"Revision":7,"Routes":[{"Name":"a"},3,{"Name":"b","TimeoutMs":"x"}],"Services":[4,{"Runtime":5}],"Limits":6})");
 
-  std::vector<std::string> places;
+  std::vector<std::string> locations;
   REQUIRE_FALSE(result.ok());
   for (const auto& finding : result.errors())
-    places.push_back(finding.location);
-  CHECK(places == std::vector<std::string>{"Routes[0].Host", "Routes[0].PathPrefix", "Routes[0].RouteKind",
-                                           "Routes[0].TimeoutMs", "Routes[0].Service", "Routes[1]", "Routes[2].Host",
-                                           "Routes[2].PathPrefix", "Routes[2].RouteKind", "Routes[2].TimeoutMs",
-                                           "Routes[2].Service", "Services[0]", "Services[1].Name",
-                                           "Services[1].Runtime", "Limits"});
+    locations.push_back(finding.location);
+
+  CHECK(locations == std::vector<std::string>{"Routes[0].Host", "Routes[0].PathPrefix", "Routes[0].RouteKind",
+                                              "Routes[0].TimeoutMs", "Routes[0].Service", "Routes[1]", "Routes[2].Host",
+                                              "Routes[2].PathPrefix", "Routes[2].RouteKind", "Routes[2].TimeoutMs",
+                                              "Routes[2].Service", "Services[0]", "Services[1].Name",
+                                              "Services[1].Runtime", "Limits"});
 }
 
 TEST_CASE("A configuration revision not above the current one is rejected") {
@@ -150,8 +156,10 @@
 
   CHECK_FALSE(apply_as(Revision{6}).ok());
   CHECK_FALSE(apply_as(Revision{7}).ok());
+
   auto next = apply_as(Revision{12});
   REQUIRE(next.ok());
+
   CHECK(next.value().revision == Revision{12});
 }
 
@@ -168,20 +176,26 @@
   CHECK(document["Extra"] == 1);
   CHECK(document["Services"] == document_json()["Services"]);
   CHECK(document["Limits"] == document_json()["Limits"]);
+
   REQUIRE(document["Routes"].size() == 2);
   CHECK(document["Routes"][0]["New"] == true);
   CHECK(document["Routes"][1]["Name"] == "r-c");
   CHECK(patched.configuration.paths[0].timeout_ms == 50);
+}
 
+TEST_CASE("A configuration patch that adds a service keeps all routes") {
   auto extended =
       accepted(patch_configuration(kDocument, R"({"Revision":8,"Upsert":{"Services":[{"Name":"third"}]}})"));
+
   CHECK(Json::parse(extended.configuration.document)["Routes"] == document_json()["Routes"]);
   CHECK(extended.configuration.services.size() == 3);
 }
 
-TEST_CASE("A configuration patch creates a missing document, and an invalid patch is rejected") {
+TEST_CASE("A configuration patch creates a missing document") {
   CHECK(patch_configuration("", R"({"Revision":1,"Upsert":{"Services":[{"Name":"s"}]}})").ok());
+}
 
+TEST_CASE("Each invalid configuration patch is rejected with the location of the error") {
   const std::pair<const char*, const char*> table[] = {
       {R"({"Revision":9,"Ups)", "body"},
       {R"({"Upsert":{}})", "Revision: is missing"},
--- a/tests/unit/platform/protocol_codec_test.cpp
+++ b/tests/unit/platform/protocol_codec_test.cpp
@@ -1,4 +1,4 @@
-// The platform's HTTP headers.
+// The platform's HTTP headers: what is read from them, and what is written.
 #include "net/protocol_codec.hpp"
 #include "unit/catch.hpp"
 
@@ -39,6 +39,7 @@
 
   REQUIRE(parsed.ok());
   const auto& headers = parsed.value();
+
   CHECK(headers.attempt_id == "9c41d07be2a35f68");
   CHECK(headers.program_id == "3fa81c");
   CHECK(headers.session_id == "77d20b");
@@ -53,14 +54,18 @@
   CHECK(headers.program_time_left == 5200ms);
 }
 
-TEST_CASE("Missing request headers leave values unset, and a negative time left is zero") {
+TEST_CASE("Missing request headers leave values unset") {
   auto parsed = codec().parse_request(get_request({}));
+
   REQUIRE(parsed.ok());
   CHECK(parsed.value().time_left == std::nullopt);
   CHECK(parsed.value().program_time_left == std::nullopt);
   CHECK_FALSE(parsed.value().token_budget);
+}
 
+TEST_CASE("A negative time left is read as zero") {
   auto late = codec().parse_request(get_request({{"Mosskeel-Time-Left", "-3"}}));
+
   REQUIRE(late.ok());
   CHECK(late.value().time_left == 0ms);
 }
@@ -78,20 +83,24 @@
 
     REQUIRE_FALSE(parsed.ok());
     REQUIRE(parsed.errors().size() == 1);
+
     CHECK(parsed.errors()[0].location.starts_with(name));
   }
 }
 
-TEST_CASE("Response headers tell the attempt, whether it ran, and the replica's load") {
+TEST_CASE("Response headers give the attempt, its seal and the replica's load") {
   auto complete = codec().parse_response(200, {{"Mosskeel-Attempt-Id", "a1"},
                                                {"Mosskeel-Server-Seal", "3e1b.07.5a2.600.0.c9f2a4d1"},
                                                {"Mosskeel-Replica-Load", "3,0,8"}});
   CHECK(complete.attempt_id == "a1");
   CHECK(complete.sealed);
   CHECK_FALSE(complete.not_run);
+
   REQUIRE(complete.load);
   CHECK(*complete.load == ReplicaLoad{.running = 3, .waiting = 0, .capacity = 8});
+}
 
+TEST_CASE("A response header or a status for misdirected requests means that the attempt was not executed") {
   CHECK(codec().parse_response(503, {{"Mosskeel-Not-Run", "1"}}).not_run);
   CHECK_FALSE(codec().parse_response(503, {}).not_run);
   CHECK(codec().parse_response(421, {}).not_run);
@@ -106,21 +115,29 @@
 
 TEST_CASE("Upstream headers replace those that the caller sent") {
   HeaderFields forged{{"mosskeel-target-replica", "forged"}, {"Mosskeel-Time-Left", "9000"}, {"Accept", "*/*"}};
+
   codec().set_upstream_headers(forged, "i-7f3a91c2", 1200ms, 3);
+
   CHECK(forged == HeaderFields{{"Accept", "*/*"},
                                {"Mosskeel-Target-Replica", "i-7f3a91c2"},
                                {"Mosskeel-Time-Left", "1200"},
                                {"Mosskeel-Urgency", "3"}});
+}
 
+TEST_CASE("Upstream headers keep the caller's urgency where the gateway sets none") {
   HeaderFields with_urgency{{"Mosskeel-Urgency", "7"}};
+
   codec().set_upstream_headers(with_urgency, "i-1", std::nullopt, std::nullopt);
+
   CHECK(with_urgency == HeaderFields{{"Mosskeel-Urgency", "7"}, {"Mosskeel-Target-Replica", "i-1"}});
 }
 
-TEST_CASE("Rejection headers carry Retry-After in seconds, and readiness checks are recognized") {
+TEST_CASE("Rejection headers carry Retry-After in seconds") {
   CHECK(codec().rejection_headers(250ms) == HeaderFields{{"Retry-After", "0.250"}});
   CHECK(codec().rejection_headers(0ms).empty());
+}
 
+TEST_CASE("Readiness checks are recognized by their method and path") {
   CHECK(codec().is_readiness_probe({"GET", "/v1/ready", "", {}, ""}));
   CHECK(codec().is_readiness_probe({"GET", "/v1/ready?x", "", {}, ""}));
   CHECK_FALSE(codec().is_readiness_probe({"POST", "/v1/ready", "", {}, ""}));
--- a/tests/unit/platform/replica_list_test.cpp
+++ b/tests/unit/platform/replica_list_test.cpp
@@ -1,4 +1,4 @@
-// The platform's list of replicas.
+// The pages of the platform's replica list.
 #include "control/control_protocol.hpp"
 #include "unit/catch.hpp"
 
@@ -25,8 +25,10 @@
 
   REQUIRE(page.ok());
   CHECK(page.value().next_page_token == "p-50");
+
   const auto& replicas = page.value().replicas;
   REQUIRE(replicas.size() == 3);
+
   CHECK(replicas[0] ==
         Replica{"i-1", "listed", "ct-nord", "http://10.128.0.9:8080", ReplicaHealth::ready, {}, 32, "huvo11a", 0});
   CHECK(replicas[1].health == ReplicaHealth::warming_up);
--- a/tests/unit/platform/settings_test.cpp
+++ b/tests/unit/platform/settings_test.cpp
@@ -1,7 +1,8 @@
-// The platform's settings file, and what it makes of each program's settings.
+// The platform's settings file, and the settings that each daemon gets from it.
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
+#include <span>
 #include <sstream>
 
 #include "platform/settings.hpp"
@@ -50,16 +51,21 @@
   return result.value();
 }
 
-/// The places of a file's errors, with commas between.
-std::string invalid_places(const std::string& file, const std::string& program) {
+/// The locations of a file's errors, separated by commas.
+std::string error_locations(const std::string& file, const std::string& program) {
   auto result = parse_settings(file, program);
   REQUIRE_FALSE(result.ok());
-  std::string places;
+  std::string locations;
   for (const auto& finding : result.errors())
-    places += (places.empty() ? "" : ",") + finding.location;
-  return places;
+    locations += (locations.empty() ? "" : ",") + finding.location;
+  return locations;
 }
 
+const RequiredSettings kStoreSettings{"store", "", true, true, false, true, true, true, false};
+const char* kNoFlags[] = {"store", nullptr};
+/// The exit code of a daemon whose settings are missing or wrong.
+constexpr int kUsageError = 2;
+
 /// A settings file that the environment names as long as this object lives.
 class NamedSettingsFile {
  public:
@@ -71,6 +77,7 @@
     remove();
     unsetenv(kVariable);
   }
+
   void write(const std::string& text) { std::ofstream(path_) << text; }
   void remove() { std::filesystem::remove(path_); }
 
@@ -117,43 +124,56 @@
     CHECK(settings.tolerated_machines == 2);
     CHECK(settings.tolerated_zones == 1);
   }
-  CHECK(accepted(parse_settings(file_with("FirstStart = true", "FirstStart = false"), "controller")).later_start);
+}
+
+TEST_CASE("A start that is not the first one is a later start") {
+  auto file = file_with("FirstStart = true", "FirstStart = false");
+
+  CHECK(accepted(parse_settings(file, "controller")).later_start);
+}
+
+TEST_CASE("The core has as many members as there are seeds") {
   auto one_seed = file_with(",\"10.2.0.38:8144\",\"10.3.0.36:8144\"", "");
+
   CHECK(accepted(parse_settings(one_seed, "controller")).core_size == 1);
 }
 
-TEST_CASE("Each invalid setting is a finding with its place") {
-  CHECK(invalid_places("Ip = \"10.1.0.3", "controller") == "line 1");
-  CHECK(invalid_places(file_with("Zone = \"hafnarfj-a\"", ""), "controller") == "Zone");
-  CHECK(invalid_places(file_with("Zone = \"hafnarfj-a\"", "Zone = 7"), "controller") == "Zone (line 5)");
-  CHECK(invalid_places(file_with("FirstStart = true", "FirstStart = 1"), "controller") == "FirstStart (line 8)");
-  CHECK(invalid_places(file_with("[7380,7395]", "[7380]"), "controller") == "InternalPorts");
-  CHECK(invalid_places(file_with("[7380,7395]", "[7380,7382]"), "store") == "InternalPorts");
-  CHECK(invalid_places(file_with("10.2.0.38:8144", "somewhere"), "controller") == "SeedNodes[1] (line 7)");
-  CHECK(invalid_places(file_with("Machines = 2", "Machines = -1"), "controller") == "ToleratedLosses.Machines");
-  CHECK(invalid_places(file_with("ControlPlane = \"10.1.0.33:8144\"", ""), "controller") == "ListenAddrs.ControlPlane");
-  CHECK(invalid_places("", "gateway") ==
+TEST_CASE("Each invalid setting is an error with its location") {
+  CHECK(error_locations("Ip = \"10.1.0.3", "controller") == "line 1");
+  CHECK(error_locations(file_with("Zone = \"hafnarfj-a\"", ""), "controller") == "Zone");
+  CHECK(error_locations(file_with("Zone = \"hafnarfj-a\"", "Zone = 7"), "controller") == "Zone (line 5)");
+  CHECK(error_locations(file_with("FirstStart = true", "FirstStart = 1"), "controller") == "FirstStart (line 8)");
+  CHECK(error_locations(file_with("[7380,7395]", "[7380]"), "controller") == "InternalPorts");
+  CHECK(error_locations(file_with("[7380,7395]", "[7380,7382]"), "store") == "InternalPorts");
+  CHECK(error_locations(file_with("10.2.0.38:8144", "somewhere"), "controller") == "SeedNodes[1] (line 7)");
+  CHECK(error_locations(file_with("Machines = 2", "Machines = -1"), "controller") == "ToleratedLosses.Machines");
+  CHECK(error_locations(file_with("ControlPlane = \"10.1.0.33:8144\"", ""), "controller") ==
+        "ListenAddrs.ControlPlane");
+  CHECK(error_locations("", "gateway") ==
         "FirstStart,InternalPorts,Ip,ListenAddrs.FrontHttp,ListenAddrs.Readiness,NodeName,SeedNodes,Zone");
 }
 
 TEST_CASE("The platform's settings file applies only without command-line flags") {
-  const RequiredSettings store{"store", "", true, true, false, true, true, true, false};
-  const char* no_flags[] = {"store", nullptr};
   const char* zone_flag[] = {"store", "--zone", "b", nullptr};
+  NamedSettingsFile file;
+  file.write(kFile);
+
+  auto settings = read_settings(1, kNoFlags, kStoreSettings);
+
+  REQUIRE(std::holds_alternative<Settings>(settings));
+  CHECK(std::get<Settings>(settings).listen == "10.1.0.32:7383");
+  CHECK(std::get<Settings>(settings).tcm_await_ms == kCommitTimeout.count());
+  CHECK(std::get<int>(read_settings(3, zone_flag, kStoreSettings)) == kUsageError);
+}
+
+TEST_CASE("A daemon without flags and without the platform's settings file does not start") {
   {
     NamedSettingsFile file;
     file.write(kFile);
-
-    auto settings = read_settings(1, no_flags, store);
-    REQUIRE(std::holds_alternative<Settings>(settings));
-    CHECK(std::get<Settings>(settings).listen == "10.1.0.32:7383");
-    CHECK(std::get<Settings>(settings).tcm_await_ms == kCommitTimeout.count());
-    CHECK(std::get<int>(read_settings(3, zone_flag, store)) == 2);
-
     file.remove();
-    CHECK(std::get<int>(read_settings(1, no_flags, store)) == 2);
+    CHECK(std::get<int>(read_settings(1, kNoFlags, kStoreSettings)) == kUsageError);
   }
-  CHECK(std::get<int>(read_settings(1, no_flags, store)) == 2);
+  CHECK(std::get<int>(read_settings(1, kNoFlags, kStoreSettings)) == kUsageError);
 }
 
 TEST_CASE("The platform's settings file may name an even number of seeds") {
@@ -168,6 +188,21 @@
   CHECK(std::get<Settings>(settings).core_size == 2);
 }
 
+namespace {
+
+/// Fails for each of the names that a file contains.
+void check_contains_none(const std::filesystem::path& path, std::span<const char* const> names) {
+  std::ifstream file(path);
+  std::stringstream text;
+  text << file.rdbuf();
+  for (const auto* name : names) {
+    INFO(path.string() << " contains " << name);
+    CHECK(text.str().find(name) == std::string::npos);
+  }
+}
+
+}  // namespace
+
 TEST_CASE("Names of the platform's wire format occur only in its folder") {
   const char* const names[] = {"Mosskeel-",   "MOSSKEEL_CONFIG", "SeedNodes",     "PathPrefix",     "InternalPorts",
                                "NodeName",    "ListenAddrs",     "FrontHttp",     "ControlPlane",   "FirstStart",
@@ -179,15 +214,8 @@
                                "\"/replicas", "MaxHeaderBytes",  "IdleTimeoutMs", "Last-Event-Id",  "DeadlineS"};
   for (const char* folder : {"/src", "/include", "/tools"}) {
     for (const auto& entry : std::filesystem::recursive_directory_iterator(std::string(SOURCE_DIR) + folder)) {
-      if (!entry.is_regular_file())
-        continue;
-      std::ifstream file(entry.path());
-      std::stringstream text;
-      text << file.rdbuf();
-      for (const auto* name : names) {
-        INFO(entry.path().string() << " contains " << name);
-        CHECK(text.str().find(name) == std::string::npos);
-      }
+      if (entry.is_regular_file())
+        check_contains_none(entry.path(), names);
     }
   }
 }
