--- a/tests/unit/net/http_listener_test.cpp
+++ b/tests/unit/net/http_listener_test.cpp
@@ -1,12 +1,13 @@
+// The HTTP server: how requests are read, how responses are sent, and when connections are closed.
 #include "test_server.hpp"
 
 using namespace mosskeel;
 
 namespace {
 
-const std::string head_of_200 = "HTTP/1.1 200 OK\r\n";
+const std::string kStatusLine200 = "HTTP/1.1 200 OK\r\n";
 
-/// Responds with a body in pieces, and with fields that must not get through.
+/// Responds with a body in pieces, and with fields that must not be sent.
 auto respond_in_pieces(TestServer& server, std::optional<uint64_t> content_length, uint32_t status = 200) {
   return [&server, content_length, status](uint64_t exchange) {
     HeaderFields fields{{"Connection", "X"}, {"X", "1"}, {"Bad", "a\r\nB: c"}, {"Y", "2"}};
@@ -20,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("HttpListener gives a request without what belongs to its connection") {
+TEST_CASE("HttpListener passes a request on without the fields of its connection") {
   TestServer server;
 
   auto response = server.exchange(
@@ -31,12 +32,13 @@
 
   REQUIRE(server.requests.size() == 1);
   const auto& request = server.requests[0].request;
+
   CHECK(request.method == "POST");
   CHECK(request.target == "/a?b=%20");
   CHECK(request.host == "news.example");
   CHECK(request.body == "abcdefg");
   CHECK(request.fields == HeaderFields{{"Host", "News.Example:80"}, {"X-Stay", "two"}, {"X-Empty", ""}});
-  CHECK(response == head_of_200 + "X-A: b\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello");
+  CHECK(response == kStatusLine200 + "X-A: b\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello");
 }
 
 TEST_CASE("HttpListener reads a request that comes byte by byte") {
@@ -53,7 +55,7 @@
   CHECK(server.requests.at(0).request.body == "body");
 }
 
-TEST_CASE("HttpListener gives pipelined requests one after the other") {
+TEST_CASE("HttpListener passes pipelined requests on one after the other") {
   TestServer server;
   server.respond = nullptr;
   SocketPeer caller(server.address());
@@ -62,7 +64,9 @@
   for (size_t count = 1; count <= 3; ++count) {
     REQUIRE(server.run_until_requests(count));
     run_iterations(server.loop);
+
     CHECK(server.requests.size() == count);
+
     server.listener->send_response(server.requests.back().exchange, 200, {}, std::to_string(count));
   }
 
@@ -73,11 +77,11 @@
 }
 
 TEST_CASE("HttpListener responds to thousands of pipelined requests without recursion or loss") {
-  constexpr size_t request_count = 2000;
+  constexpr size_t kRequests = 2000;
   TestServer server;
   SocketPeer caller(server.address());
   std::string requests;
-  for (size_t i = 0; i < request_count; ++i) {
+  for (size_t i = 0; i < kRequests; ++i) {
     requests += "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
   }
 
@@ -85,18 +89,18 @@
 
   REQUIRE(run_until(server.loop, [&] {
     caller.receive();
-    return count_occurrences(caller.received, "hello") == request_count;
+    return count_occurrences(caller.received, "hello") == kRequests;
   }));
 }
 
-TEST_CASE("HttpListener chunks a body of unknown length, but for HTTP/1.0") {
+TEST_CASE("HttpListener sends a body of unknown length in chunks, but not to HTTP/1.0") {
   TestServer server;
   server.respond = respond_in_pieces(server, std::nullopt);
 
-  CHECK(server.exchange(get_request_closing) == head_of_200 +
+  CHECK(server.exchange(get_request_closing) == kStatusLine200 +
                                                     "Y: 2\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
                                                     "6\r\nhello \r\n5\r\nworld\r\n0\r\n\r\n");
-  CHECK(server.exchange("GET / HTTP/1.0\r\n\r\n") == head_of_200 + "Y: 2\r\nConnection: close\r\n\r\nhello world");
+  CHECK(server.exchange("GET / HTTP/1.0\r\n\r\n") == kStatusLine200 + "Y: 2\r\nConnection: close\r\n\r\nhello world");
 }
 
 TEST_CASE("HttpListener sends a body of known length as it is, and none to HEAD") {
@@ -104,9 +108,9 @@
   server.respond = respond_in_pieces(server, 11);
 
   CHECK(server.exchange(get_request_closing) ==
-        head_of_200 + "Y: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\nhello world");
+        kStatusLine200 + "Y: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\nhello world");
   CHECK(server.exchange("HEAD / HTTP/1.0\r\n\r\n") ==
-        head_of_200 + "Y: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\n");
+        kStatusLine200 + "Y: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\n");
 }
 
 TEST_CASE("HttpListener sends neither body nor framing with a status that has none") {
@@ -128,7 +132,7 @@
   CHECK(server.disconnected.empty());
 }
 
-TEST_CASE("HttpListener sends 100 Continue to a caller that waits for it, but not before a body that is too large") {
+TEST_CASE("HttpListener sends 100 Continue to a caller that waits for it") {
   TestServer server;
   SocketPeer caller(server.address());
 
@@ -136,15 +140,23 @@
   REQUIRE(run_until(server.loop, [&] { return caller.has_received("HTTP/1.1 100 Continue\r\n\r\n"); }));
   caller.send("abc");
   REQUIRE(run_until(server.loop, [&] { return caller.has_received("hello"); }));
+
   CHECK(header_value(server.requests[0].request.fields, "Expect").empty());
+  CHECK(count_occurrences(caller.received, "100 Continue") == 1);
+}
+
+TEST_CASE("HttpListener sends no 100 Continue before a body that is too large") {
+  TestServer server;
+  SocketPeer caller(server.address());
 
   caller.send("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 99999999\r\n\r\n");
+
   REQUIRE(run_until(server.loop, [&] { return caller.receive(); }));
-  CHECK(count_occurrences(caller.received, "100 Continue") == 1);
+  CHECK(count_occurrences(caller.received, "100 Continue") == 0);
   CHECK(count_occurrences(caller.received, "HTTP/1.1 413") == 1);
 }
 
-TEST_CASE("HttpListener tells once of a caller that is gone, and its exchange is dead") {
+TEST_CASE("HttpListener reports once that a caller has disconnected, and ignores its exchange from then on") {
   TestServer server;
   server.respond = nullptr;
   SocketPeer caller(server.address());
@@ -176,14 +188,16 @@
   REQUIRE(run_until(server.loop, [&] { return !server.disconnected.empty(); }));
   CHECK(server.disconnected == std::vector{exchange});
   CHECK(server.listener->connections() == 0);
+
   server.listener->send_body(exchange, "x");
   server.listener->finish(exchange);
   run_iterations(server.loop);
+
   CHECK(server.disconnected.size() == 1);
   CHECK(server.requests.size() == 1);
 }
 
-TEST_CASE("HttpListener ends an aborted response with a reset") {
+TEST_CASE("HttpListener resets the connection of an aborted response") {
   TestServer server;
   server.respond = nullptr;
   SocketPeer caller(server.address());
@@ -201,9 +215,9 @@
   CHECK(server.disconnected.empty());
 }
 
-TEST_CASE("HttpListener counts unsent bytes and tells once that they have drained") {
-  constexpr size_t body_bytes = 32 << 20;
-  constexpr size_t piece_bytes = 1 << 20;
+TEST_CASE("HttpListener counts unsent bytes, and reports once that they have drained") {
+  constexpr size_t kBodyBytes = 32 << 20;
+  constexpr size_t kPieceBytes = 1 << 20;
   TestServer server;
   server.respond = nullptr;
   SocketPeer caller(server.address());
@@ -211,9 +225,9 @@
   REQUIRE(server.run_until_requests(1));
   auto exchange = server.requests[0].exchange;
 
-  server.listener->send_head(exchange, 200, {}, body_bytes);
-  for (size_t sent = 0; sent < body_bytes; sent += piece_bytes) {
-    server.listener->send_body(exchange, std::string(piece_bytes, 'x'));
+  server.listener->send_head(exchange, 200, {}, kBodyBytes);
+  for (size_t sent = 0; sent < kBodyBytes; sent += kPieceBytes) {
+    server.listener->send_body(exchange, std::string(kPieceBytes, 'x'));
   }
   run_iterations(server.loop);
   CHECK(server.listener->unsent_bytes(exchange) > HttpListener::kHighWatermark);
@@ -228,9 +242,10 @@
   server.listener->finish(exchange);
   REQUIRE(run_until(server.loop, [&] {
     caller.receive();
-    return caller.received.size() > body_bytes;
+    return caller.received.size() > kBodyBytes;
   }));
   run_iterations(server.loop);
+
   CHECK(server.drained.size() == 1);
   CHECK(server.listener->connections() == 1);
 }
@@ -252,8 +267,10 @@
   run_iterations(server.loop);
   CHECK_FALSE(idle.receive());
   CHECK_FALSE(busy.receive());
+
   server.listener->send_response(server.requests[1].exchange, 200, {}, "bye");
   REQUIRE(run_until(server.loop, [&] { return busy.receive(); }));
+
   CHECK(busy.received.ends_with("Connection: close\r\n\r\nbye"));
 
   server.respond = [&](uint64_t exchange) {
@@ -261,13 +278,17 @@
   };
   half_sent.send("Host: h\r\n\r\n");
   REQUIRE(run_until(server.loop, [&] { return half_sent.receive(); }));
+
   CHECK(half_sent.received.ends_with("Connection: close\r\n\r\nlate"));
   CHECK(server.exchange(get_request).ends_with("Connection: close\r\n\r\nlate"));
+
   idle.received.clear();
   idle.send(get_request);
   REQUIRE(run_until(server.loop, [&] { return idle.receive(); }));
+
   CHECK_FALSE(idle.reset);
   CHECK(idle.received.ends_with("Connection: close\r\n\r\nlate"));
+
   REQUIRE(server.run_until_connections(0));
 }
 
@@ -290,9 +311,12 @@
   REQUIRE(run_until(server.loop, [&] { return idle.receive() && silent.receive(); }));
   CHECK_FALSE(idle.reset);
   CHECK(count_occurrences(idle.received, "HTTP/1.1") == 1);
+
   Fd late(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   auto endpoint = parse_endpoint(address);
+
   CHECK(::connect(late.get(), reinterpret_cast<sockaddr*>(&endpoint->storage), endpoint->length) != 0);
+
   half_sent.send("Host: h\r\n\r\n");
   REQUIRE(server.run_until_requests(3));
   idle.close();
@@ -302,15 +326,16 @@
   server.listener->send_response(server.requests[1].exchange, 200, {}, "bye");
   server.listener->send_response(server.requests[2].exchange, 200, {}, "bye");
   REQUIRE(run_until(server.loop, [&] { return busy.receive() && half_sent.receive(); }));
+
   CHECK(busy.received.ends_with("Connection: close\r\n\r\nbye"));
   CHECK(half_sent.received.ends_with("Connection: close\r\n\r\nbye"));
+
   busy.close();
   half_sent.close();
   REQUIRE(server.run_until_connections(0));
 }
 
-TEST_CASE(
-    "HttpListener does not read a request that crosses the close of its idle connection, and its caller sees that") {
+TEST_CASE("HttpListener does not read a request that arrives after it has closed its idle connection") {
   TestServer server;
   SocketPeer caller(server.address());
   caller.send(get_request);
@@ -332,10 +357,11 @@
 
   REQUIRE(server.run_until_connections(0));
   CHECK(server.requests.size() == 1);
+
   REQUIRE(run_until(server.loop, [&] { return ::send(caller.socket.get(), "x", 1, MSG_NOSIGNAL) < 0; }));
 }
 
-TEST_CASE("HttpListener responds 408 to slow requests and closes idle connections silently") {
+TEST_CASE("HttpListener responds 408 to slow requests, and closes idle connections without a response") {
   TestServer server;
   HttpListenerLimits limits;
   limits.head_timeout = 20ms;
@@ -346,6 +372,7 @@
   CHECK(server.exchange("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\na").starts_with("HTTP/1.1 408 "));
   CHECK(server.exchange("").empty());
   CHECK(server.exchange("\r\n").empty());
+
   REQUIRE(server.run_until_connections(0));
 }
 
--- a/tests/unit/net/http_messages_test.cpp
+++ b/tests/unit/net/http_messages_test.cpp
@@ -1,4 +1,4 @@
-// Requests and responses as bytes, without sockets.
+// Requests and responses read from bytes and written to bytes, without sockets.
 #include "net/http_request_reader.hpp"
 #include "net/http_response_reader.hpp"
 #include "net/http_response_writer.hpp"
@@ -11,7 +11,7 @@
 using RequestProgress = HttpRequestReader::Progress;
 using ResponseProgress = HttpResponseReader::Progress;
 
-/// Reads to the end of the response; the body that came.
+/// Reads to the end of the response. Returns its body.
 std::string read_complete_body(HttpResponseReader& reader) {
   std::string body;
   while (true) {
@@ -53,7 +53,7 @@
   CHECK_FALSE(reader.has_unread_bytes());
 }
 
-TEST_CASE("HttpRequestReader tells once that a caller waits for 100 Continue") {
+TEST_CASE("HttpRequestReader reports once that a caller waits for 100 Continue") {
   HttpRequestReader reader;
   reader.append("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
 
@@ -64,10 +64,11 @@
   CHECK_FALSE(reader.take_expects_continue());
 }
 
-TEST_CASE("HttpRequestReader does not carry HEAD over to a request that it rejects") {
+TEST_CASE("HttpRequestReader does not take a rejected request for HEAD because the previous one was") {
   HttpRequestReader reader;
   reader.append("HEAD / HTTP/1.1\r\nHost: h\r\n\r\nnonsense\r\n\r\n");
   REQUIRE(reader.read({}) == RequestProgress::complete);
+
   CHECK(reader.is_head_method());
 
   CHECK(reader.read({}) == RequestProgress::rejected);
@@ -116,11 +117,13 @@
   CHECK(reader.read() == ResponseProgress::incomplete);
 }
 
-TEST_CASE("HttpResponseWriter refuses a body that does not match its length") {
+TEST_CASE("HttpResponseWriter rejects a body that does not match its length") {
   HttpResponseWriter writer;
   std::string bytes;
   writer.begin(false, false);
+
   CHECK_FALSE(writer.write_end(bytes));
+
   writer.write_head(200, {}, 3, true, bytes);
 
   CHECK(writer.write_body("ab", bytes));
@@ -130,18 +133,23 @@
   CHECK(writer.write_end(bytes));
 }
 
-TEST_CASE("ChunkedDecoder ends at its last chunk and rejects data beyond a chunk") {
+TEST_CASE("ChunkedDecoder ends at its last chunk") {
   ChunkedDecoder decoder;
   std::string body;
+  std::string encoded = "3\r\nabc\r\n0\r\n\r\n";
 
-  SECTION("complete") {
-    std::string encoded = "3\r\nabc\r\n0\r\n\r\n";
-    CHECK(decoder.decode(encoded + "surplus", body) == encoded.size());
-    CHECK(decoder.done());
-  }
-  SECTION("data beyond the chunk") {
-    decoder.decode("3\r\nabcd", body);
-    CHECK(decoder.malformed());
-  }
+  CHECK(decoder.decode(encoded + "surplus", body) == encoded.size());
+
+  CHECK(decoder.done());
+  CHECK(body == "abc");
+}
+
+TEST_CASE("ChunkedDecoder rejects data beyond a chunk") {
+  ChunkedDecoder decoder;
+  std::string body;
+
+  decoder.decode("3\r\nabcd", body);
+
+  CHECK(decoder.malformed());
   CHECK(body == "abc");
 }
--- a/tests/unit/net/upstream_client_test.cpp
+++ b/tests/unit/net/upstream_client_test.cpp
@@ -1,3 +1,4 @@
+// The HTTP client of replicas: how responses are read, which connections are reused, and what is known of failures.
 #include "net/upstream_client.hpp"
 #include "socket_peer.hpp"
 
@@ -11,11 +12,15 @@
   std::deque<SocketPeer> connections;
 
   Address address() const { return bound_address(socket.get()); }
+
+  /// Accepts all connections that wait.
   void accept() {
     for (Fd accepted; (accepted = Fd(::accept(socket.get(), nullptr, nullptr)));) {
       connections.emplace_back(std::move(accepted));
     }
   }
+
+  /// How many requests have arrived.
   size_t requests() {
     accept();
     size_t count = 0;
@@ -28,18 +33,22 @@
 };
 
 struct UpstreamClientFixture {
-  /// What the client's callbacks told of one request.
+  /// What the client's callbacks have reported of one request.
   struct Outcome {
     std::vector<UpstreamClient::ResponseHead> heads;
-    std::string body, reason;
-    int completions = 0, failures = 0;
+    std::string body;
+    std::string reason;
+    int completions = 0;
+    int failures = 0;
     UpstreamClient::Delivery delivery{};
-    bool over() const { return completions + failures > 0; }
+
+    bool is_over() const { return completions + failures > 0; }
   };
+
   EventLoop loop;
   ScriptedReplica replica;
   std::map<uint64_t, Outcome> outcomes;
-  /// So many heads are taken for late responses to earlier requests.
+  /// How many of the next heads are taken for late responses to earlier requests.
   int heads_to_skip = 0;
   /// The connection that the last scripted response went out on.
   SocketPeer* responding = nullptr;
@@ -63,19 +72,22 @@
   UpstreamClient::Request make_request(const std::string& method = "POST") const {
     return {replica.address(), method, "/run", {{"Host", "r"}, {"X", "1"}}, method == "POST" ? "ask" : ""};
   }
+
   /// Sends a request and waits until it has reached the replica.
   uint64_t send(UpstreamClient::Request request) {
-    auto before = replica.requests();
+    auto requests_before = replica.requests();
     auto id = client.send_request(std::move(request));
-    REQUIRE(run_until(loop, [&] { return replica.requests() == before + 1; }));
+    REQUIRE(run_until(loop, [&] { return replica.requests() == requests_before + 1; }));
     return id;
   }
-  /// Sends a request and has the replica respond on the connection that it came by.
+
+  /// Sends a request and lets the replica respond on the connection that it came by.
   uint64_t exchange(const std::string& response, const std::string& method = "POST") {
-    auto id = send(make_request(method));
+    auto request = send(make_request(method));
     responding_connection().send(response);
-    return id;
+    return request;
   }
+
   /// The first open connection that has received a request.
   SocketPeer& responding_connection() {
     for (auto& connection : replica.connections) {
@@ -88,28 +100,32 @@
     FAIL("no request has reached the replica");
     return *responding;
   }
-  /// Runs until the request is over, which it may be once.
+
+  /// Runs until the request is over, which must be so once only.
   Outcome& wait_for_outcome(uint64_t request) {
-    REQUIRE(run_until(loop, [&] { return outcomes[request].over(); }));
+    REQUIRE(run_until(loop, [&] { return outcomes[request].is_over(); }));
     run_iterations(loop);
     CHECK(outcomes[request].completions + outcomes[request].failures == 1);
     return outcomes[request];
   }
 };
 
-const std::string good_response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+/// Two informational responses and a response with a chunked body and a trailer.
+const std::string kChunkedResponse =
+    "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\nHTTP/1.1 201 Made\r\n"
+    "A: b\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n";
+const std::string kCompleteResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 }  // namespace
 
-TEST_CASE("UpstreamClient reads a response and reuses its connection") {
+TEST_CASE("UpstreamClient sends a request and reads its response, without informational responses before it") {
   UpstreamClientFixture fixture;
 
-  auto request = fixture.exchange(
-      "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\nHTTP/1.1 201 Made\r\n"
-      "A: b\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n");
+  auto request = fixture.exchange(kChunkedResponse);
 
   auto& outcome = fixture.wait_for_outcome(request);
   REQUIRE(outcome.heads.size() == 1);
+
   CHECK(outcome.heads[0].status == 201);
   CHECK(outcome.heads[0].chunked);
   CHECK(outcome.heads[0].fields == HeaderFields{{"A", "b"}, {"Transfer-Encoding", "chunked"}});
@@ -117,14 +133,22 @@
   CHECK(outcome.completions == 1);
   CHECK(fixture.replica.connections[0].received ==
         "POST /run HTTP/1.1\r\nHost: r\r\nX: 1\r\nContent-Length: 3\r\n\r\nask");
+}
+
+TEST_CASE("UpstreamClient reuses the connection of a complete response") {
+  UpstreamClientFixture fixture;
+  fixture.wait_for_outcome(fixture.exchange(kChunkedResponse));
+
   CHECK(fixture.client.idle_connections() == 1);
-  CHECK(fixture.wait_for_outcome(fixture.exchange(good_response)).body == "ok");
+
+  CHECK(fixture.wait_for_outcome(fixture.exchange(kCompleteResponse)).body == "ok");
+
   CHECK(fixture.client.connections_opened() == 1);
 }
 
 TEST_CASE("UpstreamClient opens a new connection where a request asks for one") {
   UpstreamClientFixture fixture;
-  fixture.wait_for_outcome(fixture.exchange(good_response));
+  fixture.wait_for_outcome(fixture.exchange(kCompleteResponse));
   REQUIRE(fixture.client.idle_connections() == 1);
   auto request = fixture.make_request();
   request.new_connection = true;
@@ -148,9 +172,9 @@
   CHECK(count_occurrences(fixture.replica.connections[0].received, "Content-Length") == 0);
 }
 
-TEST_CASE("UpstreamClient does not reuse a connection that it can't trust") {
+TEST_CASE("UpstreamClient does not reuse a connection whose next response could be misread") {
   UpstreamClientFixture fixture;
-  auto response = GENERATE(as<std::string>{}, good_response + "HTTP", good_response + good_response,
+  auto response = GENERATE(as<std::string>{}, kCompleteResponse + "HTTP", kCompleteResponse + kCompleteResponse,
                            "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok",
                            "HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 2\r\n\r\nok",
                            "HTTP/1.1 200 OK\r\nConnection: x, close\r\nContent-Length: 2\r\n\r\nok",
@@ -162,16 +186,16 @@
   CHECK(outcome.completions == 1);
   CHECK(outcome.body == "ok");
   CHECK(fixture.client.idle_connections() == 0);
-  CHECK(fixture.wait_for_outcome(fixture.exchange(good_response)).completions == 1);
+  CHECK(fixture.wait_for_outcome(fixture.exchange(kCompleteResponse)).completions == 1);
   CHECK(fixture.client.connections_opened() == 2);
   CHECK(fixture.replica.requests() == 2);
 }
 
-TEST_CASE("UpstreamClient discards an idle connection at a byte or a close, also right before its use") {
+TEST_CASE("UpstreamClient discards an idle connection that receives a byte or is closed, also right before its use") {
   UpstreamClientFixture fixture;
   bool noticed_before_use = GENERATE(true, false);
   bool by_a_byte = GENERATE(true, false);
-  fixture.wait_for_outcome(fixture.exchange(good_response));
+  fixture.wait_for_outcome(fixture.exchange(kCompleteResponse));
   REQUIRE(fixture.client.idle_connections() == 1);
 
   if (by_a_byte) {
@@ -185,8 +209,10 @@
   auto request = fixture.client.send_request(fixture.make_request());
 
   CHECK(fixture.client.connections_opened() == 2);
+
   REQUIRE(run_until(fixture.loop, [&] { return fixture.replica.requests() == 2; }));
-  fixture.replica.connections[1].send(good_response);
+  fixture.replica.connections[1].send(kCompleteResponse);
+
   CHECK(fixture.wait_for_outcome(request).completions == 1);
 }
 
@@ -200,14 +226,14 @@
   CHECK(run_until(fixture.loop, [&] { return fixture.client.idle_connections() == 0; }));
 }
 
-TEST_CASE("UpstreamClient uses the connection first that became idle last, and none that was retired") {
+TEST_CASE("UpstreamClient reuses the connection that became idle last, and none that was retired") {
   UpstreamClientFixture fixture;
   auto first = fixture.client.send_request(fixture.make_request());
   auto second = fixture.client.send_request(fixture.make_request());
   REQUIRE(run_until(fixture.loop, [&] { return fixture.replica.requests() == 2; }));
-  fixture.replica.connections[1].send(good_response);
+  fixture.replica.connections[1].send(kCompleteResponse);
   fixture.wait_for_outcome(second);
-  fixture.replica.connections[0].send(good_response);
+  fixture.replica.connections[0].send(kCompleteResponse);
   fixture.wait_for_outcome(first);
   REQUIRE(fixture.client.idle_connections() == 2);
 
@@ -215,15 +241,17 @@
   fixture.client.retire_connections(fixture.replica.address());
 
   CHECK(fixture.client.idle_connections() == 0);
+
   REQUIRE(run_until(fixture.loop, [&] { return fixture.replica.requests() == 3; }));
   CHECK(count_occurrences(fixture.replica.connections[0].received, " HTTP/1.1\r\n") == 2);
   CHECK(fixture.replica.connections[1].receive());
-  fixture.replica.connections[0].send(good_response);
+
+  fixture.replica.connections[0].send(kCompleteResponse);
   CHECK(fixture.wait_for_outcome(third).completions == 1);
   CHECK(fixture.client.idle_connections() == 0);
 }
 
-TEST_CASE("UpstreamClient calls a request unsent that failed before a byte was handed over") {
+TEST_CASE("UpstreamClient reports a request as not sent that failed before any byte of it was sent") {
   UpstreamClientFixture fixture;
   UpstreamClient::Request request{fixture.replica.address(), "POST", "/", {{"Host", "r"}}, "b"};
   SECTION("nobody listens") {
@@ -240,13 +268,14 @@
 
   auto id = fixture.client.send_request(request);
 
-  CHECK_FALSE(fixture.outcomes[id].over());
+  CHECK_FALSE(fixture.outcomes[id].is_over());
+
   auto& outcome = fixture.wait_for_outcome(id);
   CHECK(outcome.failures == 1);
   CHECK(outcome.delivery == UpstreamClient::Delivery::not_sent);
 }
 
-TEST_CASE("UpstreamClient calls a request unsent whose connect has no answer in time") {
+TEST_CASE("UpstreamClient reports a request as not sent whose connection is not established in time") {
   UpstreamClientFixture fixture;
   REQUIRE(::listen(fixture.replica.socket.get(), 0) == 0);
   SocketPeer fills_the_backlog(fixture.replica.address());
@@ -262,7 +291,7 @@
   UpstreamClientFixture fixture;
   bool on_kept_connection = GENERATE(true, false);
   if (on_kept_connection) {
-    fixture.wait_for_outcome(fixture.exchange(good_response));
+    fixture.wait_for_outcome(fixture.exchange(kCompleteResponse));
   }
   auto requests_before = fixture.replica.requests();
   auto response = GENERATE(
@@ -289,13 +318,14 @@
   auto& outcome = fixture.wait_for_outcome(request);
   CHECK(outcome.completions == 0);
   CHECK(outcome.delivery == UpstreamClient::Delivery::possibly_sent);
+
   run_iterations(fixture.loop, 20);
   CHECK(fixture.replica.requests() <= requests_before + 1);
   CHECK(fixture.client.connections_opened() == 1);
   CHECK(fixture.client.idle_connections() == 0);
 }
 
-TEST_CASE("UpstreamClient does not read on while a response is paused, and tells nothing once it is cancelled") {
+TEST_CASE("UpstreamClient does not read on while a response is paused, and reports nothing once it is cancelled") {
   UpstreamClientFixture fixture;
   auto request = fixture.exchange("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabc");
   REQUIRE(run_until(fixture.loop, [&] { return fixture.outcomes[request].body == "abc"; }));
@@ -303,6 +333,7 @@
   fixture.client.pause_reading(request);
   fixture.responding->send("def");
   run_iterations(fixture.loop, 20);
+
   CHECK(fixture.outcomes[request].body == "abc");
 
   SECTION("resumed") {
@@ -312,7 +343,8 @@
   SECTION("cancelled") {
     fixture.client.cancel(request);
     REQUIRE(run_until(fixture.loop, [&] { return fixture.responding->receive(); }));
-    CHECK_FALSE(fixture.outcomes[request].over());
+
+    CHECK_FALSE(fixture.outcomes[request].is_over());
   }
 }
 
@@ -332,13 +364,13 @@
   CHECK(fixture.client.idle_connections() == 0);
 }
 
-TEST_CASE("UpstreamClient leaves a connection alone that was idle for longer than a request allows") {
+TEST_CASE("UpstreamClient does not reuse a connection that was idle for longer than the request allows") {
   UpstreamClientFixture fixture;
   auto exchange_with_max_idle = [&](Duration max_idle) {
     auto request = fixture.make_request();
     request.max_idle = max_idle;
     auto id = fixture.send(std::move(request));
-    fixture.replica.connections.back().send(good_response);
+    fixture.replica.connections.back().send(kCompleteResponse);
     CHECK(fixture.wait_for_outcome(id).completions == 1);
   };
   exchange_with_max_idle(0ms);
@@ -353,15 +385,15 @@
   CHECK(fixture.client.connections_opened() == 2);
 }
 
-TEST_CASE("UpstreamClient reads a skipped response to its end unseen, and tells the one behind it") {
+TEST_CASE("UpstreamClient reads a skipped response to its end, and reports the response behind it") {
   UpstreamClientFixture fixture;
-  fixture.wait_for_outcome(fixture.exchange(good_response));
+  fixture.wait_for_outcome(fixture.exchange(kCompleteResponse));
   auto request = fixture.make_request();
   request.tag = "second";
   auto id = fixture.send(std::move(request));
   fixture.heads_to_skip = 1;
   auto split = GENERATE(size_t{0}, size_t{5}, size_t{40}, size_t{55});
-  std::string both = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nlate\r\n0\r\n\r\n" + good_response;
+  std::string both = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nlate\r\n0\r\n\r\n" + kCompleteResponse;
 
   auto& connection = fixture.responding_connection();
   connection.send(both.substr(0, split));
@@ -375,13 +407,13 @@
   CHECK(fixture.client.idle_connections() == 1);
 }
 
-TEST_CASE("UpstreamClient tells with a head the tag of the request that had its connection before") {
+TEST_CASE("UpstreamClient reports with each head the tag of the previous request on its connection") {
   UpstreamClientFixture fixture;
   auto previous_tag_seen_by = [&](const std::string& tag) {
     auto request = fixture.make_request("GET");
     request.tag = tag;
     auto id = fixture.send(std::move(request));
-    fixture.responding_connection().send(good_response);
+    fixture.responding_connection().send(kCompleteResponse);
     return fixture.wait_for_outcome(id).heads.at(0).previous_tag;
   };
 
