--- a/tests/unit/net/backpressure_test.cpp
+++ b/tests/unit/net/backpressure_test.cpp
@@ -1,4 +1,4 @@
-// A slow caller holds its replica's response back.
+// Back-pressure: the response of a replica is read no faster than its caller reads it.
 #include <sys/resource.h>
 
 #include <fstream>
@@ -10,24 +10,26 @@
 
 namespace {
 
-constexpr size_t response_bytes = 1 << 20;
-constexpr int socket_buffer_bytes = 32 << 10;
-/// What the listener may hold of one response: up to its high watermark and one read of the upstream client.
-constexpr size_t max_unsent_bytes = HttpListener::kHighWatermark + (16 << 10);
+constexpr size_t kResponseBytes = 1 << 20;
+constexpr int kSocketBufferBytes = 32 << 10;
+/// What the listener may buffer of one response: up to its high watermark and one read of the upstream client.
+constexpr size_t kMaxUnsentBytes = HttpListener::kHighWatermark + (16 << 10);
 
 /// Resident memory of this process.
 size_t resident_bytes() {
-  constexpr size_t page_bytes = 4096;
+  constexpr size_t kPageBytes = 4096;
   size_t total_pages = 0;
   size_t resident_pages = 0;
   std::ifstream("/proc/self/statm") >> total_pages >> resident_pages;
-  return resident_pages * page_bytes;
+  return resident_pages * kPageBytes;
 }
 
 /// Callers that do not read, a proxy, and a replica that gives each request a large response.
 struct SlowCallersFixture {
-  TestServer replica{socket_buffer_bytes}, proxy{socket_buffer_bytes};
-  std::map<uint64_t, uint64_t> request_of_exchange, exchange_of_request;
+  TestServer replica{kSocketBufferBytes};
+  TestServer proxy{kSocketBufferBytes};
+  std::map<uint64_t, uint64_t> request_of_exchange;
+  std::map<uint64_t, uint64_t> exchange_of_request;
   size_t completions = 0;
   UpstreamClient client{proxy.loop,
                         {[this](uint64_t request, UpstreamClient::ResponseHead&& head) {
@@ -62,26 +64,30 @@
       backpressure->on_drained(exchange);
     };
   }
+
   ~SlowCallersFixture() {
     replica.loop.stop();
     if (replica_thread.joinable()) {
       replica_thread.join();
     }
   }
+
   void add_caller() {
     callers.push_back(std::make_unique<SocketPeer>(proxy.address()));
-    set_socket_option(callers.back()->socket.get(), SOL_SOCKET, SO_RCVBUF, socket_buffer_bytes);
+    set_socket_option(callers.back()->socket.get(), SOL_SOCKET, SO_RCVBUF, kSocketBufferBytes);
     callers.back()->send(get_request_closing);
   }
-  /// Lets the replica respond on a thread of its own, sending only what is taken.
+
+  /// Lets the replica respond on a thread of its own.
   void run_replica() {
     replica.respond = [this](uint64_t exchange) {
-      replica.listener->send_head(exchange, 200, {}, response_bytes);
-      replica.listener->send_body(exchange, std::string(response_bytes, 'x'));
+      replica.listener->send_head(exchange, 200, {}, kResponseBytes);
+      replica.listener->send_body(exchange, std::string(kResponseBytes, 'x'));
       replica.listener->finish(exchange);
     };
     replica_thread = std::thread([this] { replica.loop.run(); });
   }
+
   std::vector<size_t> unsent_bytes() const {
     std::vector<size_t> unsent;
     for (const auto& [exchange, request] : request_of_exchange) {
@@ -89,6 +95,7 @@
     }
     return unsent;
   }
+
   size_t most_unsent_bytes() const {
     auto unsent = unsent_bytes();
     return unsent.empty() ? 0 : *std::max_element(unsent.begin(), unsent.end());
@@ -104,15 +111,16 @@
 
 }  // namespace
 
-TEST_CASE("Backpressure bounds what is held for callers that do not read, and they get all of it later") {
+TEST_CASE("Backpressure bounds what is buffered for callers that do not read, and they get complete responses later") {
   SlowCallersFixture fixture;
   fixture.run_replica();
-  for (int i = 0; i < 20; ++i) {
+  for (int caller = 0; caller < 20; ++caller) {
     fixture.add_caller();
   }
   REQUIRE(run_until(fixture.proxy.loop, [&] { return fixture.backpressure->paused() == fixture.callers.size(); }));
   run_iterations(fixture.proxy.loop, 50);
-  CHECK(fixture.most_unsent_bytes() <= max_unsent_bytes);
+
+  CHECK(fixture.most_unsent_bytes() <= kMaxUnsentBytes);
   CHECK(fixture.completions == 0);
 
   REQUIRE(run_until(fixture.proxy.loop, [&] {
@@ -120,50 +128,53 @@
   }));
 
   for (const auto& caller : fixture.callers) {
-    CHECK(count_occurrences(caller->received, "x") == response_bytes);
+    CHECK(count_occurrences(caller->received, "x") == kResponseBytes);
   }
+
   CHECK(fixture.backpressure->paused() == 0);
 }
 
-TEST_CASE("Backpressure holds a thousand slow streams in bounded memory", "[.memory]") {
-  constexpr size_t stream_count = 1000;
-  constexpr size_t piece_bytes = 32 << 10;
+TEST_CASE("Backpressure buffers a thousand slow streams in bounded memory", "[.memory]") {
+  constexpr size_t kStreams = 1000;
+  constexpr size_t kPieceBytes = 32 << 10;
+  constexpr int kPieces = 32;
   raise_descriptor_limit();
   SlowCallersFixture fixture;
   auto& replica = *fixture.replica.listener;
   HttpListenerLimits limits;
-  limits.max_connections = 2 * stream_count;
+  limits.max_connections = 2 * kStreams;
   fixture.proxy.listener->set_limits(limits);
   fixture.replica.respond = nullptr;
-  for (size_t i = 0; i < stream_count; ++i) {
+  for (size_t stream = 0; stream < kStreams; ++stream) {
     fixture.add_caller();
     run_iterations(fixture.proxy.loop, 1);
   }
-  REQUIRE(run_until(fixture.proxy.loop, [&] { return fixture.request_of_exchange.size() == stream_count; }));
+  REQUIRE(run_until(fixture.proxy.loop, [&] { return fixture.request_of_exchange.size() == kStreams; }));
   auto resident_before = resident_bytes();
-  REQUIRE(fixture.replica.run_until_requests(stream_count));
+  REQUIRE(fixture.replica.run_until_requests(kStreams));
   for (const auto& received : fixture.replica.requests) {
-    replica.send_head(received.exchange, 200, {}, response_bytes);
+    replica.send_head(received.exchange, 200, {}, kResponseBytes);
   }
 
-  // The replica gives each stream a piece at a time, and only while what it gave is taken.
-  for (int round = 0; round < 32; ++round) {
+  // The replica sends each stream one piece at a time, and the next one once that is sent.
+  for (int piece = 0; piece < kPieces; ++piece) {
     for (const auto& received : fixture.replica.requests) {
       if (replica.unsent_bytes(received.exchange) == 0) {
-        replica.send_body(received.exchange, std::string(piece_bytes, 'x'));
+        replica.send_body(received.exchange, std::string(kPieceBytes, 'x'));
       }
     }
     run_iterations(fixture.replica.loop, 2);
     run_iterations(fixture.proxy.loop, 4);
   }
 
-  size_t held_bytes = 0;
+  size_t buffered_bytes = 0;
   for (auto unsent : fixture.unsent_bytes()) {
-    held_bytes += unsent;
+    buffered_bytes += unsent;
   }
   auto grown_bytes = resident_bytes() - resident_before;
-  WARN("1,000 slow streams: " << held_bytes / 1024 << " KiB unsent, " << grown_bytes / 1024
+  WARN("1,000 slow streams: " << buffered_bytes / 1024 << " KiB unsent, " << grown_bytes / 1024
                               << " KiB resident, replica included");
-  CHECK(fixture.most_unsent_bytes() <= max_unsent_bytes);
-  CHECK(held_bytes <= stream_count * max_unsent_bytes);
+
+  CHECK(fixture.most_unsent_bytes() <= kMaxUnsentBytes);
+  CHECK(buffered_bytes <= kStreams * kMaxUnsentBytes);
 }
--- a/tests/unit/net/event_loop_test.cpp
+++ b/tests/unit/net/event_loop_test.cpp
@@ -1,3 +1,4 @@
+// Timers, posted functions, watched descriptors and deadlines of the event loop.
 #include <sys/epoll.h>
 
 #include "net/deadline_timer.hpp"
@@ -5,7 +6,7 @@
 
 using namespace mosskeel;
 
-TEST_CASE("EventLoop runs timers in the order of their time and no cancelled one") {
+TEST_CASE("EventLoop runs timers in the order of their times, and no cancelled one") {
   EventLoop loop;
   std::string ran;
   loop.run_after(3ms, [&] {
@@ -27,17 +28,19 @@
 
 TEST_CASE("EventLoop runs every function that other threads post") {
   EventLoop loop;
+  constexpr int kThreads = 4;
+  constexpr int kPostsPerThread = 1000;
   int runs = 0;
   std::vector<std::jthread> threads;
-  for (int thread = 0; thread < 4; ++thread) {
+  for (int thread = 0; thread < kThreads; ++thread) {
     threads.emplace_back([&] {
-      for (int i = 0; i < 1000; ++i) {
+      for (int i = 0; i < kPostsPerThread; ++i) {
         loop.post([&] { ++runs; });
       }
     });
   }
 
-  CHECK(run_until(loop, [&] { return runs == 4000; }));
+  CHECK(run_until(loop, [&] { return runs == kThreads * kPostsPerThread; }));
 }
 
 TEST_CASE("EventLoop does not call a descriptor that was unwatched in the same iteration") {
@@ -71,7 +74,7 @@
     ++expirations;
     expired_at = monotonic_now();
   });
-  auto begin = monotonic_now();
+  auto started_at = monotonic_now();
 
   SECTION("moved later") {
     deadline.set(5ms);
@@ -89,9 +92,10 @@
 
   REQUIRE(run_until(loop, [&] { return expirations > 0; }));
   run_iterations(loop, 50);
+
   CHECK(expirations == 1);
-  CHECK(expired_at - begin >= 30ms);
-  CHECK(expired_at - begin < 3000ms);
+  CHECK(expired_at - started_at >= 30ms);
+  CHECK(expired_at - started_at < 3000ms);
 }
 
 TEST_CASE("DeadlineTimer does not expire once it is cleared, cancelled or set to 0") {
--- a/tests/unit/net/faulty_replica.hpp
+++ b/tests/unit/net/faulty_replica.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A replica on a real socket that makes faults by seed and counts what it ran by attempt.
+// A replica on a real socket that fails at random, by a seed, and counts how often it executes each attempt.
 #include <sys/epoll.h>
 
 #include <random>
@@ -9,11 +9,11 @@
 
 namespace mosskeel {
 
-/// What all replicas of a test ran.
+/// What all replicas of a test have executed.
 struct ReplicaRunLog {
-  /// Runs by attempt.
+  /// How often each attempt was executed.
   std::map<std::string, int> runs;
-  /// The bodies that were made for an attempt, by seal.
+  /// The bodies of the complete responses to an attempt, by seal; empty for an execution without one.
   std::map<std::string, std::map<std::string, std::string>> bodies;
   uint64_t last_seal = 0;
 };
@@ -39,10 +39,12 @@
     server_error,
     count
   };
+
   FaultyReplica(EventLoop& loop, ReplicaRunLog& log, uint64_t seed, unsigned fault_percent)
       : loop_(loop), log_(log), random_(seed), fault_percent_(fault_percent) {
     loop_.watch(listening_socket_.get(), EPOLLIN, [this](uint32_t) { accept(); });
   }
+
   ~FaultyReplica() {
     for (auto timer : timers_) {
       loop_.cancel(timer);
@@ -52,6 +54,7 @@
     }
     loop_.unwatch(listening_socket_.get());
   }
+
   Address address() const { return bound_address(listening_socket_.get()); }
 
  private:
@@ -59,9 +62,13 @@
     Fd socket;
     std::string received;
   };
-  /// The responses that one run may be answered with.
+
+  /// The responses that one execution may be answered with.
   struct Responses {
-    std::string attempt_field, seal_field, body;
+    std::string attempt_field;
+    std::string seal_field;
+    std::string body;
+
     std::string complete() const { return response("200 OK", attempt_field + seal_field, body); }
     std::string of_other_attempt() const {
       return response("200 OK", "Mosskeel-Attempt-Id: stranger\r\n" + seal_field, body);
@@ -75,9 +82,11 @@
     return "HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
            body;
   }
+
   static std::string attempt_field(const std::string& attempt) { return "Mosskeel-Attempt-Id: " + attempt + "\r\n"; }
 
   uint64_t random_below(uint64_t bound) { return random_() % bound; }
+
   Fault random_fault() {
     if (random_below(100) >= fault_percent_) {
       return Fault::none;
@@ -91,43 +100,49 @@
       if (!accepted) {
         return;
       }
-      auto id = ++last_connection_;
+      auto connection_id = ++last_connection_;
       auto socket = accepted.get();
-      connections_[id].socket = std::move(accepted);
-      loop_.watch(socket, EPOLLIN, [this, id](uint32_t) { receive(id); });
+      connections_[connection_id].socket = std::move(accepted);
+      loop_.watch(socket, EPOLLIN, [this, connection_id](uint32_t) { receive(connection_id); });
     }
   }
-  void close(uint64_t id) {
-    auto found = connections_.find(id);
+
+  void close(uint64_t connection_id) {
+    auto found = connections_.find(connection_id);
     if (found == connections_.end()) {
       return;
     }
     loop_.unwatch(found->second.socket.get());
     connections_.erase(found);
   }
-  void reset(uint64_t id) {
-    reset_on_close(connections_.at(id).socket.get());
-    close(id);
+
+  void reset(uint64_t connection_id) {
+    reset_on_close(connections_.at(connection_id).socket.get());
+    close(connection_id);
   }
-  void send(uint64_t id, const std::string& bytes) {
-    auto found = connections_.find(id);
+
+  void send(uint64_t connection_id, const std::string& bytes) {
+    auto found = connections_.find(connection_id);
     if (found != connections_.end()) {
       (void)!::send(found->second.socket.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     }
   }
-  void send_later(uint64_t id, std::string bytes) {
+
+  void send_later(uint64_t connection_id, std::string bytes) {
     auto delay = Duration(random_below(10));
-    timers_.push_back(loop_.run_after(delay, [this, id, bytes = std::move(bytes)] { send(id, bytes); }));
+    timers_.push_back(
+        loop_.run_after(delay, [this, connection_id, bytes = std::move(bytes)] { send(connection_id, bytes); }));
   }
-  void receive(uint64_t id) {
+
+  void receive(uint64_t connection_id) {
     static char buffer[65536];
-    auto& connection = connections_.at(id);
+    auto& connection = connections_.at(connection_id);
     auto count = ::recv(connection.socket.get(), buffer, sizeof buffer, 0);
     if (count < 0 && errno == EAGAIN) {
       return;
     }
     if (count <= 0) {
-      close(id);
+      close(connection_id);
       return;
     }
     connection.received.append(buffer, static_cast<size_t>(count));
@@ -143,70 +158,73 @@
     connection.received.erase(0, request_size);
     auto attempt = std::string(header_value(head.fields, "Mosskeel-Attempt-Id"));
     auto delay = Duration(random_below(20));
-    timers_.push_back(loop_.run_after(delay, [this, id, attempt] { respond(id, attempt); }));
+    timers_.push_back(loop_.run_after(delay, [this, connection_id, attempt] { respond(connection_id, attempt); }));
   }
-  void reject(uint64_t id, const std::string& status, const std::string& fields) {
-    send(id, response(status, fields + "Mosskeel-Not-Run: 1\r\n", ""));
+
+  void reject(uint64_t connection_id, const std::string& status, const std::string& fields) {
+    send(connection_id, response(status, fields + "Mosskeel-Not-Run: 1\r\n", ""));
   }
-  /// Responds to a request, which may fail before it runs.
-  void respond(uint64_t id, const std::string& attempt) {
-    if (!connections_.count(id)) {
+
+  /// Responds to a request, which may fail before it is executed.
+  void respond(uint64_t connection_id, const std::string& attempt) {
+    if (!connections_.count(connection_id)) {
       return;
     }
     auto fault = random_fault();
     switch (fault) {
       case Fault::not_run:
-        return reject(id, "503 Busy", attempt_field(attempt));
+        return reject(connection_id, "503 Busy", attempt_field(attempt));
       case Fault::not_run_without_id:
-        return reject(id, "503 Busy", "");
+        return reject(connection_id, "503 Busy", "");
       case Fault::misdirected:
-        return reject(id, "421 Elsewhere", attempt_field(attempt));
+        return reject(connection_id, "421 Elsewhere", attempt_field(attempt));
       default:
-        return run(id, attempt, fault);
+        return execute(connection_id, attempt, fault);
     }
   }
-  /// Runs a request and sends its response, or what the fault makes of it.
-  void run(uint64_t id, const std::string& attempt, Fault fault) {
+
+  /// Executes a request and sends its response, or what the fault makes of it.
+  void execute(uint64_t connection_id, const std::string& attempt, Fault fault) {
     ++log_.runs[attempt];
     auto seal = "s" + std::to_string(++log_.last_seal);
     std::string body = attempt + " " + seal + " ";
     body.append(random_below(20) ? random_below(2000) : 300000, static_cast<char>('a' + random_below(26)));
     Responses responses{attempt_field(attempt), "Mosskeel-Server-Seal: " + seal + "\r\n", body};
-    // What is sent below without this body may not count as the response to this run.
-    auto& made_body = log_.bodies[attempt][seal];
+    // A response without this body may not be taken for the response to this execution.
+    auto& complete_body = log_.bodies[attempt][seal];
     auto complete = responses.complete();
     switch (fault) {
       case Fault::reset:
-        return reset(id);
+        return reset(connection_id);
       case Fault::truncated_head:
-        send(id, complete.substr(0, 20));
-        return close(id);
+        send(connection_id, complete.substr(0, 20));
+        return close(connection_id);
       case Fault::truncated_body:
-        send(id, complete.substr(0, complete.size() - 1));
-        return close(id);
+        send(connection_id, complete.substr(0, complete.size() - 1));
+        return close(connection_id);
       case Fault::garbage:
-        return send(id, "no answer at all\r\n\r\n");
+        return send(connection_id, "no answer at all\r\n\r\n");
       case Fault::silence:
         return;
       case Fault::id_of_other_attempt:
-        return send(id, responses.of_other_attempt());
+        return send(connection_id, responses.of_other_attempt());
       case Fault::no_seal:
-        return send(id, responses.without_seal());
+        return send(connection_id, responses.without_seal());
       case Fault::server_error:
-        return send(id, responses.server_error());
+        return send(connection_id, responses.server_error());
       default:
         break;
     }
-    made_body = body;
-    send(id, complete);
+    complete_body = body;
+    send(connection_id, complete);
     if (fault == Fault::surplus_response) {
-      send(id, complete);
+      send(connection_id, complete);
     } else if (fault == Fault::late_surplus_response) {
-      send_later(id, complete);
+      send_later(connection_id, complete);
     } else if (fault == Fault::late_rejection) {
-      send_later(id, responses.rejection());
+      send_later(connection_id, responses.rejection());
     } else if (fault == Fault::half_close) {
-      ::shutdown(connections_.at(id).socket.get(), SHUT_WR);
+      ::shutdown(connections_.at(connection_id).socket.get(), SHUT_WR);
     }
   }
 
--- a/tests/unit/net/replica_client_test.cpp
+++ b/tests/unit/net/replica_client_test.cpp
@@ -1,4 +1,4 @@
-// What libcurl must not do on its own, and what a broken replica's response is taken for.
+// Calls of replicas by libcurl: that no request is sent twice, and that no broken response counts as complete.
 #include <arpa/inet.h>
 #include <poll.h>
 #include <sys/socket.h>
@@ -34,18 +34,22 @@
     stop_requested_ = true;
     thread_.join();
   }
+
   std::string url;
-  std::atomic<int> requests{0}, connections{0};
+  std::atomic<int> requests{0};
+  std::atomic<int> connections{0};
 
  private:
   struct Connection {
     Fd socket;
     int requests = 0;
   };
+
   static bool readable(int socket) {
     pollfd polled{socket, POLLIN, 0};
     return ::poll(&polled, 1, 20) > 0;
   }
+
   void run() {
     std::vector<Connection> open;
     while (!stop_requested_) {
@@ -57,15 +61,16 @@
                     [this](Connection& connection) { return readable(connection.socket.get()) && !serve(connection); });
     }
   }
-  /// False where the connection is to be closed.
+
+  /// Returns false where the connection is to be closed.
   bool serve(Connection& connection) {
     char buffer[8192];
     if (::recv(connection.socket.get(), buffer, sizeof buffer, 0) <= 0) {
       return false;
     }
     ++requests;
-    bool first = connection.requests++ == 0;
-    if (!first || response_.empty()) {
+    ++connection.requests;
+    if (connection.requests > 1 || response_.empty()) {
       return false;
     }
     return ::send(connection.socket.get(), response_.data(), response_.size(), MSG_NOSIGNAL) >= 0;
@@ -97,14 +102,17 @@
   }
 };
 
-const std::string sealed_response =
+const std::string kSealedResponse =
     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Seal: " + hex(digest("ok")) + "\r\n\r\nok";
 
 }  // namespace
 
-TEST_CASE("ReplicaClient sends what is not idempotent on a fresh connection, for libcurl would resend on a used one") {
-  OneResponseReplica replica(sealed_response);
+TEST_CASE(
+    "ReplicaClient sends requests that are not idempotent on a new connection, since libcurl would resend on a used "
+    "one") {
+  OneResponseReplica replica(kSealedResponse);
   ReplicaClientFixture fixture;
+
   CHECK(fixture.call(replica.url + "/x", true).complete);
 
   auto response = fixture.call(replica.url + "/count", false);
@@ -114,7 +122,7 @@
   CHECK(replica.connections == 2);
 }
 
-TEST_CASE("ReplicaClient sends a request once whose response is lost, and says that it was sent") {
+TEST_CASE("ReplicaClient sends a request whose response is lost once, and reports that it was sent") {
   OneResponseReplica replica("");
   ReplicaClientFixture fixture;
 
@@ -126,7 +134,7 @@
   CHECK(replica.requests == 1);
 }
 
-TEST_CASE("ReplicaClient says that nothing was sent where nobody listens") {
+TEST_CASE("ReplicaClient reports that nothing was sent where the connection is refused") {
   std::string url;
   {
     OneResponseReplica replica("");
--- a/tests/unit/net/request_framing_test.cpp
+++ b/tests/unit/net/request_framing_test.cpp
@@ -1,3 +1,4 @@
+// Requests that are rejected since another HTTP parser might read them differently.
 #include "test_server.hpp"
 
 using namespace mosskeel;
@@ -10,15 +11,17 @@
   int status;
 };
 
+std::string post(const std::string& fields, const std::string& body = "") {
+  return "POST / HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n" + body;
+}
+
+std::string with_request_line(const std::string& request_line) {
+  return request_line + "\r\nHost: h\r\n\r\n";
+}
+
 }  // namespace
 
-TEST_CASE("HttpListener rejects what two parsers might frame differently, and closes its connection") {
-  auto post = [](const std::string& fields, const std::string& body = "") {
-    return "POST / HTTP/1.1\r\nHost: h\r\n" + fields + "\r\n" + body;
-  };
-  auto line = [](const std::string& request_line) {
-    return request_line + "\r\nHost: h\r\n\r\n";
-  };
+TEST_CASE("HttpListener rejects requests that another parser might frame differently, and closes their connections") {
   auto rejected = GENERATE_COPY(values<RejectedRequest>({
       {post("Content-Length: 3\r\nContent-Length: 4\r\n", "abcd"), 400},
       {post("Content-Length: 3\r\nContent-Length: 3\r\n", "abc"), 400},
@@ -62,26 +65,26 @@
       {"GET / HTTP/1.1\r\nHost: a/b\r\n\r\n", 400},
       {"GET / HTTP/1.1\r\nHost: u@h\r\n\r\n", 400},
       {"GET / HTTP/1.1\r\nHost: h:8x\r\n\r\n", 400},
-      {line("GET http://h/ HTTP/1.1"), 400},
-      {line("GET h:80 HTTP/1.1"), 400},
-      {line("OPTIONS * HTTP/1.1"), 400},
-      {line("CONNECT h:80 HTTP/1.1"), 400},
-      {line("CONNECT /h HTTP/1.1"), 400},
-      {line("GET /a b HTTP/1.1"), 400},
-      {line("GET  / HTTP/1.1"), 400},
-      {line("GET /  HTTP/1.1"), 400},
-      {line("GET\t/ HTTP/1.1"), 400},
-      {line("GET /a\tb HTTP/1.1"), 400},
-      {line("GET /a\x01 HTTP/1.1"), 400},
-      {line("GET /a\x7f HTTP/1.1"), 400},
-      {line("GET /\xc3\xa4 HTTP/1.1"), 400},
-      {line("GET / HTTP/1.2"), 400},
-      {line("GET / HTTP/2.0"), 400},
-      {line("GET / HTTP/0.9"), 400},
-      {line("GET / http/1.1"), 400},
-      {line("GET /"), 400},
-      {line("G<T / HTTP/1.1"), 400},
-      {line(" GET / HTTP/1.1"), 400},
+      {with_request_line("GET http://h/ HTTP/1.1"), 400},
+      {with_request_line("GET h:80 HTTP/1.1"), 400},
+      {with_request_line("OPTIONS * HTTP/1.1"), 400},
+      {with_request_line("CONNECT h:80 HTTP/1.1"), 400},
+      {with_request_line("CONNECT /h HTTP/1.1"), 400},
+      {with_request_line("GET /a b HTTP/1.1"), 400},
+      {with_request_line("GET  / HTTP/1.1"), 400},
+      {with_request_line("GET /  HTTP/1.1"), 400},
+      {with_request_line("GET\t/ HTTP/1.1"), 400},
+      {with_request_line("GET /a\tb HTTP/1.1"), 400},
+      {with_request_line("GET /a\x01 HTTP/1.1"), 400},
+      {with_request_line("GET /a\x7f HTTP/1.1"), 400},
+      {with_request_line("GET /\xc3\xa4 HTTP/1.1"), 400},
+      {with_request_line("GET / HTTP/1.2"), 400},
+      {with_request_line("GET / HTTP/2.0"), 400},
+      {with_request_line("GET / HTTP/0.9"), 400},
+      {with_request_line("GET / http/1.1"), 400},
+      {with_request_line("GET /"), 400},
+      {with_request_line("G<T / HTTP/1.1"), 400},
+      {with_request_line(" GET / HTTP/1.1"), 400},
       {post("Transfer-Encoding: chunked\r\n", "3\r\nabcXX0\r\n\r\n"), 400},
       {post("Transfer-Encoding: chunked\r\n", "3\nabc\n0\n\n"), 400},
       {post("Transfer-Encoding: chunked\r\n", "0x3\r\nabc\r\n0\r\n\r\n"), 400},
--- a/tests/unit/net/socket_peer.hpp
+++ b/tests/unit/net/socket_peer.hpp
@@ -31,22 +31,26 @@
   run_until(loop, [&] { return count-- <= 0; });
 }
 
-/// A blocking socket that notes what it receives.
+/// A blocking socket that keeps what it receives.
 struct SocketPeer {
   Fd socket;
   std::string received;
-  /// Whether the other side has closed the connection, and whether by a reset.
-  bool closed = false, reset = false;
+  /// Whether the other side has closed the connection.
+  bool closed = false;
+  /// Whether it has closed it by a reset.
+  bool reset = false;
 
   explicit SocketPeer(Fd accepted) : socket(std::move(accepted)) {}
   explicit SocketPeer(const Address& address) : socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     auto endpoint = parse_endpoint(address);
     REQUIRE(::connect(socket.get(), reinterpret_cast<sockaddr*>(&endpoint->storage), endpoint->length) == 0);
   }
+
   void send(std::string_view bytes) {
     REQUIRE(::send(socket.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
-  /// Receives what is there.
+
+  /// Receives what has arrived.
   /// @return whether the other side has closed.
   bool receive() {
     static char buffer[65536];
@@ -64,11 +68,14 @@
     }
     return closed;
   }
+
   bool has_received(std::string_view text) {
     receive();
     return received.find(text) != std::string::npos;
   }
+
   void close() { socket = Fd(); }
+
   void close_with_reset() {
     reset_on_close(socket.get());
     close();
@@ -84,10 +91,11 @@
   return socket;
 }
 
-/// How often the text occurs, without overlaps.
+/// How often `searched` occurs in the text, without overlaps.
 inline size_t count_occurrences(const std::string& text, std::string_view searched) {
   size_t count = 0;
-  for (size_t at = 0; (at = text.find(searched, at)) != std::string::npos; at += searched.size()) {
+  for (auto found = text.find(searched); found != std::string::npos;
+       found = text.find(searched, found + searched.size())) {
     ++count;
   }
   return count;
--- a/tests/unit/net/test_server.hpp
+++ b/tests/unit/net/test_server.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// An HttpListener whose callbacks are recorded and whose requests are responded to at once.
+// An HttpListener that records its callbacks and responds to each request at once.
 #include "net/http_listener.hpp"
 #include "socket_peer.hpp"
 
@@ -10,10 +10,12 @@
     uint64_t exchange;
     HttpRequest request;
   };
+
   EventLoop loop;
   std::vector<ReceivedRequest> requests;
   /// Exchanges in the order of their callbacks.
-  std::vector<uint64_t> disconnected, drained;
+  std::vector<uint64_t> disconnected;
+  std::vector<uint64_t> drained;
   /// Called with each request; empty leaves it without a response.
   std::function<void(uint64_t exchange)> respond = [this](uint64_t exchange) {
     listener->send_response(exchange, 200, {{"X-A", "b"}}, "hello");
@@ -40,17 +42,21 @@
     REQUIRE(opened.ok());
     listener = std::move(opened).value();
   }
+
   Address address() const { return listener->local_address(); }
-  /// Sends the bytes on a new connection and returns what comes until it is closed.
+
+  /// Sends the bytes on a new connection. Returns what comes until it is closed.
   std::string exchange(const std::string& bytes) {
     SocketPeer caller(address());
     caller.send(bytes);
     CHECK(run_until(loop, [&] { return caller.receive(); }));
     return caller.received;
   }
+
   bool run_until_requests(size_t count) {
     return run_until(loop, [&] { return requests.size() == count; });
   }
+
   bool run_until_connections(size_t count) {
     return run_until(loop, [&] { return listener->connections() == count; });
   }
--- a/tests/unit/net/wire_test.cpp
+++ b/tests/unit/net/wire_test.cpp
@@ -1,3 +1,4 @@
+// Messages between daemons as bytes.
 #include "net/wire.hpp"
 #include "unit/catch.hpp"
 
@@ -25,22 +26,22 @@
   return bytes;
 }
 
-/// The packed envelope, its message's kind replaced by one that no build knows.
+/// The encoded envelope, with the kind of its message replaced by one that no build knows.
 std::string with_unknown_kind(const Envelope& envelope) {
   auto bytes = codec::encode(envelope);
   auto body = codec::encode(envelope.body);
   std::string unknown_kind;
   codec::put(unknown_kind, static_cast<uint16_t>(std::variant_size_v<Message>));
   auto kind = body.substr(0, unknown_kind.size());
-  auto kind_at = bytes.rfind(kind, bytes.size() - body.size());
-  REQUIRE(kind_at != std::string::npos);
-  bytes.replace(kind_at, unknown_kind.size(), unknown_kind);
+  auto kind_offset = bytes.rfind(kind, bytes.size() - body.size());
+  REQUIRE(kind_offset != std::string::npos);
+  bytes.replace(kind_offset, unknown_kind.size(), unknown_kind);
   return bytes;
 }
 
 }  // namespace
 
-TEST_CASE("decode gives back the message that was encoded") {
+TEST_CASE("decode returns the message that was encoded") {
   auto envelope = sample_envelope();
 
   auto decoded = decode(encode(envelope));
@@ -50,7 +51,7 @@
   CHECK(std::get<AppendHistory>(decoded->body).records.at(0).input == "in");
 }
 
-TEST_CASE("decode refuses a message that was truncated at any byte") {
+TEST_CASE("decode rejects a message that was truncated at any byte") {
   auto bytes = encode(sample_envelope());
 
   for (size_t size = 0; size < bytes.size(); ++size) {
@@ -58,24 +59,24 @@
   }
 }
 
-TEST_CASE("decode refuses a message with a damaged byte") {
+TEST_CASE("decode rejects a message with a damaged byte") {
   auto bytes = encode(sample_envelope());
 
-  for (size_t at = 0; at < bytes.size(); ++at) {
+  for (size_t offset = 0; offset < bytes.size(); ++offset) {
     auto damaged = bytes;
-    damaged[at] = static_cast<char>(damaged[at] ^ 0x41);
+    damaged[offset] = static_cast<char>(damaged[offset] ^ 0x41);
     CHECK_FALSE(decode(damaged));
   }
 }
 
-TEST_CASE("decode refuses another revision of the protocol") {
+TEST_CASE("decode rejects another revision of the protocol") {
   auto envelope = sample_envelope();
   envelope.protocol = 7;
 
   CHECK_FALSE(decode(encode(envelope)));
 }
 
-TEST_CASE("decode refuses a message of an unknown kind") {
+TEST_CASE("decode rejects a message of an unknown kind") {
   auto envelope = sample_envelope();
   REQUIRE(decode(with_checksum(codec::encode(envelope))));
 
