--- a/tests/unit/storage/disk_test.cpp
+++ b/tests/unit/storage/disk_test.cpp
@@ -1,4 +1,4 @@
-// What a start finds in a data folder: synced records, torn tails, damage, and the state behind a short write.
+// What a start recovers from a data folder: synced records, torn tails, damage, and what a short write leaves.
 #include "storage/disk.hpp"
 
 #include <fstream>
@@ -19,6 +19,11 @@
 /// Bytes; an offset in the first frame of a segment, behind its header.
 constexpr size_t kInFirstFrame = kFrameHeaderBytes + 2;
 
+/// The records of `write_segment_without_sync_marks`.
+std::string old_records() {
+  return frame("old 0") + frame("old 1") + frame("old 2");
+}
+
 std::string read_file(const std::string& path) {
   std::string content(fs::file_size(path), '\0');
   std::ifstream(path, std::ios::binary).read(content.data(), static_cast<std::streamsize>(content.size()));
@@ -31,7 +36,7 @@
 
 }  // namespace
 
-TEST_CASE("Disk finds what was synced again, under the same identity") {
+TEST_CASE("Disk recovers what was synced, under the same identity") {
   DataFolder folder;
   append_records(folder, 3);
   append_records(folder, 2, 3);
@@ -43,7 +48,7 @@
   CHECK(disk->recovered().journal.back() == "record 4");
 }
 
-TEST_CASE("Disk cuts a torn tail off and appends behind what is left") {
+TEST_CASE("Disk truncates a torn tail and appends behind what is left") {
   // Of the last record's 20 bytes: parts of its text, of its checksum and of its size.
   for (size_t torn_bytes : {1, 5, 11, 13, 18}) {
     INFO("torn bytes " << torn_bytes);
@@ -62,7 +67,7 @@
   }
 }
 
-TEST_CASE("Disk does not open a log that is damaged before its end, and says where") {
+TEST_CASE("Disk does not open a log that is damaged before its end, and reports the offset") {
   DataFolder folder;
   append_records(folder, 3);
   damage_byte(folder.last_file("log-"), kInFirstFrame);
@@ -73,32 +78,50 @@
   CHECK(to_string(disk.errors()).find("is damaged at byte 0") != std::string::npos);
 }
 
-TEST_CASE("Disk finds a checkpoint in place of the records before it, and does not open with a damaged one") {
-  DataFolder folder;
+namespace {
+
+/// Three records, a checkpoint in their place, and a record behind it.
+void write_checkpoint_and_record(const DataFolder& folder) {
   append_records(folder, 3);
-  {
-    auto disk = folder.open();
-    REQUIRE(disk->checkpoint("all so far"));
-    REQUIRE(disk->append({"later"}));
-    REQUIRE(disk->sync());
-  }
+  auto disk = folder.open();
+  REQUIRE(disk->checkpoint("all so far"));
+  REQUIRE(disk->append({"later"}));
+  REQUIRE(disk->sync());
+}
 
-  {
-    auto disk = folder.open();
-    CHECK(disk->recovered().checkpoint == "all so far");
-    CHECK(disk->recovered().journal == Journal{"later"});
-  }
+}  // namespace
+
+TEST_CASE("Disk recovers a checkpoint in place of the records before it") {
+  DataFolder folder;
+  write_checkpoint_and_record(folder);
+
+  auto disk = folder.open();
+
+  CHECK(disk->recovered().checkpoint == "all so far");
+  CHECK(disk->recovered().journal == Journal{"later"});
+}
+
+TEST_CASE("Disk does not open with a damaged checkpoint") {
+  constexpr size_t kTruncatedSize = 5;
+  DataFolder folder;
+  write_checkpoint_and_record(folder);
+  folder.open();
+
+  fs::resize_file(folder.last_file("checkpoint-"), kTruncatedSize);
 
-  constexpr size_t truncated_size = 5;
-  fs::resize_file(folder.last_file("checkpoint-"), truncated_size);
   CHECK_FALSE(opens(folder));
 }
 
-TEST_CASE("Disk does not open a folder that another daemon holds, or one that lacks a segment") {
+TEST_CASE("Disk does not open a folder that another daemon has locked") {
   DataFolder folder;
   auto disk = folder.open();
+
   CHECK_FALSE(opens(folder));
+}
 
+TEST_CASE("Disk does not open a folder that lacks a segment") {
+  DataFolder folder;
+  auto disk = folder.open();
   std::string segment_filling(kSegmentBytes, 'x');
   for (int i = 0; i < 4; ++i)
     REQUIRE(disk->append({segment_filling}));
@@ -106,34 +129,58 @@
   disk.reset();
   auto segments = folder.files("log-");
   REQUIRE(segments.size() >= 3);
+
   fs::remove(segments[1]);
 
   CHECK_FALSE(opens(folder));
 }
 
-TEST_CASE("Disk cuts off a hole in what was not synced, with all behind it, and appends there") {
+namespace {
+
+/// Two synced records and behind them three that were not synced, of which the first is damaged.
+struct HoleInUnsyncedRecords {
   DataFolder folder;
-  append_records(folder, 2);
-  auto segment = folder.last_file("log-");
-  auto synced_size = fs::file_size(segment);
-  {
+  std::string segment;
+  size_t synced_size = 0;
+
+  HoleInUnsyncedRecords() {
+    append_records(folder, 2);
+    segment = folder.last_file("log-");
+    synced_size = fs::file_size(segment);
+    append_unsynced({"lost", "there", "there too"});
+    constexpr size_t kInText = kFrameHeaderBytes + 1;
+    damage_byte(segment, synced_size + kInText);
+  }
+
+ private:
+  void append_unsynced(const Journal& records) {
     auto disk = folder.open();
-    for (const auto* record : {"lost", "there", "there too"})
+    for (const auto& record : records)
       REQUIRE(disk->append({record}));
   }
-  constexpr size_t in_text = kFrameHeaderBytes + 1;
-  damage_byte(segment, synced_size + in_text);
+};
 
-  CHECK(folder.open()->recovered().journal == Journal{"record 0", "record 1"});
-  CHECK(fs::file_size(segment) == synced_size);
+}  // namespace
 
-  append_records(folder, 1, 2);
-  auto disk = folder.open();
+TEST_CASE("Disk truncates unsynced records from the first damaged one on") {
+  HoleInUnsyncedRecords hole;
+
+  CHECK(hole.folder.open()->recovered().journal == Journal{"record 0", "record 1"});
+  CHECK(fs::file_size(hole.segment) == hole.synced_size);
+}
+
+TEST_CASE("Disk appends where it has truncated unsynced records") {
+  HoleInUnsyncedRecords hole;
+  hole.folder.open();
+
+  append_records(hole.folder, 1, 2);
+
+  auto disk = hole.folder.open();
   CHECK(disk->truncated_bytes() == 0);
   CHECK(disk->recovered().journal == Journal{"record 0", "record 1", "record 2"});
 }
 
-TEST_CASE("Disk does not open with damage before a sync mark that covers it, wherever that is") {
+TEST_CASE("Disk does not open with any damaged record that a sync mark covers") {
   for (int number : {0, 1, 2}) {
     INFO("damaged record " << number);
     DataFolder folder;
@@ -149,48 +196,87 @@
   }
 }
 
-TEST_CASE("Disk opens a segment without sync marks by the rules of its time, and appends in a new one") {
-  DataFolder folder;
+namespace {
+
+/// A segment as builds without sync marks wrote it: three records and a torn tail. Returns its path.
+std::string write_segment_without_sync_marks(const DataFolder& folder) {
   append_records(folder, 1);
-  auto old_segment = folder.last_file("log-");
-  auto old_records = frame("old 0") + frame("old 1") + frame("old 2");
-  std::ofstream(old_segment, std::ios::binary) << old_records << "torn";
+  auto segment = folder.last_file("log-");
+  std::ofstream(segment, std::ios::binary) << old_records() << "torn";
+  return segment;
+}
+
+}  // namespace
+
+TEST_CASE("Disk truncates the torn tail of a segment without sync marks, and appends to a new segment") {
+  DataFolder folder;
+  auto old_segment = write_segment_without_sync_marks(folder);
 
   append_records(folder, 1, 3);
 
   CHECK(folder.last_file("log-") != old_segment);
-  CHECK(fs::file_size(old_segment) == old_records.size());
+  CHECK(fs::file_size(old_segment) == old_records().size());
   CHECK(folder.open()->recovered().journal == Journal{"old 0", "old 1", "old 2", "record 3"});
+}
 
+TEST_CASE("Disk does not open a segment without sync marks that is damaged before its end") {
+  DataFolder folder;
+  auto old_segment = write_segment_without_sync_marks(folder);
+  append_records(folder, 1, 3);
+  REQUIRE(folder.last_file("log-") != old_segment);
   fs::remove(folder.last_file("log-"));
+
   damage_byte(old_segment, kInFirstFrame);
+
   CHECK_FALSE(opens(folder));
 }
 
-TEST_CASE("Disk takes a short write back to whole records, and writes behind them what has room") {
+namespace {
+
+/// Appends a record of 1,000 bytes with less room than that: none, in its header, at the header's end, in its text.
+void check_short_writes_are_rolled_back(Disk& disk, SmallDisk& small_disk) {
+  auto used_before = small_disk.used();
+  for (size_t room : {0, 1, 11, 12, 500}) {
+    INFO("room " << room);
+    small_disk.size = used_before + room;
+    CHECK(disk.append({std::string(1000, 'x')}) == DiskResult{DiskResult::full});
+    CHECK(small_disk.used() == used_before);
+  }
+}
+
+/// Appends a record, tries others without room, and appends another one once there is room for it.
+void append_around_short_writes(const DataFolder& folder, SmallDisk& small_disk) {
+  auto disk = folder.open(small_disk.calls());
+  REQUIRE(disk->append({"one"}));
+  REQUIRE(disk->sync());
+  auto used_before = small_disk.used();
+  check_short_writes_are_rolled_back(*disk, small_disk);
+  small_disk.size = used_before + 200;
+  REQUIRE(disk->append({"two"}));
+  REQUIRE(disk->sync());
+}
+
+}  // namespace
+
+TEST_CASE("Disk rolls a short write back, and appends once there is room") {
   DataFolder folder;
   SmallDisk small_disk{folder};
-  {
-    auto disk = folder.open(small_disk.calls());
-    REQUIRE(disk->append({"one"}));
-    REQUIRE(disk->sync());
-    auto used_before = small_disk.used();
-    // In nothing, the header, at the header's end and in the text.
-    for (size_t room : {0, 1, 11, 12, 500}) {
-      INFO("room " << room);
-      small_disk.size = used_before + room;
-      CHECK(disk->append({std::string(1000, 'x')}) == DiskResult{DiskResult::full});
-      CHECK(small_disk.used() == used_before);
-    }
-    small_disk.size = used_before + 200;
-    REQUIRE(disk->append({"two"}));
-    REQUIRE(disk->sync());
-  }
+
+  append_around_short_writes(folder, small_disk);
   small_disk.set_room(0);
 
   auto disk = folder.open(small_disk.calls());
-
   CHECK(disk->truncated_bytes() == 0);
   CHECK(disk->recovered().journal == Journal{"one", "two"});
+}
+
+TEST_CASE("Disk opens while it is full, and rejects records") {
+  DataFolder folder;
+  SmallDisk small_disk{folder};
+  append_around_short_writes(folder, small_disk);
+  small_disk.set_room(0);
+
+  auto disk = folder.open(small_disk.calls());
+
   CHECK(disk->append({"three"}) == DiskResult{DiskResult::full});
 }
--- a/tests/unit/storage/journal_writer_test.cpp
+++ b/tests/unit/storage/journal_writer_test.cpp
@@ -1,4 +1,4 @@
-// What JournalWriter writes and lets leave while its disk is full, and what is found afterwards.
+// What JournalWriter writes, and which messages it releases, while its disk is full; what a start recovers afterwards.
 #include "storage/journal_writer.hpp"
 
 #include <cerrno>
@@ -27,7 +27,7 @@
   return batch;
 }
 
-/// Records, and a message with this id that may leave behind them.
+/// Records, and a message with this id that may be sent once they are synced.
 Batch records_and_message(std::vector<std::string> journal, uint64_t message_id) {
   Batch batch = records(std::move(journal));
   Envelope message{};
@@ -42,7 +42,7 @@
   return batch;
 }
 
-/// The ids of the messages that may leave.
+/// The ids of the messages that may be sent.
 Ids sent_ids(const JournalWriter::Written& written) {
   Ids ids;
   for (const auto& message : written.sends)
@@ -67,7 +67,7 @@
   explicit WriterFixture(size_t disk_size = kAmpleDisk, size_t max_pending_bytes = kMaxPendingJournalBytes)
       : small_disk(folder, disk_size), disk(folder.open(small_disk.calls())), writer(*disk, max_pending_bytes) {}
 
-  /// What the next start finds; the writer may not be used after that.
+  /// What the next start recovers; the writer may not be used after that.
   Recovered recover_after_restart(DiskCalls calls = DiskCalls::real()) {
     disk.reset();
     return folder.open(std::move(calls))->recovered();
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-TEST_CASE("JournalWriter writes again what a sync without room has taken back, and fails on a broken disk") {
+TEST_CASE("JournalWriter writes again what a sync on a full disk has rolled back") {
   WriterFixture fixture;
   auto& writer = fixture.writer;
   REQUIRE(writer.write({records_and_message({"one"}, 1)}).result == kDone);
@@ -86,91 +86,159 @@
 
   fixture.small_disk.sync_error = 0;
   CHECK(sent_ids(writer.write({records_and_message({"four"}, 4)})) == Ids{4});
+  CHECK(fixture.recover_after_restart().journal == Journal{"one", "two", "three", "four"});
+}
+
+TEST_CASE("JournalWriter fails on a broken disk, and releases no message") {
+  WriterFixture fixture;
+  auto& writer = fixture.writer;
+  REQUIRE(writer.write({records_and_message({"four"}, 4)}).result == kDone);
 
   fixture.small_disk.write_error = EIO;
   auto broken = writer.write({records_and_message({"five"}, 5)});
+
   CHECK(broken.result == kFailed);
   CHECK(sent_ids(broken).empty());
 
   fixture.small_disk.write_error = 0;
-  CHECK(fixture.recover_after_restart().journal == Journal{"one", "two", "three", "four"});
+  CHECK(fixture.recover_after_restart().journal == Journal{"four"});
 }
 
-TEST_CASE("JournalWriter lets no message leave while the disk is full, and writes all in order once there is room") {
-  WriterFixture fixture;
+namespace {
+
+/// A writer that has written "one", and whose disk was full at its last write.
+struct FullDiskFixture : WriterFixture {
+  JournalWriter::Written first_on_full_disk;
+
+  FullDiskFixture() {
+    CHECK(sent_ids(writer.write({records_and_message({"one"}, 1)})) == Ids{1});
+    small_disk.set_room(0);
+    first_on_full_disk = writer.write({records_and_message({"two"}, 2), records_and_message({}, 3)});
+  }
+};
+
+}  // namespace
+
+TEST_CASE("JournalWriter releases no message while the disk is full, and logs that once") {
+  FullDiskFixture fixture;
   auto& writer = fixture.writer;
-  CHECK(sent_ids(writer.write({records_and_message({"one"}, 1)})) == Ids{1});
 
-  fixture.small_disk.set_room(0);
-  auto first_on_full_disk = writer.write({records_and_message({"two"}, 2), records_and_message({}, 3)});
-  CHECK(first_on_full_disk.result == kFull);
-  CHECK(sent_ids(first_on_full_disk).empty());
-  CHECK(logged_events(first_on_full_disk) == Events{Event::disk_full});
+  CHECK(fixture.first_on_full_disk.result == kFull);
+  CHECK(sent_ids(fixture.first_on_full_disk).empty());
+  CHECK(logged_events(fixture.first_on_full_disk) == Events{Event::disk_full});
+
   auto next_on_full_disk = writer.write({records_and_message({}, 4)});
   CHECK(sent_ids(next_on_full_disk).empty());
   CHECK(logged_events(next_on_full_disk).empty());
   CHECK(sent_ids(writer.write({records_and_message({"three", "four"}, 5)})).empty());
+
   CHECK(writer.full());
-  // "two", "three" and "four".
-  CHECK(writer.pending_bytes() == 12);
+  CHECK(writer.pending_bytes() == std::string("two"
+                                              "three"
+                                              "four")
+                                      .size());
+}
+
+TEST_CASE("JournalWriter writes all pending records in order once the disk has room") {
+  FullDiskFixture fixture;
+  auto& writer = fixture.writer;
+  writer.write({records_and_message({}, 4)});
+  writer.write({records_and_message({"three", "four"}, 5)});
+  REQUIRE(writer.full());
 
   fixture.small_disk.size += 1000;
   auto with_room = writer.write({records_and_message({"five"}, 6)});
+
   CHECK(with_room.result == kDone);
   CHECK(sent_ids(with_room) == Ids{6});
   CHECK(logged_events(with_room) == Events{Event::disk_room});
   CHECK_FALSE(writer.full());
   CHECK(writer.pending_bytes() == 0);
-
   CHECK(fixture.recover_after_restart().journal == Journal{"one", "two", "three", "four", "five"});
 }
 
-TEST_CASE("JournalWriter writes the batches that fit, and fails where too much is pending") {
-  constexpr size_t max_pending_bytes = 3000;
-  WriterFixture fixture(kAmpleDisk, max_pending_bytes);
+TEST_CASE("JournalWriter writes the batches for which the disk has room") {
+  WriterFixture fixture;
   auto& writer = fixture.writer;
   REQUIRE(writer.write({records({"one"})}).result == kDone);
   fixture.small_disk.set_room(200);
 
   CHECK(writer.write({records({"two"}), records({std::string(2500, 'x')})}).result == kFull);
+
   CHECK(writer.pending_bytes() == 2500);
+  CHECK(fixture.recover_after_restart().journal == Journal{"one", "two"});
+}
+
+TEST_CASE("JournalWriter fails where more records are pending than its limit") {
+  constexpr size_t kMaxPendingBytes = 3000;
+  WriterFixture fixture(kAmpleDisk, kMaxPendingBytes);
+  auto& writer = fixture.writer;
+  REQUIRE(writer.write({records({"one"})}).result == kDone);
+  fixture.small_disk.set_room(200);
+  REQUIRE(writer.write({records({"two"}), records({std::string(2500, 'x')})}).result == kFull);
+
   auto beyond_limit = writer.write({records_and_message({std::string(600, 'x')}, 1)});
+
   CHECK(beyond_limit.result == kFailed);
   CHECK(sent_ids(beyond_limit).empty());
-
   CHECK(fixture.recover_after_restart().journal == Journal{"one", "two"});
 }
 
-TEST_CASE("JournalWriter clears a full disk with a checkpoint that has room in the reserve") {
-  WriterFixture fixture;
+namespace {
+
+/// A writer whose disk is full of records, with a reserve for a small checkpoint.
+struct FullOfRecordsFixture : WriterFixture {
+  FullOfRecordsFixture() {
+    CHECK_FALSE(writer.wants_checkpoint(TimePoint{1ms}));
+    for (int i = 0; i < 8; ++i)
+      REQUIRE(writer.write({records({std::string(100000, 'x')})}).result == kDone);
+    small_disk.set_room(0);
+    REQUIRE(writer.write({records_and_message({"pending"}, 1)}).result == kFull);
+  }
+};
+
+/// Bytes; more than the reserve holds.
+constexpr size_t kLargeCheckpoint = 900000;
+constexpr size_t kSmallCheckpoint = 300000;
+
+}  // namespace
+
+TEST_CASE("JournalWriter wants a checkpoint while the disk is full, once an interval") {
+  FullOfRecordsFixture fixture;
+
+  CHECK(fixture.writer.wants_checkpoint(TimePoint{1ms}));
+  CHECK_FALSE(fixture.writer.wants_checkpoint(TimePoint{kFullDiskCheckpointInterval}));
+}
+
+TEST_CASE("JournalWriter does not write a checkpoint that has no room in the reserve") {
+  FullOfRecordsFixture fixture;
+
+  auto written = fixture.writer.write({checkpoint(std::string(kLargeCheckpoint, 'y'))});
+
+  CHECK(written.result == kFull);
+  CHECK(fixture.writer.unwritten_checkpoints() == 1);
+}
+
+TEST_CASE("JournalWriter frees a full disk by a checkpoint that has room in the reserve") {
+  FullOfRecordsFixture fixture;
   auto& writer = fixture.writer;
-  CHECK_FALSE(writer.wants_checkpoint(TimePoint{1ms}));
-  for (int i = 0; i < 8; ++i)
-    REQUIRE(writer.write({records({std::string(100000, 'x')})}).result == kDone);
-  fixture.small_disk.set_room(0);
-  REQUIRE(writer.write({records_and_message({"held"}, 1)}).result == kFull);
-  CHECK(writer.wants_checkpoint(TimePoint{1ms}));
-  CHECK_FALSE(writer.wants_checkpoint(TimePoint{kFullDiskCheckpointInterval}));
+  REQUIRE(writer.write({checkpoint(std::string(kLargeCheckpoint, 'y'))}).result == kFull);
+  std::string small_checkpoint(kSmallCheckpoint, 'y');
 
-  auto with_large_checkpoint = writer.write({checkpoint(std::string(900000, 'y'))});
-  CHECK(with_large_checkpoint.result == kFull);
-  CHECK(writer.unwritten_checkpoints() == 1);
+  auto written = writer.write({checkpoint(small_checkpoint), records_and_message({"later"}, 2)});
 
-  std::string small_checkpoint(300000, 'y');
-  auto with_small_checkpoint = writer.write({checkpoint(small_checkpoint), records_and_message({"later"}, 2)});
-  CHECK(with_small_checkpoint.result == kDone);
-  CHECK(sent_ids(with_small_checkpoint) == Ids{2});
-  CHECK(logged_events(with_small_checkpoint) == Events{Event::checkpointed, Event::disk_room});
+  CHECK(written.result == kDone);
+  CHECK(sent_ids(written) == Ids{2});
+  CHECK(logged_events(written) == Events{Event::checkpointed, Event::disk_room});
   CHECK_FALSE(writer.wants_checkpoint(TimePoint{kFullDiskCheckpointInterval * 3}));
-
   auto recovered = fixture.recover_after_restart(fixture.small_disk.calls());
   CHECK(recovered.checkpoint == small_checkpoint);
   CHECK(recovered.journal == Journal{"later"});
 }
 
-TEST_CASE("JournalWriter leaves the log as it is where a checkpoint has no room") {
-  // Too small for a reserve.
-  WriterFixture fixture(kDiskReserveBytes * 2);
+TEST_CASE("JournalWriter keeps the log where a checkpoint has no room") {
+  constexpr size_t kTooSmallForReserve = kDiskReserveBytes * 2;
+  WriterFixture fixture(kTooSmallForReserve);
   auto& writer = fixture.writer;
   CHECK(fixture.folder.last_file("reserve").empty());
   std::string large_record(5000, 'x');
