--- a/tests/unit/messages/field_values_test.cpp
+++ b/tests/unit/messages/field_values_test.cpp
@@ -1,5 +1,5 @@
 // Each field of a message, a record and a setting has a value before one is given.
-#include <catch2/catch.hpp>
+#include <array>
 #include <cstring>
 #include <new>
 
@@ -8,6 +8,7 @@
 #include "messages/message.hpp"
 #include "metadata/transformation.hpp"
 #include "runtime/settings.hpp"
+#include "unit/catch.hpp"
 
 using namespace mosskeel;
 
@@ -26,9 +27,9 @@
   alignas(Value) std::array<unsigned char, sizeof(Value)> memory;
   std::memset(memory.data(), 0xa5, memory.size());
   auto* value = construct<Value>(memory.data());
-  bool equal = codec::encode(*value) == codec::encode(Value{});
+  bool is_equal = codec::encode(*value) == codec::encode(Value{});
   value->~Value();
-  return equal;
+  return is_equal;
 }
 
 template <class... Alternatives>
--- a/tests/unit/messages/golden_data_test.cpp
+++ b/tests/unit/messages/golden_data_test.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr auto message_directory = "messages";
-constexpr auto entry_directory = "entries";
-constexpr auto controller_record_directory = "controller-records";
-constexpr auto store_record_directory = "store-records";
+constexpr auto kMessageDirectory = "messages";
+constexpr auto kEntryDirectory = "entries";
+constexpr auto kControllerRecordDirectory = "controller-records";
+constexpr auto kStoreRecordDirectory = "store-records";
 
 template <class Value>
 std::string encoded(const Value& value) {
@@ -71,7 +71,8 @@
 /// Each kind of a variant has an example, each example a file, and each file an example.
 template <class Value>
 void check_complete(const std::string& directory, const std::vector<Example<Value>>& examples, size_t kinds) {
-  std::set<std::string> expected_files, actual_files;
+  std::set<std::string> expected_files;
+  std::set<std::string> actual_files;
   std::set<size_t> kinds_with_example;
   for (const auto& example : examples) {
     expected_files.insert(file_name(example));
@@ -103,7 +104,8 @@
     golden::write_golden_bytes_once(directory + "/" + file_name(example), encoded(example.value));
 }
 
-/// No two numbers and no two texts of one example are equal, so that each field can be told from each other one.
+/// No two numbers and no two texts of one example are equal, so that a field that is read in place of another one
+/// shows.
 void check_distinct_values(const Fields& fields) {
   std::map<std::pair<FieldType, std::string>, std::string> path_of_value;
   for (const auto& field : fields) {
@@ -113,7 +115,7 @@
     CHECK(field.value != "0");
     CHECK(field.value != "");
     auto [found, is_new] = path_of_value.emplace(std::make_pair(field.type, field.value), field.path);
-    INFO("and so is " << found->second);
+    INFO("which is also the value of " << found->second);
     CHECK(is_new);
   }
 }
@@ -132,6 +134,11 @@
   return plain;
 }
 
+/// The path of the struct that a field belongs to.
+std::string parent_of(const std::string& path) {
+  return path.substr(0, path.rfind('.') + 1);
+}
+
 /// Flags of one struct, over all examples of its kind, are not always equal to each other.
 void check_distinct_flags(const std::vector<Fields>& examples) {
   std::map<std::string, std::string> values_of_flag;
@@ -139,15 +146,14 @@
     for (const auto& field : fields)
       if (field.type == FieldType::flag)
         values_of_flag[without_indices(field.path)] += field.value + " ";
-  for (const auto& [path, values] : values_of_flag)
+  for (const auto& [path, values] : values_of_flag) {
     for (const auto& [other_path, other_values] : values_of_flag) {
-      auto parent = path.substr(0, path.rfind('.') + 1);
-      auto other_parent = other_path.substr(0, other_path.rfind('.') + 1);
-      if (path == other_path || parent != other_parent)
+      if (path == other_path || parent_of(path) != parent_of(other_path))
         continue;
       INFO(path << " and " << other_path);
       CHECK(values != other_values);
     }
+  }
 }
 
 template <class Value>
@@ -170,48 +176,48 @@
   std::vector<Enumeration> enumerators;
 };
 
-const EnumerationExample<Role> roles{"enumerations/role.hex", {Role::controller, Role::front, Role::store}};
-const EnumerationExample<DaemonState> daemon_states{
+const EnumerationExample<Role> kRoles{"enumerations/role.hex", {Role::controller, Role::front, Role::store}};
+const EnumerationExample<DaemonState> kDaemonStates{
     "enumerations/daemon-state.hex",
     {DaemonState::registered, DaemonState::up, DaemonState::draining, DaemonState::down, DaemonState::left}};
-const EnumerationExample<ReplicaHealth> healths{
+const EnumerationExample<ReplicaHealth> kReplicaHealths{
     "enumerations/replica-health.hex", {ReplicaHealth::warming_up, ReplicaHealth::ready, ReplicaHealth::draining}};
-const EnumerationExample<SequenceKind> sequence_kinds{"enumerations/sequence-kind.hex",
+const EnumerationExample<SequenceKind> kSequenceKinds{"enumerations/sequence-kind.hex",
                                                       {SequenceKind::join, SequenceKind::drain, SequenceKind::repair}};
-const EnumerationExample<SequenceStep> steps{"enumerations/sequence-step.hex",
-                                             {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}};
-const EnumerationExample<Outcome> outcomes{"enumerations/outcome.hex", {Outcome::yes, Outcome::no, Outcome::unknown}};
+const EnumerationExample<SequenceStep> kSequenceSteps{"enumerations/sequence-step.hex",
+                                                      {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}};
+const EnumerationExample<Outcome> kOutcomes{"enumerations/outcome.hex", {Outcome::yes, Outcome::no, Outcome::unknown}};
 /// Was one enumeration with `Outcome` when the golden data was written, so its numbers are in the same file.
-const EnumerationExample<CommitOutcome> commit_outcomes{
+const EnumerationExample<CommitOutcome> kCommitOutcomes{
     "enumerations/outcome.hex", {CommitOutcome::committed, CommitOutcome::rejected, CommitOutcome::unknown}};
-const EnumerationExample<RecordKind> record_kinds{"enumerations/record-kind.hex",
+const EnumerationExample<RecordKind> kRecordKinds{"enumerations/record-kind.hex",
                                                   {RecordKind::reservation, RecordKind::outcome, RecordKind::ended}};
-const EnumerationExample<Rejection> rejections{
+const EnumerationExample<Rejection> kRejections{
     "enumerations/rejection.hex",
     {Rejection::none, Rejection::revision_conflict, Rejection::forgotten, Rejection::invalid,
      Rejection::already_in_effect, Rejection::unknown_target, Rejection::refused, Rejection::busy}};
 
 template <class Action>
 void for_each_enumeration(Action action) {
-  action(roles);
-  action(daemon_states);
-  action(healths);
-  action(sequence_kinds);
-  action(steps);
-  action(outcomes);
-  action(commit_outcomes);
-  action(record_kinds);
-  action(rejections);
+  action(kRoles);
+  action(kDaemonStates);
+  action(kReplicaHealths);
+  action(kSequenceKinds);
+  action(kSequenceSteps);
+  action(kOutcomes);
+  action(kCommitOutcomes);
+  action(kRecordKinds);
+  action(kRejections);
 }
 
-constexpr auto metadata_file = "values/metadata.hex";
-constexpr auto controller_checkpoint_file = "values/controller-checkpoint.hex";
-constexpr auto store_checkpoint_file = "values/store-checkpoint.hex";
-constexpr auto sync_mark_file = "values/sync-mark.hex";
-constexpr auto log_frame_file = "values/log-frame.hex";
-constexpr auto derived_values_file = "values/derived-values.hex";
+constexpr auto kMetadataFile = "values/metadata.hex";
+constexpr auto kControllerCheckpointFile = "values/controller-checkpoint.hex";
+constexpr auto kStoreCheckpointFile = "values/store-checkpoint.hex";
+constexpr auto kSyncMarkFile = "values/sync-mark.hex";
+constexpr auto kLogFrameFile = "values/log-frame.hex";
+constexpr auto kDerivedValuesFile = "values/derived-values.hex";
 
-const std::string framed_record = "a record in a log segment";
+const std::string kFramedRecord = "a record in a log segment";
 
 /// Numbers that are computed from names and kept on disk or compared between daemons of different builds.
 std::vector<uint64_t> derived_values() {
@@ -225,7 +231,7 @@
 
 }  // namespace
 
-TEST_CASE("every field of a golden example has a value of its own") {
+TEST_CASE("Every field of a golden example has a value of its own") {
   check_distinct(golden::message_examples());
   check_distinct(golden::entry_examples());
   check_distinct(golden::controller_record_examples());
@@ -236,58 +242,64 @@
   check_distinct_values(golden::fields_of(golden::sync_mark_example()));
 }
 
-TEST_CASE("golden messages of every kind are read field by field and written as the same bytes") {
-  check_examples(message_directory, golden::message_examples(), std::variant_size_v<Message>);
+TEST_CASE("Golden messages of every kind are read field by field and written as the same bytes") {
+  check_examples(kMessageDirectory, golden::message_examples(), std::variant_size_v<Message>);
 }
 
-TEST_CASE("golden log entries of every kind are read field by field and written as the same bytes") {
-  check_examples(entry_directory, golden::entry_examples(), std::variant_size_v<Transformation>);
+TEST_CASE("Golden log entries of every kind are read field by field and written as the same bytes") {
+  check_examples(kEntryDirectory, golden::entry_examples(), std::variant_size_v<Transformation>);
 }
 
-TEST_CASE("golden journal records of every kind are read field by field and written as the same bytes") {
-  check_examples(controller_record_directory, golden::controller_record_examples(),
+TEST_CASE("Golden journal records of every kind are read field by field and written as the same bytes") {
+  check_examples(kControllerRecordDirectory, golden::controller_record_examples(),
                  std::variant_size_v<ControllerRecord>);
-  check_examples(store_record_directory, golden::store_record_examples(), std::variant_size_v<StoreRecord>);
+  check_examples(kStoreRecordDirectory, golden::store_record_examples(), std::variant_size_v<StoreRecord>);
 }
 
-TEST_CASE("golden metadata and checkpoints are read field by field and written as the same bytes") {
-  check_golden(metadata_file, golden::metadata_example());
-  check_golden(controller_checkpoint_file, golden::controller_checkpoint_example());
-  check_golden(store_checkpoint_file, golden::store_checkpoint_example());
+TEST_CASE("Golden metadata and checkpoints are read field by field and written as the same bytes") {
+  check_golden(kMetadataFile, golden::metadata_example());
+  check_golden(kControllerCheckpointFile, golden::controller_checkpoint_example());
+  check_golden(kStoreCheckpointFile, golden::store_checkpoint_example());
 }
 
-TEST_CASE("a golden log frame and sync mark are read and written as the same bytes") {
+TEST_CASE("A golden sync mark is read field by field and written as the same bytes") {
   auto mark = golden::sync_mark_example();
-  check_golden(sync_mark_file, mark);
+
+  check_golden(kSyncMarkFile, mark);
   CHECK(SyncMark::kMagic == mark.magic);
-  CHECK(mark_of(golden::read_golden_bytes(sync_mark_file), mark.incarnation, mark.sequence).has_value());
-  auto bytes = golden::read_golden_bytes(log_frame_file);
-  CHECK(golden::to_hex_lines(frame(framed_record)) == golden::to_hex_lines(bytes));
+  CHECK(mark_of(golden::read_golden_bytes(kSyncMarkFile), mark.incarnation, mark.sequence).has_value());
+}
+
+TEST_CASE("A golden log frame is read and written as the same bytes") {
+  auto bytes = golden::read_golden_bytes(kLogFrameFile);
+  CHECK(golden::to_hex_lines(frame(kFramedRecord)) == golden::to_hex_lines(bytes));
+
   codec::Reader reader{bytes};
-  CHECK(unframe(reader) == framed_record);
+
+  CHECK(unframe(reader) == kFramedRecord);
   CHECK(reader.s.empty());
 }
 
-TEST_CASE("enumerators keep their golden numbers") {
+TEST_CASE("Enumerators keep their golden numbers") {
   for_each_enumeration([](const auto& example) { check_golden(example.file, example.enumerators); });
 }
 
-TEST_CASE("partitions, tombstones, cluster ids and digests are computed as in the golden data") {
-  check_golden(derived_values_file, derived_values());
+TEST_CASE("Partitions, tombstones, cluster ids and digests are computed as in the golden data") {
+  check_golden(kDerivedValuesFile, derived_values());
 }
 
 // Run by name after an example of a new kind was added. Files that exist are never written again.
-TEST_CASE("write the golden files that do not exist yet", "[.write-golden-data]") {
-  write_examples_once(message_directory, golden::message_examples());
-  write_examples_once(entry_directory, golden::entry_examples());
-  write_examples_once(controller_record_directory, golden::controller_record_examples());
-  write_examples_once(store_record_directory, golden::store_record_examples());
-  golden::write_golden_bytes_once(metadata_file, encoded(golden::metadata_example()));
-  golden::write_golden_bytes_once(controller_checkpoint_file, encoded(golden::controller_checkpoint_example()));
-  golden::write_golden_bytes_once(store_checkpoint_file, encoded(golden::store_checkpoint_example()));
-  golden::write_golden_bytes_once(sync_mark_file, encoded(golden::sync_mark_example()));
-  golden::write_golden_bytes_once(log_frame_file, frame(framed_record));
-  golden::write_golden_bytes_once(derived_values_file, encoded(derived_values()));
+TEST_CASE("Write the golden files that do not exist yet", "[.write-golden-data]") {
+  write_examples_once(kMessageDirectory, golden::message_examples());
+  write_examples_once(kEntryDirectory, golden::entry_examples());
+  write_examples_once(kControllerRecordDirectory, golden::controller_record_examples());
+  write_examples_once(kStoreRecordDirectory, golden::store_record_examples());
+  golden::write_golden_bytes_once(kMetadataFile, encoded(golden::metadata_example()));
+  golden::write_golden_bytes_once(kControllerCheckpointFile, encoded(golden::controller_checkpoint_example()));
+  golden::write_golden_bytes_once(kStoreCheckpointFile, encoded(golden::store_checkpoint_example()));
+  golden::write_golden_bytes_once(kSyncMarkFile, encoded(golden::sync_mark_example()));
+  golden::write_golden_bytes_once(kLogFrameFile, frame(kFramedRecord));
+  golden::write_golden_bytes_once(kDerivedValuesFile, encoded(derived_values()));
   for_each_enumeration(
       [](const auto& example) { golden::write_golden_bytes_once(example.file, encoded(example.enumerators)); });
 }
--- a/tests/unit/messages/golden_examples.cpp
+++ b/tests/unit/messages/golden_examples.cpp
@@ -1,4 +1,4 @@
-// The examples are built with designated initializers: a field is given its value by name, never by position.
+// The examples are built with designated initializers, so that each field gets its value by name.
 // Numbers and texts are distinct within one example. Flags of one struct differ in at least one example.
 #include "unit/messages/golden_examples.hpp"
 
@@ -6,10 +6,10 @@
 namespace {
 
 /// The revision of the daemon protocol of the golden messages, as a literal: they stay readable only under this one.
-constexpr uint16_t golden_protocol = 2;
+constexpr uint16_t kGoldenProtocol = 2;
 
-std::string text(const char* what, uint64_t base) {
-  return what + std::string("-") + std::to_string(base);
+std::string text(const char* prefix, uint64_t base) {
+  return prefix + std::string("-") + std::to_string(base);
 }
 
 Candidate candidate(uint64_t base, Role role) {
@@ -217,7 +217,7 @@
 }
 
 Envelope message(Message body) {
-  return {.protocol = golden_protocol,
+  return {.protocol = kGoldenProtocol,
           .cluster = 0x0123456789abcdef,
           .epoch = Epoch{900001},
           .id = 900002,
--- a/tests/unit/messages/golden_files.hpp
+++ b/tests/unit/messages/golden_files.hpp
@@ -22,14 +22,14 @@
 
 /// Bytes as hexadecimal digits, 32 bytes a line.
 inline std::string to_hex_lines(const std::string& bytes) {
-  static constexpr char digits[] = "0123456789abcdef";
-  static constexpr size_t bytes_per_line = 32;
+  static constexpr char kDigits[] = "0123456789abcdef";
+  static constexpr size_t kBytesPerLine = 32;
   std::string text;
   for (size_t position = 0; position < bytes.size(); ++position) {
     auto byte = static_cast<unsigned char>(bytes[position]);
-    text += digits[byte >> 4];
-    text += digits[byte & 15];
-    bool line_is_full = position % bytes_per_line == bytes_per_line - 1;
+    text += kDigits[byte >> 4];
+    text += kDigits[byte & 15];
+    bool line_is_full = position % kBytesPerLine == kBytesPerLine - 1;
     if (line_is_full || position + 1 == bytes.size())
       text += '\n';
   }
@@ -61,7 +61,7 @@
   return from_hex_lines(read_file(path));
 }
 
-/// Writes a golden file that is not there yet. One that is there stays as it is.
+/// Writes a golden file that does not exist yet. One that exists stays as it is.
 inline void write_golden_bytes_once(const std::string& name, const std::string& bytes) {
   auto path = data_directory() / name;
   if (std::filesystem::exists(path))
--- a/tests/unit/runtime/golden_folders.cpp
+++ b/tests/unit/runtime/golden_folders.cpp
@@ -9,8 +9,8 @@
 namespace mosskeel::golden {
 namespace {
 
-constexpr TimePoint start_time = kProcessClockStart;
-constexpr int history_count = 200;
+constexpr TimePoint kStart = kProcessClockStart;
+constexpr int kHistories = 200;
 
 Candidate controller(uint64_t number, const std::string& zone) {
   auto address = "controller" + std::to_string(number);
@@ -23,7 +23,7 @@
           .machine = "machine-" + address};
 }
 
-Candidate front(uint64_t number, const std::string& zone) {
+Candidate gateway(uint64_t number, const std::string& zone) {
   auto address = "gateway" + std::to_string(number);
   return {.incarnation = Incarnation{200 + number},
           .role = Role::front,
@@ -46,9 +46,9 @@
 }
 
 Candidate replacement_controller() {
-  auto fresh = controller(2, "b");
-  fresh.incarnation = Incarnation{105};
-  return fresh;
+  auto replacement = controller(2, "b");
+  replacement.incarnation = Incarnation{105};
+  return replacement;
 }
 
 /// The metadata log of both folders, entry by entry.
@@ -84,7 +84,7 @@
     changes.push_back(AdvanceSequence{.node = node, .step = step});
 }
 
-/// Members 1 to 3, fronts 4 and 5, stores 6 to 10.
+/// Core members 1 to 3, gateways 4 and 5, stores 6 to 10.
 std::vector<Transformation> founding() {
   std::vector<Transformation> changes{
       FoundCluster{.cluster = 7,
@@ -92,8 +92,8 @@
                    .members = {controller(1, "a"), controller(2, "b"), controller(3, "c")},
                    .max_core_size = 5,
                    .replication_factor = 3},
-      Register{.self = front(1, "a")},
-      Register{.self = front(2, "b")},
+      Register{.self = gateway(1, "a")},
+      Register{.self = gateway(2, "b")},
       Register{.self = store(1, "a")},
       Register{.self = store(2, "b")},
       Register{.self = store(3, "c")},
@@ -155,35 +155,36 @@
           .warm_up_ms = 0};
 }
 
-/// The first configuration, replicas, a recount, an evacuation that is taken back.
-std::vector<Transformation> operating(Epoch recount) {
+/// The first configuration, replicas, a change of the quorum members, an evacuation that is taken back.
+std::vector<Transformation> operation(Epoch quorum_change_epoch) {
   return {ApplyConfiguration{.base = Revision{0}, .configuration = first_configuration(), .revision = {}},
           SetReplica{.replica = replica("model1", "")},
           UpdateReplicas{.updated = {replica("model2", "model-service"), replica("model3", "model-service")},
                          .removed = {}},
           BeginQuorumChange{},
-          FinishQuorumChange{.since = recount},
+          FinishQuorumChange{.since = quorum_change_epoch},
           EvacuateZone{.zone = "c"},
           RestoreZone{.zone = "c"},
           UpdateReplicas{.updated = {}, .removed = {"model3"}}};
 }
 
-/// Store 10 is drained up to the step at which places begin to move.
+/// Store 10 is drained up to the step at which its partitions begin to move.
 std::vector<Transformation> drain_begun() {
   return {PrepareDrain{.node = DaemonId{10}}, AdvanceSequence{.node = DaemonId{10}, .step = SequenceStep::start}};
 }
+
 std::vector<Transformation> drain_finished() {
   return {AdvanceSequence{.node = DaemonId{10}, .step = SequenceStep::mid},
           AdvanceSequence{.node = DaemonId{10}, .step = SequenceStep::finish}};
 }
 
-/// Store 9 is lost and its places begin to move to others.
+/// Store 9 is lost, and its partitions begin to move to other stores.
 std::vector<Transformation> repair_begun() {
   return {MarkDown{.node = DaemonId{9}}, PrepareRepair{.node = DaemonId{9}},
           AdvanceSequence{.node = DaemonId{9}, .step = SequenceStep::start}};
 }
 
-/// Store 9 is forgotten; store 11 joins and takes places from the golden store, which is in its zone.
+/// Store 9 is forgotten; store 11 joins and takes partitions from the golden store, which is in its zone.
 std::vector<Transformation> repair_finished_and_join() {
   std::vector<Transformation> changes{AdvanceSequence{.node = DaemonId{9}, .step = SequenceStep::mid},
                                       AdvanceSequence{.node = DaemonId{9}, .step = SequenceStep::finish},
@@ -205,13 +206,13 @@
           RefoundCluster{.generation = 1, .lost = {DaemonId{2}, DaemonId{12}}, .fresh = {replacement_controller()}}};
 }
 
-/// A second configuration, a core member replaced, a join cancelled, a join under way, zone b evacuated.
+/// A second configuration, a core member replaced, a join cancelled, a join in progress, zone b evacuated.
 std::vector<Transformation> after_refounding() {
   return {ApplyConfiguration{.base = Revision{1}, .configuration = second_configuration(), .revision = Revision{9}},
           Register{.self = controller(6, "c")},
           MarkDown{.node = DaemonId{13}},
           ReplaceCoreMember{.removed = DaemonId{13}, .added = DaemonId{14}},
-          Register{.self = front(3, "c")},
+          Register{.self = gateway(3, "c")},
           PrepareJoin{.node = DaemonId{15}},
           CancelSequence{.node = DaemonId{15}, .reason = "cancelled by the operator"},
           Register{.self = store(7, "a")},
@@ -220,7 +221,7 @@
           EvacuateZone{.zone = "b"}};
 }
 
-/// A daemon with a data folder: its machine's journal goes to disk as the host of a daemon brings it there.
+/// A daemon with a data folder, to which its machine's journal is written as by the host of a daemon.
 template <class DaemonMachine>
 class DaemonWithFolder {
  public:
@@ -255,14 +256,14 @@
       receive(controller(2, "b"), Decided{.entry = entry});
   }
 
-  Actions let_time_pass(Duration duration) {
+  Actions advance_time(Duration duration) {
     now_ += duration;
     return write_journal(machine_->tick(now_));
   }
 
   void checkpoint() { REQUIRE(disk_->checkpoint(machine_->checkpoint())); }
 
-  /// The checkpoint does not get its name, so that the journal goes on in a further segment.
+  /// Writes a checkpoint that cannot be renamed to its name, so that the journal goes on in a further segment.
   void fail_checkpoint() {
     disk_is_full_ = true;
     CHECK(disk_->checkpoint(machine_->checkpoint()).kind == DiskResult::full);
@@ -296,14 +297,14 @@
   std::string folder_;
   Identity identity_;
   bool disk_is_full_ = false;
-  TimePoint now_ = start_time;
+  TimePoint now_ = kStart;
   std::shared_ptr<Disk> disk_;
   std::unique_ptr<JournalWriter> journal_;
   std::unique_ptr<DaemonMachine> machine_;
 };
 
-/// Copies identity, checkpoint and log; the lock is no data.
-void keep_folder(const test::DataFolder& written, const std::filesystem::path& target) {
+/// Copies identity, checkpoint and log, but not the lock.
+void copy_folder(const test::DataFolder& written, const std::filesystem::path& target) {
   std::filesystem::create_directories(target);
   for (const auto& file : std::filesystem::directory_iterator(written.path))
     if (file.path().filename() != "lock")
@@ -333,14 +334,14 @@
   return *metadata.find(metadata.partitions[partition.value()].owner);
 }
 
-bool holds_partition(Store& daemon, PartitionId partition) {
+bool keeps_partition(Store& daemon, PartitionId partition) {
   auto& metadata = *daemon.machine().view();
   auto& stores = metadata.partitions[partition.value()].stores;
-  return std::count(stores.begin(), stores.end(), metadata.find(store_incarnation)->id) > 0;
+  return std::count(stores.begin(), stores.end(), metadata.find(kStoreIncarnation)->id) > 0;
 }
 
-/// The owner brings the whole history in its present term.
-void adopt_history(Store& daemon, const HistoryName& name, const Records& records) {
+/// The owner replaces the whole history under its present term.
+void replace_history(Store& daemon, const HistoryName& name, const Records& records) {
   auto partition = partition_of(name.cell, name.program);
   auto term = daemon.machine().view()->partitions[partition.value()].term;
   AppendHistory write{
@@ -356,71 +357,73 @@
   daemon.receive(owner_of(daemon, partition).self, write);
 }
 
-void end_history(Store& daemon, const HistoryName& name) {
+void delete_history(Store& daemon, const HistoryName& name) {
   auto partition = partition_of(name.cell, name.program);
   auto term = daemon.machine().view()->partitions[partition.value()].term;
   daemon.receive(owner_of(daemon, partition).self,
                  WriteTombstone{.history = name, .partition = partition, .term = term});
 }
 
-/// Two records each, in every partition that the store holds; each tenth history ends.
+/// Histories of two records each in every partition that is on the store; each tenth history is deleted.
 void write_histories(Store& daemon) {
-  for (int number = 0; number < history_count; ++number) {
+  for (int number = 0; number < kHistories; ++number) {
     HistoryName name{.cell = "news", .program = "program" + std::to_string(number)};
-    if (!holds_partition(daemon, partition_of(name.cell, name.program)))
+    if (!keeps_partition(daemon, partition_of(name.cell, name.program)))
       continue;
-    adopt_history(daemon, name, {history_record(name.program, RecordKind::reservation, 1)});
+    replace_history(daemon, name, {history_record(name.program, RecordKind::reservation, 1)});
     append_record(daemon, name, 1, history_record(name.program, RecordKind::outcome, 1));
     if (number % 10 == 0)
-      end_history(daemon, name);
+      delete_history(daemon, name);
   }
 }
 
-/// The histories that are still here are adopted unchanged by whoever owns them now.
-void adopt_again(Store& daemon) {
+/// The present owner of each history on the store replaces it by the same records.
+void replace_all_histories(Store& daemon) {
   std::vector<std::pair<HistoryName, Records>> present;
-  for (const auto& [partition, kept] : daemon.machine().partitions())
-    for (const auto& [name, history] : kept.histories)
+  for (const auto& [id, partition] : daemon.machine().partitions())
+    for (const auto& [name, history] : partition.histories)
       present.emplace_back(name, history.records);
   for (const auto& [name, records] : present)
-    adopt_history(daemon, name, records);
+    replace_history(daemon, name, records);
 }
 
 HistoryName first_history(Store& daemon) {
-  for (const auto& [partition, kept] : daemon.machine().partitions())
-    if (holds_partition(daemon, partition) && !kept.histories.empty())
-      return kept.histories.begin()->first;
-  FAIL("the store holds no history");
+  for (const auto& [id, partition] : daemon.machine().partitions())
+    if (keeps_partition(daemon, id) && !partition.histories.empty())
+      return partition.histories.begin()->first;
+  FAIL("no history is on the store");
   return {};
 }
 
-/// Each partition that is on its way here is read from its stores: a history, a tombstone and a fence.
-void answer_streams(Store& daemon, Actions actions) {
+StreamPartitionReply stream_reply(const StreamPartition& request) {
+  auto partition_number = std::to_string(request.partition.value());
+  HistoryCopy history{.history = {.cell = "streamed", .program = "program" + partition_number},
+                      .history_term = Epoch{30},
+                      .records = {history_record("streamed" + partition_number, RecordKind::outcome, 2)}};
+  return {.partition = request.partition,
+          .sequence = request.sequence,
+          .after = request.after,
+          .after_tombstone = request.after_tombstone,
+          .fence = Epoch{31},
+          .histories = {history},
+          .tombstones = {5000 + request.partition.value()},
+          .more = false};
+}
+
+/// Answers the requests to stream partitions that move to the store: each with a history, a tombstone and a fence.
+void answer_stream_requests(Store& daemon, Actions actions) {
   while (true) {
-    std::vector<Envelope> asked;
+    std::vector<Envelope> requests;
     for (const auto& envelope : actions.now)
       if (std::holds_alternative<StreamPartition>(envelope.body))
-        asked.push_back(envelope);
-    if (asked.empty())
+        requests.push_back(envelope);
+    if (requests.empty())
       return;
     actions = {};
-    for (const auto& envelope : asked) {
-      auto& stream = std::get<StreamPartition>(envelope.body);
-      auto partition_number = std::to_string(stream.partition.value());
-      HistoryCopy history{.history = {.cell = "streamed", .program = "program" + partition_number},
-                          .history_term = Epoch{30},
-                          .records = {history_record("streamed" + partition_number, RecordKind::outcome, 2)}};
-      StreamPartitionReply reply{.partition = stream.partition,
-                                 .sequence = stream.sequence,
-                                 .after = stream.after,
-                                 .after_tombstone = stream.after_tombstone,
-                                 .fence = Epoch{31},
-                                 .histories = {history},
-                                 .tombstones = {5000 + stream.partition.value()},
-                                 .more = false};
-      auto* source = daemon.machine().view()->find_at(envelope.to);
-      auto more = daemon.receive(source->self, reply);
-      actions.now.insert(actions.now.end(), more.now.begin(), more.now.end());
+    for (const auto& request : requests) {
+      auto* source = daemon.machine().view()->find_at(request.to);
+      auto further = daemon.receive(source->self, stream_reply(std::get<StreamPartition>(request.body)));
+      actions.now.insert(actions.now.end(), further.now.begin(), further.now.end());
     }
   }
 }
@@ -449,7 +452,7 @@
     auto proposer = controller(2, "b");
     daemon.receive_decided(log.append_all(founding()));
     daemon.checkpoint();
-    daemon.receive_decided(log.append_all(operating(Epoch{log.metadata().epoch.value() + 4})));
+    daemon.receive_decided(log.append_all(operation(Epoch{log.metadata().epoch.value() + 4})));
     daemon.fail_checkpoint();
     daemon.receive_decided(log.append_all(repair_begun()));
     daemon.restart();
@@ -469,7 +472,7 @@
     daemon.receive(proposer, Accept{.ballot = {.round = 5, .proposer = 105}, .entry = accepted});
     daemon.receive(proposer, Prepare{.epoch = open, .ballot = {.round = 6, .proposer = 106}});
   }
-  keep_folder(written, folder);
+  copy_folder(written, folder);
 }
 
 void write_unfounded_controller_folder(const std::filesystem::path& folder) {
@@ -481,7 +484,7 @@
     daemon.receive(proposer, Prepare{.epoch = Epoch{1}, .ballot = {.round = 3, .proposer = 102}});
     daemon.receive(proposer, Accept{.ballot = {.round = 3, .proposer = 102}, .entry = founding_entry});
   }
-  keep_folder(written, folder);
+  copy_folder(written, folder);
 }
 
 void write_store_folder(const std::filesystem::path& folder) {
@@ -491,23 +494,23 @@
     Store daemon(written.path, store_identity());
     daemon.receive_decided(log.append_all(founding()));
     write_histories(daemon);
-    daemon.let_time_pass(kTickInterval);
+    daemon.advance_time(kTickInterval);
     daemon.checkpoint();
-    daemon.receive_decided(log.append_all(operating(Epoch{log.metadata().epoch.value() + 4})));
+    daemon.receive_decided(log.append_all(operation(Epoch{log.metadata().epoch.value() + 4})));
     daemon.receive_decided(log.append_all(repair_begun()));
-    answer_streams(daemon, daemon.let_time_pass(kStreamPageTimeout));
+    answer_stream_requests(daemon, daemon.advance_time(kStreamPageTimeout));
     daemon.fail_checkpoint();
     log.append_all(repair_finished_and_join());
     daemon.receive(controller(2, "b"),
                    CatchupReply{.epoch = log.metadata().epoch, .checkpoint = log.metadata(), .entries = {}});
-    daemon.let_time_pass(kMovedPartitionScanInterval);
-    daemon.let_time_pass(kMovedPartitionKeepTime);
+    daemon.advance_time(kMovedPartitionScanInterval);
+    daemon.advance_time(kMovedPartitionKeepTime);
     daemon.restart();
     daemon.receive_decided(log.append_all(drain_begun()));
     daemon.fail_checkpoint();
     daemon.receive_decided(log.append_all(drain_finished()));
     daemon.receive_decided(log.append_all(refounding()));
-    adopt_again(daemon);
+    replace_all_histories(daemon);
     write_histories(daemon);
     daemon.receive_decided(log.append_all(after_refounding()));
     auto read_name = first_history(daemon);
@@ -515,7 +518,7 @@
     ReadHistory read{.history = read_name, .partition = read_partition, .term = log.metadata().epoch};
     daemon.receive(owner_of(daemon, read_partition).self, read);
   }
-  keep_folder(written, folder);
+  copy_folder(written, folder);
 }
 
 }  // namespace mosskeel::golden
--- a/tests/unit/runtime/golden_folders.hpp
+++ b/tests/unit/runtime/golden_folders.hpp
@@ -1,6 +1,7 @@
 #pragma once
 // Data folders of a controller and a store, written by their machines and the disk layer in a fixed order of events.
-// Only `[.write-golden-folders]` runs this: what is written once is read for good, and never written again.
+// Only `[.write-golden-folders]` runs this: a folder is written once, read by all later sources and never written
+// again.
 #include <filesystem>
 
 #include "consensus/controller_machine.hpp"
@@ -8,12 +9,12 @@
 
 namespace mosskeel::golden {
 
-constexpr auto controller_folder = "controller-folder";
-constexpr auto unfounded_controller_folder = "unfounded-controller-folder";
-constexpr auto store_folder = "store-folder";
+inline constexpr auto kControllerFolder = "controller-folder";
+inline constexpr auto kUnfoundedControllerFolder = "unfounded-controller-folder";
+inline constexpr auto kStoreFolder = "store-folder";
 
-constexpr Incarnation controller_incarnation{101};
-constexpr Incarnation store_incarnation{301};
+inline constexpr Incarnation kControllerIncarnation{101};
+inline constexpr Incarnation kStoreIncarnation{301};
 
 Identity controller_identity();
 Identity store_identity();
--- a/tests/unit/runtime/golden_folders_test.cpp
+++ b/tests/unit/runtime/golden_folders_test.cpp
@@ -1,4 +1,4 @@
-// Data folders that earlier sources wrote are opened as daemons do at their start (tests/data/README.md).
+// What daemons recover from data folders that earlier sources wrote (tests/data/README.md).
 #include "unit/runtime/golden_folders.hpp"
 #include "unit/messages/golden_fields.hpp"
 #include "unit/messages/golden_files.hpp"
@@ -8,14 +8,16 @@
 
 namespace {
 
-constexpr TimePoint start_time = kProcessClockStart;
-constexpr auto recovered_controller_file = "recovered/controller-checkpoint.hex";
-constexpr auto recovered_store_file = "recovered/store-checkpoint.hex";
+constexpr TimePoint kStart = kProcessClockStart;
+constexpr auto kRecoveredControllerFile = "recovered/controller-checkpoint.hex";
+constexpr auto kRecoveredStoreFile = "recovered/store-checkpoint.hex";
 
-/// A copy, since a start may write to its folder.
+/// A copy of a golden folder, since a start may write to its folder.
 struct GoldenFolder {
   test::DataFolder copy;
+
   explicit GoldenFolder(const std::string& name) { std::filesystem::copy(golden::data_directory() / name, copy.path); }
+
   size_t segments() const {
     size_t count = 0;
     for (const auto& file : std::filesystem::directory_iterator(copy.path))
@@ -32,18 +34,20 @@
   std::shared_ptr<Disk> disk = folder.copy.open();
   Recovered recovered = disk->recovered();
   DaemonMachine machine;
+
   Started(const std::string& folder_name, const Identity& identity)
-      : folder(folder_name), machine(identity, recovered, start_time) {}
+      : folder(folder_name), machine(identity, recovered, kStart) {}
 };
 
 struct StartedController : Started<ControllerMachine> {
-  StartedController() : Started(golden::controller_folder, golden::controller_identity()) {}
+  StartedController() : Started(golden::kControllerFolder, golden::controller_identity()) {}
 };
+
 struct StartedStore : Started<StoreMachine> {
-  StartedStore() : Started(golden::store_folder, golden::store_identity()) {}
+  StartedStore() : Started(golden::kStoreFolder, golden::store_identity()) {}
 };
 
-/// How many records of each kind a journal holds.
+/// How many records of each kind are in a journal.
 template <class JournalRecord>
 std::vector<size_t> count_kinds(const std::vector<std::string>& journal) {
   std::vector<size_t> counts(std::variant_size_v<JournalRecord>);
@@ -73,7 +77,7 @@
   return states;
 }
 
-/// What both folders say of the cluster at their last epoch.
+/// Checks the metadata of both folders at their last epoch.
 void check_metadata(const Metadata& metadata) {
   CHECK(metadata.epoch == Epoch{79});
   CHECK(metadata.cluster == 2965977919983927404u);
@@ -132,16 +136,17 @@
 
 }  // namespace
 
-TEST_CASE("a golden controller folder is found whole: identity, checkpoint, segments and records of each kind") {
+TEST_CASE(
+    "A golden controller folder is recovered completely: identity, checkpoint, segments and records of each kind") {
   StartedController controller;
   CHECK(controller.segments == 4);
   CHECK(controller.disk->truncated_bytes() == 0);
-  CHECK(controller.recovered.incarnation == golden::controller_incarnation);
+  CHECK(controller.recovered.incarnation == golden::kControllerIncarnation);
   CHECK(controller.recovered.checkpoint.has_value());
   CHECK(count_kinds<ControllerRecord>(controller.recovered.journal) == std::vector<size_t>{2, 1, 35, 1, 0});
 }
 
-TEST_CASE("a controller started on its golden folder knows the cluster it left") {
+TEST_CASE("A controller started on its golden folder has the metadata of its last epoch") {
   StartedController controller;
   auto& metadata = *controller.machine.view();
   check_metadata(metadata);
@@ -149,64 +154,84 @@
   check_directory(metadata);
 }
 
-TEST_CASE("a controller started on its golden folder keeps its promise and what it accepted") {
+TEST_CASE("A controller started on its golden folder has its promise and its accepted proposal") {
   StartedController controller;
+
   auto state = codec::decode<ControllerCheckpoint>(controller.machine.checkpoint());
+
   REQUIRE(state);
   CHECK(state->open == Epoch{80});
   CHECK(state->promised == Ballot{.round = 6, .proposer = 106});
+
   REQUIRE(state->accepted);
   CHECK(state->accepted->ballot == Ballot{.round = 5, .proposer = 105});
   CHECK(state->accepted->entry.epoch == Epoch{80});
   CHECK(state->accepted->entry.commit_id == "open-commit");
   CHECK(state->accepted->entry.change == Transformation{RestoreZone{.zone = "b"}});
-  check_recovered<ControllerCheckpoint>(recovered_controller_file, controller.machine.checkpoint());
 }
 
-TEST_CASE("a controller goes on in its golden folder") {
+TEST_CASE("A controller started on its golden folder has the whole state that earlier sources recovered from it") {
+  StartedController controller;
+
+  check_recovered<ControllerCheckpoint>(kRecoveredControllerFile, controller.machine.checkpoint());
+}
+
+TEST_CASE("A controller started on its golden folder appends to it and recovers that") {
   StartedController controller;
   Entry entry{.epoch = Epoch{80}, .commit_id = "next-commit", .change = RestoreZone{.zone = "b"}};
   Envelope decided{.protocol = 2, .cluster = 0, .epoch = Epoch{80}, .from = "controller6", .body = Decided{entry}};
-  auto actions = controller.machine.step(decided, start_time);
+  auto actions = controller.machine.step(decided, kStart);
   REQUIRE(controller.disk->append(actions.journal));
   REQUIRE(controller.disk->sync());
   controller.disk.reset();
   auto reopened = controller.folder.copy.open();
-  ControllerMachine restarted(golden::controller_identity(), reopened->recovered(), start_time);
+  ControllerMachine restarted(golden::controller_identity(), reopened->recovered(), kStart);
+
   CHECK(restarted.view()->epoch == Epoch{80});
   CHECK(restarted.view()->evacuated.empty());
 }
 
-TEST_CASE("a controller that was not founded yet has its vote and what it accepted in its golden folder") {
-  Started<ControllerMachine> controller(golden::unfounded_controller_folder, golden::controller_identity());
+TEST_CASE("A golden folder of a controller outside a cluster has a promise, an accepted proposal and the founders") {
+  Started<ControllerMachine> controller(golden::kUnfoundedControllerFolder, golden::controller_identity());
+
   CHECK(count_kinds<ControllerRecord>(controller.recovered.journal) == std::vector<size_t>{1, 1, 0, 0, 1});
+}
+
+TEST_CASE("A controller outside a cluster, started on its golden folder, reports the founding that it accepted") {
+  Started<ControllerMachine> controller(golden::kUnfoundedControllerFolder, golden::controller_identity());
   Envelope prepare{.protocol = 2,
                    .from = "controller3",
                    .body = Prepare{.epoch = Epoch{1}, .ballot = {.round = 4, .proposer = 103}}};
-  auto actions = controller.machine.step(prepare, start_time);
+
+  auto actions = controller.machine.step(prepare, kStart);
+
   REQUIRE(actions.synced.size() == 1);
   auto& promise = std::get<Promise>(actions.synced[0].body);
+
   CHECK(promise.granted);
+
   REQUIRE(promise.accepted);
   CHECK(promise.accepted->ballot == Ballot{.round = 3, .proposer = 102});
-  auto& found = std::get<FoundCluster>(promise.accepted->entry.change);
-  CHECK(found.cluster == 7);
-  CHECK(found.core_size == 3);
-  CHECK(found.max_core_size == 5);
-  REQUIRE(found.members.size() == 3);
-  CHECK(found.members[2].address == "controller3");
+
+  auto& founding = std::get<FoundCluster>(promise.accepted->entry.change);
+  CHECK(founding.cluster == 7);
+  CHECK(founding.core_size == 3);
+  CHECK(founding.max_core_size == 5);
+
+  REQUIRE(founding.members.size() == 3);
+  CHECK(founding.members[2].address == "controller3");
 }
 
-TEST_CASE("a golden store folder is found whole: identity, checkpoint, segments and records of each kind") {
+TEST_CASE("A golden store folder is recovered completely: identity, checkpoint, segments and records of each kind") {
   StartedStore store;
   CHECK(store.segments == 3);
   CHECK(store.disk->truncated_bytes() == 0);
-  CHECK(store.recovered.incarnation == golden::store_incarnation);
+  CHECK(store.recovered.incarnation == golden::kStoreIncarnation);
   CHECK(store.recovered.checkpoint.has_value());
   CHECK(count_kinds<StoreRecord>(store.recovered.journal) == std::vector<size_t>{1, 67, 48, 1, 35, 1, 45, 38});
 }
 
-TEST_CASE("a store started on its golden folder knows the cluster it left") {
+TEST_CASE("A store started on its golden folder has the metadata of its last epoch") {
   StartedStore store;
   auto& metadata = *store.machine.view();
   check_metadata(metadata);
@@ -214,12 +239,15 @@
   check_directory(metadata);
 }
 
-TEST_CASE("a store started on its golden folder has its histories, record by record") {
+TEST_CASE("A store started on its golden folder has its histories, record by record") {
   StartedStore store;
   CHECK(store.machine.history_count() == 88);
+
   auto& histories = store.machine.partitions().at(PartitionId{48}).histories;
   auto& history = histories.at({.cell = "news", .program = "program17"});
+
   CHECK(history.term == Epoch{67});
+
   Record reservation{.kind = RecordKind::reservation,
                      .key = "key-program17-1",
                      .thread = "thread-program17-1",
@@ -232,47 +260,63 @@
                      .input = "input-program17-1",
                      .output = "",
                      .parent = "parent-program17-1"};
-  auto settled = reservation;
-  settled.kind = RecordKind::outcome;
-  settled.output = "output-program17-1";
-  CHECK(history.records == Records{reservation, settled});
+  auto outcome = reservation;
+  outcome.kind = RecordKind::outcome;
+  outcome.output = "output-program17-1";
+
+  CHECK(history.records == Records{reservation, outcome});
 }
 
-TEST_CASE("a store started on its golden folder has fences, tombstones, streamed and dropped partitions") {
+TEST_CASE("A store started on its golden folder has its fences and tombstones") {
   StartedStore store;
   auto& partitions = store.machine.partitions();
+
   CHECK(store.machine.tombstone_count() == 55);
   CHECK(partitions.at(PartitionId{38}).fence == Epoch{79});
   CHECK(partitions.at(PartitionId{48}).fence == Epoch{67});
   CHECK(partitions.at(PartitionId{48}).tombstones.has(tombstone_of({.cell = "news", .program = "program120"})));
-  auto& streamed = partitions.at(PartitionId{40});
+}
+
+TEST_CASE("A store started on its golden folder has the partitions that were streamed to it") {
+  StartedStore store;
+
+  auto& streamed = store.machine.partitions().at(PartitionId{40});
+
   CHECK(streamed.fence == Epoch{31});
   CHECK(streamed.tombstones.has(5040));
+
   auto& history = streamed.histories.at({.cell = "streamed", .program = "program40"});
   CHECK(history.term == Epoch{30});
+
   REQUIRE(history.records.size() == 1);
   CHECK(history.records[0].output == "output-streamed40-2");
-  auto& dropped = partitions.at(PartitionId{0});
+}
+
+TEST_CASE("A store started on its golden folder has no histories of partitions that it dropped, but their tombstones") {
+  StartedStore store;
+
+  auto& dropped = store.machine.partitions().at(PartitionId{0});
+
   CHECK(dropped.histories.empty());
   CHECK(dropped.fence == Epoch{31});
   CHECK(dropped.tombstones.has(5000));
 }
 
-TEST_CASE("a store started on its golden folder has the whole state that earlier sources recovered from it") {
+TEST_CASE("A store started on its golden folder has the whole state that earlier sources recovered from it") {
   StartedStore store;
-  check_recovered<StoreCheckpoint>(recovered_store_file, store.machine.checkpoint());
+  check_recovered<StoreCheckpoint>(kRecoveredStoreFile, store.machine.checkpoint());
 }
 
 // Run by name, once. A folder that exists is never written again.
-TEST_CASE("write the golden folders that do not exist yet", "[.write-golden-folders]") {
+TEST_CASE("Write the golden folders that do not exist yet", "[.write-golden-folders]") {
   auto write_once = [](const std::string& name, auto write) {
     auto folder = golden::data_directory() / name;
     if (!std::filesystem::exists(folder))
       write(folder);
   };
-  write_once(golden::controller_folder, golden::write_controller_folder);
-  write_once(golden::unfounded_controller_folder, golden::write_unfounded_controller_folder);
-  write_once(golden::store_folder, golden::write_store_folder);
-  golden::write_golden_bytes_once(recovered_controller_file, StartedController().machine.checkpoint());
-  golden::write_golden_bytes_once(recovered_store_file, StartedStore().machine.checkpoint());
+  write_once(golden::kControllerFolder, golden::write_controller_folder);
+  write_once(golden::kUnfoundedControllerFolder, golden::write_unfounded_controller_folder);
+  write_once(golden::kStoreFolder, golden::write_store_folder);
+  golden::write_golden_bytes_once(kRecoveredControllerFile, StartedController().machine.checkpoint());
+  golden::write_golden_bytes_once(kRecoveredStoreFile, StartedStore().machine.checkpoint());
 }
