--- a/tests/unit/base/events_test.cpp
+++ b/tests/unit/base/events_test.cpp
@@ -1,3 +1,4 @@
+// The catalogue of log events in the documentation.
 #include "base/events.hpp"
 
 #include <fstream>
--- a/tests/unit/base/json_test.cpp
+++ b/tests/unit/base/json_test.cpp
@@ -1,3 +1,4 @@
+// Structs read from JSON and written as JSON.
 #include "base/json.hpp"
 #include "unit/catch.hpp"
 
@@ -5,7 +6,7 @@
 
 using namespace mosskeel;
 
-TEST_CASE("json::parse reads back what json::write wrote of a configuration") {
+TEST_CASE("json::parse returns the configuration that json::write has written") {
   auto parsed = json::parse<Configuration>(
       R"({"cells":[{"name":"n","budget":4,"turn_limit":2,"retention_ms":1000,"routes":[{"name":"c","kind":"model"}]}]})");
   REQUIRE(parsed.ok());
@@ -15,7 +16,8 @@
 
 TEST_CASE("json::parse reports every error of a configuration with its location") {
   struct InvalidText {
-    const char *text, *errors;
+    const char* text;
+    const char* errors;
   };
   auto invalid = GENERATE(values<InvalidText>({
       {"{", "body: is no JSON"},
--- a/tests/unit/simulation/sim_test.cpp
+++ b/tests/unit/simulation/sim_test.cpp
@@ -1,4 +1,4 @@
-// Simulated days with fixed seeds: none breaks a rule, and a seed gives the same day again.
+// Simulated days with fixed seeds: none violates an invariant, and a seed gives the same day again.
 #include "simulation/scenarios.hpp"
 
 #include <set>
@@ -10,12 +10,13 @@
 using namespace mosskeel;
 
 namespace {
+
 struct ScenarioSeeds {
   std::string scenario;
   std::vector<uint64_t> seeds;
 };
 
-/// Fixed seeds; those above 3 once failed and stay for good.
+/// Fixed seeds; days of the seeds above 3 have failed once, and stay as regression tests.
 const std::vector<ScenarioSeeds> kFixedSeeds = {
     {"quiet", {1}},
     {"lossy", {1, 2}},
@@ -60,11 +61,11 @@
     {"flapping", {1, 2}},
 };
 
-/// Successes and resumed programs below which a day with histories has proved nothing.
-constexpr size_t kLeastSuccesses = 100;
-constexpr size_t kLeastResumed = 20;
+/// Successes and resumed programs that a day with histories must exceed, since with fewer it would prove nothing.
+constexpr size_t kMinSuccesses = 100;
+constexpr size_t kMinResumed = 20;
 /// The same for days of the core alone, whose callers are operators.
-constexpr size_t kLeastCoreSuccesses = 10;
+constexpr size_t kMinCoreSuccesses = 10;
 
 bool plays_core_alone(const std::string& scenario) {
   return scenario.starts_with("survivor") || scenario.starts_with("orders");
@@ -72,8 +73,8 @@
 
 }  // namespace
 
-TEST_CASE("No simulated day with a fixed seed breaks a promise, and each serves") {
-  for (auto& [scenario, seeds] : kFixedSeeds)
+TEST_CASE("No simulated day with a fixed seed violates an invariant, and each serves requests") {
+  for (auto& [scenario, seeds] : kFixedSeeds) {
     for (auto seed : seeds) {
       auto result = sim::play(scenario, seed);
 
@@ -81,12 +82,13 @@
       for (auto& failure : result.failures)
         FAIL_CHECK(failure);
       if (plays_core_alone(scenario)) {
-        CHECK(result.successes > kLeastCoreSuccesses);
+        CHECK(result.successes > kMinCoreSuccesses);
       } else {
-        CHECK(result.successes > kLeastSuccesses);
-        CHECK(result.resumed > kLeastResumed);
+        CHECK(result.successes > kMinSuccesses);
+        CHECK(result.resumed > kMinResumed);
       }
     }
+  }
 }
 
 TEST_CASE("A seed plays the same day every time") {
--- a/tests/unit/tools/capacity_test.cpp
+++ b/tests/unit/tools/capacity_test.cpp
@@ -1,3 +1,4 @@
+// The messages and bytes of a simulated fleet, which the capacity page counts.
 #include <fstream>
 #include <sstream>
 
@@ -12,6 +13,12 @@
 
 namespace {
 
+/// Changes whose entries are together larger than what the log keeps.
+constexpr int kLargeChanges = 5;
+constexpr int kCellsOfLargeChange = 8000;
+/// For which all controllers are stopped.
+constexpr Duration kOutage = 4000ms;
+
 scale::Plan small_plan() {
   scale::Plan plan;
   plan.daemons = 10;
@@ -21,7 +28,7 @@
   return plan;
 }
 
-/// The log of a fleet at rest, to which so many entries were added that each apply a configuration of so many cells.
+/// The log of a fleet at rest with this many further entries, each of which applies a configuration of `cells` cells.
 MetadataLog log_with_configurations(int entries, int cells) {
   auto plan = small_plan();
   MetadataLog log;
@@ -49,7 +56,7 @@
 
 }  // namespace
 
-TEST_CASE("The capacity page's counts are what the simulated fleet counts") {
+TEST_CASE("The rows of the capacity page are those that the simulated fleet gives") {
   auto page = read_file(SOURCE_DIR "/docs/CAPACITY.md");
   for (int daemons : {10, 40, 100}) {
     auto row = scale::capacity_page_row(daemons, 1);
@@ -58,18 +65,19 @@
   }
 }
 
-TEST_CASE("A daemon that hears the core sends no heartbeat to other daemons") {
+TEST_CASE("A daemon in contact with the core sends no heartbeat to other daemons") {
   SimulatedFleet fleet(small_plan(), 1);
   fleet.run(scale::kSettlingTime);
   REQUIRE(fleet.all_fronts_ready());
   fleet.reset_counters();
   fleet.run(3000ms);
+
   CHECK(fleet.sum(ProcessKind::agent).received["heartbeat"].messages == 0);
   CHECK(fleet.sum(ProcessKind::store).received["heartbeat"].messages == 0);
   CHECK(fleet.failures.empty());
 }
 
-TEST_CASE("Without the core all daemons are sent heartbeats, and fronts go on serving") {
+TEST_CASE("Without the core daemons send each other heartbeats, and gateways go on serving") {
   SimulatedFleet fleet(small_plan(), 1);
   fleet.run(scale::kSettlingTime);
   fleet.run(3000ms);
@@ -77,35 +85,49 @@
   fleet.reset_counters();
   for (auto index : fleet.indices_of(ProcessKind::controller))
     fleet.stop(index);
-  for (int look = 0; look < 40; ++look) {
+
+  for (Duration elapsed{}; elapsed < kOutage; elapsed += 100ms) {
     fleet.run(100ms);
     CHECK(fleet.all_fronts_ready());
   }
+
   CHECK(fleet.sum(ProcessKind::agent).received["heartbeat"].messages > 0);
   CHECK(fleet.failures.empty());
 }
 
 TEST_CASE("A lagging daemon gets the entries that it lacks while they are small") {
-  auto log = log_with_configurations(100, 4);
-  auto [snapshot, entries] = log.updates_since(epochs_before(log.epoch(), 100));
+  constexpr int kChanges = 100;
+  auto log = log_with_configurations(kChanges, 4);
+
+  auto [snapshot, entries] = log.updates_since(epochs_before(log.epoch(), kChanges));
+
   CHECK_FALSE(snapshot);
-  CHECK(entries.size() == 100);
+  CHECK(entries.size() == kChanges);
 }
 
-TEST_CASE("A lagging daemon gets a snapshot where the entries that it lacks are too large to be kept") {
-  constexpr int cells = 8000;
-  constexpr int changes = 5;
-  auto log = log_with_configurations(changes, cells);
+TEST_CASE("MetadataLog keeps no more bytes of entries than its bound") {
+  auto log = log_with_configurations(kLargeChanges, kCellsOfLargeChange);
   auto entry_bytes = codec::encode(log.recent_entries().back()).size();
-  REQUIRE(entry_bytes * changes > kLogBytesKept);
+  REQUIRE(entry_bytes * kLargeChanges > kLogBytesKept);
+
   CHECK(entry_bytes * log.recent_entries().size() <= kLogBytesKept);
+}
+
+TEST_CASE("A lagging daemon gets a snapshot where the entries that it lacks are too large to be kept") {
+  auto log = log_with_configurations(kLargeChanges, kCellsOfLargeChange);
+
+  auto [snapshot, entries] = log.updates_since(epochs_before(log.epoch(), kLargeChanges));
 
-  auto [snapshot, entries] = log.updates_since(epochs_before(log.epoch(), changes));
   REQUIRE(snapshot);
   CHECK(snapshot->epoch == log.epoch());
   CHECK(entries.empty());
+}
+
+TEST_CASE("A daemon that lacks the last of several large entries gets that entry alone") {
+  auto log = log_with_configurations(kLargeChanges, kCellsOfLargeChange);
 
-  auto [no_snapshot, last_entries] = log.updates_since(epochs_before(log.epoch(), 1));
-  CHECK_FALSE(no_snapshot);
-  CHECK(last_entries.size() == 1);
+  auto [snapshot, entries] = log.updates_since(epochs_before(log.epoch(), 1));
+
+  CHECK_FALSE(snapshot);
+  CHECK(entries.size() == 1);
 }
--- a/tests/unit/tools/har_test.cpp
+++ b/tests/unit/tools/har_test.cpp
@@ -1,10 +1,11 @@
+// Archives of recorded HTTP requests (HAR) that the load generator replays.
 #include "loadgen/har.hpp"
 #include "unit/catch.hpp"
 
 using namespace mosskeel;
 using namespace mosskeel::loadgen;
 
-TEST_CASE("An archive's requests are read with what matters for a replay") {
+TEST_CASE("The requests of an archive are read with all that a replay needs") {
   auto archive = read_har(R"({"log":{"entries":[
     {"request":{"method":"GET","url":"https://x.example/tallies/1?a=2#f","headers":[{"name":"Host","value":"x"},{"name":"X-Class","value":"bulk"}]},"response":{"status":200}},
     {"request":{"method":"POST","url":"http://x.example","postData":{"text":"body"}}}]}})");
@@ -18,7 +19,7 @@
   CHECK(requests[1].body == "body");
 }
 
-TEST_CASE("A truncated or invalid archive gives errors with their places") {
+TEST_CASE("A truncated or invalid archive is rejected with the locations of its errors") {
   struct Example {
     const char* text;
     const char* errors;
@@ -33,6 +34,7 @@
   for (const auto& example : examples) {
     auto archive = read_har(example.text);
     REQUIRE_FALSE(archive.ok());
+
     CHECK(to_string(archive.errors()) == example.errors);
   }
 }
