--- a/tests/unit/consensus/quorum_reader_test.cpp
+++ b/tests/unit/consensus/quorum_reader_test.cpp
@@ -15,7 +15,7 @@
 /// The number of a controller outside the core.
 constexpr uint64_t kNoMember = 9;
 
-/// A quorum read of three members that is under way at epoch 1.
+/// A quorum read of three members that is in progress at epoch 1.
 struct ReadInProgress {
   Outbox outbox{Identity{controller(1), {}}};
   MetadataLog metadata_log;
--- a/tests/unit/messages/golden_examples.hpp
+++ b/tests/unit/messages/golden_examples.hpp
@@ -15,7 +15,7 @@
   Value value;
 };
 
-/// Whole messages as they travel; `kind` is the index in `Message`.
+/// Messages in their envelopes; `kind` is the index in `Message`.
 std::vector<Example<Envelope>> message_examples();
 /// Entries of the metadata log; `kind` is the index in `Transformation`.
 std::vector<Example<Entry>> entry_examples();
--- a/tests/unit/metadata/replica_sets_test.cpp
+++ b/tests/unit/metadata/replica_sets_test.cpp
@@ -14,7 +14,7 @@
 /// Of the default fleet, whose histories outlive the loss of two machines at once.
 constexpr size_t kReplicationFactor = 5;
 
-/// The most replicas of one partition that lie in one zone.
+/// The most replicas of one partition that are in one zone.
 long most_in_one_zone(const Metadata& metadata, const Partition& partition) {
   std::map<std::string, long> replicas_by_zone;
   for (auto id : partition.stores)
--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -303,10 +303,10 @@
 
 TEST_CASE("Register rejects a store at the address of one that may still run") {
   Fleet fleet;
-  auto newcomer = numbered_daemon(31, Role::store, "a");
-  newcomer.address = "store11";
+  auto replacement = numbered_daemon(31, Role::store, "a");
+  replacement.address = "store11";
 
-  CHECK(fleet.is_rejected_with(Register{newcomer}, "not known to be down"));
+  CHECK(fleet.is_rejected_with(Register{replacement}, "not known to be down"));
 }
 
 TEST_CASE("ReplaceCoreMember swaps only a member that is down") {
@@ -608,7 +608,7 @@
         Rejection::revision_conflict);
 }
 
-TEST_CASE("rejection_reason tells why a change is rejected") {
+TEST_CASE("rejection_reason gives the reason of a rejected change") {
   Fleet fleet;
   REQUIRE(fleet.try_commit(ApplyConfiguration{fleet.metadata.revision, {}, Revision{7}}, "first").ok());
 
--- a/tests/unit/net/http_listener_test.cpp
+++ b/tests/unit/net/http_listener_test.cpp
@@ -298,7 +298,7 @@
   SocketPeer idle(address);
   SocketPeer busy(address);
   SocketPeer half_sent(address);
-  SocketPeer silent(address);
+  SocketPeer unused(address);
   idle.send(get_request);
   half_sent.send("GET / HTTP/1.1\r\n");
   REQUIRE(run_until(server.loop, [&] { return idle.has_received("hello") && server.listener->connections() == 4; }));
@@ -308,7 +308,7 @@
 
   server.listener->drain();
 
-  REQUIRE(run_until(server.loop, [&] { return idle.receive() && silent.receive(); }));
+  REQUIRE(run_until(server.loop, [&] { return idle.receive() && unused.receive(); }));
   CHECK_FALSE(idle.reset);
   CHECK(count_occurrences(idle.received, "HTTP/1.1") == 1);
 
@@ -320,7 +320,7 @@
   half_sent.send("Host: h\r\n\r\n");
   REQUIRE(server.run_until_requests(3));
   idle.close();
-  silent.close();
+  unused.close();
   REQUIRE(server.run_until_connections(2));
 
   server.listener->send_response(server.requests[1].exchange, 200, {}, "bye");
--- a/tests/unit/net/replica_client_test.cpp
+++ b/tests/unit/net/replica_client_test.cpp
@@ -107,9 +107,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "ReplicaClient sends requests that are not idempotent on a new connection, since libcurl would resend on a used "
-    "one") {
+TEST_CASE("ReplicaClient sends requests that are not idempotent on a new connection, as libcurl resends on used ones") {
   OneResponseReplica replica(kSealedResponse);
   ReplicaClientFixture fixture;
 
--- a/tests/unit/net/upstream_client_test.cpp
+++ b/tests/unit/net/upstream_client_test.cpp
@@ -348,7 +348,8 @@
   }
 }
 
-TEST_CASE("UpstreamClient reads a response that comes before the whole request was taken, and drops its connection") {
+TEST_CASE(
+    "UpstreamClient reads a response that comes before the request was sent completely, and closes the connection") {
   UpstreamClientFixture fixture;
   UpstreamClient::Request request{fixture.replica.address(), "POST", "/", {{"Host", "r"}}, std::string(64 << 20, 'x')};
   auto id = fixture.client.send_request(std::move(request));
--- a/tests/unit/programs/turn_log_test.cpp
+++ b/tests/unit/programs/turn_log_test.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("turns_by_key tells open turns, completed turns and turns that were not executed") {
+TEST_CASE("turns_by_key distinguishes open turns, completed turns and turns that were not executed") {
   Records records{reservation("open", "main", "a", 10), reservation("done", "main", "b", 10),
                   outcome("done", "main", 200, "B", 4), reservation("not-run", "main", "c", 10),
                   outcome("not-run", "main", 0, "", 0)};
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -171,10 +171,10 @@
     }
   }
 
-  /// The outcome of a turn that its owner was told.
+  /// The outcome of a turn that was sent to its owner.
   CommitTurn outcome() const { return std::get<CommitTurn>(one<SendToOwner>().message); }
 
-  /// When the caller that was rejected may come back; empty where it was not told so.
+  /// When the rejected caller may retry; empty where the response does not say so.
   std::string retry_after() const { return std::string(header_value(one<SendResponse>().fields, "Retry-After")); }
 };
 
--- a/tests/unit/routing/request_router_test.cpp
+++ b/tests/unit/routing/request_router_test.cpp
@@ -125,9 +125,7 @@
   }
 }
 
-TEST_CASE(
-    "RequestRouter reports an unknown outcome once a replica may have executed the request, whatever another replica "
-    "says") {
+TEST_CASE("RequestRouter reports an unknown outcome once any replica may have executed the request") {
   for (std::string path_name : {"safe", "resume"}) {
     RouterFixture fixture;
     auto sent = fixture.receive_and_send(path_name);
--- a/tests/unit/routing/retry_state_test.cpp
+++ b/tests/unit/routing/retry_state_test.cpp
@@ -1,4 +1,4 @@
-// Whether a request may be sent to another replica, and what its caller is told else.
+// Whether a request may be sent to another replica, and how its caller is answered otherwise.
 #include "routing/retry_state.hpp"
 
 #include "unit/routing/request_router_fixture.hpp"
--- a/tests/unit/routing/turn_coordinator_test.cpp
+++ b/tests/unit/routing/turn_coordinator_test.cpp
@@ -93,7 +93,7 @@
   CHECK(owner.take_one<ReserveTurnReply>().chain == "what was said");
 }
 
-TEST_CASE("TurnCoordinator reports a turn to continue as missing only when every store says so") {
+TEST_CASE("TurnCoordinator reports a turn to continue as missing only when every store lacks it") {
   Owner owner;
   owner.receive(2, turn("n", "never"));
   owner.complete_writes();
--- a/tests/unit/routing/turn_request_test.cpp
+++ b/tests/unit/routing/turn_request_test.cpp
@@ -1,4 +1,4 @@
-// What the caller, the replica and the owner of a turn are told, by the stage at which the turn ends.
+// What is sent to the caller, the replica and the owner of a turn, by the stage at which the turn ends.
 #include "routing/constants.hpp"
 #include "unit/routing/request_router_fixture.hpp"
 
