--- a/tests/unit/consensus/stale_log_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -1,22 +1,21 @@
-// A controller that starts again with an old log decides and answers nothing before it holds the newest epoch.
+// A controller that restarts with an old log neither leads nor decides anything before it has caught up.
 #include "base/codec.hpp"
 #include "consensus/controller_machine.hpp"
 #include "messages/constants.hpp"
 #include "runtime/constants.hpp"
 #include "unit/catch.hpp"
+#include "unit/consensus/controllers_fixture.hpp"
 
 using namespace mosskeel;
+using namespace mosskeel::test;
 
 namespace {
 
 constexpr TimePoint kStart = kProcessClockStart;
 constexpr Duration kSeveralLeases = 10000ms;
 constexpr uint64_t kCluster = 7;
-
-Candidate controller(uint64_t number) {
-  std::string address = "controller" + std::to_string(number);
-  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
-}
+/// The id of another cluster, no successor of `kCluster`.
+constexpr uint64_t kEarlierCluster = 6;
 
 std::unique_ptr<ControllerMachine> start_controller_1(const ControllerCheckpoint& checkpoint,
                                                       std::vector<std::string> journal = {}) {
@@ -33,7 +32,7 @@
   TimePoint now = kStart;
 
   RestartedController() {
-    apply_entry(old_metadata, {Epoch{1}, "", FoundCluster{kCluster, 3, {controller(1), controller(2), controller(3)}}});
+    apply_entry(old_metadata, {Epoch{1}, "", FoundCluster{kCluster, 3, three_controllers()}});
     newest_metadata = old_metadata;
     for (uint64_t number = 11; number <= 13; ++number) {
       Candidate store{Incarnation{number}, Role::store, "zone", "store" + std::to_string(number), "", "", ""};
@@ -108,10 +107,11 @@
   Epoch newest = controller.newest_metadata.epoch;
   controller.receive(2, newest, CatchupReply{newest, std::nullopt, controller.missing_entries});
   REQUIRE(controller.machine->view()->epoch == newest);
+
   CHECK(controller.becomes_supervisor_with_grants_at(newest));
 }
 
-TEST_CASE("Proposer with an old log rejects no commit by it: it reads from a majority first") {
+TEST_CASE("Proposer with an old log reads from a majority before it rejects a commit") {
   RestartedController controller;
   Epoch old_epoch = controller.old_metadata.epoch;
   Epoch newest = controller.newest_metadata.epoch;
@@ -121,55 +121,69 @@
 
   Actions actions = controller.receive(2, old_epoch, Commit{"change", MarkDown{store}, {}, 0});
   CHECK(find_message<CommitReply>(actions.synced) == nullptr);
+
   const QuorumRead* read = find_message<QuorumRead>(actions.now);
   REQUIRE(read != nullptr);
   uint64_t read_id = read->id;
 
   controller.receive(1, old_epoch, QuorumReadReply{read_id, old_epoch, false});
   actions = controller.receive(2, newest, QuorumReadReply{read_id, newest, false});
+
   CHECK(find_message<CommitReply>(actions.synced) == nullptr);
 
   actions = controller.receive(2, newest, CatchupReply{newest, std::nullopt, controller.missing_entries});
   CHECK(find_message<CommitReply>(actions.synced) == nullptr);
+
   const Prepare* prepare = find_message<Prepare>(actions.now);
   REQUIRE(prepare != nullptr);
+
   CHECK(prepare->epoch == next(newest));
 }
 
-TEST_CASE("ControllerMachine with an old log takes nobody back by its answer to a catch-up request") {
+TEST_CASE("ControllerMachine with an old log sends no older value in reply to a catch-up request") {
   RestartedController controller;
   const Metadata& newest = controller.newest_metadata;
 
   Actions actions = controller.receive(2, newest.epoch, Catchup{newest.epoch});
   const CatchupReply* reply = find_message<CatchupReply>(actions.now);
   REQUIRE(reply != nullptr);
+
   CHECK_FALSE(reply->checkpoint);
   CHECK(reply->entries.empty());
+}
 
+TEST_CASE("MetadataLog neither installs an older snapshot nor adds an entry that it has") {
+  RestartedController controller;
+  const Metadata& newest = controller.newest_metadata;
   MetadataLog log;
   REQUIRE(log.install_snapshot(newest));
+
   CHECK_FALSE(log.install_snapshot(controller.old_metadata));
   CHECK(log.add(controller.missing_entries.front()).empty());
   CHECK(*log.view() == newest);
 }
 
-TEST_CASE("ControllerMachine does not take a snapshot of a generation that is over, and takes a later one") {
+TEST_CASE("ControllerMachine installs no snapshot of an earlier generation") {
   RestartedController controller;
-  Metadata over = controller.newest_metadata;
-  over.cluster = 6;
-  over.epoch = Epoch{100};
+  Metadata earlier_generation = controller.newest_metadata;
+  earlier_generation.cluster = kEarlierCluster;
+  earlier_generation.epoch = Epoch{100};
 
-  controller.receive(2, controller.old_metadata.epoch, CatchupReply{over.epoch, over, {}});
+  controller.receive(2, controller.old_metadata.epoch, CatchupReply{earlier_generation.epoch, earlier_generation, {}});
 
   CHECK(controller.machine->view()->cluster == kCluster);
   CHECK(controller.machine->view()->epoch == controller.old_metadata.epoch);
+}
 
-  Metadata later = controller.newest_metadata;
-  later.cluster = next_cluster_id(kCluster, later.generation);
-  ++later.generation;
-  controller.receive(2, controller.old_metadata.epoch, CatchupReply{later.epoch, later, {}});
+TEST_CASE("ControllerMachine installs a snapshot of a later generation") {
+  RestartedController controller;
+  Metadata later_generation = controller.newest_metadata;
+  later_generation.cluster = next_cluster_id(kCluster, later_generation.generation);
+  ++later_generation.generation;
+
+  controller.receive(2, controller.old_metadata.epoch, CatchupReply{later_generation.epoch, later_generation, {}});
 
-  CHECK(*controller.machine->view() == later);
+  CHECK(*controller.machine->view() == later_generation);
 }
 
 TEST_CASE("ControllerMachine recovers the value before or after a snapshot that was being synced, never a mixture") {
@@ -181,16 +195,18 @@
   checkpoint.metadata = controller.old_metadata;
   checkpoint.open = next(controller.old_metadata.epoch);
   checkpoint.promised = {9, 9};
-  checkpoint.accepted = AcceptedProposal{{9, 9}, {checkpoint.open, "open", Register{::controller(4)}}};
+  checkpoint.accepted = AcceptedProposal{{9, 9}, {checkpoint.open, "open", Register{test::controller(4)}}};
 
   auto before_sync = start_controller_1(checkpoint);
   auto after_sync = start_controller_1(checkpoint, actions.journal);
 
   CHECK(*before_sync->view() == controller.old_metadata);
   CHECK(*after_sync->view() == newest);
-  // The instance that was open at the old epoch is over with the snapshot: its promise and acceptance count no more.
+
+  // The snapshot ends the instance that was open at the old epoch: its promise and acceptance count no more.
   auto kept = codec::decode<ControllerCheckpoint>(after_sync->checkpoint());
   REQUIRE(kept);
+
   CHECK(kept->open == next(newest.epoch));
   CHECK_FALSE(kept->accepted);
   CHECK(kept->promised == Ballot{});
--- a/tests/unit/consensus/supervisor_lease_test.cpp
+++ b/tests/unit/consensus/supervisor_lease_test.cpp
@@ -1,18 +1,15 @@
 // The supervisor's lease alone: grants of a member, and the holder's own time.
 #include "consensus/supervisor_lease.hpp"
 #include "unit/catch.hpp"
+#include "unit/consensus/controllers_fixture.hpp"
 
 using namespace mosskeel;
+using namespace mosskeel::test;
 
 namespace {
 
 constexpr TimePoint kStart{1000ms};
 
-Candidate controller(uint64_t number) {
-  std::string address = "controller" + std::to_string(number);
-  return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
-}
-
 /// The lease of controller 1 in a core of three.
 struct LeaseOfMember {
   Outbox outbox{Identity{controller(1), {}}};
@@ -21,7 +18,7 @@
   SupervisorLease lease{outbox, metadata_log, detector, kStart};
 
   LeaseOfMember() {
-    FoundCluster founding{7, 3, {controller(1), controller(2), controller(3)}, 3, 0};
+    FoundCluster founding{7, 3, three_controllers(), 3, 0};
     REQUIRE(metadata_log.add({Epoch{1}, "found", founding}).size() == 1);
   }
 
@@ -60,8 +57,10 @@
   LeaseOfMember member;
 
   CHECK_FALSE(member.grants(2, kStart + kSupervisorLeaseDuration - 1ms));
+
   TimePoint granted_at = kStart + kSupervisorLeaseDuration;
   CHECK(member.grants(2, granted_at));
+
   CHECK_FALSE(member.grants(3, granted_at + kSupervisorLeaseDuration - 1ms));
   CHECK(member.grants(2, granted_at + kSupervisorLeaseDuration - 1ms));
   CHECK(member.grants(3, granted_at + 2 * kSupervisorLeaseDuration));
@@ -84,6 +83,7 @@
 
   holder.receive_grant(1, request_id, requested_at + 10ms);
   CHECK_FALSE(holder.lease.is_held(requested_at + 10ms));
+
   holder.receive_grant(2, request_id, requested_at + 20ms);
 
   TimePoint end = requested_at + kSupervisorLeaseDuration - kSupervisorLeaseMargin;
@@ -118,6 +118,7 @@
   holder.lease.resign();
 
   CHECK_FALSE(holder.lease.is_held(requested_at + 10ms));
+
   holder.lease.tick(requested_at + kSupervisorLeaseRenewInterval);
   CHECK(holder.outbox.take().now.empty());
 }
--- a/tests/unit/net/http_frontend_faults_test.cpp
+++ b/tests/unit/net/http_frontend_faults_test.cpp
@@ -13,6 +13,8 @@
 constexpr Duration path_timeout = 250ms;
 constexpr Duration tick_interval = 5ms;
 constexpr Duration test_timeout = 30000ms;
+/// How long the process stands still in the test of it: all that is under way times out.
+constexpr Duration standstill = 2 * path_timeout;
 
 /// One attempt of a caller and what came back.
 struct Attempt {
@@ -171,6 +173,26 @@
   CHECK(fixture.frontend->router().active_requests() == 0);
 }
 
+TEST_CASE("HttpFrontend serves again after its process stood still for longer than all time-outs") {
+  auto seed = GENERATE(range(1, 13));
+  INFO("seed " << seed);
+  FaultsFixture fixture(static_cast<uint64_t>(seed), 250, 40, true);
+  bool has_stood_still = false;
+
+  auto deadline = monotonic_now() + test_timeout;
+  while (!fixture.done() && monotonic_now() < deadline) {
+    run_iterations(fixture.loop, 20);
+    if (fixture.attempts.size() > 50 && !std::exchange(has_stood_still, true)) {
+      std::this_thread::sleep_for(standstill);
+    }
+  }
+
+  REQUIRE(fixture.done());
+  run_iterations(fixture.loop, 30);
+  fixture.check_attempts();
+  CHECK(fixture.successes() > fixture.attempts.size() / 3);
+}
+
 TEST_CASE("HttpFrontend that drains under load loses no response that it has begun") {
   auto seed = GENERATE(range(1, 51));
   INFO("seed " << seed);
