--- a/tests/unit/net/backpressure_test.cpp
+++ b/tests/unit/net/backpressure_test.cpp
@@ -75,7 +75,7 @@
   void add_caller() {
     callers.push_back(std::make_unique<SocketPeer>(proxy.address()));
     set_socket_option(callers.back()->socket.get(), SOL_SOCKET, SO_RCVBUF, kSocketBufferBytes);
-    callers.back()->send(get_request_closing);
+    callers.back()->send(kClosingGetRequest);
   }
 
   /// Lets the replica respond on a thread of its own.
--- a/tests/unit/net/http_listener_test.cpp
+++ b/tests/unit/net/http_listener_test.cpp
@@ -59,7 +59,7 @@
   TestServer server;
   server.respond = nullptr;
   SocketPeer caller(server.address());
-  caller.send(get_request + get_request + get_request_closing + get_request);
+  caller.send(kGetRequest + kGetRequest + kClosingGetRequest + kGetRequest);
 
   for (size_t count = 1; count <= 3; ++count) {
     REQUIRE(server.run_until_requests(count));
@@ -97,9 +97,9 @@
   TestServer server;
   server.respond = respond_in_pieces(server, std::nullopt);
 
-  CHECK(server.exchange(get_request_closing) == kStatusLine200 +
-                                                    "Y: 2\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
-                                                    "6\r\nhello \r\n5\r\nworld\r\n0\r\n\r\n");
+  CHECK(server.exchange(kClosingGetRequest) == kStatusLine200 +
+                                                   "Y: 2\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
+                                                   "6\r\nhello \r\n5\r\nworld\r\n0\r\n\r\n");
   CHECK(server.exchange("GET / HTTP/1.0\r\n\r\n") == kStatusLine200 + "Y: 2\r\nConnection: close\r\n\r\nhello world");
 }
 
@@ -107,7 +107,7 @@
   TestServer server;
   server.respond = respond_in_pieces(server, 11);
 
-  CHECK(server.exchange(get_request_closing) ==
+  CHECK(server.exchange(kClosingGetRequest) ==
         kStatusLine200 + "Y: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\nhello world");
   CHECK(server.exchange("HEAD / HTTP/1.0\r\n\r\n") ==
         kStatusLine200 + "Y: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\n");
@@ -117,7 +117,7 @@
   TestServer server;
   server.respond = respond_in_pieces(server, std::nullopt, 204);
 
-  CHECK(server.exchange(get_request_closing) == "HTTP/1.1 204 No Content\r\nY: 2\r\nConnection: close\r\n\r\n");
+  CHECK(server.exchange(kClosingGetRequest) == "HTTP/1.1 204 No Content\r\nY: 2\r\nConnection: close\r\n\r\n");
 }
 
 TEST_CASE("HttpListener resets the connection of a response that is shorter than its length") {
@@ -125,7 +125,7 @@
   server.respond = respond_in_pieces(server, 12);
   SocketPeer caller(server.address());
 
-  caller.send(get_request);
+  caller.send(kGetRequest);
 
   REQUIRE(run_until(server.loop, [&] { return caller.receive(); }));
   CHECK(caller.reset);
@@ -162,19 +162,19 @@
   SocketPeer caller(server.address());
   std::function<void()> disconnect;
   SECTION("by a reset") {
-    caller.send(get_request);
+    caller.send(kGetRequest);
     disconnect = [&] {
       caller.close_with_reset();
     };
   }
   SECTION("by a close, with a pipelined request unread") {
-    caller.send(get_request + get_request);
+    caller.send(kGetRequest + kGetRequest);
     disconnect = [&] {
       caller.close();
     };
   }
   SECTION("by the end of its own direction") {
-    caller.send(get_request);
+    caller.send(kGetRequest);
     disconnect = [&] {
       ::shutdown(caller.socket.get(), SHUT_WR);
     };
@@ -201,7 +201,7 @@
   TestServer server;
   server.respond = nullptr;
   SocketPeer caller(server.address());
-  caller.send(get_request);
+  caller.send(kGetRequest);
   REQUIRE(server.run_until_requests(1));
   auto exchange = server.requests[0].exchange;
   server.listener->send_head(exchange, 200, {}, std::nullopt);
@@ -221,7 +221,7 @@
   TestServer server;
   server.respond = nullptr;
   SocketPeer caller(server.address());
-  caller.send(get_request);
+  caller.send(kGetRequest);
   REQUIRE(server.run_until_requests(1));
   auto exchange = server.requests[0].exchange;
 
@@ -255,11 +255,11 @@
   SocketPeer idle(server.address());
   SocketPeer busy(server.address());
   SocketPeer half_sent(server.address());
-  idle.send(get_request);
+  idle.send(kGetRequest);
   half_sent.send("GET / HTTP/1.1\r\n");
   REQUIRE(run_until(server.loop, [&] { return idle.has_received("hello"); }));
   server.respond = nullptr;
-  busy.send(get_request);
+  busy.send(kGetRequest);
   REQUIRE(server.run_until_requests(2));
 
   server.listener->close_after_responses();
@@ -280,10 +280,10 @@
   REQUIRE(run_until(server.loop, [&] { return half_sent.receive(); }));
 
   CHECK(half_sent.received.ends_with("Connection: close\r\n\r\nlate"));
-  CHECK(server.exchange(get_request).ends_with("Connection: close\r\n\r\nlate"));
+  CHECK(server.exchange(kGetRequest).ends_with("Connection: close\r\n\r\nlate"));
 
   idle.received.clear();
-  idle.send(get_request);
+  idle.send(kGetRequest);
   REQUIRE(run_until(server.loop, [&] { return idle.receive(); }));
 
   CHECK_FALSE(idle.reset);
@@ -299,11 +299,11 @@
   SocketPeer busy(address);
   SocketPeer half_sent(address);
   SocketPeer unused(address);
-  idle.send(get_request);
+  idle.send(kGetRequest);
   half_sent.send("GET / HTTP/1.1\r\n");
   REQUIRE(run_until(server.loop, [&] { return idle.has_received("hello") && server.listener->connections() == 4; }));
   server.respond = nullptr;
-  busy.send(get_request);
+  busy.send(kGetRequest);
   REQUIRE(server.run_until_requests(2));
 
   server.listener->drain();
@@ -338,7 +338,7 @@
 TEST_CASE("HttpListener does not read a request that arrives after it has closed its idle connection") {
   TestServer server;
   SocketPeer caller(server.address());
-  caller.send(get_request);
+  caller.send(kGetRequest);
   REQUIRE(run_until(server.loop, [&] { return caller.has_received("hello"); }));
   SECTION("when it drains") {
     server.listener->drain();
@@ -353,7 +353,7 @@
     caller = std::move(other);
   }
 
-  caller.send(get_request);
+  caller.send(kGetRequest);
 
   REQUIRE(server.run_until_connections(0));
   CHECK(server.requests.size() == 1);
--- a/tests/unit/net/test_server.hpp
+++ b/tests/unit/net/test_server.hpp
@@ -62,7 +62,7 @@
   }
 };
 
-inline const std::string get_request = "GET /a?b=c HTTP/1.1\r\nHost: News.Example:80\r\n\r\n";
-inline const std::string get_request_closing = "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
+inline const std::string kGetRequest = "GET /a?b=c HTTP/1.1\r\nHost: News.Example:80\r\n\r\n";
+inline const std::string kClosingGetRequest = "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
 
 }  // namespace mosskeel
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -7,6 +7,9 @@
 namespace mosskeel::test {
 
 using namespace routing;
+// A daemon's own Actions and log events have the same names.
+using routing::Actions;
+using routing::Event;
 
 /// Of the paths of `path()`. A request waits for a replica for a quarter of the path's latency target.
 inline constexpr Duration kPathTimeout = 4000ms;
--- a/tests/unit/runtime/silent_machine.hpp
+++ b/tests/unit/runtime/silent_machine.hpp
@@ -10,11 +10,11 @@
  public:
   /// @param steps is set to the number of messages handled; must outlive the machine.
   explicit SilentMachine(std::atomic<int>& steps) : steps_(steps) {}
-  Actions step(const Envelope&, TimePoint) override {
+  mosskeel::Actions step(const Envelope&, TimePoint) override {
     ++steps_;
     return {};
   }
-  Actions tick(TimePoint) override { return {}; }
+  mosskeel::Actions tick(TimePoint) override { return {}; }
   MetadataSnapshot view() const override { return metadata_; }
 
  private:
