--- a/tests/unit/simulation/sim_test.cpp
+++ b/tests/unit/simulation/sim_test.cpp
@@ -91,6 +91,17 @@
   }
 }
 
+// Named in KNOWN-RED.txt while it fails, as a ctest entry of its own.
+TEST_CASE("A former owner of a partition does not reject a turn by the history that it remembers", "[former-owner]") {
+  constexpr uint64_t kSeed = 25;
+
+  auto result = sim::play("corecut", kSeed);
+
+  for (auto& failure : result.failures)
+    FAIL_CHECK(failure);
+  CHECK(result.successes > kMinSuccesses);
+}
+
 TEST_CASE("A seed plays the same day every time") {
   auto first = sim::play("havoc", 7);
   auto second = sim::play("havoc", 7);
