--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// The operators' command line: sends a sentence of the command language to a controller, and prints the answer.
+// The operators' command-line client: sends a command to a controller and prints the response.
 #include <curl/curl.h>
 #include <popt.h>
 
@@ -14,7 +14,7 @@
 
 constexpr const char* kDefaultControllers = "127.0.0.1:8101";
 
-/// Exit codes, as docs/operators.md tells them.
+/// Exit codes; see docs/operators.md.
 constexpr int kExitYes = 0;
 constexpr int kExitNo = 1;
 constexpr int kExitUsage = 2;
@@ -22,12 +22,12 @@
 
 /// The options of the command line.
 struct Options {
-  /// HTTP addresses, in the order in which they are tried.
+  /// HTTP addresses, tried in this order.
   std::vector<std::string> controllers;
-  /// The id of a change whose outcome was unknown; empty for a new one.
+  /// The id of an earlier change whose outcome was unknown; empty for a new change.
   std::string commit_id;
-  /// The arguments with single blanks between.
-  std::string sentence;
+  /// The arguments, joined by single spaces.
+  std::string command;
 };
 
 struct PoptContextDeleter {
@@ -47,7 +47,7 @@
   return parts;
 }
 
-/// The options, or the exit code where they are wrong or ask for nothing more.
+/// Returns the options, or an exit code if they are invalid or only ask for the version.
 std::variant<Options, int> parse_options(int argc, const char** argv) {
   char* controllers = nullptr;
   char* commit_id = nullptr;
@@ -55,13 +55,13 @@
   poptOption table[] = {
       {"controllers", 'm', POPT_ARG_STRING, &controllers, 0,
        "HTTP addresses of controllers, tried in turn (default 127.0.0.1:8101)", "A,B,C"},
-      {"id", 'i', POPT_ARG_STRING, &commit_id, 0, "the id of a change whose outcome was unknown", "ID"},
+      {"id", 'i', POPT_ARG_STRING, &commit_id, 0, "the id of an earlier change whose outcome was unknown", "ID"},
       {"version", 'V', POPT_ARG_NONE, &print_version, 0, "print the version, then exit", nullptr},
       POPT_AUTOHELP POPT_TABLEEND};
   std::unique_ptr<std::remove_pointer_t<poptContext>, PoptContextDeleter> context(
       poptGetContext("mosskeelctl", argc, argv, table, 0));
   poptSetOtherOptionHelp(context.get(),
-                         "[OPTIONS] SENTENCE...\nAsks or commands the fleet. Exit: 0 yes, 1 no, 2 usage, 3 unknown.");
+                         "[OPTIONS] COMMAND...\nQueries or changes the fleet. Exit: 0 yes, 1 no, 2 usage, 3 unknown.");
   int error = poptGetNextOpt(context.get());
   if (error < -1)
     return usage_error(poptStrerror(error));
@@ -71,21 +71,21 @@
   }
   Options options;
   while (const char* argument = poptGetArg(context.get())) {
-    if (!options.sentence.empty())
-      options.sentence += " ";
-    options.sentence += argument;
+    if (!options.command.empty())
+      options.command += " ";
+    options.command += argument;
   }
-  if (options.sentence.empty())
-    return usage_error("a sentence is missing");
+  if (options.command.empty())
+    return usage_error("the command is missing");
   options.controllers = split_at_commas(controllers ? controllers : kDefaultControllers);
   if (commit_id)
     options.commit_id = commit_id;
   return options;
 }
 
-/// Asks the controllers in turn; nothing where none of them gives an answer.
-std::optional<FetchResponse> ask_controllers(const Options& options, const std::string& method, const std::string& path,
-                                             const std::string& body) {
+/// Sends the request to the controllers in turn until one responds; returns no value if none does.
+std::optional<FetchResponse> send_to_controllers(const Options& options, const std::string& method,
+                                                 const std::string& path, const std::string& body) {
   FetchRequest request;
   request.method = method;
   request.body = body;
@@ -100,20 +100,20 @@
   return std::nullopt;
 }
 
-/// The sentence `apply FILE at REVISION`, which carries the file itself.
+/// The command `apply FILE at REVISION`, which sends the contents of the file.
 struct ApplyCommand {
   std::string file;
   std::string revision;
 };
 
-std::optional<ApplyCommand> parse_apply(const std::string& sentence) {
-  std::istringstream arguments(sentence);
+std::optional<ApplyCommand> parse_apply(const std::string& command) {
+  std::istringstream arguments(command);
   std::string verb;
   std::string file;
   std::string preposition;
   std::string revision;
-  std::string surplus;
-  if (!(arguments >> verb >> file >> preposition >> revision) || arguments >> surplus)
+  std::string extra_argument;
+  if (!(arguments >> verb >> file >> preposition >> revision) || arguments >> extra_argument)
     return std::nullopt;
   if (verb != "apply" || preposition != "at")
     return std::nullopt;
@@ -127,9 +127,9 @@
   if (!file)
     return usage_error("file " + command.file + " cannot be read");
   auto path = "/v1/cluster/configuration?revision=" + command.revision;
-  auto response = ask_controllers(options, "PUT", path, configuration.str());
+  auto response = send_to_controllers(options, "PUT", path, configuration.str());
   if (!response) {
-    puts("unknown: no controller gave an answer; ask again with the same --id or show the revision");
+    puts("unknown: no controller responded; retry with the same --id or show the revision");
     return kExitUnknown;
   }
   bool applied = response->status == 200;
@@ -137,10 +137,10 @@
   return applied ? kExitYes : kExitNo;
 }
 
-int run_sentence(const Options& options) {
-  auto response = ask_controllers(options, "POST", "/v1/say", options.sentence);
+int run_command(const Options& options) {
+  auto response = send_to_controllers(options, "POST", "/v1/say", options.command);
   if (!response) {
-    puts("unknown: no controller gave an answer");
+    puts("unknown: no controller responded");
     return kExitUnknown;
   }
   fputs(response->body.c_str(), stdout);
@@ -157,6 +157,6 @@
     return *exit_code;
   const auto& options = std::get<Options>(parsed);
   curl_global_init(CURL_GLOBAL_DEFAULT);
-  auto apply = parse_apply(options.sentence);
-  return apply ? apply_configuration(options, *apply) : run_sentence(options);
+  auto apply = parse_apply(options.command);
+  return apply ? apply_configuration(options, *apply) : run_command(options);
 }
--- a/src/gateway/caller_session.hpp
+++ b/src/gateway/caller_session.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// One caller's wait for what the state machine says of its request.
+// Lets an HTTP thread wait for the state machine's replies to one caller's request.
 #include <optional>
 
 #include "net/http_server.hpp"
@@ -7,8 +7,8 @@
 
 namespace mosskeel {
 
-/// A mailbox of this process under an address of its own, to which the state machine replies. Closed on destruction;
-/// what comes later is dropped. Used by one thread at a time.
+/// A mailbox with its own local address that the state machine replies to. The mailbox is closed on destruction, and
+/// later messages are dropped. Must be used by one thread at a time.
 class CallerSession {
  public:
   CallerSession(LocalMailboxes& mailboxes, TimePoint deadline);
@@ -17,7 +17,7 @@
   CallerSession& operator=(const CallerSession&) = delete;
 
   const Address& address() const { return opened_.address; }
-  /// The next message, or nothing where none comes before the deadline.
+  /// Waits for the next message. Returns no value if none arrives before the deadline.
   std::optional<Message> receive();
 
  private:
@@ -26,10 +26,10 @@
   LocalMailboxes::Opened opened_;
 };
 
-/// A streamed response: one JSON object a line for each chunk, and a last line on how the request ended.
+/// A streamed response in JSON lines: one object per chunk, and a last one with the outcome of the request.
 class ProgramResponseStream {
  public:
-  /// `timeout` is reported where the session's deadline passes first.
+  /// @param timeout the response to report if the session ends without a final response.
   ProgramResponseStream(std::shared_ptr<CallerSession> session, ProgramResponseChunk first, ProgramResponse timeout)
       : session_(std::move(session)), first_(std::move(first)), timeout_(std::move(timeout)) {}
 
@@ -40,7 +40,7 @@
   std::shared_ptr<CallerSession> session_;
   std::optional<ProgramResponseChunk> first_;
   ProgramResponse timeout_{};
-  /// How the stream ended, once its last line is written.
+  /// The final state, set once the last line is written.
   std::optional<ApiResponse::StreamState> end_;
 };
 
--- a/src/gateway/program_api.cpp
+++ b/src/gateway/program_api.cpp
@@ -18,7 +18,7 @@
   return http;
 }
 
-/// A caller that asked for a stream gets one, also where the response came in one part.
+/// Used if the caller asked for a stream, but the response arrived in one piece.
 ApiResponse stream_of_one_chunk(const ProgramResponse& response) {
   auto end = success_json(response);
   end["pieces"] = 1;
@@ -39,8 +39,8 @@
   return http;
 }
 
-/// To a caller whose request was handed to the state machine, which never replied.
-ProgramResponse lost_response(const std::string& attempt) {
+/// The response for a request that was posted to the state machine, but never got a reply.
+ProgramResponse outcome_unknown_response(const std::string& attempt) {
   ProgramResponse response{};
   response.attempt = attempt;
   response.status = 504;
@@ -50,7 +50,7 @@
   return response;
 }
 
-/// To a caller whose request came after the state machine's end.
+/// The response for a request that arrived after the state machine had stopped.
 ProgramResponse stopped_response(const std::string& attempt) {
   ProgramResponse response{};
   response.attempt = attempt;
@@ -68,10 +68,10 @@
 }  // namespace
 
 ApiResponse ProgramApi::run(ProgramRequest request, Delivery delivery) {
-  auto answered_by = process_now() + request_timeout(request) + kOutcomeTransferTimeout;
-  auto session = std::make_shared<CallerSession>(mailboxes_, answered_by);
+  auto reply_deadline = process_now() + request_timeout(request) + kOutcomeTransferTimeout;
+  auto session = std::make_shared<CallerSession>(mailboxes_, reply_deadline);
   auto attempt = request.attempt;
-  auto lost = lost_response(attempt);
+  auto outcome_unknown = outcome_unknown_response(attempt);
 
   auto view = host_.view();
   Envelope envelope{};
@@ -85,10 +85,10 @@
   while (true) {
     auto message = session->receive();
     if (!message)
-      return failure_response(lost);
+      return failure_response(outcome_unknown);
     const auto* chunk = std::get_if<ProgramResponseChunk>(&*message);
     if (chunk && delivery == Delivery::streamed)
-      return stream_response(session, *chunk, lost);
+      return stream_response(session, *chunk, outcome_unknown);
     const auto* response = std::get_if<ProgramResponse>(&*message);
     if (!response)
       continue;
@@ -138,28 +138,28 @@
   return response;
 }
 
-/// `/v1/cells/CELL/app/PATH`, `/v1/cells/CELL/programs/PROGRAM` and `/v1/cells/CELL/programs/PROGRAM/turns`.
+/// Routes `/v1/cells/CELL/app/PATH`, `/v1/cells/CELL/programs/PROGRAM` and `/v1/cells/CELL/programs/PROGRAM/turns`.
 ApiResponse ProgramApi::answer_cell(const ApiRequest& request) {
   const std::string cells = "/v1/cells/";
   const std::string application = "/app";
   const std::string programs = "/programs/";
-  auto in_cells = request.path.substr(cells.size());
-  auto cell_end = in_cells.find('/');
+  auto below_cells = request.path.substr(cells.size());
+  auto cell_end = below_cells.find('/');
   if (cell_end == std::string::npos)
     return unknown_path(request);
-  auto cell = in_cells.substr(0, cell_end);
-  auto in_cell = in_cells.substr(cell_end);
-  if (in_cell.starts_with(application + "/"))
-    return answer_application(request, cell, in_cell.substr(application.size()));
-  if (!in_cell.starts_with(programs))
+  auto cell = below_cells.substr(0, cell_end);
+  auto below_cell = below_cells.substr(cell_end);
+  if (below_cell.starts_with(application + "/"))
+    return answer_application(request, cell, below_cell.substr(application.size()));
+  if (!below_cell.starts_with(programs))
     return unknown_path(request);
-  auto in_programs = in_cell.substr(programs.size());
-  auto program_end = in_programs.find('/');
-  auto program = in_programs.substr(0, program_end);
-  auto in_program = program_end == std::string::npos ? "" : in_programs.substr(program_end);
-  if (!program.empty() && in_program == "/turns" && request.method == "POST")
+  auto below_programs = below_cell.substr(programs.size());
+  auto program_end = below_programs.find('/');
+  auto program = below_programs.substr(0, program_end);
+  auto below_program = program_end == std::string::npos ? "" : below_programs.substr(program_end);
+  if (!program.empty() && below_program == "/turns" && request.method == "POST")
     return answer_turn(request, cell, program);
-  if (!program.empty() && in_program.empty() && request.method == "GET")
+  if (!program.empty() && below_program.empty() && request.method == "GET")
     return answer_history(request, cell, program);
   return unknown_path(request);
 }
--- a/src/gateway/program_api.hpp
+++ b/src/gateway/program_api.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The HTTP interface for callers of programs and applications, as docs/http.md tells it.
+// The HTTP API for callers of programs and applications; see docs/http.md.
 #include "gateway/caller_session.hpp"
 #include "net/http_server.hpp"
 #include "net/local_mailboxes.hpp"
@@ -8,12 +8,12 @@
 
 namespace mosskeel {
 
-/// Turns HTTP requests into requests for the gateway's state machine and its responses into HTTP. `answer` is called on
-/// the HTTP server's threads, one for each connection, and waits there for the state machine; the class itself has no
-/// state that changes.
+/// Translates HTTP requests into messages to the gateway's state machine, and its replies into HTTP responses. `answer`
+/// runs on the HTTP server's threads, one per connection, and blocks until the state machine replies. The class has no
+/// mutable state.
 class ProgramApi {
  public:
-  /// Both must outlive this object and every response that it has returned.
+  /// Both must outlive this object and every response that it returns.
   ProgramApi(Host& host, LocalMailboxes& mailboxes) : host_(host), mailboxes_(mailboxes) {}
   ApiResponse answer(const ApiRequest& request);
 
@@ -26,7 +26,7 @@
   ApiResponse answer_history(const ApiRequest& request, const std::string& cell, const std::string& program);
   ApiResponse answer_readiness();
   ApiResponse answer_metrics();
-  /// Hands the request to the state machine and waits for its response, or for the first chunk of a stream.
+  /// Posts the request to the state machine and waits for its response or for the first chunk of a stream.
   ApiResponse run(ProgramRequest request, Delivery delivery);
 
   Host& host_;
--- a/src/gateway/program_api_metrics.cpp
+++ b/src/gateway/program_api_metrics.cpp
@@ -1,4 +1,4 @@
-// The counters of a gateway in the text form of metrics.
+// The metrics endpoint of a gateway.
 #include "gateway/program_api.hpp"
 #include "runtime/daemon.hpp"
 
--- a/src/gateway/program_request_reader.cpp
+++ b/src/gateway/program_request_reader.cpp
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 constexpr size_t kMaxKeyBytes = 256;
-/// Digits of X-Deadline-Ms: any such number fits into a Duration, and is capped later.
+/// Maximum digits of X-Deadline-Ms: any such number fits into a Duration; its value is capped later.
 constexpr size_t kMaxDeadlineDigits = 9;
 constexpr uint64_t kMaxExpectedTurns = 1000000;
 
@@ -45,7 +45,7 @@
     errors.push_back({"X-Class", "is none of urgent, normal, bulk"});
 }
 
-/// What all kinds of requests have in common.
+/// Reads the headers that all kinds of requests share.
 ProgramRequest read_headers(const ApiRequest& http, std::string_view kind, const std::string& cell, Errors& errors) {
   ProgramRequest request{};
   request.kind = kind;
@@ -57,7 +57,7 @@
   return request;
 }
 
-/// Takes one field of a turn's body; false where it is unknown or of another type.
+/// Reads one field of a turn's body. Returns false if the field is unknown or its value is invalid.
 bool read_turn_field(const std::string& name, const Json& value, ProgramRequest& request, bool& is_streamed) {
   const std::map<std::string, std::string*> texts{
       {"input", &request.body}, {"prefix", &request.prefix}, {"thread", &request.thread}, {"route", &request.route}};
@@ -75,7 +75,7 @@
   return true;
 }
 
-/// Takes a turn's body, and the defaults for what it leaves out.
+/// Reads a turn's body and fills in defaults for missing fields.
 void read_turn_body(const std::string& body, ProgramRequest& request, bool& is_streamed, Errors& errors) {
   auto json = Json::parse(body, nullptr, false);
   if (json.is_object()) {
--- a/src/gateway/program_response_json.hpp
+++ b/src/gateway/program_response_json.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Responses to callers of programs as JSON and HTTP, as docs/http.md tells them.
+// Formats responses to callers of programs as JSON and HTTP; see docs/http.md.
 #include <nlohmann/json.hpp>
 
 #include "messages/message.hpp"
@@ -7,14 +7,14 @@
 
 namespace mosskeel {
 
-/// The object on one line; bytes that are no UTF-8 are replaced.
+/// Serializes the value on one line; invalid UTF-8 is replaced.
 std::string json_line(const nlohmann::json& json);
 nlohmann::json chunk_json(const ProgramResponseChunk& chunk);
-/// How a request ended that succeeded, without its output.
+/// The outcome of a successful request, without its output.
 nlohmann::json success_json(const ProgramResponse& response);
-/// Why a request failed and whether it may have run.
+/// The reason for a failure and whether the request may have run.
 nlohmann::json failure_json(const ProgramResponse& response);
-/// A response that has no body but `failure_json`.
+/// A response with `failure_json` as its body.
 ApiResponse failure_response(const ProgramResponse& response);
 
 }  // namespace mosskeel
--- a/src/net/backpressure.hpp
+++ b/src/net/backpressure.hpp
@@ -5,26 +5,26 @@
 
 namespace mosskeel {
 
-/// Stops reading a replica's response while its caller takes it more slowly than it comes, so that the bytes held for
-/// one exchange stay bounded: by `HttpListener::kHighWatermark` and one read of the upstream client. On the loop's
-/// thread.
+/// Pauses reading a replica's response while the caller receives it more slowly than it arrives. This bounds the bytes
+/// buffered for one exchange to `HttpListener::kHighWatermark` plus one read of the upstream client. Must be used on
+/// the event loop's thread.
 class Backpressure {
  public:
   Backpressure(HttpListener& listener, UpstreamClient& upstream_client)
       : listener_(listener), upstream_client_(upstream_client) {}
-  /// Bytes of the response to `upstream_request` have been given to the caller's exchange.
+  /// Must be called after bytes of the response to `upstream_request` were passed to the caller's exchange.
   void on_forwarded(uint64_t exchange, uint64_t upstream_request);
-  /// The caller has taken most of what waited for it.
+  /// Must be called when the caller's unsent bytes have fallen below the low watermark.
   void on_drained(uint64_t exchange);
-  /// The exchange is over, however it ended.
+  /// Must be called when the exchange has ended, whether or not it succeeded.
   void on_finished(uint64_t exchange) { paused_.erase(exchange); }
-  /// How many responses are not being read now.
+  /// Number of responses whose reading is paused.
   size_t paused() const { return paused_.size(); }
 
  private:
   HttpListener& listener_;
   UpstreamClient& upstream_client_;
-  /// From exchanges to the upstream requests whose responses are not read for their sake.
+  /// Maps each exchange with a paused response to its upstream request.
   std::unordered_map<uint64_t, uint64_t> paused_;
 };
 
--- a/src/net/chunked_decoder.cpp
+++ b/src/net/chunked_decoder.cpp
@@ -9,7 +9,7 @@
 
 constexpr size_t kMaxChunkLineBytes = 1024;
 constexpr size_t kMaxTrailerBytes = 8192;
-/// Hexadecimal digits that always fit into 64 bits.
+/// A number with this many hexadecimal digits always fits into 64 bits.
 constexpr size_t kMaxChunkSizeDigits = 15;
 
 bool allowed_in_line(char character) {
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Idle connections to replicas.
+// A pool of idle connections to replicas.
 #include <deque>
 #include <unordered_map>
 
@@ -7,21 +7,21 @@
 
 namespace mosskeel {
 
-/// Keeps idle connections by address. The one that became idle last is used first: the others may expire.
+/// Keeps idle connections by address. The most recently idle one is reused first, so that surplus connections expire.
 class ConnectionPool {
  public:
-  /// Takes a usable connection out, or nothing where there is none that has been idle for at most `max_idle`. Ones
-  /// that turn out to be unusable are closed, and must have been removed by their owner when that returns.
+  /// Removes and returns a usable connection that has been idle for at most `max_idle`, or null if there is none.
+  /// Unusable connections found on the way are closed; their owner must call `remove` before `close` returns.
   std::shared_ptr<UpstreamConnection> take(const Address& address, Duration max_idle);
-  /// Closes the oldest connection of that address where there are too many.
+  /// Adds an idle connection. Closes the oldest one to the same address if the limit is exceeded.
   void add(std::shared_ptr<UpstreamConnection> connection);
-  /// No effect on connections that are not in the pool.
+  /// Does nothing if the connection is not in the pool.
   void remove(const UpstreamConnection& connection);
   size_t size() const;
 
  private:
   using Connections = std::deque<std::shared_ptr<UpstreamConnection>>;
-  /// By address, the one that became idle last at the back; no empty ones.
+  /// By address; the most recently idle connection is at the back. Empty lists are removed.
   std::unordered_map<Address, Connections> idle_;
 };
 
--- a/src/net/constants.hpp
+++ b/src/net/constants.hpp
@@ -1,14 +1,14 @@
 #pragma once
-// Constants of sockets, HTTP and the links between daemons.
+// Limits for sockets, HTTP and the transport between daemons.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
-/// Bytes; the largest HTTP body that the APIs accept.
+/// Maximum size of an HTTP request body that the APIs accept.
 constexpr size_t kMaxHttpBodyBytes = 1u << 20;
-/// Connections of one HttpServer, which has a thread for each.
+/// Maximum connections of one HttpServer, which uses one thread per connection.
 constexpr unsigned kMaxHttpConnections = 2000;
-/// Messages that wait for one peer, and for the reader of the own socket; more are dropped.
+/// Queue length, in messages, of each peer's send socket and of the receive socket; messages beyond it are dropped.
 constexpr int kMaxQueuedMessagesPerPeer = 1024;
 
 }  // namespace mosskeel
--- a/src/net/curl_handles.hpp
+++ b/src/net/curl_handles.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// libcurl's handles with owners.
+// Owning wrappers for libcurl handles.
 #include <curl/curl.h>
 
 #include <memory>
@@ -21,7 +21,7 @@
 };
 using CurlHeaderList = std::unique_ptr<curl_slist, CurlListDeleter>;
 
-/// Appends a header line.
+/// Appends a header line such as "Name: value".
 inline void append_header(CurlHeaderList& list, const char* line) {
   list.reset(curl_slist_append(list.release(), line));
 }
--- a/src/net/deadline_timer.cpp
+++ b/src/net/deadline_timer.cpp
@@ -41,7 +41,7 @@
     return;
   }
   deadline_.reset();
-  // The callback may destroy this object, and with it the function that is running.
+  // The callback may destroy this object, so it is run from a copy.
   auto on_expired = on_expired_;
   on_expired();
 }
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr size_t kMaxEventsPerWait = 256;
-/// Keeps the wait within the int that epoll_wait takes; the loop then waits again.
+/// Keeps the timeout within the int that epoll_wait takes; the loop waits again afterwards.
 constexpr Duration kMaxWait = 3600000ms;
-/// Cancelled timers are cleaned out once they outnumber the others by this.
-constexpr size_t kCancelledTimersKept = 64;
+/// Cancelled timers are purged once they outnumber the pending ones by this many.
+constexpr size_t kMaxExcessCancelledTimers = 64;
 
 uint64_t epoll_key(int fd, uint32_t generation) {
   return uint64_t{generation} << 32 | static_cast<uint32_t>(fd);
@@ -110,7 +110,7 @@
 }
 
 void EventLoop::cancel(uint64_t timer) {
-  if (!timers_.erase(timer) || timer_heap_.size() < 2 * timers_.size() + kCancelledTimersKept) {
+  if (!timers_.erase(timer) || timer_heap_.size() < 2 * timers_.size() + kMaxExcessCancelledTimers) {
     return;
   }
   std::erase_if(timer_heap_, [&](const ScheduledTimer& scheduled) { return !timers_.contains(scheduled.timer); });
@@ -174,7 +174,7 @@
     due.push_back(pop_timer());
   }
   for (auto timer : due) {
-    // One that ran before may have cancelled it.
+    // A timer that ran earlier in this loop may have cancelled it.
     if (auto node = timers_.extract(timer)) {
       node.mapped()();
     }
--- a/src/net/http_fetch.cpp
+++ b/src/net/http_fetch.cpp
@@ -7,7 +7,7 @@
 
 constexpr Duration kFetchConnectTimeout = 1000ms;
 
-/// What libcurl's callbacks get.
+/// State passed to libcurl's callbacks.
 struct FetchContext {
   const FetchRequest& request;
   FetchResponse response;
--- a/src/net/http_fetch.hpp
+++ b/src/net/http_fetch.hpp
@@ -1,24 +1,24 @@
 #pragma once
-// Single HTTP requests of the tools, by libcurl.
+// A blocking HTTP client for command-line tools, based on libcurl.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
-/// What to send, and how to receive the response.
+/// A request and the options for receiving its response.
 struct FetchRequest {
   std::string method = "GET", url, body;
   std::map<std::string, std::string> headers;
-  /// How long the whole exchange may take.
+  /// Timeout for the whole exchange.
   Duration timeout = 15000ms;
-  /// Called with the body's bytes as they come; the response has them too.
+  /// Called with each piece of the body as it arrives; `FetchResponse::body` contains the bytes as well.
   std::function<void(const std::string& bytes)> on_body;
 };
 
 struct FetchResponse {
-  /// 0 where no head was received.
+  /// 0 if no response head was received.
   long status = 0;
   std::string body;
-  /// What went wrong; empty where the response is complete.
+  /// Error message; empty if the response is complete.
   std::string error;
   /// Names in lower case.
   std::map<std::string, std::string> headers;
@@ -27,7 +27,7 @@
   bool request_sent = false;
 };
 
-/// Sends the request on a connection of its own and waits for the response.
+/// Sends the request on a new connection and waits for the response.
 FetchResponse http_fetch(const FetchRequest& request);
 
 }  // namespace mosskeel
--- a/src/net/http_fields.hpp
+++ b/src/net/http_fields.hpp
@@ -1,13 +1,13 @@
 #pragma once
-// The header fields of a message: lists in their values, and which fields belong to one connection only.
+// Helpers for header fields: list values, hop-by-hop fields and validation.
 #include "net/protocol_codec.hpp"
 
 namespace mosskeel {
 
-/// Whether one of the comma-separated lists under this field name contains the token; case does not matter.
+/// Whether a field of this name has the token in its comma-separated list; case-insensitive.
 bool has_token(const HeaderFields& fields, std::string_view name, std::string_view token);
 
-/// The fields without the hop-by-hop ones, which belong to one connection, and without Content-Length.
+/// Returns the fields without hop-by-hop fields, which apply to one connection only, and without Content-Length.
 HeaderFields end_to_end_fields(const HeaderFields& fields);
 
 /// Whether the field can be written into a head without changing its framing.
--- a/src/net/http_head.cpp
+++ b/src/net/http_head.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr std::string_view kLineEnd = "\r\n";
-/// Digits that always fit into 64 bits.
+/// A number with this many decimal digits always fits into 64 bits.
 constexpr size_t kMaxContentLengthDigits = 18;
 
-/// http_parser is more lenient than we are, so each line is checked by itself first.
+/// http_parser is too lenient, so each line is validated first.
 bool has_valid_lines(std::string_view head, http_parser_type type) {
   auto is_start_line = type == HTTP_REQUEST ? is_request_line : is_status_line;
   auto is_valid_line = is_start_line;
@@ -29,10 +29,10 @@
   return true;
 }
 
-/// What http_parser's callbacks write to.
+/// State that http_parser's callbacks write to.
 struct HeadBuilder {
   HttpHead head;
-  /// The parser gives names and values in pieces; a name behind a value begins a new field.
+  /// The parser reports names and values in pieces; a name after a value starts a new field.
   bool in_value = true;
   bool complete = false;
 };
@@ -98,7 +98,7 @@
   return std::stoull(std::string(value));
 }
 
-/// Decides how the body is framed; more than one statement about it is an attempt at smuggling.
+/// Determines the framing of the body. More than one framing field is treated as a request smuggling attempt.
 HttpHead parse_framing(HttpHead head) {
   size_t length_fields = 0;
   size_t coding_fields = 0;
@@ -144,7 +144,7 @@
   http_parser parser;
   http_parser_init(&parser, type);
   parser.data = &builder;
-  // Length and coding together are rejected by parse_framing, which says so.
+  // Content-Length together with Transfer-Encoding is rejected by parse_framing, with a specific reason.
   parser.allow_chunked_length = 1;
   http_parser_execute(&parser, &callbacks, text.data(), text.size());
   if (!builder.complete) {
--- a/src/net/http_head.hpp
+++ b/src/net/http_head.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// HTTP/1.1 message heads, parsed strictly: whatever two parsers might frame differently is rejected, so that no request
-// can be smuggled past this tier (RFC 9112, section 11.2).
+// A strict parser for HTTP/1.1 message heads. It rejects everything that two parsers might frame differently, which
+// prevents request smuggling (RFC 9112, section 11.2).
 #include <string_view>
 
 #include "net/protocol_codec.hpp"
@@ -10,25 +10,25 @@
 enum class HeadScan { incomplete, complete, malformed };
 
 /// Looks for the empty line that ends a head.
-/// @param received what has arrived of the message so far.
-/// @param scanned in: where the last scan of the same message ended, 0 for the first; out: where this one ended, which
-///     is behind the empty line once the head is complete.
+/// @param received the bytes of the message received so far.
+/// @param scanned in: the offset where the previous scan of this message ended, initially 0; out: the offset where this
+/// scan ended, which is after the empty line once the head is complete.
 HeadScan scan_head(std::string_view received, size_t& scanned);
 
-/// A parsed head and how the body behind it is framed.
+/// A parsed head and the framing of the body that follows.
 struct HttpHead {
-  /// Of requests alone.
+  /// Requests only.
   std::string method, target;
-  /// Of responses alone.
+  /// Responses only.
   uint32_t status = 0;
   bool http_1_0 = false;
-  /// The body is in the chunked transfer coding.
+  /// Whether the body uses the chunked transfer coding.
   bool chunked = false;
-  /// The connection ends with this message.
+  /// Whether the connection closes after this message.
   bool closes_connection = false;
   std::optional<uint64_t> content_length;
   HeaderFields fields;
-  /// The status to reject a request with, and why; 0 where the head is valid.
+  /// Status and reason to reject the message with; the status is 0 if the head is valid.
   uint32_t rejection_status = 0;
   std::string rejection_reason;
 };
--- a/src/net/http_listener.cpp
+++ b/src/net/http_listener.cpp
@@ -15,10 +15,10 @@
 
 constexpr size_t kReadBufferBytes = 64 << 10;
 constexpr int kListenBacklog = 1024;
-/// Descriptors that others give back meanwhile let the listener accept again.
+/// Accepting is retried after this delay, when other connections may have released file descriptors.
 constexpr Duration kAcceptRetryDelay = 100ms;
 
-/// Binds and listens; an empty descriptor, with errno, on failure.
+/// Binds and listens. On failure, returns an empty descriptor and sets errno.
 Fd listen_at(const Endpoint& endpoint) {
   Fd socket(::socket(endpoint.storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!socket || !set_socket_option(socket.get(), SOL_SOCKET, SO_REUSEADDR, 1)) {
@@ -37,14 +37,14 @@
                                                          int send_buffer) {
   auto endpoint = parse_endpoint(address);
   if (!endpoint) {
-    return Errors{{address, "not an address to listen at"}};
+    return Errors{{address, "not a numeric IP address with a port"}};
   }
   auto socket = listen_at(*endpoint);
   if (!socket) {
     return Errors{{address, std::string("cannot listen: ") + std::strerror(errno)}};
   }
   if (send_buffer) {
-    // Accepted sockets inherit it.
+    // Accepted sockets inherit this option.
     set_socket_option(socket.get(), SOL_SOCKET, SO_SNDBUF, send_buffer);
   }
   return std::unique_ptr<HttpListener>(new HttpListener(loop, std::move(callbacks), std::move(socket)));
@@ -79,8 +79,8 @@
 
 void HttpListener::pause_accepting() {
   loop_.set_events(listening_socket_.get(), 0);
-  loop_.run_after(kAcceptRetryDelay, [this, alive = std::weak_ptr(self_)] {
-    if (alive.lock() && listening_socket_) {
+  loop_.run_after(kAcceptRetryDelay, [this, weak_self = std::weak_ptr(self_)] {
+    if (weak_self.lock() && listening_socket_) {
       loop_.set_events(listening_socket_.get(), EPOLLIN);
     }
   });
@@ -195,15 +195,15 @@
   if (std::exchange(flush_posted_, true)) {
     return;
   }
-  loop_.post([alive = std::weak_ptr(self_)] {
-    if (auto self = alive.lock()) {
+  loop_.post([weak_self = std::weak_ptr(self_)] {
+    if (auto self = weak_self.lock()) {
       (*self)->flush_scheduled();
     }
   });
 }
 
 void HttpListener::flush_scheduled() {
-  // A flush may read the next pipelined request, whose response is to be flushed in turn.
+  // A flush may read the next pipelined request, whose response must then be flushed as well.
   while (!scheduled_flushes_.empty()) {
     for (auto& connection : std::exchange(scheduled_flushes_, {})) {
       connection->flush_now();
--- a/src/net/http_listener.hpp
+++ b/src/net/http_listener.hpp
@@ -1,72 +1,74 @@
 #pragma once
-// An HTTP/1.1 server on an event loop, towards callers.
+// An event-driven HTTP/1.1 server for callers.
 #include "net/event_loop.hpp"
 #include "net/http_server_connection.hpp"
 
 namespace mosskeel {
 
-/// Listens at one address, reads complete requests and writes their responses, one exchange at a time on a connection.
-/// Malformed, too large and too slow requests are rejected here and their connection is closed.
+/// Listens at one address, reads complete requests and writes their responses, with one exchange at a time per
+/// connection. Requests that are malformed, too large or too slow are rejected here, and their connection is closed.
 ///
-/// Everything, callbacks too, happens on the loop's thread. It must not be destroyed in a callback. After `finish`,
-/// `send_response`, `abort` or `on_disconnected` the id of an exchange is no longer valid: it has no more callbacks,
+/// All functions and callbacks run on the loop's thread. The listener must not be destroyed in a callback. After
+/// `finish`, `send_response`, `abort` or `on_disconnected`, the exchange's id is invalid: it gets no more callbacks,
 /// and calls with it do nothing.
 class HttpListener final : private HttpConnectionOwner {
  public:
   struct Callbacks {
-    /// A complete request has been read; `exchange` names it and its response.
+    /// A complete request has been read; `exchange` identifies it and its response.
     std::function<void(uint64_t exchange, HttpRequest&& request)> on_request;
     /// The caller closed or reset its connection before its response was complete.
     std::function<void(uint64_t exchange)> on_disconnected;
-    /// The unsent bytes of a response fell below the low watermark after having been above the high one.
+    /// The unsent bytes of a response fell below the low watermark after exceeding the high one.
     std::function<void(uint64_t exchange)> on_drained;
   };
   static constexpr size_t kLowWatermark = HttpResponseSender::kLowWatermark;
   static constexpr size_t kHighWatermark = HttpResponseSender::kHighWatermark;
 
-  /// @param address numeric; port 0 lets the system choose one.
-  /// @param send_buffer size of the kernel's send buffer of each connection in bytes; 0 leaves it to the system.
-  /// @return errors where the address can't be listened on.
+  /// @param address a numeric address; port 0 lets the system choose a port.
+  /// @param send_buffer size in bytes of each connection's kernel send buffer; 0 uses the system default.
+  /// @return errors if listening at the address fails.
   static Result<std::unique_ptr<HttpListener>> open(EventLoop& loop, const Address& address, Callbacks callbacks,
                                                     int send_buffer = 0);
   ~HttpListener();
-  /// For everything that begins from now on.
+  /// Applies to requests and connections that begin from now on.
   void set_limits(const HttpListenerLimits& limits) { limits_ = limits; }
-  /// The address listened on, with the port that the system chose where none was named.
+  /// Returns the listening address, including a port chosen by the system.
   Address local_address() const;
 
-  /// Sends the response's head. Hop-by-hop fields are dropped.
-  /// @param content_length without one the body is chunked.
+  /// Sends the response's head. Hop-by-hop fields are omitted.
+  /// @param content_length if absent, the body is chunked.
   void send_head(uint64_t exchange, uint32_t status, const HeaderFields& fields,
                  std::optional<uint64_t> content_length);
-  /// Sends bytes of the response's body; ones beyond its Content-Length reset the connection.
+  /// Sends bytes of the response's body. Exceeding its Content-Length resets the connection.
   void send_body(uint64_t exchange, std::string_view bytes);
-  /// The response is complete; one that is shorter than its Content-Length resets the connection.
+  /// Completes the response. A body shorter than its Content-Length resets the connection.
   void finish(uint64_t exchange);
-  /// Head, body and end at once.
+  /// Sends a complete response.
   void send_response(uint64_t exchange, uint32_t status, const HeaderFields& fields, std::string_view body);
-  /// Resets the connection, so that its caller can't take the response for complete.
+  /// Resets the connection, so that the caller cannot mistake the response for a complete one.
   void abort(uint64_t exchange);
-  /// Bytes of the response that the kernel has not taken yet.
+  /// Bytes of the response that have not been passed to the kernel yet.
   size_t unsent_bytes(uint64_t exchange) const;
 
-  /// Every response from now on is the last of its connection and says so. Listening goes on, and idle connections stay
-  /// open for one more request, for their callers may be sending one.
+  /// Sends `Connection: close` with each further response and closes its connection afterwards. The listener still
+  /// accepts connections, and idle connections stay open for one more request, because their callers may already be
+  /// sending one.
   void close_after_responses() { close_after_responses_ = true; }
-  /// Ends listening for good. Idle connections are closed without being read again, so that the caller of a request
-  /// which crosses the close knows that it was not read. All others end with their response.
+  /// Stops listening permanently. Idle connections are closed without another read, so that a caller whose request
+  /// crosses the close knows that it was not read. All other connections close after their response.
   void drain();
   size_t connections() const { return connections_.size(); }
 
  private:
   HttpListener(EventLoop& loop, Callbacks callbacks, Fd listening_socket);
-  /// Watches the listening socket.
+  /// Starts accepting connections.
   void resume_accepting();
-  /// After the process ran out of descriptors: the backlog stays readable, and the loop would spin on it.
+  /// Used when the process has run out of file descriptors: the listening socket stays readable, and the loop would
+  /// spin on it.
   void pause_accepting();
   void accept_connections();
   void add_connection(Fd socket);
-  /// Nothing where the exchange is over.
+  /// Returns null if the exchange has ended.
   std::shared_ptr<HttpServerConnection> find(uint64_t exchange) const;
   void flush_scheduled();
 
@@ -90,15 +92,15 @@
   bool close_after_responses_ = false;
   bool draining_ = false;
   uint64_t last_exchange_ = 0;
-  /// Requests whose response is not complete, with their connections.
+  /// Connections of the exchanges whose response is not complete.
   std::unordered_map<uint64_t, std::shared_ptr<HttpServerConnection>> exchanges_;
   std::unordered_map<HttpServerConnection*, std::shared_ptr<HttpServerConnection>> connections_;
-  /// Connections with something to send: they are flushed together, at the end of the loop's iteration.
+  /// Connections with unsent bytes; all are flushed at the end of the loop's iteration.
   std::vector<std::shared_ptr<HttpServerConnection>> scheduled_flushes_;
   bool flush_posted_ = false;
-  /// Shared by all connections, for only one reads at a time.
+  /// Shared by all connections, because only one reads at a time.
   std::vector<char> read_buffer_;
-  /// Lets functions that the loop still holds find out that this object is gone.
+  /// Lets functions that the loop still holds detect that this object was destroyed.
   std::shared_ptr<HttpListener*> self_;
 };
 
--- a/src/net/http_request_reader.cpp
+++ b/src/net/http_request_reader.cpp
@@ -8,7 +8,7 @@
 namespace mosskeel {
 namespace {
 
-/// The fields that go on to the replica. Expect is answered here.
+/// Returns the fields to forward to the replica. Expect is handled by this server and removed.
 HeaderFields request_fields(const HeaderFields& fields) {
   auto kept = end_to_end_fields(fields);
   std::erase_if(kept, [](const HeaderField& field) { return equals_ignoring_case(field.name, "Expect"); });
@@ -41,7 +41,7 @@
 void HttpRequestReader::consume(size_t bytes) {
   received_.erase(0, bytes);
   if (received_.empty()) {
-    // Thousands of idle connections shall hold no memory.
+    // Frees the buffer, so that thousands of idle connections hold no memory.
     std::string().swap(received_);
   }
 }
--- a/src/net/http_request_reader.hpp
+++ b/src/net/http_request_reader.hpp
@@ -1,37 +1,38 @@
 #pragma once
-// Requests out of the bytes that a caller sends on one connection.
+// Parses requests from the bytes received on one connection.
 #include "net/chunked_decoder.hpp"
 #include "net/http_head.hpp"
 
 namespace mosskeel {
 
-/// Limits that requests are read under; the others of `HttpListenerLimits` are the connection's.
+/// Size limits of a request; `HttpListenerLimits` adds the limits of a connection.
 struct HttpRequestLimits {
   size_t max_head_bytes = 16384;
   size_t max_body_bytes = 4 << 20;
 };
 
-/// Reads one request after the other, pipelined ones too. It has no socket and no clock.
+/// An incremental parser for a sequence of requests, including pipelined ones. It uses neither a socket nor a clock.
 class HttpRequestReader {
  public:
   enum class Progress { incomplete, complete, rejected };
-  /// Takes bytes as they were received.
+  /// Appends received bytes to the input.
   void append(std::string_view bytes) { received_ += bytes; }
-  /// Reads on. After `complete` the next call begins the next request; after `rejected` nothing more may be read.
+  /// Continues parsing. After `complete`, the next call starts the next request; after `rejected`, it must not be
+  /// called again.
   Progress read(const HttpRequestLimits& limits);
-  /// The request that is complete; to be taken once.
+  /// Returns the completed request; to be called once for each.
   HttpRequest take_request() { return std::exchange(request_, {}); }
   /// The status to respond with after `rejected`.
   uint32_t rejection_status() const { return rejection_status_; }
-  /// Drops everything that was received.
+  /// Discards all received bytes.
   void discard();
 
-  /// Whether bytes are there that belong to no complete request.
+  /// Whether there are received bytes that are not part of a completed request.
   bool has_unread_bytes() const { return !received_.empty(); }
   bool in_body() const { return in_body_; }
-  /// Whether the caller waits for "100 Continue" before it sends the body that is being read; true only once.
+  /// Whether the caller waits for "100 Continue" before sending the current body; returns true only once per request.
   bool take_expects_continue() { return std::exchange(expects_continue_, false); }
-  /// What the last head that was accepted says.
+  /// Properties of the last accepted request head.
   bool http_1_0() const { return http_1_0_; }
   bool is_head_method() const { return is_head_method_; }
   bool closes_connection() const { return closes_connection_; }
@@ -46,7 +47,7 @@
   void consume(size_t bytes);
 
   std::string received_;
-  /// How far `received_` has been searched for the end of a head.
+  /// Offset up to which `received_` has been searched for the end of a head.
   size_t scanned_ = 0;
   bool in_body_ = false;
   bool expects_continue_ = false;
--- a/src/net/http_response_reader.hpp
+++ b/src/net/http_response_reader.hpp
@@ -1,57 +1,60 @@
 #pragma once
-// Responses out of the bytes that a replica sends on one connection.
+// Parses responses from the bytes received on one connection to a replica.
 #include "net/chunked_decoder.hpp"
 #include "net/http_head.hpp"
 
 namespace mosskeel {
 
-/// Reads one response after the other; interim ones (1xx) are skipped. It has no socket and no clock.
+/// An incremental parser for a sequence of responses; interim responses (1xx) are skipped. It uses neither a socket nor
+/// a clock.
 class HttpResponseReader {
  public:
   enum class Progress {
     /// More bytes are needed.
     incomplete,
-    /// A head has been read: `take_head` gives it, `read` goes on with the body.
+    /// A head has been read: `take_head` returns it, and `read` continues with the body.
     head,
-    /// Bytes of the body have been read: `take_body` gives them and must be called before the next `read`.
+    /// Bytes of the body have been read: `take_body` returns them and must be called before the next `read`.
     body,
-    /// The response is complete by its own framing. A body that lasts until the close is by `completed_by_close`.
+    /// The response is complete by its own framing. For a body that is delimited by the close, see
+    /// `completed_by_close`.
     complete,
     malformed
   };
-  /// Begins to read the response to another request.
-  /// @param to_head_method it has no body, whatever its head says.
+  /// Starts reading the response to the next request.
+  /// @param to_head_method the request is a HEAD, so its response has no body, whatever the head says.
   void begin(bool to_head_method);
   void append(std::string_view bytes) { received_ += bytes; }
-  /// Reads on, one step at a time.
+  /// Continues parsing by one step.
   Progress read();
-  /// The replica closed its direction in order, and all that it sent before was read: whether this completes the
-  /// response under way. Only one without a length and a chunked coding may end so (RFC 9112, section 6.3).
+  /// To be called when the replica has closed its side of the connection in an orderly way and everything before that
+  /// was read. Returns whether this completes the current response, which is so only if it has neither a length nor a
+  /// chunked coding (RFC 9112, section 6.3).
   bool completed_by_close();
   HttpHead take_head() { return std::move(head_); }
   std::string take_body() { return std::exchange(body_, {}); }
-  /// What is wrong after `malformed`.
+  /// The error after `malformed`.
   const std::string& error() const { return error_; }
-  /// Whether bytes are there that belong to no response that was read.
+  /// Whether there are received bytes that are not part of a response that was read.
   bool has_unread_bytes() const { return !received_.empty(); }
-  /// Drops everything that was received.
+  /// Discards all received bytes.
   void discard();
 
  private:
   Progress fail(std::string error);
   Progress read_head();
   Progress read_body();
-  /// Moves the body's bytes that have been received to `body_`.
+  /// Moves the received bytes of the body to `body_`.
   void read_sized_body();
 
   std::string received_;
-  /// How far `received_` has been searched for the end of a head.
+  /// Offset up to which `received_` has been searched for the end of a head.
   size_t scanned_ = 0;
   bool to_head_method_ = false;
   bool in_body_ = false;
   bool without_body_ = false;
   bool chunked_ = false;
-  /// Bytes of the body that are still to come; without a value it lasts until the connection is closed.
+  /// Remaining bytes of the body; no value if the body lasts until the connection is closed.
   std::optional<uint64_t> body_remaining_;
   ChunkedDecoder decoder_;
   HttpHead head_;
--- a/src/net/http_response_writer.cpp
+++ b/src/net/http_response_writer.cpp
@@ -15,7 +15,7 @@
   return std::string(digits, written.ptr) + "\r\n";
 }
 
-/// Responses with these statuses have neither a body nor fields that frame one (RFC 9110, section 6.4.1).
+/// Responses with these statuses have neither a body nor framing fields (RFC 9110, section 6.4.1).
 bool never_has_body(uint32_t status) {
   return status < 200 || status == 204 || status == 304;
 }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -13,19 +13,19 @@
 namespace {
 
 constexpr size_t kStreamBlockBytes = 32 << 10;
-/// The handlers are shallow; 2,000 connections shall not hold 16 GB of address space.
+/// The handlers need little stack; with the default size, 2,000 connections would reserve 16 GB of address space.
 constexpr size_t kConnectionStackBytes = 256 << 10;
 
-/// A request while libmicrohttpd hands it over piece by piece.
+/// A request that libmicrohttpd is delivering piece by piece.
 struct PendingRequest {
   ApiRequest request;
   bool body_too_long = false;
 };
 
-/// A streamed response on its way.
+/// A streamed response that is being sent.
 struct ResponseStream {
   ApiResponse response;
-  /// Bytes that the response gave and libmicrohttpd has not taken.
+  /// Bytes produced by the response that libmicrohttpd has not read yet.
   std::string unread;
 };
 
@@ -95,7 +95,7 @@
   }
 }
 
-/// Called by libmicrohttpd once for the head, for each piece of the body, and once at the end.
+/// Called by libmicrohttpd once for the head, once for each piece of the body, and once at the end.
 MHD_Result on_request(void* server, MHD_Connection* connection, const char* path, const char* method, const char*,
                       const char* body, size_t* body_size, void** context) {
   if (!*context) {
@@ -167,7 +167,7 @@
 Result<std::unique_ptr<HttpServer>> HttpServer::open(const Address& address, Handler handler) {
   auto parsed = parse_ipv4_address(address);
   if (!parsed) {
-    return Errors{{address, "is no IP:port"}};
+    return Errors{{address, "is not an IPv4 address with a port"}};
   }
   std::unique_ptr<HttpServer> server(new HttpServer(std::move(handler)));
   server->daemon_ = MHD_start_daemon(
@@ -176,7 +176,7 @@
       MHD_OPTION_NOTIFY_COMPLETED, on_request_completed, nullptr, MHD_OPTION_CONNECTION_LIMIT, kMaxHttpConnections,
       MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_THREAD_STACK_SIZE, kConnectionStackBytes, MHD_OPTION_END);
   if (!server->daemon_) {
-    return Errors{{address, "cannot be listened on"}};
+    return Errors{{address, "cannot listen on this address"}};
   }
   return server;
 }
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// An HTTP/1.1 server for JSON APIs, a thread per connection, by libmicrohttpd.
+// An HTTP/1.1 server for JSON APIs with one thread per connection, based on libmicrohttpd.
 #include <map>
 
 #include "mosskeel/common.hpp"
@@ -14,31 +14,31 @@
   std::map<std::string, std::string> headers, query;
 };
 
-/// A complete response, or, with `next_chunk`, a stream.
+/// A complete response or, if `next_chunk` is set, a streamed one.
 struct ApiResponse {
-  /// `aborted`: the connection is closed so that its caller can't take the response for complete.
+  /// `aborted`: the connection is closed in a way that the caller cannot mistake the response for a complete one.
   enum class StreamState { more, finished, aborted };
   uint32_t status = 200;
   std::string body;
-  /// JSON is the content type where none is given.
+  /// The content type defaults to JSON.
   std::map<std::string, std::string> headers;
-  /// Appends the next bytes of the stream; may block until there are some. Called on the connection's thread.
+  /// Appends the next bytes of the stream; may block until there are some. Runs on the connection's thread.
   std::function<StreamState(std::string& bytes)> next_chunk;
 
-  /// @param code names the kind of error to programs, `reason` tells people.
-  /// @param retry_after the time after which the caller may retry; 0 for none.
+  /// @param code a machine-readable kind of error; `reason` is the text for people.
+  /// @param retry_after the delay after which the caller may retry; 0 omits it.
   static ApiResponse error(uint32_t status, const std::string& code, const std::string& reason,
                            Duration retry_after = {});
   static ApiResponse error(uint32_t status, const std::string& code, const Errors& errors);
 };
 
-/// Serves requests from `open` until it is destroyed.
+/// Serves requests from `open` until destruction.
 class HttpServer {
  public:
-  /// Called on the thread of the request's connection; it may block.
+  /// Runs on the thread of the request's connection; may block.
   using Handler = std::function<ApiResponse(const ApiRequest&)>;
   /// @param address an IPv4 address with a port.
-  /// @return errors where the address can't be listened on.
+  /// @return errors if listening at the address fails.
   static Result<std::unique_ptr<HttpServer>> open(const Address& address, Handler handler);
   ~HttpServer();
   const Handler& handler() const { return handler_; }
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -10,14 +10,14 @@
 namespace mosskeel {
 namespace {
 
-/// A caller that was told of the close has this long to close its own direction.
+/// How long a caller may take to close its side after this side was shut down.
 constexpr Duration kLingerTimeout = 1000ms;
 
 }  // namespace
 
 HttpServerConnection::HttpServerConnection(EventLoop& loop, HttpConnectionOwner& owner, Fd socket)
     : loop_(loop), owner_(owner), socket_(std::move(socket)), deadline_(loop, [this] {
-        auto alive = shared_from_this();
+        auto self = shared_from_this();
         on_deadline();
       }) {}
 
@@ -32,13 +32,13 @@
 }
 
 void HttpServerConnection::on_ready(uint32_t events) {
-  bool caller_is_gone = events & (EPOLLERR | EPOLLHUP);
-  bool caller_has_finished = events & EPOLLRDHUP;
-  if (caller_is_gone || (phase_ == Phase::responding && caller_has_finished)) {
+  bool connection_lost = events & (EPOLLERR | EPOLLHUP);
+  bool caller_has_shut_down = events & EPOLLRDHUP;
+  if (connection_lost || (phase_ == Phase::responding && caller_has_shut_down)) {
     disconnect();
     return;
   }
-  if (phase_ == Phase::lingering_unread && caller_has_finished) {
+  if (phase_ == Phase::lingering_unread && caller_has_shut_down) {
     close();
     return;
   }
@@ -191,7 +191,7 @@
   }
   phase_ = Phase::reading;
   deadline_.set(owner_.limits().idle_timeout);
-  // A pipelined request may be there already.
+  // A pipelined request may already have been received.
   read_request();
 }
 
@@ -266,7 +266,7 @@
 }
 
 void HttpServerConnection::update_watched_events() {
-  // A scheduled flush comes before the next wait of the loop, and updates them then.
+  // A scheduled flush runs before the loop's next wait and updates the events then.
   if (phase_ == Phase::closed || flush_scheduled_) {
     return;
   }
--- a/src/net/http_syntax.hpp
+++ b/src/net/http_syntax.hpp
@@ -8,25 +8,25 @@
 
 bool equals_ignoring_case(std::string_view left, std::string_view right);
 
-/// Without spaces and tabs at both ends.
+/// Removes spaces and tabs from both ends.
 std::string_view trim_whitespace(std::string_view text);
 
-/// Cuts the first element of a comma-separated list off `list` and returns it without surrounding whitespace.
+/// Removes the first element from the comma-separated `list` and returns it without surrounding whitespace.
 std::string_view next_list_element(std::string_view& list);
 
-/// Whether the text can be a method or the name of a field.
+/// Whether the text is a valid method or field name.
 bool is_http_token(std::string_view text);
 
-/// Whether the text can be the value of a field: no control characters but tabs.
+/// Whether the text is a valid field value: it has no control characters except tabs.
 bool is_field_value(std::string_view text);
 
-// Whether a line of a head, without its end, is of this kind.
+// These check one line of a head, given without its CRLF.
 bool is_field_line(std::string_view line);
-/// Only targets that are paths, and only HTTP/1.0 and HTTP/1.1.
+/// Accepts only targets in origin form (paths) and only HTTP/1.0 and HTTP/1.1.
 bool is_request_line(std::string_view line);
 bool is_status_line(std::string_view line);
 
-/// The host named by the value of a Host field, in lower case and without port; nothing where the value is malformed.
+/// Returns the host from the value of a Host field, in lower case and without the port; no value if it is malformed.
 std::optional<std::string> parse_host(std::string_view value);
 
 }  // namespace mosskeel
--- a/src/net/keep_alive.cpp
+++ b/src/net/keep_alive.cpp
@@ -7,12 +7,13 @@
 namespace mosskeel {
 namespace {
 
-/// A replica that does not say how long it keeps idle connections is assumed to keep them this long.
+/// Assumed for replicas that do not state how long they keep idle connections.
 constexpr Duration kDefaultKeepAlive = 4000ms;
-/// A connection is given up this long before the replica would close it, so that no request crosses the close.
+/// A connection is closed this long before the replica would close it, so that no request crosses the close.
 constexpr Duration kKeepAliveMargin = 1000ms;
 constexpr Duration kMaxKeepAlive = 600000ms;
-/// Digits of a number of seconds below `kMaxKeepAlive` many times over, that surely fits.
+/// A number of seconds with more digits than this is far above `kMaxKeepAlive`; with this many it always fits into the
+/// integer type.
 constexpr size_t kMaxKeepAliveDigits = 6;
 
 Duration parse_timeout(std::string_view seconds) {
@@ -23,8 +24,8 @@
   if (digits.size() > kMaxKeepAliveDigits) {
     return kMaxKeepAlive;
   }
-  auto announced = std::chrono::seconds(std::stoll(std::string(digits)));
-  return std::min<Duration>(announced - kKeepAliveMargin, kMaxKeepAlive);
+  auto replica_timeout = std::chrono::seconds(std::stoll(std::string(digits)));
+  return std::min<Duration>(replica_timeout - kKeepAliveMargin, kMaxKeepAlive);
 }
 
 }  // namespace
--- a/src/net/keep_alive.hpp
+++ b/src/net/keep_alive.hpp
@@ -1,11 +1,12 @@
 #pragma once
-// How long a kept connection may be idle.
+// The idle timeout of persistent connections.
 #include "net/protocol_codec.hpp"
 
 namespace mosskeel {
 
-/// By the response's "Keep-Alive: timeout=SECONDS", less a margin so that no request crosses the replica's close; else
-/// the default. Not above 0 where the connection must not be kept.
+/// Returns the timeout of the response's "Keep-Alive: timeout=SECONDS" field, less a margin so that no request crosses
+/// the replica's close, or the default if there is no such field. 0 or less means that the connection must not be
+/// reused.
 Duration keep_alive_of(const HeaderFields& fields);
 
 }  // namespace mosskeel
--- a/src/net/local_mailboxes.hpp
+++ b/src/net/local_mailboxes.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Messages from a machine to threads of its own process.
+// Delivers messages from a state machine to threads of the same process.
 #include <mutex>
 
 #include "base/queue.hpp"
@@ -7,8 +7,8 @@
 
 namespace mosskeel {
 
-/// Gives each waiting thread, as that of an HTTP request, an address of its own, and delivers to it the messages that a
-/// state machine sends there. Thread-safe.
+/// Gives each waiting thread, such as the one of an HTTP request, its own address, and delivers the messages that a
+/// state machine sends to that address. Thread-safe.
 class LocalMailboxes {
  public:
   using Mailbox = Queue<Message>;
@@ -16,15 +16,16 @@
     Address address;
     std::shared_ptr<Mailbox> mailbox;
   };
-  /// A new mailbox; its address begins with "local:". After `shut_down` it is closed from the start.
+  /// Opens a new mailbox; its address starts with "local:". After `shut_down`, new mailboxes are already closed.
   Opened open();
-  /// What is delivered there from now on is dropped.
+  /// Removes the mailbox; messages delivered to its address from now on are dropped.
   void close(const Address& address);
-  /// Delivers the message to its receiver's mailbox; dropped where that is closed.
+  /// Delivers the message to its receiver's mailbox; drops it if that mailbox is closed.
   void deliver(const Envelope& envelope);
-  /// Nothing is delivered from now on: whoever waits at a mailbox, or will wait, takes what is there and then nothing.
+  /// Closes all mailboxes, including those opened later. Nothing more is delivered; receivers get the messages that are
+  /// already queued, and then no further message without waiting.
   void shut_down();
-  /// Mailboxes that are open.
+  /// Number of open mailboxes.
   size_t size() const;
 
  private:
--- a/src/net/message_size.hpp
+++ b/src/net/message_size.hpp
@@ -1,10 +1,10 @@
 #pragma once
-// How much text a message carries, to bound what waits in memory.
+// The payload size of a message, used to bound the memory of queues.
 #include "messages/message.hpp"
 
 namespace mosskeel {
 
-/// Bytes of the histories and chains in a message; 0 for kinds that carry none.
+/// Returns the size in bytes of the histories and chains in a message; 0 for kinds without any.
 size_t history_bytes(const Message& message);
 
 }  // namespace mosskeel
--- a/src/net/replica_call_transfer.cpp
+++ b/src/net/replica_call_transfer.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration kReplicaConnectTimeout = 1000ms;
-/// A response may be larger than what callers may send.
+/// Responses may be larger than the requests of callers.
 constexpr size_t kMaxReplicaResponseBytes = kMaxHttpBodyBytes * 8;
 constexpr std::string_view kSealHeader = "x-seal:";
 constexpr const char* kModelKind = "model";
--- a/src/net/replica_call_transfer.hpp
+++ b/src/net/replica_call_transfer.hpp
@@ -1,30 +1,29 @@
 #pragma once
-// One request of the product's own interface to a replica, as libcurl carries it out.
+// A single libcurl transfer of a request to a replica over this product's own interface.
 #include "messages/message.hpp"
 #include "net/curl_handles.hpp"
 
 namespace mosskeel {
 
-/// One request under way and what has come of its response. It belongs to the thread that drives its libcurl handle.
-/// The handle points to this object, which therefore stays where it is.
+/// A request in progress and the part of its response received so far. Used only on the thread that drives its libcurl
+/// handle. The handle points to this object, which therefore cannot be moved.
 class ReplicaCallTransfer {
  public:
   using MessageCallback = std::function<void(Message)>;
-  /// @param on_message called with ReplicaCallChunk for each piece of a model's response; it has to outlive the
-  /// transfer.
+  /// @param on_message called with a ReplicaCallChunk for each piece of a model's response; must outlive the transfer.
   ReplicaCallTransfer(const ReplicaCall& request, const MessageCallback& on_message);
   ReplicaCallTransfer(const ReplicaCallTransfer&) = delete;
   ReplicaCallTransfer& operator=(const ReplicaCallTransfer&) = delete;
   CURL* handle() const { return handle_.get(); }
   const std::string& attempt() const { return request_.attempt; }
-  /// The outcome, once libcurl is done with the request.
+  /// Returns the outcome, once libcurl has finished the transfer.
   ReplicaCallResponse finish(CURLcode result);
 
  private:
   static size_t on_body(char* bytes, size_t size, size_t count, void* call);
   static size_t on_header(char* bytes, size_t size, size_t count, void* call);
   bool is_model_stream() const;
-  /// False ends the request with `error_`.
+  /// Returns false to end the transfer with `error_`.
   bool take_body(std::string_view bytes);
   bool take_stream(std::string_view bytes);
   bool take_line(const std::string& line);
@@ -39,10 +38,10 @@
   CurlHeaderList headers_;
   /// 0 until the head has been received.
   long status_ = 0;
-  /// The stream's last line, as far as it has come.
+  /// The incomplete last line of the stream.
   std::string incomplete_line_;
   std::string body_;
-  /// Why the response can't be used; empty where nothing is wrong with it.
+  /// Why the response is unusable; empty if there is no error.
   std::string error_;
   ReplicaCallResponse outcome_{};
 };
--- a/src/net/replica_client.cpp
+++ b/src/net/replica_client.cpp
@@ -10,12 +10,12 @@
 namespace mosskeel {
 namespace {
 
-/// Only bounds the time that a missed wake-up costs.
+/// Bounds only the delay caused by a missed wake-up.
 constexpr Duration kPollTimeout = 100ms;
 
 }  // namespace
 
-/// The client's thread and what lives on it.
+/// The client's thread and its state.
 class ReplicaClient::Worker {
  public:
   explicit Worker(MessageCallback on_message)
@@ -48,10 +48,10 @@
   MessageCallback on_message_;
   CurlMultiHandle multi_;
   Queue<std::variant<ReplicaCall, CancelCommand>> commands_;
-  /// By attempt; of the worker's thread alone.
+  /// By attempt; used only on the worker's thread.
   std::map<std::string, std::unique_ptr<ReplicaCallTransfer>> calls_;
   std::atomic<bool> stop_requested_{false};
-  /// Last, for it uses all the others.
+  /// Declared last, because the thread uses all other members.
   std::thread thread_;
 };
 
--- a/src/net/replica_client.hpp
+++ b/src/net/replica_client.hpp
@@ -1,22 +1,22 @@
 #pragma once
-// Requests of the product's own interface to model replicas, by libcurl.
+// A libcurl client for this product's own interface to model replicas.
 #include "messages/message.hpp"
 
 namespace mosskeel {
 
-/// Sends requests to replicas on a thread of its own. One that is not idempotent goes over a fresh connection: libcurl
-/// would send it again on its own where a kept connection turns out to be closed.
+/// Sends requests to replicas on its own thread. A request that is not idempotent uses a new connection, because
+/// libcurl resends a request by itself if a reused connection turns out to be closed.
 class ReplicaClient {
  public:
-  /// Called on the client's thread, with ReplicaCallChunk for each piece of a model's response as it comes, and with
-  /// one ReplicaCallResponse for each request that was not cancelled.
+  /// Called on the client's thread: with a ReplicaCallChunk for each piece of a model's response as it arrives, and
+  /// with one ReplicaCallResponse for each request that was not cancelled.
   using MessageCallback = std::function<void(Message)>;
   explicit ReplicaClient(MessageCallback on_message);
-  /// Drops the requests under way; nothing is told of them.
+  /// Aborts the requests in progress without reporting them.
   ~ReplicaClient();
-  /// Thread-safe, as is `cancel`.
+  /// Thread-safe, like `cancel`.
   void send(const ReplicaCall& request);
-  /// Drops a request; nothing more is told of it, but what is under way already.
+  /// Aborts a request. Nothing more is reported for it, except messages that are already being delivered.
   void cancel(const std::string& attempt);
 
  private:
--- a/src/net/send_buffer.hpp
+++ b/src/net/send_buffer.hpp
@@ -1,21 +1,21 @@
 #pragma once
-// Bytes on their way to a socket.
+// A buffer for bytes to be sent to a socket.
 #include <string>
 #include <string_view>
 
 namespace mosskeel {
 
-/// Bytes that a socket takes at its own pace. Writers append to `tail()`; what the socket has taken is consumed, and
-/// its memory given back in steps of `kMaxConsumedBytes`.
+/// Buffers bytes until the socket accepts them. Writers append to `tail()`; bytes that the socket has accepted are
+/// marked with `consume`, and `compact` frees their memory in steps of `kMaxConsumedBytes`.
 class SendBuffer {
  public:
-  /// So much may be held that was sent already, and be kept for reuse once everything is sent.
+  /// Maximum number of sent bytes kept at the front, and maximum capacity kept for reuse once everything is sent.
   static constexpr size_t kMaxConsumedBytes = 16 << 10;
 
   std::string& tail() { return bytes_; }
   std::string_view unsent() const { return std::string_view(bytes_).substr(consumed_); }
   void consume(size_t bytes) { consumed_ += bytes; }
-  /// To be called after the socket has taken what it could.
+  /// To be called after the socket has accepted as much as it can.
   void compact() {
     if (unsent().empty()) {
       consumed_ = 0;
@@ -28,7 +28,7 @@
       consumed_ = 0;
     }
   }
-  /// Drops everything, and its memory.
+  /// Discards all bytes and frees their memory.
   void release() {
     std::string().swap(bytes_);
     consumed_ = 0;
@@ -36,7 +36,7 @@
 
  private:
   std::string bytes_;
-  /// Bytes at the front that the socket has taken.
+  /// Number of bytes at the front that the socket has accepted.
   size_t consumed_ = 0;
 };
 
--- a/src/net/transport.cpp
+++ b/src/net/transport.cpp
@@ -11,14 +11,14 @@
 namespace mosskeel {
 namespace {
 
-/// Milliseconds, as all of nng's durations. How long the receiving thread takes to see that it shall stop.
+/// In milliseconds, like all of nng's durations. Bounds how long the receiving thread takes to notice a stop request.
 constexpr nng_duration kReceiveTimeout = 200;
-/// Larger than any message, small enough that a broken length costs little.
+/// Larger than any message, but small enough that a corrupt length field wastes little memory.
 constexpr size_t kMaxMessageBytes = 64u << 20;
-/// Between two attempts to reach a peer; a daemon that restarts is found again at once.
+/// Delay between two connection attempts to a peer; short, so that a restarted daemon is reached quickly.
 constexpr nng_duration kMinReconnectDelay = 50;
 constexpr nng_duration kMaxReconnectDelay = 200;
-/// Drops between two log lines about them.
+/// Only one in this many dropped messages is logged.
 constexpr uint64_t kDropsPerLogLine = 1000;
 
 std::string nng_url(const Address& address) {
@@ -83,7 +83,7 @@
     return;
   }
   ++foreign_;
-  log_event(Event::foreign, std::to_string(bytes) + " bytes that are no message of ours");
+  log_event(Event::foreign, "dropped " + std::to_string(bytes) + " bytes that are not a valid message");
 }
 
 std::optional<uint32_t> Transport::peer_socket(const Address& peer) {
@@ -112,7 +112,7 @@
   auto bytes = encode(envelope);
   if (nng_send(nng_socket{*socket}, bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK)) {
     if (dropped_++ % kDropsPerLogLine == 0) {
-      log_event(Event::unsent, "to " + envelope.to);
+      log_event(Event::unsent, "dropped a message to " + envelope.to + ": its send queue is full");
     }
     return false;
   }
--- a/src/net/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -14,10 +14,10 @@
 namespace mosskeel {
 namespace {
 
-/// Small, for a response whose reading is paused still brings this much.
+/// Small, because a response still delivers this much after its reading is paused.
 constexpr size_t kUpstreamReadBufferBytes = 16 << 10;
-/// A replica that acknowledges no byte for so long is taken for unreachable.
-constexpr int kUnacknowledgedTimeout = 3000;
+/// TCP_USER_TIMEOUT in milliseconds: a replica that acknowledges no data for this long counts as unreachable.
+constexpr int kTcpUserTimeoutMs = 3000;
 
 bool is_printable(std::string_view text) {
   return !text.empty() &&
@@ -32,7 +32,7 @@
   return equals_ignoring_case(field.name, "Content-Length") || equals_ignoring_case(field.name, "Transfer-Encoding");
 }
 
-/// The request as it goes over the wire, or nothing where it can't be written without changing its framing.
+/// Serializes the request; returns no value if a field would change its framing.
 std::optional<std::string> serialize(const UpstreamRequest& request) {
   if (!is_printable(request.method) || !is_printable(request.target)) {
     return std::nullopt;
@@ -95,7 +95,7 @@
   return id;
 }
 
-UpstreamClient::Opened UpstreamClient::open_connection(const Address& address) {
+UpstreamClient::OpenResult UpstreamClient::open_connection(const Address& address) {
   auto endpoint = parse_endpoint(address);
   if (!endpoint) {
     return {nullptr, "not an address: " + address};
@@ -105,7 +105,7 @@
     return {nullptr, std::string("socket: ") + std::strerror(errno)};
   }
   set_socket_option(socket.get(), IPPROTO_TCP, TCP_NODELAY, 1);
-  set_socket_option(socket.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, kUnacknowledgedTimeout);
+  set_socket_option(socket.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, kTcpUserTimeoutMs);
   ++connections_opened_;
   const auto* socket_address = reinterpret_cast<const sockaddr*>(&endpoint->storage);
   if (::connect(socket.get(), socket_address, endpoint->length) != 0 && errno != EINPROGRESS) {
@@ -119,9 +119,9 @@
 
 void UpstreamClient::fail_later(uint64_t request, std::string reason) {
   requests_.emplace(request, nullptr);
-  loop_.post([this, request, reason = std::move(reason), alive = std::weak_ptr(self_)] {
-    bool still_wanted = alive.lock() && requests_.contains(request);
-    if (still_wanted) {
+  loop_.post([this, request, reason = std::move(reason), weak_self = std::weak_ptr(self_)] {
+    bool still_pending = weak_self.lock() && requests_.contains(request);
+    if (still_pending) {
       on_failure(request, Delivery::not_sent, reason);
     }
   });
--- a/src/net/upstream_client.hpp
+++ b/src/net/upstream_client.hpp
@@ -1,59 +1,60 @@
 #pragma once
-// An HTTP/1.1 client on an event loop, towards replicas.
+// An event-driven HTTP/1.1 client for replicas.
 #include "net/connection_pool.hpp"
 
 namespace mosskeel {
 
-/// Sends requests to replicas and reads their responses; keeps connections for reuse. It never sends a request twice:
-/// whether one that failed may be retried is for its sender to decide.
+/// Sends requests to replicas, reads their responses and pools connections for reuse. It never sends a request twice:
+/// the caller decides whether to retry a failed request.
 ///
-/// Everything, callbacks too, happens on the loop's thread. No callback comes from within `send_request`. It must not
-/// be destroyed in a callback. After `on_complete`, `on_failure` or `cancel` a request's id is no longer valid: it has
-/// no more callbacks, and calls with it do nothing.
+/// All functions and callbacks run on the loop's thread. `send_request` does not call callbacks. The client must not be
+/// destroyed in a callback. After `on_complete`, `on_failure` or `cancel`, the request's id is invalid: it gets no more
+/// callbacks, and calls with it do nothing.
 class UpstreamClient final : private UpstreamConnectionOwner {
  public:
   using Delivery = UpstreamDelivery;
   using Request = UpstreamRequest;
   using ResponseHead = UpstreamResponseHead;
   struct Callbacks {
-    /// Interim responses (1xx) are not told.
+    /// Not called for interim responses (1xx).
     std::function<void(uint64_t request, ResponseHead&& head)> on_head;
-    /// Bytes of the body, without the chunked coding.
+    /// Called with bytes of the body, decoded from the chunked coding.
     std::function<void(uint64_t request, std::string_view bytes)> on_body;
-    /// The response is complete: by its own framing, or by an orderly close where it has none. A reset completes none.
+    /// The response is complete, either by its own framing or, if it has none, by an orderly close. A reset never
+    /// completes a response.
     std::function<void(uint64_t request)> on_complete;
-    /// There is no complete response, and there will be none.
+    /// The request has failed; there will be no complete response.
     std::function<void(uint64_t request, Delivery delivery, std::string reason)> on_failure;
   };
   UpstreamClient(EventLoop& loop, Callbacks callbacks);
   ~UpstreamClient();
 
-  /// @return the request's id; errors too are told by `on_failure`.
+  /// @return the request's id; all errors are reported through `on_failure`.
   uint64_t send_request(Request request);
-  /// Closes the request's connection; it has no more callbacks.
+  /// Closes the request's connection; there are no more callbacks for it.
   void cancel(uint64_t request);
-  /// From within `on_head`: this response is not the request's own, but a late one to an earlier request. It is read to
-  /// its end unseen, and the next head is awaited.
+  /// May only be called in `on_head`, if the response belongs to an earlier request. It is read to its end and
+  /// discarded; the next head is then reported.
   void skip_response(uint64_t request);
-  /// Stops reading the response; what the last read brought, at most 16 KiB, still comes.
+  /// Stops reading the response. Bytes of the last read, at most 16 KiB, are still delivered.
   void pause_reading(uint64_t request);
   void resume_reading(uint64_t request);
-  /// Closes the idle connections to a replica; the active ones take no further request.
+  /// Closes the idle connections to a replica; its active connections are not reused.
   void retire_connections(const Address& address);
-  /// Connections opened so far.
+  /// Number of connections opened so far.
   uint64_t connections_opened() const { return connections_opened_; }
   size_t idle_connections() const { return pool_.size(); }
 
  private:
-  /// A new connection, or why there is none.
-  struct Opened {
+  /// A new connection, or an error.
+  struct OpenResult {
     std::shared_ptr<UpstreamConnection> connection;
     std::string error;
   };
-  Opened open_connection(const Address& address);
-  /// Fails the request from the loop, so that its sender knows its id by then.
+  OpenResult open_connection(const Address& address);
+  /// Posts the failure to the event loop, so that the sender already has the request's id when it is reported.
   void fail_later(uint64_t request, std::string reason);
-  /// Nothing where the request is over or has no connection.
+  /// Returns null if the request has ended or has no connection.
   std::shared_ptr<UpstreamConnection> find(uint64_t request) const;
 
   // UpstreamConnectionOwner
@@ -69,13 +70,13 @@
   Callbacks callbacks_;
   uint64_t last_request_ = 0;
   uint64_t connections_opened_ = 0;
-  /// Requests under way with their connections; without one those that are about to fail.
+  /// Connections of the requests in progress; null for requests that are about to fail.
   std::unordered_map<uint64_t, std::shared_ptr<UpstreamConnection>> requests_;
   std::unordered_map<UpstreamConnection*, std::shared_ptr<UpstreamConnection>> connections_;
   ConnectionPool pool_;
-  /// Shared by all connections, for only one reads at a time.
+  /// Shared by all connections, because only one reads at a time.
   std::vector<char> read_buffer_;
-  /// Lets functions that the loop still holds find out that this object is gone.
+  /// Lets functions that the loop still holds detect that this object was destroyed.
   std::shared_ptr<UpstreamClient*> self_;
 };
 
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -12,8 +12,8 @@
 namespace mosskeel {
 namespace {
 
-/// Whether the socket is open and nothing has been received on it.
-bool is_silent(int socket) {
+/// Whether the socket is open and has no unread input.
+bool is_open_without_input(int socket) {
   char byte = 0;
   return ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
 }
@@ -56,7 +56,7 @@
 }
 
 bool UpstreamConnection::usable() const {
-  return monotonic_now() < idle_until_ && is_silent(socket_.get());
+  return monotonic_now() < idle_until_ && is_open_without_input(socket_.get());
 }
 
 void UpstreamConnection::update_watched_events() {
@@ -101,9 +101,10 @@
     on_connected();
     return;
   }
-  bool gone = events & (EPOLLERR | EPOLLHUP);
-  if (reading_paused_ && gone) {
-    // Both are reported whether asked for or not; what was received before is read after the pause.
+  bool connection_lost = events & (EPOLLERR | EPOLLHUP);
+  if (reading_paused_ && connection_lost) {
+    // EPOLLERR and EPOLLHUP are reported even if not requested, and the loop would spin on them. Bytes received before
+    // are read when reading resumes.
     loop_.unwatch(socket_.get());
     watched_ = false;
     return;
@@ -111,7 +112,7 @@
   if (events & EPOLLOUT) {
     send_unsent();
   }
-  if (phase_ == Phase::active && ((events & EPOLLIN) || gone)) {
+  if (phase_ == Phase::active && ((events & EPOLLIN) || connection_lost)) {
     receive();
   }
 }
@@ -129,7 +130,7 @@
     return;
   }
   cancel_timer();
-  if (!is_silent(socket_.get())) {
+  if (!is_open_without_input(socket_.get())) {
     fail("closed, or spoke before it was asked");
     return;
   }
@@ -152,7 +153,7 @@
       break;
     }
     if (sent <= 0) {
-      // The replica may have responded before it closed: reading finds out.
+      // The replica may have responded before it closed the connection; the next read shows that.
       reusable_ = false;
       sent_bytes_ = request_bytes_.size();
       break;
@@ -186,7 +187,8 @@
 }
 
 void UpstreamConnection::on_end_of_stream() {
-  // Nor does the end complete a late response to an earlier request, or one to a request that was not taken whole.
+  // The close completes neither a skipped response to an earlier request nor the response to a request that was not
+  // sent completely.
   bool may_complete = !skipping_ && request_bytes_.empty();
   if (!may_complete || !reader_.completed_by_close()) {
     fail("closed before the answer was whole");
@@ -232,9 +234,9 @@
     return true;
   }
   auto request = std::exchange(request_, 0);
-  // Surplus bytes, or a request that was not taken to its end, leave the two sides with different views.
-  bool clean_end = !reader_.has_unread_bytes() && request_bytes_.empty();
-  if (clean_end && reusable_ && keep_alive_ > 0ms) {
+  // After surplus bytes, or a request that was not sent completely, the two sides may disagree about the framing.
+  bool framing_in_sync = !reader_.has_unread_bytes() && request_bytes_.empty();
+  if (framing_in_sync && reusable_ && keep_alive_ > 0ms) {
     become_idle();
   } else {
     close();
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// One connection to a replica.
+// A client-side HTTP/1.1 connection to a replica.
 #include <vector>
 
 #include "base/fd.hpp"
@@ -10,21 +10,22 @@
 
 class UpstreamConnection;
 
-/// Whether a request that failed may have run: `not_sent` means that not one byte of it can have reached the replica.
+/// Whether a failed request may have run: `not_sent` means that no byte of it can have reached the replica.
 enum class UpstreamDelivery { not_sent, possibly_sent };
 
-/// A request as UpstreamClient takes it. The fields are sent as given, but for the framing, which is the client's own.
+/// A request for UpstreamClient. The fields are sent unchanged, except framing fields, which the client generates.
 struct UpstreamRequest {
   Address address;
   std::string method, target;
   HeaderFields fields;
   std::string body;
-  /// Not on a kept connection.
+  /// Never reuse a pooled connection.
   bool new_connection = false;
   Duration connect_timeout = 1000ms;
-  /// Only on a kept connection that has been idle for no longer: a replica may have forgotten it silently.
+  /// Maximum idle time of a reused connection: a replica may have dropped a longer idle one silently.
   Duration max_idle = Duration::max();
-  /// What the sender calls the request, for `UpstreamResponseHead::previous_tag`.
+  /// The sender's label of the request, reported as `UpstreamResponseHead::previous_tag` with the next response on the
+  /// connection.
   std::string tag;
 };
 
@@ -33,26 +34,26 @@
   HeaderFields fields;
   bool chunked = false;
   std::optional<uint64_t> content_length;
-  /// The tag of the request that had this connection before; empty on a new one.
+  /// The tag of the previous request on this connection; empty on a new connection.
   std::string previous_tag;
 
-  /// Whether nothing but the end of the connection tells where the body ends.
+  /// Whether the body is delimited only by the end of the connection.
   bool lasts_until_close() const { return !chunked && !content_length; }
 };
 
-/// What a connection needs of its client. All of it is called on the loop's thread, and never from within
-/// `send_request` or `connect`.
+/// The interface that a connection uses to call its client. All functions are called on the loop's thread, and never
+/// from within `send_request` or `connect`.
 class UpstreamConnectionOwner {
  public:
-  /// Where a connection may receive bytes to; the content is its own only until it returns.
+  /// A buffer to receive into; its content is valid only until the connection returns to the event loop.
   virtual std::vector<char>& read_buffer() = 0;
   virtual void on_head(uint64_t request, UpstreamResponseHead&& head) = 0;
   virtual void on_body(uint64_t request, std::string_view bytes) = 0;
-  /// The response is complete; the connection is idle or closed by now.
+  /// The response is complete; the connection is already idle or closed.
   virtual void on_complete(uint64_t request) = 0;
-  /// The connection is closed by now.
+  /// The request failed; the connection is already closed.
   virtual void on_failure(uint64_t request, UpstreamDelivery delivery, std::string reason) = 0;
-  /// May take another request from now on.
+  /// The connection can be given another request from now on.
   virtual void on_idle(std::shared_ptr<UpstreamConnection> connection) = 0;
   virtual void on_closed(UpstreamConnection& connection) = 0;
 
@@ -60,35 +61,36 @@
   ~UpstreamConnectionOwner() = default;
 };
 
-/// Sends one request after the other and reads their responses. Its owner holds it by a shared pointer until
-/// `on_closed`; a connection that is closed does nothing more. A request is sent once, on one connection.
+/// Sends requests and reads their responses, one after another. The owner holds a shared pointer to it until
+/// `on_closed`; a closed connection does nothing. A request is sent once, on one connection.
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
  public:
-  /// @param socket non-blocking, its connect is under way.
+  /// @param socket a non-blocking socket whose connect is in progress.
   UpstreamConnection(EventLoop& loop, UpstreamConnectionOwner& owner, Address address, Fd socket);
-  /// Gives it the next request, `id` being its owner's name for it. Only on a new or an idle connection; it is sent by
-  /// `connect` or `send`.
-  /// @param bytes the request as it goes over the wire.
+  /// Sets the next request; `id` is the owner's id for it. The connection must be new or idle. `connect` or `send` then
+  /// sends the request.
+  /// @param bytes the serialized request.
   void assign(uint64_t id, const UpstreamRequest& request, std::string bytes);
-  /// On a new connection: waits until it is established and sends the request then.
+  /// For a new connection: sends the request once the connection is established.
   void connect(Duration timeout);
-  /// On an idle connection: sends the request now.
+  /// For an idle connection: sends the request immediately.
   void send();
-  /// From within `on_head`: this response is not the request's own, but a late one to an earlier request. It is read to
-  /// its end unseen, and the next head is awaited.
+  /// May only be called in `on_head`, if the response belongs to an earlier request. It is read to its end and
+  /// discarded; the next head is then reported.
   void skip_response() { skipping_ = true; }
-  /// What the last read brought, one read buffer at most, still comes.
+  /// Stops reading. Bytes of the last read, at most one read buffer, are still delivered.
   void pause_reading();
   void resume_reading();
-  /// It takes no request after the one under way.
+  /// Closes the connection after the current request instead of reusing it.
   void forbid_reuse() { reusable_ = false; }
   void close();
 
   const Address& address() const { return address_; }
   bool idle() const { return phase_ == Phase::idle; }
-  /// When it became idle, on the monotonic clock.
+  /// Time when the connection became idle.
   MonotonicTime idle_since() const { return idle_since_; }
-  /// Whether an idle connection can take a request: it has not expired, and the replica neither closed it nor spoke.
+  /// Whether an idle connection can be reused: it has not expired, and the replica has neither closed it nor sent
+  /// anything.
   bool usable() const;
 
  private:
@@ -97,12 +99,12 @@
   void on_connected();
   void send_unsent();
   void receive();
-  /// The replica has closed its direction in order.
+  /// Handles an orderly close of the replica's side.
   void on_end_of_stream();
-  /// Reads on; false where nothing more can be read for now.
+  /// Parses the next part of the response; returns false if nothing more can be parsed for now.
   bool read_response();
   void on_head(HttpHead head);
-  /// The response is complete; true where the request's own one may follow.
+  /// Handles the end of a response. Returns true if it was skipped and the request's own response may follow.
   bool on_response_complete();
   void become_idle();
   void fail(std::string reason);
@@ -118,23 +120,23 @@
   Phase phase_ = Phase::connecting;
   bool watched_ = false;
   uint32_t watched_events_ = 0;
-  /// The timer of the connect or of the idle time, 0 where none runs.
+  /// Id of the connect or idle timer; 0 if none is running.
   uint64_t timer_ = 0;
   MonotonicTime connect_deadline_{};
-  /// The owner's name for the request under way, 0 where there is none.
+  /// The owner's id of the current request; 0 if there is none.
   uint64_t request_ = 0;
-  /// The request's bytes, of which the kernel has taken the first `sent_bytes_`.
+  /// The serialized request; its first `sent_bytes_` bytes have been passed to the kernel.
   std::string request_bytes_;
   size_t sent_bytes_ = 0;
-  /// From the first byte that the kernel has taken on.
+  /// Set once the kernel has accepted the first byte.
   bool possibly_sent_ = false;
   HttpResponseReader reader_;
   bool reading_paused_ = false;
   bool skipping_ = false;
-  /// The tags of this request and of the one before.
+  /// The tags of the current and the previous request.
   std::string tag_, previous_tag_;
   bool reusable_ = true;
-  /// How long the replica keeps the connection when idle, and what follows from it.
+  /// How long the replica keeps the connection when idle, and the resulting idle period.
   Duration keep_alive_ = 0ms;
   MonotonicTime idle_since_{};
   MonotonicTime idle_until_{};
--- a/src/net/wire.hpp
+++ b/src/net/wire.hpp
@@ -1,16 +1,16 @@
 #pragma once
-// The one place where messages between daemons become bytes and back.
+// Encodes and decodes the messages between daemons.
 #include "messages/message.hpp"
 
 namespace mosskeel {
 
-/// The envelope with a checksum behind it.
+/// Returns the encoded envelope followed by a checksum.
 std::string encode(const Envelope& envelope);
 
-/// Nothing unless the bytes are exactly one undamaged message of our protocol revision.
+/// Returns no value unless the bytes are exactly one intact message of the current protocol revision.
 std::optional<Envelope> decode(std::string_view bytes);
 
-/// The kind of a message, as traces show it.
+/// Returns the kind of a message as shown in traces.
 const char* kind_name(const Message& message);
 
 }  // namespace mosskeel
