--- a/src/net/http_listener.cpp
+++ b/src/net/http_listener.cpp
@@ -37,7 +37,7 @@
                                                          int send_buffer) {
   auto endpoint = parse_endpoint(address);
   if (!endpoint) {
-    return Errors{{address, "not a numeric IP address with a port"}};
+    return Errors{{address, "not a numeric address and port to listen at"}};
   }
   auto socket = listen_at(*endpoint);
   if (!socket) {
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -167,7 +167,7 @@
 Result<std::unique_ptr<HttpServer>> HttpServer::open(const Address& address, Handler handler) {
   auto parsed = parse_ipv4_address(address);
   if (!parsed) {
-    return Errors{{address, "is not an IPv4 address with a port"}};
+    return Errors{{address, "is no IP:port"}};
   }
   std::unique_ptr<HttpServer> server(new HttpServer(std::move(handler)));
   server->daemon_ = MHD_start_daemon(
--- a/src/net/transport.cpp
+++ b/src/net/transport.cpp
@@ -83,7 +83,7 @@
     return;
   }
   ++foreign_;
-  log_event(Event::foreign, "dropped " + std::to_string(bytes) + " bytes that are not a valid message");
+  log_event(Event::foreign, std::to_string(bytes) + " bytes dropped: no valid message");
 }
 
 std::optional<uint32_t> Transport::peer_socket(const Address& peer) {
@@ -112,7 +112,7 @@
   auto bytes = encode(envelope);
   if (nng_send(nng_socket{*socket}, bytes.data(), bytes.size(), NNG_FLAG_NONBLOCK)) {
     if (dropped_++ % kDropsPerLogLine == 0) {
-      log_event(Event::unsent, "dropped a message to " + envelope.to + ": its send queue is full");
+      log_event(Event::unsent, "send queue full, dropped a message to " + envelope.to);
     }
     return false;
   }
--- a/tests/unit/gateway/program_api_test.cpp
+++ b/tests/unit/gateway/program_api_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP interface of programs while its gateway stops: each caller gets a final response at once.
+// Tests that ProgramApi gives each caller a final response at once when its gateway stops.
 #include "gateway/program_api.hpp"
 
 #include <future>
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Longer than any response may take, far shorter than a request's own deadline.
-constexpr Duration kTooLong = 5000ms;
+/// Longer than any response may take, but far shorter than a request's own deadline.
+constexpr Duration kResponseTimeout = 5000ms;
 
 struct ProgramApiFixture {
   std::atomic<int> steps{0};
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("ProgramApi tells a caller whose gateway ends under the request that its outcome is unknown") {
+TEST_CASE("ProgramApi reports an unknown outcome if the gateway stops while the request is running") {
   ProgramApiFixture fixture;
   auto response = fixture.post_turn();
   while (fixture.steps == 0)
@@ -48,23 +48,23 @@
 
   fixture.stop();
 
-  REQUIRE(response.wait_for(kTooLong) == std::future_status::ready);
-  auto answer = response.get();
-  CHECK(answer.status == 504);
-  CHECK(answer.body.find("\"ran\":\"unknown\"") != std::string::npos);
-  CHECK(answer.headers.count("Retry-After") == 1);
+  REQUIRE(response.wait_for(kResponseTimeout) == std::future_status::ready);
+  auto http_response = response.get();
+  CHECK(http_response.status == 504);
+  CHECK(http_response.body.find("\"ran\":\"unknown\"") != std::string::npos);
+  CHECK(http_response.headers.count("Retry-After") == 1);
 }
 
-TEST_CASE("ProgramApi tells a caller that comes after its gateway's end that the request has not run") {
+TEST_CASE("ProgramApi reports that a request has not run if it arrives after the gateway has stopped") {
   ProgramApiFixture fixture;
   fixture.stop();
 
   auto response = fixture.post_turn();
 
-  REQUIRE(response.wait_for(kTooLong) == std::future_status::ready);
-  auto answer = response.get();
-  CHECK(answer.status == 503);
-  CHECK(answer.body.find("\"ran\":\"no\"") != std::string::npos);
-  CHECK(answer.headers.count("Retry-After") == 1);
+  REQUIRE(response.wait_for(kResponseTimeout) == std::future_status::ready);
+  auto http_response = response.get();
+  CHECK(http_response.status == 503);
+  CHECK(http_response.body.find("\"ran\":\"no\"") != std::string::npos);
+  CHECK(http_response.headers.count("Retry-After") == 1);
   CHECK(fixture.steps == 0);
 }
--- a/tests/unit/net/backpressure_test.cpp
+++ b/tests/unit/net/backpressure_test.cpp
@@ -1,4 +1,4 @@
-// Back-pressure: the response of a replica is read no faster than its caller reads it.
+// Tests that a replica's response is read no faster than the caller reads it.
 #include <sys/resource.h>
 
 #include <fstream>
@@ -12,10 +12,10 @@
 
 constexpr size_t kResponseBytes = 1 << 20;
 constexpr int kSocketBufferBytes = 32 << 10;
-/// What the listener may buffer of one response: up to its high watermark and one read of the upstream client.
+/// The most that the listener may buffer of one response: its high watermark plus one read of the upstream client.
 constexpr size_t kMaxUnsentBytes = HttpListener::kHighWatermark + (16 << 10);
 
-/// Resident memory of this process.
+/// Returns the resident memory of this process.
 size_t resident_bytes() {
   constexpr size_t kPageBytes = 4096;
   size_t total_pages = 0;
@@ -24,7 +24,7 @@
   return resident_pages * kPageBytes;
 }
 
-/// Callers that do not read, a proxy, and a replica that gives each request a large response.
+/// Callers that do not read, a proxy, and a replica that sends a large response to each request.
 struct SlowCallersFixture {
   TestServer replica{kSocketBufferBytes};
   TestServer proxy{kSocketBufferBytes};
@@ -78,7 +78,7 @@
     callers.back()->send(kClosingGetRequest);
   }
 
-  /// Lets the replica respond on a thread of its own.
+  /// Runs the replica on its own thread and responds to its requests.
   void run_replica() {
     replica.respond = [this](uint64_t exchange) {
       replica.listener->send_head(exchange, 200, {}, kResponseBytes);
@@ -156,7 +156,7 @@
     replica.send_head(received.exchange, 200, {}, kResponseBytes);
   }
 
-  // The replica sends each stream one piece at a time, and the next one once that is sent.
+  // The replica sends the next piece of a stream once the previous one has been sent.
   for (int piece = 0; piece < kPieces; ++piece) {
     for (const auto& received : fixture.replica.requests) {
       if (replica.unsent_bytes(received.exchange) == 0) {
--- a/tests/unit/net/event_loop_test.cpp
+++ b/tests/unit/net/event_loop_test.cpp
@@ -1,4 +1,4 @@
-// Timers, posted functions, watched descriptors and deadlines of the event loop.
+// Tests of the event loop: timers, posted functions, watched descriptors and deadlines.
 #include <sys/epoll.h>
 
 #include "net/deadline_timer.hpp"
@@ -6,7 +6,7 @@
 
 using namespace mosskeel;
 
-TEST_CASE("EventLoop runs timers in the order of their times, and no cancelled one") {
+TEST_CASE("EventLoop runs timers in the order of their due times, and no cancelled ones") {
   EventLoop loop;
   std::string ran;
   loop.run_after(3ms, [&] {
--- a/tests/unit/net/faulty_replica.hpp
+++ b/tests/unit/net/faulty_replica.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A replica on a real socket that fails at random, by a seed, and counts how often it executes each attempt.
+// A replica on a real socket that injects seeded random faults and counts how often it executes each attempt.
 #include <sys/epoll.h>
 
 #include <random>
@@ -9,11 +9,11 @@
 
 namespace mosskeel {
 
-/// What all replicas of a test have executed.
+/// A record of what all replicas of a test have executed.
 struct ReplicaRunLog {
-  /// How often each attempt was executed.
+  /// Number of executions of each attempt.
   std::map<std::string, int> runs;
-  /// The bodies of the complete responses to an attempt, by seal; empty for an execution without one.
+  /// Bodies of the complete responses, by attempt and seal; empty for an execution without a complete response.
   std::map<std::string, std::map<std::string, std::string>> bodies;
   uint64_t last_seal = 0;
 };
@@ -63,7 +63,7 @@
     std::string received;
   };
 
-  /// The responses that one execution may be answered with.
+  /// The possible responses to one execution.
   struct Responses {
     std::string attempt_field;
     std::string seal_field;
@@ -165,7 +165,7 @@
     send(connection_id, response(status, fields + "Mosskeel-Not-Run: 1\r\n", ""));
   }
 
-  /// Responds to a request, which may fail before it is executed.
+  /// Responds to a request, which a fault may reject before it is executed.
   void respond(uint64_t connection_id, const std::string& attempt) {
     if (!connections_.count(connection_id)) {
       return;
@@ -183,14 +183,14 @@
     }
   }
 
-  /// Executes a request and sends its response, or what the fault makes of it.
+  /// Executes a request and sends its response, as altered by the fault.
   void execute(uint64_t connection_id, const std::string& attempt, Fault fault) {
     ++log_.runs[attempt];
     auto seal = "s" + std::to_string(++log_.last_seal);
     std::string body = attempt + " " + seal + " ";
     body.append(random_below(20) ? random_below(2000) : 300000, static_cast<char>('a' + random_below(26)));
     Responses responses{attempt_field(attempt), "Mosskeel-Server-Seal: " + seal + "\r\n", body};
-    // A response without this body may not be taken for the response to this execution.
+    // Callers must not accept any other body as the response to this execution.
     auto& complete_body = log_.bodies[attempt][seal];
     auto complete = responses.complete();
     switch (fault) {
--- a/tests/unit/net/http_frontend_faults_test.cpp
+++ b/tests/unit/net/http_frontend_faults_test.cpp
@@ -1,4 +1,5 @@
-// A whole HTTP frontend on real sockets, between replicas and callers that fail by seed: the right response, once.
+// Tests an HTTP frontend on real sockets with seeded faults of replicas and callers: each caller must get its own
+// response, and no request may run twice.
 #include <sys/epoll.h>
 
 #include "faulty_replica.hpp"
@@ -14,7 +15,7 @@
 constexpr Duration tick_interval = 5ms;
 constexpr Duration test_timeout = 30000ms;
 
-/// One attempt of a caller and what came back.
+/// One attempt of a caller and its result.
 struct Attempt {
   std::string id, path;
   uint32_t status = 0;
@@ -22,7 +23,7 @@
   bool over = false, complete = false;
 
   bool idempotent() const { return path == "safe" || path == "resume"; }
-  /// By its status the request has not run, and may be sent again.
+  /// Whether the status says that the request has not run and may be retried.
   bool was_rejected() const { return status == 408 || status == 421 || status == 429 || status == 503; }
 };
 
@@ -33,7 +34,7 @@
   std::vector<std::unique_ptr<FaultyReplica>> replicas;
   std::shared_ptr<RoutingSnapshot> snapshot;
   std::unique_ptr<HttpFrontend> frontend;
-  /// By the client's request id.
+  /// By the request id of `callers`.
   std::map<uint64_t, Attempt> attempts;
   int requests_left;
   int open_attempts = 0;
@@ -51,8 +52,8 @@
                             end_attempt(request, false);
                           }}};
 
-  FaultsFixture(uint64_t seed, int requests, unsigned replica_fault_percent, bool callers_fail_too)
-      : random(seed), requests_left(requests), callers_fail(callers_fail_too) {
+  FaultsFixture(uint64_t seed, int requests, unsigned replica_fault_percent, bool inject_caller_faults)
+      : random(seed), requests_left(requests), callers_fail(inject_caller_faults) {
     auto metadata = test::served();
     for (auto& [name, replica] : metadata.replicas) {
       replicas.push_back(std::make_unique<FaultyReplica>(loop, log, random(), replica_fault_percent));
@@ -124,7 +125,7 @@
   }
   bool done() const { return open_attempts == 0 && requests_left <= 0; }
 
-  /// Each body is the one that a replica made for this attempt, and each run is counted by its attempt.
+  /// Checks that each body is one that a replica generated for that attempt, and that no attempt ran too often.
   void check_attempts() {
     for (const auto& [_, attempt] : attempts) {
       INFO(attempt.id << " on " << attempt.path << " got " << attempt.status
@@ -160,15 +161,15 @@
 constexpr int requests_per_seed = 250;
 constexpr unsigned replica_fault_percent = 40;
 
-/// Plays one seed until its callers are done, and checks what each of them got. The process stands still for
-/// `standstill` once, after some requests.
-void play_to_the_end(FaultsFixture& fixture, Duration standstill) {
-  bool has_stood_still = false;
+/// Runs one seed until all callers are done and checks the result of each attempt. Pauses the process once for
+/// `process_pause` after some requests.
+void run_until_done(FaultsFixture& fixture, Duration process_pause) {
+  bool has_paused = false;
   auto deadline = monotonic_now() + test_timeout;
   while (!fixture.done() && monotonic_now() < deadline) {
     run_iterations(fixture.loop, 20);
-    if (fixture.attempts.size() > requests_per_seed / 5 && !std::exchange(has_stood_still, true)) {
-      std::this_thread::sleep_for(standstill);
+    if (fixture.attempts.size() > requests_per_seed / 5 && !std::exchange(has_paused, true)) {
+      std::this_thread::sleep_for(process_pause);
     }
   }
   REQUIRE(fixture.done());
@@ -177,16 +178,16 @@
   CHECK(fixture.frontend->router().active_requests() == 0);
 }
 
-/// How many attempts succeed depends on how the kernel interleaves sockets and timers, for a replica that lost a
-/// response is avoided for some time: one seed gave 91 to 178 successes of 265, all together 0.50 to 0.55. So the sum
-/// is held to a narrow bound, and each seed to a wide one.
-void check_successes_over_all_seeds(Duration standstill) {
+/// The number of successes depends on how the kernel interleaves sockets and timers, because a replica that lost a
+/// response is avoided for some time: one seed had 91 to 178 successes of 265, all seeds together 0.50 to 0.55.
+/// Therefore the sum is checked against a narrow bound and each seed against a wide one.
+void check_successes_over_all_seeds(Duration process_pause) {
   size_t successes = 0;
   size_t attempts = 0;
   for (int seed = 1; seed <= seed_count; ++seed) {
     INFO("seed " << seed);
     FaultsFixture fixture(static_cast<uint64_t>(seed), requests_per_seed, replica_fault_percent, true);
-    play_to_the_end(fixture, standstill);
+    run_until_done(fixture, process_pause);
     CHECK(fixture.successes() > fixture.attempts.size() / 5);
     successes += fixture.successes();
     attempts += fixture.attempts.size();
@@ -196,15 +197,17 @@
 
 }  // namespace
 
-TEST_CASE("HttpFrontend gives each caller its own response and runs nothing twice, whatever replicas and callers do") {
+TEST_CASE(
+    "HttpFrontend gives each caller its own response and runs nothing twice, whatever faults replicas and callers "
+    "have") {
   check_successes_over_all_seeds(Duration::zero());
 }
 
-TEST_CASE("HttpFrontend serves again after its process stood still for longer than all time-outs") {
+TEST_CASE("HttpFrontend serves again after its process was paused for longer than all timeouts") {
   check_successes_over_all_seeds(2 * path_timeout);
 }
 
-TEST_CASE("HttpFrontend that drains under load loses no response that it has begun") {
+TEST_CASE("HttpFrontend that drains under load loses no response that has begun") {
   auto seed = GENERATE(range(1, 51));
   INFO("seed " << seed);
   FaultsFixture fixture(static_cast<uint64_t>(seed), 150, 0, false);
--- a/tests/unit/net/http_listener_test.cpp
+++ b/tests/unit/net/http_listener_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server: how requests are read, how responses are sent, and when connections are closed.
+// Tests of the HTTP server: reading requests, sending responses and closing connections.
 #include "test_server.hpp"
 
 using namespace mosskeel;
@@ -7,7 +7,7 @@
 
 const std::string kStatusLine200 = "HTTP/1.1 200 OK\r\n";
 
-/// Responds with a body in pieces, and with fields that must not be sent.
+/// Responds with a body in several pieces and with fields that must not be sent.
 auto respond_in_pieces(TestServer& server, std::optional<uint64_t> content_length, uint32_t status = 200) {
   return [&server, content_length, status](uint64_t exchange) {
     HeaderFields fields{{"Connection", "X"}, {"X", "1"}, {"Bad", "a\r\nB: c"}, {"Y", "2"}};
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("HttpListener passes a request on without the fields of its connection") {
+TEST_CASE("HttpListener reports a request without its hop-by-hop fields") {
   TestServer server;
 
   auto response = server.exchange(
@@ -41,7 +41,7 @@
   CHECK(response == kStatusLine200 + "X-A: b\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello");
 }
 
-TEST_CASE("HttpListener reads a request that comes byte by byte") {
+TEST_CASE("HttpListener reads a request that arrives byte by byte") {
   TestServer server;
   SocketPeer caller(server.address());
 
@@ -55,7 +55,7 @@
   CHECK(server.requests.at(0).request.body == "body");
 }
 
-TEST_CASE("HttpListener passes pipelined requests on one after the other") {
+TEST_CASE("HttpListener reports pipelined requests one at a time") {
   TestServer server;
   server.respond = nullptr;
   SocketPeer caller(server.address());
@@ -103,7 +103,7 @@
   CHECK(server.exchange("GET / HTTP/1.0\r\n\r\n") == kStatusLine200 + "Y: 2\r\nConnection: close\r\n\r\nhello world");
 }
 
-TEST_CASE("HttpListener sends a body of known length as it is, and none to HEAD") {
+TEST_CASE("HttpListener sends a body of known length unchunked, and none in response to HEAD") {
   TestServer server;
   server.respond = respond_in_pieces(server, 11);
 
@@ -113,7 +113,7 @@
         kStatusLine200 + "Y: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\n");
 }
 
-TEST_CASE("HttpListener sends neither body nor framing with a status that has none") {
+TEST_CASE("HttpListener sends neither body nor framing fields with a status that has no body") {
   TestServer server;
   server.respond = respond_in_pieces(server, std::nullopt, 204);
 
@@ -173,7 +173,7 @@
       caller.close();
     };
   }
-  SECTION("by the end of its own direction") {
+  SECTION("by a shutdown of its write side") {
     caller.send(kGetRequest);
     disconnect = [&] {
       ::shutdown(caller.socket.get(), SHUT_WR);
@@ -250,7 +250,7 @@
   CHECK(server.listener->connections() == 1);
 }
 
-TEST_CASE("HttpListener that closes after responses gives each connection one more response, and goes on listening") {
+TEST_CASE("HttpListener that closes after responses gives each connection one more response, and continues to listen") {
   TestServer server;
   SocketPeer idle(server.address());
   SocketPeer busy(server.address());
@@ -292,7 +292,7 @@
   REQUIRE(server.run_until_connections(0));
 }
 
-TEST_CASE("HttpListener that drains closes idle connections, takes no new ones and completes what it has begun") {
+TEST_CASE("HttpListener that drains closes idle connections, accepts no new ones and completes open exchanges") {
   TestServer server;
   auto address = server.address();
   SocketPeer idle(address);
@@ -343,7 +343,7 @@
   SECTION("when it drains") {
     server.listener->drain();
   }
-  SECTION("at the end of the idle time") {
+  SECTION("after the idle timeout") {
     HttpListenerLimits limits;
     limits.idle_timeout = 20ms;
     server.listener->set_limits(limits);
--- a/tests/unit/net/http_messages_test.cpp
+++ b/tests/unit/net/http_messages_test.cpp
@@ -1,4 +1,4 @@
-// Requests and responses read from bytes and written to bytes, without sockets.
+// Tests of the HTTP parsers and writers without sockets.
 #include "net/http_request_reader.hpp"
 #include "net/http_response_reader.hpp"
 #include "net/http_response_writer.hpp"
@@ -11,7 +11,7 @@
 using RequestProgress = HttpRequestReader::Progress;
 using ResponseProgress = HttpResponseReader::Progress;
 
-/// Reads to the end of the response. Returns its body.
+/// Reads the response to its end and returns its body.
 std::string read_complete_body(HttpResponseReader& reader) {
   std::string body;
   while (true) {
@@ -64,7 +64,7 @@
   CHECK_FALSE(reader.take_expects_continue());
 }
 
-TEST_CASE("HttpRequestReader does not take a rejected request for HEAD because the previous one was") {
+TEST_CASE("HttpRequestReader does not treat a rejected request as HEAD after a HEAD request") {
   HttpRequestReader reader;
   reader.append("HEAD / HTTP/1.1\r\nHost: h\r\n\r\nnonsense\r\n\r\n");
   REQUIRE(reader.read({}) == RequestProgress::complete);
--- a/tests/unit/net/local_mailboxes_test.cpp
+++ b/tests/unit/net/local_mailboxes_test.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE("LocalMailboxes delivers each message to the mailbox of its receiver alone") {
+TEST_CASE("LocalMailboxes delivers each message only to the mailbox of its receiver") {
   LocalMailboxes mailboxes;
   auto first = mailboxes.open();
   auto second = mailboxes.open();
@@ -39,7 +39,7 @@
   CHECK_FALSE(opened.mailbox->pop(0ms));
 }
 
-TEST_CASE("LocalMailboxes that are shut down end each wait at once, also one that begins later") {
+TEST_CASE("LocalMailboxes that are shut down end each wait at once, even one that begins later") {
   LocalMailboxes mailboxes;
   auto opened_before = mailboxes.open();
   mailboxes.deliver(envelope_to(opened_before.address, 7));
--- a/tests/unit/net/replica_client_test.cpp
+++ b/tests/unit/net/replica_client_test.cpp
@@ -1,4 +1,4 @@
-// Calls of replicas by libcurl: that no request is sent twice, and that no broken response counts as complete.
+// Tests that ReplicaClient sends no request twice and reports no broken response as complete.
 #include <arpa/inet.h>
 #include <poll.h>
 #include <sys/socket.h>
@@ -17,11 +17,11 @@
 
 namespace {
 
-/// A replica on a thread of its own that responds to the first request of a connection, and closes the connection at
-/// each later one without a response.
+/// A replica on its own thread that responds to the first request of each connection and closes the connection without
+/// a response at the second.
 class OneResponseReplica {
  public:
-  /// @param response empty closes the connection at the first request already.
+  /// @param response if empty, the connection is closed at the first request.
   explicit OneResponseReplica(std::string response)
       : response_(std::move(response)), listening_socket_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     auto endpoint = parse_endpoint("127.0.0.1:0");
@@ -62,7 +62,7 @@
     }
   }
 
-  /// Returns false where the connection is to be closed.
+  /// Returns false if the connection must be closed.
   bool serve(Connection& connection) {
     char buffer[8192];
     if (::recv(connection.socket.get(), buffer, sizeof buffer, 0) <= 0) {
@@ -120,7 +120,7 @@
   CHECK(replica.connections == 2);
 }
 
-TEST_CASE("ReplicaClient sends a request whose response is lost once, and reports that it was sent") {
+TEST_CASE("ReplicaClient sends a request only once if its response is lost, and reports that it was sent") {
   OneResponseReplica replica("");
   ReplicaClientFixture fixture;
 
@@ -132,7 +132,7 @@
   CHECK(replica.requests == 1);
 }
 
-TEST_CASE("ReplicaClient reports that nothing was sent where the connection is refused") {
+TEST_CASE("ReplicaClient reports that nothing was sent if the connection is refused") {
   std::string url;
   {
     OneResponseReplica replica("");
@@ -145,7 +145,7 @@
   CHECK_FALSE(response.request_sent);
 }
 
-TEST_CASE("ReplicaClient never takes a truncated, unsealed or garbled response for complete") {
+TEST_CASE("ReplicaClient never reports a truncated, unsealed or garbled response as complete") {
   const char* response_bytes = GENERATE("HTTP/1.1 200 OK\r\nContent-Length: 50\r\nX-Seal: 0\r\n\r\nhalf",
                                         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
                                         "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n");
@@ -158,7 +158,7 @@
   CHECK_FALSE((response.complete && response.status == 200));
 }
 
-TEST_CASE("ReplicaClient never takes a garbled stream for complete") {
+TEST_CASE("ReplicaClient never reports a garbled stream as complete") {
   OneResponseReplica replica("HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n{\"n\":0,\"text\":\"a\"}\nnot json!!!\n");
   ReplicaClientFixture fixture;
 
--- a/tests/unit/net/request_framing_test.cpp
+++ b/tests/unit/net/request_framing_test.cpp
@@ -1,11 +1,11 @@
-// Requests that are rejected since another HTTP parser might read them differently.
+// Tests that requests are rejected if another HTTP parser might frame them differently.
 #include "test_server.hpp"
 
 using namespace mosskeel;
 
 namespace {
 
-/// A request and the status that it is to be rejected with.
+/// A request and the status expected for its rejection.
 struct RejectedRequest {
   std::string bytes;
   int status;
--- a/tests/unit/net/socket_peer.hpp
+++ b/tests/unit/net/socket_peer.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A raw socket as the other side of a connection, and ways to drive a loop.
+// A raw socket as the peer of a connection, and helpers to run an event loop.
 #include <arpa/inet.h>
 #include <sys/socket.h>
 
@@ -10,7 +10,7 @@
 namespace mosskeel {
 
 /// Runs the loop until the condition holds.
-/// @return whether it holds; false after 5 s without.
+/// @return whether it holds; false after a timeout of 5 s.
 template <class Condition>
 bool run_until(EventLoop& loop, Condition holds) {
   auto deadline = monotonic_now() + 5000ms;
@@ -26,18 +26,18 @@
   return holds();
 }
 
-/// Runs the loop for some of its iterations.
+/// Runs the loop for about `count` iterations.
 inline void run_iterations(EventLoop& loop, int count = 5) {
   run_until(loop, [&] { return count-- <= 0; });
 }
 
-/// A blocking socket that keeps what it receives.
+/// A blocking socket that records what it receives.
 struct SocketPeer {
   Fd socket;
   std::string received;
-  /// Whether the other side has closed the connection.
+  /// Whether the peer has closed the connection.
   bool closed = false;
-  /// Whether it has closed it by a reset.
+  /// Whether the peer closed it with a reset.
   bool reset = false;
 
   explicit SocketPeer(Fd accepted) : socket(std::move(accepted)) {}
@@ -50,8 +50,8 @@
     REQUIRE(::send(socket.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
 
-  /// Receives what has arrived.
-  /// @return whether the other side has closed.
+  /// Receives all available bytes.
+  /// @return whether the peer has closed the connection.
   bool receive() {
     static char buffer[65536];
     while (!closed) {
@@ -76,8 +76,8 @@
 
   void close() { socket = Fd(); }
 
-  /// Closes its own direction in order and goes on reading nothing.
-  void end_sending() { ::shutdown(socket.get(), SHUT_WR); }
+  /// Shuts down the write side in an orderly way.
+  void shut_down_sending() { ::shutdown(socket.get(), SHUT_WR); }
 
   void close_with_reset() {
     reset_on_close(socket.get());
@@ -85,7 +85,7 @@
   }
 };
 
-/// A non-blocking socket that listens at a port of the system's choice.
+/// Returns a non-blocking socket that listens on a port chosen by the system.
 inline Fd listening_socket(int backlog = 100) {
   Fd socket(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   auto endpoint = parse_endpoint("127.0.0.1:0");
@@ -94,7 +94,7 @@
   return socket;
 }
 
-/// How often `searched` occurs in the text, without overlaps.
+/// Counts the non-overlapping occurrences of `searched` in the text.
 inline size_t count_occurrences(const std::string& text, std::string_view searched) {
   size_t count = 0;
   for (auto found = text.find(searched); found != std::string::npos;
--- a/tests/unit/net/test_server.hpp
+++ b/tests/unit/net/test_server.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// An HttpListener that records its callbacks and responds to each request at once.
+// An HttpListener that records its callbacks and by default responds to each request immediately.
 #include "net/http_listener.hpp"
 #include "socket_peer.hpp"
 
@@ -13,10 +13,10 @@
 
   EventLoop loop;
   std::vector<ReceivedRequest> requests;
-  /// Exchanges in the order of their callbacks.
+  /// Exchanges in callback order.
   std::vector<uint64_t> disconnected;
   std::vector<uint64_t> drained;
-  /// Called with each request; empty leaves it without a response.
+  /// Called for each request; if empty, no response is sent.
   std::function<void(uint64_t exchange)> respond = [this](uint64_t exchange) {
     listener->send_response(exchange, 200, {{"X-A", "b"}}, "hello");
   };
@@ -45,7 +45,7 @@
 
   Address address() const { return listener->local_address(); }
 
-  /// Sends the bytes on a new connection. Returns what comes until it is closed.
+  /// Sends the bytes on a new connection and returns everything received until it is closed.
   std::string exchange(const std::string& bytes) {
     SocketPeer caller(address());
     caller.send(bytes);
--- a/tests/unit/net/upstream_client_test.cpp
+++ b/tests/unit/net/upstream_client_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP client of replicas: how responses are read, which connections are reused, and what is known of failures.
+// Tests of the HTTP client for replicas: reading responses, reusing connections and reporting failures.
 #include "net/upstream_client.hpp"
 #include "socket_peer.hpp"
 
@@ -6,21 +6,21 @@
 
 namespace {
 
-/// A scripted replica: a raw listener that counts the requests that reach it.
+/// A scripted replica: a raw listener that counts received requests.
 struct ScriptedReplica {
   Fd socket = listening_socket();
   std::deque<SocketPeer> connections;
 
   Address address() const { return bound_address(socket.get()); }
 
-  /// Accepts all connections that wait.
+  /// Accepts all pending connections.
   void accept() {
     for (Fd accepted; (accepted = Fd(::accept(socket.get(), nullptr, nullptr)));) {
       connections.emplace_back(std::move(accepted));
     }
   }
 
-  /// How many requests have arrived.
+  /// Returns the number of requests received.
   size_t requests() {
     accept();
     size_t count = 0;
@@ -33,7 +33,7 @@
 };
 
 struct UpstreamClientFixture {
-  /// What the client's callbacks have reported of one request.
+  /// What the client's callbacks reported for one request.
   struct Outcome {
     std::vector<UpstreamClient::ResponseHead> heads;
     std::string body;
@@ -48,9 +48,9 @@
   EventLoop loop;
   ScriptedReplica replica;
   std::map<uint64_t, Outcome> outcomes;
-  /// How many of the next heads are taken for late responses to earlier requests.
+  /// Number of upcoming response heads to skip as late responses to earlier requests.
   int heads_to_skip = 0;
-  /// The connection that the last scripted response went out on.
+  /// The connection of the last scripted response.
   SocketPeer* responding = nullptr;
   UpstreamClient client{loop,
                         {[this](uint64_t request, UpstreamClient::ResponseHead&& head) {
@@ -73,7 +73,7 @@
     return {replica.address(), method, "/run", {{"Host", "r"}, {"X", "1"}}, method == "POST" ? "ask" : ""};
   }
 
-  /// Sends a request and waits until it has reached the replica.
+  /// Sends a request and waits until the replica has received it.
   uint64_t send(UpstreamClient::Request request) {
     auto requests_before = replica.requests();
     auto id = client.send_request(std::move(request));
@@ -81,7 +81,7 @@
     return id;
   }
 
-  /// Sends a request and lets the replica respond on the connection that it came by.
+  /// Sends a request and sends `response` on the connection that the replica received it on.
   uint64_t exchange(const std::string& response, const std::string& method = "POST") {
     auto request = send(make_request(method));
     responding_connection().send(response);
@@ -101,7 +101,7 @@
     return *responding;
   }
 
-  /// Runs until the request is over, which must be so once only.
+  /// Runs until the request has completed or failed, and checks that this is reported only once.
   Outcome& wait_for_outcome(uint64_t request) {
     REQUIRE(run_until(loop, [&] { return outcomes[request].is_over(); }));
     run_iterations(loop);
@@ -118,7 +118,7 @@
 
 }  // namespace
 
-TEST_CASE("UpstreamClient sends a request and reads its response, without informational responses before it") {
+TEST_CASE("UpstreamClient sends a request and reads its response, and skips informational responses before it") {
   UpstreamClientFixture fixture;
 
   auto request = fixture.exchange(kChunkedResponse);
@@ -146,7 +146,7 @@
   CHECK(fixture.client.connections_opened() == 1);
 }
 
-TEST_CASE("UpstreamClient opens a new connection where a request asks for one") {
+TEST_CASE("UpstreamClient opens a new connection if a request asks for one") {
   UpstreamClientFixture fixture;
   fixture.wait_for_outcome(fixture.exchange(kCompleteResponse));
   REQUIRE(fixture.client.idle_connections() == 1);
@@ -158,7 +158,7 @@
   CHECK(fixture.client.connections_opened() == 2);
 }
 
-TEST_CASE("UpstreamClient ends responses that have no body with their head") {
+TEST_CASE("UpstreamClient completes responses without a body at the end of their head") {
   UpstreamClientFixture fixture;
   auto completions = [&](const std::string& response, const std::string& method) {
     return fixture.wait_for_outcome(fixture.exchange(response, method)).completions;
@@ -191,7 +191,7 @@
   CHECK(fixture.replica.requests() == 2);
 }
 
-TEST_CASE("UpstreamClient discards an idle connection that receives a byte or is closed, also right before its use") {
+TEST_CASE("UpstreamClient discards an idle connection that receives a byte or is closed, even right before its use") {
   UpstreamClientFixture fixture;
   bool noticed_before_use = GENERATE(true, false);
   bool by_a_byte = GENERATE(true, false);
@@ -251,13 +251,13 @@
   CHECK(fixture.client.idle_connections() == 0);
 }
 
-TEST_CASE("UpstreamClient reports a request as not sent that failed before any byte of it was sent") {
+TEST_CASE("UpstreamClient reports a request as not sent if it failed before any byte of it was sent") {
   UpstreamClientFixture fixture;
   UpstreamClient::Request request{fixture.replica.address(), "POST", "/", {{"Host", "r"}}, "b"};
   SECTION("nobody listens") {
     fixture.replica.socket = Fd();
   }
-  SECTION("the address is none") {
+  SECTION("the address is invalid") {
     fixture.replica.socket = Fd();
     request.address = "no-address";
   }
@@ -275,10 +275,10 @@
   CHECK(outcome.delivery == UpstreamClient::Delivery::not_sent);
 }
 
-TEST_CASE("UpstreamClient reports a request as not sent whose connection is not established in time") {
+TEST_CASE("UpstreamClient reports a request as not sent if its connection is not established in time") {
   UpstreamClientFixture fixture;
   REQUIRE(::listen(fixture.replica.socket.get(), 0) == 0);
-  SocketPeer fills_the_backlog(fixture.replica.address());
+  SocketPeer backlog_filler(fixture.replica.address());
   UpstreamClient::Request request{fixture.replica.address(), "GET", "/", {}, ""};
   request.connect_timeout = 30ms;
 
@@ -287,7 +287,7 @@
   CHECK(fixture.wait_for_outcome(id).delivery == UpstreamClient::Delivery::not_sent);
 }
 
-TEST_CASE("UpstreamClient fails a request once whose response is lost or malformed, and never sends it twice") {
+TEST_CASE("UpstreamClient fails a request once if its response is lost or malformed, and never sends it twice") {
   UpstreamClientFixture fixture;
   bool on_kept_connection = GENERATE(true, false);
   if (on_kept_connection) {
@@ -325,8 +325,8 @@
   CHECK(fixture.client.idle_connections() == 0);
 }
 
-// Guards against review case 5: whole responses without a length were cut off and reported as failed.
-TEST_CASE("UpstreamClient takes a response without a length as complete at an orderly close, and never at a reset") {
+// Guards against review case 5: complete responses without a length were truncated and reported as failed.
+TEST_CASE("UpstreamClient completes a response without a length at an orderly close, and never at a reset") {
   UpstreamClientFixture fixture;
   auto response = GENERATE(as<std::string>{}, "HTTP/1.1 200 OK\r\n\r\nabc", "HTTP/1.0 200 OK\r\n\r\nabc",
                            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc");
@@ -347,7 +347,7 @@
   CHECK(fixture.client.idle_connections() == 0);
 }
 
-TEST_CASE("UpstreamClient takes no response without a length as complete whose request was not taken to its end") {
+TEST_CASE("UpstreamClient does not complete a response without a length if its request was not sent completely") {
   UpstreamClientFixture fixture;
   auto request = fixture.make_request();
   request.body = std::string(32 << 20, 'x');
@@ -356,7 +356,7 @@
   REQUIRE(run_until(fixture.loop, [&] { return fixture.replica.requests() == 1; }));
   fixture.responding_connection().send("HTTP/1.1 200 OK\r\n\r\nabc");
   REQUIRE(run_until(fixture.loop, [&] { return fixture.outcomes[id].body == "abc"; }));
-  fixture.responding->end_sending();
+  fixture.responding->shut_down_sending();
 
   CHECK(fixture.wait_for_outcome(id).completions == 0);
 }
@@ -372,7 +372,7 @@
   CHECK(fixture.wait_for_outcome(request).completions == 0);
 }
 
-TEST_CASE("UpstreamClient does not read on while a response is paused, and reports nothing once it is cancelled") {
+TEST_CASE("UpstreamClient stops reading while a response is paused, and reports nothing after it is cancelled") {
   UpstreamClientFixture fixture;
   auto request = fixture.exchange("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabc");
   REQUIRE(run_until(fixture.loop, [&] { return fixture.outcomes[request].body == "abc"; }));
@@ -396,7 +396,7 @@
 }
 
 TEST_CASE(
-    "UpstreamClient reads a response that comes before the request was sent completely, and closes the connection") {
+    "UpstreamClient reads a response that arrives before the request was sent completely, and closes the connection") {
   UpstreamClientFixture fixture;
   UpstreamClient::Request request{fixture.replica.address(), "POST", "/", {{"Host", "r"}}, std::string(64 << 20, 'x')};
   auto id = fixture.client.send_request(std::move(request));
@@ -433,7 +433,7 @@
   CHECK(fixture.client.connections_opened() == 2);
 }
 
-TEST_CASE("UpstreamClient reads a skipped response to its end, and reports the response behind it") {
+TEST_CASE("UpstreamClient reads a skipped response to its end, and reports the response after it") {
   UpstreamClientFixture fixture;
   fixture.wait_for_outcome(fixture.exchange(kCompleteResponse));
   auto request = fixture.make_request();
--- a/tests/unit/net/wire_test.cpp
+++ b/tests/unit/net/wire_test.cpp
@@ -1,4 +1,4 @@
-// Messages between daemons as bytes.
+// Tests of the encoding of messages between daemons.
 #include "net/wire.hpp"
 #include "unit/catch.hpp"
 
@@ -26,7 +26,7 @@
   return bytes;
 }
 
-/// The encoded envelope, with the kind of its message replaced by one that no build knows.
+/// Returns the encoded envelope with its message kind replaced by an unknown one.
 std::string with_unknown_kind(const Envelope& envelope) {
   auto bytes = codec::encode(envelope);
   auto body = codec::encode(envelope.body);
