--- a/tests/unit/net/event_loop_test.cpp
+++ b/tests/unit/net/event_loop_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace mosskeel;
 
-TEST_CASE("EventLoop runs timers in the order of their due times, and no cancelled ones") {
+TEST_CASE("EventLoop runs timers in the order of their due times, and none that was cancelled") {
   EventLoop loop;
   std::string ran;
   loop.run_after(3ms, [&] {
--- a/tests/unit/net/http_listener_test.cpp
+++ b/tests/unit/net/http_listener_test.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("HttpListener reports a request without its hop-by-hop fields") {
+TEST_CASE("HttpListener passes on a request without its hop-by-hop fields") {
   TestServer server;
 
   auto response = server.exchange(
@@ -55,7 +55,7 @@
   CHECK(server.requests.at(0).request.body == "body");
 }
 
-TEST_CASE("HttpListener reports pipelined requests one at a time") {
+TEST_CASE("HttpListener passes on pipelined requests one at a time") {
   TestServer server;
   server.respond = nullptr;
   SocketPeer caller(server.address());
@@ -113,7 +113,7 @@
         kStatusLine200 + "Y: 2\r\nContent-Length: 11\r\nConnection: close\r\n\r\n");
 }
 
-TEST_CASE("HttpListener sends neither body nor framing fields with a status that has no body") {
+TEST_CASE("HttpListener sends neither body nor framing fields with a status that allows none") {
   TestServer server;
   server.respond = respond_in_pieces(server, std::nullopt, 204);
 
@@ -173,7 +173,7 @@
       caller.close();
     };
   }
-  SECTION("by a shutdown of its write side") {
+  SECTION("by a shutdown of its side of the connection") {
     caller.send(kGetRequest);
     disconnect = [&] {
       ::shutdown(caller.socket.get(), SHUT_WR);
@@ -250,7 +250,7 @@
   CHECK(server.listener->connections() == 1);
 }
 
-TEST_CASE("HttpListener that closes after responses gives each connection one more response, and continues to listen") {
+TEST_CASE("HttpListener that closes after responses gives each connection one more response, and goes on listening") {
   TestServer server;
   SocketPeer idle(server.address());
   SocketPeer busy(server.address());
--- a/tests/unit/net/http_messages_test.cpp
+++ b/tests/unit/net/http_messages_test.cpp
@@ -64,7 +64,7 @@
   CHECK_FALSE(reader.take_expects_continue());
 }
 
-TEST_CASE("HttpRequestReader does not treat a rejected request as HEAD after a HEAD request") {
+TEST_CASE("HttpRequestReader does not take a rejected request for HEAD after a HEAD request") {
   HttpRequestReader reader;
   reader.append("HEAD / HTTP/1.1\r\nHost: h\r\n\r\nnonsense\r\n\r\n");
   REQUIRE(reader.read({}) == RequestProgress::complete);
--- a/tests/unit/net/replica_client_test.cpp
+++ b/tests/unit/net/replica_client_test.cpp
@@ -132,7 +132,7 @@
   CHECK(replica.requests == 1);
 }
 
-TEST_CASE("ReplicaClient reports that nothing was sent if the connection is refused") {
+TEST_CASE("ReplicaClient reports that nothing was sent for a request whose connection is refused") {
   std::string url;
   {
     OneResponseReplica replica("");
--- a/tests/unit/net/upstream_client_test.cpp
+++ b/tests/unit/net/upstream_client_test.cpp
@@ -146,7 +146,7 @@
   CHECK(fixture.client.connections_opened() == 1);
 }
 
-TEST_CASE("UpstreamClient opens a new connection if a request asks for one") {
+TEST_CASE("UpstreamClient opens a new connection for a request that asks for one") {
   UpstreamClientFixture fixture;
   fixture.wait_for_outcome(fixture.exchange(kCompleteResponse));
   REQUIRE(fixture.client.idle_connections() == 1);
@@ -158,7 +158,7 @@
   CHECK(fixture.client.connections_opened() == 2);
 }
 
-TEST_CASE("UpstreamClient completes responses without a body at the end of their head") {
+TEST_CASE("UpstreamClient completes responses that have no body with their head") {
   UpstreamClientFixture fixture;
   auto completions = [&](const std::string& response, const std::string& method) {
     return fixture.wait_for_outcome(fixture.exchange(response, method)).completions;
@@ -326,7 +326,7 @@
 }
 
 // Guards against review case 5: complete responses without a length were truncated and reported as failed.
-TEST_CASE("UpstreamClient completes a response without a length at an orderly close, and never at a reset") {
+TEST_CASE("UpstreamClient reports a response without a length as complete at an orderly close, and never at a reset") {
   UpstreamClientFixture fixture;
   auto response = GENERATE(as<std::string>{}, "HTTP/1.1 200 OK\r\n\r\nabc", "HTTP/1.0 200 OK\r\n\r\nabc",
                            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc");
@@ -347,7 +347,7 @@
   CHECK(fixture.client.idle_connections() == 0);
 }
 
-TEST_CASE("UpstreamClient does not complete a response without a length if its request was not sent completely") {
+TEST_CASE("UpstreamClient reports no response without a length as complete if its request was not sent completely") {
   UpstreamClientFixture fixture;
   auto request = fixture.make_request();
   request.body = std::string(32 << 20, 'x');
@@ -372,7 +372,7 @@
   CHECK(fixture.wait_for_outcome(request).completions == 0);
 }
 
-TEST_CASE("UpstreamClient stops reading while a response is paused, and reports nothing after it is cancelled") {
+TEST_CASE("UpstreamClient does not read on while a response is paused, and reports nothing after it is cancelled") {
   UpstreamClientFixture fixture;
   auto request = fixture.exchange("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabc");
   REQUIRE(run_until(fixture.loop, [&] { return fixture.outcomes[request].body == "abc"; }));
