--- a/tests/unit/net/replica_client_test.cpp
+++ b/tests/unit/net/replica_client_test.cpp
@@ -158,7 +158,7 @@
   CHECK_FALSE((response.complete && response.status == 200));
 }
 
-TEST_CASE("ReplicaClient never reports a garbled stream as complete") {
+TEST_CASE("ReplicaClient reports no garbled stream as complete") {
   OneResponseReplica replica("HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n{\"n\":0,\"text\":\"a\"}\nnot json!!!\n");
   ReplicaClientFixture fixture;
 
--- a/tests/unit/net/upstream_client_test.cpp
+++ b/tests/unit/net/upstream_client_test.cpp
@@ -118,7 +118,7 @@
 
 }  // namespace
 
-TEST_CASE("UpstreamClient sends a request and reads its response, and skips informational responses before it") {
+TEST_CASE("UpstreamClient sends a request and reads its response, without the informational responses before it") {
   UpstreamClientFixture fixture;
 
   auto request = fixture.exchange(kChunkedResponse);
@@ -347,7 +347,7 @@
   CHECK(fixture.client.idle_connections() == 0);
 }
 
-TEST_CASE("UpstreamClient reports no response without a length as complete if its request was not sent completely") {
+TEST_CASE("UpstreamClient reports no response without a length as complete if its request was not sent to its end") {
   UpstreamClientFixture fixture;
   auto request = fixture.make_request();
   request.body = std::string(32 << 20, 'x');
