--- a/src/net/replica_call_transfer.cpp
+++ b/src/net/replica_call_transfer.cpp
@@ -54,22 +54,22 @@
   curl_easy_setopt(handle(), CURLOPT_HTTPHEADER, headers_.get());
 }
 
-size_t ReplicaCallTransfer::on_body(char* bytes, size_t size, size_t count, void* call) {
+size_t ReplicaCallTransfer::on_body(char* bytes, size_t size, size_t count, void* transfer) {
   std::string_view body(bytes, size * count);
   constexpr size_t abort_request = 0;
-  return static_cast<ReplicaCallTransfer*>(call)->take_body(body) ? body.size() : abort_request;
+  return static_cast<ReplicaCallTransfer*>(transfer)->handle_body(body) ? body.size() : abort_request;
 }
 
-size_t ReplicaCallTransfer::on_header(char* bytes, size_t size, size_t count, void* call) {
+size_t ReplicaCallTransfer::on_header(char* bytes, size_t size, size_t count, void* transfer) {
   std::string line(bytes, size * count);
-  auto& self = *static_cast<ReplicaCallTransfer*>(call);
+  auto& self = *static_cast<ReplicaCallTransfer*>(transfer);
   if (self.request_.kind != kModelKind) {
-    self.take_seal(line);
+    self.read_seal(line);
   }
   return line.size();
 }
 
-void ReplicaCallTransfer::take_seal(const std::string& header_line) {
+void ReplicaCallTransfer::read_seal(const std::string& header_line) {
   bool is_seal = header_line.size() > kSealHeader.size() + 1 &&
                  strncasecmp(header_line.c_str(), kSealHeader.data(), kSealHeader.size()) == 0;
   if (!is_seal) {
@@ -92,7 +92,7 @@
   return false;
 }
 
-bool ReplicaCallTransfer::take_body(std::string_view bytes) {
+bool ReplicaCallTransfer::handle_body(std::string_view bytes) {
   if (!status_) {
     curl_easy_getinfo(handle(), CURLINFO_RESPONSE_CODE, &status_);
   }
@@ -100,18 +100,18 @@
     return fail("the answer is too long");
   }
   if (is_model_stream()) {
-    return take_stream(bytes);
+    return handle_stream_bytes(bytes);
   }
   body_ += bytes;
   return true;
 }
 
-bool ReplicaCallTransfer::take_stream(std::string_view bytes) {
+bool ReplicaCallTransfer::handle_stream_bytes(std::string_view bytes) {
   incomplete_line_ += bytes;
   size_t line_begin = 0;
   for (auto line_end = incomplete_line_.find('\n'); line_end != std::string::npos;
        line_end = incomplete_line_.find('\n', line_begin)) {
-    if (!take_line(incomplete_line_.substr(line_begin, line_end - line_begin))) {
+    if (!handle_stream_line(incomplete_line_.substr(line_begin, line_end - line_begin))) {
       return false;
     }
     line_begin = line_end + 1;
@@ -120,7 +120,7 @@
   return true;
 }
 
-bool ReplicaCallTransfer::take_line(const std::string& line) {
+bool ReplicaCallTransfer::handle_stream_line(const std::string& line) {
   auto json = nlohmann::json::parse(line, nullptr, false);
   if (!json.is_object()) {
     return fail("a line of the stream is no JSON");
--- a/src/net/replica_call_transfer.hpp
+++ b/src/net/replica_call_transfer.hpp
@@ -20,14 +20,14 @@
   ReplicaCallResponse finish(CURLcode result);
 
  private:
-  static size_t on_body(char* bytes, size_t size, size_t count, void* call);
-  static size_t on_header(char* bytes, size_t size, size_t count, void* call);
+  static size_t on_body(char* bytes, size_t size, size_t count, void* transfer);
+  static size_t on_header(char* bytes, size_t size, size_t count, void* transfer);
   bool is_model_stream() const;
   /// Returns false to end the transfer with `error_`.
-  bool take_body(std::string_view bytes);
-  bool take_stream(std::string_view bytes);
-  bool take_line(const std::string& line);
-  void take_seal(const std::string& header_line);
+  bool handle_body(std::string_view bytes);
+  bool handle_stream_bytes(std::string_view bytes);
+  bool handle_stream_line(const std::string& line);
+  void read_seal(const std::string& header_line);
   bool fail(const char* error);
   void set_options();
   void set_headers();
--- a/src/net/replica_client.cpp
+++ b/src/net/replica_client.cpp
@@ -40,42 +40,42 @@
   };
   void wake() { curl_multi_wakeup(multi_.get()); }
   void run();
-  void take_commands();
+  void run_commands();
   void report_finished();
-  void begin(const ReplicaCall& request);
-  void drop(const std::string& attempt);
+  void start(const ReplicaCall& request);
+  void remove(const std::string& attempt);
 
   MessageCallback on_message_;
   CurlMultiHandle multi_;
   Queue<std::variant<ReplicaCall, CancelCommand>> commands_;
   /// By attempt; used only on the worker's thread.
-  std::map<std::string, std::unique_ptr<ReplicaCallTransfer>> calls_;
+  std::map<std::string, std::unique_ptr<ReplicaCallTransfer>> transfers_;
   std::atomic<bool> stop_requested_{false};
   /// Declared last, because the thread uses all other members.
   std::thread thread_;
 };
 
-void ReplicaClient::Worker::begin(const ReplicaCall& request) {
-  auto call = std::make_unique<ReplicaCallTransfer>(request, on_message_);
-  curl_multi_add_handle(multi_.get(), call->handle());
-  calls_[request.attempt] = std::move(call);
+void ReplicaClient::Worker::start(const ReplicaCall& request) {
+  auto transfer = std::make_unique<ReplicaCallTransfer>(request, on_message_);
+  curl_multi_add_handle(multi_.get(), transfer->handle());
+  transfers_[request.attempt] = std::move(transfer);
 }
 
-void ReplicaClient::Worker::drop(const std::string& attempt) {
-  auto found = calls_.find(attempt);
-  if (found == calls_.end()) {
+void ReplicaClient::Worker::remove(const std::string& attempt) {
+  auto found = transfers_.find(attempt);
+  if (found == transfers_.end()) {
     return;
   }
   curl_multi_remove_handle(multi_.get(), found->second->handle());
-  calls_.erase(found);
+  transfers_.erase(found);
 }
 
-void ReplicaClient::Worker::take_commands() {
+void ReplicaClient::Worker::run_commands() {
   for (const auto& command : commands_.take(0ms)) {
     if (const auto* request = std::get_if<ReplicaCall>(&command)) {
-      begin(*request);
+      start(*request);
     } else {
-      drop(std::get<CancelCommand>(command).attempt);
+      remove(std::get<CancelCommand>(command).attempt);
     }
   }
 }
@@ -87,24 +87,24 @@
       continue;
     }
     auto result = message->data.result;
-    ReplicaCallTransfer* call = nullptr;
-    curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &call);
-    auto attempt = call->attempt();
-    on_message_(call->finish(result));
-    drop(attempt);
+    ReplicaCallTransfer* transfer = nullptr;
+    curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &transfer);
+    auto attempt = transfer->attempt();
+    on_message_(transfer->finish(result));
+    remove(attempt);
   }
 }
 
 void ReplicaClient::Worker::run() {
   while (!stop_requested_) {
-    take_commands();
+    run_commands();
     int running = 0;
     curl_multi_perform(multi_.get(), &running);
     report_finished();
     curl_multi_poll(multi_.get(), nullptr, 0, static_cast<int>(kPollTimeout.count()), nullptr);
   }
-  while (!calls_.empty()) {
-    drop(calls_.begin()->first);
+  while (!transfers_.empty()) {
+    remove(transfers_.begin()->first);
   }
 }
 
--- a/tests/unit/net/http_frontend_faults_test.cpp
+++ b/tests/unit/net/http_frontend_faults_test.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-constexpr int concurrent_callers = 12;
-constexpr Duration path_timeout = 250ms;
-constexpr Duration tick_interval = 5ms;
-constexpr Duration test_timeout = 30000ms;
+constexpr int kConcurrentCallers = 12;
+constexpr Duration kPathTimeout = 250ms;
+constexpr Duration kFrontendTickInterval = 5ms;
+constexpr Duration kTestTimeout = 30000ms;
 
 /// One attempt of a caller and its result.
 struct Attempt {
   std::string id, path;
   uint32_t status = 0;
   std::string seal, id_in_response, body;
-  bool over = false, complete = false;
+  bool ended = false, complete = false;
 
   bool idempotent() const { return path == "safe" || path == "resume"; }
   /// Whether the status says that the request has not run and may be retried.
@@ -60,7 +60,7 @@
       replica.url = "http://" + replicas.back()->address();
     }
     for (auto& path : metadata.configuration.paths) {
-      path.timeout_ms = path_timeout.count();
+      path.timeout_ms = kPathTimeout.count();
     }
     snapshot = std::make_shared<RoutingSnapshot>(
         RoutingSnapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, TimePoint::max(), true});
@@ -69,12 +69,12 @@
     REQUIRE(opened.ok());
     frontend = std::move(opened).value();
     tick();
-    for (int i = 0; i < concurrent_callers; ++i) {
+    for (int i = 0; i < kConcurrentCallers; ++i) {
       begin_next_request();
     }
   }
   void tick() {
-    loop.run_after(tick_interval, [this] { tick(); });
+    loop.run_after(kFrontendTickInterval, [this] { tick(); });
     frontend->tick();
   }
   bool one_in(uint64_t count) { return random() % count == 0; }
@@ -109,14 +109,14 @@
     return id;
   }
   void cancel(uint64_t request) {
-    if (!attempts.at(request).over) {
+    if (!attempts.at(request).ended) {
       callers.cancel(request);
       end_attempt(request, false);
     }
   }
   void end_attempt(uint64_t request, bool complete) {
     auto& attempt = attempts.at(request);
-    if (std::exchange(attempt.over, true)) {
+    if (std::exchange(attempt.ended, true)) {
       return;
     }
     attempt.complete = complete;
@@ -157,18 +157,18 @@
 
 namespace {
 
-constexpr int seed_count = 12;
-constexpr int requests_per_seed = 250;
-constexpr unsigned replica_fault_percent = 40;
+constexpr int kSeedCount = 12;
+constexpr int kRequestsPerSeed = 250;
+constexpr unsigned kReplicaFaultPercent = 40;
 
 /// Runs one seed until all callers are done and checks the result of each attempt. Pauses the process once for
 /// `process_pause` after some requests.
 void run_until_done(FaultsFixture& fixture, Duration process_pause) {
   bool has_paused = false;
-  auto deadline = monotonic_now() + test_timeout;
+  auto deadline = monotonic_now() + kTestTimeout;
   while (!fixture.done() && monotonic_now() < deadline) {
     run_iterations(fixture.loop, 20);
-    if (fixture.attempts.size() > requests_per_seed / 5 && !std::exchange(has_paused, true)) {
+    if (fixture.attempts.size() > kRequestsPerSeed / 5 && !std::exchange(has_paused, true)) {
       std::this_thread::sleep_for(process_pause);
     }
   }
@@ -184,9 +184,9 @@
 void check_successes_over_all_seeds(Duration process_pause) {
   size_t successes = 0;
   size_t attempts = 0;
-  for (int seed = 1; seed <= seed_count; ++seed) {
+  for (int seed = 1; seed <= kSeedCount; ++seed) {
     INFO("seed " << seed);
-    FaultsFixture fixture(static_cast<uint64_t>(seed), requests_per_seed, replica_fault_percent, true);
+    FaultsFixture fixture(static_cast<uint64_t>(seed), kRequestsPerSeed, kReplicaFaultPercent, true);
     run_until_done(fixture, process_pause);
     CHECK(fixture.successes() > fixture.attempts.size() / 5);
     successes += fixture.successes();
@@ -204,7 +204,7 @@
 }
 
 TEST_CASE("HttpFrontend serves again after its process was paused for longer than all timeouts") {
-  check_successes_over_all_seeds(2 * path_timeout);
+  check_successes_over_all_seeds(2 * kPathTimeout);
 }
 
 TEST_CASE("HttpFrontend that drains under load loses no response that has begun") {
--- a/tests/unit/net/upstream_client_test.cpp
+++ b/tests/unit/net/upstream_client_test.cpp
@@ -42,7 +42,7 @@
     int failures = 0;
     UpstreamClient::Delivery delivery{};
 
-    bool is_over() const { return completions + failures > 0; }
+    bool has_ended() const { return completions + failures > 0; }
   };
 
   EventLoop loop;
@@ -103,7 +103,7 @@
 
   /// Runs until the request has completed or failed, and checks that this is reported only once.
   Outcome& wait_for_outcome(uint64_t request) {
-    REQUIRE(run_until(loop, [&] { return outcomes[request].is_over(); }));
+    REQUIRE(run_until(loop, [&] { return outcomes[request].has_ended(); }));
     run_iterations(loop);
     CHECK(outcomes[request].completions + outcomes[request].failures == 1);
     return outcomes[request];
@@ -268,7 +268,7 @@
 
   auto id = fixture.client.send_request(request);
 
-  CHECK_FALSE(fixture.outcomes[id].is_over());
+  CHECK_FALSE(fixture.outcomes[id].has_ended());
 
   auto& outcome = fixture.wait_for_outcome(id);
   CHECK(outcome.failures == 1);
@@ -391,7 +391,7 @@
     fixture.client.cancel(request);
     REQUIRE(run_until(fixture.loop, [&] { return fixture.responding->receive(); }));
 
-    CHECK_FALSE(fixture.outcomes[request].is_over());
+    CHECK_FALSE(fixture.outcomes[request].has_ended());
   }
 }
 
