--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -60,10 +60,10 @@
 }
 
 Actions ControllerMachine::take_actions() {
-  for (const std::string& record : outbox_.act.journal)
+  for (const std::string& record : outbox_.actions.journal)
     journal_bytes_ += record.size();
   if (journal_bytes_ > kCheckpointJournalBytes) {
-    outbox_.act.checkpoint = checkpoint();
+    outbox_.actions.checkpoint = checkpoint();
     journal_bytes_ = 0;
   }
   return outbox_.take();
@@ -95,7 +95,7 @@
   if (!outbox_.cluster)
     founding_.tick(now);
   if (shutdown_.in_progress() && shutdown_.is_complete(now))
-    outbox_.act.stop = true;
+    outbox_.actions.stop = true;
   if (outbox_.cluster && now >= next_heartbeat_at_)
     send_heartbeats(now);
   if (outbox_.cluster)
@@ -279,7 +279,7 @@
   shutdown_.begin(now);
   lease_.resign();
   if (!outbox_.cluster || !metadata_log_.view()->find(self().incarnation)) {
-    outbox_.act.stop = true;
+    outbox_.actions.stop = true;
     return;
   }
   send_heartbeats(now);
--- a/src/history/store_machine.cpp
+++ b/src/history/store_machine.cpp
@@ -120,7 +120,7 @@
 
 Actions StoreMachine::finish_step() {
   if (journal_.checkpoint_due()) {
-    out_.act.checkpoint = checkpoint();
+    out_.actions.checkpoint = checkpoint();
     journal_.checkpoint_written();
   }
   return out_.take();
--- a/src/replication/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -38,7 +38,7 @@
 
 Actions AgentMachine::tick(TimePoint now) {
   if (leaving_ && (gateway_replaced_ || now - last_gateway_contact_at_ > kAgentShutdownDelay))
-    outbox_.act.stop = true;
+    outbox_.actions.stop = true;
   follow(now);
   return outbox_.take();
 }
--- a/src/runtime/state_machine.hpp
+++ b/src/runtime/state_machine.hpp
@@ -67,20 +67,20 @@
 
   /// Sends at once. `to_incarnation` 0 means whoever has the address.
   void send(const Address& to, Message message, Incarnation to_incarnation = {}) {
-    act.now.push_back(wrap(to, std::move(message), to_incarnation));
+    actions.now.push_back(wrap(to, std::move(message), to_incarnation));
   }
   /// Sends once all that was written to the journal so far is durable.
   void send_synced(const Address& to, Message message, Incarnation to_incarnation = {}) {
-    act.synced.push_back(wrap(to, std::move(message), to_incarnation));
+    actions.synced.push_back(wrap(to, std::move(message), to_incarnation));
   }
   /// Appends a record to the journal.
-  void write(std::string record) { act.journal.push_back(std::move(record)); }
-  void log_event(Event event, std::string text) { act.notes.push_back({event, std::move(text)}); }
+  void write(std::string record) { actions.journal.push_back(std::move(record)); }
+  void log_event(Event event, std::string text) { actions.notes.push_back({event, std::move(text)}); }
 
   /// The actions of this step; the next one starts empty.
-  Actions take() { return std::exchange(act, {}); }
+  Actions take() { return std::exchange(actions, {}); }
 
-  Actions act;
+  Actions actions;
   /// Stamped on each message: the cluster's id (0 before it is known) and the epoch that the sender knows.
   uint64_t cluster = 0;
   Epoch epoch{};
--- a/tests/unit/routing/turn_owner_fixture.hpp
+++ b/tests/unit/routing/turn_owner_fixture.hpp
@@ -35,10 +35,10 @@
 template <class Body>
 std::vector<std::pair<Address, Body>> take_sent(Outbox& outbox) {
   std::vector<std::pair<Address, Body>> taken;
-  for (auto& envelope : outbox.act.now)
+  for (auto& envelope : outbox.actions.now)
     if (auto* body = std::get_if<Body>(&envelope.body))
       taken.push_back({envelope.to, *body});
-  std::erase_if(outbox.act.now, [](auto& envelope) { return std::holds_alternative<Body>(envelope.body); });
+  std::erase_if(outbox.actions.now, [](auto& envelope) { return std::holds_alternative<Body>(envelope.body); });
   return taken;
 }
 
