--- a/include/mosskeel/common.hpp
+++ b/include/mosskeel/common.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The vocabulary types that every module uses, and the standard containers that their interfaces are made of.
+// Vocabulary types used by all modules, and the standard containers used in their interfaces.
 #include <array>
 #include <functional>
 #include <map>
--- a/include/mosskeel/hash.hpp
+++ b/include/mosskeel/hash.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Stable hashing and its hexadecimal form.
+// Stable hashing and hexadecimal formatting of hashes.
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -7,11 +7,12 @@
 
 namespace mosskeel {
 
-/// FNV-1a with a final mix; the same on all machines. Used for partitions, seals, commit ids and affinity.
+/// Hashes with FNV-1a and a finalizer; the result is the same on all machines. Used for partitions, seals, commit ids
+/// and affinity.
 uint64_t digest(std::string_view bytes, uint64_t seed = 1469598103934665603ULL);
-/// 16 lower-case hexadecimal digits.
+/// Formats a number as 16 lower-case hexadecimal digits.
 std::string hex(uint64_t number);
-/// The number that `hex` wrote; nothing for anything but hexadecimal digits.
+/// Parses the output of `hex`. Returns nullopt unless `digits` is a hexadecimal number.
 std::optional<uint64_t> unhex(std::string_view digits);
 
 }  // namespace mosskeel
--- a/include/mosskeel/ids.hpp
+++ b/include/mosskeel/ids.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Strong typedefs for identifiers and counters, so that two of them cannot be mixed up.
+// Strong typedefs for identifiers and counters.
 #include <compare>
 #include <cstdint>
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace mosskeel {
 
-/// A value of type T that cannot be mixed up with another of the same T.
+/// Strong typedef of T. Values with different tags are distinct types, so they cannot be mixed up.
 template <class Tag, class T>
 class Strong {
  public:
@@ -21,20 +21,21 @@
   T value_{};
 };
 
-/// Position in the metadata log; each committed change makes the next epoch. 0 before the founding.
+/// Position in the metadata log. Each committed change increments the epoch; it is 0 before the cluster is founded.
 using Epoch = Strong<struct EpochTag, uint64_t>;
-/// A daemon's number in the directory, given by the log when it registers. 0 stands for none.
+/// A daemon's id in the directory, assigned by the log on registration. 0 means none.
 using DaemonId = Strong<struct DaemonTag, uint64_t>;
-/// Index of a partition of the programs.
+/// Index of a partition of the program key space.
 using PartitionId = Strong<struct PartitionTag, uint32_t>;
-/// Version of the configuration, as operators number it.
+/// Version number of the configuration, assigned by operators.
 using Revision = Strong<struct RevisionTag, uint64_t>;
-/// Tells a daemon from earlier ones at its address: kept on its disk where it has one, else drawn at each start.
+/// Distinguishes a daemon from earlier ones at the same address. Stored on the daemon's disk if it has one, otherwise
+/// chosen at random on each start.
 using Incarnation = Strong<struct IncarnationTag, uint64_t>;
-/// "IP:port" of a daemon, or the name of an endpoint inside a process.
+/// "IP:port" of a daemon, or the name of an endpoint inside the process.
 using Address = std::string;
 
-/// The epoch after this one.
+/// Returns the epoch after this one.
 inline Epoch next(Epoch epoch) {
   return Epoch{epoch.value() + 1};
 }
--- a/include/mosskeel/overload.hpp
+++ b/include/mosskeel/overload.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Visitor made of lambdas, for std::visit.
+// Combines lambdas into a visitor for std::visit.
 namespace mosskeel {
 
 template <class... F>
--- a/include/mosskeel/result.hpp
+++ b/include/mosskeel/result.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Errors with a code, a location and a message, and results that hold a value or errors.
+// Errors with a code, location and message, and results that hold either a value or errors.
 #include <concepts>
 #include <cstdint>
 #include <string>
@@ -11,28 +11,28 @@
 namespace mosskeel {
 
 enum class ErrorCode : uint8_t {
-  invalid_argument,  ///< input that can never be accepted as it is
-  rejected,          ///< valid input that the present state does not allow
-  corruption,        ///< stored bytes that are damaged
-  io_error,          ///< the operating system refused a call
+  invalid_argument,  ///< the input is invalid regardless of the state
+  rejected,          ///< the input is valid, but the current state does not allow it
+  corruption,        ///< stored data is damaged
+  io_error,          ///< a system call failed
 };
 
-/// One thing that is wrong.
+/// A single error.
 struct Error {
-  /// Where: a field of the input ("cells[0].name"), a file, or the object concerned.
+  /// The field of the input ("cells[0].name"), file or object that the error concerns.
   std::string location;
-  /// What is wrong, to follow the location in a sentence.
+  /// What is wrong, phrased to follow the location in a sentence.
   std::string message;
   ErrorCode code = ErrorCode::invalid_argument;
   bool operator==(const Error&) const = default;
 };
-/// Everything that was found wrong, in the order in which it was found.
+/// All errors of an operation, in the order in which they were detected.
 using Errors = std::vector<Error>;
 
-/// All errors on one line, "location: message; location: message".
+/// Formats all errors on one line: "location: message; location: message".
 std::string to_string(const Errors& errors);
 
-/// A value, or everything that was found wrong on the way to it. Must be looked at.
+/// A value, or the errors that prevented computing it. Must not be discarded.
 template <class T>
 class [[nodiscard]] Result {
  public:
@@ -43,11 +43,11 @@
 
   bool operator==(const Result&) const = default;
   bool ok() const { return outcome_.index() == 0; }
-  /// The value; only valid where `ok()`.
+  /// Returns the value; only valid if `ok()`.
   const T& value() const& { return std::get<0>(outcome_); }
   T& value() & { return std::get<0>(outcome_); }
   T&& value() && { return std::get<0>(std::move(outcome_)); }
-  /// The errors; only valid where not `ok()`.
+  /// Returns the errors; only valid if not `ok()`.
   const Errors& errors() const { return std::get<1>(outcome_); }
 
  private:
--- a/include/mosskeel/time.hpp
+++ b/include/mosskeel/time.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Time as state machines see it.
+// Time types used by state machines.
 #include <chrono>
 #include <cstdint>
 #include <limits>
@@ -8,10 +8,10 @@
 
 using namespace std::chrono_literals;
 
-/// A length of time. Messages, records and settings carry it as an integer whose name ends in `_ms`.
+/// A duration. Messages, records and settings represent it as an integer field with the suffix `_ms`.
 using Duration = std::chrono::milliseconds;
 
-/// The steady clock of one process. It is never read directly: each step of a state machine is given the time.
+/// The steady clock of one process. State machines never read it; each step receives the time as an argument.
 struct ProcessClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -20,18 +20,18 @@
   static constexpr bool is_steady = true;
 };
 
-/// A point on one process's own clock. Points of two processes are not comparable.
+/// A time on one process's clock. Times of different processes are not comparable.
 using TimePoint = ProcessClock::time_point;
 
-/// Before every point that a clock shows; the time since then does not overflow.
+/// A time earlier than any that a clock returns. Subtracting it from a clock's time does not overflow.
 constexpr TimePoint kLongAgo{Duration{std::numeric_limits<int64_t>::min() / 2}};
 
-/// The point as an integer, for messages and records.
+/// Converts a time to an integer for messages and records.
 constexpr int64_t to_milliseconds(TimePoint point) {
   return point.time_since_epoch().count();
 }
 
-/// The point that `to_milliseconds` made into an integer.
+/// Converts an integer from `to_milliseconds` back to a time.
 constexpr TimePoint from_milliseconds(int64_t milliseconds) {
   return TimePoint{Duration{milliseconds}};
 }
--- a/src/base/codec.hpp
+++ b/src/base/codec.hpp
@@ -1,9 +1,9 @@
 #pragma once
-// Binary encoding of messages and log records, generated from structs by Boost.Hana.
+// Binary encoding of messages and log records, generated from struct definitions with Boost.Hana.
 //
-// Numbers are little-endian as the machine has them, strings and containers have a 32-bit count before them, a variant
-// has the 16-bit index of its alternative before it, a struct is its fields in the order of its definition. There are
-// no names and no padding: the order of fields and of alternatives is the format.
+// Numbers are in the machine's byte order, which is little-endian. Strings and containers are prefixed with a 32-bit
+// count, variants with the 16-bit index of their alternative. A struct is encoded as its fields in the order of their
+// definition. There are no names and no padding, so the order of fields and alternatives defines the format.
 #include <boost/hana.hpp>
 #include <cstring>
 #include <string_view>
@@ -15,11 +15,11 @@
 namespace mosskeel::codec {
 namespace hana = boost::hana;
 
-/// The bytes of an encoding that are still to be read.
+/// Reads from an encoding; holds the bytes that have not been read yet.
 struct Reader {
   std::string_view remaining;
 
-  /// Copies the next `size` bytes to `target`; false, and nothing is read, where there are fewer.
+  /// Copies the next `size` bytes to `target`. Returns false and reads nothing if there are fewer.
   bool take(void* target, size_t size) {
     if (remaining.size() < size)
       return false;
@@ -38,7 +38,7 @@
 template <class Rep, class Period>
 constexpr bool kIsDuration<std::chrono::duration<Rep, Period>> = true;
 
-// `put` appends the encoding of a value; `get` reads one and returns false where the bytes are not one.
+// `put` appends the encoding of a value. `get` decodes a value and returns false if the bytes are invalid.
 template <class T>
 void put(std::string& out, const T& value);
 template <class T>
@@ -133,7 +133,8 @@
 template <class T>
 bool get(Reader& reader, std::vector<T>& values) {
   uint32_t count = 0;
-  // Each element takes a byte or more, so a count beyond the bytes left is damage and must not allocate.
+  // Each element takes at least one byte, so a count above the number of remaining bytes indicates corruption and must
+  // not cause an allocation.
   if (!get(reader, count) || count > reader.remaining.size())
     return false;
   values.clear();
@@ -238,7 +239,7 @@
   }
 }
 
-/// The encoding of a value.
+/// Returns the encoding of a value.
 template <class T>
 std::string encode(const T& value) {
   std::string out;
@@ -246,7 +247,7 @@
   return out;
 }
 
-/// The value that `bytes` encode; nothing unless they are exactly one T.
+/// Decodes a value. Returns nullopt unless `bytes` encode exactly one T.
 template <class T>
 std::optional<T> decode(std::string_view bytes) {
   Reader reader{bytes};
--- a/src/base/events.hpp
+++ b/src/base/events.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Numbered log events; docs/events.md is their catalogue and a test compares the two.
+// Numbered log events. A test checks that docs/events.md lists all of them.
 #include <cstdint>
 
 namespace mosskeel {
--- a/src/base/fd.hpp
+++ b/src/base/fd.hpp
@@ -1,12 +1,12 @@
 #pragma once
-// A file descriptor with an owner.
+// An owning file descriptor.
 #include <unistd.h>
 
 #include <utility>
 
 namespace mosskeel {
 
-/// A file descriptor that closes itself.
+/// Owns a file descriptor and closes it on destruction.
 class Fd {
  public:
   explicit Fd(int fd = -1) : fd_(fd) {}
--- a/src/base/fields.hpp
+++ b/src/base/fields.hpp
@@ -1,11 +1,11 @@
 #pragma once
-// Structs whose fields the codec and the JSON layer can visit by name.
+// Reflection for structs: lets the codec and the JSON layer visit fields by name.
 #include <boost/hana.hpp>
 #include <boost/preprocessor.hpp>
 
-/// Declares the fields of a struct, each given as `(type, name)`, and makes them visible to Boost.Hana, as
-/// BOOST_HANA_DEFINE_STRUCT does; but each field has a value, zero or empty, also where a variable of the struct is
-/// declared without an initializer. The order of the fields is the order of their encoding (base/codec.hpp).
+/// Declares the fields of a struct, each given as `(type, name)`, and registers them with Boost.Hana as
+/// BOOST_HANA_DEFINE_STRUCT does. Unlike with that macro, each field is value-initialized to zero or empty, even if a
+/// variable is declared without an initializer. The order of fields is their encoding order (base/codec.hpp).
 #define MOSSKEEL_FIELDS(Type, ...)                                                                        \
   BOOST_PP_SEQ_FOR_EACH(MOSSKEEL_DECLARE_FIELD, _, BOOST_PP_VARIADIC_TO_SEQ(__VA_ARGS__))                 \
   struct hana_accessors_impl {                                                                            \
@@ -21,7 +21,7 @@
     }                                                                                                     \
   }
 
-// The type of a field may contain commas, so its name is the last element of the tuple and the type all before it.
+// A field's type may contain commas, so the name is the last tuple element and the type is everything before it.
 #define MOSSKEEL_FIELD_NAME(field) BOOST_PP_TUPLE_ELEM(BOOST_PP_DEC(BOOST_PP_TUPLE_SIZE(field)), field)
 #define MOSSKEEL_FIELD_TYPE(field) BOOST_PP_TUPLE_ENUM(BOOST_PP_TUPLE_POP_BACK(field))
 #define MOSSKEEL_DECLARE_FIELD(r, data, field) MOSSKEEL_FIELD_TYPE(field) MOSSKEEL_FIELD_NAME(field){};
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -10,7 +10,7 @@
   uint64_t hash = seed;
   for (unsigned char byte : bytes)
     hash = (hash ^ byte) * kFnvPrime;
-  // The finaliser of MurmurHash3: FNV-1a alone mixes the last bytes poorly.
+  // MurmurHash3's finalizer, because FNV-1a alone mixes the last bytes poorly.
   hash ^= hash >> 33;
   hash *= 0xff51afd7ed558ccdULL;
   hash ^= hash >> 33;
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// JSON to structs and back by Boost.Hana: a field's name in the struct is its name in JSON. All errors are collected,
-// each with the path of its field ("cells[0].routes[1].kind").
+// Converts structs to and from JSON with Boost.Hana. Struct fields have the same names in JSON. All errors are
+// collected, each with the path of its field ("cells[0].routes[1].kind").
 #include <boost/hana.hpp>
 #include <nlohmann/json.hpp>
 
@@ -10,8 +10,8 @@
 using Json = nlohmann::json;
 namespace hana = boost::hana;
 
-// Reads `json`, found at the path `path`, into `value`; what is wrong is appended to `errors`. A struct names the
-// fields that may be left out in `optional_fields()`.
+// Reads `json`, which is located at `path`, into `value` and appends errors to `errors`. A struct lists the fields that
+// may be omitted in `optional_fields()`.
 template <class T>
 void read(const Json& json, const std::string& path, T& value, Errors& errors);
 template <class T>
@@ -102,7 +102,7 @@
 template <class T>
 Json write(const std::vector<T>& values);
 
-/// The JSON form of a value.
+/// Converts a value to JSON.
 template <class T>
 Json write(const T& value) {
   if constexpr (std::is_arithmetic_v<T> || std::is_same_v<T, std::string>) {
@@ -126,7 +126,7 @@
   return array;
 }
 
-/// A complete T out of JSON text, or all errors.
+/// Parses a complete T from JSON text. Returns all errors if it is invalid.
 template <class T>
 Result<T> parse(const std::string& text) {
   Json json = Json::parse(text, nullptr, false);
--- a/src/base/memory.cpp
+++ b/src/base/memory.cpp
@@ -6,12 +6,12 @@
 namespace mosskeel {
 namespace {
 
-/// Bytes; a fixed threshold: by itself it grows with each freed block, and checkpoints would then stay in the heap.
-constexpr int kLargeBlock = 256 << 10;
+/// Fixed mmap threshold. By default it grows as mapped blocks are freed, and checkpoints would then stay in the heap.
+constexpr int kLargeBlockBytes = 256 << 10;
 
 }  // namespace
 
-Memory process_memory() {
+MemoryUsage process_memory() {
   auto heap = ::mallinfo2();
   size_t used = heap.uordblks + heap.hblkhd;
   struct sysinfo machine {};
@@ -20,9 +20,9 @@
   return {used, static_cast<size_t>(machine.totalram) * machine.mem_unit};
 }
 
-void return_large_blocks() {
-  ::mallopt(M_MMAP_THRESHOLD, kLargeBlock);
-  ::mallopt(M_TRIM_THRESHOLD, kLargeBlock);
+void return_large_blocks_to_system() {
+  ::mallopt(M_MMAP_THRESHOLD, kLargeBlockBytes);
+  ::mallopt(M_TRIM_THRESHOLD, kLargeBlockBytes);
 }
 
 }  // namespace mosskeel
--- a/src/base/memory.hpp
+++ b/src/base/memory.hpp
@@ -1,19 +1,19 @@
 #pragma once
-// How much memory this process uses of what its machine has.
+// Memory usage of this process relative to the machine's memory.
 #include <cstddef>
 
 namespace mosskeel {
 
-struct Memory {
+struct MemoryUsage {
+  /// Bytes that this process has allocated, and the machine's memory; `total` is 0 if it is unknown.
   size_t used = 0, total = 0;
-  /// Over this share of the machine's memory.
-  bool over(double share) const { return total && static_cast<double>(used) > share * static_cast<double>(total); }
+  /// Returns whether the process uses more than this share of the machine's memory.
+  bool exceeds(double share) const { return total && static_cast<double>(used) > share * static_cast<double>(total); }
 };
 
-/// Bytes allocated now, and the machine's.
-Memory process_memory();
+MemoryUsage process_memory();
 
-/// Sets the allocator to give large blocks back to the system when they are freed.
-void return_large_blocks();
+/// Configures the allocator to return large blocks to the operating system when they are freed.
+void return_large_blocks_to_system();
 
 }  // namespace mosskeel
--- a/src/base/queue.hpp
+++ b/src/base/queue.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A queue between threads.
+// A thread-safe queue.
 #include <chrono>
 #include <condition_variable>
 #include <deque>
@@ -9,11 +9,11 @@
 
 namespace mosskeel {
 
-/// Unbounded first-in-first-out queue. All methods may be called from any thread.
+/// Unbounded FIFO queue. Thread-safe.
 template <class T>
 class Queue {
  public:
-  /// @return false where the queue is closed; the item is dropped.
+  /// @return false if the queue is closed; the item is dropped.
   bool push(T item) {
     std::lock_guard lock(mutex_);
     if (closed_)
@@ -23,14 +23,16 @@
     return true;
   }
 
-  /// Everything that is there; waits up to `timeout` for the first item. Empty after a time-out or once closed.
+  /// Takes all items, waiting up to `timeout` for the first one. Returns none after a timeout or if the queue is closed
+  /// and empty.
   std::deque<T> take(Duration timeout) {
     std::unique_lock lock(mutex_);
     wait_for_item(lock, timeout);
     return std::exchange(items_, {});
   }
 
-  /// The first item; waits up to `timeout` for it. Nothing after a time-out or once closed and empty.
+  /// Takes the first item, waiting up to `timeout` for it. Returns nullopt after a timeout or if the queue is closed
+  /// and empty.
   std::optional<T> pop(Duration timeout) {
     std::unique_lock lock(mutex_);
     wait_for_item(lock, timeout);
@@ -41,7 +43,7 @@
     return item;
   }
 
-  /// Wakes all who wait. What is in the queue can still be taken; nothing more is added.
+  /// Wakes all waiting threads and rejects further items. Items already queued can still be taken.
   void close() {
     std::lock_guard lock(mutex_);
     closed_ = true;
@@ -60,7 +62,7 @@
 
   mutable std::mutex mutex_;
   std::condition_variable changed_;
-  /// Guarded by `mutex_`, as is `closed_`.
+  /// Guarded by `mutex_`, like `closed_`.
   std::deque<T> items_;
   bool closed_ = false;
 };
--- a/src/control/admin_api.cpp
+++ b/src/control/admin_api.cpp
@@ -11,14 +11,14 @@
 
 constexpr std::string_view kReplicasPrefix = "/v1/replicas/";
 
-/// Bytes of a command that are written to the log.
+/// Maximum number of bytes of a command that are logged.
 constexpr size_t kMaxLoggedCommandBytes = 200;
 
 ApiResponse invalid_request(const Errors& errors) {
   return ApiResponse::error(400, "invalid", errors);
 }
 
-/// The commit id that the caller chose, so that it can repeat a request safely, or a new one.
+/// Returns the commit id chosen by the client, which makes its retries idempotent, or a new id.
 std::string commit_id_of(const ApiRequest& request, ControllerAccess& controller) {
   auto header = request.headers.find("idempotency-key");
   if (header != request.headers.end() && !header->second.empty())
@@ -99,7 +99,7 @@
   if (!parsed.ok())
     return "no: " + to_string(parsed.errors());
   const auto& command = parsed.value();
-  // A core that has to be founded anew has no majority to confirm anything.
+  // A core that has to be refounded has no majority that could confirm a read.
   if (const auto* rebuild = std::get_if<command_language::RebuildCore>(&command))
     return describe_outcome(controller_.refound(rebuild->lost));
   auto view = linearizable_read(controller_, kOperatorRequestTimeout);
--- a/src/control/admin_json.cpp
+++ b/src/control/admin_json.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// A required string of a replica's JSON; empty, with a finding, where it is none.
+/// Reads a required string of a replica's JSON. Returns an empty string and adds an error if it is missing or not a
+/// string.
 std::string required_text(const Json& object, const char* key, Errors& errors) {
   if (object.contains(key) && object[key].is_string())
     return object[key];
--- a/src/control/admin_json.hpp
+++ b/src/control/admin_json.hpp
@@ -1,26 +1,26 @@
 #pragma once
-// The bodies of the admin API's requests and responses; docs/http.md describes them.
+// Request and response bodies of the admin API; docs/http.md describes them.
 #include "base/json.hpp"
 #include "consensus/failure_detector.hpp"
 #include "net/http_server.hpp"
 
 namespace mosskeel {
 
-/// Plain text; a line end is added where there is none.
+/// Creates a plain-text response. Appends a newline if `text` does not end with one.
 ApiResponse text_response(std::string text);
 ApiResponse json_response(const json::Json& body);
 
-/// A commit's outcome in the operators' language: "yes", "no" or "unknown", with its particulars.
+/// Formats a commit's outcome in the command language: "yes", "no" or "unknown", with details.
 std::string describe_outcome(const CommitReply& reply);
-/// A commit's outcome as JSON and status; `revision` is the current one.
+/// Converts a commit's outcome to an HTTP status and JSON. `revision` is the current revision.
 ApiResponse commit_response(const CommitReply& reply, Revision revision);
 
-/// A replica that an operator puts into the log under this name, out of its JSON.
+/// Parses the JSON of a replica that an operator adds to the log under this name.
 Result<Replica> parse_replica(const std::string& name, const std::string& text);
 
 ApiResponse show_configuration(const Metadata& metadata);
 ApiResponse list_replicas(const Metadata& metadata);
-/// One gateway's entry in the list of gateways. `status` is what its heartbeats told; null where it never sent any.
+/// Returns a gateway's entry in the list of gateways. `status` is from its heartbeats; null if it has sent none.
 json::Json gateway_json(const Daemon& daemon, const Metadata& metadata, const PeerStatus* status, TimePoint now);
 
 }  // namespace mosskeel
--- a/src/control/cluster_control.hpp
+++ b/src/control/cluster_control.hpp
@@ -1,68 +1,68 @@
 #pragma once
-// What an operator can ask of the cluster, whatever the protocol in which the request came.
+// Operator commands and reads of the cluster, independent of the protocol of the request.
 #include "metadata/metadata.hpp"
 
 namespace mosskeel {
 
-/// What became of a command.
+/// The result of a command.
 struct CommandResult {
   enum class Code {
-    /// Committed, and in force everywhere it has to be.
+    /// Committed and in force on all daemons that must apply it.
     done,
-    /// Built on a revision that is not the current one.
+    /// The command is based on a revision that is not the current one.
     revision_mismatch,
-    /// The command itself is wrong.
+    /// The command is invalid regardless of the cluster's state.
     invalid,
-    /// Well formed, but it does not apply to the cluster's present state.
+    /// The command is valid but not applicable in the cluster's current state.
     rejected,
-    /// What it names does not exist.
+    /// The target of the command does not exist.
     not_found,
-    /// Neither done nor rejected yet; the same command with the same commit id finds out.
+    /// The outcome is not known yet; repeating the command with the same commit id determines it.
     outcome_unknown,
   };
   Code code = Code::outcome_unknown;
-  /// For the operator to read; empty where the command is done.
+  /// Explanation for the operator; empty if the command is done.
   std::string reason;
 };
 
-/// How far the retirement of a machine's store has come. `unconfirmed`: no majority of the core confirmed any state.
+/// Progress of the retirement of a machine's store. `unconfirmed` means that no majority of the core confirmed a state.
 enum class RetirementState { unconfirmed, unknown_machine, serving, finished };
 
-/// The commands and reads that one request of an operator may consist of. All calls for one request together end
-/// within `kOperatorRequestTimeout`.
+/// The commands and reads available to one operator request. All calls for one request together take at most
+/// `kOperatorRequestTimeout`.
 class ClusterControl {
  public:
-  /// Why this controller takes no commands now.
+  /// Why this controller currently accepts no commands.
   struct Unavailable {
-    /// The HTTP address of a controller that takes them; empty where none is known.
+    /// The HTTP address of a controller that accepts them; empty if none is known.
     Address redirect_to;
     std::string reason;
   };
 
   virtual ~ClusterControl() = default;
 
-  /// Nothing where this controller takes commands.
+  /// Returns nullopt if this controller accepts commands.
   virtual std::optional<Unavailable> unavailability() = 0;
 
-  /// A linearizable read: the metadata as a majority of the core has confirmed it since the call; null where no
-  /// majority answered in time.
+  /// Performs a linearizable read: returns metadata that a majority of the core has confirmed after the call, or null
+  /// if no majority answered in time.
   virtual MetadataSnapshot read_metadata() = 0;
 
-  /// Waits until all that this controller knows is in force.
+  /// Waits until the latest epoch known to this controller is in force.
   virtual CommandResult wait_until_in_force() = 0;
 
-  /// Replaces the configuration of revision `base` by this one, of revision `revision`. A repeated `commit_id` is
-  /// never applied twice.
+  /// Replaces the configuration of revision `base` by this one, which gets revision `revision`. Commands with the same
+  /// `commit_id` are applied at most once.
   virtual CommandResult apply_configuration(const std::string& commit_id, Revision base, Revision revision,
                                             const Configuration& configuration) = 0;
 
-  /// Takes the traffic off a zone.
+  /// Moves traffic away from a zone.
   virtual CommandResult evacuate(const std::string& zone) = 0;
 
-  /// Takes an evacuated zone back into service.
+  /// Returns an evacuated zone to service.
   virtual CommandResult restore(const std::string& zone) = 0;
 
-  /// Drains the store on this machine; rejected where too few replicas would remain.
+  /// Drains the store on this machine. Rejected if too few copies of histories would remain.
   virtual CommandResult retire(const std::string& machine) = 0;
 
   virtual RetirementState retirement_state(const std::string& machine) = 0;
--- a/src/control/command_language.cpp
+++ b/src/control/command_language.cpp
@@ -5,7 +5,7 @@
 namespace mosskeel::command_language {
 namespace {
 
-/// What follows a sentence's first word; nothing where the reader holds an error.
+/// The command parsed from a sentence; nullopt if the reader holds an error.
 using ParsedCommand = std::optional<Command>;
 
 ParsedCommand parse_show(SentenceReader& reader) {
@@ -196,7 +196,7 @@
   return Transformation{MovePartition{PartitionId{static_cast<uint32_t>(*partition)}, *owner}};
 }
 
-/// A sentence's first word, and the rule for what follows it.
+/// The first word of a sentence and the parser for the rest.
 struct Rule {
   const char* keyword;
   ParsedCommand (*parse)(SentenceReader&);
--- a/src/control/command_language.hpp
+++ b/src/control/command_language.hpp
@@ -1,19 +1,19 @@
 #pragma once
-// The operators' command language: parses a sentence into a command, and answers queries from the metadata.
-// The grammar is in docs/operators.md.
+// The operators' command language: parses a sentence into a command and answers queries from the metadata.
+// docs/operators.md contains the grammar.
 #include "metadata/transformation.hpp"
 
 namespace mosskeel::command_language {
 
-/// `show SUBJECT`: prints a part of the metadata. The language calls partitions slots.
+/// `show SUBJECT`: prints part of the metadata. The language calls partitions "slots".
 struct ShowQuery {
   enum class Subject { fleet, epoch, cells, replicas, partitions, sequences, configuration, cell };
   Subject subject{};
-  /// The cell's name; only for `Subject::cell`.
+  /// The name of the cell; set only for `Subject::cell`.
   std::string name;
 };
 
-/// `explain SUBJECT NAME`: prints one item's state and the log entries that led to it.
+/// `explain SUBJECT NAME`: prints the state of one item and the log entries that led to it.
 struct ExplainQuery {
   enum class Subject { node, partition, epoch, program };
   Subject subject{};
@@ -40,25 +40,25 @@
   uint64_t value = 0;
 };
 
-/// `rebuild core without`: founds the core anew, because these members are lost for good.
+/// `rebuild core without`: refounds the core without these members, which are permanently lost.
 struct RebuildCore {
   std::vector<DaemonId> lost;
 };
 
-/// A plain `Transformation` stands for all sentences that name a change of the log directly.
+/// A plain `Transformation` represents every sentence that maps directly to a change of the log.
 using Command = std::variant<ShowQuery, ExplainQuery, CreateCell, DropCell, UpdateCell, RebuildCore, Transformation>;
 
-/// Parses a sentence. Its one finding names the position of the error and the words that were expected there.
+/// Parses a sentence. On failure returns a single error with the position and the words that were expected there.
 Result<Command> parse(const std::string& sentence);
 
-/// The response to a query: "yes" and lines of text, or "no: " and the reason.
+/// Returns the response to a query: "yes" followed by lines of text, or "no: " and the reason.
 std::string show(const ShowQuery& query, const Metadata& metadata);
 
-/// As `show`; `recent_entries` are the log entries that this controller still keeps.
+/// Like `show`. `recent_entries` are the log entries that this controller still keeps.
 std::string explain(const ExplainQuery& query, const Metadata& metadata, const std::vector<Entry>& recent_entries);
 
-/// The log's change that a command asks for, built on this metadata; errors where the command does not apply to it
-/// or is a query.
+/// Converts a command to a change of the log, based on this metadata. Returns errors if the command does not apply to
+/// the metadata or changes nothing in the log.
 Result<Transformation> to_transformation(const Command& command, const Metadata& metadata);
 
 }  // namespace mosskeel::command_language
--- a/src/control/command_queries.cpp
+++ b/src/control/command_queries.cpp
@@ -1,4 +1,4 @@
-// The answers to the operators' queries. A message that refuses a number repeats it as the operator typed it.
+// Answers operators' queries. An error about a number repeats it exactly as the operator typed it.
 #include <algorithm>
 #include <sstream>
 
@@ -80,7 +80,7 @@
   out << "epoch " << entry.epoch.value() << ": " << describe(entry.change) << "\n";
 }
 
-/// Whether a change names this daemon as its subject.
+/// Returns whether a change has this daemon as its subject.
 bool concerns(const Transformation& change, DaemonId id) {
   return std::visit(
       overload{[&](const MarkDown& mark) { return mark.node == id; },
@@ -95,7 +95,7 @@
                [&](const ReplaceCoreMember& replace) { return replace.removed == id || replace.added == id; },
                [&](const MovePartition& move) { return move.owner == id; },
                [&](const MoveAllPartitions& move) { return move.from == id || move.to == id; },
-               // All others concern the whole cluster, its configuration or its replicas.
+               // All other changes concern the whole cluster, its configuration or its replicas.
                [](const auto&) {
                  return false;
                }},
@@ -110,7 +110,7 @@
   return "no: " + reason;
 }
 
-/// The number that an operator typed, or nothing.
+/// Parses a number typed by an operator. Returns nullopt if it is invalid.
 std::optional<uint64_t> parse_number(const std::string& text) {
   if (text.empty() || text.size() > kMaxDecimalDigits)
     return std::nullopt;
@@ -228,7 +228,7 @@
     case Subject::epoch:
       return explain_epoch(query.name, Epoch{*number}, metadata, recent_entries);
     case Subject::program:
-      break;  // answered above
+      break;  // handled above
   }
   return refused("'" + query.name + "' is no number");
 }
--- a/src/control/command_transformation.cpp
+++ b/src/control/command_transformation.cpp
@@ -1,4 +1,4 @@
-// The changes of the log that commands ask for.
+// Converts commands to changes of the log.
 #include <algorithm>
 
 #include "control/command_language.hpp"
@@ -48,7 +48,7 @@
   return {};
 }
 
-/// The configuration of this metadata after a command, as a change built on its revision.
+/// Applies a command to the metadata's configuration and returns the result as a change based on its revision.
 template <class CellCommand>
 Result<Transformation> apply_to_configuration(const CellCommand& command, const Metadata& metadata) {
   auto configuration = metadata.configuration;
--- a/src/control/constants.hpp
+++ b/src/control/constants.hpp
@@ -1,26 +1,27 @@
 #pragma once
-// Constants of the administrative interfaces.
+// Constants of the admin APIs.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
-/// An operator turns to another controller after a second without an answer.
+/// Operators fail over to another controller after 1 s without a response, so requests end before that.
 constexpr Duration kOperatorRequestTimeout = 900ms;
-/// When an operator without a clear answer may ask again.
+/// Retry delay given to an operator when the outcome of a request is unknown.
 constexpr Duration kOperatorRetryDelay = 200ms;
-/// Between two looks whether an epoch is in force; one tick.
+/// Interval of the checks whether an epoch is in force; one tick of the state machine.
 constexpr Duration kInForcePollInterval = 20ms;
-/// Heartbeats; a daemon that missed more in a row is not counted on here, well before it is marked down.
+/// Number of consecutive missed heartbeats from which the admin API treats a daemon as unreachable, well before the
+/// daemon is marked down.
 constexpr int kMaxMissedHeartbeats = 4;
-/// Digits of a number that an operator may write; so many always fit into 64 bits.
+/// Maximum number of digits of a number in a command; a number of this length always fits in 64 bits.
 constexpr size_t kMaxDecimalDigits = 18;
-/// The reason given where a read or a command found no majority of the core.
+/// The reason reported if no majority of the core confirmed a read or a command.
 constexpr const char* kNoMajorityReason = "no majority of the core answered in time";
-/// Between readings of the replica list, whose rate is limited.
+/// Interval between reads of the replica list; the platform limits their rate.
 constexpr Duration kReplicaListPollInterval = 500ms;
-/// A page that takes longer is given up, and its reading with it.
+/// Timeout for one page; if it expires, the whole read fails.
 constexpr Duration kReplicaListPageTimeout = 1000ms;
-/// Pages; a longer list goes round in circles.
+/// Maximum number of pages; a longer list indicates a cycle of page tokens.
 constexpr size_t kReplicaListMaxPages = 200;
 
 }  // namespace mosskeel
--- a/src/control/control_protocol.cpp
+++ b/src/control/control_protocol.cpp
@@ -3,7 +3,7 @@
 namespace mosskeel {
 namespace {
 
-/// A function's static, since registrations run before `main` in no fixed order.
+/// A function-local static, because registrations run before `main` in unspecified order.
 std::vector<const ControlProtocol*>& registered_control_protocols() {
   static std::vector<const ControlProtocol*> protocols;
   return protocols;
--- a/src/control/control_session.cpp
+++ b/src/control/control_session.cpp
@@ -12,7 +12,7 @@
 
 using Code = CommandResult::Code;
 
-/// The store that registered last on this machine.
+/// Returns the store that registered last on this machine, or nullptr.
 const Daemon* find_store(const Metadata& metadata, const std::string& machine) {
   if (machine.empty())
     return nullptr;
@@ -24,7 +24,7 @@
   return latest;
 }
 
-/// Whether a store has left, and no partition keeps histories on it or is about to.
+/// Returns whether a store has left, and no partition stores histories on it now or after a pending move.
 bool is_emptied(const Metadata& metadata, const Daemon& store) {
   if (store.state != DaemonState::left || metadata.sequences.count(store.id))
     return false;
@@ -33,7 +33,7 @@
   });
 }
 
-/// The HTTP address of a core member that may be asked instead, chosen at random; empty where there is none.
+/// Returns the HTTP address of a random core member to which a request can be redirected; empty if there is none.
 Address random_member_address(const Metadata& metadata) {
   std::vector<Address> addresses;
   for (auto id : metadata.members) {
@@ -75,8 +75,8 @@
   return static_cast<size_t>(reporting) >= majority_of(metadata.members.size());
 }
 
-/// A member without contact to a majority can do nothing, and a controller that is no member yet names one. Checking
-/// this first only spares the wait: whoever passes has still to be confirmed by a majority before any result.
+/// A core member without contact to a majority is unavailable, and a controller that is not a member yet redirects to
+/// one. This check only avoids waiting for a timeout: a majority still has to confirm every result.
 std::optional<ClusterControl::Unavailable> find_unavailability(const ControllerMachine& controller, TimePoint now) {
   const auto view = controller.view();
   if (controller.removed_by_refounding())
@@ -90,7 +90,7 @@
   return std::nullopt;
 }
 
-/// Why this store's replicas cannot be relied on, or nothing.
+/// Returns why this store's copies of histories cannot be relied on, or nullopt.
 std::optional<std::string> store_fault(const ControllerMachine& controller, const Daemon& store, TimePoint now) {
   const auto* status = controller.failure_detector().status_of(store.self.incarnation);
   auto daemon = " daemon " + std::to_string(store.id.value());
@@ -103,8 +103,8 @@
 
 }  // namespace
 
-/// A rejection is confirmed by a majority at the highest epoch, and nothing is logged. So asking for what is always
-/// rejected, to forget a replica without a name, reads the newest metadata.
+/// A majority confirms each rejection at the highest epoch, without a log entry. Therefore committing a change that is
+/// always rejected, the removal of a replica without a name, serves as a read of the latest metadata.
 MetadataSnapshot linearizable_read(ControllerAccess& controller, Duration timeout) {
   auto reply = controller.commit(RemoveReplica{""}, controller.new_commit_id("read"), timeout);
   if (reply.outcome != CommitOutcome::rejected)
@@ -114,7 +114,8 @@
   return view;
 }
 
-/// A store is not retired while another one lacks replicas: it might be the last one that holds a history.
+/// A store is not drained while any store lacks copies, because the drained store might hold the last copy of a
+/// history.
 std::optional<std::string> drain_hazard(const ControllerMachine& controller, const Transformation& change,
                                         TimePoint now) {
   const auto* drain = std::get_if<PrepareDrain>(&change);
@@ -172,7 +173,7 @@
   return {Code::outcome_unknown, "epoch " + std::to_string(epoch.value()) + " is not yet in force: " + missing};
 }
 
-std::string ControlSession::describe_silence() {
+std::string ControlSession::describe_timeout() {
   std::string reason = "no outcome in time";
   if (controller_.stopped())
     return reason + "; this controller is stopping";
@@ -185,14 +186,15 @@
   return reason;
 }
 
-/// The result comes out of the reply alone: a later look at the metadata may see another state than was decided on.
+/// Derives the result only from the commit's reply, because metadata read later may differ from the state in which the
+/// change was decided.
 CommandResult ControlSession::execute(const Transformation& change, const std::string& commit_id) {
   auto reply = controller_.commit(change, commit_id, time_left());
   switch (reply.outcome) {
     case CommitOutcome::committed:
       return {Code::done, ""};
     case CommitOutcome::unknown:
-      return {Code::outcome_unknown, reply.reason.empty() ? describe_silence() : reply.reason};
+      return {Code::outcome_unknown, reply.reason.empty() ? describe_timeout() : reply.reason};
     case CommitOutcome::rejected:
       break;
   }
@@ -225,7 +227,7 @@
   std::optional<std::string> hazard;
   controller_.inspect(
       [&](ControllerMachine& controller, TimePoint now) { hazard = drain_hazard(controller, drain, now); });
-  // A drain that would be rejected anyway goes on, for its typed reason.
+  // A drain that would be rejected anyway is still committed, to get the typed reason of the rejection.
   bool applicable = apply(*view, {next(view->epoch), "", drain}).ok();
   if (hazard && applicable)
     return {Code::outcome_unknown, *hazard};
--- a/src/control/control_session.hpp
+++ b/src/control/control_session.hpp
@@ -1,41 +1,41 @@
 #pragma once
-// One operator's request on one controller.
+// Executes one operator's request on one controller.
 #include "consensus/controller_machine.hpp"
 #include "control/cluster_control.hpp"
 
 namespace mosskeel {
 
-/// What a request needs of the controller that it reached. `HostControllerAccess` is the daemon's; tests and the
-/// simulator have their own.
+/// A request's access to the controller that received it. The daemon uses `HostControllerAccess`; tests and the
+/// simulator have their own implementations.
 class ControllerAccess {
  public:
   virtual ~ControllerAccess() = default;
-  /// An id that no other commit has: what the commit is for, and random digits.
+  /// Returns a unique commit id: `purpose` followed by random digits.
   virtual std::string new_commit_id(const std::string& purpose) = 0;
-  /// Commits a change under this id; returns at a known outcome or after `timeout`, then with an unknown one.
+  /// Commits a change under this id. Returns as soon as the outcome is known, or an unknown outcome after `timeout`.
   virtual CommitReply commit(const Transformation& change, const std::string& commit_id, Duration timeout) = 0;
-  /// Calls `look` on the state machine, on its own thread, and waits for it to return.
-  virtual void inspect(const std::function<void(ControllerMachine&, TimePoint now)>& look) = 0;
-  /// The state machine's clock.
+  /// Calls `inspection` with the state machine, on its thread, and waits for it to return.
+  virtual void inspect(const std::function<void(ControllerMachine&, TimePoint now)>& inspection) = 0;
+  /// Returns the time of the state machine's clock.
   virtual TimePoint now() = 0;
   virtual void pause(Duration duration) = 0;
-  /// Whether the state machine has stopped: it answers nothing more.
+  /// Returns whether the state machine has stopped and no longer responds.
   virtual bool stopped() = 0;
 };
 
-/// A linearizable read: metadata at least as new as what a majority of the core confirmed since the call; null where
-/// no majority answered within `timeout`.
+/// Performs a linearizable read: returns metadata at least as new as what a majority of the core confirmed after the
+/// call. Returns null if no majority answered within `timeout`.
 MetadataSnapshot linearizable_read(ControllerAccess& controller, Duration timeout);
 
-/// Why it is not safe to drain a store now, by what this controller has observed. Nothing for a safe drain and for
-/// every other change.
+/// Returns why draining a store is currently unsafe, as far as this controller has observed. Returns nullopt for a safe
+/// drain and for any other change.
 std::optional<std::string> drain_hazard(const ControllerMachine& controller, const Transformation& change,
                                         TimePoint now);
 
-/// Carries out the steps of one operator's request; all of them share one deadline. Used on the request's own thread.
+/// Executes the steps of one operator's request, which share one deadline. Used only on the request's thread.
 class ControlSession : public ClusterControl {
  public:
-  /// The request is answered within `kOperatorRequestTimeout` of `arrived_at`.
+  /// The request's deadline is `kOperatorRequestTimeout` after `arrived_at`.
   ControlSession(ControllerAccess& controller, TimePoint arrived_at);
 
   std::optional<Unavailable> unavailability() override;
@@ -53,8 +53,8 @@
   /// Commits a change and waits until it is in force.
   CommandResult execute(const Transformation& change, const std::string& commit_id);
   CommandResult wait_until_in_force(Epoch epoch);
-  /// Why a commit may have had no reply in time: whose acknowledgements the newest epoch here lacks.
-  std::string describe_silence();
+  /// Describes why a commit may have timed out: whose acknowledgements of this controller's latest epoch are missing.
+  std::string describe_timeout();
 
   ControllerAccess& controller_;
   TimePoint deadline_{};
--- a/src/control/host_controller_access.cpp
+++ b/src/control/host_controller_access.cpp
@@ -8,7 +8,7 @@
 namespace mosskeel {
 namespace {
 
-/// Opens a mailbox and closes it when destroyed.
+/// Opens a mailbox and closes it on destruction.
 class OpenMailbox {
  public:
   explicit OpenMailbox(LocalMailboxes& mailboxes) : mailboxes_(mailboxes), opened_(mailboxes.open()) {}
@@ -18,7 +18,8 @@
 
   const Address& address() const { return opened_.address; }
 
-  /// The next message if it is a commit's reply; nothing where it is none, or none came within `timeout`.
+  /// Returns the next message if it is a commit reply. Returns nullopt for any other message, or if none arrived within
+  /// `timeout`.
   std::optional<CommitReply> receive_reply(Duration timeout) {
     auto message = opened_.mailbox->pop(timeout);
     if (!message)
@@ -59,7 +60,8 @@
     envelope.epoch = view->epoch;
     envelope.body = Commit{commit_id, change, view->epoch, (deadline - process_now()).count()};
     host_.post(std::move(envelope));
-    // One heartbeat interval longer than the controller tries, so that a reply sent at its deadline still arrives.
+    // Waits one heartbeat interval longer than the controller's attempt, so that a reply sent at the deadline still
+    // arrives.
     auto wait = std::min(attempt_timeout_ + kHeartbeatInterval, deadline - process_now());
     auto reply = mailbox.receive_reply(wait);
     if (!reply)
@@ -73,7 +75,7 @@
 
 CommitReply HostControllerAccess::refound(const std::vector<DaemonId>& lost) {
   OpenMailbox mailbox(mailboxes_);
-  // There is no id to repeat: the operator gives the same command again.
+  // Refounding has no commit id. The reply says "retry with the same command" instead.
   const std::string id = "the same command";
   Envelope envelope{};
   envelope.from = mailbox.address();
@@ -83,8 +85,8 @@
   return mailbox.receive_reply(attempt_timeout_).value_or(unknown_outcome(id));
 }
 
-void HostControllerAccess::inspect(const std::function<void(ControllerMachine&, TimePoint)>& look) {
-  host_.ask([&](StateMachine& machine, TimePoint now) { look(static_cast<ControllerMachine&>(machine), now); });
+void HostControllerAccess::inspect(const std::function<void(ControllerMachine&, TimePoint)>& inspection) {
+  host_.ask([&](StateMachine& machine, TimePoint now) { inspection(static_cast<ControllerMachine&>(machine), now); });
 }
 
 TimePoint HostControllerAccess::now() {
--- a/src/control/replica_list_client.cpp
+++ b/src/control/replica_list_client.cpp
@@ -8,10 +8,11 @@
 namespace mosskeel {
 namespace {
 
-/// A page that is larger is none.
+/// Maximum size of a page; a larger body is rejected.
 constexpr size_t kMaxPageBytes = kMaxHttpBodyBytes * 8;
 
-/// libcurl's write callback: appends to the string behind `context`, and ends the transfer by taking nothing.
+/// libcurl's write callback: appends to the string at `context`. Returns 0 to abort a transfer that exceeds the size
+/// limit.
 size_t append_to_body(char* data, size_t size, size_t count, void* context) {
   auto& body = *static_cast<std::string*>(context);
   size_t bytes = size * count;
--- a/src/control/replica_list_client.hpp
+++ b/src/control/replica_list_client.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Reads a platform's list of replicas over HTTP.
+// Reads a platform's replica list over HTTP.
 #include <memory>
 #include <stop_token>
 
@@ -7,14 +7,14 @@
 
 namespace mosskeel {
 
-/// A client with one connection, kept between readings. Not thread-safe.
+/// HTTP client with one connection that is reused between reads. Not thread-safe.
 class ReplicaListClient {
  public:
-  /// Reads at `address` (IP:port), with the paths and pages of `protocol`.
+  /// Reads from `address` (IP:port) with the paths and page format of `protocol`.
   ReplicaListClient(const ControlProtocol& protocol, Address address);
 
-  /// Reads all pages. Errors where any of them fails, for a partial list looks like one that lost replicas; also
-  /// where `stop` is requested between two pages.
+  /// Reads all pages. Returns errors if any page fails, because a partial list looks as if replicas were removed, or if
+  /// `stop` is requested between two pages.
   Result<std::vector<Replica>> read(const std::stop_token& stop);
 
  private:
@@ -22,7 +22,7 @@
 
   const ControlProtocol& protocol_;
   const Address address_;
-  /// A libcurl handle, whose type only the source file knows.
+  /// A libcurl easy handle; `void` keeps libcurl's header out of this one.
   std::unique_ptr<void, void (*)(void*)> connection_;
 };
 
--- a/src/control/replica_poller.cpp
+++ b/src/control/replica_poller.cpp
@@ -14,7 +14,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// Returns at `deadline`, or at once where the thread is asked to stop.
+/// Sleeps until `deadline`, or until a stop is requested.
 void sleep_until(Clock::time_point deadline, const std::stop_token& stop) {
   std::mutex mutex;
   std::condition_variable_any condition;
@@ -39,7 +39,7 @@
 
 void ReplicaPoller::poll(const std::stop_token& stop) {
   if (!holds_supervisor_lease()) {
-    // Another controller reads meanwhile, so what this one remembers gets stale.
+    // Another controller polls in the meantime, so the state of this one's earlier polls becomes stale.
     reconciler_.reset();
     return;
   }
--- a/src/control/replica_poller.hpp
+++ b/src/control/replica_poller.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Service discovery: brings the replicas in the metadata log up to a platform's list of them.
+// Service discovery: updates the replicas in the metadata log from the platform's replica list.
 #include <thread>
 
 #include "control/control_session.hpp"
@@ -8,25 +8,25 @@
 
 namespace mosskeel {
 
-/// Reads the replica list on a thread of its own while this controller holds the supervisor lease, and commits what
-/// the log lacks of it, each reading in one epoch.
+/// Polls the replica list on its own thread while this controller holds the supervisor lease, and commits the
+/// differences from the metadata log, with all changes of a poll in one epoch.
 class ReplicaPoller {
  public:
-  /// Polls at `address` (IP:port) until it is destroyed.
+  /// Polls `address` (IP:port) until destruction.
   ReplicaPoller(ControllerAccess& controller, const ControlProtocol& protocol, Address address);
 
  private:
   void run(const std::stop_token& stop);
   void poll(const std::stop_token& stop);
   bool holds_supervisor_lease();
-  /// Null where the state machine has stopped.
+  /// Returns the state machine's metadata, or null if it has stopped.
   MetadataSnapshot view();
 
   ControllerAccess& controller_;
   ReplicaListClient client_;
-  /// The state of earlier readings; used by the poller's thread alone.
+  /// State from earlier polls; used only by the poller's thread.
   ReplicaListReconciler reconciler_;
-  /// The last member: its destructor stops and joins the thread before the others go.
+  /// Must be the last member: its destructor stops and joins the thread before the other members are destroyed.
   std::jthread thread_;
 };
 
--- a/src/control/sentence_reader.hpp
+++ b/src/control/sentence_reader.hpp
@@ -1,31 +1,31 @@
 #pragma once
-// Reads a sentence word by word, and tells what was expected where it goes wrong.
+// Tokenizer for sentences of the command language, which reports what was expected at the position of an error.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel::command_language {
 
-/// Walks over the words of a sentence, which blanks separate. Each method either consumes the next word, or leaves it
-/// and remembers what it expected there, for the error message.
+/// Reads the words of a sentence, which are separated by white space. Each method either consumes the next word, or
+/// leaves it and records what was expected instead, for the error message.
 class SentenceReader {
  public:
   explicit SentenceReader(const std::string& sentence);
 
-  /// Consumes this keyword.
+  /// Consumes the next word if it is this keyword.
   bool accept(const std::string& keyword);
-  /// Consumes any word; `description` names what is expected.
+  /// Consumes any word. `description` names the expected word in error messages.
   std::optional<std::string> word(const std::string& description);
-  /// Consumes a decimal number that fits into 64 bits.
+  /// Consumes a decimal number that fits in 64 bits.
   std::optional<uint64_t> number(const std::string& description);
   std::optional<DaemonId> daemon_id();
   bool at_end();
 
-  /// The position of the word that could not be consumed, and all that was expected there.
+  /// Returns the position of the word that could not be consumed, and everything that was expected there.
   Errors error() const;
 
  private:
   struct Word {
     std::string text;
-    /// Counted from 1.
+    /// Position in the sentence, counted from 1.
     size_t position{};
   };
 
@@ -39,7 +39,7 @@
   size_t next_ = 0;
   /// One past the last character, counted from 1.
   size_t end_position_{};
-  /// All that would have been accepted at the word `expected_at_`.
+  /// Everything that would have been accepted at the word with index `expected_at_`.
   std::vector<std::string> expectations_;
   size_t expected_at_ = 0;
 };
--- a/src/daemons/agent/main.cpp
+++ b/src/daemons/agent/main.cpp
@@ -1,4 +1,4 @@
-// The agent daemon beside a gateway: wires an AgentMachine to the network.
+// The agent daemon, which runs next to a gateway: connects an AgentMachine to the network.
 #include "replication/agent_machine.hpp"
 #include "runtime/daemon.hpp"
 
@@ -8,15 +8,15 @@
 
 constexpr const char* kProgram = "agent";
 
-RequiredSettings needs() {
-  RequiredSettings needs{};
-  needs.program = kProgram;
-  needs.purpose = "The agent beside a gateway: keeps its link to the core.";
-  needs.listen = true;
-  needs.agent = true;
-  needs.zone = true;
-  needs.seeds = true;
-  return needs;
+RequiredSettings required_settings() {
+  RequiredSettings required{};
+  required.program = kProgram;
+  required.purpose = "The agent beside a gateway: keeps its link to the core.";
+  required.listen = true;
+  required.agent = true;
+  required.zone = true;
+  required.seeds = true;
+  return required;
 }
 
 Identity identity_from(const Settings& settings) {
@@ -37,7 +37,7 @@
 }  // namespace
 
 int main(int argc, const char** argv) {
-  auto parsed = read_settings(argc, argv, needs());
+  auto parsed = read_settings(argc, argv, required_settings());
   if (const auto* exit_code = std::get_if<int>(&parsed))
     return *exit_code;
   start_log(kProgram);
@@ -48,7 +48,7 @@
     return std::make_unique<AgentMachine>(identity, now);
   };
   if (auto errors = host.start(make_machine); !errors.empty())
-    return cannot_start(kProgram, errors);
+    return report_start_failure(kProgram, errors);
   return run_until_stopped(host, kProgram, [&] {
     host.ask([](StateMachine& machine, TimePoint) { static_cast<AgentMachine&>(machine).leave(); });
     return false;
--- a/src/daemons/controller/main.cpp
+++ b/src/daemons/controller/main.cpp
@@ -1,4 +1,5 @@
-// The controller daemon: a member of the core. Wires the state machine, its host, the admin API and service discovery.
+// The controller daemon, a member of the core: connects the state machine, its host, the admin API and service
+// discovery.
 #include <curl/curl.h>
 
 #include "control/admin_api.hpp"
@@ -11,17 +12,17 @@
 
 constexpr const char* kProgram = "controller";
 
-RequiredSettings needs() {
-  RequiredSettings needs{};
-  needs.program = kProgram;
-  needs.purpose = "A core daemon: keeps the metadata log, answers operators and platform.";
-  needs.listen = true;
-  needs.http = true;
-  needs.zone = true;
-  needs.seeds = true;
-  needs.data = true;
-  needs.core_size = true;
-  return needs;
+RequiredSettings required_settings() {
+  RequiredSettings required{};
+  required.program = kProgram;
+  required.purpose = "A core daemon: keeps the metadata log, answers operators and platform.";
+  required.listen = true;
+  required.http = true;
+  required.zone = true;
+  required.seeds = true;
+  required.data = true;
+  required.core_size = true;
+  return required;
 }
 
 Identity make_identity(const Settings& settings, Incarnation incarnation) {
@@ -47,7 +48,7 @@
 }  // namespace
 
 int main(int argc, const char** argv) {
-  auto parsed = read_settings(argc, argv, needs());
+  auto parsed = read_settings(argc, argv, required_settings());
   if (auto* exit_code = std::get_if<int>(&parsed))
     return *exit_code;
   const auto& settings = std::get<Settings>(parsed);
@@ -68,7 +69,7 @@
     return std::make_unique<ControllerMachine>(identity, recovered, now);
   });
   if (!start_errors.empty())
-    return cannot_start(kProgram, start_errors);
+    return report_start_failure(kProgram, start_errors);
 
   const auto* protocol = find_control_protocol(settings.platform_protocol);
   HostControllerAccess controller(host, mailboxes, settings.commit_attempt_timeout);
@@ -76,7 +77,7 @@
   auto server =
       HttpServer::open(settings.http_address, [&](const ApiRequest& request) { return admin_api.handle(request); });
   if (!server.ok())
-    return cannot_start(kProgram, server.errors());
+    return report_start_failure(kProgram, server.errors());
   std::unique_ptr<ReplicaPoller> replica_poller;
   if (protocol && !settings.replica_list_address.empty())
     replica_poller = std::make_unique<ReplicaPoller>(controller, *protocol, settings.replica_list_address);
--- a/src/daemons/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -1,4 +1,4 @@
-// The gateway daemon: wires its state machine to callers' HTTP, to replicas and to the other daemons.
+// The gateway daemon: connects its state machine to clients over HTTP, to replicas and to the other daemons.
 #include <curl/curl.h>
 
 #include "gateway/program_api.hpp"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// How long a stopping process waits for its callers' HTTP sessions to end: so many looks, so far apart.
+/// On shutdown, the process polls this many times, at this interval, until its clients' HTTP sessions have ended.
 constexpr int kSessionEndChecks = 50;
 constexpr Duration kSessionEndCheckInterval = 20ms;
 
@@ -24,8 +24,8 @@
   return identity;
 }
 
-/// Posts what the replicas answer to the state machine.
-Envelope from_replicas(Message body) {
+/// Wraps a replica's message for the state machine.
+Envelope envelope_from_replica(Message body) {
   Envelope envelope{};
   envelope.from = kReplicaAddressPrefix;
   envelope.body = std::move(body);
@@ -60,17 +60,17 @@
   auto identity = identity_from(settings);
   Host host(nullptr, settings.listen_address);
   LocalMailboxes mailboxes;
-  ReplicaClient replicas([&](Message message) { host.post(from_replicas(std::move(message))); });
+  ReplicaClient replicas([&](Message message) { host.post(envelope_from_replica(std::move(message))); });
 
-  // Where a protocol codec is set, callers speak the platform's protocol; else the product's own.
+  // With a protocol codec configured, clients use the platform's protocol; otherwise Mosskeel's own API.
   std::unique_ptr<RoutingThread> routing_thread;
   if (!settings.platform_protocol.empty()) {
     const auto* codec = find_protocol_codec(settings.platform_protocol);
     if (!codec)
-      return cannot_start("gateway", {{"dialect", "'" + settings.platform_protocol + "' is not known"}});
+      return report_start_failure("gateway", {{"dialect", "'" + settings.platform_protocol + "' is not known"}});
     auto started = RoutingThread::start(host, *codec, settings.http_address, settings.readiness_address);
     if (!started.ok())
-      return cannot_start("gateway", started.errors());
+      return report_start_failure("gateway", started.errors());
     routing_thread = std::move(started).value();
   }
 
@@ -80,7 +80,7 @@
     return std::make_unique<GatewayMachine>(identity, now);
   };
   if (auto errors = host.start(make_machine); !errors.empty())
-    return cannot_start("gateway", errors);
+    return report_start_failure("gateway", errors);
 
   ProgramApi program_api(host, mailboxes);
   std::unique_ptr<HttpServer> http_server;
@@ -90,7 +90,7 @@
     };
     auto opened = HttpServer::open(settings.http_address, answer);
     if (!opened.ok())
-      return cannot_start("gateway", opened.errors());
+      return report_start_failure("gateway", opened.errors());
     http_server = std::move(opened).value();
   }
 
--- a/src/daemons/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -1,4 +1,4 @@
-// The storage daemon: wires a StoreMachine to its disk, the network and its HTTP page.
+// The storage daemon: connects a StoreMachine to its disk, the network and its HTTP endpoints.
 #include "base/memory.hpp"
 #include "history/constants.hpp"
 #include "history/store_machine.hpp"
@@ -26,7 +26,7 @@
   return identity;
 }
 
-/// Measures the process's load at intervals, on the machine's thread, and tells the machine.
+/// Samples the process's load periodically on the state machine's thread and passes it to the state machine.
 class LoadMonitor {
  public:
   explicit LoadMonitor(const Host& host) : host_(host) {}
@@ -35,10 +35,10 @@
     if (now < next_sample_at_)
       return;
     next_sample_at_ = now + kStoreLoadInterval;
-    bool journal_held_back = host_.journal()->pending_bytes() > kMaxBytesWaitingForDisk;
+    bool journal_is_blocked = host_.journal()->pending_bytes() > kMaxBytesWaitingForDisk;
     StoreLoad load;
-    load.memory_short = journal_held_back || process_memory().over(kStoreMemoryShare);
-    load.disk_behind = host_.waiting() > kMaxBytesWaitingForDisk;
+    load.memory_short = journal_is_blocked || process_memory().exceeds(kStoreMemoryShare);
+    load.disk_behind = host_.bytes_waiting_for_disk() > kMaxBytesWaitingForDisk;
     store_of(machine).set_load(load);
   }
 
@@ -57,14 +57,14 @@
     metrics["histories_repaired"] = static_cast<double>(store.repair().fetched());
     metrics["messages_shed"] = static_cast<double>(store.shed_messages());
   });
-  metrics["inbox_messages_dropped"] = static_cast<double>(host.refused());
+  metrics["inbox_messages_dropped"] = static_cast<double>(host.dropped_inbox_messages());
   ApiResponse response;
   response.body = metrics_of(host, kProgram, metrics);
   response.headers["Content-Type"] = "text/plain";
   return response;
 }
 
-/// Ready is a store that is up in the directory.
+/// A store is ready once the directory lists it as up.
 ApiResponse readiness_response(const Host& host, Incarnation self) {
   auto view = host.view();
   auto* daemon = view->find(self);
@@ -86,22 +86,22 @@
 int run(const Settings& settings, const std::shared_ptr<Disk>& disk) {
   auto incarnation = disk->recovered().incarnation;
   auto identity = identity_of(settings, incarnation);
-  return_large_blocks();
+  return_large_blocks_to_system();
   Host host(disk, settings.listen_address, kStoreInboxBytes);
   host.watch(LoadMonitor(host));
   auto errors = host.start([&](Recovered recovered, TimePoint now) {
     return std::make_unique<StoreMachine>(identity, std::move(recovered), now);
   });
   if (!errors.empty())
-    return cannot_start(kProgram, errors);
+    return report_start_failure(kProgram, errors);
   Result<std::unique_ptr<HttpServer>> server = std::unique_ptr<HttpServer>{};
   if (!settings.http_address.empty())
     server = HttpServer::open(settings.http_address,
                               [&](const ApiRequest& request) { return respond(host, incarnation, request); });
   if (!server.ok())
-    return cannot_start(kProgram, server.errors());
+    return report_start_failure(kProgram, server.errors());
   auto exit_code = run_until_stopped(host, kProgram, [] { return true; });
-  // Before the host, whose machine it asks.
+  // Destroyed before the host, because its handlers call into the host's state machine.
   server.value().reset();
   return exit_code;
 }
@@ -109,9 +109,9 @@
 }  // namespace
 
 int main(int argc, const char** argv) {
-  RequiredSettings needs{
+  RequiredSettings required{
       kProgram, "A storage daemon: keeps the replicas of histories.", true, true, false, true, true, true, false};
-  auto settings = read_settings(argc, argv, needs);
+  auto settings = read_settings(argc, argv, required);
   if (auto* exit_code = std::get_if<int>(&settings))
     return *exit_code;
   start_log(kProgram);
--- a/src/runtime/constants.hpp
+++ b/src/runtime/constants.hpp
@@ -1,32 +1,32 @@
 #pragma once
-// Constants that all daemons share.
+// Constants shared by all daemons.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
-/// Where each process's own clock begins, so that 0 can stand for "never".
+/// Start of each process's own clock. It is not 0, so that 0 can mean "never".
 constexpr TimePoint kProcessClockStart{1000000000000ms};
-/// How long a daemon waits for one commit as a whole, all attempts included (TCM paper's await).
+/// Timeout of one commit as a whole, including all attempts ("await" in the TCM paper).
 constexpr Duration kCommitTimeout = 10000ms;
-/// How long one controller works on one commit request (TCM paper's RPC time-out).
+/// Timeout of one commit attempt on one controller ("RPC time-out" in the TCM paper).
 constexpr Duration kCommitAttemptTimeout = 2000ms;
-/// How often a state machine looks at its timers.
+/// Interval at which a state machine checks its timers.
 constexpr Duration kTickInterval = 20ms;
-/// Offset into a machine's ports; seeds name machines only, so all controllers share one port.
+/// Offset into a machine's port range. Seeds name only machines, so controllers use the same port on all of them.
 constexpr uint16_t kControllerPortOffset = 0;
-/// Offset; a gateway runs beside its agent, so each has its own port.
+/// Port offset. A gateway runs on the same machine as its agent, so each has its own port.
 constexpr uint16_t kGatewayPortOffset = 1;
-/// Offset; see kGatewayPortOffset.
+/// Port offset; see kGatewayPortOffset.
 constexpr uint16_t kAgentPortOffset = 2;
-/// Offset; a store may share a machine with any other daemon.
+/// Port offset. A store may share a machine with any other daemon.
 constexpr uint16_t kStorePortOffset = 3;
-/// Controllers; a core grows by itself up to this size, a larger one slows down every commit.
+/// Maximum number of controllers to which a core grows by itself; a larger core slows down every commit.
 constexpr uint32_t kMaxCoreSize = 9;
-/// Bytes; journal growth that calls for a checkpoint.
+/// Journal growth in bytes that triggers a checkpoint.
 constexpr size_t kCheckpointJournalBytes = 16u << 20;
-/// When a rejected caller may try again, unless something better is known.
+/// Retry delay given to a rejected client if no better estimate is known.
 constexpr Duration kDefaultRetryAfter = 500ms;
-/// Exit code of a daemon whose settings are wrong.
+/// Exit code of a daemon with invalid settings.
 constexpr int kExitBadSettings = 2;
 
 }  // namespace mosskeel
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -10,7 +10,7 @@
 
 constexpr int kExitStoppedByItself = 1;
 constexpr int kExitDamagedData = 4;
-/// How often a daemon's main thread looks whether the host has stopped.
+/// How often a daemon's main thread checks whether the host has stopped.
 constexpr Duration kSignalPollInterval = 100ms;
 
 }  // namespace
@@ -30,7 +30,7 @@
 
 std::string metrics_of(const Host& host, const char* program, const std::map<std::string, double>& more) {
   std::ostringstream out;
-  // As many digits as a double keeps, so that counters stay whole numbers.
+  // All decimal digits that a double preserves, so that counters are printed as whole numbers.
   out.precision(15);
   auto add = [&](const std::string& name, double value) {
     out << "mosskeel_" << name << "{program=\"" << program << "\"} " << value << "\n";
@@ -40,7 +40,7 @@
   add("revision", static_cast<double>(view->revision.value()));
   add("messages_sent", static_cast<double>(host.sent()));
   add("messages_unsent", static_cast<double>(host.dropped()));
-  add("messages_foreign", static_cast<double>(host.foreign()));
+  add("messages_foreign", static_cast<double>(host.foreign_messages()));
   add("syncs", static_cast<double>(host.syncs()));
   if (const auto* journal = host.journal()) {
     add("disk_full", journal->full());
@@ -52,14 +52,14 @@
   return out.str();
 }
 
-int run_until_stopped(Host& host, const char* program, const std::function<bool()>& leave) {
+int run_until_stopped(Host& host, const char* program, const std::function<bool()>& begin_shutdown) {
   log_event(Event::started, std::string(program) + " " MOSSKEEL_VERSION);
   bool was_signalled = false;
   while (!host.stopped()) {
     if (!wait_for_signal(kSignalPollInterval))
       continue;
     log_event(Event::stopping, program);
-    if (leave() || was_signalled)
+    if (begin_shutdown() || was_signalled)
       break;
     was_signalled = true;
   }
@@ -69,7 +69,7 @@
   return stopped_by_itself ? kExitStoppedByItself : 0;
 }
 
-int cannot_start(const char* program, const Errors& errors) {
+int report_start_failure(const char* program, const Errors& errors) {
   for (const auto& error : errors)
     fprintf(stderr, "%s: event=%d %s: %s: %s\n", program, static_cast<int>(Event::bad_settings),
             meaning(Event::bad_settings), error.location.c_str(), error.message.c_str());
--- a/src/runtime/daemon.hpp
+++ b/src/runtime/daemon.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What every daemon's main does alike.
+// Functions shared by the main functions of all daemons.
 #include "base/log.hpp"
 #include "net/http_server.hpp"
 #include "runtime/host.hpp"
@@ -8,17 +8,18 @@
 
 namespace mosskeel {
 
-/// Opens the data folder; where it is damaged, logs all errors and gives the exit code.
+/// Opens the data directory. If it is damaged, logs all errors and returns the exit code.
 std::variant<std::shared_ptr<Disk>, int> open_disk(const std::string& folder);
 
-/// The counters of a host in the text form of metrics, with those in `more` behind them.
+/// Formats a host's counters as metrics text, followed by those in `more`.
 std::string metrics_of(const Host& host, const char* program, const std::map<std::string, double>& more);
 
-/// Runs until a signal or the state machine's own stop; the exit code. `leave` is called at the first signal and
-/// returns true where the daemon stops at once; otherwise it goes on until the state machine stops or a second signal.
-int run_until_stopped(Host& host, const char* program, const std::function<bool()>& leave);
+/// Runs until a signal arrives or the state machine stops, and returns the exit code. `begin_shutdown` is called at the
+/// first signal. If it returns true, the daemon stops immediately; otherwise it runs until the state machine stops or a
+/// second signal arrives.
+int run_until_stopped(Host& host, const char* program, const std::function<bool()>& begin_shutdown);
 
-/// Says why a daemon could not start; its exit code.
-int cannot_start(const char* program, const Errors& errors);
+/// Prints why a daemon could not start, and returns its exit code.
+int report_start_failure(const char* program, const Errors& errors);
 
 }  // namespace mosskeel
--- a/src/runtime/host.cpp
+++ b/src/runtime/host.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// How long the disk's thread waits for work before it looks whether it is to end.
+/// How long the disk thread waits for work before it checks whether it must end.
 constexpr Duration kDiskQueueWait = 200ms;
 
 size_t bytes_in_memory(const Batch& batch) {
@@ -39,11 +39,11 @@
       self_(std::move(self)),
       inbox_(max_inbox_bytes) {}
 
-Errors Host::start(const Make& make) {
-  machine_ = make(disk_ ? disk_->take_recovered() : Recovered{}, process_now());
+Errors Host::start(const MachineFactory& make_machine) {
+  machine_ = make_machine(disk_ ? disk_->take_recovered() : Recovered{}, process_now());
   std::atomic_store(&view_, machine_->view());
   auto transport =
-      Transport::open(self_, [this](Envelope message, size_t bytes) { inbox_.hear(std::move(message), bytes); });
+      Transport::open(self_, [this](Envelope message, size_t bytes) { inbox_.receive(std::move(message), bytes); });
   if (!transport.ok())
     return transport.errors();
   transport_ = std::move(transport).value();
@@ -55,7 +55,7 @@
 
 void Host::stop() {
   stopped_ = true;
-  // Closed before the machine's thread is told to end: what that thread finds last is all there will ever be.
+  // Closed before the state machine's thread is told to end, so that no item is added after its last read.
   inbox_.close();
   halting_ = true;
   if (machine_thread_.joinable())
@@ -66,15 +66,15 @@
   transport_.reset();
 }
 
-void Host::watch(Watch watch) {
-  std::lock_guard lock(watch_mutex_);
-  watch_ = std::move(watch);
+void Host::watch(Observer observer) {
+  std::lock_guard lock(observer_mutex_);
+  observer_ = std::move(observer);
 }
 
 void Host::ask(const std::function<void(StateMachine&, TimePoint)>& function) {
   auto done = std::make_shared<std::promise<void>>();
   auto finished = done->get_future();
-  // The call alone owns the promise: where it is dropped, the promise is broken, which ends the wait too.
+  // Only the call owns the promise, so dropping the call breaks the promise, which also ends the wait.
   inbox_.call([&function, done = std::move(done)](StateMachine& machine, TimePoint now) {
     function(machine, now);
     done->set_value();
@@ -123,7 +123,7 @@
       perform(machine_->step(*message, process_now()));
     else
       std::get<Inbox::Call>(item.content)(*machine_, process_now());
-    inbox_.done(item);
+    inbox_.release(item);
   }
 }
 
@@ -143,16 +143,15 @@
     }
     handle_inbox(std::max(Duration(1ms), next_tick - process_now()));
     {
-      std::lock_guard lock(watch_mutex_);
-      if (watch_)
-        watch_(*machine_, process_now());
+      std::lock_guard lock(observer_mutex_);
+      if (observer_)
+        observer_(*machine_, process_now());
     }
     publish_view();
   }
   handle_inbox(Duration::zero());
 }
 
-/// Made in the state machine's thread, so that it stands for all that was enqueued before it.
 void Host::request_checkpoint() {
   inbox_.call([this](StateMachine& machine, TimePoint) {
     if (auto checkpoint = machine.checkpoint(); !checkpoint.empty())
@@ -160,7 +159,6 @@
   });
 }
 
-/// False where the disk has failed.
 bool Host::write_batches(std::deque<Batch> batches) {
   size_t bytes = 0;
   for (const auto& batch : batches)
--- a/src/runtime/host.hpp
+++ b/src/runtime/host.hpp
@@ -8,63 +8,68 @@
 
 namespace mosskeel {
 
-/// This process's own time by the steady clock; the times of two processes are not comparable.
+/// Returns this process's time by the steady clock. Times of different processes are not comparable.
 TimePoint process_now();
 
-/// Three threads: one steps the state machine, one writes its journal (only with a disk), and the transport's receives.
-/// Messages that wait for the journal leave from the disk's thread once it is durable.
+/// Uses three threads: one runs the state machine, one writes its journal (only with a disk), and the transport's
+/// thread receives messages. Messages that depend on the journal are sent by the disk thread once it is durable.
 ///
-/// All public methods may be called from any thread, `start` and `stop` by the owner alone.
+/// All public methods are thread-safe, except that only the owner may call `start` and `stop`.
 class Host {
  public:
-  /// Creates the state machine from what the disk held, at the time given.
-  using Make = std::function<std::unique_ptr<StateMachine>(Recovered, TimePoint)>;
-  /// Takes a message that is not for another daemon ("local:7", "replica:m1"); called by the state machine's thread or
-  /// the disk's.
-  using Deliver = std::function<void(const Envelope&)>;
-  /// Looks at the state machine in its own thread.
-  using Watch = std::function<void(StateMachine&, TimePoint)>;
+  /// Creates the state machine from the data recovered from disk, at the given time.
+  using MachineFactory = std::function<std::unique_ptr<StateMachine>(Recovered, TimePoint)>;
+  /// Handles a message to an address inside this process ("local:7", "replica:m1"). Called on the state machine's or
+  /// the disk thread.
+  using MessageHandler = std::function<void(const Envelope&)>;
+  /// Called with the state machine, on its thread.
+  using Observer = std::function<void(StateMachine&, TimePoint)>;
 
-  /// `disk` may be null for a daemon that keeps no journal. Beyond `max_inbox_bytes` of messages that wait for the
-  /// state machine, larger ones are dropped as if lost on the way.
+  /// `disk` may be null for a daemon without a journal. If more than `max_inbox_bytes` of messages are queued for the
+  /// state machine, further messages that are not small are dropped as if lost in transit.
   Host(std::shared_ptr<Disk> disk, Address self, size_t max_inbox_bytes = SIZE_MAX);
   ~Host() { stop(); }
 
-  /// Errors where the address cannot be listened on; nothing runs then.
-  Errors start(const Make& make);
-  /// Ends all threads: handles what was posted before, and writes the journal. May be called twice.
+  /// Returns errors, and starts no thread, if the process cannot listen on its address.
+  Errors start(const MachineFactory& make_machine);
+  /// Handles everything posted before, writes the journal and ends all threads. May be called repeatedly.
   void stop();
-  /// The state machine has asked to end, or the disk has failed.
+  /// Returns whether the host was stopped, the state machine requested an exit, or the disk has failed.
   bool stopped() const { return stopped_; }
 
-  /// Delivers messages to addresses that begin with `prefix` (up to a colon) inside this process. Before `start`.
-  void route(const std::string& prefix, Deliver deliver) { local_routes_[prefix] = std::move(deliver); }
-  /// Called after each batch of steps.
-  void watch(Watch watch);
-  /// Hands the state machine a message from inside the process. False where the host has ended: the message is dropped.
+  /// Routes messages to addresses with `prefix` (the part before a colon) to a handler inside this process. Must be
+  /// called before `start`.
+  void route(const std::string& prefix, MessageHandler handler) { local_routes_[prefix] = std::move(handler); }
+  /// Sets the observer, which is called after each batch of steps.
+  void watch(Observer observer);
+  /// Queues a message from inside the process for the state machine. Returns false, and drops it, if the host has
+  /// stopped.
   bool post(Envelope message) { return inbox_.post(std::move(message)); }
-  /// Runs `function` in the state machine's thread and waits for its end. Not run where the host has ended.
+  /// Runs `function` on the state machine's thread and waits for it to return. Does not run it if the host has stopped.
   void ask(const std::function<void(StateMachine&, TimePoint)>& function);
-  /// The metadata that the state machine knew after its last batch of steps.
+  /// Returns the state machine's metadata as of its last batch of steps.
   MetadataSnapshot view() const { return std::atomic_load(&view_); }
 
-  /// Null where no journal is kept.
+  /// Null for a daemon without a journal.
   const JournalWriter* journal() const { return journal_.get(); }
   uint64_t syncs() const { return disk_ ? disk_->sync_count() : 0; }
   uint64_t sent() const { return transport_ ? transport_->sent() : 0; }
   uint64_t dropped() const { return transport_ ? transport_->dropped() : 0; }
-  uint64_t foreign() const { return transport_ ? transport_->foreign() : 0; }
-  /// Bytes that wait for the disk: records, checkpoints, and the messages behind them.
-  size_t waiting() const { return bytes_waiting_for_disk_; }
-  /// Messages dropped because too many waited for the state machine.
-  uint64_t refused() const { return inbox_.refused(); }
+  uint64_t foreign_messages() const { return transport_ ? transport_->foreign() : 0; }
+  /// Bytes of records and checkpoints not yet on disk, and of the messages that depend on them.
+  size_t bytes_waiting_for_disk() const { return bytes_waiting_for_disk_; }
+  /// Number of messages dropped because the state machine's inbox was full.
+  uint64_t dropped_inbox_messages() const { return inbox_.dropped(); }
 
  private:
   void run_machine();
   void handle_inbox(Duration timeout);
   void publish_view();
   void run_disk();
+  /// Returns false if the disk has failed.
   bool write_batches(std::deque<Batch> batches);
+  /// Requests a checkpoint from the state machine. It is created on the state machine's thread, so that it covers
+  /// everything enqueued before it.
   void request_checkpoint();
   void perform(Actions actions);
   void enqueue(Batch batch);
@@ -73,22 +78,22 @@
   std::shared_ptr<Disk> disk_;
   std::unique_ptr<JournalWriter> journal_;
   Address self_;
-  /// Touched by its own thread alone once that runs.
+  /// Accessed only by `machine_thread_` once that is running.
   std::unique_ptr<StateMachine> machine_;
   std::unique_ptr<Transport> transport_;
-  std::map<std::string, Deliver> local_routes_;
+  std::map<std::string, MessageHandler> local_routes_;
   Inbox inbox_;
   Queue<Batch> disk_queue_;
-  /// Read and written as an atomic shared pointer.
+  /// Accessed with the atomic functions for shared pointers.
   MetadataSnapshot view_ = std::make_shared<Metadata>();
   std::thread machine_thread_, disk_thread_;
   std::atomic<bool> stopped_{false};
-  /// The threads are to end.
+  /// Whether the state machine's thread must end.
   std::atomic<bool> halting_{false};
   std::atomic<size_t> bytes_waiting_for_disk_{0};
-  std::mutex watch_mutex_;
-  /// Guarded by `watch_mutex_`.
-  Watch watch_;
+  std::mutex observer_mutex_;
+  /// Guarded by `observer_mutex_`.
+  Observer observer_;
 };
 
 }  // namespace mosskeel
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -15,7 +15,7 @@
 namespace mosskeel {
 namespace {
 
-/// Bounds of the time-outs in the settings.
+/// Limits of the timeouts in the settings.
 constexpr Duration kMinCommitAttemptTimeout = 100ms;
 constexpr Duration kMaxCommitAttemptTimeout = 30000ms;
 constexpr Duration kMaxCommitTimeout = 60000ms;
@@ -39,14 +39,14 @@
   return nullptr;
 }
 
-int report(const RequiredSettings& needs, const Errors& errors) {
+int report(const RequiredSettings& required, const Errors& errors) {
   for (const auto& error : errors)
-    fprintf(stderr, "%s: event=%d %s: %s: %s\n", needs.program, static_cast<int>(Event::bad_settings),
+    fprintf(stderr, "%s: event=%d %s: %s: %s\n", required.program, static_cast<int>(Event::bad_settings),
             meaning(Event::bad_settings), error.location.c_str(), error.message.c_str());
   return kExitBadSettings;
 }
 
-/// The command line as it was given; null and 0 where a flag was left out.
+/// Values of the command-line flags; null or 0 for a flag that was not given.
 struct Flags {
   char* file = nullptr;
   char* listen = nullptr;
@@ -62,34 +62,35 @@
   int check = 0;
   int version = 0;
 
-  /// Whether any of them gives settings.
-  bool any() const {
+  /// Returns whether any flag specifies settings.
+  bool any_setting() const {
     return file || listen || http || agent || zone || seeds || data || core_size || commit_timeout ||
            commit_attempt_timeout || shutdown_grace;
   }
 };
 
-Errors parse_flags(int argc, const char** argv, const RequiredSettings& needs, Flags& flags) {
+Errors parse_flags(int argc, const char** argv, const RequiredSettings& required, Flags& flags) {
   poptOption table[] = {
       {"settings", 's', POPT_ARG_STRING, &flags.file, 0, "JSON file with any of the settings below", "FILE"},
       {"listen", 'l', POPT_ARG_STRING, &flags.listen, 0, "address for other daemons", "IP:PORT"},
       {"http", 'w', POPT_ARG_STRING, &flags.http, 0, "address for HTTP", "IP:PORT"},
-      {"agent", 'a', POPT_ARG_STRING, &flags.agent, 0, "a gateway's agent, or an agent's gateway", "IP:PORT"},
+      {"agent", 'a', POPT_ARG_STRING, &flags.agent, 0, "address of a gateway's agent, or of an agent's gateway",
+       "IP:PORT"},
       {"zone", 'z', POPT_ARG_STRING, &flags.zone, 0, "the zone of this machine", "NAME"},
       {"seeds", 'e', POPT_ARG_STRING, &flags.seeds, 0, "three addresses of controllers", "A,B,C"},
-      {"data", 'd', POPT_ARG_STRING, &flags.data, 0, "the data folder", "DIR"},
-      {"core-size", 'c', POPT_ARG_INT, &flags.core_size, 0, "how many controllers make the core", "N"},
-      {"tcm-await-ms", 0, POPT_ARG_LONG, &flags.commit_timeout, 0, "time-out of a change as a whole (10000)", "MS"},
-      {"tcm-rpc-ms", 0, POPT_ARG_LONG, &flags.commit_attempt_timeout, 0, "time-out of one controller for it (2000)",
-       "MS"},
+      {"data", 'd', POPT_ARG_STRING, &flags.data, 0, "the data directory", "DIR"},
+      {"core-size", 'c', POPT_ARG_INT, &flags.core_size, 0, "number of controllers in the core", "N"},
+      {"tcm-await-ms", 0, POPT_ARG_LONG, &flags.commit_timeout, 0, "timeout of a commit as a whole (10000)", "MS"},
+      {"tcm-rpc-ms", 0, POPT_ARG_LONG, &flags.commit_attempt_timeout, 0,
+       "timeout of one commit attempt on one controller (2000)", "MS"},
       {"shutdown-grace-ms", 0, POPT_ARG_LONG, &flags.shutdown_grace, 0,
-       "a gateway's, from SIGTERM until it may be killed (70000)", "MS"},
+       "time from SIGTERM until a gateway may be killed (70000)", "MS"},
       {"check", 0, POPT_ARG_NONE, &flags.check, 0, "check the settings, then exit", nullptr},
       {"version", 'V', POPT_ARG_NONE, &flags.version, 0, "print the version, then exit", nullptr},
       POPT_AUTOHELP POPT_TABLEEND};
   std::unique_ptr<std::remove_pointer_t<poptContext>, PoptContextDeleter> context(
-      poptGetContext(needs.program, argc, argv, table, 0));
-  poptSetOtherOptionHelp(context.get(), (std::string("[OPTIONS]\n") + needs.purpose).c_str());
+      poptGetContext(required.program, argc, argv, table, 0));
+  poptSetOtherOptionHelp(context.get(), (std::string("[OPTIONS]\n") + required.purpose).c_str());
   int code = poptGetNextOpt(context.get());
   while (code >= 0)
     code = poptGetNextOpt(context.get());
@@ -155,41 +156,41 @@
     errors.push_back({location, "'" + address + "' is no IP:port"});
 }
 
-void check_addresses(const Settings& settings, const RequiredSettings& needs, bool from_source, Errors& errors) {
+void check_addresses(const Settings& settings, const RequiredSettings& required, bool from_source, Errors& errors) {
   bool may_lack_http = from_source && settings.http_address.empty();
-  if (needs.listen)
+  if (required.listen)
     check_address("listen", settings.listen_address, errors);
-  if (needs.http && !may_lack_http)
+  if (required.http && !may_lack_http)
     check_address("http", settings.http_address, errors);
   if (!settings.readiness_address.empty())
     check_address("ready", settings.readiness_address, errors);
   if (!settings.replica_list_address.empty())
     check_address("list", settings.replica_list_address, errors);
-  if (needs.agent)
+  if (required.agent)
     check_address("agent", settings.agent_address, errors);
 }
 
-Errors check(const Settings& settings, const RequiredSettings& needs, bool from_source) {
+Errors check(const Settings& settings, const RequiredSettings& required, bool from_source) {
   Errors errors;
-  check_addresses(settings, needs, from_source, errors);
-  if (needs.zone && settings.zone.empty())
+  check_addresses(settings, required, from_source, errors);
+  if (required.zone && settings.zone.empty())
     errors.push_back({"zone", "is missing"});
-  if (needs.data && settings.data_directory.empty())
+  if (required.data && settings.data_directory.empty())
     errors.push_back({"data", "is missing"});
-  if (needs.seeds && settings.seeds.empty())
+  if (required.seeds && settings.seeds.empty())
     errors.push_back({"seeds", "are missing"});
-  for (size_t i = 0; needs.seeds && i < settings.seeds.size(); ++i)
+  for (size_t i = 0; required.seeds && i < settings.seeds.size(); ++i)
     check_address("seeds[" + std::to_string(i) + "]", settings.seeds[i], errors);
   bool is_out_of_range = settings.core_size < 1 || settings.core_size > kMaxCoreSize;
   bool is_even = !from_source && settings.core_size % 2 == 0;
-  if (needs.core_size && (is_out_of_range || is_even))
+  if (required.core_size && (is_out_of_range || is_even))
     errors.push_back({"core_size", "must be an odd number from 1 to 9"});
   if (settings.commit_attempt_timeout < kMinCommitAttemptTimeout ||
       settings.commit_attempt_timeout > kMaxCommitAttemptTimeout)
     errors.push_back({"tcm_rpc_ms", "must be from 100 to 30000"});
   if (settings.commit_timeout < settings.commit_attempt_timeout || settings.commit_timeout > kMaxCommitTimeout)
     errors.push_back({"tcm_await_ms", "must be from tcm_rpc_ms to 60000"});
-  // A platform names its own, whatever it is.
+  // A grace period from a platform's settings is accepted as it is.
   if (!from_source && (settings.shutdown_grace < kMinShutdownGrace || settings.shutdown_grace > kMaxShutdownGrace))
     errors.push_back({"shutdown_grace_ms", "must be from 1000 to 3600000"});
   return errors;
@@ -221,29 +222,29 @@
   return (high << 32) ^ device();
 }
 
-std::variant<Settings, int> read_settings(int argc, const char** argv, const RequiredSettings& needs) {
+std::variant<Settings, int> read_settings(int argc, const char** argv, const RequiredSettings& required) {
   Flags flags;
-  auto errors = parse_flags(argc, argv, needs, flags);
+  auto errors = parse_flags(argc, argv, required, flags);
   if (flags.version) {
-    printf("%s (mosskeel) %s\n", needs.program, MOSSKEEL_VERSION);
+    printf("%s (mosskeel) %s\n", required.program, MOSSKEEL_VERSION);
     return 0;
   }
   Settings settings{};
-  const auto* source = flags.any() ? nullptr : applying_source();
+  const auto* source = flags.any_setting() ? nullptr : applying_source();
   if (source && errors.empty()) {
-    auto read = source->read(needs.program);
+    auto read = source->read(required.program);
     if (!read.ok())
-      return report(needs, read.errors());
+      return report(required, read.errors());
     settings = read.value();
   }
   if (flags.file)
     append(errors, read_file(flags.file, settings));
   apply_flags(flags, settings);
-  append(errors, check(settings, needs, source != nullptr));
+  append(errors, check(settings, required, source != nullptr));
   if (!errors.empty())
-    return report(needs, errors);
+    return report(required, errors);
   if (flags.check) {
-    printf("%s: settings are good\n", needs.program);
+    printf("%s: settings are good\n", required.program);
     return 0;
   }
   return settings;
--- a/src/runtime/settings.hpp
+++ b/src/runtime/settings.hpp
@@ -1,87 +1,90 @@
 #pragma once
-// A daemon's settings: a JSON file, command-line flags over it, all errors at once.
+// A daemon's settings: read from a JSON file, overridden by command-line flags, with all errors reported together.
 #include "base/address.hpp"
 #include "mosskeel/common.hpp"
 #include "runtime/constants.hpp"
 
 namespace mosskeel {
 
-/// How long a graceful stop may take on a platform whose settings do not say it.
+/// Grace period of a shutdown on a platform whose settings do not specify one.
 constexpr Duration kDefaultShutdownGrace = 8000ms;
-/// The same where no platform kills the process: a turn may take 60 s, and its outcome a while to be kept.
+/// Grace period of a shutdown if no platform kills the process: a turn may take 60 s, and storing its outcome takes
+/// additional time.
 constexpr Duration kUnforcedShutdownGrace = 70000ms;
 
-/// A daemon's settings, as it uses them. Addresses are "IP:port".
+/// A daemon's settings after parsing. Addresses are "IP:port".
 struct Settings {
-  /// Where other daemons reach this one.
+  /// Address for connections from other daemons.
   std::string listen_address;
-  /// Where this daemon serves HTTP: callers, operators or metrics, by program.
+  /// HTTP listen address; serves clients, operators or metrics, depending on the program.
   std::string http_address;
-  /// A gateway's agent, or an agent's gateway.
+  /// Address of a gateway's agent, or of an agent's gateway.
   std::string agent_address;
   /// The zone of this machine.
   std::string zone;
-  /// Controllers, for the first contact only.
+  /// Addresses of controllers, used only for the first contact.
   std::vector<std::string> seeds;
-  /// The folder in which a controller or a store keeps its data.
+  /// Data directory of a controller or a store.
   std::string data_directory;
-  /// How many controllers make the core at the founding.
+  /// Number of controllers in the core when the cluster is founded.
   uint32_t core_size = 0;
-  /// How long a commit may take as a whole, all attempts included.
+  /// Timeout of a commit as a whole, including all attempts.
   Duration commit_timeout = kCommitTimeout;
-  /// How long one controller may work on one commit request.
+  /// Timeout of one commit attempt on one controller.
   Duration commit_attempt_timeout = kCommitAttemptTimeout;
   /// The machine's name.
   std::string machine;
-  /// Where a gateway tells whether it is ready; empty for its own HTTP.
+  /// Listen address of a gateway's readiness endpoint; empty to serve it at `http_address`.
   std::string readiness_address;
-  /// Names the platform's protocol codec and control protocol; empty for the product's own interface.
+  /// Name of the platform's protocol codec and control protocol; empty for Mosskeel's own API.
   std::string platform_protocol;
-  /// Where the platform lists the replicas; empty where no list is read.
+  /// Address of the platform's replica list; empty if no list is read.
   std::string replica_list_address;
-  /// Whether this start must not found a cluster.
+  /// Whether this daemon must not found a new cluster.
   bool forbid_founding = false;
-  /// Controllers; the size up to which the core grows, 0 for the default.
+  /// Number of controllers up to which the core grows; 0 for the default.
   uint32_t max_core_size = 0;
-  /// Stores that keep a history; 0 where it follows from the tolerated losses.
+  /// Number of stores that keep each history; 0 to derive it from the tolerated losses.
   uint32_t replication_factor = 0;
-  /// Machines that may be lost at once.
+  /// Number of machines whose simultaneous loss is tolerated.
   uint32_t tolerated_machines = 0;
-  /// Zones that may be lost at once.
+  /// Number of zones whose simultaneous loss is tolerated.
   uint32_t tolerated_zones = 0;
-  /// Gateways; how long after SIGTERM the process may be killed.
+  /// For gateways: time after SIGTERM at which the process may be killed.
   Duration shutdown_grace = kUnforcedShutdownGrace;
 };
 
-/// What a program needs of the settings.
+/// The settings that a program requires.
 struct RequiredSettings {
   const char* program;
   const char* purpose;
   bool listen, http, agent, zone, seeds, data, core_size;
 };
 
-/// Settings that come neither by flags nor by the product's own file; a plug-in that registers itself.
+/// Plug-in interface for settings that come from neither command-line flags nor Mosskeel's own file. Implementations
+/// register themselves.
 class SettingsSource {
  public:
   virtual ~SettingsSource() = default;
-  /// Whether this process was started with such settings.
+  /// Returns whether this source provides the settings of this process.
   virtual bool applies() const = 0;
   virtual Result<Settings> read(const std::string& program) const = 0;
 };
 
-/// A static object of this type puts a source into the registry.
+/// Registers a source; define a static object of this type.
 struct SettingsSourceRegistration {
   explicit SettingsSourceRegistration(const SettingsSource* source);
 };
 
-/// Which of a machine's ports for daemons a program listens on, counted from the first of them.
+/// Returns the offset of a program's port within the machine's port range for daemons.
 uint16_t port_offset(const std::string& program);
 
-/// Reads flags and file, or a source that applies where no flag gives settings; prints help, version or errors
-/// itself and then gives an exit code. Settings of a source may leave out HTTP, and their core may have an even size.
-std::variant<Settings, int> read_settings(int argc, const char** argv, const RequiredSettings& needs);
+/// Reads the settings from command-line flags and a file, or from an applicable source if no flag gives settings.
+/// Prints help, version or errors itself and then returns an exit code. Settings from a source may omit the HTTP
+/// address and may have a core of even size.
+std::variant<Settings, int> read_settings(int argc, const char** argv, const RequiredSettings& required);
 
-/// A random number from the operating system, for ids and seeds.
+/// Returns a random number from the operating system, for ids and seeds.
 uint64_t random_number();
 
 }  // namespace mosskeel
--- a/src/runtime/settings_file.hpp
+++ b/src/runtime/settings_file.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The JSON file of a daemon's settings.
+// Format of the JSON settings file of a daemon.
 #include <cstdint>
 #include <set>
 #include <string>
@@ -10,8 +10,8 @@
 
 namespace mosskeel {
 
-/// The settings as the file spells them: field names are the names in the JSON object. Every field may be left out and
-/// is zero or empty then. Times are in milliseconds.
+/// The settings as they appear in the file; field names are the keys of the JSON object. Every field is optional and
+/// defaults to zero or empty. Times are in milliseconds.
 struct SettingsFile {
   MOSSKEEL_FIELDS(SettingsFile, (std::string, listen), (std::string, http), (std::string, agent), (std::string, zone),
                   (std::vector<std::string>, seeds), (std::string, data), (uint32_t, core_size),
@@ -42,7 +42,7 @@
   }
 };
 
-/// The settings that a file gives; times of 0 stand for the defaults.
+/// Converts the file's contents to settings. Times of 0 select the defaults.
 inline Settings settings_from(const SettingsFile& file) {
   Settings settings;
   settings.listen_address = file.listen;
--- a/src/runtime/signals.hpp
+++ b/src/runtime/signals.hpp
@@ -1,14 +1,14 @@
 #pragma once
-// A daemon's signals.
+// Signal handling for daemons.
 #include "mosskeel/time.hpp"
 
 namespace mosskeel {
 
-/// Blocks SIGTERM, SIGINT and SIGHUP for all threads started later, and ignores SIGPIPE. SIGHUP changes nothing here:
-/// a daemon follows the directory and not its settings file once it has started.
+/// Blocks SIGTERM, SIGINT and SIGHUP for all threads started later, and ignores SIGPIPE. SIGHUP does not reload the
+/// settings: a running daemon follows the directory, not its settings file.
 void block_signals();
 
-/// Waits up to `timeout` for SIGTERM or SIGINT; true once one came.
+/// Waits up to `timeout` for SIGTERM or SIGINT. Returns true if one arrived.
 bool wait_for_signal(Duration timeout);
 
 }  // namespace mosskeel
--- a/src/runtime/state_machine.hpp
+++ b/src/runtime/state_machine.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// A daemon's protocol as a state machine: no thread, clock, socket or file of its own. Hosts drive it on real ones,
-// the simulator and the model checker on virtual ones.
+// Interface of a daemon's protocol as a deterministic state machine without threads, clocks, sockets or files. `Host`
+// runs it on real ones, the simulator and the model checker on virtual ones.
 #include <random>
 
 #include "base/log.hpp"
@@ -11,65 +11,65 @@
 
 namespace mosskeel {
 
-/// What a step wants done.
+/// The effects that one step of a state machine requests from its host.
 struct Actions {
-  /// Records for the journal, in order.
+  /// Records to append to the journal, in order.
   std::vector<std::string> journal;
-  /// The whole state encoded, to stand for the journal so far.
+  /// The complete encoded state, which replaces the journal so far.
   std::optional<std::string> checkpoint;
-  /// Messages that may leave at once, and those that leave only when the journal so far is durable.
+  /// Messages to send immediately, and messages to send only after the journal so far is durable.
   std::vector<Envelope> now, synced;
   std::vector<LogEntry> notes;
-  /// The daemon is to end.
+  /// Whether the daemon must exit.
   bool stop = false;
 };
 
-/// The settings of a daemon: who it is and where others are.
+/// A daemon's own identity, the seeds, and the settings that its state machine uses.
 struct Identity {
   Candidate self{};
-  /// Addresses of controllers to find the cluster by.
+  /// Addresses of controllers, used to discover the cluster.
   Addresses seeds;
   uint32_t core_size = 3;
-  /// Seed of the state machine's random numbers.
+  /// Seed of the state machine's random number generator.
   uint64_t random_seed = 1;
   Duration commit_attempt_timeout = kCommitAttemptTimeout;
-  /// Forbids founding: an empty disk at a later start joins or waits.
+  /// Whether founding a cluster is forbidden: a daemon restarted with an empty disk joins an existing cluster or waits.
   bool forbid_founding = false;
-  /// As in `FoundCluster`.
+  /// See `FoundCluster`.
   uint32_t max_core_size = 0, replication_factor = 0;
 };
 
-/// The interface of all daemons. One thread at a time; `now` never decreases from call to call.
+/// Interface of all daemons' state machines. Not thread-safe; `now` never decreases between calls.
 class StateMachine {
  public:
   virtual ~StateMachine() = default;
   /// Handles one message.
   virtual Actions step(const Envelope& message, TimePoint now) = 0;
-  /// Looks at timers; called each kTickInterval.
+  /// Handles expired timers; called every kTickInterval.
   virtual Actions tick(TimePoint now) = 0;
-  /// The metadata as this daemon knows it; never null.
+  /// Returns the latest metadata known to this daemon; never null.
   virtual MetadataSnapshot view() const = 0;
-  /// The encoded state that the journal so far adds up to; empty where no journal is kept.
+  /// Returns the encoded state that replaying the journal so far produces; empty for daemons without a journal.
   virtual std::string checkpoint() const { return {}; }
 };
 
-/// Collects the actions of the step under way for the parts that a state machine is made of, and gives messages their
-/// envelope. Owned by the state machine, referenced by its parts.
+/// Collects the actions of the current step from the components of a state machine, and wraps messages in envelopes.
+/// Owned by the state machine and referenced by its components.
 class Outbox {
  public:
   explicit Outbox(const Identity& id) : id_(id), random_(id.random_seed) {}
 
   const Identity& id() const { return id_; }
-  /// The next random number; deterministic by `Identity::random_seed`.
+  /// Returns the next random number; the sequence is determined by `Identity::random_seed`.
   uint64_t next_random() { return random_(); }
-  /// A random delay below `limit`.
+  /// Returns a random delay below `limit`.
   Duration jitter(Duration limit) { return Duration(random_() % static_cast<uint64_t>(limit.count())); }
 
-  /// Sends at once. `to_incarnation` 0 means whoever has the address.
+  /// Sends immediately. A `to_incarnation` of 0 addresses any daemon at that address.
   void send(const Address& to, Message message, Incarnation to_incarnation = {}) {
     actions.now.push_back(wrap(to, std::move(message), to_incarnation));
   }
-  /// Sends once all that was written to the journal so far is durable.
+  /// Sends after everything written to the journal so far is durable.
   void send_synced(const Address& to, Message message, Incarnation to_incarnation = {}) {
     actions.synced.push_back(wrap(to, std::move(message), to_incarnation));
   }
@@ -77,11 +77,11 @@
   void write(std::string record) { actions.journal.push_back(std::move(record)); }
   void log_event(Event event, std::string text) { actions.notes.push_back({event, std::move(text)}); }
 
-  /// The actions of this step; the next one starts empty.
+  /// Returns the actions of this step and clears them for the next one.
   Actions take() { return std::exchange(actions, {}); }
 
   Actions actions;
-  /// Stamped on each message: the cluster's id (0 before it is known) and the epoch that the sender knows.
+  /// Added to each message: the cluster id (0 until it is known) and the sender's current epoch.
   uint64_t cluster = 0;
   Epoch epoch{};
 
--- a/tests/unit/base/events_test.cpp
+++ b/tests/unit/base/events_test.cpp
@@ -1,4 +1,4 @@
-// The catalogue of log events in the documentation.
+// Checks that the documentation lists all log events.
 #include "base/events.hpp"
 
 #include <fstream>
--- a/tests/unit/base/json_test.cpp
+++ b/tests/unit/base/json_test.cpp
@@ -1,4 +1,4 @@
-// Structs read from JSON and written as JSON.
+// Conversion of structs to and from JSON.
 #include "base/json.hpp"
 #include "unit/catch.hpp"
 
@@ -6,7 +6,7 @@
 
 using namespace mosskeel;
 
-TEST_CASE("json::parse returns the configuration that json::write has written") {
+TEST_CASE("json::parse restores a configuration written by json::write") {
   auto parsed = json::parse<Configuration>(
       R"({"cells":[{"name":"n","budget":4,"turn_limit":2,"retention_ms":1000,"routes":[{"name":"c","kind":"model"}]}]})");
   REQUIRE(parsed.ok());
--- a/tests/unit/base/queue_test.cpp
+++ b/tests/unit/base/queue_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace mosskeel;
 
-TEST_CASE("A closed queue gives the items that it has and takes no more") {
+TEST_CASE("A closed queue returns its remaining items and rejects new ones") {
   Queue<int> queue;
   REQUIRE(queue.push(1));
 
@@ -17,7 +17,7 @@
   CHECK_FALSE(queue.pop(0ms));
 }
 
-TEST_CASE("A queue that is closed ends the waits for an item") {
+TEST_CASE("Closing a queue wakes threads that wait for an item") {
   Queue<int> queue;
   std::thread closer([&] { queue.close(); });
 
--- a/tests/unit/control/admin_json_test.cpp
+++ b/tests/unit/control/admin_json_test.cpp
@@ -1,4 +1,4 @@
-// The text and the JSON in which operators get the outcome of a commit, and in which they describe a replica.
+// Text and JSON formats of commit outcomes, and the JSON format of replicas from operators.
 #include "control/admin_json.hpp"
 #include "metadata/constants.hpp"
 #include "unit/catch.hpp"
@@ -19,28 +19,28 @@
 
 }  // namespace
 
-TEST_CASE("A commit's outcome becomes a sentence of the operators' language") {
+TEST_CASE("A commit's outcome is formatted in the operators' command language") {
   CHECK(describe_outcome(make_reply(CommitOutcome::committed, "")) == "yes epoch 9");
   CHECK(describe_outcome(make_reply(CommitOutcome::rejected, "too few stores")) == "no: too few stores");
   CHECK(describe_outcome(make_reply(CommitOutcome::unknown, "")) == "unknown: retry with op-1");
   CHECK(describe_outcome(make_reply(CommitOutcome::unknown, "cut off")) == "unknown: retry with op-1 (cut off)");
 }
 
-TEST_CASE("A committed change becomes 200 and its epoch and revision in JSON") {
+TEST_CASE("A committed change returns 200 with its epoch and revision as JSON") {
   auto response = commit_response(make_reply(CommitOutcome::committed, ""), Revision{4});
 
   CHECK(response.status == 200);
   CHECK(Json::parse(response.body) == Json{{"id", "op-1"}, {"outcome", "yes"}, {"epoch", 9}, {"revision", 4}});
 }
 
-TEST_CASE("A rejected change becomes 409 and its reason in JSON") {
+TEST_CASE("A rejected change returns 409 with its reason as JSON") {
   auto response = commit_response(make_reply(CommitOutcome::rejected, "too few stores"), Revision{4});
 
   CHECK(response.status == 409);
   CHECK(Json::parse(response.body) == Json{{"id", "op-1"}, {"outcome", "no"}, {"reason", "too few stores"}});
 }
 
-TEST_CASE("A change of unknown outcome becomes 503 with a time to retry after") {
+TEST_CASE("A change of unknown outcome returns 503 with a Retry-After header") {
   auto response = commit_response(make_reply(CommitOutcome::unknown, "cut off"), Revision{4});
 
   CHECK(response.status == 503);
@@ -58,7 +58,7 @@
   CHECK(replica.value().health == ReplicaHealth::warming_up);
 }
 
-TEST_CASE("Each wrong field of a replica's JSON is a finding") {
+TEST_CASE("Each invalid field of a replica's JSON is reported as an error") {
   const std::string fields = R"("kind":"model","zone":"a","url":"u")";
   const std::pair<std::string, const char*> table[] = {
       {"[]", "body: is no JSON object"},
@@ -68,12 +68,12 @@
       {"{" + fields + R"(,"places":4097})", "places: must be a whole number from 1 to 4096"},
       {"{" + fields + R"(,"places":1.5})", "places: must be a whole number from 1 to 4096"},
       {"{" + fields + R"(,"health":"odd"})", "health: is none of cold, ready, leaving"}};
-  for (const auto& [text, finding] : table) {
+  for (const auto& [text, error] : table) {
     INFO(text);
 
     auto replica = parse_replica("model1", text);
 
     REQUIRE_FALSE(replica.ok());
-    CHECK(to_string(replica.errors()) == finding);
+    CHECK(to_string(replica.errors()) == error);
   }
 }
--- a/tests/unit/control/command_language_test.cpp
+++ b/tests/unit/control/command_language_test.cpp
@@ -1,4 +1,4 @@
-// The operators' language: sentences, the commands that they mean, and the errors of those that mean none.
+// The operators' command language: parsing of sentences, translation of commands, and error messages.
 #include "control/command_language.hpp"
 #include "unit/catch.hpp"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The transformation that a sentence names, on this metadata.
+/// Parses a sentence and translates it into a transformation, based on this metadata.
 Transformation transformation_of(const std::string& sentence, const Metadata& metadata) {
   auto command = command_language::parse(sentence);
   REQUIRE(command.ok());
@@ -20,7 +20,7 @@
 TEST_CASE("The command parser reports the position of an error and the expected words") {
   struct Row {
     const char* sentence;
-    const char* finding;
+    const char* error;
   };
   const Row table[] = {
       {"",
@@ -42,7 +42,7 @@
     auto command = command_language::parse(row.sentence);
 
     REQUIRE_FALSE(command.ok());
-    CHECK(to_string(command.errors()) == row.finding);
+    CHECK(to_string(command.errors()) == row.error);
   }
 }
 
@@ -50,7 +50,7 @@
   CHECK(transformation_of("retire  store 7", Metadata{}) == Transformation{PrepareDrain{DaemonId{7}}});
 }
 
-TEST_CASE("A command that creates a cell translates into a configuration on the present revision") {
+TEST_CASE("A command that creates a cell translates into a configuration based on the current revision") {
   Metadata metadata{};
   metadata.revision = Revision{4};
 
@@ -68,7 +68,7 @@
   CHECK_FALSE(command_language::to_transformation(drop.value(), Metadata{}).ok());
 }
 
-TEST_CASE("Each sentence that names a transformation translates into it") {
+TEST_CASE("Each sentence for a transformation translates into it") {
   const std::pair<const char*, Transformation> changes[] = {
       {"drain zone a", EvacuateZone{"a"}},
       {"restore zone a", RestoreZone{"a"}},
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_CASE("The sentence that rebuilds the core names all lost members") {
+TEST_CASE("A sentence that rebuilds the core lists all lost members") {
   auto rebuild = command_language::parse("rebuild core without 1 2");
 
   REQUIRE(rebuild.ok());
@@ -106,7 +106,7 @@
   CHECK(std::get<ApplyConfiguration>(transformation_of("drop cell news", metadata)).configuration.cells.empty());
 }
 
-TEST_CASE("Queries for what does not exist are rejected with the reason") {
+TEST_CASE("Queries for unknown items are rejected with the reason") {
   using command_language::ExplainQuery;
   using command_language::ShowQuery;
   Metadata metadata{};
--- a/tests/unit/control/control_session_test.cpp
+++ b/tests/unit/control/control_session_test.cpp
@@ -1,4 +1,4 @@
-// How an operator's commands are answered: by the commit's own reply, and within one deadline for a whole request.
+// Operator commands: results come from the commit's reply, and all steps of a request share one deadline.
 #include "control/control_session.hpp"
 #include "control/constants.hpp"
 #include "control/control_protocol.hpp"
@@ -20,8 +20,8 @@
   return reply;
 }
 
-/// Gives the scripted replies in order, then unknown outcomes. Its state machine's metadata is empty, so that no
-/// result can come from there.
+/// Returns the scripted replies in order, then unknown outcomes. Its state machine's metadata is empty, so that no
+/// result can be derived from it.
 struct ScriptedController : ControllerAccess {
   ControllerMachine machine{Identity{{Incarnation{1}, Role::controller, "z", "c1", "", ""}, {}, 3, 1}, {}, kStart};
   TimePoint clock = kStart;
@@ -69,7 +69,8 @@
     controller.replies.assign(3, make_reply(CommitOutcome::rejected, rejection));
     ControlSession session(controller, controller.clock);
 
-    // The machine's own revision is 0, the base of this very command: by its metadata the command would be invalid.
+    // The state machine's own revision is 0, which is the base of this command, so a result derived from its metadata
+    // would be `invalid`.
     CHECK(session.apply_configuration("id", Revision{0}, Revision{1}, {}).code == code);
     CHECK(session.evacuate("z").code == code);
     CHECK(session.restore("z").code == code);
@@ -88,12 +89,13 @@
   CHECK_FALSE(session.read_metadata());
 }
 
-// With most gateways gone operators were told "unclear" without a reason, so nobody could tell why.
-TEST_CASE("ControlSession names what the newest epoch lacks when a commit gets no reply in time") {
+// Guards against a timeout without a reason: with most gateways lost, operators got "unclear" and nobody could tell
+// why.
+TEST_CASE("ControlSession reports which acknowledgements the latest epoch lacks when a commit times out") {
   ScriptedController controller;
-  CommitReply silence{};
-  silence.outcome = CommitOutcome::unknown;
-  controller.replies = {silence};
+  CommitReply no_reply{};
+  no_reply.outcome = CommitOutcome::unknown;
+  controller.replies = {no_reply};
   ControlSession session(controller, controller.clock);
 
   auto result = session.evacuate("z");
@@ -102,7 +104,7 @@
   CHECK(result.reason.find("not in force: no majority of the core has it") != std::string::npos);
 }
 
-TEST_CASE("ControlSession reads a retirement state only from a linearizable read") {
+TEST_CASE("ControlSession takes a retirement state only from a linearizable read") {
   ScriptedController controller;
   controller.replies = {make_reply(CommitOutcome::rejected, Rejection::refused)};
   ControlSession session(controller, controller.clock);
--- a/tests/unit/platform/admin_api_test.cpp
+++ b/tests/unit/platform/admin_api_test.cpp
@@ -1,4 +1,4 @@
-// The operators' HTTP requests in the platform's format: the commands that they issue, and the statuses of the results.
+// Operators' HTTP requests in the platform's format: the commands they issue and the statuses they return.
 #include "control/control_protocol.hpp"
 #include "unit/catch.hpp"
 
@@ -19,15 +19,15 @@
   return *found;
 }
 
-/// Answers as it is scripted, and records the commands that it was given.
+/// Returns scripted results and records the commands it receives.
 struct FakeCluster : ClusterControl {
   std::optional<Unavailable> unavailable;
   Metadata metadata{};
   CommandResult result{Code::done, ""};
   RetirementState state = RetirementState::serving;
-  /// Whether no majority answers a read.
+  /// If set, no majority answers reads.
   bool is_isolated = false;
-  /// Commit ids of configurations, and the text of all other commands.
+  /// The commit ids of configuration changes, and the text of all other commands.
   std::vector<std::string> commands;
   Revision base{};
   Revision revision{};
@@ -78,7 +78,7 @@
   }
 };
 
-/// A cluster whose document is in force under revision 7.
+/// A cluster with a document in force at revision 7.
 FakeCluster configured_cluster() {
   FakeCluster cluster;
   cluster.metadata.configuration.document = kDocument;
@@ -98,7 +98,7 @@
   CHECK(cluster.configuration.document == kDocument);
 }
 
-TEST_CASE("PUT config gives equal requests equal commit ids, however their revision is quoted") {
+TEST_CASE("PUT config gives equal requests equal commit ids, whether or not their revision is quoted") {
   FakeCluster cluster;
 
   cluster.put(kDocument, "5");
@@ -269,7 +269,7 @@
   CHECK(cluster.commands.back() == "wait");
 }
 
-TEST_CASE("PUT config on another revision returns 412, and 503 where it is unknown what is in force") {
+TEST_CASE("PUT config on another revision returns 412, and 503 if the configuration in force is unknown") {
   FakeCluster cluster;
   cluster.result.code = Code::revision_mismatch;
   cluster.metadata.configuration.document = "{}";
@@ -292,7 +292,7 @@
   CHECK(cluster.patch("{}", "7").status == 400);
 }
 
-TEST_CASE("PATCH config acknowledges a retry, and returns 503 where it is unknown whether it is one") {
+TEST_CASE("PATCH config acknowledges a retry, and returns 503 if it is unknown whether the request is one") {
   auto cluster = configured_cluster();
   REQUIRE(cluster.patch(kAddService, "7").status == 200);
   auto commit_id = cluster.commands.front();
@@ -333,7 +333,7 @@
   CHECK(cluster.request("GET", "/v1/retire/store-1").status == 503);
 }
 
-TEST_CASE("A controller outside the core redirects requests to a member, and returns 503 where it knows none") {
+TEST_CASE("A controller outside the core redirects requests to a member, and returns 503 if it knows none") {
   FakeCluster cluster;
   cluster.unavailable = ClusterControl::Unavailable{"10.0.0.4:8080", "no member"};
 
@@ -348,7 +348,7 @@
   CHECK(cluster.commands.empty());
 }
 
-TEST_CASE("Requests for paths of no operator's request are not answered") {
+TEST_CASE("Requests for paths outside the platform's protocol are not answered") {
   FakeCluster cluster;
   for (const auto* path : {"/v1/cluster/configuration", "/v1/evacuate/", "/v1/retire/a/b", "/v1/say"}) {
     INFO(path);
--- a/tests/unit/platform/configuration_test.cpp
+++ b/tests/unit/platform/configuration_test.cpp
@@ -1,4 +1,4 @@
-// The operators' configuration documents: complete, patched, and invalid.
+// Operators' configuration documents: complete, patched and invalid ones.
 #include <ctime>
 #include <nlohmann/json.hpp>
 
@@ -28,7 +28,7 @@
   return Json::parse(kDocument);
 }
 
-/// The errors of a document that must be rejected.
+/// Returns the errors of a document that must be rejected.
 std::string rejection_of(const Result<platform::ConfigurationDocument>& result) {
   REQUIRE_FALSE(result.ok());
   return to_string(result.errors());
@@ -91,7 +91,7 @@
   CHECK(configuration.callers == CallerLimits{16384, 4194304, 3000, 15000});
 }
 
-TEST_CASE("A body that is no JSON object is rejected as a configuration") {
+TEST_CASE("A body that is not a JSON object is rejected as a configuration") {
   const std::string document = kDocument;
 
   CHECK(rejection_of(parse_configuration(document.substr(0, document.size() / 2))).starts_with("body"));
@@ -100,7 +100,7 @@
 }
 
 TEST_CASE("Each invalid configuration is rejected with the location of the error") {
-  // Each row damages the document by a JSON patch.
+  // Each row makes the document invalid with a JSON patch.
   const std::pair<const char*, const char*> table[] = {
       {R"([{"op":"replace","path":"/Routes/0/Service","value":"nowhere"}])", "service 'nowhere' is unknown"},
       {R"([{"op":"replace","path":"/Routes/1/PathPrefix","value":"/pufi791/"}])", "host and prefix"},
@@ -123,22 +123,22 @@
       {R"([{"op":"replace","path":"/Revision","value":0}])", "Revision: must be"},
       {R"([{"op":"replace","path":"/Revision","value":"8"}])", "Revision: must be"},
       {R"([{"op":"replace","path":"/Limits","value":7}])", "Limits: must be an object"}};
-  for (const auto& [damage, reason] : table) {
-    INFO(damage);
-    auto damaged = document_json().patch(Json::parse(damage)).dump();
+  for (const auto& [json_patch, reason] : table) {
+    INFO(json_patch);
+    auto invalid = document_json().patch(Json::parse(json_patch)).dump();
 
-    CHECK_THAT(rejection_of(parse_configuration(damaged)), Catch::Contains(reason));
+    CHECK_THAT(rejection_of(parse_configuration(invalid)), Catch::Contains(reason));
   }
 }
 
-TEST_CASE("Errors of a configuration come in the order of the document") {
+TEST_CASE("Errors of a configuration are listed in document order") {
   auto result = parse_configuration(
       R"({"Revision":7,"Routes":[{"Name":"a"},3,{"Name":"b","TimeoutMs":"x"}],"Services":[4,{"Runtime":5}],"Limits":6})");
 
   std::vector<std::string> locations;
   REQUIRE_FALSE(result.ok());
-  for (const auto& finding : result.errors())
-    locations.push_back(finding.location);
+  for (const auto& error : result.errors())
+    locations.push_back(error.location);
 
   CHECK(locations == std::vector<std::string>{"Routes[0].Host", "Routes[0].PathPrefix", "Routes[0].RouteKind",
                                               "Routes[0].TimeoutMs", "Routes[0].Service", "Routes[1]", "Routes[2].Host",
@@ -164,7 +164,7 @@
   CHECK(next.value().revision == Revision{12});
 }
 
-TEST_CASE("A configuration patch keeps all items that it does not name") {
+TEST_CASE("A configuration patch keeps all items that it does not mention") {
   auto patched = accepted(patch_configuration(kDocument, R"({"Revision":9,"Remove":{"Routes":["r-a","r-unknown"]},
     "Upsert":{
     "Routes":[{"Name":"r-b","Host":"ficu95.example","PathPrefix":"/lohu930/","RouteKind":"safe","TimeoutMs":50,
@@ -215,11 +215,12 @@
 
 }  // namespace
 
-// Guards against a patch whose time grew with the square of its items: no controller answered it within its 0.9 s.
-TEST_CASE("A configuration patch of thousands of items is applied well within the time of a command") {
+// Guards against patches that take time quadratic in the number of items: no controller answered such a patch within
+// its 0.9 s.
+TEST_CASE("A configuration patch of thousands of items is applied well within a command's deadline") {
   constexpr int kRoutes = 15000;
   constexpr int kAddedRoutes = 3000;
-  constexpr double kCommandSeconds = 0.9;
+  constexpr double kCommandTimeoutSeconds = 0.9;
   Json document{{"Routes", routes_named(0, kRoutes)}, {"Services", Json::array({{{"Name", "app"}}})}};
   Json patch{{"Revision", 9},
              {"Remove", {{"Routes", {"r-0", "r-1"}}}},
@@ -232,7 +233,7 @@
   auto seconds = static_cast<double>(std::clock() - begin) / CLOCKS_PER_SEC;
 
   CHECK(patched.configuration.paths.size() == kRoutes + kAddedRoutes / 2 - 2);
-  CHECK(seconds < kCommandSeconds);
+  CHECK(seconds < kCommandTimeoutSeconds);
 }
 
 TEST_CASE("Each invalid configuration patch is rejected with the location of the error") {
--- a/tests/unit/platform/protocol_codec_test.cpp
+++ b/tests/unit/platform/protocol_codec_test.cpp
@@ -1,4 +1,4 @@
-// The platform's HTTP headers: what is read from them, and what is written.
+// Parsing and writing of the platform's HTTP headers.
 #include "net/protocol_codec.hpp"
 #include "unit/catch.hpp"
 
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("Request headers parse whatever the case of their names") {
+TEST_CASE("Request headers are parsed regardless of the case of their names") {
   const HttpRequest request{"POST",
                             "/lohu930/2f?x=1",
                             "ficu95.example",
@@ -54,7 +54,7 @@
   CHECK(headers.program_time_left == 5200ms);
 }
 
-TEST_CASE("Missing request headers leave values unset") {
+TEST_CASE("Missing request headers leave their values unset") {
   auto parsed = platform_codec().parse_request(get_request({}));
 
   REQUIRE(parsed.ok());
@@ -64,13 +64,13 @@
 }
 
 TEST_CASE("A negative time left is read as zero") {
-  auto late = platform_codec().parse_request(get_request({{"Mosskeel-Time-Left", "-3"}}));
+  auto negative = platform_codec().parse_request(get_request({{"Mosskeel-Time-Left", "-3"}}));
 
-  REQUIRE(late.ok());
-  CHECK(late.value().time_left == 0ms);
+  REQUIRE(negative.ok());
+  CHECK(negative.value().time_left == 0ms);
 }
 
-TEST_CASE("Unreadable numbers in request headers are findings with the header's name") {
+TEST_CASE("Unreadable numbers in request headers are errors with the header's name") {
   const std::pair<const char*, const char*> table[] = {
       {"Mosskeel-Time-Left", "soon"},     {"Mosskeel-Time-Left", "4000ms"},    {"Mosskeel-Time-Left", "nan"},
       {"Mosskeel-Token-Budget", "-1"},    {"Mosskeel-Token-Budget", "many"},   {"Mosskeel-Token-Count", "1460"},
@@ -113,7 +113,7 @@
   }
 }
 
-TEST_CASE("Upstream headers replace those that the caller sent") {
+TEST_CASE("Upstream headers replace those sent by the client") {
   HeaderFields forged{{"mosskeel-target-replica", "forged"}, {"Mosskeel-Time-Left", "9000"}, {"Accept", "*/*"}};
 
   platform_codec().set_upstream_headers(forged, "i-7f3a91c2", 1200ms, 3);
@@ -124,7 +124,7 @@
                                {"Mosskeel-Urgency", "3"}});
 }
 
-TEST_CASE("Upstream headers keep the caller's urgency where the gateway sets none") {
+TEST_CASE("Upstream headers keep the client's urgency if the gateway sets none") {
   HeaderFields with_urgency{{"Mosskeel-Urgency", "7"}};
 
   platform_codec().set_upstream_headers(with_urgency, "i-1", std::nullopt, std::nullopt);
--- a/tests/unit/platform/replica_list_test.cpp
+++ b/tests/unit/platform/replica_list_test.cpp
@@ -1,4 +1,4 @@
-// The pages of the platform's replica list.
+// Parsing of pages of the platform's replica list.
 #include "control/control_protocol.hpp"
 #include "unit/catch.hpp"
 
@@ -48,7 +48,7 @@
   CHECK(protocol().replica_list_path("p 50&") == "/replicas?PageToken=p%2050%26");
 }
 
-TEST_CASE("A replica list page with any unreadable entry is a finding") {
+TEST_CASE("A replica list page with any invalid entry is an error") {
   const char* const pages[] = {"",
                                "[]",
                                "{}",
--- a/tests/unit/platform/settings_test.cpp
+++ b/tests/unit/platform/settings_test.cpp
@@ -1,4 +1,4 @@
-// The platform's settings file, and the settings that each daemon gets from it.
+// The platform's settings file and the settings that each daemon reads from it.
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
@@ -37,7 +37,7 @@
 SomethingNew = [1, "two"]
 )";
 
-/// The file with the first occurrence of a text replaced.
+/// Returns the file with the first occurrence of `original` replaced.
 std::string file_with(const std::string& original, const std::string& replacement) {
   std::string file = kFile;
   auto position = file.find(original);
@@ -51,22 +51,22 @@
   return result.value();
 }
 
-/// The locations of a file's errors, separated by commas.
+/// Returns the locations of a file's errors, separated by commas.
 std::string error_locations(const std::string& file, const std::string& program) {
   auto result = parse_settings(file, program);
   REQUIRE_FALSE(result.ok());
   std::string locations;
-  for (const auto& finding : result.errors())
-    locations += (locations.empty() ? "" : ",") + finding.location;
+  for (const auto& error : result.errors())
+    locations += (locations.empty() ? "" : ",") + error.location;
   return locations;
 }
 
 const RequiredSettings kStoreSettings{"store", "", true, true, false, true, true, true, false};
 const char* kNoFlags[] = {"store", nullptr};
-/// The exit code of a daemon whose settings are missing or wrong.
+/// Exit code of a daemon whose settings are missing or invalid.
 constexpr int kUsageError = 2;
 
-/// A settings file that the environment names as long as this object lives.
+/// A temporary settings file that the environment variable names during the lifetime of this object.
 class NamedSettingsFile {
  public:
   NamedSettingsFile()
@@ -88,7 +88,7 @@
 
 }  // namespace
 
-TEST_CASE("Each program's settings come from its part of the platform's file") {
+TEST_CASE("Each program reads its own settings from the platform's file") {
   auto controller = accepted(parse_settings(kFile, "controller"));
   auto gateway = accepted(parse_settings(kFile, "gateway"));
   auto agent = accepted(parse_settings(kFile, "agent"));
@@ -126,7 +126,7 @@
   }
 }
 
-TEST_CASE("The time for a graceful stop comes from the platform's file, and is the default where it names none") {
+TEST_CASE("The shutdown grace period is read from the platform's file, and has a default if it is missing") {
   auto grace_of = [](const std::string& bounds) {
     return accepted(parse_settings(file_with("[CloudApi]", bounds + "[CloudApi]"), "gateway")).shutdown_grace;
   };
@@ -138,7 +138,7 @@
         "Bounds.GraceS");
 }
 
-TEST_CASE("A start that is not the first one is a later start") {
+TEST_CASE("A start that is not the first one must not found a cluster") {
   auto file = file_with("FirstStart = true", "FirstStart = false");
 
   CHECK(accepted(parse_settings(file, "controller")).forbid_founding);
@@ -202,7 +202,7 @@
 
 namespace {
 
-/// Fails for each of the names that a file contains.
+/// Checks that a file contains none of the names.
 void check_contains_none(const std::filesystem::path& path, std::span<const char* const> names) {
   std::ifstream file(path);
   std::stringstream text;
--- a/tests/unit/runtime/daemon_settings_test.cpp
+++ b/tests/unit/runtime/daemon_settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings that a daemon is given by flags.
+// A daemon's settings from command-line flags.
 #include "runtime/settings.hpp"
 #include "unit/catch.hpp"
 
@@ -6,18 +6,18 @@
 
 namespace {
 
-/// What a gateway makes of these flags beside those that it needs.
+/// Reads a gateway's settings from these flags, in addition to the required ones.
 std::variant<Settings, int> read_gateway_settings(std::vector<const char*> flags) {
   std::vector<const char*> arguments = {"gateway", "--listen",    "127.0.0.1:1", "--http", "127.0.0.1:2",
                                         "--agent", "127.0.0.1:3", "--zone",      "a"};
   arguments.insert(arguments.end(), flags.begin(), flags.end());
-  RequiredSettings needs{"gateway", "a gateway", true, true, true, true, false, false, false};
-  return read_settings(static_cast<int>(arguments.size()), arguments.data(), needs);
+  RequiredSettings required{"gateway", "a gateway", true, true, true, true, false, false, false};
+  return read_settings(static_cast<int>(arguments.size()), arguments.data(), required);
 }
 
 }  // namespace
 
-TEST_CASE("The time for a graceful stop is long where no platform kills the process, or as the flag says") {
+TEST_CASE("The shutdown grace period is long by default, when no platform kills the process, and set by its flag") {
   auto without_flag = read_gateway_settings({});
   auto with_flag = read_gateway_settings({"--shutdown-grace-ms", "12000"});
 
@@ -27,7 +27,7 @@
   CHECK(std::get<Settings>(with_flag).shutdown_grace == 12000ms);
 }
 
-TEST_CASE("A time for a graceful stop that leaves no time to answer is a wrong setting") {
+TEST_CASE("A shutdown grace period too short to answer, or longer than the maximum, is an invalid setting") {
   CHECK(std::get<int>(read_gateway_settings({"--shutdown-grace-ms", "999"})) == kExitBadSettings);
   CHECK(std::get<int>(read_gateway_settings({"--shutdown-grace-ms", "3600001"})) == kExitBadSettings);
 }
--- a/tests/unit/runtime/golden_folders.cpp
+++ b/tests/unit/runtime/golden_folders.cpp
@@ -51,7 +51,7 @@
   return replacement;
 }
 
-/// The metadata log of both folders, entry by entry.
+/// Builds the metadata log of both directories entry by entry.
 class LogScript {
  public:
   const Metadata& metadata() const { return metadata_; }
@@ -155,7 +155,7 @@
           .warm_up_ms = 0};
 }
 
-/// The first configuration, replicas, a change of the quorum members, an evacuation that is taken back.
+/// The first configuration, replicas, a change of the quorum members, an evacuation that is reverted.
 std::vector<Transformation> operation(Epoch quorum_change_epoch) {
   return {ApplyConfiguration{.base = Revision{0}, .configuration = first_configuration(), .revision = {}},
           SetReplica{.replica = replica("model1", "")},
@@ -184,7 +184,8 @@
           AdvanceSequence{.node = DaemonId{9}, .step = SequenceStep::start}};
 }
 
-/// Store 9 is forgotten; store 11 joins and takes partitions from the golden store, which is in its zone.
+/// Store 9 is removed from the directory; store 11 joins and takes over partitions from the golden store, which is in
+/// the same zone.
 std::vector<Transformation> repair_finished_and_join() {
   std::vector<Transformation> changes{AdvanceSequence{.node = DaemonId{9}, .step = SequenceStep::mid},
                                       AdvanceSequence{.node = DaemonId{9}, .step = SequenceStep::finish},
@@ -193,7 +194,7 @@
   return changes;
 }
 
-/// Controller 12 is admitted, 3 leaves the core, then 2 and 12 are lost and the core is founded anew with 13.
+/// Controller 12 is added to the core, 3 leaves it, then 2 and 12 are lost and the core is refounded with 13.
 std::vector<Transformation> refounding() {
   return {MarkDown{.node = DaemonId{2}},
           MarkUp{.node = DaemonId{2}},
@@ -221,7 +222,7 @@
           EvacuateZone{.zone = "b"}};
 }
 
-/// A daemon with a data folder, to which its machine's journal is written as by the host of a daemon.
+/// A daemon with a data directory, to which its state machine's journal is written as `Host` does.
 template <class DaemonMachine>
 class DaemonWithFolder {
  public:
@@ -263,7 +264,7 @@
 
   void checkpoint() { REQUIRE(disk_->checkpoint(machine_->checkpoint())); }
 
-  /// Writes a checkpoint that cannot be renamed to its name, so that the journal goes on in a further segment.
+  /// Writes a checkpoint whose final rename fails, so that the journal continues in another segment.
   void fail_checkpoint() {
     disk_is_full_ = true;
     CHECK(disk_->checkpoint(machine_->checkpoint()).kind == DiskResult::full);
@@ -303,7 +304,7 @@
   std::unique_ptr<DaemonMachine> machine_;
 };
 
-/// Copies identity, checkpoint and log, but not the lock.
+/// Copies identity, checkpoint and log, but not the lock file.
 void copy_folder(const test::DataFolder& written, const std::filesystem::path& target) {
   std::filesystem::create_directories(target);
   for (const auto& file : std::filesystem::directory_iterator(written.path))
@@ -340,7 +341,7 @@
   return std::count(stores.begin(), stores.end(), metadata.find(kStoreIncarnation)->id) > 0;
 }
 
-/// The owner replaces the whole history under its present term.
+/// Replaces the whole history on behalf of the partition's owner, under its current term.
 void replace_history(Store& daemon, const HistoryName& name, const Records& records) {
   auto partition = partition_of(name.cell, name.program);
   auto term = daemon.machine().view()->partitions[partition.value()].term;
@@ -364,7 +365,7 @@
                  WriteTombstone{.history = name, .partition = partition, .term = term});
 }
 
-/// Histories of two records each in every partition that is on the store; each tenth history is deleted.
+/// Writes histories of two records each to every partition on the store and deletes every tenth history.
 void write_histories(Store& daemon) {
   for (int number = 0; number < kHistories; ++number) {
     HistoryName name{.cell = "news", .program = "program" + std::to_string(number)};
@@ -377,7 +378,7 @@
   }
 }
 
-/// The present owner of each history on the store replaces it by the same records.
+/// Replaces each history on the store by the same records, on behalf of its current owner.
 void replace_all_histories(Store& daemon) {
   std::vector<std::pair<HistoryName, Records>> present;
   for (const auto& [id, partition] : daemon.machine().partitions())
@@ -410,7 +411,7 @@
           .more = false};
 }
 
-/// Answers the requests to stream partitions that move to the store: each with a history, a tombstone and a fence.
+/// Answers the store's requests to stream incoming partitions, each with a history, a tombstone and a fence.
 void answer_stream_requests(Store& daemon, Actions actions) {
   while (true) {
     std::vector<Envelope> requests;
--- a/tests/unit/runtime/golden_folders.hpp
+++ b/tests/unit/runtime/golden_folders.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Data folders of a controller and a store, written by their machines and the disk layer in a fixed order of events.
-// Only `[.write-golden-folders]` runs this: a folder is written once, read by all later sources and never written
-// again.
+// Data directories of a controller and a store, written by their state machines and the disk layer in a fixed order of
+// events. Only the test `[.write-golden-folders]` runs this: each directory is written once, read by all later versions
+// of the code and never rewritten.
 #include <filesystem>
 
 #include "consensus/controller_machine.hpp"
@@ -19,7 +19,7 @@
 Identity controller_identity();
 Identity store_identity();
 
-/// Writes the folder that does not exist yet.
+/// Writes `folder`, which must not exist yet.
 void write_controller_folder(const std::filesystem::path& folder);
 void write_unfounded_controller_folder(const std::filesystem::path& folder);
 void write_store_folder(const std::filesystem::path& folder);
--- a/tests/unit/runtime/golden_folders_test.cpp
+++ b/tests/unit/runtime/golden_folders_test.cpp
@@ -1,4 +1,4 @@
-// What daemons recover from data folders that earlier sources wrote (tests/data/README.md).
+// Recovery of daemons from data directories written by earlier versions of the code (tests/data/README.md).
 #include "unit/runtime/golden_folders.hpp"
 #include "unit/messages/golden_fields.hpp"
 #include "unit/messages/golden_files.hpp"
@@ -12,7 +12,7 @@
 constexpr auto kRecoveredControllerFile = "recovered/controller-checkpoint.hex";
 constexpr auto kRecoveredStoreFile = "recovered/store-checkpoint.hex";
 
-/// A copy of a golden folder, since a start may write to its folder.
+/// A copy of a golden directory, because a starting daemon may write to its directory.
 struct GoldenFolder {
   test::DataFolder copy;
 
@@ -26,7 +26,7 @@
   }
 };
 
-/// A daemon started on a copy of its golden folder, as its `main` does.
+/// A daemon started on a copy of its golden directory, as its `main` does.
 template <class DaemonMachine>
 struct Started {
   GoldenFolder folder;
@@ -47,7 +47,7 @@
   StartedStore() : Started(golden::kStoreFolder, golden::store_identity()) {}
 };
 
-/// How many records of each kind are in a journal.
+/// Counts the records of each kind in a journal.
 template <class JournalRecord>
 std::vector<size_t> count_kinds(const std::vector<std::string>& journal) {
   std::vector<size_t> counts(std::variant_size_v<JournalRecord>);
@@ -77,7 +77,7 @@
   return states;
 }
 
-/// Checks the metadata of both folders at their last epoch.
+/// Checks the metadata at the last epoch, which is the same in both directories.
 void check_metadata(const Metadata& metadata) {
   CHECK(metadata.epoch == Epoch{79});
   CHECK(metadata.cluster == 2965977919983927404u);
@@ -170,13 +170,13 @@
   CHECK(state->accepted->entry.change == Transformation{RestoreZone{.zone = "b"}});
 }
 
-TEST_CASE("A controller started on its golden folder has the whole state that earlier sources recovered from it") {
+TEST_CASE("A controller started on its golden folder has the whole state that earlier versions recovered from it") {
   StartedController controller;
 
   check_recovered<ControllerCheckpoint>(kRecoveredControllerFile, controller.machine.checkpoint());
 }
 
-TEST_CASE("A controller started on its golden folder appends to it and recovers that") {
+TEST_CASE("A controller started on its golden folder appends an entry and recovers it after a restart") {
   StartedController controller;
   Entry entry{.epoch = Epoch{80}, .commit_id = "next-commit", .change = RestoreZone{.zone = "b"}};
   Envelope decided{.protocol = 2, .cluster = 0, .epoch = Epoch{80}, .from = "controller6", .body = Decided{entry}};
@@ -302,12 +302,12 @@
   CHECK(dropped.tombstones.has(5000));
 }
 
-TEST_CASE("A store started on its golden folder has the whole state that earlier sources recovered from it") {
+TEST_CASE("A store started on its golden folder has the whole state that earlier versions recovered from it") {
   StartedStore store;
   check_recovered<StoreCheckpoint>(kRecoveredStoreFile, store.machine.checkpoint());
 }
 
-// Run by name, once. A folder that exists is never written again.
+// Run explicitly by its tag. An existing directory is never rewritten.
 TEST_CASE("Write the golden folders that do not exist yet", "[.write-golden-folders]") {
   auto write_once = [](const std::string& name, auto write) {
     auto folder = golden::data_directory() / name;
--- a/tests/unit/runtime/host_test.cpp
+++ b/tests/unit/runtime/host_test.cpp
@@ -1,4 +1,4 @@
-// The host's threads at their end: nothing that was taken is left without its result.
+// Shutdown of the host's threads: every accepted message is handled and every call completes.
 #include "runtime/host.hpp"
 
 #include "silent_machine.hpp"
@@ -11,7 +11,7 @@
 constexpr const char* kAnyPort = "127.0.0.1:0";
 
 struct HostFixture {
-  /// Messages that the state machine has handled.
+  /// Number of messages that the state machine has handled.
   std::atomic<int> steps{0};
   Host host{nullptr, kAnyPort};
 
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("A host that stops handles all that was posted before") {
+TEST_CASE("A host that stops handles every message posted before") {
   constexpr int posted = 1000;
   HostFixture fixture;
 
@@ -35,7 +35,7 @@
   CHECK(fixture.steps == posted);
 }
 
-TEST_CASE("A host that has stopped takes no message") {
+TEST_CASE("A host that has stopped accepts no messages") {
   HostFixture fixture;
 
   fixture.host.stop();
@@ -44,30 +44,30 @@
   CHECK(fixture.steps == 0);
 }
 
-TEST_CASE("A question to a host that has stopped ends without being asked") {
+TEST_CASE("ask on a host that has stopped returns without running the function") {
   HostFixture fixture;
-  bool was_asked = false;
+  bool was_called = false;
 
   fixture.host.stop();
-  fixture.host.ask([&](StateMachine&, TimePoint) { was_asked = true; });
+  fixture.host.ask([&](StateMachine&, TimePoint) { was_called = true; });
 
-  CHECK_FALSE(was_asked);
+  CHECK_FALSE(was_called);
 }
 
-TEST_CASE("A question to a host that stops meanwhile is over when it returns") {
+TEST_CASE("ask on a host that is stopping never returns before its function has ended") {
   for (int round = 0; round < 50; ++round) {
     HostFixture fixture;
     std::atomic<bool> has_returned{false};
-    std::atomic<bool> asked_too_late{false};
+    std::atomic<bool> ran_after_return{false};
     std::thread stopper([&] { fixture.host.stop(); });
 
     fixture.host.ask([&](StateMachine&, TimePoint) {
       std::this_thread::sleep_for(1ms);
-      asked_too_late = has_returned.load();
+      ran_after_return = has_returned.load();
     });
 
     has_returned = true;
     stopper.join();
-    CHECK_FALSE(asked_too_late);
+    CHECK_FALSE(ran_after_return);
   }
 }
--- a/tests/unit/runtime/shutdown_limits_test.cpp
+++ b/tests/unit/runtime/shutdown_limits_test.cpp
@@ -1,4 +1,4 @@
-// What a graceful stop leaves time for.
+// Time limits for requests during a graceful shutdown.
 #include "runtime/shutdown_limits.hpp"
 
 #include "unit/catch.hpp"
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-TEST_CASE("ShutdownLimits refuse only late requests whose time ends after the stop") {
+TEST_CASE("ShutdownLimits reject only late requests whose deadline is after the end of the shutdown") {
   auto limits = ShutdownLimits::begin(kBegin, 8000ms);
   auto late = kBegin + kShutdownRefusalDelay;
 
@@ -21,14 +21,14 @@
   CHECK_FALSE(limits.refuses(kBegin + 7500ms, late));
 }
 
-TEST_CASE("ShutdownLimits end a request that outlasts the stop with the stop, and no other") {
+TEST_CASE("ShutdownLimits shorten only deadlines that are after the end of the shutdown") {
   auto limits = ShutdownLimits::begin(kBegin, 8000ms);
 
   CHECK(limits.clamped(kBegin + 60000ms) == kBegin + 7500ms);
   CHECK(limits.clamped(kBegin + 4000ms) == kBegin + 4000ms);
 }
 
-TEST_CASE("ShutdownLimits of a short grace refuse from its end on, not later") {
+TEST_CASE("ShutdownLimits of a short grace period reject requests from its end on, not later") {
   auto short_stop = ShutdownLimits::begin(kBegin, 2000ms);
   auto no_time = ShutdownLimits::begin(kBegin, 0ms);
 
--- a/tests/unit/runtime/silent_machine.hpp
+++ b/tests/unit/runtime/silent_machine.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A state machine that counts the messages that it gets and replies to none.
+// A state machine that counts received messages and sends no replies.
 #include <atomic>
 
 #include "runtime/state_machine.hpp"
@@ -8,7 +8,7 @@
 
 class SilentMachine : public StateMachine {
  public:
-  /// @param steps is set to the number of messages handled; must outlive the machine.
+  /// @param steps counts the handled messages; must outlive the state machine.
   explicit SilentMachine(std::atomic<int>& steps) : steps_(steps) {}
   mosskeel::Actions step(const Envelope&, TimePoint) override {
     ++steps_;
