--- a/src/base/memory.cpp
+++ b/src/base/memory.cpp
@@ -6,7 +6,8 @@
 namespace mosskeel {
 namespace {
 
-/// Fixed mmap threshold. By default it grows as mapped blocks are freed, and checkpoints would then stay in the heap.
+/// Fixed mmap and trim threshold. The default threshold grows as mapped blocks are freed, and checkpoints would then
+/// stay in the heap.
 constexpr int kLargeBlockBytes = 256 << 10;
 
 }  // namespace
--- a/src/control/constants.hpp
+++ b/src/control/constants.hpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-/// Operators fail over to another controller after 1 s without a response, so requests end before that.
+/// Time limit of an operator's request. Operators fail over to another controller after 1 s without a response.
 constexpr Duration kOperatorRequestTimeout = 900ms;
 /// Retry delay given to an operator when the outcome of a request is unknown.
 constexpr Duration kOperatorRetryDelay = 200ms;
--- a/src/daemons/agent/main.cpp
+++ b/src/daemons/agent/main.cpp
@@ -11,7 +11,7 @@
 RequiredSettings required_settings() {
   RequiredSettings required{};
   required.program = kProgram;
-  required.purpose = "The agent beside a gateway: keeps its link to the core.";
+  required.purpose = "The agent of a gateway: maintains its connection to the core.";
   required.listen = true;
   required.agent = true;
   required.zone = true;
--- a/src/daemons/controller/main.cpp
+++ b/src/daemons/controller/main.cpp
@@ -15,7 +15,7 @@
 RequiredSettings required_settings() {
   RequiredSettings required{};
   required.program = kProgram;
-  required.purpose = "A core daemon: keeps the metadata log, answers operators and platform.";
+  required.purpose = "A core daemon: stores the metadata log, serves operators and the platform.";
   required.listen = true;
   required.http = true;
   required.zone = true;
--- a/src/daemons/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -48,7 +48,7 @@
 
 int main(int argc, const char** argv) {
   auto parsed = read_settings(argc, argv,
-                              {"gateway", "A gateway: takes callers' requests, owns programs, asks replicas.", true,
+                              {"gateway", "A gateway: serves clients' requests, owns programs, calls replicas.", true,
                                true, true, true, false, false, false});
   if (const auto* exit_code = std::get_if<int>(&parsed))
     return *exit_code;
@@ -67,7 +67,8 @@
   if (!settings.platform_protocol.empty()) {
     const auto* codec = find_protocol_codec(settings.platform_protocol);
     if (!codec)
-      return report_start_failure("gateway", {{"dialect", "'" + settings.platform_protocol + "' is not known"}});
+      return report_start_failure("gateway",
+                                  {{"dialect", "'" + settings.platform_protocol + "' is not a known protocol"}});
     auto started = RoutingThread::start(host, *codec, settings.http_address, settings.readiness_address);
     if (!started.ok())
       return report_start_failure("gateway", started.errors());
--- a/src/daemons/store/main.cpp
+++ b/src/daemons/store/main.cpp
@@ -110,7 +110,7 @@
 
 int main(int argc, const char** argv) {
   RequiredSettings required{
-      kProgram, "A storage daemon: keeps the replicas of histories.", true, true, false, true, true, true, false};
+      kProgram, "A storage daemon: stores replicas of histories.", true, true, false, true, true, true, false};
   auto settings = read_settings(argc, argv, required);
   if (auto* exit_code = std::get_if<int>(&settings))
     return *exit_code;
--- a/src/runtime/host.cpp
+++ b/src/runtime/host.cpp
@@ -167,7 +167,7 @@
   for (const auto& entry : written.notes)
     log_event(entry.event, entry.text);
   if (written.result.kind == DiskResult::failed) {
-    log_event(Event::disk_failed, "nothing unsynced was answered");
+    log_event(Event::disk_failed, "no messages were sent that depend on unsynced records");
     stopped_ = true;
     return false;
   }
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -39,7 +39,7 @@
   return nullptr;
 }
 
-int report(const RequiredSettings& required, const Errors& errors) {
+int report_errors(const RequiredSettings& required, const Errors& errors) {
   for (const auto& error : errors)
     fprintf(stderr, "%s: event=%d %s: %s: %s\n", required.program, static_cast<int>(Event::bad_settings),
             meaning(Event::bad_settings), error.location.c_str(), error.message.c_str());
@@ -99,7 +99,7 @@
     return {{poptBadOption(context.get(), POPT_BADOPTION_NOALIAS), poptStrerror(code)}};
   Errors errors;
   if (const char* surplus = poptGetArg(context.get()))
-    errors.push_back({surplus, "is no option"});
+    errors.push_back({surplus, "is not an option"});
   return errors;
 }
 
@@ -153,7 +153,7 @@
 
 void check_address(const std::string& location, const std::string& address, Errors& errors) {
   if (!split_address(address))
-    errors.push_back({location, "'" + address + "' is no IP:port"});
+    errors.push_back({location, "'" + address + "' is not an IP:port"});
 }
 
 void check_addresses(const Settings& settings, const RequiredSettings& required, bool from_source, Errors& errors) {
@@ -234,7 +234,7 @@
   if (source && errors.empty()) {
     auto read = source->read(required.program);
     if (!read.ok())
-      return report(required, read.errors());
+      return report_errors(required, read.errors());
     settings = read.value();
   }
   if (flags.file)
@@ -242,7 +242,7 @@
   apply_flags(flags, settings);
   append(errors, check(settings, required, source != nullptr));
   if (!errors.empty())
-    return report(required, errors);
+    return report_errors(required, errors);
   if (flags.check) {
     printf("%s: settings are good\n", required.program);
     return 0;
--- a/tests/unit/control/command_language_test.cpp
+++ b/tests/unit/control/command_language_test.cpp
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE("A command translates into the transformation that it names, whatever the spaces between its words") {
+TEST_CASE("A command translates into its transformation regardless of the spaces between its words") {
   CHECK(transformation_of("retire  store 7", Metadata{}) == Transformation{PrepareDrain{DaemonId{7}}});
 }
 
--- a/tests/unit/platform/protocol_codec_test.cpp
+++ b/tests/unit/platform/protocol_codec_test.cpp
@@ -88,7 +88,7 @@
   }
 }
 
-TEST_CASE("Response headers give the attempt, its seal and the replica's load") {
+TEST_CASE("Response headers contain the attempt, its seal and the replica's load") {
   auto complete = platform_codec().parse_response(200, {{"Mosskeel-Attempt-Id", "a1"},
                                                         {"Mosskeel-Server-Seal", "3e1b.07.5a2.600.0.c9f2a4d1"},
                                                         {"Mosskeel-Replica-Load", "3,0,8"}});
