--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -45,7 +45,7 @@
   std::visit(overload{[&](const PromiseRecord& promise) { acceptor_.recover(promise); },
                       [&](const AcceptRecord& accept) { acceptor_.recover(accept); },
                       [&](const DecidedRecord& decided) { journal_.recover(decided); },
-                      [&](const JumpRecord& jump) { journal_.recover(jump); },
+                      [&](const SnapshotRecord& jump) { journal_.recover(jump); },
                       [&](const FoundersRecord& founders) {
                         founding_.recover(founders);
                       }},
--- a/src/consensus/controller_records.hpp
+++ b/src/consensus/controller_records.hpp
@@ -21,8 +21,8 @@
 };
 
 /// A whole metadata value replaced the log up to its epoch.
-struct JumpRecord {
-  MOSSKEEL_FIELDS(JumpRecord, (Metadata, metadata));
+struct SnapshotRecord {
+  MOSSKEEL_FIELDS(SnapshotRecord, (Metadata, metadata));
 };
 
 /// The addresses whose controllers may found the cluster, as the first start's seeds named them.
@@ -31,7 +31,7 @@
 };
 
 /// Append only: the index is what the disk keeps.
-using ControllerRecord = std::variant<PromiseRecord, AcceptRecord, DecidedRecord, JumpRecord, FoundersRecord>;
+using ControllerRecord = std::variant<PromiseRecord, AcceptRecord, DecidedRecord, SnapshotRecord, FoundersRecord>;
 
 /// Stands for the whole journal before it. `open` is the epoch of the Paxos instance that `promised` and `accepted`
 /// belong to; `recent` is always empty and kept for the format.
--- a/src/consensus/metadata_journal.cpp
+++ b/src/consensus/metadata_journal.cpp
@@ -7,7 +7,7 @@
     acceptor_.reset();
 }
 
-void MetadataJournal::recover(const JumpRecord& record) {
+void MetadataJournal::recover(const SnapshotRecord& record) {
   if (metadata_log_.install_snapshot(record.metadata))
     acceptor_.reset();
 }
@@ -45,7 +45,7 @@
 bool MetadataJournal::apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot) {
   if (snapshot && metadata_log_.install_snapshot(*snapshot)) {
     acceptor_.reset();
-    outbox_.write(codec::encode(ControllerRecord{JumpRecord{*snapshot}}));
+    outbox_.write(codec::encode(ControllerRecord{SnapshotRecord{*snapshot}}));
     outbox_.log_event(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
   }
   for (const Entry& entry : entries)
--- a/src/consensus/metadata_journal.hpp
+++ b/src/consensus/metadata_journal.hpp
@@ -15,7 +15,7 @@
 
   /// Take up what an earlier process kept on disk, in the order in which it was written.
   void recover(const DecidedRecord& record);
-  void recover(const JumpRecord& record);
+  void recover(const SnapshotRecord& record);
   /// Stamps the messages that follow with the cluster and the epoch of the log as it is now.
   void stamp_messages();
 
--- a/tests/unit/messages/golden_examples.cpp
+++ b/tests/unit/messages/golden_examples.cpp
@@ -622,7 +622,7 @@
       {0, "promise", PromiseRecord{.epoch = Epoch{301}, .ballot = ballot(400)}},
       {1, "accept", AcceptRecord{.ballot = ballot(300), .entry = entry(400)}},
       {2, "decided", DecidedRecord{.entry = entry(300)}},
-      {3, "jump", JumpRecord{.metadata = metadata(10000)}},
+      {3, "jump", SnapshotRecord{.metadata = metadata(10000)}},
       {4, "founders", FoundersRecord{.addresses = {"founder-a", "founder-b"}}},
   };
 }
