--- a/src/consensus/acceptor.cpp
+++ b/src/consensus/acceptor.cpp
@@ -13,7 +13,7 @@
     return false;
   }
   const Metadata& metadata = *metadata_log_.view();
-  const Candidate& self = outbox_.id().self;
+  const DaemonInfo& self = outbox_.id().self;
   if (metadata.cluster == 0)
     return self.role == Role::controller;
   return metadata.is_core_member(self.incarnation) || metadata.replaces_member(self);
--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -263,7 +263,7 @@
   detector_.record(heartbeat, now);
   const Metadata& metadata = *metadata_log_.view();
   for (DaemonId id : metadata.members) {
-    const Candidate& member = metadata.find(id)->self;
+    const DaemonInfo& member = metadata.find(id)->self;
     if (member.incarnation != self().incarnation)
       outbox_.send_synced(member.address, heartbeat);
   }
--- a/src/consensus/controller_machine.hpp
+++ b/src/consensus/controller_machine.hpp
@@ -32,7 +32,7 @@
 
   const std::deque<Entry>& recent_entries() const { return metadata_log_.recent_entries(); }
   const FailureDetector& failure_detector() const { return detector_; }
-  const Candidate& self() const { return outbox_.id().self; }
+  const DaemonInfo& self() const { return outbox_.id().self; }
   bool is_supervisor(TimePoint now) const { return lease_.is_held(now); }
   /// The core was founded anew without this controller: it takes part in nothing any more, its folder must be emptied.
   bool removed_by_refounding() const { return removed_by_refounding_; }
--- a/src/consensus/controller_registration.cpp
+++ b/src/consensus/controller_registration.cpp
@@ -6,7 +6,7 @@
 
 void ControllerRegistration::request_if_needed(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
-  const Candidate& self = outbox_.id().self;
+  const DaemonInfo& self = outbox_.id().self;
   const Daemon* registered = metadata.find(self.incarnation);
   bool needed = !registered || registered->state == DaemonState::left;
   if (!needed || now < next_request_at_)
--- a/src/consensus/discovered_controllers.cpp
+++ b/src/consensus/discovered_controllers.cpp
@@ -5,7 +5,7 @@
 
 namespace mosskeel {
 
-void DiscoveredControllers::record(const Candidate& candidate, TimePoint now) {
+void DiscoveredControllers::record(const DaemonInfo& candidate, TimePoint now) {
   if (candidate.role == Role::controller && candidate.incarnation != self_)
     sightings_[candidate.incarnation] = {candidate, now};
 }
--- a/src/consensus/discovered_controllers.hpp
+++ b/src/consensus/discovered_controllers.hpp
@@ -9,14 +9,14 @@
 class DiscoveredControllers {
  public:
   struct Sighting {
-    Candidate candidate{};
+    DaemonInfo candidate{};
     TimePoint last_seen_at{};
   };
 
   explicit DiscoveredControllers(Incarnation self) : self_(self) {}
 
   /// Records a daemon's discovery message; other roles and this controller itself are passed over.
-  void record(const Candidate& candidate, TimePoint now);
+  void record(const DaemonInfo& candidate, TimePoint now);
   /// Forgets controllers that were not heard for eight discovery intervals.
   void expire(TimePoint now);
   bool contains(Incarnation incarnation) const { return sightings_.count(incarnation) > 0; }
--- a/src/consensus/failure_detector.hpp
+++ b/src/consensus/failure_detector.hpp
@@ -14,7 +14,7 @@
   /// A store has all histories that it took over by this epoch.
   Epoch streamed_epoch{};
   uint32_t running = 0;
-  Candidate self{};
+  DaemonInfo self{};
   /// A store's comparisons with its peers that have found histories missing here.
   uint32_t incomplete_comparisons = 0;
   /// Its process is shutting down in order.
--- a/src/consensus/founding.cpp
+++ b/src/consensus/founding.cpp
@@ -31,7 +31,7 @@
     return;
   next_discovery_at_ = now + kDiscoveryInterval;
   discovered_.expire(now);
-  const Candidate& self = outbox_.id().self;
+  const DaemonInfo& self = outbox_.id().self;
   for (const Address& seed : outbox_.id().seeds)
     if (seed != self.address)
       outbox_.send(seed, Discover{self});
@@ -43,15 +43,15 @@
 
 void Founding::handle_reply(const DiscoverReply& reply, TimePoint now) {
   discovered_.record(reply.self, now);
-  const Candidate& self = outbox_.id().self;
-  for (const Candidate& candidate : reply.candidates)
+  const DaemonInfo& self = outbox_.id().self;
+  for (const DaemonInfo& candidate : reply.candidates)
     if (candidate.incarnation != self.incarnation && !discovered_.contains(candidate.incarnation))
       outbox_.send(candidate.address, Discover{self});
 }
 
 /// This controller and the founders heard lately, one for each address, lowest incarnation first.
-Candidates Founding::candidates() const {
-  const Candidate& self = outbox_.id().self;
+DaemonInfos Founding::candidates() const {
+  const DaemonInfo& self = outbox_.id().self;
   std::map<Address, DiscoveredControllers::Sighting> latest;
   for (const auto& [incarnation, sighting] : discovered_.all()) {
     const Address& address = sighting.candidate.address;
@@ -61,16 +61,16 @@
     if (sighting.last_seen_at > known.last_seen_at)
       known = sighting;
   }
-  Candidates candidates{self};
+  DaemonInfos candidates{self};
   for (const auto& [address, sighting] : latest)
     candidates.push_back(sighting.candidate);
   std::sort(candidates.begin(), candidates.end(),
-            [](const Candidate& left, const Candidate& right) { return left.incarnation < right.incarnation; });
+            [](const DaemonInfo& left, const DaemonInfo& right) { return left.incarnation < right.incarnation; });
   return candidates;
 }
 
 /// The lowest candidate proposes once it sees all others, or a majority after a while; anybody if that one fails.
-Duration Founding::proposal_delay(const Candidates& candidates) const {
+Duration Founding::proposal_delay(const DaemonInfos& candidates) const {
   bool lowest = candidates.front().incarnation == outbox_.id().self.incarnation;
   if (!lowest)
     return kFoundingStragglerTimeout * 3;
@@ -80,11 +80,11 @@
 
 void Founding::propose_if_due(TimePoint now) {
   const Identity& id = outbox_.id();
-  Candidates electors = candidates();
+  DaemonInfos electors = candidates();
   size_t quorum_size = majority_of(founders_.size());
   if (electors.size() < quorum_size || now - started_at_ <= proposal_delay(electors))
     return;
-  Candidates members = electors;
+  DaemonInfos members = electors;
   if (members.size() > id.core_size)
     members.resize(id.core_size);
   outbox_.log_event(Event::founding,
--- a/src/consensus/founding.hpp
+++ b/src/consensus/founding.hpp
@@ -31,8 +31,8 @@
 
  private:
   bool is_founder(const Address& address) const;
-  Candidates candidates() const;
-  Duration proposal_delay(const Candidates& candidates) const;
+  DaemonInfos candidates() const;
+  Duration proposal_delay(const DaemonInfos& candidates) const;
   void propose_if_due(TimePoint now);
 
   Outbox& outbox_;
--- a/src/consensus/graceful_shutdown.cpp
+++ b/src/consensus/graceful_shutdown.cpp
@@ -7,7 +7,7 @@
 namespace mosskeel {
 
 void GracefulShutdown::request_mark_down() {
-  const Candidate& self = outbox_.id().self;
+  const DaemonInfo& self = outbox_.id().self;
   Epoch epoch = metadata_log_.epoch();
   std::string commit_id = "leave-" + hex(self.incarnation.value()) + "-" + std::to_string(epoch.value());
   outbox_.send(self.address, Commit{commit_id, MarkDown{metadata_log_.view()->find(self.incarnation)->id}, epoch});
--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -23,7 +23,7 @@
     if (const Daemon* member = metadata.find(id))
       acceptors[member->self.incarnation] = member->self.address;
   if (metadata.cluster == 0 && founding_)
-    for (const Candidate& elector : founding_->electors)
+    for (const DaemonInfo& elector : founding_->electors)
       acceptors[elector.incarnation] = elector.address;
   return acceptors;
 }
@@ -186,7 +186,7 @@
   advance(now);
 }
 
-void Proposer::found(const FoundCluster& founding, const Candidates& electors, size_t quorum_size, TimePoint now) {
+void Proposer::found(const FoundCluster& founding, const DaemonInfos& electors, size_t quorum_size, TimePoint now) {
   founding_ = {Entry{Epoch{1}, "found", founding}, electors, quorum_size};
   advance(now);
 }
--- a/src/consensus/proposer.hpp
+++ b/src/consensus/proposer.hpp
@@ -35,7 +35,7 @@
   void acknowledge_in_force(TimePoint now) { commits_.acknowledge_in_force(now); }
 
   /// Proposes the founding entry to these candidates, of whom `quorum_size` must accept it.
-  void found(const FoundCluster& founding, const Candidates& electors, size_t quorum_size, TimePoint now);
+  void found(const FoundCluster& founding, const DaemonInfos& electors, size_t quorum_size, TimePoint now);
   /// Proposes to found the core anew; every one of `survivors` must accept it, the lost members cannot.
   void refound(const RefoundCluster& refounding, std::map<Incarnation, Address> survivors, TimePoint now);
   bool refounding() const { return refounding_.has_value(); }
@@ -68,7 +68,7 @@
   /// The founding to be proposed until the cluster is founded.
   struct Founding {
     Entry entry{};
-    Candidates electors;
+    DaemonInfos electors;
     size_t quorum_size{};
   };
 
--- a/src/consensus/refounding.cpp
+++ b/src/consensus/refounding.cpp
@@ -27,12 +27,12 @@
 /// Another controller that answers at the member's address and came after it. One that the directory knows from before
 /// proves nothing: its messages were late.
 std::optional<Incarnation> Refounding::successor_of(const Daemon& member) const {
-  auto came_later = [&](const Candidate& candidate) {
+  auto came_later = [&](const DaemonInfo& candidate) {
     const Daemon* known = metadata_log_.view()->find(candidate.incarnation);
     return candidate.address == member.self.address && candidate.incarnation != member.self.incarnation &&
            (!known || known->id > member.id);
   };
-  const Candidate& self = outbox_.id().self;
+  const DaemonInfo& self = outbox_.id().self;
   if (came_later(self))
     return self.incarnation;
   for (const auto& [incarnation, sighting] : discovered_.all())
@@ -47,7 +47,7 @@
   next_survey_at_ = now + kDiscoveryInterval;
   discovered_.expire(now);
   const Metadata& metadata = *metadata_log_.view();
-  const Candidate& self = outbox_.id().self;
+  const DaemonInfo& self = outbox_.id().self;
   bool may_propose = metadata.is_core_member(self.incarnation) || metadata.replaces_member(self);
   if (majority_is_alive(now) || !may_propose) {
     gathering_since_.reset();
@@ -69,7 +69,7 @@
 /// Also looks for successors at the addresses of the silent members.
 Refounding::CoreSurvey Refounding::survey_core(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
-  const Candidate& self = outbox_.id().self;
+  const DaemonInfo& self = outbox_.id().self;
   CoreSurvey survey;
   const Daemon* first_living = nullptr;
   Incarnation lowest_successor = self.incarnation;
@@ -110,14 +110,14 @@
 
 void Refounding::propose(const std::vector<DaemonId>& lost, TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
-  const Candidate& self = outbox_.id().self;
+  const DaemonInfo& self = outbox_.id().self;
   std::map<Incarnation, Address> survivors;
   for (DaemonId id : metadata.members)
     if (!contains(lost, id))
       survivors[metadata.find(id)->self.incarnation] = metadata.find(id)->self.address;
   bool nobody_survives = survivors.empty();
   RefoundCluster change{metadata.generation, lost, {}};
-  auto add_fresh = [&](const Candidate& candidate) {
+  auto add_fresh = [&](const DaemonInfo& candidate) {
     if (!metadata.is_core_member(candidate.incarnation))
       change.fresh.push_back(candidate);
     // Where no member is left, the controllers that replace them decide in their place.
--- a/src/consensus/supervisor_lease.cpp
+++ b/src/consensus/supervisor_lease.cpp
@@ -90,7 +90,7 @@
   denied_ = false;
   const Metadata& metadata = *metadata_log_.view();
   for (DaemonId id : metadata.members) {
-    const Candidate& member = metadata.find(id)->self;
+    const DaemonInfo& member = metadata.find(id)->self;
     outbox_.send(member.address, LeaseRequest{request_id_}, member.incarnation);
   }
 }
--- a/src/messages/consensus_messages.hpp
+++ b/src/messages/consensus_messages.hpp
@@ -12,20 +12,20 @@
   MOSSKEEL_FIELDS(Ballot, (uint64_t, round), (uint64_t, proposer));
   auto operator<=>(const Ballot&) const = default;
 };
-using Candidates = std::vector<Candidate>;
+using DaemonInfos = std::vector<DaemonInfo>;
 using Addresses = std::vector<Address>;
 using Entries = std::vector<Entry>;
 
 /// A daemon without contact asks a seed, or a controller that it has heard of, for the cluster.
 struct Discover {
-  MOSSKEEL_FIELDS(Discover, (Candidate, self));
+  MOSSKEEL_FIELDS(Discover, (DaemonInfo, self));
 };
 
 /// Who is here: a founded daemon names the cluster, its epoch and the addresses of the core; a controller before the
 /// founding has `cluster` 0 and names the candidates that it knows.
 struct DiscoverReply {
-  MOSSKEEL_FIELDS(DiscoverReply, (Candidate, self), (uint64_t, cluster), (Epoch, epoch), (Addresses, core),
-                  (Candidates, candidates));
+  MOSSKEEL_FIELDS(DiscoverReply, (DaemonInfo, self), (uint64_t, cluster), (Epoch, epoch), (Addresses, core),
+                  (DaemonInfos, candidates));
 };
 
 /// Paxos phase 1: asks an acceptor to promise `ballot` for the instance of `epoch`.
--- a/src/messages/replication_messages.hpp
+++ b/src/messages/replication_messages.hpp
@@ -25,7 +25,7 @@
 /// its own clock at the sending (ms; the reply returns it), `leaving` that it shuts down, `incomplete_comparisons`
 /// how many of a store's partitions are not compared with their peers yet.
 struct Heartbeat {
-  MOSSKEEL_FIELDS(Heartbeat, (Candidate, self), (Epoch, known), (uint32_t, load), (Epoch, streamed),
+  MOSSKEEL_FIELDS(Heartbeat, (DaemonInfo, self), (Epoch, known), (uint32_t, load), (Epoch, streamed),
                   (uint32_t, running), (int64_t, sent), (bool, leaving), (uint32_t, incomplete_comparisons));
 };
 
--- a/src/metadata/core_transformations.cpp
+++ b/src/metadata/core_transformations.cpp
@@ -20,7 +20,7 @@
 
 /// Makes a controller that helps to re-found the core a member of it, and a quorum member in place of lost ones at its
 /// address.
-void add_refounding_member(Metadata& metadata, const Candidate& candidate, const std::vector<DaemonId>& lost) {
+void add_refounding_member(Metadata& metadata, const DaemonInfo& candidate, const std::vector<DaemonId>& lost) {
   auto* known = metadata.find(candidate.incarnation);
   DaemonId id = known ? known->id : DaemonId{metadata.next_id++};
   metadata.directory[id] = {id, candidate, DaemonState::up, metadata.epoch};
--- a/src/metadata/daemon.hpp
+++ b/src/metadata/daemon.hpp
@@ -23,16 +23,16 @@
 
 /// How a daemon describes itself, before and after the log knows it.
 /// The order of the fields is the format on the wire and on disk.
-struct Candidate {
+struct DaemonInfo {
   /// `agent_address` is set for a gateway only: its agent receives for it. `http_address` is empty without HTTP.
-  MOSSKEEL_FIELDS(Candidate, (Incarnation, incarnation), (Role, role), (std::string, zone), (Address, address),
+  MOSSKEEL_FIELDS(DaemonInfo, (Incarnation, incarnation), (Role, role), (std::string, zone), (Address, address),
                   (Address, agent_address), (Address, http_address), (std::string, machine));
-  bool operator==(const Candidate&) const = default;
+  bool operator==(const DaemonInfo&) const = default;
 };
 
 /// A directory entry; `since` is the epoch of the last change of `state`.
 struct Daemon {
-  MOSSKEEL_FIELDS(Daemon, (DaemonId, id), (Candidate, self), (DaemonState, state), (Epoch, since));
+  MOSSKEEL_FIELDS(Daemon, (DaemonId, id), (DaemonInfo, self), (DaemonState, state), (Epoch, since));
   bool operator==(const Daemon&) const = default;
 };
 
--- a/src/metadata/daemon_transformations.cpp
+++ b/src/metadata/daemon_transformations.cpp
@@ -6,7 +6,7 @@
 
 /// Whether a daemon of the directory provably no longer runs once another one registers at its address. A gateway holds
 /// no state on disk, and a controller's disk tells a restart from a new controller; only a store has to be down.
-bool ends_with_registration(const Daemon& earlier, const Candidate& registering) {
+bool ends_with_registration(const Daemon& earlier, const DaemonInfo& registering) {
   if (earlier.state == DaemonState::down || earlier.self.role == Role::gateway)
     return true;
   return registering.role == Role::controller && earlier.self.role == Role::controller;
@@ -35,7 +35,7 @@
 }
 
 /// A controller that was taken out of the core while it was silent may come back as a spare.
-Result<Metadata> register_again(Metadata metadata, const Daemon& known, const Candidate& self) {
+Result<Metadata> register_again(Metadata metadata, const Daemon& known, const DaemonInfo& self) {
   if (known.state != DaemonState::left || self.role != Role::controller || known.self != self)
     return reject("register", "incarnation " + hex(self.incarnation.value()) + " is registered already");
   auto* other = metadata.find_at(self.address);
--- a/src/metadata/metadata.cpp
+++ b/src/metadata/metadata.cpp
@@ -46,7 +46,7 @@
   });
 }
 
-bool Metadata::replaces_member(const Candidate& candidate) const {
+bool Metadata::replaces_member(const DaemonInfo& candidate) const {
   if (candidate.role != Role::controller)
     return false;
   return std::any_of(members.begin(), members.end(), [&](DaemonId id) {
--- a/src/metadata/metadata.hpp
+++ b/src/metadata/metadata.hpp
@@ -49,7 +49,7 @@
   bool is_core_member(Incarnation incarnation) const;
   /// Whether this is another controller at the address of a core member. Such a one, with an empty disk, may help to
   /// re-found a core of which nobody is left.
-  bool replaces_member(const Candidate& candidate) const;
+  bool replaces_member(const DaemonInfo& candidate) const;
 
   using DaemonPredicate = std::function<bool(const Daemon&)>;
 
--- a/src/metadata/transformation.hpp
+++ b/src/metadata/transformation.hpp
@@ -11,14 +11,14 @@
 /// The first entry of each log. `max_core_size` is how many members the core may grow to (0: `core_size`),
 /// `replication_factor` how many stores keep each history (0: `kDefaultHistoryReplicas`).
 struct FoundCluster {
-  MOSSKEEL_FIELDS(FoundCluster, (uint64_t, cluster), (uint32_t, core_size), (std::vector<Candidate>, members),
+  MOSSKEEL_FIELDS(FoundCluster, (uint64_t, cluster), (uint32_t, core_size), (std::vector<DaemonInfo>, members),
                   (uint32_t, max_core_size), (uint32_t, replication_factor));
   bool operator==(const FoundCluster&) const = default;
 };
 
 /// Puts a daemon into the directory. Rejected while another daemon at its address may still run.
 struct Register {
-  MOSSKEEL_FIELDS(Register, (Candidate, self));
+  MOSSKEEL_FIELDS(Register, (DaemonInfo, self));
   bool operator==(const Register&) const = default;
 };
 
@@ -119,7 +119,7 @@
 /// changes. `generation` guards against a second re-founding of the same loss.
 struct RefoundCluster {
   MOSSKEEL_FIELDS(RefoundCluster, (uint64_t, generation), (std::vector<DaemonId>, lost),
-                  (std::vector<Candidate>, fresh));
+                  (std::vector<DaemonInfo>, fresh));
   bool operator==(const RefoundCluster&) const = default;
 };
 
--- a/src/replication/heartbeat_acknowledgements.hpp
+++ b/src/replication/heartbeat_acknowledgements.hpp
@@ -15,7 +15,7 @@
 class HeartbeatAcknowledgements {
  public:
   /// Both references must outlive this.
-  HeartbeatAcknowledgements(const MetadataLog& metadata_log, const Candidate& self, TimePoint started_at)
+  HeartbeatAcknowledgements(const MetadataLog& metadata_log, const DaemonInfo& self, TimePoint started_at)
       : metadata_log_(metadata_log), self_(self), started_at_(started_at) {}
 
   /// Counts an answer to the heartbeat that was sent at `sent`. One that names an epoch that the log does not have yet
@@ -49,7 +49,7 @@
   TimePoint fleet_contact(const std::vector<DaemonId>& quorum_members) const;
 
   const MetadataLog& metadata_log_;
-  const Candidate& self_;
+  const DaemonInfo& self_;
   const TimePoint started_at_;
   std::map<Address, Acknowledgement> acknowledgements_;
   /// Answers that name an epoch which the log does not have yet; of each daemon the first one.
--- a/src/replication/registration.cpp
+++ b/src/replication/registration.cpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-void Registration::tick(TimePoint now, const Candidate& self) {
+void Registration::tick(TimePoint now, const DaemonInfo& self) {
   auto& metadata = *metadata_log_.view();
   auto* registered = metadata.find(self.incarnation);
   log_state_change(self, registered);
@@ -23,7 +23,7 @@
   send_request(self);
 }
 
-void Registration::log_state_change(const Candidate& self, const Daemon* registered) {
+void Registration::log_state_change(const DaemonInfo& self, const Daemon* registered) {
   auto state = registered ? std::optional(registered->state) : std::nullopt;
   bool has_left = state == DaemonState::left;
   if (state && state != last_state_ && (!last_state_ || has_left))
@@ -32,7 +32,7 @@
   last_state_ = state;
 }
 
-void Registration::send_request(const Candidate& self) {
+void Registration::send_request(const DaemonInfo& self) {
   auto& metadata = *metadata_log_.view();
   for (size_t i = 0; i < metadata.members.size(); ++i) {
     auto* member = metadata.find(metadata.members[requests_++ % metadata.members.size()]);
--- a/src/replication/registration.hpp
+++ b/src/replication/registration.hpp
@@ -10,11 +10,11 @@
  public:
   Registration(Outbox& outbox, const MetadataLog& metadata_log) : outbox_(outbox), metadata_log_(metadata_log) {}
 
-  void tick(TimePoint now, const Candidate& self);
+  void tick(TimePoint now, const DaemonInfo& self);
 
  private:
-  void log_state_change(const Candidate& self, const Daemon* registered);
-  void send_request(const Candidate& self);
+  void log_state_change(const DaemonInfo& self, const Daemon* registered);
+  void send_request(const DaemonInfo& self);
 
   Outbox& outbox_;
   const MetadataLog& metadata_log_;
--- a/src/runtime/state_machine.hpp
+++ b/src/runtime/state_machine.hpp
@@ -26,7 +26,7 @@
 
 /// The settings of a daemon: who it is and where others are.
 struct Identity {
-  Candidate self{};
+  DaemonInfo self{};
   /// Addresses of controllers to find the cluster by.
   Addresses seeds;
   uint32_t core_size = 3;
--- a/tests/model/cluster.hpp
+++ b/tests/model/cluster.hpp
@@ -94,7 +94,7 @@
   size_t in_flight() const { return network_.size(); }
   const Envelope& message(size_t index) const { return *network_[index].envelope; }
   Incarnation incarnation(size_t node) const { return nodes_[node].identity.self.incarnation; }
-  const Candidate& candidate(size_t node) const { return nodes_[node].identity.self; }
+  const DaemonInfo& candidate(size_t node) const { return nodes_[node].identity.self; }
   const Observer& observer() const { return observer_; }
   Budget budget;
   Options& options() { return options_; }
--- a/tests/unit/consensus/controllers_fixture.hpp
+++ b/tests/unit/consensus/controllers_fixture.hpp
@@ -5,12 +5,12 @@
 namespace mosskeel::test {
 
 /// Controller `number`, whose incarnation is its number, too.
-inline Candidate controller(uint64_t number) {
+inline DaemonInfo controller(uint64_t number) {
   std::string address = "controller" + std::to_string(number);
   return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
 }
 
-inline std::vector<Candidate> three_controllers() {
+inline std::vector<DaemonInfo> three_controllers() {
   return {controller(1), controller(2), controller(3)};
 }
 
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -373,7 +373,7 @@
 
 namespace {
 
-void send_discover(SimulatedControllers& cluster, const Candidate& sender, const std::string& receiver) {
+void send_discover(SimulatedControllers& cluster, const DaemonInfo& sender, const std::string& receiver) {
   Envelope envelope{};
   envelope.protocol = kProtocolRevision;
   envelope.cluster = cluster.metadata()->cluster;
@@ -392,7 +392,7 @@
     SimulatedControllers cluster(seed, 3);
     cluster.forbid_founding_on_empty_disks();
     cluster.world.run(kFoundingTime);
-    std::vector<Candidate> predecessors;
+    std::vector<DaemonInfo> predecessors;
     for (const std::string name : {"controller2", "controller3"}) {
       predecessors.push_back(cluster.world.node(name).id.self);
       cluster.world.wipe(name);
@@ -404,7 +404,7 @@
     cluster.partition({"controller1"}, {"controller2", "controller3"});
 
     for (int i = 0; i < 100; ++i) {
-      for (const Candidate& predecessor : predecessors)
+      for (const DaemonInfo& predecessor : predecessors)
         send_discover(cluster, predecessor, "controller1");
       cluster.world.run(100ms);
     }
--- a/tests/unit/consensus/in_force_test.cpp
+++ b/tests/unit/consensus/in_force_test.cpp
@@ -25,7 +25,7 @@
 constexpr FleetSize kManyGateways{.controllers = 3, .gateways = 9, .stores = 3};
 
 /// Daemon `number`, whose incarnation is its number, too.
-Candidate numbered_daemon(uint64_t number, Role role) {
+DaemonInfo numbered_daemon(uint64_t number, Role role) {
   std::string address = "daemon" + std::to_string(number);
   return {Incarnation{number}, role, "zone", address, "", "", address};
 }
--- a/tests/unit/consensus/quorum_reader_test.cpp
+++ b/tests/unit/consensus/quorum_reader_test.cpp
@@ -24,10 +24,10 @@
   uint64_t read_id{};
 
   ReadInProgress() {
-    std::vector<Candidate> members = three_controllers();
+    std::vector<DaemonInfo> members = three_controllers();
     metadata_log.add({Epoch{1}, "found", FoundCluster{7, 3, members}});
     std::map<Incarnation, Address> addresses;
-    for (const Candidate& member : members)
+    for (const DaemonInfo& member : members)
       addresses[member.incarnation] = member.address;
     reader.begin(addresses, kLastTicket, kStart);
     auto requests = outbox.take().now;
--- a/tests/unit/consensus/stale_log_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -35,7 +35,7 @@
     apply_entry(old_metadata, {Epoch{1}, "", FoundCluster{kCluster, 3, three_controllers()}});
     newest_metadata = old_metadata;
     for (uint64_t number = 11; number <= 13; ++number) {
-      Candidate store{Incarnation{number}, Role::store, "zone", "store" + std::to_string(number), "", "", ""};
+      DaemonInfo store{Incarnation{number}, Role::store, "zone", "store" + std::to_string(number), "", "", ""};
       missing_entries.push_back({next(newest_metadata.epoch), "", Register{store}});
       apply_entry(newest_metadata, missing_entries.back());
     }
--- a/tests/unit/history/store_fixture.hpp
+++ b/tests/unit/history/store_fixture.hpp
@@ -19,7 +19,7 @@
 
 inline Daemon daemon_of(uint64_t id, Incarnation incarnation, Role role) {
   auto number = std::to_string(incarnation.value());
-  Candidate self{incarnation, role, "zone" + number, "daemon" + number, "", "", ""};
+  DaemonInfo self{incarnation, role, "zone" + number, "daemon" + number, "", "", ""};
   return {DaemonId{id}, self, DaemonState::up, Epoch{1}};
 }
 
--- a/tests/unit/history/store_quorum_test.cpp
+++ b/tests/unit/history/store_quorum_test.cpp
@@ -13,7 +13,7 @@
   Metadata metadata{};
   metadata.configured_replication_factor = 3;
   for (uint64_t number = 11; number <= 15; ++number) {
-    Candidate self{};
+    DaemonInfo self{};
     self.incarnation = Incarnation{number};
     self.role = Role::store;
     self.zone = "z" + std::to_string(number);
--- a/tests/unit/messages/golden_examples.cpp
+++ b/tests/unit/messages/golden_examples.cpp
@@ -12,7 +12,7 @@
   return prefix + std::string("-") + std::to_string(base);
 }
 
-Candidate candidate(uint64_t base, Role role) {
+DaemonInfo candidate(uint64_t base, Role role) {
   return {.incarnation = Incarnation{base + 1},
           .role = role,
           .zone = text("zone", base),
--- a/tests/unit/metadata/metadata_fixture.hpp
+++ b/tests/unit/metadata/metadata_fixture.hpp
@@ -6,7 +6,7 @@
 namespace mosskeel::test {
 
 /// A daemon whose address is its role and number, "store11".
-inline Candidate numbered_daemon(uint64_t number, Role role, const std::string& zone) {
+inline DaemonInfo numbered_daemon(uint64_t number, Role role, const std::string& zone) {
   auto address = std::string(name(role)) + std::to_string(number);
   return {Incarnation{number}, role, zone, address, "", "http-" + address, ""};
 }
@@ -49,7 +49,7 @@
       commit(AdvanceSequence{daemon, step});
   }
 
-  void register_and_join(const Candidate& candidate) {
+  void register_and_join(const DaemonInfo& candidate) {
     commit(Register{candidate});
     auto joining = id(candidate.address);
     run_sequence(PrepareJoin{joining}, joining);
--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -16,11 +16,11 @@
 namespace {
 
 /// A gateway with another incarnation at the address of "front21".
-Candidate restarted_gateway21() {
+DaemonInfo restarted_gateway21() {
   return {Incarnation{99}, Role::gateway, "a", "front21", "", "", ""};
 }
 
-std::vector<Candidate> three_controllers() {
+std::vector<DaemonInfo> three_controllers() {
   return {numbered_daemon(1, Role::controller, "a"), numbered_daemon(2, Role::controller, "b"),
           numbered_daemon(3, Role::controller, "c")};
 }
--- a/tests/unit/programs/majority_contact_test.cpp
+++ b/tests/unit/programs/majority_contact_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr TimePoint kStart = kProcessClockStart;
 
-Candidate candidate(uint64_t incarnation, Role role, const std::string& address, const std::string& agent = "") {
+DaemonInfo candidate(uint64_t incarnation, Role role, const std::string& address, const std::string& agent = "") {
   return {Incarnation{incarnation}, role, "zone", address, agent, "http-" + address, address};
 }
 
@@ -53,7 +53,7 @@
   }
 
   Metadata metadata_{};
-  Candidate self_ = candidate(21, Role::gateway, "gateway", "agent");
+  DaemonInfo self_ = candidate(21, Role::gateway, "gateway", "agent");
 
  public:
   GatewayMachine machine{Identity{self_, {}}, kStart};
--- a/tests/unit/programs/replica_selector_test.cpp
+++ b/tests/unit/programs/replica_selector_test.cpp
@@ -13,7 +13,7 @@
   Metadata metadata;
   for (uint64_t number = 1; number <= 6; ++number) {
     DaemonId id{number};
-    Candidate self{Incarnation{number}, Role::gateway, "a", "gateway" + std::to_string(number), "", ""};
+    DaemonInfo self{Incarnation{number}, Role::gateway, "a", "gateway" + std::to_string(number), "", ""};
     metadata.directory[id] = {id, self, DaemonState::up, {}};
   }
   return metadata;
--- a/tests/unit/replication/agent_shutdown_test.cpp
+++ b/tests/unit/replication/agent_shutdown_test.cpp
@@ -11,7 +11,7 @@
 constexpr const char* kGatewayAddress = "10.0.0.1:1";
 constexpr const char* kAgentAddress = "10.0.0.1:2";
 
-Candidate gateway_of_incarnation(uint64_t incarnation) {
+DaemonInfo gateway_of_incarnation(uint64_t incarnation) {
   return {Incarnation{incarnation}, Role::gateway, "z1", kGatewayAddress, kAgentAddress, "", "machine-1"};
 }
 
@@ -22,7 +22,7 @@
   return identity;
 }
 
-Envelope heartbeat_of(const Candidate& gateway, bool is_shutting_down, TimePoint now) {
+Envelope heartbeat_of(const DaemonInfo& gateway, bool is_shutting_down, TimePoint now) {
   Heartbeat heartbeat{};
   heartbeat.self = gateway;
   heartbeat.sent = to_milliseconds(now);
--- a/tests/unit/replication/heartbeat_acknowledgements_test.cpp
+++ b/tests/unit/replication/heartbeat_acknowledgements_test.cpp
@@ -23,7 +23,7 @@
 }
 
 /// Daemon `number`, whose incarnation is its number, too.
-Candidate numbered_daemon(uint64_t number) {
+DaemonInfo numbered_daemon(uint64_t number) {
   std::string address = "daemon" + std::to_string(number);
   std::string agent = role_of(number) == Role::gateway ? address + "-agent" : "";
   return {Incarnation{number}, role_of(number), "zone", address, agent, "", address};
@@ -61,14 +61,14 @@
   bool has_contact() const { return acknowledgements_.last_majority_contact() == kSent; }
 
  private:
-  static Candidate self() {
-    Candidate self = numbered_daemon(kFirstGateway);
+  static DaemonInfo self() {
+    DaemonInfo self = numbered_daemon(kFirstGateway);
     std::swap(self.address, self.agent_address);
     return self;
   }
 
   MetadataLog log_;
-  Candidate self_ = self();
+  DaemonInfo self_ = self();
   HeartbeatAcknowledgements acknowledgements_{log_, self_, kStart};
 };
 
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -55,7 +55,7 @@
   metadata.revision = Revision{1};
   for (uint64_t id = 1; id <= kGateways; ++id) {
     auto number = std::to_string(id);
-    Candidate gateway{Incarnation{id}, Role::gateway, "z1", "10.0.0." + number + ":1", "", "", "machine-" + number};
+    DaemonInfo gateway{Incarnation{id}, Role::gateway, "z1", "10.0.0." + number + ":1", "", "", "machine-" + number};
     metadata.directory[DaemonId{id}] = {DaemonId{id}, gateway, DaemonState::up, Epoch{2}};
   }
   for (std::string service_name : {"app", "model", "spare"}) {
--- a/tests/unit/routing/turn_owner_fixture.hpp
+++ b/tests/unit/routing/turn_owner_fixture.hpp
@@ -10,7 +10,7 @@
   return "10.0.0." + std::to_string(daemon) + ":1";
 }
 
-inline Candidate candidate(uint64_t incarnation, Role role, const std::string& zone) {
+inline DaemonInfo candidate(uint64_t incarnation, Role role, const std::string& zone) {
   auto machine = "machine-" + std::to_string(incarnation);
   return {Incarnation{incarnation}, role, zone, address_of(incarnation), "", "", machine};
 }
--- a/tests/unit/runtime/golden_folders.cpp
+++ b/tests/unit/runtime/golden_folders.cpp
@@ -12,7 +12,7 @@
 constexpr TimePoint kStart = kProcessClockStart;
 constexpr int kHistories = 200;
 
-Candidate controller(uint64_t number, const std::string& zone) {
+DaemonInfo controller(uint64_t number, const std::string& zone) {
   auto address = "controller" + std::to_string(number);
   return {.incarnation = Incarnation{100 + number},
           .role = Role::controller,
@@ -23,7 +23,7 @@
           .machine = "machine-" + address};
 }
 
-Candidate gateway(uint64_t number, const std::string& zone) {
+DaemonInfo gateway(uint64_t number, const std::string& zone) {
   auto address = "gateway" + std::to_string(number);
   return {.incarnation = Incarnation{200 + number},
           .role = Role::gateway,
@@ -34,7 +34,7 @@
           .machine = "machine-" + address};
 }
 
-Candidate store(uint64_t number, const std::string& zone) {
+DaemonInfo store(uint64_t number, const std::string& zone) {
   auto address = "store" + std::to_string(number);
   return {.incarnation = Incarnation{300 + number},
           .role = Role::store,
@@ -45,7 +45,7 @@
           .machine = "machine-" + address};
 }
 
-Candidate replacement_controller() {
+DaemonInfo replacement_controller() {
   auto replacement = controller(2, "b");
   replacement.incarnation = Incarnation{105};
   return replacement;
@@ -238,7 +238,7 @@
     start();
   }
 
-  Actions receive(const Candidate& sender, Message body) {
+  Actions receive(const DaemonInfo& sender, Message body) {
     Envelope envelope{.protocol = kProtocolRevision,
                       .cluster = 0,
                       .epoch = machine_->view()->epoch,
--- a/tools/scale/hollow_daemons.cpp
+++ b/tools/scale/hollow_daemons.cpp
@@ -28,7 +28,7 @@
   /// Nothing while the daemon is stopped.
   std::unique_ptr<AgentMachine> machine;
   /// The gateway that the heartbeats come from.
-  Candidate gateway;
+  DaemonInfo gateway;
   Epoch known_epoch{};
   /// When each of the newest epochs was first known here, in the machine's clock.
   std::map<Epoch, TimePoint> known_since;
