--- a/src/consensus/commit_queue.cpp
+++ b/src/consensus/commit_queue.cpp
@@ -5,7 +5,7 @@
 namespace mosskeel {
 namespace {
 
-/// Whether somebody outside the cluster relies on a change once it is acknowledged, so that it must be in force then.
+/// Whether a change must be in force before it is acknowledged, because clients outside the cluster rely on it.
 bool must_be_in_force(const Transformation& change) {
   return std::holds_alternative<ApplyConfiguration>(change) || std::holds_alternative<SetReplica>(change) ||
          std::holds_alternative<RemoveReplica>(change) || std::holds_alternative<EvacuateZone>(change) ||
@@ -95,7 +95,7 @@
     appended_.push_back(std::move(commit));
 }
 
-/// Answers once the change is in force, or at its deadline; false if it has still to wait.
+/// Replies if the change is in force or its deadline has passed; returns false if it has to wait longer.
 bool CommitQueue::try_acknowledge(const AppendedCommit& commit, TimePoint now) {
   std::string missing;
   if (must_be_in_force(commit.request.change))
--- a/src/consensus/constants.hpp
+++ b/src/consensus/constants.hpp
@@ -4,47 +4,46 @@
 
 namespace mosskeel {
 
-/// Discovery intervals; a controller that was not discovered for so many is forgotten.
+/// A controller is forgotten when it has not been discovered for this many discovery intervals.
 constexpr int kDiscoveryMemoryIntervals = 8;
-/// Between two requests to be registered, each to another member.
+/// Time between two registration requests; each goes to another core member.
 constexpr Duration kRegistrationRetryInterval = 300ms;
-/// A controller that stops waits this long until the core goes on without it.
+/// How long a controller that shuts down waits for the core to take over its duties.
 constexpr Duration kControllerShutdownTimeout = 600ms;
-/// Three heartbeats of an older cluster's daemons arrive before a founding.
+/// Delay before a cluster is founded; leaves time for three heartbeats from the daemons of an existing cluster.
 constexpr Duration kFoundingDelay = 1000ms;
-/// Wait for late candidates before founding with a majority.
+/// How long to wait for late candidates before founding a cluster with a majority of them.
 constexpr Duration kFoundingStragglerTimeout = 1500ms;
-/// A round without a majority by then starts anew.
+/// A Paxos round that has no majority by then is retried.
 constexpr Duration kProposalTimeout = 300ms;
-/// Spread of restarts, so that duelling proposers separate.
+/// Random jitter added to proposal retries to separate duelling proposers.
 constexpr Duration kProposalJitter = 120ms;
-/// A daemon unheard by a majority of controllers for this long is down.
+/// A daemon is down when a majority of the controllers has had no heartbeat from it for this long.
 constexpr Duration kHeartbeatTimeout = 2500ms;
-/// When most are silent this controller may be the one cut off: it waits longer.
+/// Replaces kHeartbeatTimeout when most daemons are silent, because this controller may itself be the isolated one.
 constexpr Duration kIsolatedHeartbeatTimeout = 6000ms;
-/// Duration of the supervisor lease.
 constexpr Duration kSupervisorLeaseDuration = 2000ms;
-/// The holder stops this long before its lease ends.
+/// The holder stops acting as supervisor this long before its lease expires.
 constexpr Duration kSupervisorLeaseMargin = 400ms;
-/// Between renewals.
+/// Time between lease renewals.
 constexpr Duration kSupervisorLeaseRenewInterval = 500ms;
-/// A sequence whose barrier is blocked longer is cancelled.
+/// A sequence is cancelled when its barrier is blocked for longer than this.
 constexpr Duration kSequenceStepTimeout = 15000ms;
-/// A store silent this long loses its partitions; a restart takes less.
+/// The partitions of a store that is silent for this long are moved to other stores; a restart takes less time.
 constexpr Duration kRepairDelay = 3000ms;
-/// Doublings of kRepairDelay for a store that comes and goes.
+/// Limit of the exponential backoff of kRepairDelay for a flapping store.
 constexpr uint32_t kMaxRepairDelayDoublings = 4;
-/// A store silent this long may be lost: joins wait for its repair.
+/// A store that is silent for this long may be lost, so joins wait for its repair.
 constexpr Duration kStoreSuspectTimeout = 1200ms;
-/// Before a daemon whose sequence was cancelled begins another.
+/// Delay before a daemon begins another sequence after a cancelled one.
 constexpr Duration kSequenceRetryDelay = 1000ms;
-/// A lost store without partitions is removed from the directory.
+/// A lost store that holds no partitions is removed from the directory after this time.
 constexpr Duration kForgetStoreDelay = 30000ms;
-/// A majority silent this long calls for a look at re-founding.
+/// When a majority of the core is silent for this long, a re-founding is considered.
 constexpr Duration kCoreLossTimeout = 4000ms;
-/// Log copies are gathered this long before a re-founding.
+/// How long entries are collected from other daemons' logs before a re-founding.
 constexpr Duration kRefoundingCatchUpTime = 1000ms;
-/// No founding this long after a sign of an older cluster.
+/// No cluster is founded within this time after a message from an existing cluster.
 constexpr Duration kFoundingHoldOff = 10000ms;
 
 }  // namespace mosskeel
--- a/src/consensus/controller_machine.cpp
+++ b/src/consensus/controller_machine.cpp
@@ -45,7 +45,7 @@
   std::visit(overload{[&](const PromiseRecord& promise) { acceptor_.recover(promise); },
                       [&](const AcceptRecord& accept) { acceptor_.recover(accept); },
                       [&](const DecidedRecord& decided) { journal_.recover(decided); },
-                      [&](const SnapshotRecord& jump) { journal_.recover(jump); },
+                      [&](const SnapshotRecord& snapshot) { journal_.recover(snapshot); },
                       [&](const FoundersRecord& founders) {
                         founding_.recover(founders);
                       }},
@@ -108,7 +108,8 @@
   return take_actions();
 }
 
-/// What waits for a new epoch need not wait for the next tick, and the others are to know of it at once.
+/// Handles a new epoch without waiting for the next tick: continues pending commits and reports the epoch to the other
+/// members at once.
 void ControllerMachine::react_to_new_epoch(Epoch before, TimePoint now) {
   if (metadata_log_.epoch() == before)
     return;
@@ -116,7 +117,7 @@
   send_heartbeats(now);
 }
 
-/// Asks a sender that knows a later epoch for what is missing here, unless its message brings that.
+/// Requests the missing entries from a sender that knows a later epoch, unless its message carries them.
 void ControllerMachine::request_missing_entries(const Envelope& envelope, TimePoint now) {
   bool brings_entries = std::holds_alternative<Decided>(envelope.body) ||
                         std::holds_alternative<CatchupReply>(envelope.body) ||
@@ -133,8 +134,8 @@
     for (DaemonId id : metadata.members)
       reply.core.push_back(metadata.find(id)->self.address);
   } else {
-    for (const auto& [incarnation, sighting] : discovered_.all())
-      reply.candidates.push_back(sighting.candidate);
+    for (const auto& [incarnation, peer] : discovered_.all())
+      reply.candidates.push_back(peer.info);
   }
   discovered_.record(discover.self, now);
   outbox_.send(envelope.from, reply);
@@ -149,12 +150,12 @@
   bool from_successor = reply.cluster != outbox_.cluster && is_successor_cluster(*metadata_log_.view(), reply.cluster);
   if (from_successor && !removed_by_refounding_) {
     removed_by_refounding_ = true;
-    outbox_.log_event(Event::lost_identity, "the core was founded anew without this controller; empty its folder");
+    outbox_.log_event(Event::lost_identity, "the core was re-founded without this controller; empty its data folder");
   }
   discovered_.record(reply.self, now);
 }
 
-/// A controller that a re-founding removed may not vote until it has caught up with the new generation.
+/// A controller that was removed by a re-founding may not vote until it has caught up with the new generation.
 bool ControllerMachine::may_vote(TimePoint now) const {
   return outbox_.cluster ? !removed_by_refounding_ : founding_.may_vote(now);
 }
@@ -247,7 +248,7 @@
   refounding_.handle(envelope, request, now);
 }
 
-/// A controller that was removed by a re-founding takes part again once it holds the new cluster's log.
+/// A controller that was removed by a re-founding takes part again once it has the new cluster's log.
 void ControllerMachine::apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot) {
   if (journal_.apply_updates(entries, snapshot))
     removed_by_refounding_ = false;
@@ -271,8 +272,8 @@
     registration_.request_if_needed(now);
 }
 
-/// The other members are told at once that this one stops: they take the lease over without waiting for the heartbeat
-/// time-out.
+/// Announces the shutdown to the other members at once, so that they take over the lease without waiting for the
+/// heartbeat timeout.
 void ControllerMachine::begin_shutdown(TimePoint now) {
   if (shutdown_.in_progress())
     return;
--- a/src/consensus/controller_machine.hpp
+++ b/src/consensus/controller_machine.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The controller daemon as a state machine: wires its parts and dispatches messages to them.
+// The controller daemon as a state machine: connects its components and dispatches messages to them.
 #include "consensus/controller_registration.hpp"
 #include "consensus/failure_detector.hpp"
 #include "consensus/founding.hpp"
@@ -12,35 +12,37 @@
 
 namespace mosskeel {
 
-/// A controller: Paxos acceptor and proposer of the metadata log, observer of heartbeats and, with the lease,
-/// supervisor; before there is a log, a candidate of the founding.
+/// A controller: Paxos acceptor and proposer of the metadata log, failure detector and, while it holds the lease,
+/// supervisor. Before a cluster exists it takes part in founding one.
 ///
-/// On disk are the metadata log, the acceptor's promise and acceptance, and the founders (`ControllerRecord`). Whatever
-/// depends on a record leaves only once that is synced. Not thread-safe: its host calls it on one thread.
+/// Persists the metadata log, the acceptor's promise and accepted proposal, and the founders (`ControllerRecord`).
+/// Messages that depend on a record are sent only after the record is synced. Not thread-safe: its host calls it on one
+/// thread.
 class ControllerMachine : public StateMachine {
  public:
-  /// Takes up what an earlier process kept on disk; records that cannot be read were refused by the storage before.
+  /// Restores persisted state. The storage layer has already refused records that cannot be read.
   ControllerMachine(const Identity& id, const Recovered& recovered, TimePoint now);
 
   Actions step(const Envelope& envelope, TimePoint now) override;
   Actions tick(TimePoint now) override;
   MetadataSnapshot view() const override { return metadata_log_.view(); }
   std::string checkpoint() const override;
-  /// Begins to stop in order: hands the lease over, lets the core go on without this member, then asks to be stopped.
-  /// What it sends goes out with the next tick.
+  /// Begins a graceful shutdown: releases the lease, has this member marked down and replaced where possible, then asks
+  /// the host to stop the process. Its messages are sent with the next tick.
   void begin_shutdown(TimePoint now);
 
   const std::deque<Entry>& recent_entries() const { return metadata_log_.recent_entries(); }
   const FailureDetector& failure_detector() const { return detector_; }
   const DaemonInfo& self() const { return outbox_.id().self; }
   bool is_supervisor(TimePoint now) const { return lease_.is_held(now); }
-  /// The core was founded anew without this controller: it takes part in nothing any more, its folder must be emptied.
+  /// Whether a re-founding removed this controller from the core. It then takes part in nothing any more, and its data
+  /// folder must be emptied.
   bool removed_by_refounding() const { return removed_by_refounding_; }
-  /// Which acknowledgements an epoch lacks to be in force, as text; empty once it is in force.
+  /// Which acknowledgements an epoch still lacks to be in force, as text; empty once it is in force.
   std::string missing_acknowledgements(Epoch epoch, TimePoint now) const;
 
  private:
-  // One handler for each kind of message that concerns a controller.
+  // One handler for each message type that a controller handles.
   void handle(const Envelope& envelope, const Discover& discover, TimePoint now);
   void handle(const Envelope& envelope, const DiscoverReply& reply, TimePoint now);
   void handle(const Envelope& envelope, const Prepare& prepare, TimePoint now);
@@ -59,7 +61,7 @@
   void handle(const Envelope& envelope, const LeaseRequest& request, TimePoint now);
   void handle(const Envelope& envelope, const LeaseGrant& grant, TimePoint now);
   void handle(const Envelope& envelope, const RefoundRequest& request, TimePoint now);
-  /// The messages of histories, programs and turns are none of a controller's.
+  /// A controller ignores the messages of histories, programs and turns.
   template <class Ignored>
   void handle(const Envelope&, const Ignored&, TimePoint) {}
 
@@ -89,7 +91,7 @@
   ControllerRegistration registration_;
   GracefulShutdown shutdown_;
   TimePoint next_heartbeat_at_{};
-  /// Bytes of the journal since the last checkpoint.
+  /// Bytes written to the journal since the last checkpoint.
   size_t journal_bytes_ = 0;
   bool removed_by_refounding_ = false;
 };
--- a/src/consensus/controller_records.hpp
+++ b/src/consensus/controller_records.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// What a controller keeps on its disk: the records of its journal and its checkpoint. The order of fields and of
-// alternatives is the format on disk.
+// A controller's persistent state: its journal records and its checkpoint. The order of fields and of alternatives is
+// the format on disk.
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
@@ -20,21 +20,21 @@
   MOSSKEEL_FIELDS(DecidedRecord, (Entry, entry));
 };
 
-/// A whole metadata value replaced the log up to its epoch.
+/// A metadata snapshot replaced the log up to the snapshot's epoch.
 struct SnapshotRecord {
   MOSSKEEL_FIELDS(SnapshotRecord, (Metadata, metadata));
 };
 
-/// The addresses whose controllers may found the cluster, as the first start's seeds named them.
+/// The addresses whose controllers may found the cluster: the seeds that were configured at the first start.
 struct FoundersRecord {
   MOSSKEEL_FIELDS(FoundersRecord, (Addresses, addresses));
 };
 
-/// Append only: the index is what the disk keeps.
+/// Append only: the index of an alternative is stored on disk.
 using ControllerRecord = std::variant<PromiseRecord, AcceptRecord, DecidedRecord, SnapshotRecord, FoundersRecord>;
 
-/// Stands for the whole journal before it. `open` is the epoch of the Paxos instance that `promised` and `accepted`
-/// belong to; `recent` is always empty and kept for the format.
+/// Replaces all journal records before it. `open` is the epoch of the Paxos instance that `promised` and `accepted`
+/// belong to. `recent` is always empty; it is kept for compatibility of the format.
 struct ControllerCheckpoint {
   MOSSKEEL_FIELDS(ControllerCheckpoint, (Metadata, metadata), (Entries, recent), (Epoch, open), (Ballot, promised),
                   (std::optional<AcceptedProposal>, accepted));
--- a/src/consensus/core_membership_policy.cpp
+++ b/src/consensus/core_membership_policy.cpp
@@ -9,25 +9,25 @@
 
 namespace mosskeel {
 
-/// Heartbeats leave only once the log up to the epoch that they name is on the sender's disk.
+/// Sufficient because a daemon sends a heartbeat only after it has synced the log up to the epoch that it reports.
 bool CoreMembershipPolicy::holds_log(const Daemon& daemon) const {
   const PeerStatus* status = detector_.status_of(daemon.self.incarnation);
   return status && status->known_epoch >= metadata_log_.epoch();
 }
 
-/// A controller outside the core that is in contact with a majority of the members and holds the whole log.
-const Daemon* CoreMembershipPolicy::find_newcomer(TimePoint now) const {
+/// Finds a controller outside the core that is in contact with a majority of the members and has the whole log.
+const Daemon* CoreMembershipPolicy::find_new_member(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   for (const auto& [id, daemon] : metadata.directory) {
-    bool spare = daemon.self.role == Role::controller && daemon.state == DaemonState::up &&
-                 !metadata.is_core_member(daemon.self.incarnation);
-    if (spare && majority_.has_majority_contact(daemon, now) && holds_log(daemon))
+    bool is_spare = daemon.self.role == Role::controller && daemon.state == DaemonState::up &&
+                    !metadata.is_core_member(daemon.self.incarnation);
+    if (is_spare && majority_.has_majority_contact(daemon, now) && holds_log(daemon))
       return &daemon;
   }
   return nullptr;
 }
 
-/// Whether a member that is marked down is no longer at work: a majority does not hear it, it announced its shutdown,
+/// Whether a member that is marked down has stopped: a majority gets no heartbeats from it, it announced its shutdown,
 /// or another controller runs at its address.
 bool CoreMembershipPolicy::is_gone(const Daemon& member, TimePoint now) const {
   const PeerStatus* status = detector_.status_of(member.self.incarnation);
@@ -52,7 +52,7 @@
                      [&](DaemonId id) { return majority_.has_majority_contact(*metadata.find(id), now); });
 }
 
-/// What a controller sent before it was marked down proves nothing.
+/// Messages that a controller sent before it was marked down do not prove that it has returned.
 bool CoreMembershipPolicy::has_returned(const Daemon& daemon, TimePoint now) const {
   if (!majority_.has_majority_contact(daemon, now))
     return false;
@@ -72,18 +72,19 @@
   if (lost && smaller_majority && members > kMinCoreSize)
     return RemoveCoreMember{lost->id};
   size_t max_size = std::max<size_t>(metadata.core_size, metadata.max_core_size);
-  bool room = members - down < max_size && members <= max_size;
-  const Daemon* newcomer = room ? find_newcomer(now) : nullptr;
-  if (!newcomer)
+  bool has_room = members - down < max_size && members <= max_size;
+  const Daemon* new_member = has_room ? find_new_member(now) : nullptr;
+  if (!new_member)
     return std::nullopt;
   if (!lost) {
-    // A loss before the newcomer came is marked by then; and a lease granted by a smaller core has ended.
-    TimePoint not_before =
-        growth_not_before_.try_emplace(newcomer->id, now + kHeartbeatTimeout + kHeartbeatInterval).first->second;
-    if (now < not_before || !all_members_have_contact(now))
+    // By this time any member lost before the new controller appeared is marked down, and any lease granted by a
+    // smaller core has expired.
+    TimePoint allowed_from =
+        growth_allowed_from_.try_emplace(new_member->id, now + kHeartbeatTimeout + kHeartbeatInterval).first->second;
+    if (now < allowed_from || !all_members_have_contact(now))
       return std::nullopt;
   }
-  return AddCoreMember{newcomer->id};
+  return AddCoreMember{new_member->id};
 }
 
 }  // namespace mosskeel
--- a/src/consensus/discovered_controllers.cpp
+++ b/src/consensus/discovered_controllers.cpp
@@ -7,12 +7,12 @@
 
 void DiscoveredControllers::record(const DaemonInfo& candidate, TimePoint now) {
   if (candidate.role == Role::controller && candidate.incarnation != self_)
-    sightings_[candidate.incarnation] = {candidate, now};
+    peers_[candidate.incarnation] = {candidate, now};
 }
 
 void DiscoveredControllers::expire(TimePoint now) {
-  std::erase_if(sightings_, [&](const auto& sighting) {
-    return now - sighting.second.last_seen_at > kDiscoveryInterval * kDiscoveryMemoryIntervals;
+  std::erase_if(peers_, [&](const auto& peer) {
+    return now - peer.second.last_seen_at > kDiscoveryInterval * kDiscoveryMemoryIntervals;
   });
 }
 
--- a/src/consensus/discovered_controllers.hpp
+++ b/src/consensus/discovered_controllers.hpp
@@ -1,30 +1,30 @@
 #pragma once
-// The other controllers that have answered or sent discovery messages lately.
+// The other controllers that have recently sent or answered discovery messages.
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
-/// Members of the core, spare controllers and controllers without a log alike, by incarnation. Owned by
-/// `ControllerMachine`; not on disk.
+/// Contains core members, spare controllers and controllers without a log, by incarnation. Owned by
+/// `ControllerMachine`; not persisted.
 class DiscoveredControllers {
  public:
-  struct Sighting {
-    DaemonInfo candidate{};
+  struct Peer {
+    DaemonInfo info{};
     TimePoint last_seen_at{};
   };
 
   explicit DiscoveredControllers(Incarnation self) : self_(self) {}
 
-  /// Records a daemon's discovery message; other roles and this controller itself are passed over.
+  /// Records a daemon's discovery message; ignores other roles and this controller itself.
   void record(const DaemonInfo& candidate, TimePoint now);
-  /// Forgets controllers that were not heard for eight discovery intervals.
+  /// Forgets controllers that have not been seen for `kDiscoveryMemoryIntervals`, eight discovery intervals.
   void expire(TimePoint now);
-  bool contains(Incarnation incarnation) const { return sightings_.count(incarnation) > 0; }
-  const std::map<Incarnation, Sighting>& all() const { return sightings_; }
+  bool contains(Incarnation incarnation) const { return peers_.count(incarnation) > 0; }
+  const std::map<Incarnation, Peer>& all() const { return peers_; }
 
  private:
   Incarnation self_;
-  std::map<Incarnation, Sighting> sightings_;
+  std::map<Incarnation, Peer> peers_;
 };
 
 }  // namespace mosskeel
--- a/src/consensus/founding.cpp
+++ b/src/consensus/founding.cpp
@@ -35,8 +35,8 @@
   for (const Address& seed : outbox_.id().seeds)
     if (seed != self.address)
       outbox_.send(seed, Discover{self});
-  for (const auto& [incarnation, sighting] : discovered_.all())
-    outbox_.send(sighting.candidate.address, Discover{self});
+  for (const auto& [incarnation, peer] : discovered_.all())
+    outbox_.send(peer.info.address, Discover{self});
   if (may_vote(now) && proposer_.idle())
     propose_if_due(now);
 }
@@ -49,27 +49,28 @@
       outbox_.send(candidate.address, Discover{self});
 }
 
-/// This controller and the founders heard lately, one for each address, lowest incarnation first.
+/// This controller and the recently seen founders, one for each address, lowest incarnation first.
 DaemonInfos Founding::candidates() const {
   const DaemonInfo& self = outbox_.id().self;
-  std::map<Address, DiscoveredControllers::Sighting> latest;
-  for (const auto& [incarnation, sighting] : discovered_.all()) {
-    const Address& address = sighting.candidate.address;
+  std::map<Address, DiscoveredControllers::Peer> latest;
+  for (const auto& [incarnation, peer] : discovered_.all()) {
+    const Address& address = peer.info.address;
     if (!is_founder(address) || address == self.address)
       continue;
-    DiscoveredControllers::Sighting& known = latest[address];
-    if (sighting.last_seen_at > known.last_seen_at)
-      known = sighting;
+    DiscoveredControllers::Peer& known = latest[address];
+    if (peer.last_seen_at > known.last_seen_at)
+      known = peer;
   }
   DaemonInfos candidates{self};
-  for (const auto& [address, sighting] : latest)
-    candidates.push_back(sighting.candidate);
+  for (const auto& [address, peer] : latest)
+    candidates.push_back(peer.info);
   std::sort(candidates.begin(), candidates.end(),
             [](const DaemonInfo& left, const DaemonInfo& right) { return left.incarnation < right.incarnation; });
   return candidates;
 }
 
-/// The lowest candidate proposes once it sees all others, or a majority after a while; anybody if that one fails.
+/// The candidate with the lowest incarnation proposes first: after the shorter delay if it sees all founders, else
+/// after the straggler timeout. The others propose later, in case that candidate fails.
 Duration Founding::proposal_delay(const DaemonInfos& candidates) const {
   bool lowest = candidates.front().incarnation == outbox_.id().self.incarnation;
   if (!lowest)
@@ -80,17 +81,17 @@
 
 void Founding::propose_if_due(TimePoint now) {
   const Identity& id = outbox_.id();
-  DaemonInfos electors = candidates();
+  DaemonInfos voters = candidates();
   size_t quorum_size = majority_of(founders_.size());
-  if (electors.size() < quorum_size || now - started_at_ <= proposal_delay(electors))
+  if (voters.size() < quorum_size || now - started_at_ <= proposal_delay(voters))
     return;
-  DaemonInfos members = electors;
+  DaemonInfos members = voters;
   if (members.size() > id.core_size)
     members.resize(id.core_size);
   outbox_.log_event(Event::founding,
-                    std::to_string(electors.size()) + " of " + std::to_string(founders_.size()) + " candidates");
+                    std::to_string(voters.size()) + " of " + std::to_string(founders_.size()) + " candidates");
   uint64_t cluster = digest(hex(id.self.incarnation.value()));
-  proposer_.found(FoundCluster{cluster, id.core_size, members, id.max_core_size, id.replication_factor}, electors,
+  proposer_.found(FoundCluster{cluster, id.core_size, members, id.max_core_size, id.replication_factor}, voters,
                   quorum_size, now);
 }
 
--- a/src/consensus/majority_observation.hpp
+++ b/src/consensus/majority_observation.hpp
@@ -1,19 +1,19 @@
 #pragma once
-// What a majority of the core's members has observed of a daemon.
+// What a majority of the core members has observed about a daemon.
 #include "consensus/supervisor_lease.hpp"
 
 namespace mosskeel {
 
-/// Counts the members whose heartbeat ages came with their replies within the last lease. One controller's own view is
-/// never enough: its links may be the broken ones. Owned by `Supervisor`.
+/// Combines the heartbeat ages that members reported with their lease replies during the last lease duration. The view
+/// of one controller is not sufficient, because its own links may have failed. Owned by `Supervisor`.
 class MajorityObservation {
  public:
   MajorityObservation(const MetadataLog& metadata_log, const SupervisorLease& lease)
       : metadata_log_(metadata_log), lease_(lease) {}
 
-  /// Whether a majority has had no heartbeat of the daemon for `timeout`.
+  /// Whether a majority has received no heartbeat from the daemon for `timeout`.
   bool is_silent(const Daemon& daemon, Duration timeout, TimePoint now) const;
-  /// Whether a majority has had one within the last three intervals.
+  /// Whether a majority has received a heartbeat from the daemon within the last three heartbeat intervals.
   bool has_majority_contact(const Daemon& daemon, TimePoint now) const;
 
  private:
--- a/src/consensus/message_filter.cpp
+++ b/src/consensus/message_filter.cpp
@@ -31,7 +31,7 @@
   outbox_.send(envelope.from, DiscoverReply{outbox_.id().self, outbox_.cluster, metadata_log_.epoch(), {}, {}});
   const Daemon* sender = metadata.find(envelope.from_incarnation);
   bool catches_up = std::holds_alternative<Heartbeat>(envelope.body) || std::holds_alternative<Catchup>(envelope.body);
-  // A controller gets the whole value, never entries: those may not fit the log that it holds.
+  // A controller gets a whole snapshot, never entries, because entries may not apply to the log that it has.
   if (sender && sender->self.role == Role::controller && catches_up)
     outbox_.send(envelope.from, CatchupReply{metadata_log_.epoch(), metadata, {}});
 }
--- a/src/consensus/message_filter.hpp
+++ b/src/consensus/message_filter.hpp
@@ -1,19 +1,20 @@
 #pragma once
-// Which messages a controller takes, by the cluster and the incarnation that they are meant for.
+// Selects the messages that a controller accepts, by the cluster and the incarnation that they are addressed to.
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
-/// Keeps messages of other clusters and of former ones, from before a re-founding, away from the state machine. Owned
-/// by `ControllerMachine` and used on its thread only.
+/// Filters out messages of other clusters, and of former clusters from before a re-founding. Owned by
+/// `ControllerMachine` and used on its thread only.
 class MessageFilter {
  public:
   MessageFilter(Outbox& outbox, const MetadataLog& metadata_log) : outbox_(outbox), metadata_log_(metadata_log) {}
 
-  /// Whether a message is for this incarnation, and of this cluster or one that succeeds it. Of a former cluster only
-  /// those messages are taken by which a daemon finds its way to the present one.
+  /// Whether a message is addressed to this incarnation and comes from this cluster or a successor of it. From a former
+  /// cluster, only the messages by which a daemon finds the present cluster are accepted.
   bool accepts(const Envelope& envelope) const;
-  /// Answers a message that was not accepted: its sender learns of the present cluster if it belongs to a former one.
+  /// Handles a message that was not accepted: a sender in a former cluster is told about the present cluster, any other
+  /// message is logged.
   void answer_rejected(const Envelope& envelope);
 
  private:
--- a/src/consensus/metadata_journal.cpp
+++ b/src/consensus/metadata_journal.cpp
@@ -17,7 +17,7 @@
   outbox_.epoch = metadata_log_.epoch();
 }
 
-/// Keeps an entry that the metadata log has applied; the acceptor's next instance opens.
+/// Journals an entry that the metadata log has applied and opens the acceptor's next instance.
 void MetadataJournal::append(const Entry& entry) {
   acceptor_.reset();
   outbox_.write(codec::encode(ControllerRecord{DecidedRecord{entry}}));
--- a/src/consensus/metadata_journal.hpp
+++ b/src/consensus/metadata_journal.hpp
@@ -1,27 +1,29 @@
 #pragma once
-// How decided entries and snapshots get into a controller's metadata log and journal.
+// Adds decided entries and snapshots to a controller's metadata log and journal.
 #include "consensus/acceptor.hpp"
 
 namespace mosskeel {
 
-/// Applies what is decided to the metadata log, writes it to the journal and opens the acceptor's next instance.
+/// Applies decided entries to the metadata log, writes them to the journal and opens the acceptor's next instance.
 ///
-/// Invariant: the journal has a record of each entry and snapshot that the log took, in the same order; after each call
-/// messages are stamped with the log's cluster and epoch. Owned by `ControllerMachine` and used on its thread only.
+/// Invariant: the journal has a record of each entry and snapshot applied to the log, in the same order; after each
+/// call messages are stamped with the log's cluster and epoch. Owned by `ControllerMachine` and used on its thread
+/// only.
 class MetadataJournal {
  public:
   MetadataJournal(Outbox& outbox, MetadataLog& metadata_log, Acceptor& acceptor)
       : outbox_(outbox), metadata_log_(metadata_log), acceptor_(acceptor) {}
 
-  /// Take up what an earlier process kept on disk, in the order in which it was written.
+  /// Restore persisted state; records must be replayed in the order in which they were written.
   void recover(const DecidedRecord& record);
   void recover(const SnapshotRecord& record);
-  /// Stamps the messages that follow with the cluster and the epoch of the log as it is now.
+  /// Makes subsequent messages carry the log's present cluster and epoch.
   void stamp_messages();
 
-  /// Takes an entry of this controller's own proposal, and sends it to every daemon once; who misses it catches up.
+  /// Adds an entry decided by this controller's own proposal and broadcasts it once to every daemon; a daemon that
+  /// misses it catches up later.
   void add_decided(const Entry& entry);
-  /// Takes entries or a snapshot that others have decided. Returns whether the cluster is another one now.
+  /// Adds entries or a snapshot received from other daemons. Returns whether the cluster id has changed.
   bool apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot);
 
  private:
--- a/src/consensus/open_instance_watch.cpp
+++ b/src/consensus/open_instance_watch.cpp
@@ -10,10 +10,10 @@
     unfinished_since_ = now;
     unfinished_after_ = metadata_log_.epoch();
   }
-  bool abandoned = outbox_.cluster && now - unfinished_since_ > kHeartbeatInterval * 2;
-  if (!abandoned || !proposer_.idle())
+  bool is_abandoned = outbox_.cluster && now - unfinished_since_ > kHeartbeatInterval * 2;
+  if (!is_abandoned || !proposer_.idle())
     return;
-  // Spread, so that the controllers that see the same instance do not duel.
+  // Jitter keeps the controllers that see the same instance from duelling.
   unfinished_since_ = now + outbox_.jitter(kProposalJitter);
   proposer_.finish_open_instance(now);
 }
--- a/src/consensus/proposer.cpp
+++ b/src/consensus/proposer.cpp
@@ -7,15 +7,15 @@
 namespace mosskeel {
 namespace {
 
-/// Marks the ballots of this process alone. The ballots of an earlier process of the same incarnation may not have been
-/// synced, and a vote for one of them must never count for another value.
+/// Identifies the ballots of this process. Ballots of an earlier process of the same incarnation may not have been
+/// synced, and a vote for one of them must never count for a different value.
 uint64_t ballot_owner(const Identity& id) {
   return digest(hex(id.self.incarnation.value()), id.random_seed);
 }
 
 }  // namespace
 
-/// The members of the core; before the founding, the fixed candidates.
+/// The members of the core; before the founding, the founding's voters.
 std::map<Incarnation, Address> Proposer::acceptors() const {
   std::map<Incarnation, Address> acceptors;
   const Metadata& metadata = *metadata_log_.view();
@@ -23,12 +23,12 @@
     if (const Daemon* member = metadata.find(id))
       acceptors[member->self.incarnation] = member->self.address;
   if (metadata.cluster == 0 && founding_)
-    for (const DaemonInfo& elector : founding_->electors)
-      acceptors[elector.incarnation] = elector.address;
+    for (const DaemonInfo& voter : founding_->voters)
+      acceptors[voter.incarnation] = voter.address;
   return acceptors;
 }
 
-/// Re-founding needs every survivor, founding a majority of its fixed candidates, all else a majority of the core.
+/// A re-founding needs every survivor, a founding a majority of the founders, any other entry a majority of the core.
 size_t Proposer::quorum_size(size_t acceptors) const {
   if (refounding_)
     return acceptors;
@@ -42,18 +42,18 @@
     advance(now);
 }
 
-/// Whoever was told that the outcome of a commit is unknown may have gone to another controller with a different one:
-/// it is not proposed any more.
+/// Expired commits are no longer proposed: a requester that was told that the outcome is unknown may already have sent
+/// a different commit to another controller.
 void Proposer::expire_requests(TimePoint now) {
   for (const CommitRequest& request : commits_.expire(now)) {
-    // Nobody has been asked to accept it yet, so it can be abandoned.
+    // No acceptor has been asked to accept it yet, so it can be abandoned.
     if (proposal_ && proposal_->phase == Phase::preparing && proposal_->entry &&
         proposal_->entry->commit_id == request.id)
       proposal_.reset();
   }
 }
 
-/// Starts what is next, as far as nothing is in flight.
+/// Starts the next proposals or reads while nothing is in flight.
 void Proposer::advance(TimePoint now) {
   expire_requests(now);
   while (idle() && now >= retry_at_) {
@@ -95,7 +95,7 @@
   return true;
 }
 
-/// What doesn't apply, or was appended for another request, is answered only after a quorum read.
+/// A commit that does not apply, or was appended for another request, is answered only after a quorum read.
 void Proposer::propose_or_read(CommitRequest& request, TimePoint now) {
   Entry entry{next(metadata_log_.epoch()), request.id, request.change};
   if (commits_.is_appended(request) || !apply(*metadata_log_.view(), entry).ok())
@@ -104,7 +104,7 @@
   prepare(entry.epoch, entry, now);
 }
 
-/// Phase 1 of Paxos in the instance of `epoch`, with a ballot above all that were seen here.
+/// Starts phase 1 of Paxos in the instance of `epoch`, with a ballot above all that this controller has seen.
 void Proposer::prepare(Epoch epoch, std::optional<Entry> entry, TimePoint now) {
   Proposal proposal{};
   proposal.epoch = epoch;
@@ -131,7 +131,7 @@
   proposal_->votes.insert(envelope.from_incarnation);
   if (proposal_->votes.size() < proposal_->quorum_size)
     return;
-  // A proposal that an acceptor reports may be decided already: only that one may be proposed again.
+  // A proposal that an acceptor reports may already be decided, so only that proposal may be proposed again.
   if (highest)
     proposal_->entry = highest->entry;
   if (!proposal_->entry) {
@@ -159,7 +159,7 @@
   advance(now);
 }
 
-/// Gives up what is in flight; the next attempt takes a ballot above `seen`, after a random pause.
+/// Abandons the proposal or read in flight. The next attempt uses a ballot above `seen`, after a random delay.
 void Proposer::abandon(TimePoint now, Ballot seen) {
   highest_round_ = std::max(highest_round_, seen.round);
   proposal_.reset();
@@ -167,7 +167,7 @@
   retry_at_ = now + 1ms + outbox_.jitter(kProposalJitter);
 }
 
-/// Asks the core whether this epoch is the newest; the commits that wait now may then be answered by its value.
+/// Asks the core whether this epoch is the newest; if so, the commits queued by now may be answered from its metadata.
 void Proposer::begin_read(TimePoint now) {
   reader_.begin(acceptors(), commits_.last_ticket(), now);
 }
@@ -186,8 +186,8 @@
   advance(now);
 }
 
-void Proposer::found(const FoundCluster& founding, const DaemonInfos& electors, size_t quorum_size, TimePoint now) {
-  founding_ = {Entry{Epoch{1}, "found", founding}, electors, quorum_size};
+void Proposer::found(const FoundCluster& founding, const DaemonInfos& voters, size_t quorum_size, TimePoint now) {
+  founding_ = {Entry{Epoch{1}, "found", founding}, voters, quorum_size};
   advance(now);
 }
 
--- a/src/consensus/proposer.hpp
+++ b/src/consensus/proposer.hpp
@@ -1,17 +1,16 @@
 #pragma once
-// Commits: run the transformation, append its result by Paxos compare-and-set at the strictly next epoch.
+// Commits metadata changes: applies the transformation and appends it to the log by Paxos at the next epoch.
 #include "consensus/acceptor.hpp"
 #include "consensus/commit_queue.hpp"
 #include "consensus/quorum_reader.hpp"
 
 namespace mosskeel {
 
-/// The Paxos proposer of a controller, which proposes the queued commits one after the other.
+/// A controller's Paxos proposer, which proposes the queued commits one at a time.
 ///
 /// At most one proposal or one quorum read is in flight. A commit is rejected only after a quorum read has confirmed
-/// that the metadata that it was judged by is the newest; it is acknowledged once its entry is decided and, where
-/// somebody outside relies on it, in force. Owned by `ControllerMachine` and used on its thread only; nothing of it is
-/// on disk.
+/// that the metadata it was checked against is the newest. It is acknowledged once its entry is decided and, if clients
+/// outside the cluster rely on it, in force. Owned by `ControllerMachine` and used on its thread only; not persisted.
 class Proposer {
  public:
   /// Called for each entry that a majority has accepted under this proposer's ballot.
@@ -31,15 +30,15 @@
   void handle(const Envelope& envelope, const Accepted& accepted, TimePoint now);
   void handle(const Envelope& envelope, const QuorumReadReply& reply, TimePoint now);
   void tick(TimePoint now);
-  /// Acknowledges the appended commits that are in force by now; called when a daemon has reported its epoch.
+  /// Acknowledges the appended commits that are in force at `now`; called when a daemon has reported its epoch.
   void acknowledge_in_force(TimePoint now) { commits_.acknowledge_in_force(now); }
 
-  /// Proposes the founding entry to these candidates, of whom `quorum_size` must accept it.
-  void found(const FoundCluster& founding, const DaemonInfos& electors, size_t quorum_size, TimePoint now);
-  /// Proposes to found the core anew; every one of `survivors` must accept it, the lost members cannot.
+  /// Proposes the founding entry to these voters, of whom `quorum_size` must accept it.
+  void found(const FoundCluster& founding, const DaemonInfos& voters, size_t quorum_size, TimePoint now);
+  /// Proposes a re-founding of the core. Every one of `survivors` must accept it, because the lost members cannot.
   void refound(const RefoundCluster& refounding, std::map<Incarnation, Address> survivors, TimePoint now);
   bool refounding() const { return refounding_.has_value(); }
-  /// Decides the open instance, whose own proposer gave up, with the proposal that was accepted in it, if any.
+  /// Finishes the open instance, which its proposer abandoned, with the proposal accepted in it, if any.
   void finish_open_instance(TimePoint now);
   /// Whether neither a proposal nor a quorum read is in flight.
   bool idle() const { return !proposal_ && !reader_.in_progress(); }
@@ -50,25 +49,26 @@
   /// The proposal in flight.
   struct Proposal {
     Phase phase = Phase::preparing;
-    /// Names the Paxos instance.
+    /// Identifies the Paxos instance.
     Epoch epoch;
     Ballot ballot{};
-    /// What is proposed unless an accepted proposal is reported; nothing where an open instance is only to be finished.
+    /// The entry to propose unless an acceptor reports an accepted proposal; empty when only finishing an open
+    /// instance.
     std::optional<Entry> entry;
     /// The accepted proposal with the highest ballot among the promises.
     std::optional<AcceptedProposal> highest_accepted;
     std::map<Incarnation, Address> acceptors;
     size_t quorum_size{};
-    /// Acceptors that have granted the present phase.
+    /// Acceptors that have granted the current phase.
     std::set<Incarnation> votes;
-    /// Without a quorum by then, another ballot is tried.
+    /// If there is no quorum by then, another ballot is tried.
     TimePoint deadline{};
   };
 
-  /// The founding to be proposed until the cluster is founded.
+  /// The founding entry, proposed until the cluster is founded.
   struct Founding {
     Entry entry{};
-    DaemonInfos electors;
+    DaemonInfos voters;
     size_t quorum_size{};
   };
 
@@ -98,9 +98,9 @@
   std::optional<Proposal> proposal_;
   std::optional<Founding> founding_;
   std::optional<Refounding> refounding_;
-  /// The highest round of a ballot that was used here or seen in a rejection.
+  /// The highest ballot round that was used by this proposer or seen in a rejection.
   uint64_t highest_round_ = 0;
-  /// No proposal before this time: duelling proposers separate.
+  /// No proposal is started before this time, so that duelling proposers separate.
   TimePoint retry_at_{};
 };
 
--- a/src/consensus/quorum_reader.hpp
+++ b/src/consensus/quorum_reader.hpp
@@ -1,34 +1,34 @@
 #pragma once
-// Quorum reads: whether this controller's newest epoch is the newest of all.
+// Quorum reads: confirm that this controller's epoch is the newest in the core.
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
-/// The one quorum read of a proposer that may be in flight: asks the core's members for their epochs.
+/// Asks the core members for their epochs. A proposer has at most one read in flight.
 ///
-/// Invariant: a result stands only for requests that had come before the read began. Owned by `Proposer` and used on
-/// its thread only; nothing of it is on disk.
+/// Invariant: a result is valid only for requests that arrived before the read began. Owned by `Proposer` and used on
+/// its thread only; not persisted.
 class QuorumReader {
  public:
   /// What a majority of the members has confirmed.
   struct Result {
-    /// No member that answered knows a later one.
+    /// No member that answered knows a later epoch.
     Epoch epoch;
-    /// Whether a member has accepted a proposal for the next epoch, which may be decided already.
+    /// Whether a member has accepted a proposal for the next epoch, which may already be decided.
     bool instance_open = false;
-    /// The last commit request that had come when the read began.
+    /// The ticket of the last commit request that had arrived when the read began.
     uint64_t last_ticket{};
   };
 
   QuorumReader(Outbox& outbox, const MetadataLog& metadata_log) : outbox_(outbox), metadata_log_(metadata_log) {}
 
-  /// Asks the members whether the present epoch is the newest.
+  /// Asks the members whether this controller's epoch is the newest.
   void begin(std::map<Incarnation, Address> members, uint64_t last_ticket, TimePoint now);
-  /// The result, where this reply completes a majority; the read is over then.
+  /// Returns the result and ends the read if this reply completes a majority.
   std::optional<Result> handle(const Envelope& envelope, const QuorumReadReply& reply);
   bool in_progress() const { return read_.has_value(); }
   bool is_timed_out(TimePoint now) const { return read_ && now >= read_->deadline; }
-  /// Whether the metadata log has moved on since the read began.
+  /// Whether the metadata log has advanced since the read began.
   bool is_outdated() const { return read_ && read_->result.epoch < metadata_log_.epoch(); }
   void abandon() { read_.reset(); }
 
--- a/src/consensus/refounding.cpp
+++ b/src/consensus/refounding.cpp
@@ -18,14 +18,14 @@
   return detector_.heartbeat_age(*metadata_log_.view()->find(member), now) >= kCoreLossTimeout;
 }
 
-bool Refounding::majority_is_alive(TimePoint now) const {
+bool Refounding::has_live_majority(TimePoint now) const {
   const std::vector<DaemonId>& members = metadata_log_.view()->members;
-  auto living = std::count_if(members.begin(), members.end(), [&](DaemonId id) { return !is_silent(id, now); });
-  return static_cast<size_t>(living) >= majority_of(members.size());
+  auto alive = std::count_if(members.begin(), members.end(), [&](DaemonId id) { return !is_silent(id, now); });
+  return static_cast<size_t>(alive) >= majority_of(members.size());
 }
 
-/// Another controller that answers at the member's address and came after it. One that the directory knows from before
-/// proves nothing: its messages were late.
+/// Another controller that answers at the member's address and started after it. A controller that registered before
+/// the member proves nothing, because its messages may have been delayed.
 std::optional<Incarnation> Refounding::successor_of(const Daemon& member) const {
   auto came_later = [&](const DaemonInfo& candidate) {
     const Daemon* known = metadata_log_.view()->find(candidate.incarnation);
@@ -35,8 +35,8 @@
   const DaemonInfo& self = outbox_.id().self;
   if (came_later(self))
     return self.incarnation;
-  for (const auto& [incarnation, sighting] : discovered_.all())
-    if (came_later(sighting.candidate))
+  for (const auto& [incarnation, peer] : discovered_.all())
+    if (came_later(peer.info))
       return incarnation;
   return std::nullopt;
 }
@@ -49,35 +49,35 @@
   const Metadata& metadata = *metadata_log_.view();
   const DaemonInfo& self = outbox_.id().self;
   bool may_propose = metadata.is_core_member(self.incarnation) || metadata.replaces_member(self);
-  if (majority_is_alive(now) || !may_propose) {
-    gathering_since_.reset();
+  if (has_live_majority(now) || !may_propose) {
+    fetching_logs_since_.reset();
     return;
   }
   CoreSurvey survey = survey_core(now);
   if (!must_propose(survey)) {
-    gathering_since_.reset();
+    fetching_logs_since_.reset();
     return;
   }
-  if (!gathering_since_) {
-    gathering_since_ = now;
+  if (!fetching_logs_since_) {
+    fetching_logs_since_ = now;
     request_longer_logs();
   }
-  if (now - *gathering_since_ >= kRefoundingCatchUpTime && !proposer_.refounding())
+  if (now - *fetching_logs_since_ >= kRefoundingCatchUpTime && !proposer_.refounding())
     propose(survey.lost, now);
 }
 
-/// Also looks for successors at the addresses of the silent members.
+/// Also sends discovery messages to the addresses of the silent members, to find their successors.
 Refounding::CoreSurvey Refounding::survey_core(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   const DaemonInfo& self = outbox_.id().self;
   CoreSurvey survey;
-  const Daemon* first_living = nullptr;
+  const Daemon* first_alive = nullptr;
   Incarnation lowest_successor = self.incarnation;
   for (DaemonId id : metadata.members) {
     const Daemon* member = metadata.find(id);
     if (!is_silent(id, now)) {
-      if (!first_living)
-        first_living = member;
+      if (!first_alive)
+        first_alive = member;
       continue;
     }
     outbox_.send(member->self.address, Discover{self});
@@ -88,7 +88,7 @@
       survey.all_silent_are_lost = false;
     }
   }
-  survey.proposer = first_living ? first_living->self.incarnation : lowest_successor;
+  survey.proposer = first_alive ? first_alive->self.incarnation : lowest_successor;
   return survey;
 }
 
@@ -98,7 +98,7 @@
   return survey.all_silent_are_lost && majority_lost && survey.proposer == outbox_.id().self.incarnation;
 }
 
-/// A daemon outside the core may hold an epoch that only the lost members had decided.
+/// Asks all daemons, because a daemon outside the core may have an epoch that otherwise only lost members knew.
 void Refounding::request_longer_logs() {
   for (const auto& [id, daemon] : metadata_log_.view()->directory) {
     if (daemon.state == DaemonState::left)
@@ -115,19 +115,19 @@
   for (DaemonId id : metadata.members)
     if (!contains(lost, id))
       survivors[metadata.find(id)->self.incarnation] = metadata.find(id)->self.address;
-  bool nobody_survives = survivors.empty();
+  bool no_member_left = survivors.empty();
   RefoundCluster change{metadata.generation, lost, {}};
-  auto add_fresh = [&](const DaemonInfo& candidate) {
+  auto add_if_new = [&](const DaemonInfo& candidate) {
     if (!metadata.is_core_member(candidate.incarnation))
       change.fresh.push_back(candidate);
-    // Where no member is left, the controllers that replace them decide in their place.
-    if (nobody_survives && metadata.replaces_member(candidate))
+    // If no member is left, the controllers that replace the members vote instead.
+    if (no_member_left && metadata.replaces_member(candidate))
       survivors[candidate.incarnation] = candidate.address;
   };
-  add_fresh(self);
-  for (const auto& [incarnation, sighting] : discovered_.all())
+  add_if_new(self);
+  for (const auto& [incarnation, peer] : discovered_.all())
     if (!metadata.is_core_member(incarnation))
-      add_fresh(sighting.candidate);
+      add_if_new(peer.info);
   outbox_.log_event(Event::refounding, std::to_string(lost.size()) + " of " + std::to_string(metadata.members.size()) +
                                            " members are lost at epoch " + std::to_string(metadata.epoch.value()));
   proposer_.refound(change, survivors, now);
@@ -142,12 +142,12 @@
                CommitReply{request.id, outcome, reason, metadata_log_.epoch(), std::nullopt, {}, Rejection::none});
 }
 
-/// Why the members that an operator named are not given up; empty if they are.
+/// Why an operator's re-founding request is refused; empty if it is accepted.
 std::string Refounding::refusal(const RefoundRequest& request, TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   if (!metadata.cluster)
     return "this controller holds no log";
-  if (majority_is_alive(now))
+  if (has_live_majority(now))
     return "a majority of the core is alive; use replace core";
   for (DaemonId id : request.lost) {
     if (!contains(metadata.members, id))
--- a/src/consensus/sequence_barrier.cpp
+++ b/src/consensus/sequence_barrier.cpp
@@ -11,15 +11,15 @@
   return !daemon || daemon->state == DaemonState::down || daemon->state == DaemonState::left;
 }
 
-/// What a daemon has reported, if within the heartbeat time-out; older reports prove nothing about what it holds now.
+/// What a daemon reported within the heartbeat timeout; older reports prove nothing about what it has now.
 const PeerStatus* recent_status(const Daemon* daemon, const FailureDetector& detector, TimePoint now) {
   const PeerStatus* status = daemon ? detector.status_of(daemon->self.incarnation) : nullptr;
   bool recent = status && now - status->last_heartbeat_at < kHeartbeatTimeout;
   return recent ? status : nullptr;
 }
 
-/// The sequence's own daemon, and the owners and stores of all partitions that it moves, before and after.
-std::set<DaemonId> concerned(const Metadata& metadata, const Sequence& sequence) {
+/// The sequence's own daemon, and the owners and stores, before and after, of all partitions that the sequence moves.
+std::set<DaemonId> involved_daemons(const Metadata& metadata, const Sequence& sequence) {
   std::set<DaemonId> ids{sequence.node};
   for (const auto& move : sequence.moves) {
     const Partition& partition = metadata.partitions[move.partition.value()];
@@ -31,7 +31,7 @@
   return ids;
 }
 
-/// The last epoch at which a partition of the sequence got its pending stores.
+/// The latest epoch at which pending stores were set for a partition of the sequence.
 Epoch move_epoch(const Metadata& metadata, const Sequence& sequence) {
   Epoch latest{};
   for (const auto& move : sequence.moves) {
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-std::set<DaemonId> newcomers(const Metadata& metadata, const Sequence& sequence) {
+std::set<DaemonId> new_stores(const Metadata& metadata, const Sequence& sequence) {
   std::set<DaemonId> ids;
   for (const auto& move : sequence.moves) {
     const auto& present = metadata.partitions[move.partition.value()].stores;
@@ -55,23 +55,25 @@
   return ids;
 }
 
-bool is_known(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector, TimePoint now) {
+bool last_step_is_known(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector,
+                        TimePoint now) {
   size_t running = 0;
-  size_t informed = 0;
-  for (DaemonId id : concerned(metadata, sequence)) {
+  size_t aware = 0;
+  for (DaemonId id : involved_daemons(metadata, sequence)) {
     const Daemon* daemon = metadata.find(id);
     if (is_lost(daemon))
       continue;
     ++running;
     const PeerStatus* status = recent_status(daemon, detector, now);
     if (status && status->known_epoch >= sequence.last_step_epoch)
-      ++informed;
+      ++aware;
   }
-  return informed >= majority_of(running);
+  return aware >= majority_of(running);
 }
 
-bool is_streamed(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector, TimePoint now) {
-  std::set<DaemonId> ids = newcomers(metadata, sequence);
+bool histories_are_streamed(const Metadata& metadata, const Sequence& sequence, const FailureDetector& detector,
+                            TimePoint now) {
+  std::set<DaemonId> ids = new_stores(metadata, sequence);
   Epoch required = move_epoch(metadata, sequence);
   return std::all_of(ids.begin(), ids.end(), [&](DaemonId id) {
     const Daemon* daemon = metadata.find(id);
@@ -83,7 +85,7 @@
 }
 
 bool has_lost_target(const Metadata& metadata, const Sequence& sequence) {
-  std::set<DaemonId> ids = newcomers(metadata, sequence);
+  std::set<DaemonId> ids = new_stores(metadata, sequence);
   return std::any_of(ids.begin(), ids.end(), [&](DaemonId id) { return is_lost(metadata.find(id)); });
 }
 
--- a/src/consensus/sequence_coordinator.cpp
+++ b/src/consensus/sequence_coordinator.cpp
@@ -19,16 +19,17 @@
   return forget_store(now);
 }
 
-/// Each step waits until those concerned know the one before; the last two also until the newcomers have reported that
-/// they hold the histories.
+/// Each step waits until the daemons involved know the previous one; the last two steps also wait until the new stores
+/// have reported that they have the histories.
 bool SequenceCoordinator::barrier_reached(const Sequence& sequence, TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
-  if (!sequence_barrier::is_known(metadata, sequence, detector_, now))
+  if (!sequence_barrier::last_step_is_known(metadata, sequence, detector_, now))
     return false;
-  return sequence.next_step == SequenceStep::start || sequence_barrier::is_streamed(metadata, sequence, detector_, now);
+  return sequence.next_step == SequenceStep::start ||
+         sequence_barrier::histories_are_streamed(metadata, sequence, detector_, now);
 }
 
-/// Why a sequence can't go on and must be cancelled; empty if it can.
+/// Why a sequence cannot continue and must be cancelled; empty if it can continue.
 std::string SequenceCoordinator::blocking_reason(const Sequence& sequence, TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
   Barrier& barrier = barriers_[sequence.node];
@@ -72,8 +73,8 @@
   return retry != retry_at_.end() && now < retry->second;
 }
 
-/// Whether a store is silent and not yet marked down: a joining one should take its partitions, and not those of
-/// others.
+/// Whether a store is silent but not yet marked down. A joining store should then take over that store's partitions
+/// rather than those of other stores.
 bool SequenceCoordinator::any_store_suspected(TimePoint now) const {
   const auto& directory = metadata_log_.view()->directory;
   return std::any_of(directory.begin(), directory.end(), [&](const auto& entry) {
@@ -83,7 +84,7 @@
   });
 }
 
-/// A join takes its share of all partitions, so it waits for every other sequence but repairs.
+/// A join takes a share of all partitions, so it waits for every other sequence except repairs.
 std::optional<Transformation> SequenceCoordinator::begin_join(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   for (const auto& [id, sequence] : metadata.sequences)
@@ -102,7 +103,7 @@
   return std::nullopt;
 }
 
-/// Whether targets can be found for all partitions of a draining store, and no other sequence moves one of them.
+/// Whether targets can be found for all partitions of a draining store and no other sequence has locked one of them.
 bool SequenceCoordinator::drain_is_possible(const Daemon& store) const {
   const Metadata& metadata = *metadata_log_.view();
   auto moves = placement::plan_drain(metadata, store);
@@ -112,7 +113,8 @@
                       [&](const auto& move) { return metadata.locks.count(move.partition) > 0; });
 }
 
-/// A store that an operator drains stays draining when its sequence was cancelled: it begins anew, with other targets.
+/// A store drained by an operator stays in the draining state when its sequence is cancelled. The drain is then started
+/// again, with other targets.
 std::optional<Transformation> SequenceCoordinator::resume_drain(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   for (const auto& [id, daemon] : metadata.directory) {
@@ -126,7 +128,8 @@
   return std::nullopt;
 }
 
-/// How long a store may be silent before its partitions go to others; the longer, the more often it came back before.
+/// How long a store may be silent before its partitions are moved to other stores. The delay doubles with each earlier
+/// repair, up to `kMaxRepairDelayDoublings`.
 Duration SequenceCoordinator::repair_delay(DaemonId id) const {
   auto begun = repairs_begun_.find(id);
   uint32_t doublings = begun == repairs_begun_.end() ? 0 : std::min(begun->second, kMaxRepairDelayDoublings);
@@ -150,11 +153,12 @@
   return static_cast<size_t>(lost);
 }
 
-/// The partitions of stores that stay down go to others, several stores' beside each other; first come those of the
-/// store with the partition that has lost most replicas. Where a successor is registered, its join is the repair.
+/// Moves the partitions of stores that stay down to other stores. Several stores can be repaired concurrently,
+/// beginning with the store whose partition has lost the most replicas. If a successor of the store is registered, its
+/// join serves as the repair.
 std::optional<Transformation> SequenceCoordinator::begin_repair(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
-  std::optional<DaemonId> worst;
+  std::optional<DaemonId> most_urgent;
   size_t most_lost = 0;
   for (const auto& [id, daemon] : metadata.directory) {
     if (!repair_is_due(daemon, now))
@@ -162,19 +166,19 @@
     for (const auto& move : placement::plan_repair(metadata, daemon)) {
       size_t lost = count_lost_replicas(metadata.partitions[move.partition.value()]);
       if (lost > most_lost) {
-        worst = id;
+        most_urgent = id;
         most_lost = lost;
       }
     }
   }
-  if (!worst)
+  if (!most_urgent)
     return std::nullopt;
-  ++repairs_begun_[*worst];
-  return PrepareRepair{*worst};
+  ++repairs_begun_[*most_urgent];
+  return PrepareRepair{*most_urgent};
 }
 
-/// A store that stays down without partitions leaves the directory once another daemon has its address or it has been
-/// silent for long.
+/// Removes a store that is down and has no partitions from the directory, once another daemon has its address or it has
+/// been silent for `kForgetStoreDelay`.
 std::optional<Transformation> SequenceCoordinator::forget_store(TimePoint now) const {
   const Metadata& metadata = *metadata_log_.view();
   for (const auto& [id, daemon] : metadata.directory) {
--- a/src/consensus/sequence_coordinator.hpp
+++ b/src/consensus/sequence_coordinator.hpp
@@ -1,11 +1,11 @@
 #pragma once
-// Joins, drains and repairs: when one begins, when its next step may be taken, when it is cancelled.
+// Decides when joins, drains and repairs begin, when their next steps may be taken, and when they are cancelled.
 #include "consensus/majority_observation.hpp"
 
 namespace mosskeel {
 
 /// Decides the next change of a sequence (a join, drain or repair of a daemon's partitions). The sequences themselves
-/// are in the metadata log; here is only how long each has waited. Owned by `Supervisor`.
+/// are stored in the metadata log; this class only tracks how long each has waited. Owned by `Supervisor`.
 class SequenceCoordinator {
  public:
   SequenceCoordinator(Outbox& outbox, const MetadataLog& metadata_log, const FailureDetector& detector,
@@ -13,11 +13,11 @@
       : outbox_(outbox), metadata_log_(metadata_log), detector_(detector), majority_(majority) {}
 
   std::optional<Transformation> next_change(TimePoint now);
-  /// Another controller may have taken steps meanwhile: waiting times count anew.
+  /// Restarts all waiting times, because another controller may take steps in the meantime.
   void on_lease_lost() { barriers_.clear(); }
 
  private:
-  /// Since when the step after this epoch waits.
+  /// Since when the step after this epoch has been waiting.
   struct Barrier {
     Epoch last_step_epoch{};
     TimePoint since{};
@@ -42,9 +42,9 @@
   const FailureDetector& detector_;
   const MajorityObservation& majority_;
   std::map<DaemonId, Barrier> barriers_;
-  /// Before this time a daemon whose sequence was cancelled begins no other.
+  /// The earliest time at which a daemon whose sequence was cancelled may begin another one.
   std::map<DaemonId, TimePoint> retry_at_;
-  /// How many repairs of a store's partitions have begun, so that one that comes and goes causes fewer and fewer.
+  /// How many repairs have begun for each store; a flapping store is repaired less and less often.
   std::map<DaemonId, uint32_t> repairs_begun_;
 };
 
--- a/src/consensus/supervisor.cpp
+++ b/src/consensus/supervisor.cpp
@@ -38,10 +38,10 @@
   return sequences_.next_change(now);
 }
 
-/// Marks daemons down that a majority misses, and up again when a majority gets their heartbeats.
+/// Marks daemons down whose heartbeats a majority of the members misses, and up again when a majority receives them.
 std::optional<Transformation> Supervisor::update_daemon_states(TimePoint now) {
   const Metadata& metadata = *metadata_log_.view();
-  // Where this controller itself misses most of the fleet, it may be the one that is cut off.
+  // If this controller misses the heartbeats of most of the fleet, it may itself be the isolated one.
   bool isolated = !metadata.has_fleet_majority(
       [&](const Daemon& daemon) { return detector_.heartbeat_age(daemon, now) < kHeartbeatTimeout; });
   Duration timeout = isolated ? kIsolatedHeartbeatTimeout : kHeartbeatTimeout;
@@ -61,7 +61,8 @@
   return std::nullopt;
 }
 
-/// A replica that belongs to no service is ready once every gateway must have seen it warm up for long enough.
+/// Marks a replica that belongs to no service as ready once every gateway must have seen it warm up for the full slow
+/// start.
 std::optional<Transformation> Supervisor::finish_warm_up(TimePoint now) {
   for (const auto& [replica_name, replica] : metadata_log_.view()->replicas) {
     if (replica.health != ReplicaHealth::warming_up || !replica.service.empty())
@@ -78,8 +79,8 @@
   return std::nullopt;
 }
 
-/// Daemons that came or left change the fleet's quorum in two steps: the new set counts beside the old one until a
-/// majority of both knows of it.
+/// Changes the fleet's quorum members in two steps (joint consensus) when daemons were added or have left: majorities
+/// of both sets are required until both know of the change.
 std::optional<Transformation> Supervisor::update_quorum_membership() const {
   const Metadata& metadata = *metadata_log_.view();
   if (metadata.incoming_quorum_members.empty()) {
--- a/src/consensus/supervisor.hpp
+++ b/src/consensus/supervisor.hpp
@@ -1,14 +1,14 @@
 #pragma once
-// What the holder of the supervisor lease decides: failures, the core's members, joins, drains, repairs.
+// The decisions of the supervisor lease's holder: daemon states, core membership, joins, drains and repairs.
 #include "consensus/core_membership_policy.hpp"
 #include "consensus/sequence_coordinator.hpp"
 
 namespace mosskeel {
 
-/// Commits one change after the other, the most urgent first, while this controller holds the supervisor lease.
+/// Commits one change at a time, the most urgent first, while this controller holds the supervisor lease.
 ///
-/// Every change is an ordinary commit, so a supervisor that has lost its lease without knowing it can do no harm: its
-/// changes are judged by the newest metadata. Owned by `ControllerMachine`; nothing of it is on disk.
+/// Every change is an ordinary commit, so a supervisor that has unknowingly lost its lease can do no harm: its changes
+/// are validated against the newest metadata. Owned by `ControllerMachine`; not persisted.
 class Supervisor {
  public:
   Supervisor(Outbox& outbox, MetadataLog& metadata_log, const FailureDetector& detector, const SupervisorLease& lease)
@@ -21,14 +21,14 @@
         sequences_(outbox, metadata_log, detector, majority_) {}
 
   void tick(TimePoint now);
-  /// The next change may be committed once the one before is answered.
+  /// Allows the next change once the reply to the previous one has arrived.
   void handle(const CommitReply& reply) {
     if (reply.id == pending_commit_)
       pending_commit_.clear();
   }
 
  private:
-  /// Since when a replica, in its state of this epoch, is known to be warming up.
+  /// Since when a replica has been known to be warming up, in the state that it entered at this epoch.
   struct WarmUp {
     Epoch state_epoch{};
     TimePoint since{};
@@ -46,10 +46,10 @@
   MajorityObservation majority_;
   CoreMembershipPolicy core_membership_;
   SequenceCoordinator sequences_;
-  /// The id of the commit under way, empty if none, and until when its reply is awaited.
+  /// The id of the commit in flight, empty if none, and the time until which its reply is awaited.
   std::string pending_commit_;
   TimePoint pending_until_{};
-  /// By the replica's name; of replicas that belong to no service.
+  /// Replicas that belong to no service and are warming up, by name.
   std::map<std::string, WarmUp> warm_ups_;
 };
 
--- a/src/consensus/supervisor_lease.cpp
+++ b/src/consensus/supervisor_lease.cpp
@@ -25,7 +25,7 @@
     return;
   observations_[envelope.from_incarnation] = {now, grant.heartbeat_ages};
   denied_ = denied_ || !grant.granted;
-  // A member that knows a later epoch shows that our log is old: nothing may be decided by it.
+  // A member that knows a later epoch shows that this log is out of date, so no decision may be based on it.
   if (!grant.granted || envelope.epoch > metadata_log_.epoch())
     return;
   grants_.insert(envelope.from_incarnation);
@@ -57,22 +57,24 @@
 
 void SupervisorLease::tick(TimePoint now) {
   Incarnation self = outbox_.id().self.incarnation;
-  if (is_held(now) != noted_as_held_) {
-    noted_as_held_ = !noted_as_held_;
-    outbox_.log_event(noted_as_held_ ? Event::lease_taken : Event::lease_lost, "number " + std::to_string(request_id_));
+  if (is_held(now) != logged_as_held_) {
+    logged_as_held_ = !logged_as_held_;
+    outbox_.log_event(logged_as_held_ ? Event::lease_taken : Event::lease_lost,
+                      "number " + std::to_string(request_id_));
   }
   if (resigned_ || !metadata_log_.view()->is_core_member(self) || now < next_request_at_)
     return;
   if (now < granted_until_ && granted_to_ != self)
     next_request_at_ = granted_until_ + request_delay();
   else if (denied_ && !is_held(now))
-    step_back(now);
+    back_off(now);
   else
     request_lease(now);
 }
 
-/// Two controllers that each grant themselves would deny each other for ever: let whoever asks first have the lease.
-void SupervisorLease::step_back(TimePoint now) {
+/// Releases this controller's grant to itself. Two controllers that have each granted themselves would otherwise deny
+/// each other forever; after a random delay, whichever requests first gets the lease.
+void SupervisorLease::back_off(TimePoint now) {
   denied_ = false;
   if (granted_to_ == outbox_.id().self.incarnation) {
     granted_to_ = {};
--- a/src/consensus/supervisor_lease.hpp
+++ b/src/consensus/supervisor_lease.hpp
@@ -1,18 +1,18 @@
 #pragma once
-// The supervisor's lease: a majority of the core grants it, its holder stops before it ends.
+// The supervisor lease: granted by a majority of the core; its holder stops before the lease expires.
 #include "consensus/failure_detector.hpp"
 
 namespace mosskeel {
 
-/// Both sides of the lease: what this controller has granted as a member of the core, and what it holds itself.
+/// Both sides of the lease: what this controller has granted as a core member, and whether it holds the lease itself.
 ///
 /// Invariant: at most one controller holds the lease. Each member grants it to one controller at a time, for
-/// `kSupervisorLeaseDuration` by its own clock; the holder counts from the sending of its request and stops
-/// `kSupervisorLeaseMargin` earlier. Nothing is on disk: a member grants nothing for one duration after its start.
-/// Owned by `ControllerMachine` and used on its thread only.
+/// `kSupervisorLeaseDuration` by its own clock. The holder counts from when it sent its request, and stops
+/// `kSupervisorLeaseMargin` before the end. Grants are not persisted, so a member grants nothing for one lease duration
+/// after its start. Owned by `ControllerMachine` and used on its thread only.
 class SupervisorLease {
  public:
-  /// A member's heartbeat ages, as its last reply to a lease request brought them.
+  /// The heartbeat ages in a member's last reply to a lease request.
   struct Observation {
     TimePoint received_at{};
     HeartbeatAges heartbeat_ages;
@@ -26,38 +26,38 @@
 
   void handle(const Envelope& envelope, const LeaseRequest& request, TimePoint now);
   void handle(const Envelope& envelope, const LeaseGrant& grant, TimePoint now);
-  /// Requests or renews the lease when it is time.
+  /// Requests or renews the lease when that is due.
   void tick(TimePoint now);
-  /// Gives the lease back for good: this controller is shutting down.
+  /// Gives up the lease and never requests it again; called when this controller shuts down.
   void resign();
-  /// A controller announced that it shuts down: the lease that was granted to it may go to another at once.
+  /// Handles a controller's shutdown announcement: a lease granted to it may be granted to another controller at once.
   void on_shutdown_of(Incarnation holder, TimePoint now);
   bool is_held(TimePoint now) const { return now < held_until_; }
   const std::map<Incarnation, Observation>& observations() const { return observations_; }
 
  private:
   void request_lease(TimePoint now);
-  void step_back(TimePoint now);
-  /// Lets the members ask one after the other: this one's delay after the lease has become free.
+  void back_off(TimePoint now);
+  /// This member's delay before it requests a free lease; staggered, so that members request one after the other.
   Duration request_delay() const;
 
   Outbox& outbox_;
   MetadataLog& metadata_log_;
   const FailureDetector& detector_;
-  /// The grant that this member has given: to whom, and until when it gives none to another.
+  /// The controller to which this member has granted the lease, and until when no other one is granted it.
   Incarnation granted_to_{};
   TimePoint granted_until_{};
-  /// The request under way: its id, zero for none; when it was sent; who granted it, and whether a member denied it.
+  /// The request in flight: its id, zero if none; when it was sent; who granted it, and whether a member denied it.
   uint64_t request_id_ = 0;
   TimePoint requested_at_{};
   std::set<Incarnation> grants_;
   bool denied_ = false;
   TimePoint next_request_at_{};
-  /// Until when this controller is the supervisor.
+  /// Until when this controller holds the lease.
   TimePoint held_until_{};
   std::map<Incarnation, Observation> observations_;
-  /// Whether the log's last note on the lease was that it is held.
-  bool noted_as_held_ = false;
+  /// Whether the last log event about the lease reported it as held.
+  bool logged_as_held_ = false;
   bool resigned_ = false;
 };
 
--- a/tests/unit/consensus/sequence_barrier_test.cpp
+++ b/tests/unit/consensus/sequence_barrier_test.cpp
@@ -23,7 +23,7 @@
     fleet.commit(PrepareDrain{draining});
     fleet.commit(AdvanceSequence{draining, SequenceStep::start});
     started_epoch = fleet.metadata.epoch;
-    new_stores = sequence_barrier::newcomers(fleet.metadata, sequence());
+    new_stores = sequence_barrier::new_stores(fleet.metadata, sequence());
     REQUIRE(new_stores.size() > 1);
     CHECK(new_stores.count(draining) == 0);
   }
@@ -41,7 +41,9 @@
     }
   }
 
-  bool is_streamed() const { return sequence_barrier::is_streamed(fleet.metadata, sequence(), detector, now); }
+  bool is_streamed() const {
+    return sequence_barrier::histories_are_streamed(fleet.metadata, sequence(), detector, now);
+  }
 };
 
 }  // namespace
