--- a/src/replication/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -6,9 +6,10 @@
 namespace mosskeel {
 
 AgentMachine::AgentMachine(const Identity& id, TimePoint now)
-    : outbox_(id), follower_(outbox_, metadata_log_, now, {[this](const Entry& entry) { pass_on(entry); }, nullptr}) {}
+    : outbox_(id),
+      follower_(outbox_, metadata_log_, now, {[this](const Entry& entry) { forward_entry(entry); }, nullptr}) {}
 
-void AgentMachine::pass_on(const Entry& entry) {
+void AgentMachine::forward_entry(const Entry& entry) {
   outbox_.send(outbox_.id().self.agent_address, Decided{entry});
 }
 
@@ -21,14 +22,14 @@
   // In an agent's identity, `agent_address` is that of its gateway.
   auto* heartbeat = std::get_if<Heartbeat>(&envelope.body);
   if (heartbeat && envelope.from == outbox_.id().self.agent_address)
-    take_gateway_heartbeat(*heartbeat, now);
+    record_gateway_heartbeat(*heartbeat, now);
   follower_.handle(envelope, now);
   if (metadata_log_.epoch() != epoch_before)
-    follow(now);
+    tick_follower(now);
   return outbox_.take();
 }
 
-void AgentMachine::take_gateway_heartbeat(const Heartbeat& heartbeat, TimePoint now) {
+void AgentMachine::record_gateway_heartbeat(const Heartbeat& heartbeat, TimePoint now) {
   bool is_another = gateway_heartbeat_ && gateway_heartbeat_->self.incarnation != heartbeat.self.incarnation;
   if (leaving_ && is_another)
     gateway_replaced_ = true;
@@ -39,11 +40,11 @@
 Actions AgentMachine::tick(TimePoint now) {
   if (leaving_ && (gateway_replaced_ || now - last_gateway_contact_at_ > kAgentShutdownDelay))
     outbox_.act.stop = true;
-  follow(now);
+  tick_follower(now);
   return outbox_.take();
 }
 
-void AgentMachine::follow(TimePoint now) {
+void AgentMachine::tick_follower(TimePoint now) {
   bool is_recent = gateway_heartbeat_ && now - last_gateway_contact_at_ < kHeartbeatInterval * 3;
   follower_.tick(now, is_recent ? &*gateway_heartbeat_ : nullptr);
   if (!is_recent || !gateway_heartbeat_->leaving || now < next_drain_request_at_)
--- a/src/replication/agent_machine.hpp
+++ b/src/replication/agent_machine.hpp
@@ -1,38 +1,38 @@
 #pragma once
-// The agent beside a gateway: its link to the core.
+// The agent that runs beside a gateway and connects it to the core.
 #include "replication/follower.hpp"
 
 namespace mosskeel {
 
-/// Follows the metadata log and passes each entry on to its gateway; speaks for the gateway with the heartbeats that
-/// this sends it. Nothing is on disk.
+/// Follows the metadata log and forwards each entry to its gateway; forwards the gateway's heartbeats to the core.
+/// Persists nothing.
 class AgentMachine : public StateMachine {
  public:
   AgentMachine(const Identity& id, TimePoint now);
   Actions step(const Envelope& envelope, TimePoint now) override;
   Actions tick(TimePoint now) override;
   MetadataSnapshot view() const override { return metadata_log_.view(); }
-  /// Stops once the gateway beside it has been silent for `kAgentShutdownDelay`, or was replaced by a newer one: the
-  /// gateway goes first and needs its link until then.
+  /// Begins to shut down. The agent stops once its gateway has been silent for `kAgentShutdownDelay` or was replaced by
+  /// a newer one, because the gateway stops first and needs the connection until then.
   void leave() { leaving_ = true; }
 
  private:
-  /// Sends an entry that the log took to the gateway.
-  void pass_on(const Entry& entry);
-  void take_gateway_heartbeat(const Heartbeat& heartbeat, TimePoint now);
-  void follow(TimePoint now);
-  /// Asks the core to drain a gateway that leaves.
+  /// Sends an entry that was applied to the log to the gateway.
+  void forward_entry(const Entry& entry);
+  void record_gateway_heartbeat(const Heartbeat& heartbeat, TimePoint now);
+  void tick_follower(TimePoint now);
+  /// Asks the core to drain a gateway that is shutting down.
   void request_drain(const Daemon& gateway, TimePoint now);
 
   Outbox outbox_;
   MetadataLog metadata_log_;
   Follower follower_;
-  /// The last heartbeat of the gateway, and when it came.
+  /// The last heartbeat of the gateway, and when it arrived.
   std::optional<Heartbeat> gateway_heartbeat_;
   TimePoint last_gateway_contact_at_{};
   TimePoint next_drain_request_at_{};
   bool leaving_ = false;
-  /// Since `leaving_`, a newer gateway has taken the place of the one that this agent waits for.
+  /// Whether a newer gateway has replaced this agent's gateway since `leaving_` was set.
   bool gateway_replaced_ = false;
 };
 
--- a/src/replication/catchup_rate_limiter.hpp
+++ b/src/replication/catchup_rate_limiter.hpp
@@ -1,13 +1,13 @@
 #pragma once
-// Limits how often a lagging daemon requests updates, so that large replies are not sent twice.
+// Rate limit for catch-up requests of a lagging daemon, so that large replies are not sent twice.
 #include "replication/constants.hpp"
 
 namespace mosskeel {
 
-/// Lets a request pass at once after each new epoch, else once each `kCatchUpInterval`.
+/// Allows a request at once after each new epoch, otherwise once per `kCatchUpInterval`.
 class CatchupRateLimiter {
  public:
-  /// Whether a daemon at epoch `known` may send a request now; if so, counts it as sent.
+  /// Whether a daemon at epoch `known` may send a request now; if so, records it as sent.
   bool may_request(Epoch known, TimePoint now) {
     if (now < next_request_at_ && last_known_ == known)
       return false;
@@ -18,7 +18,7 @@
 
  private:
   TimePoint next_request_at_{};
-  /// The epoch that was known at the last request.
+  /// The epoch known at the last request.
   Epoch last_known_{};
 };
 
--- a/src/replication/constants.hpp
+++ b/src/replication/constants.hpp
@@ -1,29 +1,29 @@
 #pragma once
-// Constants of the metadata log and of the daemons that follow it.
+// Constants of the metadata log and of its followers.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
-/// Six fit into the 2 s in which a configuration must be in force.
+/// Time between heartbeats. Six intervals fit into the 2 s within which a configuration must be in force.
 constexpr Duration kHeartbeatInterval = 300ms;
-/// Between discovery rounds of a daemon that has no contact yet.
+/// Time between discovery rounds of a daemon that has no contact yet.
 constexpr Duration kDiscoveryInterval = 200ms;
-/// Without contact with a majority for this long, a gateway stops dispatching.
+/// A gateway stops dispatching when it has had no contact with a majority for this long.
 constexpr Duration kIsolationTimeout = 2000ms;
-/// Without a majority of the core for this long, all daemons are asked; fits twice into
+/// A daemon without contact with a majority of the core for this long sends heartbeats to all daemons. Fits twice into
 /// kIsolationTimeout.
 constexpr Duration kCoreSilenceTimeout = 900ms;
-/// Entries kept behind the checkpoint for catch-up.
+/// Maximum number of applied entries kept in memory for catch-up.
 constexpr size_t kLogEntriesKept = 512;
-/// Bytes of them, encoded; beyond that the whole value is sent.
+/// Maximum encoded size of these entries in bytes; a daemon that lacks older ones is sent a snapshot.
 constexpr size_t kLogBytesKept = 2u << 20;
-/// Bytes of entries in a heartbeat's reply; more only for who asks.
+/// Maximum bytes of entries in a heartbeat reply; larger updates are sent only on request.
 constexpr size_t kMaxHeartbeatReplyBytes = 64u << 10;
-/// Between catch-up requests of a lagging daemon, so that large replies are not doubled.
+/// Time between catch-up requests of a lagging daemon, so that large replies are not sent twice.
 constexpr Duration kCatchUpInterval = 500ms;
-/// Entries in one reply; beyond that a snapshot is sent.
+/// Maximum number of entries in one reply; a snapshot is sent instead of more.
 constexpr size_t kMaxEntriesPerReply = 256;
-/// An agent outlives its gateway, which may be starved of processor time.
+/// How long a gateway must be silent before its agent stops; the gateway may only be starved of CPU time.
 constexpr Duration kAgentShutdownDelay = 2000ms;
 
 }  // namespace mosskeel
--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -54,7 +54,7 @@
                         [&](const CommitReply& reply) { return update(reply); },
                         [&](const Heartbeat& heartbeat) { return handle_heartbeat(envelope, heartbeat, now); },
                         [&](const HeartbeatReply& reply) { return handle_heartbeat_reply(envelope, reply, now); },
-                        // Everything else concerns the daemon itself.
+                        // The daemon handles all other messages itself.
                         [&](const auto&) { return false; },
                     },
                     envelope.body);
@@ -169,7 +169,7 @@
   for (auto id : metadata.members)
     send_report(metadata.find(id)->self.address, heartbeat);
 
-  // Without the core, the fleet's own majority keeps a daemon in service.
+  // While the core is unreachable, contact with a majority of the fleet keeps a daemon in service.
   auto core_contact = std::max(started_at_, acknowledgements_.last_core_contact());
   bool core_is_silent = now - core_contact >= kCoreSilenceTimeout;
   if (now < next_fleet_heartbeat_at_ || !core_is_silent || !reports_stable_epoch())
--- a/src/replication/follower.hpp
+++ b/src/replication/follower.hpp
@@ -1,15 +1,15 @@
 #pragma once
-// How a daemon outside the core finds it, registers, keeps in contact and catches up.
+// How a daemon outside the core discovers the core, registers, stays in contact and catches up.
 #include "replication/heartbeat_acknowledgements.hpp"
 #include "replication/registration.hpp"
 
 namespace mosskeel {
 
-/// The link of an agent, a gateway or a store to the core. It keeps the metadata log up to date and sends heartbeats;
-/// the daemon's state machine owns it, calls it from its own steps and passes on what it does not handle.
+/// Connects an agent, a gateway or a store to the core: keeps the metadata log up to date and sends heartbeats. The
+/// daemon's state machine owns it, calls it from its own steps and handles the remaining messages itself.
 class Follower {
  public:
-  /// Called for each entry and each snapshot that the log took; either may be empty.
+  /// Called for each entry and each snapshot applied to the log; either may be empty.
   struct Callbacks {
     std::function<void(const Entry&)> on_entry;
     std::function<void(const Metadata&)> on_snapshot;
@@ -25,26 +25,26 @@
         acknowledgements_(metadata_log, outbox.id().self, now),
         registration_(outbox, metadata_log) {}
 
-  /// Handles messages of discovery, catch-up and heartbeats; false leaves the message to the caller.
+  /// Handles discovery, catch-up and heartbeat messages. Returns false if the caller has to handle the message.
   bool handle(const Envelope& envelope, TimePoint now);
-  /// Sends what is due. `own_heartbeat` speaks for the daemon that is to be registered, this one or the gateway beside
-  /// it; null where there is none to speak for.
+  /// Sends discovery messages, registration requests and heartbeats that are due. `own_heartbeat` describes the daemon
+  /// to be registered, this one or an agent's gateway; null if there is none.
   void tick(TimePoint now, const Heartbeat* own_heartbeat);
-  /// Makes the next tick send heartbeats, because something that others wait for is done.
+  /// Makes the next tick send heartbeats, to report progress that other daemons wait for.
   void send_heartbeat_soon() { next_heartbeat_at_ = {}; }
 
-  /// Whether a message is meant for another incarnation or comes from another cluster.
+  /// Whether a message is addressed to another incarnation or comes from another cluster.
   bool is_foreign(const Envelope& envelope) const;
-  /// Keeps a message that is stamped with an epoch which the log does not have yet, and requests the entries from its
-  /// sender. False where there is nothing to wait for.
+  /// Defers a message that carries a later epoch than the log's, and requests the missing entries from its sender.
+  /// Returns false if the message can be handled now.
   bool defer(const Envelope& envelope, TimePoint now);
-  /// The kept messages whose epochs the log has now.
+  /// Removes and returns the deferred messages whose epochs the log has reached.
   std::vector<Envelope> take_deferred();
 
-  /// Takes entries, and a snapshot where it is newer, into the log.
+  /// Applies entries to the log, and a snapshot if it is newer.
   void apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot);
 
-  /// A daemon that journals the log reports an epoch only once it is synced.
+  /// Makes reports wait until the journal is synced; for daemons that journal the log.
   void report_durable_epochs_only() { is_durable_ = true; }
 
  private:
@@ -59,7 +59,7 @@
   void send_heartbeats(const Heartbeat& heartbeat, TimePoint now);
   void request_catchup(const Address& from, TimePoint now);
   void send_report(const Address& to, Message message);
-  /// Whether an epoch that we report outlives this process: on disk, or confirmed by the core since the start.
+  /// Whether reported epochs survive a restart of this process or were confirmed by the core since its start.
   bool reports_stable_epoch() const { return is_durable_ ? outbox_.cluster != 0 : acknowledgements_.confirmed(); }
 
   Outbox& outbox_;
@@ -72,7 +72,7 @@
   TimePoint next_discovery_at_{};
   TimePoint next_heartbeat_at_{};
   TimePoint next_fleet_heartbeat_at_{};
-  /// The epoch of the last heartbeat; a new one is reported at once.
+  /// The epoch in the last heartbeat; a newer epoch is reported at once.
   Epoch last_heartbeat_epoch_{};
   bool is_durable_ = false;
   std::vector<Envelope> deferred_;
--- a/src/replication/heartbeat_acknowledgements.cpp
+++ b/src/replication/heartbeat_acknowledgements.cpp
@@ -12,18 +12,18 @@
   Acknowledgement acknowledgement{sent, incarnation};
   if (epoch <= metadata_log_.epoch())
     return count(from, acknowledgement);
-  // The first one stays: later ones, of ever later epochs, might never be reached.
-  early_.try_emplace(from, EarlyAcknowledgement{acknowledgement, epoch});
+  // Keeps the first reply: if each later one replaced it, the log might never reach the latest epoch.
+  pending_.try_emplace(from, PendingAcknowledgement{acknowledgement, epoch});
 }
 
 void HeartbeatAcknowledgements::on_log_advanced() {
-  for (auto entry = early_.begin(); entry != early_.end();) {
+  for (auto entry = pending_.begin(); entry != pending_.end();) {
     if (entry->second.epoch > metadata_log_.epoch()) {
       ++entry;
       continue;
     }
     count(entry->first, entry->second.acknowledgement);
-    entry = early_.erase(entry);
+    entry = pending_.erase(entry);
   }
 }
 
@@ -42,7 +42,7 @@
     if (!daemon || daemon->self.incarnation == self_.incarnation || heartbeat_address(*daemon) == self_.address)
       continue;
     auto entry = acknowledgements_.find(heartbeat_address(*daemon));
-    // A gateway's agent answers under an incarnation of its own.
+    // A gateway's agent replies with its own incarnation.
     bool is_from_it = entry != acknowledgements_.end() &&
                       (daemon->self.role == Role::gateway || entry->second.incarnation == daemon->self.incarnation);
     times.push_back(is_from_it ? entry->second.sent : kNeverAcknowledged);
--- a/src/replication/registration.cpp
+++ b/src/replication/registration.cpp
@@ -11,7 +11,7 @@
   if (registered)
     return;
 
-  // While an earlier daemon at this address may still run, requests are rejected; once it is down, the next one is due.
+  // Requests are rejected while a predecessor at this address may still run, so retry at once when it is marked down.
   auto* predecessor = metadata.find_at(self.address);
   if (predecessor && predecessor->state == DaemonState::down && predecessor->since != predecessor_down_since_) {
     predecessor_down_since_ = predecessor->since;
--- a/src/replication/registration.hpp
+++ b/src/replication/registration.hpp
@@ -1,11 +1,11 @@
 #pragma once
-// How a daemon gets into the directory.
+// Registration of a daemon in the cluster's directory.
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
-/// Asks one core member after the other to register a daemon until the directory has it, and logs when its own entry
-/// changes. Both references must outlive this.
+/// Asks the core members in turn to register a daemon until the directory has it, and logs changes of the daemon's
+/// directory entry. Both references must outlive this.
 class Registration {
  public:
   Registration(Outbox& outbox, const MetadataLog& metadata_log) : outbox_(outbox), metadata_log_(metadata_log) {}
@@ -19,11 +19,11 @@
   Outbox& outbox_;
   const MetadataLog& metadata_log_;
   TimePoint next_request_at_{};
-  /// The daemon's state in the directory when it was last looked up.
+  /// The daemon's state in the directory at the last lookup.
   std::optional<DaemonState> last_state_;
-  /// When the earlier daemon at the same address went down, for which a request was sent at once.
+  /// The epoch at which the predecessor at the same address was marked down; a request was then sent at once.
   Epoch predecessor_down_since_{};
-  /// How many members were asked, so that each request goes to the next one.
+  /// Number of requests so far, so that each one goes to the next member.
   size_t requests_ = 0;
 };
 
