--- a/src/metadata/configuration_transformations.cpp
+++ b/src/metadata/configuration_transformations.cpp
@@ -1,4 +1,4 @@
-// Transformations that operators and the platform ask for: configuration, replicas, zones.
+// Transformations requested by operators and the platform: configuration, replicas, zones.
 #include <algorithm>
 
 #include "metadata/constants.hpp"
@@ -79,7 +79,7 @@
     if (replica.name.empty() || replica.service.empty() || !replica.url.starts_with("http://"))
       return reject(replica.name, "lacks a name, a service or an address");
     auto known = metadata.replicas.find(replica.name);
-    // The remaining warm-up time counts anew from each time that it is reported.
+    // The remaining warm-up time counts from the latest report of it.
     bool keeps_since = known != metadata.replicas.end() && known->second.health == replica.health &&
                        replica.health != ReplicaHealth::warming_up;
     replica.since = keeps_since ? known->second.since : metadata.epoch;
@@ -101,7 +101,7 @@
     return reject(zone, "holds the last gateways");
   for (auto& [id, daemon] : metadata.directory)
     if (daemon.self.role == Role::gateway && daemon.self.zone == change.zone)
-      scatter_ownership(metadata, id);
+      redistribute_ownership(metadata, id);
   return metadata;
 }
 
--- a/src/metadata/constants.hpp
+++ b/src/metadata/constants.hpp
@@ -4,27 +4,27 @@
 
 namespace mosskeel {
 
-/// Re-foundings that a lagging daemon may have missed.
+/// Maximum number of re-foundings that a lagging daemon may have missed and still recognize the cluster.
 constexpr uint64_t kMaxMissedGenerations = 4;
-/// Partitions; some ten a gateway at today's sizes.
+/// Number of partitions; about ten per gateway at current cluster sizes.
 constexpr uint32_t kPartitionCount = 64;
-/// Stores that keep each history, one a zone where zones allow.
+/// Default and minimum number of stores that keep each history, one per zone if there are enough zones.
 constexpr uint32_t kDefaultHistoryReplicas = 3;
-/// Commit ids that the log remembers for retries.
+/// Number of recent commit ids kept to recognize retries.
 constexpr size_t kRememberedCommits = 4096;
-/// Acknowledged configuration changes that are remembered, 24 bytes each; 10 busy days.
+/// Number of applied configuration changes that are remembered, 24 bytes each; enough for 10 busy days.
 constexpr size_t kRememberedConfigurationChanges = 4096;
-/// Requests that all gateways together run on one replica whose record names no other number.
+/// Concurrent requests that all gateways together send to a replica whose record sets no capacity.
 constexpr uint32_t kDefaultReplicaCapacity = 32;
-/// Requests; a larger capacity in a record is an error.
+/// Maximum capacity of a replica, in concurrent requests; a larger one is an error.
 constexpr uint32_t kMaxReplicaCapacity = 4096;
-/// Members; none leaves a core of this size without another in its place.
+/// A core of this many members loses none unless another one takes its place.
 constexpr size_t kMinCoreSize = 3;
-/// A replica that just started reaches its full share in this time.
+/// Time in which a newly started replica reaches its full share of requests.
 constexpr Duration kSlowStartDuration = 10000ms;
-/// A warm-up time that differs less from the expected one is not a change.
+/// A reported warm-up time that exceeds the expected one by no more than this is not treated as a change.
 constexpr Duration kWarmUpTolerance = 500ms;
-/// For this long the replica list may not show that a restored zone's replica is warming up.
+/// How long the replica list may lag in showing that a restored zone's replica is warming up.
 constexpr Duration kMaxReplicaListLag = 1500ms;
 
 }  // namespace mosskeel
--- a/src/metadata/core_membership.hpp
+++ b/src/metadata/core_membership.hpp
@@ -1,13 +1,14 @@
 #pragma once
-// Questions about the core and the quorum members that transformations and the supervisor both ask.
+// Queries about the core and the quorum members, shared by the transformations and the supervisor.
 #include "metadata/metadata.hpp"
 
 namespace mosskeel {
 
-/// How many core members are marked down.
+/// The number of core members that are marked down.
 size_t count_down_members(const Metadata& metadata);
 
-/// The daemons that should be quorum members: all that have not left, nor are down with another one at their address.
+/// The daemons that should be quorum members: all except those that have left, and those that are down and superseded
+/// by another daemon at their address.
 std::vector<DaemonId> eligible_quorum_members(const Metadata& metadata);
 
 }  // namespace mosskeel
--- a/src/metadata/core_transformations.cpp
+++ b/src/metadata/core_transformations.cpp
@@ -1,4 +1,4 @@
-// Transformations of the core: founding, membership, re-founding, and the quorum members of acknowledgements.
+// Transformations of the core: founding, membership, re-founding, and the quorum members that acknowledge changes.
 #include <algorithm>
 
 #include "metadata/constants.hpp"
@@ -8,7 +8,7 @@
 namespace mosskeel::transformations {
 namespace {
 
-/// Why a daemon is no member that could be taken out of the core; nothing where it is.
+/// Why a daemon cannot be removed from the core; empty if it can be.
 std::optional<std::string> reason_against_removal(const Metadata& metadata, DaemonId id) {
   auto* daemon = metadata.find(id);
   if (!daemon || !contains(metadata.members, id))
@@ -18,8 +18,7 @@
   return std::nullopt;
 }
 
-/// Makes a controller that helps to re-found the core a member of it, and a quorum member in place of lost ones at its
-/// address.
+/// Makes a controller a member of the re-founded core, and a quorum member in place of lost members at its address.
 void add_refounding_member(Metadata& metadata, const DaemonInfo& candidate, const std::vector<DaemonId>& lost) {
   auto* known = metadata.find(candidate.incarnation);
   DaemonId id = known ? known->id : DaemonId{metadata.next_id++};
--- a/src/metadata/daemon_transformations.cpp
+++ b/src/metadata/daemon_transformations.cpp
@@ -4,15 +4,16 @@
 namespace mosskeel::transformations {
 namespace {
 
-/// Whether a daemon of the directory provably no longer runs once another one registers at its address. A gateway holds
-/// no state on disk, and a controller's disk tells a restart from a new controller; only a store has to be down.
+/// Whether a daemon in the directory has provably stopped once another one registers at its address. A gateway has no
+/// state on disk, and a controller's disk distinguishes a restart from a new controller; only a store must be marked
+/// down first.
 bool ends_with_registration(const Daemon& earlier, const DaemonInfo& registering) {
   if (earlier.state == DaemonState::down || earlier.self.role == Role::gateway)
     return true;
   return registering.role == Role::controller && earlier.self.role == Role::controller;
 }
 
-/// Controllers at this address no longer run: core members among them are down, the others have left.
+/// Marks earlier controllers at this address as stopped: core members become down, the others have left.
 void supersede_controllers(Metadata& metadata, const Address& address, DaemonId successor) {
   for (auto& [id, daemon] : metadata.directory) {
     if (daemon.self.address != address || daemon.self.role != Role::controller || daemon.state == DaemonState::left)
@@ -23,7 +24,8 @@
   }
 }
 
-/// A gateway that starts again takes over the partitions of the one that ran at its address; the new term fences that.
+/// Gives a restarted gateway the partitions of its predecessor at the same address; the new term fences off the
+/// predecessor.
 void supersede_gateways(Metadata& metadata, const Address& address, DaemonId successor) {
   for (auto& [id, daemon] : metadata.directory) {
     if (daemon.self.address != address || daemon.self.role != Role::gateway || daemon.state == DaemonState::left)
@@ -34,7 +36,7 @@
   }
 }
 
-/// A controller that was taken out of the core while it was silent may come back as a spare.
+/// Registers a controller again that was removed from the core while it was silent; it returns as a spare.
 Result<Metadata> register_again(Metadata metadata, const Daemon& known, const DaemonInfo& self) {
   if (known.state != DaemonState::left || self.role != Role::controller || known.self != self)
     return reject("register", "incarnation " + hex(self.incarnation.value()) + " is registered already");
@@ -78,12 +80,12 @@
   if (daemon.state == DaemonState::down || daemon.state == DaemonState::left)
     return reject(to_text(change.node), std::string("is ") + name(daemon.state) + " already");
   bool is_gateway = daemon.self.role == Role::gateway;
-  // A drained gateway stays until its last turns are over, and then falls silent.
+  // A drained gateway runs until its last turns have ended and then stops sending heartbeats.
   bool has_drained = is_gateway && daemon.state == DaemonState::draining && !metadata.sequences.count(change.node);
   set_state(metadata, daemon, has_drained ? DaemonState::left : DaemonState::down);
   if (is_gateway) {
     end_sequence(metadata, change.node);
-    scatter_ownership(metadata, change.node);
+    redistribute_ownership(metadata, change.node);
   }
   return metadata;
 }
--- a/src/metadata/gateway_placement.cpp
+++ b/src/metadata/gateway_placement.cpp
@@ -1,4 +1,4 @@
-// Which gateway owns a partition. store_placement.cpp has the stores that keep its histories.
+// Chooses the gateway that owns a partition. See store_placement.cpp for the stores that keep its histories.
 #include <algorithm>
 
 #include "metadata/placement.hpp"
@@ -6,31 +6,31 @@
 namespace mosskeel::placement {
 namespace {
 
-/// Plans the moves of partitions to a joining gateway, until it owns its share.
-class GatewayJoinPlan {
+/// Plans which partitions move to a joining gateway, until it owns its share.
+class GatewayJoinPlanner {
  public:
-  GatewayJoinPlan(const Metadata& metadata, const Daemon& joining)
+  GatewayJoinPlanner(const Metadata& metadata, const Daemon& joining)
       : metadata_(metadata), joining_(joining.id), load_(partitions_per_gateway(metadata)) {
     auto& partitions = metadata.partitions;
     load_[joining_] = static_cast<int>(std::count_if(partitions.begin(), partitions.end(),
                                                      [&](const Partition& each) { return each.owner == joining_; }));
   }
 
-  std::vector<PartitionMove> make() {
+  std::vector<PartitionMove> plan() {
     take_unowned();
     take_share();
     return std::move(moves_);
   }
 
  private:
-  /// Partitions whose owner is gone are taken in any number.
+  /// Takes all unlocked partitions whose owner is gone, even beyond the share.
   void take_unowned() {
     for (uint32_t i = 0; i < metadata_.partitions.size(); ++i)
-      if (!alive(metadata_, owner_of(i)) && !metadata_.locks.count(PartitionId{i}))
+      if (!is_alive(metadata_, owner_of(i)) && !metadata_.locks.count(PartitionId{i}))
         take(i);
   }
 
-  /// Takes from the most loaded gateway, one partition at a time, while that makes the load more even.
+  /// Takes one partition at a time from the most loaded gateway while that balances the load.
   void take_share() {
     size_t share = metadata_.partitions.size() / std::max<size_t>(load_.size(), 1);
     while (static_cast<size_t>(load_[joining_]) < share) {
@@ -89,12 +89,12 @@
 
 }  // namespace
 
-bool alive(const Metadata& metadata, DaemonId id) {
+bool is_alive(const Metadata& metadata, DaemonId id) {
   auto* daemon = metadata.find(id);
   return daemon && (daemon->state == DaemonState::up || daemon->state == DaemonState::registered);
 }
 
-bool lost(const Metadata& metadata, DaemonId id) {
+bool is_lost(const Metadata& metadata, DaemonId id) {
   auto* daemon = metadata.find(id);
   return !daemon || daemon->state == DaemonState::down || daemon->state == DaemonState::left;
 }
@@ -122,7 +122,7 @@
 
 std::vector<PartitionMove> plan_join(const Metadata& metadata, const Daemon& joining) {
   if (joining.self.role == Role::gateway)
-    return GatewayJoinPlan(metadata, joining).make();
+    return GatewayJoinPlanner(metadata, joining).plan();
   return plan_store_join(metadata, joining);
 }
 
--- a/src/metadata/metadata.cpp
+++ b/src/metadata/metadata.cpp
@@ -7,7 +7,7 @@
 namespace mosskeel {
 namespace {
 
-/// Never true of an empty set.
+/// False for an empty set.
 bool is_majority(const Metadata& metadata, const std::vector<DaemonId>& set,
                  const Metadata::DaemonPredicate& predicate) {
   auto count = std::count_if(set.begin(), set.end(), [&](DaemonId id) {
@@ -90,7 +90,7 @@
   for (auto& commit : applied_commits)
     if (commit.id == commit_id)
       return commit.epoch;
-  // Configurations are remembered longer than other commits.
+  // Configurations are remembered for longer than other commits.
   auto commit_digest = digest(commit_id);
   for (auto& applied : applied_configurations)
     if (applied.commit_digest == commit_digest)
@@ -112,7 +112,7 @@
 
 size_t Metadata::read_quorum(size_t store_count) const {
   auto write = write_quorum(store_count);
-  // With too few stores for any record to count, all of them are asked.
+  // If there are too few stores to commit any record, all of them are read.
   return store_count < write ? store_count : store_count + 1 - write;
 }
 
--- a/src/metadata/names.cpp
+++ b/src/metadata/names.cpp
@@ -1,4 +1,4 @@
-// Names of enumeration values, as logs, answers to operators and JSON show them.
+// Names of enumeration values, as shown in logs, replies to operators and JSON.
 #include "metadata/metadata.hpp"
 
 namespace mosskeel {
--- a/src/metadata/partition_transformations.cpp
+++ b/src/metadata/partition_transformations.cpp
@@ -1,4 +1,4 @@
-// Transformations that move partitions between gateways at once.
+// Transformations that move partitions between gateways in a single step.
 #include "metadata/placement.hpp"
 #include "metadata/transformation_steps.hpp"
 
@@ -15,7 +15,7 @@
       set_owner(metadata, partition, to);
 }
 
-void scatter_ownership(Metadata& metadata, DaemonId gateway) {
+void redistribute_ownership(Metadata& metadata, DaemonId gateway) {
   auto load = placement::partitions_per_gateway(metadata);
   for (auto& partition : metadata.partitions) {
     if (partition.owner != gateway)
--- a/src/metadata/placement.hpp
+++ b/src/metadata/placement.hpp
@@ -1,31 +1,31 @@
 #pragma once
-// Placement of partitions: which gateway owns one, and which stores keep its histories.
+// Placement of partitions: which gateway owns a partition and which stores keep its histories.
 #include "metadata/metadata.hpp"
 
 namespace mosskeel::placement {
 
-/// How many partitions, or replicas of partitions, each daemon has.
+/// The number of partitions, or replicas of partitions, on each daemon.
 using LoadByDaemon = std::map<DaemonId, int>;
 
-/// Whether a daemon may get partitions: it is up, or registered and about to join.
-bool alive(const Metadata& metadata, DaemonId id);
-/// Whether a daemon is unknown, down or gone.
-bool lost(const Metadata& metadata, DaemonId id);
+/// Whether a daemon may be given partitions: it is up, or registered and about to join.
+bool is_alive(const Metadata& metadata, DaemonId id);
+/// Whether a daemon is unknown, is down or has left.
+bool is_lost(const Metadata& metadata, DaemonId id);
 
-/// The partitions that a joining gateway or store should take; empty where there is nothing to take.
+/// The partitions that a joining gateway or store should take over; empty if there are none.
 std::vector<PartitionMove> plan_join(const Metadata& metadata, const Daemon& joining);
-/// Where all partitions of a leaving gateway or store go; errors where another daemon is lacking.
+/// The moves of all partitions of a leaving gateway or store; errors if no other daemon can take one of them.
 Result<std::vector<PartitionMove>> plan_drain(const Metadata& metadata, const Daemon& leaving);
-/// New stores for the unlocked partitions of a store that is down, without it and without any other store that is down;
-/// a partition for which there is no other store is left out.
+/// Moves of the unlocked partitions of a store that is down to stores that are up, which also replace any other lost
+/// stores of these partitions. Omits partitions for which there is no substitute store.
 std::vector<PartitionMove> plan_repair(const Metadata& metadata, const Daemon& lost_store);
 
-/// The gateways that may own partitions now, with the number that each owns.
+/// The gateways that may own partitions now, with the number of partitions that each owns.
 LoadByDaemon partitions_per_gateway(const Metadata& metadata);
-/// The gateway that owns least; id 0 where there is none but `except`.
+/// The gateway that owns the fewest partitions; id 0 if there is none other than `except`.
 DaemonId least_loaded_gateway(const LoadByDaemon& load, DaemonId except);
 
-/// The stores' part of `plan_join` and `plan_drain`.
+/// Implement `plan_join` and `plan_drain` for stores.
 std::vector<PartitionMove> plan_store_join(const Metadata& metadata, const Daemon& joining);
 Result<std::vector<PartitionMove>> plan_store_drain(const Metadata& metadata, const Daemon& leaving);
 
--- a/src/metadata/rejection.cpp
+++ b/src/metadata/rejection.cpp
@@ -7,7 +7,7 @@
 namespace mosskeel {
 namespace {
 
-/// Other than for `apply`, a zone whose daemons have all left is known: it was evacuated before and may be again.
+/// Unlike for `apply`, a zone whose daemons have all left is known: it was evacuated before and may be again.
 bool is_known_zone(const Metadata& metadata, const std::string& zone) {
   auto in_zone = [&](auto& daemon) {
     return daemon.second.self.zone == zone;
@@ -28,7 +28,8 @@
 Rejection reason(const Metadata& metadata, const EvacuateZone& change) {
   if (metadata.evacuated.count(change.zone))
     return Rejection::already_in_effect;
-  // A known zone holds the last gateways in service: others may come back, so the operator may ask again.
+  // A known zone is rejected only while it has the last gateways in service. Others may come back, so the operator may
+  // retry.
   return is_known_zone(metadata, change.zone) ? Rejection::busy : Rejection::unknown_target;
 }
 
@@ -47,7 +48,7 @@
   return placement::plan_drain(metadata, *daemon).ok() ? Rejection::busy : Rejection::refused;
 }
 
-/// Of all other transformations nobody needs to know more.
+/// For all other transformations no caller needs a more specific reason.
 template <class Change>
 Rejection reason(const Metadata&, const Change&) {
   return Rejection::refused;
--- a/src/metadata/rejection.hpp
+++ b/src/metadata/rejection.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Why a transformation is rejected, typed, so that nobody has to look at a later value to find out.
+// Typed reasons for a rejected transformation, so that the reason need not be derived from later metadata.
 #include "metadata/transformation.hpp"
 
 namespace mosskeel {
@@ -7,16 +7,16 @@
 /// The order of the values is the format on the wire.
 enum class Rejection : uint8_t {
   none,
-  revision_conflict,  ///< a configuration built on another revision, which provably was not applied
-  forgotten,          ///< built on a revision so old that nobody can tell whether it was applied
-  invalid,            ///< can't be accepted as it is
-  already_in_effect,  ///< what is asked for is the case
+  revision_conflict,  ///< the configuration is based on another revision and was provably not applied
+  forgotten,          ///< based on a revision so old that it is unknown whether it was applied
+  invalid,            ///< cannot be accepted as it is
+  already_in_effect,  ///< the requested state is already in effect
   unknown_target,     ///< names something that does not exist
   refused,            ///< not allowed in the present state
-  busy,               ///< something else has to end, or to come back, first
+  busy,               ///< may succeed later, once something else has finished or come back
 };
 
-/// Why a transformation does not apply, which `apply` has rejected on this very value.
+/// The reason why `apply` has rejected a transformation of this metadata.
 Rejection rejection_reason(const Metadata& metadata, const Transformation& transformation);
 
 }  // namespace mosskeel
--- a/src/metadata/replica_list_reconciler.hpp
+++ b/src/metadata/replica_list_reconciler.hpp
@@ -1,36 +1,41 @@
 #pragma once
-// Compares the platform's list of replicas with the log.
+// Compares the platform's replica list with the metadata log.
 #include "metadata/transformation.hpp"
 
 namespace mosskeel {
 
-/// Finds how the log differs from what was read of the replica list. Keeps the part of earlier readings that a single
-/// one does not show. Owned by the poller, on its thread; nothing is on disk.
+/// Computes how the log must change to match the replica list. Keeps state from earlier readings that a single reading
+/// does not show. Owned by the poller and used on its thread; not persisted.
 class ReplicaListReconciler {
  public:
-  /// The change that the log lacks after a complete reading at `now`, or nothing.
+  /// The change that brings the log up to date with a complete reading at `now`; empty if there is none.
   ///
-  /// A replica is removed once two readings in a row lack it, since the list may shift between its pages. A replica
-  /// that a restored zone left warming up stays so for `kMaxReplicaListLag`, until the list has had time to report it.
+  /// A replica is removed once two consecutive readings lack it, because the list may shift between its pages. A
+  /// replica that was set to warming up by the restoration of its zone stays so for `kMaxReplicaListLag`, until the
+  /// list has had time to report it.
   std::optional<UpdateReplicas> reconcile(const Replicas& log, const std::vector<Replica>& listed, TimePoint now);
-  /// Drops what is kept: another reader has been active meanwhile.
-  void reset() { seen_.clear(); }
+  /// Discards the state of earlier readings; called when another reader has been active in the meantime.
+  void reset() { tracked_.clear(); }
 
  private:
-  struct Seen {
+  struct TrackedReplica {
     /// When the replica's warm-up is expected to end.
     TimePoint expected_ready_at{};
-    /// Since when the list calls ready what a restored zone left warming up; nothing where that is not so.
+    /// Since when the list has reported a replica as ready that is warming up after its zone was restored; otherwise
+    /// empty.
     std::optional<TimePoint> ready_after_restore_since;
-    /// `since` of the log's record when it was last told a change. Still the same: the change was not committed.
+    /// `since` of the log's record when the last change was requested. While it is unchanged, that change has not been
+    /// committed.
     std::optional<Epoch> reported_against;
-    /// Readings in a row that lack it.
+    /// Number of consecutive readings that lack the replica.
     uint32_t missing = 0;
   };
-  /// Whether the log differs from the list in one replica. `logged` is null where the log has it not, or otherwise.
-  bool needs_update(Seen& seen, bool first_seen, const Replica* logged, const Replica& listed, TimePoint now);
+  /// Whether the log must be updated for one replica. `logged` is null if the log lacks the replica, or has it with
+  /// different properties other than health.
+  bool needs_update(TrackedReplica& tracked, bool first_seen, const Replica* logged, const Replica& listed,
+                    TimePoint now);
 
-  std::map<std::string, Seen> seen_;
+  std::map<std::string, TrackedReplica> tracked_;
 };
 
 }  // namespace mosskeel
--- a/src/metadata/sequence_transformations.cpp
+++ b/src/metadata/sequence_transformations.cpp
@@ -9,7 +9,7 @@
 
 using Moves = std::vector<PartitionMove>;
 
-/// Why a node can't begin a sequence of this kind; nothing where it can.
+/// Why a node cannot begin a sequence of this kind; empty if it can.
 std::optional<std::string> reason_against(const Metadata& metadata, DaemonId node, SequenceKind kind) {
   auto* daemon = metadata.find(node);
   if (!daemon || daemon->self.role == Role::controller)
@@ -41,7 +41,7 @@
   return moves;
 }
 
-/// Plans a sequence's moves and locks their partitions. Nothing moves before its first step.
+/// Plans a sequence's moves and locks the partitions. Nothing moves before the first step.
 Result<Metadata> prepare(Metadata metadata, DaemonId node, SequenceKind kind) {
   if (auto reason = reason_against(metadata, node, kind))
     return reject(to_text(node), *reason);
@@ -56,7 +56,7 @@
 
   for (auto& move : moves)
     metadata.locks[move.partition] = node;
-  // `since` stays: the drain is not done yet.
+  // `since` is not updated, because the drain is not finished yet.
   if (kind == SequenceKind::drain && daemon.state != DaemonState::down)
     daemon.state = DaemonState::draining;
   metadata.sequences[node] = {node, kind, SequenceStep::start, metadata.epoch, metadata.epoch, moves};
@@ -69,7 +69,7 @@
   partition.stores_epoch = metadata.epoch;
 }
 
-/// From the first step on, writes need a quorum of the old and of the new stores.
+/// Sets the pending stores. From then on, writes need a quorum of both the old and the new stores.
 void publish_pending_stores(Metadata& metadata, const Moves& moves) {
   for (auto& move : moves) {
     auto& partition = metadata.partitions[move.partition.value()];
@@ -80,13 +80,14 @@
   }
 }
 
-/// With the last step the new stores stand alone, and new owners begin their term unless they were lost meanwhile.
+/// The last step: the new stores replace the old ones, and new owners begin their terms unless they have been lost in
+/// the meantime.
 void enact_moves(Metadata& metadata, const Moves& moves) {
   for (auto& move : moves) {
     auto& partition = metadata.partitions[move.partition.value()];
     if (!partition.pending_stores.empty())
       set_stores(metadata, partition, move.stores);
-    if (partition.owner != move.owner && !placement::lost(metadata, move.owner))
+    if (partition.owner != move.owner && !placement::is_lost(metadata, move.owner))
       set_owner(metadata, partition, move.owner);
   }
 }
@@ -98,10 +99,10 @@
     case SequenceKind::join:
       return is_down ? DaemonState::down : DaemonState::up;
     case SequenceKind::drain:
-      // A gateway stays in the directory until its last turns are over.
+      // A gateway stays in the directory until its last turns have ended.
       return daemon.self.role != Role::gateway || is_down ? DaemonState::left : daemon.state;
     case SequenceKind::repair:
-      // A store that came back meanwhile joins anew, if nothing is left to it.
+      // A store that has come back in the meantime joins again if it holds no partitions any more.
       if (daemon.state == DaemonState::up && !metadata.holds_partitions(daemon.id))
         return DaemonState::registered;
       break;
@@ -109,7 +110,7 @@
   return daemon.state;
 }
 
-/// Stores that are down leave for good once another daemon has their address and they hold nothing more.
+/// Permanently removes stores that are down, once another daemon has their address and they hold no partitions.
 void remove_superseded_stores(Metadata& metadata) {
   for (auto& [id, daemon] : metadata.directory) {
     if (daemon.self.role != Role::store || daemon.state != DaemonState::down)
@@ -172,7 +173,8 @@
     if (!partition.pending_stores.empty())
       set_stores(metadata, partition, partition.stores);
   }
-  // A store's drain is an order and begins anew; `since` stays as it was before the drain.
+  // A store's drain was requested by an operator, so the store stays draining and the drain is started again. `since`
+  // keeps its value from before the drain.
   auto& daemon = metadata.directory[change.node];
   if (daemon.state == DaemonState::draining && daemon.self.role == Role::gateway)
     daemon.state = DaemonState::up;
--- a/src/metadata/store_placement.cpp
+++ b/src/metadata/store_placement.cpp
@@ -1,4 +1,4 @@
-// Which stores keep a partition's histories: as many as the replication factor says, spread over zones.
+// Chooses the stores that keep a partition's histories: as many as the replication factor says, spread over zones.
 #include <algorithm>
 
 #include "metadata/placement.hpp"
@@ -13,7 +13,7 @@
   return daemon ? daemon->self.zone : "";
 }
 
-/// How many partitions each store keeps; all stores that are up are there, also without any.
+/// How many partitions each store keeps; includes all stores that are up, even those without partitions.
 LoadByDaemon partitions_per_store(const Metadata& metadata) {
   LoadByDaemon load;
   for (auto& [id, daemon] : metadata.directory)
@@ -25,14 +25,14 @@
   return load;
 }
 
-/// How many stores of a set, `except` left out, are in this zone.
+/// How many stores of a set, not counting `except`, are in this zone.
 int count_in_zone(const Metadata& metadata, const StoreSet& set, const std::string& zone, DaemonId except) {
   return static_cast<int>(std::count_if(set.begin(), set.end(),
                                         [&](DaemonId id) { return id != except && zone_of(metadata, id) == zone; }));
 }
 
-/// The store that should replace `leaving` in a set: from the zone with the fewest stores of the set, then the least
-/// loaded one.
+/// The store that should replace `leaving` in a set: the least loaded store in the zone with the fewest stores of the
+/// set.
 std::optional<DaemonId> find_substitute(const Metadata& metadata, const StoreSet& set, DaemonId leaving,
                                         const LoadByDaemon& load) {
   auto cost = [&](DaemonId id) {
@@ -40,7 +40,7 @@
   };
   std::optional<DaemonId> best;
   for (auto& [id, count] : load) {
-    if (id == leaving || !alive(metadata, id) || contains(set, id))
+    if (id == leaving || !is_alive(metadata, id) || contains(set, id))
       continue;
     if (!best || cost(id) < cost(*best))
       best = id;
@@ -48,8 +48,8 @@
   return best;
 }
 
-/// The store of a set that a joining one should replace: the one whose leaving spreads zones best, then the most loaded
-/// one. Null if the change would put more stores into one zone than before.
+/// The store of a set that a joining one should replace: the one whose removal gives the best spread over zones, then
+/// the most loaded one. Null if the change would put more stores into one zone than before.
 DaemonId* find_most_replaceable(const Metadata& metadata, StoreSet& set, const Daemon& joining,
                                 const LoadByDaemon& load) {
   auto others_in_zone = [&](DaemonId id) {
@@ -66,12 +66,12 @@
   return others_in_joining_zone(*best) > others_in_zone(*best) ? nullptr : &*best;
 }
 
-/// Replaces all lost stores of a set as far as there are others, and fills the set up to the replication factor.
-/// Returns whether `required` was among the replaced ones.
+/// Replaces the lost stores of a set as far as there are substitutes, and fills the set up to the replication factor.
+/// Returns whether `required` was replaced.
 bool replace_lost_stores(const Metadata& metadata, StoreSet& set, DaemonId required, LoadByDaemon& load) {
   bool replaced_required = false;
   for (auto& id : set) {
-    if (!lost(metadata, id))
+    if (!is_lost(metadata, id))
       continue;
     auto substitute = find_substitute(metadata, set, id, load);
     if (!substitute)
@@ -91,18 +91,18 @@
 }
 
 /// How many partitions a joining store should keep.
-int joining_share(const Metadata& metadata, const Daemon& joining, const LoadByDaemon& load) {
+int share_of_joining_store(const Metadata& metadata, const Daemon& joining, const LoadByDaemon& load) {
   auto available = static_cast<size_t>(std::count_if(load.begin(), load.end(), [&](auto& entry) {
-    return entry.first == joining.id || alive(metadata, entry.first);
+    return entry.first == joining.id || is_alive(metadata, entry.first);
   }));
   auto replicas = std::min<size_t>(metadata.replication_factor(), available);
   return static_cast<int>(metadata.partitions.size() * replicas / std::max<size_t>(available, 1));
 }
 
-/// Gives a joining store its place in a set: that of a lost store, a missing one, or, below its share, another store's.
-/// Returns whether it got one.
-bool insert_joining(const Metadata& metadata, StoreSet& set, const Daemon& joining, int share, LoadByDaemon& load) {
-  auto lost_store = std::find_if(set.begin(), set.end(), [&](DaemonId id) { return lost(metadata, id); });
+/// Adds a joining store to a set: in place of a lost store, as a missing one or, while it is below its share, in place
+/// of another store. Returns whether it was added.
+bool add_joining_store(const Metadata& metadata, StoreSet& set, const Daemon& joining, int share, LoadByDaemon& load) {
+  auto lost_store = std::find_if(set.begin(), set.end(), [&](DaemonId id) { return is_lost(metadata, id); });
   if (lost_store != set.end()) {
     *lost_store = joining.id;
     return true;
@@ -133,13 +133,13 @@
   std::vector<PartitionMove> moves;
   auto load = partitions_per_store(metadata);
   load.try_emplace(joining.id, 0);
-  auto share = joining_share(metadata, joining, load);
+  auto share = share_of_joining_store(metadata, joining, load);
   for (uint32_t i = 0; i < metadata.partitions.size(); ++i) {
     auto& partition = metadata.partitions[i];
     if (metadata.locks.count(PartitionId{i}) || contains(partition.stores, joining.id))
       continue;
     auto set = partition.stores;
-    if (!insert_joining(metadata, set, joining, share, load))
+    if (!add_joining_store(metadata, set, joining, share, load))
       continue;
     ++load[joining.id];
     moves.push_back({PartitionId{i}, partition.owner, set});
--- a/src/metadata/transformation.cpp
+++ b/src/metadata/transformation.cpp
@@ -6,7 +6,7 @@
 namespace mosskeel {
 namespace {
 
-/// Notes the commit, so that a retry finds its outcome. Only the last ones are kept.
+/// Records the commit, so that a retry finds its outcome. Only the most recent ones are kept.
 void remember_commit(Metadata& metadata, const Entry& entry) {
   if (entry.commit_id.empty())
     return;
--- a/src/metadata/transformation.hpp
+++ b/src/metadata/transformation.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// The changes that the metadata log can hold. Each is a pure function from one metadata value to the next; nothing else
-// makes a new value. The order of a struct's fields and of the variant's alternatives is the format on disk and on the
-// wire.
+// The changes that the metadata log can contain. Each is a pure function from one metadata value to the next; there is
+// no other way to produce a new value. The order of a struct's fields and of the variant's alternatives is the format
+// on disk and on the wire.
 #include "metadata/core_membership.hpp"
 #include "metadata/metadata.hpp"
 #include "metadata/placement.hpp"
@@ -16,33 +16,33 @@
   bool operator==(const FoundCluster&) const = default;
 };
 
-/// Puts a daemon into the directory. Rejected while another daemon at its address may still run.
+/// Adds a daemon to the directory. Rejected while another daemon at its address may still be running.
 struct Register {
   MOSSKEEL_FIELDS(Register, (DaemonInfo, self));
   bool operator==(const Register&) const = default;
 };
 
-/// Adds a registered controller that is up to the core, as long as the core has fewer live members than it may have.
+/// Adds a registered controller that is up to the core, unless the core already has its maximum number of live members.
 struct AddCoreMember {
   MOSSKEEL_FIELDS(AddCoreMember, (DaemonId, node));
   bool operator==(const AddCoreMember&) const = default;
 };
 
-/// Swaps a member that is down for a spare controller in one step. Only operators use it: majorities of the core before
-/// and after need not meet where one more member is lost.
+/// Replaces a member that is down by a spare controller in one step. Used only by operators, because majorities of the
+/// core before and after need not intersect if one more member is lost.
 struct ReplaceCoreMember {
   MOSSKEEL_FIELDS(ReplaceCoreMember, (DaemonId, removed), (DaemonId, added));
   bool operator==(const ReplaceCoreMember&) const = default;
 };
 
-/// A majority of the controllers misses the daemon's heartbeats. A gateway loses its partitions to other gateways at
-/// once.
+/// Marks a daemon down whose heartbeats a majority of the controllers misses. A gateway's partitions are moved to other
+/// gateways at once.
 struct MarkDown {
   MOSSKEEL_FIELDS(MarkDown, (DaemonId, node));
   bool operator==(const MarkDown&) const = default;
 };
 
-/// The daemon sends heartbeats again. One without partitions joins anew.
+/// Marks a daemon up that sends heartbeats again. A gateway, or a store without partitions, has to join again.
 struct MarkUp {
   MOSSKEEL_FIELDS(MarkUp, (DaemonId, node));
   bool operator==(const MarkUp&) const = default;
@@ -54,32 +54,32 @@
   bool operator==(const PrepareJoin&) const = default;
 };
 
-/// Begins the sequence that takes all partitions from a daemon that is to leave.
+/// Begins the sequence that moves all partitions away from a daemon that is to leave.
 struct PrepareDrain {
   MOSSKEEL_FIELDS(PrepareDrain, (DaemonId, node));
   bool operator==(const PrepareDrain&) const = default;
 };
 
-/// Enacts the next step of a node's sequence; `step` guards against a step that is enacted twice.
+/// Takes the next step of a node's sequence; `step` guards against taking a step twice.
 struct AdvanceSequence {
   MOSSKEEL_FIELDS(AdvanceSequence, (DaemonId, node), (SequenceStep, step));
   bool operator==(const AdvanceSequence&) const = default;
 };
 
-/// Gives a node's sequence up: pending stores are dropped, its partitions unlocked.
+/// Cancels a node's sequence: its pending stores are discarded and its partitions unlocked.
 struct CancelSequence {
   MOSSKEEL_FIELDS(CancelSequence, (DaemonId, node), (std::string, reason));
   bool operator==(const CancelSequence&) const = default;
 };
 
-/// Compare-and-set of the configuration on revision `base`. `revision` is the number that the operator gave; 0 stands
+/// Compare-and-set of the configuration on revision `base`. `revision` is the number chosen by the operator; 0 stands
 /// for the next one.
 struct ApplyConfiguration {
   MOSSKEEL_FIELDS(ApplyConfiguration, (Revision, base), (Configuration, configuration), (Revision, revision));
   bool operator==(const ApplyConfiguration&) const = default;
 };
 
-/// Adds a replica of a cell's own or changes it.
+/// Adds or changes a cell's own replica.
 struct SetReplica {
   MOSSKEEL_FIELDS(SetReplica, (Replica, replica));
   bool operator==(const SetReplica&) const = default;
@@ -91,13 +91,13 @@
   bool operator==(const RemoveReplica&) const = default;
 };
 
-/// Takes all work from a zone: its gateways lose their partitions, its replicas get no requests.
+/// Moves all work out of a zone: its gateways lose their partitions and its replicas get no requests.
 struct EvacuateZone {
   MOSSKEEL_FIELDS(EvacuateZone, (std::string, zone));
   bool operator==(const EvacuateZone&) const = default;
 };
 
-/// Ends an evacuation; the zone's replicas begin with a slow start.
+/// Ends an evacuation; the zone's replicas begin again with a slow start.
 struct RestoreZone {
   MOSSKEEL_FIELDS(RestoreZone, (std::string, zone));
   bool operator==(const RestoreZone&) const = default;
@@ -115,69 +115,69 @@
   bool operator==(const MoveAllPartitions&) const = default;
 };
 
-/// Founds the core anew from its survivors and `fresh` controllers: the lost members never vote again, the cluster's id
-/// changes. `generation` guards against a second re-founding of the same loss.
+/// Re-founds the core from its survivors and the `fresh` controllers. The lost members never vote again, and the
+/// cluster's id changes. `generation` guards against a second re-founding after the same loss.
 struct RefoundCluster {
   MOSSKEEL_FIELDS(RefoundCluster, (uint64_t, generation), (std::vector<DaemonId>, lost),
                   (std::vector<DaemonInfo>, fresh));
   bool operator==(const RefoundCluster&) const = default;
 };
 
-/// Begins to make everybody in the directory a quorum member. Until `FinishQuorumChange` majorities of the old and of
-/// the new set must acknowledge (joint consensus).
+/// Begins a change of the quorum members to all eligible daemons in the directory. Until `FinishQuorumChange`,
+/// majorities of both the old and the new set must acknowledge (joint consensus).
 struct BeginQuorumChange {
   bool operator==(const BeginQuorumChange&) const = default;
 };
 
-/// Majorities of both sets know of the quorum change of epoch `since`: the old set no longer counts.
+/// Finishes the quorum change of epoch `since`, once majorities of both sets know of it: the old set no longer counts.
 struct FinishQuorumChange {
   MOSSKEEL_FIELDS(FinishQuorumChange, (Epoch, since));
   bool operator==(const FinishQuorumChange&) const = default;
 };
 
-/// How the log differs from a replica list, in one epoch: replicas to add or change, and names to remove.
+/// Brings the log's replicas in line with a replica list, in one epoch: replicas to add or change, and names to remove.
 struct UpdateReplicas {
   MOSSKEEL_FIELDS(UpdateReplicas, (std::vector<Replica>, updated), (std::vector<std::string>, removed));
   bool operator==(const UpdateReplicas&) const = default;
 };
 
-/// Takes a member that is down out of a core that keeps a majority without it.
+/// Removes a member that is down from a core that keeps a majority without it.
 struct RemoveCoreMember {
   MOSSKEEL_FIELDS(RemoveCoreMember, (DaemonId, node));
   bool operator==(const RemoveCoreMember&) const = default;
 };
 
-/// Begins the sequence that gives the unlocked partitions of a store that is down to other stores. The store stays down
+/// Begins the sequence that moves the unlocked partitions of a store that is down to other stores. The store stays down
 /// and may come back without partitions.
 struct PrepareRepair {
   MOSSKEEL_FIELDS(PrepareRepair, (DaemonId, node));
   bool operator==(const PrepareRepair&) const = default;
 };
 
-/// A store that is down and holds no partitions has left for good.
+/// Permanently removes a store that is down and holds no partitions.
 struct ForgetStore {
   MOSSKEEL_FIELDS(ForgetStore, (DaemonId, node));
   bool operator==(const ForgetStore&) const = default;
 };
 
-/// Append only: the index of an alternative is its number on disk and on the wire.
+/// Append only: the index of an alternative identifies it on disk and on the wire.
 using Transformation =
     std::variant<std::monostate, FoundCluster, Register, AddCoreMember, ReplaceCoreMember, MarkDown, MarkUp,
                  PrepareJoin, PrepareDrain, AdvanceSequence, CancelSequence, ApplyConfiguration, SetReplica,
                  RemoveReplica, EvacuateZone, RestoreZone, MovePartition, MoveAllPartitions, RefoundCluster,
                  BeginQuorumChange, FinishQuorumChange, UpdateReplicas, RemoveCoreMember, PrepareRepair, ForgetStore>;
 
-/// One entry of the metadata log. `commit_id` is unique to the commit that proposed it; empty where nobody retries it.
+/// One entry of the metadata log. `commit_id` is unique to the commit that proposed it; empty if it is never retried.
 struct Entry {
   MOSSKEEL_FIELDS(Entry, (Epoch, epoch), (std::string, commit_id), (Transformation, change));
   bool operator==(const Entry&) const = default;
 };
 
-/// The value that the entry makes of this one, or why the entry is rejected. Deterministic: the same input gives the
-/// same bytes on every daemon.
+/// Applies an entry: returns the next metadata value, or the errors for which the entry is rejected. Deterministic: the
+/// same input gives the same bytes on every daemon.
 Result<Metadata> apply(const Metadata& metadata, const Entry& entry);
 
-/// One line on what a transformation does, for logs and operators.
+/// A one-line description of a transformation, for logs and operators.
 std::string describe(const Transformation& transformation);
 
 }  // namespace mosskeel
--- a/src/metadata/transformation_steps.hpp
+++ b/src/metadata/transformation_steps.hpp
@@ -1,7 +1,8 @@
 #pragma once
-// One function for each transformation, and what several of them share. Only src/metadata includes this.
+// One function for each transformation, and their shared helpers. Internal to src/metadata.
 //
-// `transform` gets a copy of the value whose epoch is already that of the entry, and returns it changed, or errors.
+// `transform` gets a copy of the metadata whose epoch is already that of the entry. It returns the changed value, or
+// errors.
 #include "metadata/transformation.hpp"
 
 namespace mosskeel::transformations {
@@ -37,32 +38,32 @@
 Result<Metadata> transform(Metadata metadata, const EvacuateZone& change);
 Result<Metadata> transform(Metadata metadata, const RestoreZone& change);
 
-/// The errors of a transformation that the present value does not allow.
+/// The error result of a transformation that is not valid for the present metadata.
 inline Errors reject(std::string location, std::string message) {
   return {{std::move(location), std::move(message), ErrorCode::rejected}};
 }
 
-/// A daemon, as errors and log texts call it.
+/// A daemon, as named in errors and log messages.
 inline std::string to_text(DaemonId id) {
   return "daemon " + std::to_string(id.value());
 }
 
-/// A partition, as errors, log texts and the operators' language call it.
+/// A partition, as named in errors, log messages and operators' commands.
 inline std::string to_text(PartitionId id) {
   return "slot " + std::to_string(id.value());
 }
 
-/// Changes the state of a daemon of the directory.
+/// Changes the state of a daemon in the directory and the epoch of that change.
 void set_state(Metadata& metadata, Daemon& daemon, DaemonState state);
 
-/// Gives a partition another owner; the new term fences the old one.
+/// Gives a partition another owner; the new term fences off the old owner.
 void set_owner(const Metadata& metadata, Partition& partition, DaemonId owner);
 
-/// Gives all partitions of one owner to another.
+/// Gives all partitions of one owner to another owner.
 void transfer_ownership(Metadata& metadata, DaemonId from, DaemonId to);
 
-/// Spreads the partitions of a gateway over the others; with none left they have no owner.
-void scatter_ownership(Metadata& metadata, DaemonId gateway);
+/// Distributes the partitions of a gateway over the other gateways; if there are none, the partitions have no owner.
+void redistribute_ownership(Metadata& metadata, DaemonId gateway);
 
 /// Ends a node's sequence, if it has one, and unlocks its partitions.
 void end_sequence(Metadata& metadata, DaemonId node);
