--- a/tests/unit/consensus/acceptor_test.cpp
+++ b/tests/unit/consensus/acceptor_test.cpp
@@ -1,4 +1,4 @@
-// The Paxos acceptor alone: what it promises, accepts and recovers.
+// The Paxos acceptor in isolation: promises, acceptances and recovery.
 #include "consensus/acceptor.hpp"
 #include "unit/catch.hpp"
 #include "unit/consensus/controllers_fixture.hpp"
@@ -12,12 +12,12 @@
   return {epoch, "register-" + std::to_string(number), Register{controller(number)}};
 }
 
-/// The acceptor of controller 1 in a founded core of three; the open instance is that of epoch 2.
+/// The acceptor of controller 1 in a founded core of three; the instance of epoch 2 is open.
 struct FoundedAcceptor {
   Outbox outbox{Identity{controller(1), {}}};
   MetadataLog metadata_log;
   Acceptor acceptor{outbox, metadata_log};
-  /// Of controller 2, which proposes.
+  /// An envelope from controller 2, the proposer.
   Envelope proposer;
 
   FoundedAcceptor() {
@@ -27,7 +27,7 @@
     proposer.from_incarnation = Incarnation{2};
   }
 
-  /// The reply to a prepare or accept request; it must wait for the journal.
+  /// The reply to a prepare or accept request, which must be sent only after the journal is synced.
   template <class Reply, class Request>
   Reply reply_to(const Request& request) {
     acceptor.handle(proposer, request);
@@ -38,11 +38,11 @@
     return std::get<Reply>(actions.synced.front().body);
   }
 
-  /// The records of all requests.
+  /// The journal records of all requests.
   std::vector<std::string> journal;
 };
 
-/// Of the open instance.
+/// Epoch of the open instance.
 constexpr Epoch kOpenEpoch{2};
 
 }  // namespace
@@ -60,7 +60,7 @@
   CHECK_FALSE(founded.acceptor.has_accepted());
 }
 
-TEST_CASE("Acceptor reports the proposal that it accepted to a higher ballot") {
+TEST_CASE("Acceptor reports its accepted proposal to a higher ballot") {
   FoundedAcceptor founded;
   Entry entry = registration(kOpenEpoch, 4);
 
@@ -75,7 +75,7 @@
   CHECK(promise.accepted->entry == entry);
 }
 
-TEST_CASE("Acceptor recovers what it promised and accepted from its journal") {
+TEST_CASE("Acceptor recovers its promise and its accepted proposal from the journal") {
   FoundedAcceptor founded;
   founded.reply_to<Accepted>(Accept{{5, 2}, registration(kOpenEpoch, 4)});
   founded.reply_to<Promise>(Prepare{kOpenEpoch, {6, 3}});
@@ -95,7 +95,7 @@
   CHECK_FALSE(restarted.reply_to<Promise>(Prepare{kOpenEpoch, {5, 9}}).granted);
 }
 
-TEST_CASE("Acceptor sends a proposer of a decided instance what it lacks, and promises nothing") {
+TEST_CASE("Acceptor sends the missing entries to a proposer of a decided instance, and promises nothing") {
   FoundedAcceptor founded;
 
   founded.acceptor.handle(founded.proposer, Prepare{Epoch{1}, {5, 2}});
@@ -108,7 +108,7 @@
   CHECK(founded.acceptor.promised() == Ballot{});
 }
 
-TEST_CASE("Acceptor asks a proposer that is ahead for entries, and promises nothing") {
+TEST_CASE("Acceptor requests the missing entries from a proposer that is ahead, and promises nothing") {
   FoundedAcceptor founded;
 
   founded.acceptor.handle(founded.proposer, Prepare{Epoch{3}, {5, 2}});
--- a/tests/unit/consensus/commit_queue_test.cpp
+++ b/tests/unit/consensus/commit_queue_test.cpp
@@ -1,4 +1,4 @@
-// When the commit queue answers a requester, and with which outcome.
+// When the commit queue replies to a requester, and with which outcome.
 #include "consensus/commit_queue.hpp"
 #include "runtime/constants.hpp"
 #include "unit/catch.hpp"
@@ -12,7 +12,7 @@
 constexpr TimePoint kStart = kProcessClockStart;
 constexpr Duration kAttemptTimeout = kCommitAttemptTimeout;
 
-/// A queue beside a founded log. What an epoch lacks to be in force is `missing`.
+/// A queue with the log of a founded cluster. `missing` is what each epoch lacks to be in force.
 struct QueueWithLog {
   Outbox outbox{Identity{controller(1), {}}};
   MetadataLog metadata_log;
@@ -43,7 +43,7 @@
   }
 };
 
-/// Rejected by every log.
+/// A change that is invalid for any metadata.
 const RemoveReplica kInvalidChange{""};
 
 ApplyConfiguration empty_configuration() {
@@ -52,13 +52,13 @@
 
 }  // namespace
 
-TEST_CASE("CommitQueue gives a repeated request a later deadline and does not queue it twice") {
+TEST_CASE("CommitQueue extends the deadline of a repeated request and does not queue it twice") {
   QueueWithLog fixture;
   CHECK(fixture.add("a", kInvalidChange, kStart));
 
   CHECK_FALSE(fixture.add("a", kInvalidChange, kStart + 500ms));
 
-  // Another requester of the same commit is answered separately.
+  // Another requester of the same commit gets a separate reply.
   CHECK(fixture.add("a", kInvalidChange, kStart + 500ms, 0, "local:2"));
 
   CHECK(fixture.queue.expire(kStart + kAttemptTimeout).empty());
@@ -67,7 +67,7 @@
   CHECK(fixture.queue.empty());
 }
 
-TEST_CASE("CommitQueue takes a requester's time-out only where it is shorter than the controller's") {
+TEST_CASE("CommitQueue uses a requester's timeout only if it is shorter than the controller's") {
   QueueWithLog fixture;
   fixture.add("short", kInvalidChange, kStart, 100);
   fixture.add("long", kInvalidChange, kStart, kAttemptTimeout.count() * 10);
@@ -85,7 +85,7 @@
   CHECK(replies[1].outcome == CommitOutcome::unknown);
 }
 
-TEST_CASE("CommitQueue does not expire a request that it has proposed and that is appended") {
+TEST_CASE("CommitQueue does not expire a request that was proposed and appended") {
   QueueWithLog fixture;
   fixture.add("a", empty_configuration(), kStart);
   fixture.queue.first().proposed = true;
@@ -128,12 +128,12 @@
     CHECK(replies.front().outcome == CommitOutcome::unknown);
   }
 
-  // Nobody is answered twice.
+  // No requester gets a second reply.
   fixture.queue.acknowledge_in_force(kStart + kAttemptTimeout * 2);
   CHECK(fixture.take_replies().empty());
 }
 
-TEST_CASE("CommitQueue rejects an invalid request that is confirmed, and none that came after the confirmed ones") {
+TEST_CASE("CommitQueue rejects an invalid request that a quorum read covers, and none that arrived after it") {
   QueueWithLog fixture;
   fixture.add("bad", kInvalidChange, kStart);
   uint64_t confirmed = fixture.queue.last_ticket();
@@ -149,7 +149,7 @@
   CHECK(fixture.queue.first().id == "later");
 }
 
-TEST_CASE("CommitQueue rejects no request behind a valid one") {
+TEST_CASE("CommitQueue rejects no request that is queued behind a valid one") {
   QueueWithLog fixture;
   fixture.add("good", empty_configuration(), kStart);
   fixture.add("bad", kInvalidChange, kStart);
--- a/tests/unit/consensus/controllers_fixture.hpp
+++ b/tests/unit/consensus/controllers_fixture.hpp
@@ -1,10 +1,10 @@
 #pragma once
-// The controllers that the tests of the consensus classes play.
+// Controllers for the tests of the consensus classes.
 #include "metadata/daemon.hpp"
 
 namespace mosskeel::test {
 
-/// Controller `number`, whose incarnation is its number, too.
+/// Controller `number`, whose incarnation equals its number.
 inline DaemonInfo controller(uint64_t number) {
   std::string address = "controller" + std::to_string(number);
   return {Incarnation{number}, Role::controller, "zone", address, "", "http-" + address, address};
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -1,4 +1,4 @@
-// Which controllers form the core: founding, growth, replacement and re-founding, on simulated controllers.
+// Core membership on simulated controllers: founding, growth, replacement and re-founding.
 #include <algorithm>
 
 #include "consensus/constants.hpp"
@@ -13,21 +13,21 @@
 
 namespace {
 
-/// The shortest time that a deployment's settings give a successor to catch up.
+/// The shortest catch-up time that the settings of a deployment allow a successor.
 constexpr Duration kCatchUpTime = 4200ms;
-/// A cluster is founded and its supervisor at work by then.
+/// Time after which a cluster is founded and its supervisor active.
 constexpr Duration kFoundingTime = 8000ms;
 /// A core of four is founded and complete within this time of the first start.
 constexpr Duration kFullCoreTimeout = 12000ms;
-/// A member that returns is in the core again within this time.
+/// A returning member is in the core again within this time.
 constexpr Duration kReadmissionTimeout = 8000ms;
 
-/// Members with which a cluster is founded.
+/// Number of members with which a cluster is founded.
 constexpr uint32_t kCoreSize = 3;
 
 const std::set<std::string> kFirstThree{"controller1", "controller2", "controller3"};
 
-/// Controllers alone in a simulated world, started anew with these settings before anything has happened.
+/// A simulated world with controllers only, restarted on empty disks with these settings.
 struct SimulatedControllers {
   World world;
 
@@ -49,7 +49,7 @@
   std::vector<std::string> names() { return world.names(Kind::controller); }
   MetadataSnapshot metadata() { return sim::latest(world); }
 
-  /// Whoever starts from now on may not found a cluster with an empty disk.
+  /// Forbids controllers that start from now on to found a cluster with an empty disk.
   void forbid_founding_on_empty_disks() {
     auto first_settings = world.configure;
     world.configure = [first_settings](Identity& identity) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /// The ids of all clusters that a running controller is part of.
+  /// The ids of all clusters that running controllers belong to.
   std::set<uint64_t> clusters() {
     std::set<uint64_t> clusters;
     for (const std::string& name : names()) {
@@ -78,7 +78,7 @@
     return clusters;
   }
 
-  /// The addresses of the core's members.
+  /// The addresses of the core members.
   std::set<std::string> members() {
     MetadataSnapshot latest = metadata();
     std::set<std::string> addresses;
@@ -113,7 +113,7 @@
 
 }  // namespace
 
-TEST_CASE("Founding makes one cluster, of the seeds alone, across a network partition at the first start") {
+TEST_CASE("Founding creates one cluster, from the seeds only, despite a network partition at the first start") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 5);
@@ -130,7 +130,7 @@
   }
 }
 
-TEST_CASE("Founding makes one cluster in whatever order the controllers start") {
+TEST_CASE("Founding creates one cluster in any start order of the controllers") {
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 6);
@@ -164,7 +164,7 @@
   CHECK(cluster.clusters().empty());
 }
 
-TEST_CASE("Founding that was interrupted is taken up from the disks at a later start") {
+TEST_CASE("Founding that was interrupted is resumed from the disks at a later start") {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_CASE("Founding counts no second vote of a controller whose disk was wiped before it") {
+TEST_CASE("Founding counts no second vote of a controller whose disk was wiped in between") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
@@ -200,7 +200,7 @@
   }
 }
 
-TEST_CASE("CoreMembershipPolicy admits all running controllers, one at a time, each with the log on its disk") {
+TEST_CASE("CoreMembershipPolicy admits all running controllers one at a time, up to the maximum core size") {
   SimulatedControllers cluster(5, 5);
   auto names = cluster.names();
   std::set<std::string> all(names.begin(), names.end());
@@ -211,7 +211,7 @@
       return false;
     size_t members = metadata->members.size();
     if (metadata->cluster && members_before && members > members_before + 1)
-      FAIL_CHECK("two members came at once");
+      FAIL_CHECK("two members were added at once");
     if (metadata->cluster)
       members_before = members;
     return members == 5;
@@ -277,7 +277,7 @@
 }
 
 TEST_CASE(
-    "CoreMembershipPolicy replaces two lost members, one after the other, by live ones that outlive a third loss") {
+    "CoreMembershipPolicy replaces two lost members, one after the other, and the core then survives a third loss") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
@@ -317,7 +317,7 @@
   }
 }
 
-TEST_CASE("A member that is frozen for a minute or repeatedly neither forks the log nor stays outside the core") {
+TEST_CASE("A member that is suspended for a minute or repeatedly neither forks the log nor stays out of the core") {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 4);
@@ -347,7 +347,7 @@
   }
 }
 
-TEST_CASE("Refounding does not take members that are frozen for a minute as lost") {
+TEST_CASE("Refounding does not treat a member that is suspended for a minute as lost") {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
@@ -386,7 +386,7 @@
 
 }  // namespace
 
-TEST_CASE("Refounding does not take late messages of an earlier controller at a member's address as its loss") {
+TEST_CASE("Refounding does not take delayed messages of a member's predecessor as proof that the member is lost") {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
@@ -421,8 +421,8 @@
 
 namespace {
 
-/// Wipes the disks of `lost`, waits for the re-founding that follows and, after a pause, gives `restored` their old
-/// disks.
+/// Wipes the disks of `lost`, waits for the resulting re-founding and, after a pause, restores the old disks of
+/// `restored`.
 void refound_and_restore_disks(SimulatedControllers& cluster, const std::vector<std::string>& lost,
                                const std::vector<std::string>& restored, Duration pause) {
   struct OldDisk {
@@ -450,7 +450,7 @@
 
 }  // namespace
 
-TEST_CASE("A disk that returns after a re-founding catches up and is admitted again") {
+TEST_CASE("A controller whose old disk returns after a re-founding catches up and is admitted again") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
@@ -467,7 +467,7 @@
   }
 }
 
-TEST_CASE("A majority of old disks that returns after a re-founding joins the new generation and forks nothing") {
+TEST_CASE("A majority of old disks that returns after a re-founding does not fork the cluster") {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
     SimulatedControllers cluster(seed, 3);
@@ -483,7 +483,7 @@
   }
 }
 
-TEST_CASE("GracefulShutdown hands the lease over and has the member removed before it stops") {
+TEST_CASE("GracefulShutdown hands over the lease and lets the core remove the member") {
   Duration longest{};
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
@@ -491,18 +491,18 @@
     cluster.forbid_founding_on_empty_disks();
     REQUIRE(cluster.wait_for_member_count(kFullCoreTimeout, 4));
     REQUIRE(cluster.world.until(5000ms, [&] { return !cluster.supervisor().empty(); }));
-    std::string leaver = cluster.supervisor();
+    std::string leaving = cluster.supervisor();
     TimePoint start = cluster.world.now();
-    sim::Node& node = cluster.world.node(leaver);
+    sim::Node& node = cluster.world.node(leaving);
     static_cast<ControllerMachine&>(*node.machine).begin_shutdown(cluster.world.clock(node));
 
     CHECK(cluster.world.until(1000ms, [&] { return !node.machine; }));
     CHECK(cluster.world.until(2000ms,
-                              [&] { return cluster.members().count(leaver) == 0 && !cluster.supervisor().empty(); }));
+                              [&] { return cluster.members().count(leaving) == 0 && !cluster.supervisor().empty(); }));
 
     longest = std::max(longest, cluster.world.now() - start);
 
-    cluster.world.start(leaver);
+    cluster.world.start(leaving);
 
     CHECK(cluster.wait_for_member_count(kReadmissionTimeout, 4));
     cluster.check_no_failures();
--- a/tests/unit/consensus/in_force_test.cpp
+++ b/tests/unit/consensus/in_force_test.cpp
@@ -1,4 +1,4 @@
-// When an epoch is in force, by what daemons have reported to one controller.
+// When an epoch is in force, given what the daemons have reported to one controller.
 #include "consensus/in_force.hpp"
 #include "unit/catch.hpp"
 
@@ -8,10 +8,10 @@
 
 constexpr TimePoint kStart{1000ms};
 constexpr Epoch kEpoch{5};
-/// The number of the only store of the usual fleet.
+/// The number of the only store in the default fleet.
 constexpr uint64_t kStore = 7;
 
-/// How many daemons of each role a fleet has; controllers are numbered first, then gateways, then stores.
+/// Number of daemons of each role; controllers are numbered first, then gateways, then stores.
 struct FleetSize {
   uint64_t controllers = 3;
   uint64_t gateways = 3;
@@ -24,14 +24,14 @@
 
 constexpr FleetSize kManyGateways{.controllers = 3, .gateways = 9, .stores = 3};
 
-/// Daemon `number`, whose incarnation is its number, too.
+/// Daemon `number`, whose incarnation equals its number.
 DaemonInfo numbered_daemon(uint64_t number, Role role) {
   std::string address = "daemon" + std::to_string(number);
   return {Incarnation{number}, role, "zone", address, "", "", address};
 }
 
-/// Usually three controllers (1 to 3), three gateways (4 to 6) and one store (7); seen by controller 1, which knows the
-/// epoch.
+/// By default three controllers (1 to 3), three gateways (4 to 6) and one store (7), as observed by controller 1, which
+/// knows the epoch.
 struct Fleet {
   FleetSize size;
   Metadata metadata;
@@ -51,7 +51,7 @@
     }
   }
 
-  /// The controller receives a heartbeat of a daemon, which knows this epoch.
+  /// The controller receives a heartbeat from a daemon that knows this epoch.
   void receive_heartbeat(uint64_t number, Epoch known) {
     Heartbeat heartbeat{};
     heartbeat.self = metadata.directory.at(DaemonId{number}).self;
@@ -59,7 +59,7 @@
     detector.record(heartbeat, now);
   }
 
-  /// What the epoch lacks to be in force; empty where it is.
+  /// What the epoch lacks to be in force; empty if it is in force.
   std::string missing() { return missing_acknowledgements(metadata, Incarnation{1}, detector, kEpoch, now); }
 
  private:
@@ -88,8 +88,9 @@
   CHECK(fleet.missing() == "no majority of the fleet or of its stores has it; missing: 4 5 6 7");
 }
 
-// Guards against review case 3: with most gateways gone, no order was ever acknowledged again.
-TEST_CASE("An epoch is in force without most gateways once most controllers and most stores know it") {
+// Guards against a fault in which no change was acknowledged any more after most gateways were lost, because they
+// counted in the required majority.
+TEST_CASE("An epoch is in force without most gateways once majorities of the core and of the stores know it") {
   Fleet fleet(kManyGateways);
   auto first_store = fleet.size.first_store();
   fleet.receive_heartbeat(2, kEpoch);
@@ -104,7 +105,7 @@
   CHECK(fleet.missing().empty());
 }
 
-TEST_CASE("An epoch is in force without most stores once most of the fleet knows it") {
+TEST_CASE("An epoch is in force without most stores once a majority of the fleet knows it") {
   Fleet fleet(kManyGateways);
   fleet.now += kHeartbeatTimeout;
   fleet.receive_heartbeat(2, kEpoch);
@@ -114,7 +115,7 @@
   CHECK(fleet.missing().empty());
 }
 
-TEST_CASE("During a change of the quorum members an epoch needs most gateways or most stores of both sets") {
+TEST_CASE("During a quorum change an epoch needs a majority of the members or of the stores of both sets") {
   Fleet fleet(kManyGateways);
   auto first_store = fleet.size.first_store();
   fleet.metadata.incoming_quorum_members = fleet.metadata.quorum_members;
@@ -155,7 +156,7 @@
   CHECK(fleet.missing().empty());
 }
 
-TEST_CASE("FailureDetector takes a daemon as superseded while another incarnation sends heartbeats from its address") {
+TEST_CASE("FailureDetector reports a daemon as superseded while another incarnation sends heartbeats at its address") {
   Fleet fleet;
   const Daemon& store = fleet.metadata.directory.at(DaemonId{kStore});
   fleet.receive_heartbeat(kStore, kEpoch);
--- a/tests/unit/consensus/proposer_test.cpp
+++ b/tests/unit/consensus/proposer_test.cpp
@@ -1,5 +1,5 @@
-// How the proposer answers commit requests wherever a network partition falls, on real controllers in a simulated
-// world.
+// How the proposer answers commit requests when network partitions occur at any point, with real controllers in a
+// simulated world.
 #include "simulation/world.hpp"
 #include "unit/catch.hpp"
 
@@ -10,10 +10,10 @@
 
 constexpr Duration kFoundingTimeout = 30000ms;
 constexpr Duration kSettleTime = 3000ms;
-/// Of an operator's request.
+/// Timeout of an operator's request.
 constexpr Duration kOperatorCommitTimeout = 900ms;
 
-/// A small cluster with three controllers that know each other, and the replies that their local requesters got.
+/// A small cluster with three controllers, and the replies to their local requesters.
 struct SimulatedCore {
   World world;
   std::map<Address, std::vector<CommitReply>> replies;
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-TEST_CASE("Proposer rejects nothing by its own log alone, and rejects once a majority has confirmed it") {
+TEST_CASE("Proposer rejects a commit only after a majority has confirmed its log") {
   SimulatedCore core(5);
   core.world.isolate("controller1");
 
@@ -80,7 +80,7 @@
   CHECK(core.count_replies("local:again", CommitOutcome::rejected) == 1);
 }
 
-TEST_CASE("Proposer rejects no commit that came after the quorum read began") {
+TEST_CASE("Proposer rejects no commit that arrived after the quorum read began") {
   constexpr Duration kSecondCommitAfter = 1500ms;
   for (int i = 0; i < 60; ++i) {
     Duration healed_after = kSecondCommitAfter + 10ms * i;
@@ -101,7 +101,7 @@
   }
 }
 
-TEST_CASE("Proposer does not propose a commit whose outcome it has answered as unknown before any accept request") {
+TEST_CASE("Proposer does not propose a commit that it answered as unknown before sending any accept request") {
   for (int i = 0; i < 40; ++i) {
     Duration healed_after = 930ms + 10ms * i;
     INFO("healed " << healed_after.count() << " ms after the commit");
@@ -119,7 +119,7 @@
   }
 }
 
-TEST_CASE("Proposer commits one of two changes on one base, wherever a network partition falls") {
+TEST_CASE("Proposer commits exactly one of two changes on one base, whenever a network partition occurs") {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
     for (Duration isolated_after{}; isolated_after <= 16ms; ++isolated_after) {
       INFO("seed " << seed << ", isolated after " << isolated_after.count() << " ms");
@@ -185,7 +185,7 @@
   CHECK(core.count_replies("local:rival", CommitOutcome::rejected) == 1);
 }
 
-TEST_CASE("Proposer commits one of eight changes at once on one base, and answers them and as many reads") {
+TEST_CASE("Proposer commits one of eight concurrent changes on one base, and answers all of them and eight reads") {
   constexpr uint64_t kChanges = 8;
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     INFO("seed " << seed);
--- a/tests/unit/consensus/quorum_reader_test.cpp
+++ b/tests/unit/consensus/quorum_reader_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr TimePoint kStart = kProcessClockStart;
 constexpr uint64_t kLastTicket = 5;
-/// The number of a controller outside the core.
+/// A controller outside the core.
 constexpr uint64_t kNoMember = 9;
 
 /// A quorum read of three members that is in progress at epoch 1.
@@ -20,7 +20,7 @@
   Outbox outbox{Identity{controller(1), {}}};
   MetadataLog metadata_log;
   QuorumReader reader{outbox, metadata_log};
-  /// Of the read's requests.
+  /// The id in the read's requests.
   uint64_t read_id{};
 
   ReadInProgress() {
@@ -60,7 +60,7 @@
   CHECK_FALSE(read.reader.in_progress());
 }
 
-TEST_CASE("QuorumReader reports an open instance where one member has accepted a proposal") {
+TEST_CASE("QuorumReader reports an open instance if one member has accepted a proposal") {
   ReadInProgress read;
   CHECK_FALSE(read.reply(2, Epoch{1}, true));
 
@@ -70,7 +70,7 @@
   CHECK(result->instance_open);
 }
 
-TEST_CASE("QuorumReader is not confirmed by a member with a later epoch, but asks it for the entries") {
+TEST_CASE("QuorumReader does not count a member with a later epoch, but requests the missing entries from it") {
   ReadInProgress read;
 
   CHECK_FALSE(read.reply(2, Epoch{2}));
@@ -83,7 +83,7 @@
   CHECK(read.reader.in_progress());
 }
 
-TEST_CASE("QuorumReader times out after the proposal time-out") {
+TEST_CASE("QuorumReader times out after the proposal timeout") {
   ReadInProgress read;
   CHECK_FALSE(read.reader.is_timed_out(kStart + kProposalTimeout - 1ms));
   CHECK(read.reader.is_timed_out(kStart + kProposalTimeout));
@@ -98,7 +98,7 @@
   CHECK(read.reader.is_outdated());
 }
 
-TEST_CASE("QuorumReader that was abandoned neither times out nor takes replies") {
+TEST_CASE("QuorumReader that was abandoned neither times out nor accepts replies") {
   ReadInProgress read;
 
   read.reader.abandon();
--- a/tests/unit/consensus/sequence_barrier_test.cpp
+++ b/tests/unit/consensus/sequence_barrier_test.cpp
@@ -1,3 +1,4 @@
+// When the steps of a sequence may be taken, given the reports of the new stores.
 #include "consensus/sequence_barrier.hpp"
 #include "unit/catch.hpp"
 
@@ -9,14 +10,14 @@
 
 namespace {
 
-/// Eight stores of which "store11" drains; the sequence has taken its first step.
+/// A fleet of eight stores in which "store11" is being drained; the sequence has taken its first step.
 struct DrainingStore {
   StoreFleet fleet{8};
   TimePoint now{1000ms};
   FailureDetector detector{now};
   DaemonId draining = fleet.id("store11");
   Epoch started_epoch;
-  /// The stores that are to take the partitions.
+  /// The stores that take over the partitions.
   std::set<DaemonId> new_stores;
 
   DrainingStore() {
@@ -30,7 +31,7 @@
 
   const Sequence& sequence() const { return fleet.metadata.sequences.at(draining); }
 
-  /// A heartbeat of each new store, which has streamed the sequence of this epoch.
+  /// Receives a heartbeat from each new store, which has streamed all histories up to this epoch.
   void receive_heartbeats(Epoch streamed) {
     for (DaemonId id : new_stores) {
       Heartbeat heartbeat{};
@@ -48,7 +49,7 @@
 
 }  // namespace
 
-TEST_CASE("A step that moves partitions needs a recent heartbeat of each new store that has streamed this sequence") {
+TEST_CASE("A step that moves partitions needs a recent report from each new store that its streaming is complete") {
   DrainingStore drain;
 
   drain.receive_heartbeats(Epoch{drain.started_epoch.value() - 1});
@@ -61,7 +62,7 @@
   CHECK_FALSE(drain.is_streamed());
 }
 
-TEST_CASE("The last step of a sequence needs that all new stores are up") {
+TEST_CASE("The last step of a sequence requires all new stores to be up") {
   DrainingStore drain;
   drain.receive_heartbeats(drain.started_epoch);
   drain.fleet.commit(AdvanceSequence{drain.draining, SequenceStep::mid});
--- a/tests/unit/consensus/stale_log_test.cpp
+++ b/tests/unit/consensus/stale_log_test.cpp
@@ -1,4 +1,4 @@
-// A controller that restarts with an old log neither leads nor decides anything before it has caught up.
+// A controller that restarts with an old log neither becomes supervisor nor decides anything before it has caught up.
 #include "base/codec.hpp"
 #include "consensus/controller_machine.hpp"
 #include "messages/constants.hpp"
@@ -14,7 +14,7 @@
 constexpr TimePoint kStart = kProcessClockStart;
 constexpr Duration kSeveralLeases = 10000ms;
 constexpr uint64_t kCluster = 7;
-/// The id of another cluster, no successor of `kCluster`.
+/// The id of another cluster that is not a successor of `kCluster`.
 constexpr uint64_t kEarlierCluster = 6;
 
 std::unique_ptr<ControllerMachine> start_controller_1(const ControllerCheckpoint& checkpoint,
@@ -23,7 +23,7 @@
   return std::make_unique<ControllerMachine>(Identity{controller(1), {}}, recovered, kStart);
 }
 
-/// The first of three controllers, started again with a log that lacks what the other two have.
+/// Controller 1 of three, restarted with a log that lacks entries that the other two have.
 struct RestartedController {
   Metadata old_metadata{};
   Metadata newest_metadata{};
@@ -50,7 +50,7 @@
     metadata = result.value();
   }
 
-  /// What the machine does on a message of controller `sender`, which knows `epoch`.
+  /// The machine's actions on a message from controller `sender`, which knows `epoch`.
   Actions receive(uint64_t sender, Epoch epoch, Message body) {
     Envelope envelope{};
     envelope.protocol = kProtocolRevision;
@@ -65,7 +65,8 @@
     return machine->step(envelope, now);
   }
 
-  /// Lets time pass; the others grant each lease that is requested, stamped with `epoch`, and send nothing else.
+  /// Advances time. The other controllers grant each requested lease with messages of epoch `epoch`, and send nothing
+  /// else.
   bool becomes_supervisor_with_grants_at(Epoch epoch) {
     for (TimePoint end = now + kSeveralLeases; now < end; now += kTickInterval) {
       grant_leases(machine->tick(now), epoch);
@@ -88,7 +89,7 @@
   }
 };
 
-/// The first message of a kind; null if there is none.
+/// The first message of a type; null if there is none.
 template <class MessageKind>
 const MessageKind* find_message(const std::vector<Envelope>& envelopes) {
   for (const Envelope& envelope : envelopes)
@@ -99,7 +100,7 @@
 
 }  // namespace
 
-TEST_CASE("SupervisorLease is not held on an old log, whoever grants it, until the controller has caught up") {
+TEST_CASE("SupervisorLease is not held with an old log until the controller has caught up, despite grants") {
   RestartedController controller;
 
   CHECK_FALSE(controller.becomes_supervisor_with_grants_at(controller.newest_metadata.epoch));
@@ -111,11 +112,11 @@
   CHECK(controller.becomes_supervisor_with_grants_at(newest));
 }
 
-TEST_CASE("Proposer with an old log reads from a majority before it rejects a commit") {
+TEST_CASE("Proposer with an old log performs a quorum read before it rejects a commit") {
   RestartedController controller;
   Epoch old_epoch = controller.old_metadata.epoch;
   Epoch newest = controller.newest_metadata.epoch;
-  // By the old log that daemon is unknown, by the newest one it is there.
+  // This daemon is unknown in the old log and registered in the newest one.
   DaemonId store{4};
   REQUIRE(controller.newest_metadata.find(store) != nullptr);
 
@@ -140,7 +141,7 @@
   CHECK(prepare->epoch == next(newest));
 }
 
-TEST_CASE("ControllerMachine with an old log sends no older value in reply to a catch-up request") {
+TEST_CASE("ControllerMachine with an old log sends no older snapshot in reply to a catch-up request") {
   RestartedController controller;
   const Metadata& newest = controller.newest_metadata;
 
@@ -152,7 +153,7 @@
   CHECK(reply->entries.empty());
 }
 
-TEST_CASE("MetadataLog neither installs an older snapshot nor adds an entry that it has") {
+TEST_CASE("MetadataLog neither installs an older snapshot nor adds an entry that it already has") {
   RestartedController controller;
   const Metadata& newest = controller.newest_metadata;
   MetadataLog log;
@@ -186,7 +187,7 @@
   CHECK(*controller.machine->view() == later_generation);
 }
 
-TEST_CASE("ControllerMachine recovers the value before or after a snapshot that was being synced, never a mixture") {
+TEST_CASE("ControllerMachine recovers the state before or after a snapshot that was being synced, never a mixture") {
   RestartedController controller;
   const Metadata& newest = controller.newest_metadata;
   Actions actions = controller.receive(2, newest.epoch, CatchupReply{newest.epoch, newest, {}});
@@ -203,7 +204,7 @@
   CHECK(*before_sync->view() == controller.old_metadata);
   CHECK(*after_sync->view() == newest);
 
-  // The snapshot ends the instance that was open at the old epoch: its promise and acceptance count no more.
+  // The snapshot closes the instance that was open at the old epoch and discards its promise and accepted proposal.
   auto kept = codec::decode<ControllerCheckpoint>(after_sync->checkpoint());
   REQUIRE(kept);
 
--- a/tests/unit/consensus/supervisor_lease_test.cpp
+++ b/tests/unit/consensus/supervisor_lease_test.cpp
@@ -1,4 +1,4 @@
-// The supervisor's lease alone: grants of a member, and the holder's own time.
+// The supervisor lease in isolation: a member's grants, and how long the holder considers it valid.
 #include "consensus/supervisor_lease.hpp"
 #include "unit/catch.hpp"
 #include "unit/consensus/controllers_fixture.hpp"
@@ -10,7 +10,7 @@
 
 constexpr TimePoint kStart{1000ms};
 
-/// The lease of controller 1 in a core of three.
+/// The lease state of controller 1 in a core of three.
 struct LeaseOfMember {
   Outbox outbox{Identity{controller(1), {}}};
   MetadataLog metadata_log;
@@ -30,7 +30,7 @@
     return envelope;
   }
 
-  /// Whether this member grants the lease to another one.
+  /// Whether this member grants the lease to another controller.
   bool grants(uint64_t requester, TimePoint now) {
     lease.handle(from(requester), LeaseRequest{1}, now);
     Actions actions = outbox.take();
@@ -38,7 +38,7 @@
     return std::get<LeaseGrant>(actions.now.front().body).granted;
   }
 
-  /// Requests the lease of all members; returns the request's id.
+  /// Requests the lease from all members; returns the request's id.
   uint64_t request(TimePoint now) {
     lease.tick(now);
     Actions actions = outbox.take();
@@ -66,7 +66,7 @@
   CHECK(member.grants(3, granted_at + 2 * kSupervisorLeaseDuration));
 }
 
-TEST_CASE("SupervisorLease goes to another at once when its holder shuts down") {
+TEST_CASE("SupervisorLease is granted to another controller at once when its holder shuts down") {
   LeaseOfMember member;
   TimePoint granted_at = kStart + kSupervisorLeaseDuration;
   REQUIRE(member.grants(2, granted_at));
@@ -76,7 +76,7 @@
   CHECK(member.grants(3, granted_at + 1ms));
 }
 
-TEST_CASE("SupervisorLease is held from a majority's grants until its margin before the end") {
+TEST_CASE("SupervisorLease is held from a majority's grants until the safety margin before its end") {
   LeaseOfMember holder;
   TimePoint requested_at = kStart + kSupervisorLeaseDuration;
   uint64_t request_id = holder.request(requested_at);
@@ -92,7 +92,7 @@
   CHECK_FALSE(holder.lease.is_held(end));
 }
 
-TEST_CASE("SupervisorLease counts no grant of an earlier request, nor two of one member") {
+TEST_CASE("SupervisorLease counts neither grants of an earlier request nor a second grant of the same member") {
   LeaseOfMember holder;
   TimePoint requested_at = kStart + kSupervisorLeaseDuration;
   uint64_t first_request = holder.request(requested_at);
--- a/tests/unit/metadata/metadata_fixture.hpp
+++ b/tests/unit/metadata/metadata_fixture.hpp
@@ -1,21 +1,21 @@
 #pragma once
-// Metadata values for tests, made by the same transformations as a real cluster's.
+// Metadata values for tests, produced by the same transformations as in a real cluster.
 #include "metadata/transformation.hpp"
 #include "unit/catch.hpp"
 
 namespace mosskeel::test {
 
-/// A daemon whose address is its role and number, "store11".
+/// A daemon whose address consists of its role's name and its number, such as "store11".
 inline DaemonInfo numbered_daemon(uint64_t number, Role role, const std::string& zone) {
   auto address = std::string(name(role)) + std::to_string(number);
   return {Incarnation{number}, role, zone, address, "", "http-" + address, ""};
 }
 
-/// A metadata value and the transformations that are committed on it, one epoch each.
+/// A metadata value to which transformations are committed, one per epoch.
 struct MetadataFixture {
   Metadata metadata{};
 
-  /// Applies a transformation; a rejected one leaves the value as it is.
+  /// Applies a transformation; a rejected one leaves the metadata unchanged.
   Result<Metadata> try_commit(const Transformation& change, const std::string& commit_id = "") {
     auto result = apply(metadata, {next(metadata.epoch), commit_id, change});
     if (result.ok())
@@ -56,8 +56,8 @@
   }
 };
 
-/// A core of one controller, one gateway, and this many stores in turn over the zones a, b and c. By default histories
-/// outlive the loss of two machines at once.
+/// A core of one controller, one gateway and `stores` stores, distributed round-robin over the zones a, b and c. By
+/// default histories survive the simultaneous loss of two machines.
 struct StoreFleet : MetadataFixture {
   explicit StoreFleet(uint64_t stores, uint32_t replication_factor = replication_factor_for(2, 1)) {
     commit(FoundCluster{7, 3, {numbered_daemon(1, Role::controller, "a")}, 0, replication_factor});
--- a/tests/unit/metadata/replica_list_reconciler_test.cpp
+++ b/tests/unit/metadata/replica_list_reconciler_test.cpp
@@ -10,12 +10,12 @@
 
 constexpr TimePoint kStart = kProcessClockStart;
 
-/// A replica on the platform's list; `warm_up` is the time until it serves its full share.
+/// A replica on the platform's list; `warm_up` is the time until it gets its full share of requests.
 Replica listed(const std::string& name, ReplicaHealth health, Duration warm_up = {}) {
   return {name, "listed", "z", "http://10.0.0.1:80", health, {}, 8, "s", warm_up.count()};
 }
 
-/// A metadata value on which every change that the reconciler asks for is committed.
+/// A metadata value to which every change that the reconciler requests is committed.
 struct ReconciledMetadata {
   Metadata metadata{};
   ReplicaListReconciler reconciler;
@@ -40,7 +40,7 @@
   CHECK(change->updated.size() == 2);
 }
 
-TEST_CASE("A warm-up time is committed only where it has not run down as expected") {
+TEST_CASE("A warm-up time is committed only if it has not decreased as expected") {
   ReconciledMetadata log;
   log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 3000ms)}, kStart);
 
@@ -55,7 +55,7 @@
   CHECK(change->updated == std::vector<Replica>{listed("b", ReplicaHealth::warming_up, 3000ms)});
 }
 
-TEST_CASE("A changed health of replicas is committed once") {
+TEST_CASE("A change of replicas' health is committed once") {
   ReconciledMetadata log;
   log.read({listed("a", ReplicaHealth::ready), listed("b", ReplicaHealth::warming_up, 3000ms)}, kStart);
 
@@ -117,7 +117,7 @@
   CHECK_FALSE(log.read({listed("b", ReplicaHealth::warming_up, 2000ms)}, kStart + 3500ms));
 }
 
-TEST_CASE("A replica of a restored zone keeps warming up until the replica list can have caught up") {
+TEST_CASE("A replica of a restored zone stays warming up until the replica list has had time to catch up") {
   ReconciledMetadata log;
   log.read({listed("a", ReplicaHealth::ready)}, kStart);
   log.metadata.replicas["a"].health = ReplicaHealth::warming_up;
--- a/tests/unit/metadata/replica_sets_test.cpp
+++ b/tests/unit/metadata/replica_sets_test.cpp
@@ -1,4 +1,4 @@
-// How many stores keep the replicas of a partition, which ones, and the quorums that follow from that.
+// The stores that keep the replicas of a partition, and the resulting quorums.
 #include <algorithm>
 
 #include "metadata/constants.hpp"
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr uint64_t kStores = 8;
-/// Of the default fleet, whose histories outlive the loss of two machines at once.
+/// Of the default fleet, whose histories survive the simultaneous loss of two machines.
 constexpr size_t kReplicationFactor = 5;
 
-/// The most replicas of one partition that are in one zone.
+/// The largest number of replicas of a partition in one zone.
 long most_in_one_zone(const Metadata& metadata, const Partition& partition) {
   std::map<std::string, long> replicas_by_zone;
   for (auto id : partition.stores)
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-TEST_CASE("Read and write quorums intersect, and a committed record outlives the tolerated losses") {
+TEST_CASE("Read and write quorums intersect, and a committed record survives the tolerated losses") {
   for (uint32_t tolerated_losses = 0; tolerated_losses <= 3; ++tolerated_losses) {
     Metadata metadata{};
     metadata.configured_replication_factor = replication_factor_for(tolerated_losses, 1);
@@ -109,7 +109,7 @@
   }
 }
 
-TEST_CASE("A store that returns after its partitions were repaired is registered, and joins anew") {
+TEST_CASE("A store that returns after its partitions were repaired is registered and joins again") {
   StoreFleet fleet(kStores);
   auto store = fleet.id("store11");
   repair_lost_stores(fleet, {store, fleet.id("store12")});
--- a/tests/unit/metadata/transformation_test.cpp
+++ b/tests/unit/metadata/transformation_test.cpp
@@ -1,4 +1,4 @@
-// Conformance of the metadata value and its transformations with the design: what each changes, and what is rejected.
+// The metadata transformations: what each one changes and what is rejected.
 #include "metadata/transformation.hpp"
 #include "unit/catch.hpp"
 
@@ -25,8 +25,8 @@
           numbered_daemon(3, Role::controller, "c")};
 }
 
-/// Three controllers, stores 11 to 13 and gateways 21 and 22, all joined; a daemon of each role in zones a and b, all
-/// but a gateway in c.
+/// Three controllers, stores 11 to 13 and gateways 21 and 22, all joined. Zones a and b have a daemon of each role,
+/// zone c has no gateway.
 struct Fleet : MetadataFixture {
   Fleet() {
     commit(FoundCluster{7, 3, three_controllers(), 0, 0});
@@ -39,7 +39,7 @@
     register_and_join(numbered_daemon(22, Role::gateway, "b"));
   }
 
-  /// The errors of a transformation, which must be rejected and change nothing.
+  /// The errors of a transformation, which must be rejected without changing the metadata.
   std::string rejection(const Transformation& change) {
     auto before = metadata;
     auto result = try_commit(change);
@@ -54,7 +54,7 @@
 
   void join(const std::string& address) { run_sequence(PrepareJoin{id(address)}, id(address)); }
 
-  /// In how many zones the stores of a partition are.
+  /// The number of zones over which a partition's stores are spread.
   size_t zone_count(const Partition& partition) const {
     std::set<std::string> zones;
     for (auto store : partition.stores)
@@ -92,7 +92,7 @@
   CHECK(fleet.metadata.sequences.at(new_id).moves.size() <= 1);
 }
 
-TEST_CASE("apply takes only the strictly next epoch, and each change raises the epoch by one") {
+TEST_CASE("apply accepts only the next epoch, and each change increments the epoch by one") {
   Fleet fleet;
   auto epoch = fleet.metadata.epoch;
 
@@ -117,7 +117,7 @@
   return daemon.self.role != Role::gateway;
 }
 
-/// The fleet's daemons: three controllers, three stores, two gateways.
+/// Number of daemons in the fleet: three controllers, three stores, two gateways.
 constexpr size_t kFleetSize = 8;
 
 /// Makes all daemons of the fleet quorum members.
@@ -128,7 +128,7 @@
 
 }  // namespace
 
-TEST_CASE("A change of the quorum members needs majorities of the old and the new set until it is finished") {
+TEST_CASE("A quorum change needs majorities of the old and the new set until it is finished") {
   Fleet fleet;
   CHECK(fleet.metadata.quorum_members.size() == 3);
   CHECK(fleet.metadata.has_quorum(is_controller));
@@ -237,7 +237,7 @@
 }
 
 TEST_CASE(
-    "The first step of a sequence makes the new stores of its partitions pending, and cancelling it undoes that") {
+    "The first step of a sequence makes the new stores of its partitions pending, and cancelling it reverts that") {
   Fleet fleet;
   fleet.commit(Register{numbered_daemon(14, Role::store, "a")});
   auto joining = fleet.id("store14");
@@ -309,7 +309,7 @@
   CHECK(fleet.is_rejected_with(Register{replacement}, "not known to be down"));
 }
 
-TEST_CASE("ReplaceCoreMember swaps only a member that is down") {
+TEST_CASE("ReplaceCoreMember replaces only a member that is down") {
   Fleet fleet;
   auto member = fleet.id("controller1");
   fleet.commit(Register{numbered_daemon(4, Role::controller, "a")});
@@ -346,7 +346,7 @@
     CHECK(errors.find(error) != std::string::npos);
 }
 
-TEST_CASE("A gateway that goes down loses its partitions to the others, and joins anew when it is back") {
+TEST_CASE("A gateway that goes down loses its partitions to the others, and joins again when it is back") {
   Fleet fleet;
   auto gateway = fleet.id("front21");
 
@@ -376,7 +376,7 @@
   CHECK(fleet.state(gateway) == DaemonState::left);
 }
 
-TEST_CASE("Histories are spread over as many zones as there are") {
+TEST_CASE("Histories are spread over all zones") {
   Fleet fleet;
   for (auto& partition : fleet.metadata.partitions)
     CHECK(fleet.zone_count(partition) == 3);
@@ -391,7 +391,7 @@
     CHECK(fleet.zone_count(partition) == 3);
 }
 
-TEST_CASE("The log remembers commit ids, so that a retry finds its first outcome") {
+TEST_CASE("The metadata remembers commit ids, so that a retry finds its first outcome") {
   Fleet fleet;
   REQUIRE(fleet.try_commit(EvacuateZone{"a"}, "once").ok());
   auto epoch = fleet.metadata.epoch;
@@ -412,7 +412,7 @@
   return numbers;
 }
 
-/// All majorities of a set, each as a bit mask of its members' numbers.
+/// All majorities of a set, each as a bit mask of its members' ids.
 std::vector<uint64_t> majorities_of(const std::vector<DaemonId>& ids) {
   auto numbers = sorted_numbers(ids);
   std::vector<uint64_t> majorities;
@@ -428,7 +428,7 @@
   return majorities;
 }
 
-/// Whether each majority of one set shares a member with each majority of the other, by trying all of them.
+/// Whether every majority of one set intersects every majority of the other; tries all of them.
 bool majorities_intersect(const std::vector<DaemonId>& one, const std::vector<DaemonId>& other) {
   for (auto left : majorities_of(one))
     for (auto right : majorities_of(other))
@@ -437,7 +437,7 @@
   return true;
 }
 
-/// Commits a change after which no two majorities, one of the core before it and one of that after it, may be disjoint.
+/// Commits a change and checks that every majority of the core before it intersects every majority after it.
 void commit_and_check_majorities(Fleet& fleet, const Transformation& change) {
   auto before = fleet.metadata.members;
   fleet.commit(change);
@@ -447,7 +447,7 @@
 
 }  // namespace
 
-TEST_CASE("Majorities of the core before and after each step of two replacements share a member") {
+TEST_CASE("Majorities of the core before and after each step of two replacements intersect") {
   Fleet fleet;
   for (uint64_t number : {1, 2}) {
     auto old_member = fleet.id("controller" + std::to_string(number));
@@ -469,7 +469,7 @@
   }
 }
 
-TEST_CASE("A core of the least size keeps a member that is down until another one is added") {
+TEST_CASE("A core of the minimum size keeps a member that is down until another one is added") {
   Fleet fleet;
   REQUIRE(fleet.metadata.members.size() == kMinCoreSize);
   auto first = fleet.metadata.members[0];
@@ -482,7 +482,7 @@
 
 namespace {
 
-/// Changes of the core and its members at random, the same for each run.
+/// Pseudo-random changes of the core and its members, the same in each run.
 class RandomCoreChanges {
  public:
   Transformation next(const Metadata& metadata) {
@@ -508,7 +508,7 @@
     return random_state_ % bound;
   }
 
-  /// The last controller that is no core member; the first member where all controllers are.
+  /// The last controller that is not a core member, or the first member if all controllers are members.
   static DaemonId spare_controller(const Metadata& metadata) {
     auto spare = metadata.members.front();
     for (auto& [id, daemon] : metadata.directory)
@@ -523,7 +523,7 @@
 
 }  // namespace
 
-TEST_CASE("Majorities of the core before and after any committed change share a member") {
+TEST_CASE("Majorities of the core before and after any committed change intersect") {
   constexpr int kAttempts = 300;
   constexpr size_t kMinChangesOfMembers = 30;
   Fleet fleet;
@@ -543,7 +543,7 @@
   CHECK(changes_of_members > kMinChangesOfMembers);
 }
 
-TEST_CASE("A controller that starts at a member's address replaces it, and the replaced one may come back") {
+TEST_CASE("A controller that starts at a member's address replaces it, and the replaced one may return as a spare") {
   Fleet fleet;
   auto old_member = fleet.id("controller1");
   auto original = numbered_daemon(1, Role::controller, "a");
@@ -568,7 +568,7 @@
   CHECK_FALSE(fleet.metadata.is_core_member(original.incarnation));
 }
 
-TEST_CASE("An applied configuration is found after all other commits of its time are forgotten") {
+TEST_CASE("An applied configuration is still found after other commits of its time are forgotten") {
   Fleet fleet;
   REQUIRE(fleet.try_commit(ApplyConfiguration{fleet.metadata.revision, {}, {}}, "first").ok());
   auto epoch = fleet.metadata.epoch;
@@ -592,7 +592,7 @@
 
 }  // namespace
 
-TEST_CASE("A configuration on a revision older than all that are remembered is rejected as forgotten") {
+TEST_CASE("A configuration on a revision older than all remembered ones is rejected as forgotten") {
   Fleet fleet;
   for (uint64_t revision = 0; revision < kRememberedConfigurationChanges; ++revision)
     REQUIRE(fleet.try_commit(configuration_on(revision), "on " + std::to_string(revision)).ok());
@@ -622,9 +622,8 @@
   CHECK(rejection_reason(fleet.metadata, PrepareDrain{DaemonId{999}}) == Rejection::unknown_target);
 }
 
-// Guards against an evacuation that was refused for good (409) while the gateways of all other zones were being
-// restarted.
-TEST_CASE("An evacuation of the zone with the last gateways in service may be asked for again") {
+// Guards against permanently refusing an evacuation (409) while the gateways of all other zones are being restarted.
+TEST_CASE("An evacuation of the zone with the last gateways in service may be retried") {
   Fleet fleet;
   fleet.commit(EvacuateZone{"a"});
 
--- a/tests/unit/replication/agent_shutdown_test.cpp
+++ b/tests/unit/replication/agent_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// When an agent that shuts down stops: not before its gateway, whose connection to the core it is.
+// When an agent that shuts down stops: not before its gateway, which needs the agent to reach the core.
 #include "replication/agent_machine.hpp"
 #include "replication/constants.hpp"
 #include "runtime/constants.hpp"
@@ -33,7 +33,7 @@
   return envelope;
 }
 
-/// Lets time pass; whether the machine stops by itself meanwhile.
+/// Advances time; whether the agent stops by itself within `duration`.
 bool stops_within(AgentMachine& agent, TimePoint& now, Duration duration) {
   for (auto end = now + duration; now < end; now += kTickInterval) {
     if (agent.tick(now).stop)
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-TEST_CASE("An agent that shuts down outlives a gateway that gets no processor time for a second") {
+TEST_CASE("An agent that shuts down keeps running while its gateway gets no CPU time for over a second") {
   TimePoint now = kProcessClockStart;
   AgentMachine agent(agent_identity(), now);
   agent.leave();
@@ -55,7 +55,7 @@
   CHECK(stops_within(agent, now, kAgentShutdownDelay));
 }
 
-TEST_CASE("An agent that shuts down stops as soon as its gateway was restarted") {
+TEST_CASE("An agent that shuts down stops as soon as its gateway has restarted") {
   TimePoint now = kProcessClockStart;
   AgentMachine agent(agent_identity(), now);
   agent.step(heartbeat_of(gateway_of_incarnation(1), true, now), now);
--- a/tests/unit/replication/catchup_test.cpp
+++ b/tests/unit/replication/catchup_test.cpp
@@ -1,4 +1,5 @@
-// How soon, and for how many bytes, a daemon that returns or is new catches up with the log while changes go on.
+// How long a returning or new daemon takes to catch up with the log while changes continue, and how many bytes it
+// costs.
 #include "base/codec.hpp"
 #include "messages/constants.hpp"
 #include "simulation/world.hpp"
@@ -9,28 +10,28 @@
 
 namespace {
 
-/// Between changes, as when an operator changes a lot at once.
+/// Time between changes, as in a burst of operator changes.
 constexpr Duration kChangeInterval = 120ms;
-/// For one change, elections included.
+/// Time limit for one change, including elections.
 constexpr Duration kChangeTimeout = 10000ms;
-/// A heartbeat, a lost request and the reply.
+/// Covers a heartbeat, a lost request and the reply.
 constexpr Duration kMaxCatchUpTime = 1500ms;
-/// Of a daemon with an empty disk: discovery and registration come first.
+/// The limit for a daemon with an empty disk, which has to discover the core and register first.
 constexpr Duration kMaxNewDaemonCatchUpTime = 4000ms;
-/// Changes that are committed while a daemon catches up.
+/// Minimum number of changes committed while a daemon catches up.
 constexpr int kChangesMeanwhile = 8;
-/// Changes after which a daemon that has not caught up is given up.
+/// Number of changes after which the test stops waiting for a daemon to catch up.
 constexpr int kMaxChangesMeanwhile = 60;
 
 enum class Absence { killed, frozen, wiped, isolated, not_added_yet };
 
-/// What it took a daemon to catch up.
+/// The time and bytes that a daemon needed to catch up.
 struct CatchUpCost {
-  /// From its return; unset while it has not caught up.
+  /// Time since its return; unset if it has not caught up.
   std::optional<Duration> time;
-  /// Bytes of all entries and snapshots that were sent to it.
+  /// Total size of the entries and snapshots sent to it.
   size_t bytes = 0;
-  /// Bytes of one entry and of one snapshot at the end.
+  /// Size of one entry and of one snapshot at the end.
   size_t entry_bytes = 0;
   size_t snapshot_bytes = 0;
 };
@@ -88,7 +89,8 @@
     }
   }
 
-  /// Takes a daemon away, commits that many changes, brings the daemon back and follows it while changes go on.
+  /// Makes a daemon absent, commits this many changes, brings the daemon back and measures its catch-up while changes
+  /// continue.
   CatchUpCost measure_absence(const std::string& name, Absence absence, int missed_changes) {
     begin_absence(name, absence);
     commit_changes(missed_changes);
@@ -125,7 +127,7 @@
     world_.until(kChangeTimeout, [this] { return outcome_.has_value(); });
   }
 
-  /// Brings a daemon back, and measures until it knows the epoch of its return.
+  /// Brings a daemon back and measures until it knows the epoch that was newest at its return.
   CatchUpCost follow_return(const std::string& name, Absence absence) {
     CatchUpCost cost;
     world_.arriving = [&](const Envelope& envelope) {
@@ -153,7 +155,7 @@
 
   Epoch epoch_of(const std::string& name) { return world_.node(name).machine->view()->epoch; }
 
-  /// Bytes of the entries and snapshots in a message.
+  /// Size of the entries and snapshots in a message.
   static size_t payload_bytes(const Message& message) {
     if (auto* catchup = std::get_if<CatchupReply>(&message))
       return update_bytes(*catchup);
@@ -217,7 +219,7 @@
   REQUIRE(cost.time);
   REQUIRE(*cost.time >= 0ms);
   CHECK(*cost.time <= (is_new ? kMaxNewDaemonCatchUpTime : kMaxCatchUpTime));
-  // Each daemon that replies may send what it lacks once; the changes that go on meanwhile come besides.
+  // Each daemon that replies may send the missing updates once; the changes committed in the meantime are added.
   constexpr size_t kMaxReplies = 4;
   auto missed_bytes = std::min(cost.entry_bytes * static_cast<size_t>(missed_changes), cost.snapshot_bytes);
   auto bytes_meanwhile = cost.entry_bytes * static_cast<size_t>(*cost.time / kChangeInterval + 3) * 2;
@@ -229,7 +231,7 @@
 
 }  // namespace
 
-TEST_CASE("A daemon of each role catches up after 10, 300 and 1,000 changes while changes go on") {
+TEST_CASE("A daemon of each role catches up after 10, 300 and 1,000 changes while changes continue") {
   for (int missed_changes : {10, 300, 1000}) {
     check_catch_up(20, "controller2", Absence::killed, missed_changes);
     check_catch_up(20, "store2", Absence::frozen, missed_changes);
--- a/tests/unit/replication/heartbeat_acknowledgements_test.cpp
+++ b/tests/unit/replication/heartbeat_acknowledgements_test.cpp
@@ -1,4 +1,4 @@
-// When a gateway may count itself in contact with a majority: of the core, or without it of the fleet and its stores.
+// When a gateway is in contact with a majority: of the core, or otherwise of both the fleet and its stores.
 #include "replication/heartbeat_acknowledgements.hpp"
 
 #include "unit/catch.hpp"
@@ -22,7 +22,7 @@
   return number < kFirstStore ? Role::gateway : Role::store;
 }
 
-/// Daemon `number`, whose incarnation is its number, too.
+/// Daemon `number`, whose incarnation equals its number.
 DaemonInfo numbered_daemon(uint64_t number) {
   std::string address = "daemon" + std::to_string(number);
   std::string agent = role_of(number) == Role::gateway ? address + "-agent" : "";
@@ -44,12 +44,12 @@
   return metadata;
 }
 
-/// The agent of the first gateway, which gets answers to its heartbeats.
+/// The agent of the first gateway, which receives replies to its heartbeats.
 class Agent {
  public:
   explicit Agent(uint64_t stores = kStores) { log_.install_snapshot(fleet_with(stores)); }
 
-  /// `count` daemons from number `first` on answer the heartbeat of `kSent`.
+  /// `count` daemons, beginning with number `first`, answer the heartbeat sent at `kSent`.
   void receive_answers(uint64_t first, uint64_t count) {
     for (auto number = first; number < first + count; ++number) {
       auto daemon = numbered_daemon(number);
@@ -85,9 +85,9 @@
   CHECK(agent.has_contact());
 }
 
-// A change is acknowledged by the core and the stores when most gateways are gone: gateways that hear each other but
-// too few stores may know nothing of it.
-TEST_CASE("HeartbeatAcknowledgements needs most stores besides a majority of the fleet where the core is silent") {
+// If most gateways are lost, the core and the stores suffice to acknowledge a change. Gateways that are in contact with
+// each other but with too few stores may not know of such a change.
+TEST_CASE("HeartbeatAcknowledgements needs a majority of the stores and of the fleet if the core is silent") {
   Agent agent;
   agent.receive_answers(kFirstGateway + 1, kGateways - 1);
   agent.receive_answers(kFirstStore, 1);
@@ -99,7 +99,7 @@
   CHECK(agent.has_contact());
 }
 
-TEST_CASE("HeartbeatAcknowledgements needs a majority of the fleet besides all stores where the core is silent") {
+TEST_CASE("HeartbeatAcknowledgements needs a majority of the fleet even with all stores if the core is silent") {
   Agent agent;
   agent.receive_answers(kFirstStore, kStores);
   agent.receive_answers(kFirstGateway + 1, 4);
