--- a/src/consensus/in_force.cpp
+++ b/src/consensus/in_force.cpp
@@ -26,8 +26,8 @@
     return "no majority of the fleet or of its stores has it; missing:" + missing;
   for (const auto& [id, daemon] : metadata.directory) {
     bool has_disk = daemon.self.role != Role::gateway && daemon.state == DaemonState::up;
-    bool in_touch = detector.heartbeat_age(daemon, now) < kHeartbeatTimeout;
-    if (has_disk && in_touch && !knows(daemon))
+    bool is_reachable = detector.heartbeat_age(daemon, now) < kHeartbeatTimeout;
+    if (has_disk && is_reachable && !knows(daemon))
       return "a disk in touch lacks it; missing:" + missing;
   }
   return "";
--- a/src/consensus/supervisor_lease.cpp
+++ b/src/consensus/supervisor_lease.cpp
@@ -60,7 +60,7 @@
   if (is_held(now) != logged_as_held_) {
     logged_as_held_ = !logged_as_held_;
     outbox_.log_event(logged_as_held_ ? Event::lease_taken : Event::lease_lost,
-                      "number " + std::to_string(request_id_));
+                      "lease request " + std::to_string(request_id_));
   }
   if (resigned_ || !metadata_log_.view()->is_core_member(self) || now < next_request_at_)
     return;
--- a/src/replication/constants.hpp
+++ b/src/replication/constants.hpp
@@ -10,8 +10,8 @@
 constexpr Duration kDiscoveryInterval = 200ms;
 /// A gateway stops dispatching when it has had no contact with a majority for this long.
 constexpr Duration kIsolationTimeout = 2000ms;
-/// A daemon without contact with a majority of the core for this long sends heartbeats to all daemons. Fits twice into
-/// kIsolationTimeout.
+/// A daemon without contact with a majority of the core for this long also sends heartbeats to all gateways and stores.
+/// Fits twice into kIsolationTimeout.
 constexpr Duration kCoreSilenceTimeout = 900ms;
 /// Maximum number of applied entries kept in memory for catch-up.
 constexpr size_t kLogEntriesKept = 512;
