--- a/src/consensus/commit_queue.hpp
+++ b/src/consensus/commit_queue.hpp
@@ -23,9 +23,9 @@
 
 /// The undecided commit requests in order of arrival, and the decided ones that are not acknowledged yet.
 ///
-/// Invariant: each request gets exactly one reply before it leaves the queue. A change that clients outside the cluster
-/// rely on is acknowledged once it is in force, any other change once it is decided. Owned by `Proposer` and used on
-/// its thread only; not persisted.
+/// Invariant: a request leaves the queue with exactly one reply to its requester. A change that clients outside the
+/// cluster rely on is acknowledged once it is in force, any other change once it is decided. Owned by `Proposer` and
+/// used on its thread only; not persisted.
 class CommitQueue {
  public:
   /// Returns which acknowledgements an epoch still lacks to be in force at a given time, as text; empty if none.
