--- a/src/consensus/metadata_journal.cpp
+++ b/src/consensus/metadata_journal.cpp
@@ -46,7 +46,7 @@
   if (snapshot && metadata_log_.install_snapshot(*snapshot)) {
     acceptor_.reset();
     outbox_.write(codec::encode(ControllerRecord{SnapshotRecord{*snapshot}}));
-    outbox_.log_event(Event::caught_up, "snapshot at epoch " + std::to_string(snapshot->epoch.value()));
+    outbox_.log_event(Event::caught_up, "checkpoint at epoch " + std::to_string(snapshot->epoch.value()));
   }
   for (const Entry& entry : entries)
     for (const Entry& applied : metadata_log_.add(entry))
--- a/src/replication/follower.cpp
+++ b/src/replication/follower.cpp
@@ -15,7 +15,7 @@
 
 void Follower::apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot) {
   if (snapshot && metadata_log_.install_snapshot(*snapshot)) {
-    outbox_.log_event(Event::caught_up, "snapshot at epoch " + std::to_string(snapshot->epoch.value()));
+    outbox_.log_event(Event::caught_up, "checkpoint at epoch " + std::to_string(snapshot->epoch.value()));
     if (callbacks_.on_snapshot)
       callbacks_.on_snapshot(*snapshot);
   }
