--- a/src/consensus/metadata_journal.cpp
+++ b/src/consensus/metadata_journal.cpp
@@ -7,7 +7,7 @@
     acceptor_.reset();
 }
 
-void MetadataJournal::recover(const JumpRecord& record) {
+void MetadataJournal::recover(const SnapshotRecord& record) {
   if (metadata_log_.install_snapshot(record.metadata))
     acceptor_.reset();
 }
@@ -17,7 +17,7 @@
   outbox_.epoch = metadata_log_.epoch();
 }
 
-/// Keeps an entry that the metadata log has applied; the acceptor's next instance opens.
+/// Journals an entry that the metadata log has applied and opens the acceptor's next instance.
 void MetadataJournal::append(const Entry& entry) {
   acceptor_.reset();
   outbox_.write(codec::encode(ControllerRecord{DecidedRecord{entry}}));
@@ -45,8 +45,8 @@
 bool MetadataJournal::apply_updates(const Entries& entries, const std::optional<Metadata>& snapshot) {
   if (snapshot && metadata_log_.install_snapshot(*snapshot)) {
     acceptor_.reset();
-    outbox_.write(codec::encode(ControllerRecord{JumpRecord{*snapshot}}));
-    outbox_.log_event(Event::caught_up, "checkpoint at " + std::to_string(snapshot->epoch.value()));
+    outbox_.write(codec::encode(ControllerRecord{SnapshotRecord{*snapshot}}));
+    outbox_.log_event(Event::caught_up, "checkpoint at epoch " + std::to_string(snapshot->epoch.value()));
   }
   for (const Entry& entry : entries)
     for (const Entry& applied : metadata_log_.add(entry))
--- a/src/runtime/state_machine.hpp
+++ b/src/runtime/state_machine.hpp
@@ -26,7 +26,7 @@
 
 /// A daemon's own identity, the seeds, and the settings that its state machine uses.
 struct Identity {
-  Candidate self{};
+  DaemonInfo self{};
   /// Addresses of controllers, used to discover the cluster.
   Addresses seeds;
   uint32_t core_size = 3;
