--- a/src/storage/disk.cpp
+++ b/src/storage/disk.cpp
@@ -25,7 +25,7 @@
   return {no_space ? DiskResult::full : DiskResult::failed};
 }
 
-uint64_t free_bytes(const std::string& folder) {
+uint64_t available_bytes(const std::string& folder) {
   struct statvfs info {};
   if (::statvfs(folder.c_str(), &info) != 0)
     return 0;
@@ -56,7 +56,7 @@
   calls.allocate = [](int fd, size_t size) {
     return ::posix_fallocate(fd, 0, static_cast<off_t>(size));
   };
-  calls.room = free_bytes;
+  calls.free_bytes = available_bytes;
   calls.rename = [](const char* from, const char* to) {
     return ::rename(from, to);
   };
@@ -219,7 +219,7 @@
   auto wanted = std::max(kDiskReserveBytes, checkpoint_size_);
   struct stat info {};
   bool is_allocated = ::stat(reserve.c_str(), &info) == 0 && static_cast<size_t>(info.st_size) >= wanted;
-  if (is_allocated || calls_.room(folder_) < kDiskReserveMinimumFactor * wanted)
+  if (is_allocated || calls_.free_bytes(folder_) < kDiskReserveMinimumFactor * wanted)
     return;
   Fd file(calls_.open(reserve.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC));
   if (file && calls_.allocate(file.get(), wanted) != 0)
--- a/src/storage/disk.hpp
+++ b/src/storage/disk.hpp
@@ -25,7 +25,7 @@
   /// Allocates space for a file; an error number or 0.
   std::function<int(int fd, size_t size)> allocate;
   /// Bytes free in a folder.
-  std::function<uint64_t(const std::string& folder)> room;
+  std::function<uint64_t(const std::string& folder)> free_bytes;
   std::function<int(const char* from, const char* to)> rename;
   std::function<int(const char* path)> remove;
   /// Makes the names in a folder durable.
--- a/tests/unit/runtime/golden_folders.cpp
+++ b/tests/unit/runtime/golden_folders.cpp
@@ -273,7 +273,7 @@
  private:
   void start() {
     auto calls = DiskCalls::real();
-    calls.room = [](const std::string&) {
+    calls.free_bytes = [](const std::string&) {
       return uint64_t{0};
     };
     calls.rename = [this, rename = calls.rename](const char* from, const char* to) {
--- a/tests/unit/storage/crash_disk.cpp
+++ b/tests/unit/storage/crash_disk.cpp
@@ -14,8 +14,8 @@
 
 /// Bytes; a whole reserve would only make the test slow.
 constexpr size_t kReserveBytes = 200;
-/// Bytes; more than any disk's reserve needs.
-constexpr uint64_t kAmpleRoom = uint64_t{1} << 40;
+/// Bytes; more than any reserve file needs.
+constexpr uint64_t kAmpleFreeBytes = uint64_t{1} << 40;
 
 std::string name_of(const std::string& path) {
   return path.substr(path.rfind('/') + 1);
@@ -138,8 +138,8 @@
   calls.allocate = [this](int descriptor, size_t) {
     return resize(descriptor, kReserveBytes);
   };
-  calls.room = [](const std::string&) {
-    return kAmpleRoom;
+  calls.free_bytes = [](const std::string&) {
+    return kAmpleFreeBytes;
   };
   calls.rename = [this](const char* from, const char* to) {
     return rename(from, to);
--- a/tests/unit/storage/disk_test.cpp
+++ b/tests/unit/storage/disk_test.cpp
@@ -263,7 +263,7 @@
   SmallDisk small_disk{folder};
 
   append_around_short_writes(folder, small_disk);
-  small_disk.set_room(0);
+  small_disk.set_free_bytes(0);
 
   auto disk = folder.open(small_disk.calls());
   CHECK(disk->truncated_bytes() == 0);
@@ -274,7 +274,7 @@
   DataFolder folder;
   SmallDisk small_disk{folder};
   append_around_short_writes(folder, small_disk);
-  small_disk.set_room(0);
+  small_disk.set_free_bytes(0);
 
   auto disk = folder.open(small_disk.calls());
 
--- a/tests/unit/storage/journal_writer_test.cpp
+++ b/tests/unit/storage/journal_writer_test.cpp
@@ -112,7 +112,7 @@
 
   FullDiskFixture() {
     CHECK(sent_ids(writer.write({records_and_message({"one"}, 1)})) == Ids{1});
-    small_disk.set_room(0);
+    small_disk.set_free_bytes(0);
     first_on_full_disk = writer.write({records_and_message({"two"}, 2), records_and_message({}, 3)});
   }
 };
@@ -161,7 +161,7 @@
   WriterFixture fixture;
   auto& writer = fixture.writer;
   REQUIRE(writer.write({records({"one"})}).result == kDone);
-  fixture.small_disk.set_room(200);
+  fixture.small_disk.set_free_bytes(200);
 
   CHECK(writer.write({records({"two"}), records({std::string(2500, 'x')})}).result == kFull);
 
@@ -174,7 +174,7 @@
   WriterFixture fixture(kAmpleDisk, kMaxPendingBytes);
   auto& writer = fixture.writer;
   REQUIRE(writer.write({records({"one"})}).result == kDone);
-  fixture.small_disk.set_room(200);
+  fixture.small_disk.set_free_bytes(200);
   REQUIRE(writer.write({records({"two"}), records({std::string(2500, 'x')})}).result == kFull);
 
   auto beyond_limit = writer.write({records_and_message({std::string(600, 'x')}, 1)});
@@ -192,7 +192,7 @@
     CHECK_FALSE(writer.wants_checkpoint(TimePoint{1ms}));
     for (int i = 0; i < 8; ++i)
       REQUIRE(writer.write({records({std::string(100000, 'x')})}).result == kDone);
-    small_disk.set_room(0);
+    small_disk.set_free_bytes(0);
     REQUIRE(writer.write({records_and_message({"pending"}, 1)}).result == kFull);
   }
 };
@@ -243,7 +243,7 @@
   CHECK(fixture.folder.last_file("reserve").empty());
   std::string large_record(5000, 'x');
   REQUIRE(writer.write({records({large_record})}).result == kDone);
-  fixture.small_disk.set_room(1000);
+  fixture.small_disk.set_free_bytes(1000);
 
   Batch batch = records_and_message({"one"}, 1);
   batch.checkpoint = std::string(3000, 'y');
--- a/tests/unit/storage/small_disk.cpp
+++ b/tests/unit/storage/small_disk.cpp
@@ -25,7 +25,7 @@
   }
   struct stat status {};
   ::fstat(file, &status);
-  auto largest_end = static_cast<size_t>(status.st_size) + room();
+  auto largest_end = static_cast<size_t>(status.st_size) + free_bytes();
   auto writable = largest_end - write_offset(file);
   if (writable == 0) {
     errno = ENOSPC;
@@ -46,10 +46,10 @@
     return -1;
   };
   calls.allocate = [this](int file, size_t count) {
-    return count > room() ? ENOSPC : ::ftruncate(file, static_cast<off_t>(count));
+    return count > free_bytes() ? ENOSPC : ::ftruncate(file, static_cast<off_t>(count));
   };
-  calls.room = [this](const std::string&) {
-    return room();
+  calls.free_bytes = [this](const std::string&) {
+    return free_bytes();
   };
   return calls;
 }
--- a/tests/unit/storage/small_disk.hpp
+++ b/tests/unit/storage/small_disk.hpp
@@ -16,10 +16,9 @@
   /// Calls for a `Disk` on the folder; valid as long as this object.
   DiskCalls calls();
   size_t used() const { return folder_.used_bytes(); }
-  /// Bytes free.
-  size_t room() const { return size > used() ? size - used() : 0; }
+  size_t free_bytes() const { return size > used() ? size - used() : 0; }
   /// Leaves that many bytes free.
-  void set_room(size_t room) { size = used() + room; }
+  void set_free_bytes(size_t count) { size = used() + count; }
 
   size_t size;
   /// The error number that each sync, and each write, fails with; 0 for none.
