--- a/src/history/adoptions.hpp
+++ b/src/history/adoptions.hpp
@@ -1,15 +1,16 @@
 #pragma once
-// How a store takes over large histories that their owner writes back.
+// Downloads of large histories that their owner writes back to this store.
 #include "history/history_download.hpp"
 #include "history/history_table.hpp"
 
 namespace mosskeel {
 
-/// The large histories that this store reads from their owners, since it has another version of them. A history is
-/// written here only once it is whole. Owned by `StoreMachine`, on its thread; nothing is on disk before that.
+/// Tracks the large histories that this store downloads from their owners because its replica has another version.
+/// A history is written to the table only once all its records have arrived; until then it is in memory only. Owned by
+/// `StoreMachine` and used on its thread.
 class Adoptions {
  public:
-  /// An adoption whose records have all come.
+  /// An adoption whose records have all arrived.
   struct Completed {
     AppendHistory write;
     /// The envelope of the owner's request, without its body.
@@ -18,12 +19,12 @@
 
   explicit Adoptions(Outbox& out) : out_(out) {}
 
-  /// Begins to read the history from the owner that asks for it. Does nothing where it is being read already or too
-  /// many others are: the owner asks again.
+  /// Starts downloading the history from the requesting owner. Does nothing if the same download is running or
+  /// kMaxAdoptions others are: the owner retries its request.
   void begin(const AdoptHistory& request, const Envelope& envelope, TimePoint now);
-  /// Takes records of a large history.
+  /// Processes a page of records. Returns the write to apply if the page completed its history.
   std::optional<Completed> handle(const ReadRecordsReply& page, const Envelope& envelope, TimePoint now);
-  /// Asks again for what has not come, and forgets what an owner sends no more.
+  /// Retries unanswered requests, and drops downloads whose owner no longer answers.
   void tick(TimePoint now);
 
  private:
--- a/src/history/constants.hpp
+++ b/src/history/constants.hpp
@@ -1,70 +1,71 @@
 #pragma once
-// Constants of histories and their stores.
+// Constants of history replication and of the stores.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
-/// An unanswered store is asked again.
+/// An unanswered request to a store is retried after this.
 constexpr Duration kStoreRetryInterval = 250ms;
-/// Without a quorum of stores by then the request ends in 503.
+/// If no quorum of stores has answered by then, the caller's request fails with 503.
 constexpr Duration kHistoryQuorumTimeout = 4000ms;
-/// An answer may reach its caller this long after its record was kept.
+/// Added to the retention period: a response may reach its caller this long after its record was stored.
 constexpr Duration kRetentionMargin = 30000ms;
-/// Retention is stretched by 1/64, for clocks that run fast.
+/// The retention period is extended by 1/64, to tolerate clocks that run fast.
 constexpr int64_t kRetentionDriftDivisor = 64;
-/// A store scans one partition for expired histories each time.
+/// Interval between expiry scans; each scan covers one partition.
 constexpr Duration kExpiryScanInterval = 100ms;
-/// Expired histories reported by one scan.
+/// Maximum number of expired histories that one scan reports.
 constexpr size_t kMaxExpiredPerScan = 16;
-/// Names of deleted histories a partition: the last 2^18 to 2^19 are kept, 8 bytes each.
+/// Tombstones in one generation. A partition has two generations, so the most recent 2^18 to 2^19 tombstones are kept,
+/// 8 bytes each.
 constexpr size_t kTombstonesPerPartition = 1u << 18;
-/// Tombstones in one message.
+/// Maximum number of tombstones in one message.
 constexpr size_t kTombstonesPerMessage = 4096;
-/// Between two requests of a store's repair: 5 MB a second at most.
+/// Interval between two repair requests of a store: limits repair traffic to 5 MB/s.
 constexpr Duration kRepairInterval = 50ms;
-/// An unanswered repair request is given up.
+/// An unanswered repair request is abandoned after this.
 constexpr Duration kRepairRequestTimeout = 1000ms;
-/// Histories written later than this are not compared yet.
+/// Histories whose last write is more recent than this are not compared yet.
 constexpr Duration kRepairMinimumAge = 5000ms;
-/// Histories listed in one message.
+/// Maximum number of histories listed in one message.
 constexpr size_t kRepairSummariesPerMessage = 512;
-/// Histories fetched by one message.
+/// Maximum number of histories requested by one message.
 constexpr size_t kRepairHistoriesPerMessage = 16;
-/// Bytes of records; a repair's message ends after the history that exceeds this.
+/// Bytes of records in a repair message; the history that exceeds this is the last one in the message.
 constexpr size_t kRepairMessageBytes = 256u << 10;
-/// An idle history leaves its owner's memory.
+/// The owner evicts a history from memory after this idle time.
 constexpr Duration kIdleHistoryTimeout = 60000ms;
-/// Pages requested and not yet answered; 2 MB with their copies.
+/// Maximum number of stream pages in flight over all partitions; about 2 MB including copies.
 constexpr size_t kStreamWindowPages = 8;
-/// Bytes; a page ends after the history that exceeds this.
+/// Bytes; the history that exceeds this is the last one in the page.
 constexpr size_t kStreamPageBytes = 128 << 10;
-/// An unanswered page is requested again, from another store first.
+/// An unanswered page request is retried after this, preferably at another store.
 constexpr Duration kStreamPageTimeout = 1000ms;
-/// Bytes; a shorter journal calls for no checkpoint, however small the state.
+/// Bytes; a shorter journal never triggers a checkpoint, however small the state is.
 constexpr size_t kMinCheckpointJournalBytes = 4u << 20;
-/// A partition that moved to other stores is dropped after this.
+/// The histories of a partition that moved to other stores are dropped after this.
 constexpr Duration kMovedPartitionKeepTime = 10000ms;
-/// Between two scans for such partitions.
+/// Interval between scans for moved partitions.
 constexpr Duration kMovedPartitionScanInterval = 500ms;
-/// Share of the machine's memory in use beyond which no new text is taken.
+/// Fraction of the machine's memory in use above which a store rejects requests that add data.
 constexpr double kStoreMemoryShare = 0.6;
-/// Bytes; larger messages than 1 KB are dropped beyond this.
+/// Bytes of queued messages above which a store drops incoming messages larger than 1 KB.
 constexpr size_t kStoreInboxBytes = 4u << 20;
-/// Bytes; while more waits for the disk, no history is sent.
+/// Bytes waiting for the disk above which a store sends no histories.
 constexpr size_t kMaxBytesWaitingForDisk = 4u << 20;
-/// Between two measurements of a store's own load.
+/// Interval between measurements of a store's own load.
 constexpr Duration kStoreLoadInterval = 100ms;
-/// Bytes; a turn that would make a history larger is rejected before it runs.
+/// Bytes; a turn that would make its history larger than this is rejected before it runs.
 constexpr size_t kMaxHistoryBytes = 16u << 20;
-/// Bytes; a larger history is read page by page wherever a smaller one is sent whole.
+/// Bytes; a larger history is transferred page by page instead of in one message.
 constexpr size_t kMaxWholeHistoryBytes = 1u << 20;
-/// Bytes; a page of one history's records ends before the record that exceeds this.
+/// Bytes; a page of records ends before the record that would exceed this.
 constexpr size_t kRecordsPageBytes = 256u << 10;
-/// A download from a source that sends no page for so long is given up.
+/// A download is abandoned if its source sends no page for this long.
 constexpr Duration kRecordsSilenceTimeout = 4000ms;
-/// Large histories that a store reads from owners at once; more wait until the owners ask again.
+/// Large histories that a store downloads from owners concurrently; further ones wait until the owners retry.
 constexpr size_t kMaxAdoptions = 2;
-/// Bytes of a record beside its text, encoded or in memory.
+/// Estimated bytes of a record besides its texts, encoded or in memory.
 constexpr size_t kRecordOverheadBytes = 128;
 
 }  // namespace mosskeel
--- a/src/history/history_download.cpp
+++ b/src/history/history_download.cpp
@@ -24,10 +24,10 @@
 }
 
 bool HistoryDownload::handle(Outbox& out, const ReadRecordsReply& reply, const Envelope& envelope, TimePoint now) {
-  bool is_awaited = state_ == State::reading && envelope.from_incarnation == source_incarnation_ &&
-                    reply.history == history_ && HistoryVersion{reply.term, reply.length} == version_ &&
-                    reply.from == records_.size();
-  if (!is_awaited)
+  bool is_expected = state_ == State::reading && envelope.from_incarnation == source_incarnation_ &&
+                     reply.history == history_ && HistoryVersion{reply.term, reply.length} == version_ &&
+                     reply.from == records_.size();
+  if (!is_expected)
     return false;
   bool has_records = reply.available && !reply.records.empty();
   if (!has_records || reply.records.size() > version_.length - records_.size()) {
--- a/src/history/history_download.hpp
+++ b/src/history/history_download.hpp
@@ -1,18 +1,18 @@
 #pragma once
-// How a daemon reads one large history from another one.
+// Download of one large history from another daemon.
 #include "history/history_version.hpp"
 #include "runtime/state_machine.hpp"
 
 namespace mosskeel {
 
-/// Reads one version of one history page by page, one page at a time, and keeps what has come until it is whole: a
-/// prefix must never stand for the history. Used on the thread of the state machine that owns it; nothing is on disk.
+/// Downloads one version of a history, one page at a time, and buffers the records until all have arrived: a prefix
+/// must never be used as the history. Used on the thread of the state machine that owns it; nothing is on disk.
 class HistoryDownload {
  public:
-  /// `failed`: the source has the version no longer, or is silent.
+  /// `failed`: the source no longer has this version, or has stopped answering.
   enum class State { reading, complete, failed };
 
-  /// Asks for the first page at once.
+  /// Requests the first page immediately.
   HistoryDownload(Outbox& out, HistoryName history, PartitionId partition, HistoryVersion version,
                   const Address& source, Incarnation source_incarnation, TimePoint now);
 
@@ -20,14 +20,14 @@
   PartitionId partition() const { return partition_; }
   HistoryVersion version() const { return version_; }
   State state() const { return state_; }
-  /// When the last page came, or the download began.
+  /// When the last page arrived or, before any page, when the download started.
   TimePoint last_progress_at() const { return last_progress_at_; }
 
-  /// Takes a page and asks for the next one. False where the reply is not the one that is awaited.
+  /// Processes a page and requests the next one. Returns false if this is not the reply that the download expects.
   bool handle(Outbox& out, const ReadRecordsReply& reply, const Envelope& envelope, TimePoint now);
-  /// Asks again for a page that has not come, and gives up after a while.
+  /// Retries an unanswered page request; fails after kRecordsSilenceTimeout without progress.
   void tick(Outbox& out, TimePoint now);
-  /// All records, once the download is complete.
+  /// Moves all records out. Only valid once the download is complete.
   Records take_records() { return std::move(records_); }
 
  private:
--- a/src/history/history_expiry.cpp
+++ b/src/history/history_expiry.cpp
@@ -36,8 +36,8 @@
   }
 }
 
-/// Time counts from the last write, over this store's own uptime only, stretched by a margin: what clocks do can
-/// only lengthen the retention. A history keeps the longest retention that any of its records was promised.
+/// The period is measured from the last write in this store's uptime and extended by a margin, so that clock errors can
+/// only lengthen it. The longest retention of any record applies to the whole history.
 bool HistoryExpiry::has_expired(const History& history) const {
   if (history.records.empty())
     return false;
@@ -46,8 +46,8 @@
   Duration retention{};
   for (auto& record : history.records)
     retention = std::max(retention, Duration(record.retention_ms));
-  auto stretched = retention + retention / kRetentionDriftDivisor + kRetentionMargin;
-  return clock_.uptime() - history.written_at > stretched;
+  auto extended_retention = retention + retention / kRetentionDriftDivisor + kRetentionMargin;
+  return clock_.uptime() - history.written_at > extended_retention;
 }
 
 }  // namespace mosskeel
--- a/src/history/history_expiry.hpp
+++ b/src/history/history_expiry.hpp
@@ -1,12 +1,13 @@
 #pragma once
-// A store's part in ending histories whose retention is over.
+// Detection of histories whose retention period has passed.
 #include "history/history_table.hpp"
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
-/// Scans one partition after the other and tells its owner of the histories that have outlived their retention by this
-/// store's own uptime. The owner ends a history once a quorum of its stores reports that: no clock decides alone.
+/// Scans the partitions in turn and reports to each owner the histories that have exceeded their retention period, as
+/// measured by this store's uptime. The owner ends a history once a quorum of its stores has reported it, so that no
+/// single clock decides.
 class HistoryExpiry {
  public:
   HistoryExpiry(Outbox& out, const MetadataLog& metadata_log, const HistoryTable& table, const UptimeClock& clock)
--- a/src/history/history_table.cpp
+++ b/src/history/history_table.cpp
@@ -10,7 +10,7 @@
   return {request.history, request.term, false, false, 0};
 }
 
-/// The records before `from` are not here, or not under this term: the owner has to send the whole history.
+/// The store lacks records before `from`, or has them under another term: the owner must send the whole history.
 AppendHistoryReply append_with_gap(const AppendHistory& request) {
   return {request.history, request.term, true, true, 0};
 }
@@ -124,7 +124,7 @@
   return {accepted_append(request, history.records.size()), change};
 }
 
-/// A write that comes twice, or overlaps what is here, adds only what is new of it.
+/// Idempotent: of a repeated or overlapping write only the new records are appended.
 HistoryTable::AppendResult HistoryTable::append_records(StoredPartition& partition, const AppendHistory& request) {
   auto found = partition.histories.find(request.history);
   if (found == partition.histories.end())
@@ -132,15 +132,15 @@
   auto& history = found->second;
   if (history.term != request.term || history.records.size() < request.from)
     return {append_with_gap(request)};
-  size_t already_here = history.records.size() - request.from;
-  auto change = already_here < request.records.size() ? Change::records : Change::none;
-  for (size_t i = already_here; i < request.records.size(); ++i)
+  size_t overlap = history.records.size() - request.from;
+  auto change = overlap < request.records.size() ? Change::records : Change::none;
+  for (size_t i = overlap; i < request.records.size(); ++i)
     history.records.push_back(request.records[i]);
   history.written_at = clock_.uptime();
   return {accepted_append(request, history.records.size()), change};
 }
 
-/// The whole request where it brought records; what is here already is not written twice.
+/// Journals the whole request only if it added records, so that records already stored are not written twice.
 void HistoryTable::journal_append(const AppendHistory& request, Change change, bool raised_fence) {
   switch (change) {
     case Change::records:
--- a/src/history/history_version.hpp
+++ b/src/history/history_version.hpp
@@ -1,12 +1,12 @@
 #pragma once
-// How two replicas of one history are compared.
+// Versions of history replicas, by which they are compared.
 #include "messages/history_messages.hpp"
 
 namespace mosskeel {
 
-/// The ownership term under which a replica of a history was last written, and how many records it has.
-/// Of two replicas the one of the higher version holds every record that the other one's owners ever committed: a
-/// later term begins with all that earlier terms committed, and within a term only one owner writes.
+/// The ownership term under which a replica of a history was last written, and its number of records.
+/// Of two replicas, the one with the higher version contains every committed record of the other: a new term starts
+/// from everything that earlier terms committed, and within a term there is a single writer.
 struct HistoryVersion {
   Epoch term{};
   uint64_t length = 0;
--- a/src/history/history_writer.cpp
+++ b/src/history/history_writer.cpp
@@ -23,7 +23,7 @@
   auto term = metadata_log_.view()->partitions[partition.value()].term;
   auto found = histories_.find(name);
   if (found != histories_.end() && found->second.term() != term) {
-    forget(found);
+    drop_history(found);
     found = histories_.end();
   }
   if (found == histories_.end())
@@ -34,13 +34,13 @@
     return State::open;
   if (now - history.opening_since() <= kHistoryQuorumTimeout)
     return State::opening;
-  // The next call begins anew. What has been read stays, since its writing goes on, and so does a download.
+  // The next call starts over, unless the write-back or a download is in progress: those continue.
   if (history.phase() == OpenHistory::Phase::reading && !downloads_.count(name))
-    forget(found);
+    drop_history(found);
   return State::unavailable;
 }
 
-HistoryWriter::OpenHistories::iterator HistoryWriter::forget(OpenHistories::iterator history) {
+HistoryWriter::OpenHistories::iterator HistoryWriter::drop_history(OpenHistories::iterator history) {
   downloads_.erase(history->first);
   return histories_.erase(history);
 }
@@ -83,9 +83,9 @@
   return history && history->has_ended();
 }
 
-bool HistoryWriter::has_quorum(const HistoryName& name, const StorePredicate& has) const {
+bool HistoryWriter::has_quorum(const HistoryName& name, const StorePredicate& predicate) const {
   auto* history = find(name);
-  return history && history->is_quorum(*metadata_log_.view(), has);
+  return history && history->is_quorum(*metadata_log_.view(), predicate);
 }
 
 OwnershipChecks::State HistoryWriter::check_ownership(const HistoryName& name, const std::string& request,
@@ -127,13 +127,13 @@
                                handle(request, envelope);
                                return true;
                              },
-                             [](const auto& /* not of a store */) {
+                             [](const auto& /* not from a store */) {
                                return false;
                              }},
                     envelope.body);
 }
 
-OpenHistory* HistoryWriter::awaiting(const HistoryName& name, Epoch term) {
+OpenHistory* HistoryWriter::find_in_term(const HistoryName& name, Epoch term) {
   auto found = histories_.find(name);
   return found != histories_.end() && found->second.term() == term ? &found->second : nullptr;
 }
@@ -154,7 +154,7 @@
 
 template <class Reply>
 void HistoryWriter::on_read(const Reply& reply, const Envelope& envelope, TimePoint now) {
-  auto* history = awaiting(reply.history, reply.term);
+  auto* history = find_in_term(reply.history, reply.term);
   auto* store = metadata_log_.view()->find(envelope.from_incarnation);
   if (!history || !store || history->phase() != OpenHistory::Phase::reading)
     return;
@@ -171,12 +171,12 @@
     advance(history->second, now);
 }
 
-/// A store that lacks a large history reads it as it is written back under this term.
+/// Serves a store that lacks a large history: it reads the version that is written back under this term.
 void HistoryWriter::handle(const ReadRecords& request, const Envelope& envelope) {
   auto* history = find(request.history);
-  bool is_known = history && history->phase() != OpenHistory::Phase::reading;
-  auto reply =
-      is_known ? read_records(request, &history->records(), history->term()) : read_records(request, nullptr, Epoch{});
+  bool is_readable = history && history->phase() != OpenHistory::Phase::reading;
+  auto reply = is_readable ? read_records(request, &history->records(), history->term())
+                           : read_records(request, nullptr, Epoch{});
   out_.send(envelope.from, std::move(reply), envelope.from_incarnation);
 }
 
@@ -184,7 +184,7 @@
   auto& metadata = *metadata_log_.view();
   auto& replica = history.awaited_replica();
   auto found = downloads_.find(history.name());
-  // A reply that came later may have told of a higher version.
+  // A later reply may have reported a higher version.
   if (found != downloads_.end() && (!replica || found->second.version() != replica->version)) {
     downloads_.erase(found);
     found = downloads_.end();
@@ -205,7 +205,7 @@
 }
 
 void HistoryWriter::handle(const AppendHistoryReply& reply, const Envelope& envelope, TimePoint now) {
-  auto* history = awaiting(reply.history, reply.term);
+  auto* history = find_in_term(reply.history, reply.term);
   auto* store = metadata_log_.view()->find(envelope.from_incarnation);
   if (!history || !store || !reply.granted)
     return;
@@ -248,12 +248,12 @@
     if (!is_owned || has_failed ||
         metadata_log_.view()->partitions[history.partition().value()].term != history.term()) {
       changed_.insert(name);
-      forget(current);
+      drop_history(current);
     } else if (!history.is_settled()) {
       advance(history, now);
       send_due(history, now, OpenHistory::Resend::overdue);
     } else if (now - history.last_used_at() > kIdleHistoryTimeout) {
-      forget(current);
+      drop_history(current);
     }
   }
 }
--- a/src/history/history_writer.hpp
+++ b/src/history/history_writer.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The owner's side of histories: how a partition's single writer reads, replicates and commits them.
+// The owner's side of history replication: the single writer of a partition's histories.
 #include "history/history_download.hpp"
 #include "history/open_history.hpp"
 #include "history/ownership_checks.hpp"
@@ -8,47 +8,48 @@
 namespace mosskeel {
 
 /// Writes the histories of the partitions that this gateway owns. Opening a history reads it from a read quorum of its
-/// stores under the ownership term, which fences off earlier owners there, takes the replica of the highest (term,
-/// length) and writes it back to the stores as a whole. From then on records are appended. A record is committed once
-/// a write quorum of the partition's stores has synced it; while the set of stores changes, of both sets.
+/// stores under the ownership term, which fences off earlier owners there, selects the replica with the highest (term,
+/// length) and writes it back to the stores as a whole. After that, records are appended. A record is committed once
+/// a write quorum of the partition's stores has synced it; while the store set changes, a write quorum of both sets.
 ///
-/// All state is in memory and may be lost: a later owner, or this one after a restart, opens the history again.
+/// All state is in memory and may be lost: a later owner, or this one after a restart, reopens the history.
 /// Runs on the thread of the state machine that owns it.
 class HistoryWriter {
  public:
-  /// `unavailable`: no quorum of stores answered in time. `fenced`: this gateway does not own the partition.
+  /// `unavailable`: no quorum of stores has answered in time. `fenced`: this gateway does not own the partition.
   enum class State { opening, open, fenced, unavailable };
 
   HistoryWriter(Outbox& out, const MetadataLog& metadata_log)
       : out_(out), metadata_log_(metadata_log), ownership_checks_(out, metadata_log) {}
 
-  /// Begins to open a history where it is not open, and tells how far that is; may be called at any time.
+  /// Starts opening the history if it is not open, and returns the progress. May be called repeatedly.
   State open(const HistoryName& name, TimePoint now);
-  /// All records of the history, committed or not; none where it is not being opened or open.
+  /// All records of the history, committed or not; empty if it is neither open nor being opened.
   const Records& records(const HistoryName& name) const;
-  /// Appends to an open history. The record is committed once `committed_length` reaches the number returned.
+  /// Appends to an open history. The record is committed once `committed_length` reaches the returned length.
   uint64_t append(const HistoryName& name, Record record, TimePoint now);
   /// Bytes of all records of the history.
   size_t bytes(const HistoryName& name) const;
-  /// Whether a record, an element of `records(name)`, is committed; until then nobody may be told of it.
+  /// Whether `record`, an element of `records(name)`, is committed. An uncommitted record must not be exposed.
   bool is_committed(const HistoryName& name, const Record& record) const;
-  /// How many records of the history are committed.
+  /// The number of committed records of the history.
   uint64_t committed_length(const HistoryName& name) const;
-  /// The ownership term under which the history was opened, to notice a change of ownership; 0 where it was not.
+  /// The ownership term under which the history was opened, for detecting ownership changes; 0 if it is not open.
   Epoch term(const HistoryName& name) const;
-  /// Whether the history has ended: it is deleted or about to be, and takes no turns any more.
+  /// Whether the history has ended: it is deleted or about to be deleted, and accepts no further turns.
   bool ended(const HistoryName& name) const;
-  /// Whether the stores for which `has` holds are a quorum of the history's stores.
-  bool has_quorum(const HistoryName& name, const StorePredicate& has) const;
-  /// Whether the stores still take this gateway for the owner of the history, asked after this request came. To be
-  /// called, until it is no longer `checking`, before a request is answered by what `records` holds: a newer owner may
-  /// know better. The history is in `take_changed` once the check has ended. Committing a record needs no check.
+  /// Whether the stores that satisfy `predicate` form a quorum of the history's stores.
+  bool has_quorum(const HistoryName& name, const StorePredicate& predicate) const;
+  /// Checks with the stores, after this request's arrival, that this gateway is still the owner of the history. Must be
+  /// called until the result is no longer `checking` before a request is answered from `records`: a newer owner may
+  /// have written other records. `take_changed` returns the history once the check has ended. Committing a record needs
+  /// no check.
   OwnershipChecks::State check_ownership(const HistoryName& name, const std::string& request, TimePoint now);
-  /// Handles the stores' replies and their requests for records; false leaves the message to the caller.
+  /// Handles the stores' replies and their requests for records. Returns false if the message is of another kind.
   bool handle(const Envelope& envelope, TimePoint now);
-  /// Repeats unanswered requests, and forgets histories that are idle or owned no more.
+  /// Retries unanswered requests, and drops histories that are idle or no longer owned.
   void tick(TimePoint now);
-  /// The histories whose state or committed length changed, or for which a check ended, since the last call.
+  /// The histories whose state or committed length changed, or whose ownership check ended, since the last call.
   std::set<HistoryName> take_changed() { return std::exchange(changed_, {}); }
 
  private:
@@ -62,23 +63,23 @@
   void handle(const LargeHistoryReply& reply, const Envelope& envelope, TimePoint now);
   void handle(const ReadRecordsReply& page, const Envelope& envelope, TimePoint now);
   void handle(const ReadRecords& request, const Envelope& envelope);
-  /// Takes a granted read: `reply` is a `ReadHistoryReply` or a `LargeHistoryReply`.
+  /// Processes a granted read: `reply` is a `ReadHistoryReply` or a `LargeHistoryReply`.
   template <class Reply>
   void on_read(const Reply& reply, const Envelope& envelope, TimePoint now);
-  /// Begins to read the records of a large history once its highest version is known, or goes on.
+  /// Starts or continues the download of a large history once its highest version is known.
   void advance_download(OpenHistory& history, TimePoint now);
-  OpenHistories::iterator forget(OpenHistories::iterator history);
-  /// The open history that a reply of this term belongs to, or nothing.
-  OpenHistory* awaiting(const HistoryName& name, Epoch term);
-  /// Sends each store what it lacks.
+  OpenHistories::iterator drop_history(OpenHistories::iterator history);
+  /// The history, if it is held under this term; else null.
+  OpenHistory* find_in_term(const HistoryName& name, Epoch term);
+  /// Sends each store the requests that are due.
   void send_due(OpenHistory& history, TimePoint now, OpenHistory::Resend resend);
-  /// Goes on where a quorum has answered.
+  /// Moves on to the next phase or commits records if a quorum has answered.
   void advance(OpenHistory& history, TimePoint now);
 
   Outbox& out_;
   const MetadataLog& metadata_log_;
   OpenHistories histories_;
-  /// Large histories that are being read from a store.
+  /// Large histories that are being downloaded from a store.
   std::map<HistoryName, HistoryDownload> downloads_;
   OwnershipChecks ownership_checks_;
   std::set<HistoryName> changed_;
--- a/src/history/load_shedder.cpp
+++ b/src/history/load_shedder.cpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-bool LoadShedder::sheds(const Envelope& envelope) {
+bool LoadShedder::shed_if_overloaded(const Envelope& envelope) {
   if (!must_shed(envelope.body))
     return false;
   ++shed_messages_;
@@ -17,7 +17,7 @@
 bool LoadShedder::must_shed(const Message& message) const {
   bool memory_short = load_.memory_short;
   bool disk_behind = load_.disk_behind;
-  bool any = memory_short || disk_behind;
+  bool overloaded = memory_short || disk_behind;
   return std::visit(
       overload{[&](const AppendHistory& request) { return memory_short && grows_state(request); },
                [&](const StreamPartitionReply&) { return memory_short; },
@@ -27,21 +27,21 @@
                [&](const StreamLargeHistory&) { return memory_short; },
                [&](const FetchLargeHistory&) { return memory_short; }, [&](const ReadRecords&) { return disk_behind; },
                [&](const ReadHistory&) { return disk_behind; }, [&](const FindChain&) { return disk_behind; },
-               [&](const StreamPartition&) { return any; }, [&](const FetchHistories&) { return any; },
+               [&](const StreamPartition&) { return overloaded; }, [&](const FetchHistories&) { return overloaded; },
                [](const auto& /* small, or frees memory */) {
                  return false;
                }},
       message);
 }
 
-/// Whether the history's records have to be read from the owner.
+/// Whether the store would have to download records from the owner.
 bool LoadShedder::grows_state(const AdoptHistory& request) const {
   auto* history = table_.find(request.partition, request.history);
   return !history || history->records.size() < request.replica_length;
 }
 
-/// Whether a write begins a turn here or brings a history that is not here yet. What ends a turn or a history does
-/// not: its turn was admitted before, and an end sets memory free.
+/// Whether a write reserves a new turn or adds records of a history that this store lacks. Outcomes and ends of
+/// histories are accepted: an outcome's turn was admitted earlier, and an end frees memory.
 bool LoadShedder::grows_state(const AppendHistory& request) const {
   auto* history = table_.find(request.partition, request.history);
   if (request.replace)
--- a/src/history/load_shedder.hpp
+++ b/src/history/load_shedder.hpp
@@ -1,27 +1,27 @@
 #pragma once
-// How a store protects its own memory and disk.
+// Load shedding by a store that is short of memory or disk throughput.
 #include "history/history_table.hpp"
 
 namespace mosskeel {
 
-/// What a store's process measures of itself.
+/// Measured load of a store's process.
 struct StoreLoad {
-  /// Too much memory is in use, or too much of the journal is held in it while the disk is full.
+  /// Too much memory is in use, or too much of the journal is held in memory because the disk is full.
   bool memory_short = false;
-  /// Too many bytes wait for the disk.
+  /// Too many bytes are waiting to be written to disk.
   bool disk_behind = false;
 };
 
-/// Rejects requests that the store's memory or disk has no room for. A rejected write is retried by its owner, who
-/// answers 503 if no quorum takes it in time; pages and reads are requested again.
+/// Rejects requests that exceed the capacity of the store's memory or disk. A rejected write is retried by its owner,
+/// which responds 503 if no quorum accepts it in time; requests for pages and reads are retried as well.
 class LoadShedder {
  public:
   LoadShedder(Outbox& out, const HistoryTable& table) : out_(out), table_(table) {}
 
   void set_load(const StoreLoad& load) { load_ = load; }
-  /// Rejects the message, or drops it, where the load forbids it; false where it may be handled.
-  [[nodiscard]] bool sheds(const Envelope& envelope);
-  /// Messages rejected or dropped since the start.
+  /// Rejects or drops the message if the load requires it. Returns false if the message may be handled.
+  [[nodiscard]] bool shed_if_overloaded(const Envelope& envelope);
+  /// Number of messages rejected or dropped since the process started.
   uint64_t shed_messages() const { return shed_messages_; }
 
  private:
--- a/src/history/moved_partitions.hpp
+++ b/src/history/moved_partitions.hpp
@@ -1,12 +1,12 @@
 #pragma once
-// How a store frees the memory of partitions that moved to other stores.
+// Garbage collection of partitions that moved to other stores.
 #include "history/history_table.hpp"
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
-/// Drops the histories of partitions that other stores have kept for a while. A store that gets such a partition
-/// again later streams it anew from those that hold it; only the fence and the tombstones stay.
+/// Drops the histories of partitions that moved to other stores kMovedPartitionKeepTime ago; their fences and
+/// tombstones are kept. If such a partition is assigned to this store again, it is streamed from its current stores.
 class MovedPartitions {
  public:
   MovedPartitions(const Outbox& out, const MetadataLog& metadata_log, HistoryTable& table)
@@ -16,14 +16,14 @@
 
  private:
   void scan(DaemonId self, TimePoint now);
-  /// Whether the partition's move to other stores has ended: nobody reads it here any more.
+  /// Whether the partition's move to other stores is complete, so that it is no longer read from this store.
   bool has_moved(PartitionId id, DaemonId self) const;
 
   const Outbox& out_;
   const MetadataLog& metadata_log_;
   HistoryTable& table_;
   TimePoint next_scan_at_{};
-  /// When each partition with histories here was first seen on other stores.
+  /// When each moved partition that still has histories here was first seen as moved.
   std::map<PartitionId, TimePoint> moved_since_;
 };
 
--- a/src/history/open_history.cpp
+++ b/src/history/open_history.cpp
@@ -11,11 +11,11 @@
   return has_tombstone_ || (!records_.empty() && records_.back().kind == RecordKind::ended);
 }
 
-bool OpenHistory::is_quorum(const Metadata& metadata, const StorePredicate& has) const {
+bool OpenHistory::is_quorum(const Metadata& metadata, const StorePredicate& predicate) const {
   auto& partition = partition_in(metadata);
   if (phase_ == Phase::reading)
-    return is_read_quorum(metadata, partition, has);
-  return is_write_quorum(metadata, partition, has);
+    return is_read_quorum(metadata, partition, predicate);
+  return is_write_quorum(metadata, partition, predicate);
 }
 
 OpenHistory::StoreProgress& OpenHistory::progress_of(const Daemon& store) {
@@ -55,7 +55,7 @@
   return append_request(progress);
 }
 
-/// A large history goes by its version: most stores have it already, and the others read it from here.
+/// For a large history only the version is sent: most stores already have it, and the others download it from here.
 std::optional<Message> OpenHistory::replace_request(StoreProgress& progress) const {
   progress.sent_length = records_.size();
   if (is_large(records_))
@@ -63,7 +63,7 @@
   return AppendHistory{name_, partition_, term_, true, 0, records_};
 }
 
-/// What does not fit into one message follows once the store has answered.
+/// Records that do not fit into one message are sent after the store's reply.
 std::optional<Message> OpenHistory::append_request(StoreProgress& progress) const {
   if (progress.sent_length >= records_.size())
     return std::nullopt;
@@ -78,14 +78,14 @@
   records_.push_back(std::move(record));
 }
 
-void OpenHistory::on_answered_read(DaemonId store, Epoch epoch) {
+void OpenHistory::record_read_reply(DaemonId store, Epoch epoch) {
   auto& progress = stores_[store];
   progress.has_answered_read = true;
   progress.read_epoch = std::max(progress.read_epoch, epoch);
 }
 
 void OpenHistory::on_read(DaemonId store, const ReadHistoryReply& reply, Epoch epoch) {
-  on_answered_read(store, epoch);
+  record_read_reply(store, epoch);
   has_tombstone_ = has_tombstone_ || reply.has_tombstone;
   if (version_of(reply) <= replica_)
     return;
@@ -96,7 +96,7 @@
 }
 
 void OpenHistory::on_read(DaemonId store, const LargeHistoryReply& reply, Epoch epoch) {
-  on_answered_read(store, epoch);
+  record_read_reply(store, epoch);
   HistoryVersion version{reply.history_term, reply.length};
   if (version <= replica_)
     return;
@@ -114,7 +114,7 @@
 
 void OpenHistory::on_synced(DaemonId store, uint64_t length) {
   auto& progress = stores_[store];
-  // A store that took the history over may have fewer records than there are by now.
+  // A store that has adopted the history may have fewer records than the history has by now.
   if (!progress.has_history)
     progress.sent_length = std::min(progress.sent_length, length);
   progress.has_history = true;
@@ -129,7 +129,7 @@
 
 bool OpenHistory::is_read(const Metadata& metadata) const {
   auto& partition = partition_in(metadata);
-  return is_quorum(metadata, by_progress([&](auto& progress) { return has_read(partition, progress); }));
+  return is_quorum(metadata, stores_whose_progress([&](auto& progress) { return has_read(partition, progress); }));
 }
 
 bool OpenHistory::finish_reading(const Metadata& metadata) {
@@ -144,7 +144,7 @@
     records_.clear();
     bytes_ = 0;
   }
-  // There is nothing to write back.
+  // An empty history needs no write-back.
   if (records_.empty())
     phase_ = Phase::open;
   return true;
@@ -155,7 +155,7 @@
   committed_length_ = synced_by_quorum(metadata);
   bool has_committed = committed_length_ != committed_before;
   bool all_committed = committed_length_ >= records_.size();
-  auto has_history = by_progress([](const StoreProgress& progress) { return progress.has_history; });
+  auto has_history = stores_whose_progress([](const StoreProgress& progress) { return progress.has_history; });
   bool opens = phase_ == Phase::writing_back && all_committed && is_quorum(metadata, has_history);
   if (opens)
     phase_ = Phase::open;
@@ -169,7 +169,7 @@
       synced_lengths.push_back(progress.synced_length);
   std::sort(synced_lengths.rbegin(), synced_lengths.rend());
   for (auto length : synced_lengths) {
-    auto has_synced = by_progress(
+    auto has_synced = stores_whose_progress(
         [length](const StoreProgress& progress) { return progress.has_history && progress.synced_length >= length; });
     if (is_quorum(metadata, has_synced))
       return length;
@@ -177,15 +177,15 @@
   return committed_length_;
 }
 
-/// An answer that a store gave before it knew the set in force does not count for what it holds as a member of it.
+/// A read reply that a store sent before it knew the current store set does not count as a reply of that set's member.
 bool OpenHistory::has_read(const Partition& partition, const StoreProgress& progress) {
   return progress.has_answered_read && progress.read_epoch >= partition.stores_epoch;
 }
 
-StorePredicate OpenHistory::by_progress(ProgressPredicate holds) const {
-  return [this, holds = std::move(holds)](DaemonId id) {
+StorePredicate OpenHistory::stores_whose_progress(ProgressPredicate predicate) const {
+  return [this, predicate = std::move(predicate)](DaemonId id) {
     auto progress = stores_.find(id);
-    return progress != stores_.end() && holds(progress->second);
+    return progress != stores_.end() && predicate(progress->second);
   };
 }
 
--- a/src/history/open_history.hpp
+++ b/src/history/open_history.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// One history as its owner has it under one ownership term.
+// The owner's state of one history under one ownership term.
 #include <map>
 #include <optional>
 
@@ -9,21 +9,21 @@
 
 namespace mosskeel {
 
-/// The records of one history, and what each of its stores has of them. A history is first read from a read quorum,
-/// then written back as a whole, and open from then on: records are appended, and committed once a write quorum has
-/// synced them. It sends nothing itself, but tells what is to be sent to a store.
+/// The records of one history and the replication progress of each of its stores. A history is first read from a read
+/// quorum, then written back as a whole, and open from then on: records are appended, and committed once a write quorum
+/// has synced them. This class sends no messages itself; it returns the requests to send.
 ///
-/// Invariant: the committed length never falls, and a record of an earlier term counts as committed only with the whole
-/// history written back under this one. Owned by `HistoryWriter`, on its thread; nothing is on disk.
+/// Invariant: the committed length never decreases, and a record of an earlier term counts as committed only once the
+/// whole history is written back under this term. Owned by `HistoryWriter` and used on its thread; nothing is on disk.
 class OpenHistory {
  public:
   enum class Phase { reading, writing_back, open };
-  /// The replica that the history is to be taken from, whose records are not here yet.
+  /// The replica with the highest version, if it is large: its records must be downloaded from this store.
   struct LargeReplica {
     DaemonId store;
     HistoryVersion version;
   };
-  /// Whether requests that were not answered for a while are sent again.
+  /// Whether requests that have been unanswered for kStoreRetryInterval are sent again.
   enum class Resend { none, overdue };
 
   OpenHistory(HistoryName name, PartitionId partition, Epoch term, TimePoint now)
@@ -40,54 +40,55 @@
   /// All records, committed or not.
   const Records& records() const { return records_; }
   uint64_t committed_length() const { return committed_length_; }
-  /// Whether nothing is under way: it is open and every record is committed.
+  /// Whether the history is open and every record is committed.
   bool is_settled() const { return is_open() && committed_length_ >= records_.size(); }
-  /// Whether it is deleted or about to be.
+  /// Whether the history is deleted or about to be deleted.
   bool has_ended() const;
-  /// Whether the stores for which `has` holds are a quorum: a read quorum while it is read, else a write quorum.
-  bool is_quorum(const Metadata& metadata, const StorePredicate& has) const;
+  /// Whether the stores that satisfy `predicate` form a quorum: a read quorum in the reading phase, else a write
+  /// quorum.
+  bool is_quorum(const Metadata& metadata, const StorePredicate& predicate) const;
 
   /// Bytes of all records.
   size_t bytes() const { return bytes_; }
   void append(Record record);
-  /// The next request to a store, or nothing where none is to be sent now. The caller sends it.
+  /// The next request that the caller must send to a store, or nothing if none is due.
   std::optional<Message> next_request(const Partition& partition, const Daemon& store, TimePoint now, Resend resend);
 
-  /// A store has granted the read. `epoch` is the one that it knew.
+  /// Processes a granted read. `epoch` is the metadata epoch that the store knew.
   void on_read(DaemonId store, const ReadHistoryReply& reply, Epoch epoch);
-  /// A store has granted the read of a history that is too large for a message.
+  /// Processes a granted read of a history that is too large for one message.
   void on_read(DaemonId store, const LargeHistoryReply& reply, Epoch epoch);
-  /// The replica to download once a read quorum has answered, nothing where the records are here.
+  /// The replica to download once a read quorum has answered; nothing if its records are already here.
   const std::optional<LargeReplica>& awaited_replica() const { return awaited_replica_; }
-  /// The records of the awaited replica.
+  /// Installs the records of the awaited replica.
   void on_downloaded(Records records);
-  /// A store has synced the history up to this length.
+  /// Processes a store's acknowledgement that it has synced the history up to this length.
   void on_synced(DaemonId store, uint64_t length);
-  /// A store lacks the records before those that it was sent: it needs the whole history, at once.
+  /// A store lacks records before those that it was sent: makes sending it the whole history due immediately.
   void on_gap(DaemonId store);
 
   /// Whether a read quorum has answered, so that the highest version is known.
   bool is_read(const Metadata& metadata) const;
-  /// Ends the reading once a read quorum has answered and the records are here, and tells whether it did.
+  /// Ends the reading phase if a read quorum has answered and the records are here. Returns whether it ended.
   bool finish_reading(const Metadata& metadata);
-  /// Commits what a write quorum has synced, and opens the history once all that was read is committed. Tells whether
-  /// either happened.
+  /// Commits what a write quorum has synced, and opens the history once everything that was read is committed. Returns
+  /// whether either happened.
   bool advance_commit(const Metadata& metadata);
 
  private:
-  /// What one store has of the history.
+  /// The replication progress of one store.
   struct StoreProgress {
-    /// The incarnation of the store that this holds for.
+    /// The store's incarnation; progress is reset when it changes.
     Incarnation incarnation{};
-    /// Records that it has synced, and records that it was sent.
+    /// The number of records that the store has synced, and that it was sent.
     uint64_t synced_length = 0;
     uint64_t sent_length = 0;
     bool has_answered_read = false;
-    /// The latest epoch that the store knew when it answered a read.
+    /// The latest metadata epoch that the store knew when it answered a read.
     Epoch read_epoch{};
-    /// It has taken the whole history under this term, so that records can be appended.
+    /// The store has the whole history under this term, so that records can be appended.
     bool has_history = false;
-    /// The zero point: nothing was sent, so that the next request is due at once.
+    /// Zero if nothing was sent, which makes the next request due immediately.
     TimePoint last_sent_at{};
   };
   using ProgressPredicate = std::function<bool(const StoreProgress&)>;
@@ -100,18 +101,18 @@
   uint64_t synced_by_quorum(const Metadata& metadata) const;
   const Partition& partition_in(const Metadata& metadata) const { return metadata.partitions[partition_.value()]; }
   static bool has_read(const Partition& partition, const StoreProgress& progress);
-  /// The same predicate over the stores whose progress this history has tracked.
-  StorePredicate by_progress(ProgressPredicate holds) const;
+  /// Converts a predicate on the progress of a store to a predicate on the store's id.
+  StorePredicate stores_whose_progress(ProgressPredicate predicate) const;
 
   HistoryName name_;
   PartitionId partition_{};
   Epoch term_{};
   Phase phase_ = Phase::reading;
   bool has_tombstone_ = false;
-  void on_answered_read(DaemonId store, Epoch epoch);
+  void record_read_reply(DaemonId store, Epoch epoch);
   std::optional<Message> replace_request(StoreProgress& progress) const;
 
-  /// The highest version that a store has told of.
+  /// The highest version that any store has reported.
   HistoryVersion replica_;
   std::optional<LargeReplica> awaited_replica_;
   Records records_;
--- a/src/history/ownership_checks.cpp
+++ b/src/history/ownership_checks.cpp
@@ -6,7 +6,7 @@
 namespace mosskeel {
 namespace {
 
-/// No cell of the configuration can have this name.
+/// Not a valid name of a configured cell, so that it never matches a history.
 constexpr const char* kOwnershipCheckCell = "?";
 
 }  // namespace
@@ -23,7 +23,7 @@
     check.number = ++last_number_;
     check.partition = partition;
     check.term = metadata_log_.view()->partitions[partition.value()].term;
-    check.begun_at = now;
+    check.started_at = now;
     send(check, now);
   }
   auto result = state(check, now);
@@ -39,17 +39,17 @@
     return State::refuted;
   if (is_write_quorum(metadata, partition, [&](DaemonId id) { return check.granted.count(id) > 0; }))
     return State::confirmed;
-  bool can_be_confirmed =
-      is_write_quorum(metadata, partition, [&](DaemonId id) { return check.refused.count(id) == 0; });
-  bool is_late = now - check.begun_at > kHistoryQuorumTimeout;
-  return can_be_confirmed && !is_late ? State::checking : State::refuted;
+  bool quorum_is_possible =
+      is_write_quorum(metadata, partition, [&](DaemonId id) { return check.rejected.count(id) == 0; });
+  bool timed_out = now - check.started_at > kHistoryQuorumTimeout;
+  return quorum_is_possible && !timed_out ? State::checking : State::refuted;
 }
 
 void OwnershipChecks::send(Check& check, TimePoint now) {
   auto& metadata = *metadata_log_.view();
   HistoryName name{kOwnershipCheckCell, std::to_string(check.number)};
   for (auto* store : write_targets(metadata, metadata.partitions[check.partition.value()])) {
-    bool has_answered = check.granted.count(store->id) > 0 || check.refused.count(store->id) > 0;
+    bool has_answered = check.granted.count(store->id) > 0 || check.rejected.count(store->id) > 0;
     if (!has_answered)
       out_.send(store->self.address, ReadHistory{name, check.partition, check.term}, store->self.incarnation);
   }
@@ -63,9 +63,9 @@
   for (auto& [key, check] : checks_) {
     if (reply.history.program != std::to_string(check.number))
       continue;
-    auto& answers = reply.granted ? check.granted : check.refused;
+    auto& answers = reply.granted ? check.granted : check.rejected;
     answers.insert(store->id);
-    bool has_ended = state(check, check.begun_at) != State::checking;
+    bool has_ended = state(check, check.started_at) != State::checking;
     return has_ended ? std::optional(key.history) : std::nullopt;
   }
   return std::nullopt;
@@ -76,7 +76,7 @@
   for (auto next = checks_.begin(); next != checks_.end();) {
     auto current = next++;
     auto& check = current->second;
-    if (now - check.begun_at > 2 * kHistoryQuorumTimeout) {
+    if (now - check.started_at > 2 * kHistoryQuorumTimeout) {
       checks_.erase(current);
     } else if (state(check, now) != State::checking) {
       ended.push_back(current->first.history);
--- a/src/history/ownership_checks.hpp
+++ b/src/history/ownership_checks.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// How an owner of programs makes sure that no newer owner has taken over before it answers from memory.
+// Checks that no newer owner has taken over, made before an owner of programs answers from memory.
 #include <map>
 #include <optional>
 #include <set>
@@ -11,29 +11,31 @@
 
 namespace mosskeel {
 
-/// Asks the stores of a partition, on behalf of one request, whether they still take writes under this gateway's term.
+/// Asks the stores of a partition, on behalf of one request, whether they still accept writes under this gateway's
+/// term.
 ///
-/// A newer owner raises the fence at a read quorum of stores before it knows anything of a history, and each write
-/// quorum shares a store with that. So once a write quorum grants a check that began after the request came, no newer
-/// owner had opened a history of the partition when the request came, and none can contradict what this one remembers.
+/// A newer owner raises the fence at a read quorum of stores before it learns the content of any history, and every
+/// write quorum intersects that read quorum. So if a write quorum grants a check that started after the request
+/// arrived, no newer owner had opened a history of the partition at that arrival, and what this owner has in memory is
+/// current.
 ///
-/// A check is a `ReadHistory` of a name that no history has, so that stores of every version answer it, with no
-/// records. Owned by `HistoryWriter`, on its thread; nothing is on disk.
+/// A check is a `ReadHistory` of a name that no history has, so that stores of every software version answer it, and
+/// without records. Owned by `HistoryWriter` and used on its thread; nothing is on disk.
 class OwnershipChecks {
  public:
-  /// `refuted`: too many stores refuse the term, or too few have answered in time.
+  /// `refuted`: too many stores reject the term, or too few have answered in time.
   enum class State { checking, confirmed, refuted };
 
   OwnershipChecks(Outbox& out, const MetadataLog& metadata_log) : out_(out), metadata_log_(metadata_log) {}
 
-  /// Begins the check for a request on a history, or tells how far it is; a result is told once and then forgotten.
+  /// Starts the check for a request on a history, or returns its state. A final result is returned once, then dropped.
   State check(const HistoryName& history, PartitionId partition, const std::string& request, TimePoint now);
-  /// Takes a store's reply. The history of the check that it ended, nothing where none ended.
+  /// Processes a store's reply. Returns the history of the check that the reply ended, if any.
   std::optional<HistoryName> handle(const ReadHistoryReply& reply, const Envelope& envelope);
-  /// Whether a reply belongs to a check, and not to the reading of a history.
+  /// Whether a reply belongs to a check rather than to the opening of a history.
   static bool is_reply_to_check(const ReadHistoryReply& reply);
-  /// Asks again the stores that have not answered, and forgets checks that nobody asked for lately. The histories
-  /// whose checks have ended for want of answers.
+  /// Retries the stores that have not answered, and drops checks whose result was never collected. Returns the
+  /// histories whose checks have ended, for example by a time-out.
   std::vector<HistoryName> tick(TimePoint now);
 
  private:
@@ -43,14 +45,14 @@
     auto operator<=>(const Key&) const = default;
   };
   struct Check {
-    /// In the place of the program's name in the messages; no two checks of a process share it.
+    /// Sent in place of the program's name; unique among the checks of a process.
     uint64_t number = 0;
     PartitionId partition{};
     Epoch term{};
-    TimePoint begun_at{};
+    TimePoint started_at{};
     TimePoint last_sent_at{};
     std::set<DaemonId> granted;
-    std::set<DaemonId> refused;
+    std::set<DaemonId> rejected;
   };
   State state(const Check& check, TimePoint now) const;
   void send(Check& check, TimePoint now);
--- a/src/history/partition_repair.cpp
+++ b/src/history/partition_repair.cpp
@@ -9,7 +9,8 @@
 
 namespace mosskeel {
 
-/// In order, each settled partition of this store with each other store of it that is up.
+/// All comparisons to make, sorted: each partition of this store that is not moving, with each other store of it that
+/// is up.
 std::vector<PartitionRepair::Comparison> PartitionRepair::comparisons() const {
   std::vector<Comparison> all;
   auto& metadata = *metadata_log_.view();
@@ -42,8 +43,8 @@
   return incomplete;
 }
 
-/// A sum, so that order does not count. What was written lately is left out, since it may still be on its way to the
-/// other store.
+/// A sum, so that it does not depend on the order. Recent writes are excluded, since they may not have reached the
+/// other store yet.
 uint64_t PartitionRepair::checksum(PartitionId id) const {
   uint64_t sum = 0;
   auto* stored = table_.find(id);
@@ -60,7 +61,7 @@
 }
 
 void PartitionRepair::tick(TimePoint now) {
-  // A store that was frozen this long may have missed writes.
+  // A process that was suspended for this long may have missed writes.
   if (now - last_tick_at_ > kIsolationTimeout)
     finished_.clear();
   last_tick_at_ = now;
@@ -68,7 +69,7 @@
     return;
   next_step_at_ = now + kRepairInterval;
   if (!job_)
-    return begin_next(now);
+    return start_next(now);
   if (job_->answered)
     return proceed(now);
   if (job_->download)
@@ -77,23 +78,23 @@
     abandon();
 }
 
-void PartitionRepair::begin_next(TimePoint now) {
+void PartitionRepair::start_next(TimePoint now) {
   auto all = comparisons();
   std::erase_if(finished_, [&](auto& entry) { return !std::binary_search(all.begin(), all.end(), entry.first); });
   if (all.empty())
     return;
-  auto next = std::upper_bound(all.begin(), all.end(), last_begun_);
-  last_begun_ = next == all.end() ? all.front() : *next;
+  auto next = std::upper_bound(all.begin(), all.end(), last_started_);
+  last_started_ = next == all.end() ? all.front() : *next;
   auto& metadata = *metadata_log_.view();
-  auto* peer = metadata.find(last_begun_.peer);
-  auto partition = last_begun_.partition;
-  job_ = Job{last_begun_, metadata.partitions[partition.value()].stores_epoch};
+  auto* peer = metadata.find(last_started_.peer);
+  auto partition = last_started_.partition;
+  job_ = Job{last_started_, metadata.partitions[partition.value()].stores_epoch};
   job_->requested_at = now;
   out_.send(peer->self.address, PartitionChecksum{partition, job_->stores_epoch, checksum(partition)},
             peer->self.incarnation);
 }
 
-/// The next request after a reply: what is wanted of the last page, else the next page.
+/// Sends the next request after a reply: fetches wanted histories of the last page, or requests the next page.
 void PartitionRepair::proceed(TimePoint now) {
   auto& job = *job_;
   auto partition = job.comparison.partition;
@@ -119,7 +120,7 @@
   job_.reset();
 }
 
-bool PartitionRepair::is_awaited(const Envelope& envelope, PartitionId partition) const {
+bool PartitionRepair::is_expected(const Envelope& envelope, PartitionId partition) const {
   auto* sender = metadata_log_.view()->find(envelope.from_incarnation);
   return job_ && sender && job_->comparison == Comparison{partition, sender->id} && !job_->answered;
 }
@@ -139,7 +140,7 @@
                                handle(reply, envelope, now);
                                return true;
                              },
-                             [](const auto& /* not of a comparison */) {
+                             [](const auto& /* not part of a comparison */) {
                                return false;
                              }},
                     envelope.body);
@@ -154,7 +155,7 @@
 }
 
 void PartitionRepair::handle(const PartitionChecksumReply& reply, const Envelope& envelope) {
-  if (!is_awaited(envelope, reply.partition) || job_->listing || reply.stores_epoch != job_->stores_epoch)
+  if (!is_expected(envelope, reply.partition) || job_->listing || reply.stores_epoch != job_->stores_epoch)
     return;
   if (reply.equal)
     return finish();
@@ -181,7 +182,7 @@
 }
 
 void PartitionRepair::handle(const ListHistoriesReply& reply, const Envelope& envelope) {
-  if (!is_awaited(envelope, reply.partition) || !job_->listing || job_->last_listed != reply.after)
+  if (!is_expected(envelope, reply.partition) || !job_->listing || job_->last_listed != reply.after)
     return;
   for (auto& summary : reply.summaries) {
     job_->last_listed = summary.history;
@@ -192,7 +193,7 @@
   job_->answered = true;
 }
 
-/// The history with the higher version replaces the other one, and one that has ended stays deleted.
+/// A history with a higher version replaces the local one; a history with a tombstone stays deleted.
 bool PartitionRepair::lacks(PartitionId id, const HistorySummary& summary) const {
   return version_of(summary) > HistoryVersion{} && !table_.is_up_to_date(id, summary);
 }
@@ -220,9 +221,9 @@
   out_.send(envelope.from, reply, envelope.from_incarnation);
 }
 
-/// Where nothing came, the peer has none of what was asked for any more.
+/// An empty reply means that the peer no longer has any of the requested histories.
 void PartitionRepair::handle(const FetchHistoriesReply& reply, const Envelope& envelope) {
-  if (!is_awaited(envelope, reply.partition) || job_->wanted.empty())
+  if (!is_expected(envelope, reply.partition) || job_->wanted.empty())
     return;
   auto requested = std::min(job_->wanted.size(), kRepairHistoriesPerMessage);
   auto last_answered = job_->wanted[requested - 1];
@@ -240,7 +241,7 @@
 }
 
 void PartitionRepair::handle(const FetchLargeHistory& reply, const Envelope& envelope, TimePoint now) {
-  if (!is_awaited(envelope, reply.partition) || job_->wanted.empty() || job_->download)
+  if (!is_expected(envelope, reply.partition) || job_->wanted.empty() || job_->download)
     return;
   if (!lacks(reply.partition, reply.next))
     return on_answered(reply.next.history);
--- a/src/history/partition_repair.hpp
+++ b/src/history/partition_repair.hpp
@@ -6,61 +6,61 @@
 
 namespace mosskeel {
 
-/// Compares this store's partitions in the background with the other stores in place, one comparison at a time, and
-/// fetches what this store lacks: first a checksum, where it differs the histories' names and versions page by page,
-/// then the histories. A history that only a bare quorum holds after a fault comes back to its full number of replicas
-/// this way. Results are kept in memory only: after a restart everything is compared anew.
+/// Compares this store's partitions in the background with their other stores, one comparison at a time, and fetches
+/// what this store lacks: first a checksum; if it differs, the histories' names and versions page by page; then the
+/// histories. This restores the full number of replicas of a history that only a bare quorum holds after a fault.
+/// Results are kept in memory only: after a restart everything is compared again.
 class PartitionRepair {
  public:
   PartitionRepair(Outbox& out, const MetadataLog& metadata_log, HistoryTable& table, const UptimeClock& clock)
       : out_(out), metadata_log_(metadata_log), table_(table), clock_(clock) {}
 
-  /// Handles the messages of comparisons, both ways; false leaves the message to the caller.
+  /// Handles requests and replies of comparisons. Returns false if the message is of another kind.
   bool handle(const Envelope& envelope, TimePoint now);
-  /// Takes records of a large history.
+  /// Processes a page of records of a large history.
   void handle(const ReadRecordsReply& page, const Envelope& envelope, TimePoint now);
   void tick(TimePoint now);
-  /// How many comparisons of a partition with another store have not ended, under the present set of stores, with this
-  /// store having all that the other one had.
+  /// The number of (partition, other store) pairs for which no comparison under the current store set has finished yet
+  /// with this store having everything that the other one had.
   uint32_t incomplete_comparisons() const;
-  /// Histories fetched since the start.
+  /// Number of histories fetched since the process started.
   uint64_t fetched() const { return fetched_; }
 
  private:
-  /// One partition against one other store.
+  /// A partition and the store that it is compared with.
   struct Comparison {
     PartitionId partition;
     DaemonId peer;
     auto operator<=>(const Comparison&) const = default;
   };
-  /// The comparison under way. One request is open at a time.
+  /// The comparison in progress. At most one request is outstanding.
   struct Job {
     Comparison comparison;
-    /// The epoch of the partition's set of stores when the comparison began.
+    /// The epoch of the partition's store set when the comparison started.
     Epoch stores_epoch;
-    /// The last history that the peer has listed.
+    /// The last history in the peer's listing so far.
     HistoryName last_listed{};
-    /// Listed histories that are to be fetched, in order of their names.
+    /// Listed histories that remain to be fetched, in order of their names.
     std::vector<HistoryName> wanted{};
-    /// The checksums differed, so the histories are listed.
+    /// The checksums differ, so the histories are being listed.
     bool listing = false;
     bool more_to_list = true;
-    /// The open request was answered.
+    /// The outstanding request was answered.
     bool answered = false;
     TimePoint requested_at{};
-    /// The large history that is being read, in the place of an answer to a request for histories.
+    /// The download of a large history, which replaces the reply to a request for histories.
     std::optional<HistoryDownload> download{};
   };
   std::vector<Comparison> comparisons() const;
   uint64_t checksum(PartitionId id) const;
   bool is_comparable(const History& history) const;
   bool lacks(PartitionId id, const HistorySummary& summary) const;
-  void begin_next(TimePoint now);
+  void start_next(TimePoint now);
   void proceed(TimePoint now);
   void finish();
   void abandon();
-  /// Whether a reply is the one that the job waits for.
-  bool is_awaited(const Envelope& envelope, PartitionId partition) const;
+  /// Whether the job is waiting for a reply from this sender about this partition.
+  bool is_expected(const Envelope& envelope, PartitionId partition) const;
   void handle(const PartitionChecksum& request, const Envelope& envelope);
   void handle(const PartitionChecksumReply& reply, const Envelope& envelope);
   void handle(const ListHistories& request, const Envelope& envelope);
@@ -69,17 +69,17 @@
   void handle(const FetchHistoriesReply& reply, const Envelope& envelope);
   void handle(const FetchLargeHistory& reply, const Envelope& envelope, TimePoint now);
   void advance_download(TimePoint now);
-  /// The wanted histories up to this one were answered for.
+  /// Marks the wanted histories up to this one as answered.
   void on_answered(const HistoryName& last_answered);
 
   Outbox& out_;
   const MetadataLog& metadata_log_;
   HistoryTable& table_;
   const UptimeClock& clock_;
-  /// Finished comparisons with the epoch of the set of stores for which they hold.
+  /// Finished comparisons, each with the epoch of the store set under which it was made.
   std::map<Comparison, Epoch> finished_;
   std::optional<Job> job_;
-  Comparison last_begun_{};
+  Comparison last_started_{};
   TimePoint next_step_at_{};
   TimePoint last_tick_at_{};
   uint64_t fetched_ = 0;
--- a/src/history/partition_streams.cpp
+++ b/src/history/partition_streams.cpp
@@ -9,12 +9,12 @@
 namespace mosskeel {
 namespace {
 
-/// The first history behind the one that a page begins after.
+/// The first history after `after`; the first one of all if `after` is empty.
 Histories::const_iterator first_after(const Histories& histories, const HistoryName& after) {
   return after.program.empty() ? histories.begin() : histories.upper_bound(after);
 }
 
-/// Adds the histories behind the requested one, until the page is full or a large one follows.
+/// Adds the histories after the requested one, until the page is full or a large one follows.
 void add_histories(StreamPartitionReply& page, const Histories& histories) {
   size_t bytes = 0;
   for (auto next = first_after(histories, page.after); next != histories.end(); ++next) {
@@ -67,7 +67,7 @@
 }
 
 void PartitionStreams::request_pages(TimePoint now) {
-  for (auto id : in_rotation()) {
+  for (auto id : round_robin_order()) {
     if (pages_in_flight(now) >= kStreamWindowPages)
       return;
     last_requested_ = id;
@@ -76,36 +76,37 @@
   }
 }
 
-/// All partitions, beginning behind the last one, so that one whose stores are silent does not hold up the others.
-std::vector<PartitionId> PartitionStreams::in_rotation() const {
+/// All streams, starting after the last partition requested, so that a partition whose stores do not answer does not
+/// block the others.
+std::vector<PartitionId> PartitionStreams::round_robin_order() const {
   std::vector<PartitionId> order;
-  auto behind_last = streams_.upper_bound(last_requested_);
-  for (auto stream = behind_last; stream != streams_.end(); ++stream)
+  auto after_last = streams_.upper_bound(last_requested_);
+  for (auto stream = after_last; stream != streams_.end(); ++stream)
     order.push_back(stream->first);
-  for (auto stream = streams_.begin(); stream != behind_last; ++stream)
+  for (auto stream = streams_.begin(); stream != after_last; ++stream)
     order.push_back(stream->first);
   return order;
 }
 
-/// No more sources than a read quorum are read at a time, and of each source one page for all partitions.
+/// At most a read quorum of sources is read at a time, and each source sends one page at a time over all partitions.
 void PartitionStreams::request_pages(PartitionId id, Stream& stream, TimePoint now) {
   auto& metadata = *metadata_log_.view();
   auto& partition = metadata.partitions[id.value()];
-  size_t engaged = 0;
+  size_t active_sources = 0;
   for (auto& [source_id, source] : stream.sources)
-    engaged += source.complete || source.in_flight(now);
+    active_sources += source.complete || source.in_flight(now);
   for (auto* daemon : preferred_sources(partition, stream)) {
-    if (engaged >= metadata.read_quorum(partition.stores.size()) || pages_in_flight(now) >= kStreamWindowPages)
+    if (active_sources >= metadata.read_quorum(partition.stores.size()) || pages_in_flight(now) >= kStreamWindowPages)
       return;
     auto& source = stream.sources[daemon->id];
     if (source.complete || is_sending(daemon->id, now))
       continue;
     request_page(id, stream, source, *daemon, now);
-    ++engaged;
+    ++active_sources;
   }
 }
 
-/// Those that are up first, then those that have not been asked for the longest time.
+/// Stores that are up come first; among equals, the least recently asked.
 std::vector<const Daemon*> PartitionStreams::preferred_sources(const Partition& partition, Stream& stream) const {
   std::vector<const Daemon*> sources;
   for (auto id : partition.stores)
@@ -169,7 +170,7 @@
                             request.after_tombstone, stored->fence,    std::move(summary)};
 }
 
-/// One large history is read at a time; the source of another one is asked again later.
+/// One large history is downloaded at a time; the source of another one is asked again after its time-out.
 void PartitionStreams::handle(const StreamLargeHistory& page, const Envelope& envelope, TimePoint now) {
   auto* sender = metadata_log_.view()->find(envelope.from_incarnation);
   auto* source = sender ? awaited_source(page, sender->id) : nullptr;
@@ -203,7 +204,7 @@
   if (!is_wanted || pages.state() == HistoryDownload::State::failed)
     return download_.reset();
   auto& source = stream->second.sources[download_->source];
-  // While pages come the source counts as sending.
+  // While records arrive, the source counts as having a page in flight.
   source.requested_at = pages.last_progress_at();
   if (pages.state() == HistoryDownload::State::reading)
     return;
--- a/src/history/partition_streams.hpp
+++ b/src/history/partition_streams.hpp
@@ -1,43 +1,44 @@
 #pragma once
-// How a store copies the partitions that it is about to hold from the stores that hold them.
+// Streaming of partitions to a store that is about to join their store sets.
 #include "history/history_download.hpp"
 #include "history/history_table.hpp"
 #include "replication/metadata_log.hpp"
 
 namespace mosskeel {
 
-/// Streams each partition for which this store is pending, page by page, from a read quorum of the stores in place. The
-/// number of pages in flight is bounded over all partitions, and each source sends one page at a time. What
-/// comes is merged into the table; progress is kept in memory only, so that a restart streams anew. A history that is
-/// too large for a page is read by a `HistoryDownload` of its own and merged once it is whole.
+/// Streams each partition for which this store is pending, page by page, from a read quorum of its current stores. The
+/// number of pages in flight is bounded over all partitions, and each source sends one page at a time. Received pages
+/// are merged into the table; progress is kept in memory only, so that a restart starts over. A history that is too
+/// large for a page is read by a separate `HistoryDownload` and merged once it is complete.
 class PartitionStreams {
  public:
   PartitionStreams(Outbox& out, const MetadataLog& metadata_log, HistoryTable& table)
       : out_(out), metadata_log_(metadata_log), table_(table) {}
 
-  /// Begins and ends streams as partitions become pending here and cease to be, and requests the next pages.
+  /// Starts and stops streams as partitions become pending here or cease to be, and requests the next pages.
   void tick(TimePoint now);
   /// Serves a page to another store.
   void handle(const StreamPartition& request, const Envelope& envelope);
-  /// Takes a page that was requested; true where it completed its partition.
+  /// Processes a requested page. Returns whether it completed its partition.
   bool handle(const StreamPartitionReply& page, const Envelope& envelope, TimePoint now);
-  /// Takes a page that names a large history, and records of one.
+  /// Processes a page that names a large history.
   void handle(const StreamLargeHistory& page, const Envelope& envelope, TimePoint now);
+  /// Processes a page of records of a large history.
   void handle(const ReadRecordsReply& page, const Envelope& envelope, TimePoint now);
-  /// The epoch of the latest sequence for which all partitions pending here are complete; 0 while one is not.
+  /// The epoch of the latest sequence whose partitions pending here are all complete; 0 while any is incomplete.
   Epoch completed_sequence() const;
-  /// Pages requested and neither answered nor given up.
+  /// The number of pages that were requested and neither answered nor timed out.
   size_t pages_in_flight(TimePoint now) const;
 
  private:
-  /// One of the stores that hold a partition, and how far its replica has been read.
+  /// The read progress of one of the stores that hold a partition.
   struct Source {
     HistoryName last_history{};
     uint64_t last_tombstone = 0;
     TimePoint requested_at{};
     bool awaits_page = false;
     bool complete = false;
-    /// Whether a page is awaited that has not timed out.
+    /// Whether a page request is outstanding and has not timed out.
     bool in_flight(TimePoint now) const;
   };
   struct Stream {
@@ -46,7 +47,7 @@
     std::map<DaemonId, Source> sources;
     bool complete = false;
   };
-  /// The large history under way.
+  /// The download of a large history in progress.
   struct Download {
     Epoch sequence;
     DaemonId source;
@@ -54,15 +55,15 @@
   };
   void follow_metadata(DaemonId self);
   void advance_download(TimePoint now);
-  /// What to answer where the next history is too large for a page.
+  /// The reply if the next history is too large for a page; else nothing.
   std::optional<StreamLargeHistory> next_large_history(const StreamPartition& request) const;
   void request_pages(TimePoint now);
   void request_pages(PartitionId id, Stream& stream, TimePoint now);
   void request_page(PartitionId id, const Stream& stream, Source& source, const Daemon& daemon, TimePoint now);
-  std::vector<PartitionId> in_rotation() const;
+  std::vector<PartitionId> round_robin_order() const;
   std::vector<const Daemon*> preferred_sources(const Partition& partition, Stream& stream) const;
   bool is_sending(DaemonId source, TimePoint now) const;
-  /// The source that this page was requested of, or nothing.
+  /// The source that this page was requested from, or null if the page is not expected.
   template <class Page>
   Source* awaited_source(const Page& page, DaemonId sender) {
     auto stream = streams_.find(page.partition);
@@ -83,7 +84,7 @@
   HistoryTable& table_;
   std::map<PartitionId, Stream> streams_;
   std::optional<Download> download_;
-  /// The partition for which pages were requested last.
+  /// The partition for which a page was requested most recently.
   PartitionId last_requested_{};
 };
 
--- a/src/history/record_bytes.cpp
+++ b/src/history/record_bytes.cpp
@@ -14,7 +14,8 @@
   return page;
 }
 
-/// A replica of the same term that has grown since still begins with the records of the version that is asked for.
+/// A replica that has grown under the same term can serve the request: it still starts with the requested version's
+/// records.
 ReadRecordsReply read_records(const ReadRecords& request, const Records* records, Epoch term) {
   ReadRecordsReply reply{request.history, request.term, request.length, request.from, false, {}};
   reply.available = records && term == request.term && records->size() >= request.length;
--- a/src/history/store_journal.cpp
+++ b/src/history/store_journal.cpp
@@ -14,8 +14,8 @@
   out_.write(std::move(bytes));
 }
 
-/// The limit is the last checkpoint's size, so that a checkpoint is written for as many bytes of journal, and a start
-/// reads no more than twice the state.
+/// The limit is the last checkpoint's size: checkpoints then write about as many bytes as the journal, and recovery
+/// reads at most twice the size of the state.
 bool StoreJournal::checkpoint_due() const {
   auto limit = std::clamp(checkpoint_bytes_, kMinCheckpointJournalBytes, kCheckpointJournalBytes);
   return bytes_since_checkpoint_ > limit;
--- a/src/history/store_machine.cpp
+++ b/src/history/store_machine.cpp
@@ -32,8 +32,8 @@
   follower_.report_durable_epochs_only();
 }
 
-/// Reads the form of `StoreCheckpoint` partition by partition, so that no more than one partition is in memory twice.
-/// A damaged one changes nothing.
+/// Decodes the encoding of `StoreCheckpoint` incrementally, one partition at a time, to limit peak memory. A checkpoint
+/// that cannot be decoded completely changes nothing.
 void StoreMachine::restore_checkpoint(std::string checkpoint) {
   codec::Reader reader{checkpoint};
   Metadata metadata{};
@@ -54,7 +54,7 @@
   journal_.set_checkpoint_bytes(checkpoint.size());
 }
 
-/// Frees each record once it is applied.
+/// Frees the memory of each record once it is applied.
 void StoreMachine::replay_journal(std::vector<std::string> journal) {
   for (auto& bytes : journal) {
     journal_.count_recovered(bytes.size());
@@ -129,7 +129,7 @@
 void StoreMachine::handle(const Envelope& envelope, TimePoint now) {
   if (follower_.handle(envelope, now))
     return;
-  if (load_shedder_.sheds(envelope))
+  if (load_shedder_.shed_if_overloaded(envelope))
     return;
   if (follower_.defer(envelope, now))
     return;
@@ -145,7 +145,7 @@
                       [&](const StreamPartition& request) { streams_.handle(request, envelope); },
                       [&](const StreamPartitionReply& page) { handle(page, envelope, now); },
                       [&](const FindChain& request) { handle(request, envelope); },
-                      [](const auto& /* meant for other daemons */) {
+                      [](const auto& /* addressed to other kinds of daemons */) {
                       }},
              envelope.body);
 }
@@ -157,12 +157,12 @@
   auto* partition = find_partition(metadata, id);
   if (!self || !sender || !partition)
     return false;
-  bool keeps_partition = contains(partition->stores, self->id) || contains(partition->pending_stores, self->id);
+  bool holds_partition = contains(partition->stores, self->id) || contains(partition->pending_stores, self->id);
   bool knows_stores = envelope.epoch >= std::max(partition->term, partition->stores_epoch);
-  return keeps_partition && knows_stores && partition->owner == sender->id;
+  return holds_partition && knows_stores && partition->owner == sender->id;
 }
 
-/// A read raises the fence: from then on no earlier owner writes to the partition here.
+/// A read raises the fence: from then on this store rejects writes of earlier owners of the partition.
 void StoreMachine::handle(const ReadHistory& request, const Envelope& envelope) {
   ReadHistoryReply reply{request.history, request.term, false, {}, false, {}};
   reply.granted = is_from_owner(envelope, request.partition) && table_.raise_fence(request.partition, request.term);
@@ -180,12 +180,12 @@
   out_.send_synced(envelope.from, std::move(reply), envelope.from_incarnation);
 }
 
-bool StoreMachine::takes_writes(const Envelope& envelope, PartitionId id, Epoch term) const {
+bool StoreMachine::accepts_writes(const Envelope& envelope, PartitionId id, Epoch term) const {
   return is_from_owner(envelope, id) && table_.fence(id) <= term;
 }
 
 void StoreMachine::handle(const AppendHistory& request, const Envelope& envelope) {
-  if (!takes_writes(envelope, request.partition, request.term)) {
+  if (!accepts_writes(envelope, request.partition, request.term)) {
     out_.send(envelope.from, AppendHistoryReply{request.history, request.term, false, false, 0},
               envelope.from_incarnation);
     return;
@@ -195,7 +195,7 @@
 }
 
 void StoreMachine::handle(const AdoptHistory& request, const Envelope& envelope, TimePoint now) {
-  if (!takes_writes(envelope, request.partition, request.term)) {
+  if (!accepts_writes(envelope, request.partition, request.term)) {
     out_.send(envelope.from, AppendHistoryReply{request.history, request.term, false, false, 0},
               envelope.from_incarnation);
     return;
@@ -211,7 +211,7 @@
   out_.send(envelope.from, std::move(reply), envelope.from_incarnation);
 }
 
-/// Each part takes the pages that it has asked for and leaves the others.
+/// Each component ignores pages that it has not requested.
 void StoreMachine::handle(const ReadRecordsReply& page, const Envelope& envelope, TimePoint now) {
   streams_.handle(page, envelope, now);
   repair_.handle(page, envelope, now);
@@ -220,7 +220,7 @@
 }
 
 void StoreMachine::handle(const WriteTombstone& request, const Envelope& envelope) {
-  if (!takes_writes(envelope, request.partition, request.term))
+  if (!accepts_writes(envelope, request.partition, request.term))
     return;
   auto* partition = table_.find(request.partition);
   if (partition && partition->has_tombstone(request.history))
--- a/src/history/store_machine.hpp
+++ b/src/history/store_machine.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A store: the replicas of histories on one machine's disk.
+// The state machine of a store, which holds replicas of histories on one machine's disk.
 #include "history/adoptions.hpp"
 #include "history/history_expiry.hpp"
 #include "history/load_shedder.hpp"
@@ -10,12 +10,13 @@
 
 namespace mosskeel {
 
-/// The state machine of a storage daemon. It follows the metadata log, serves the owners of the partitions that it
-/// keeps, and in the background streams new partitions, compares old ones with other stores, reports expired histories
-/// and drops what moved away. Invariant: whatever it answers for is synced before the answer leaves.
+/// The state machine of a storage daemon. It follows the metadata log and serves the owners of the partitions that it
+/// holds; in the background it streams new partitions, compares existing ones with other stores, reports expired
+/// histories and drops partitions that moved away. Invariant: state that a reply acknowledges is synced before the
+/// reply is sent.
 class StoreMachine : public StateMachine {
  public:
-  /// Takes what was recovered from the disk, and frees it piece by piece as the state grows.
+  /// Restores the state from the recovered data, freeing that data incrementally to limit peak memory.
   StoreMachine(const Identity& id, Recovered recovered, TimePoint now);
   Actions step(const Envelope& envelope, TimePoint now) override;
   Actions tick(TimePoint now) override;
@@ -29,7 +30,7 @@
   const PartitionRepair& repair() const { return repair_; }
   const PartitionStreams& streams() const { return streams_; }
   void set_load(const StoreLoad& load) { load_shedder_.set_load(load); }
-  /// Messages rejected or dropped because of the load.
+  /// Number of messages rejected or dropped because of the load.
   uint64_t shed_messages() const { return load_shedder_.shed_messages(); }
 
  private:
@@ -47,19 +48,19 @@
   void handle(const StreamPartitionReply& page, const Envelope& envelope, TimePoint now);
   void handle(const FindChain& request, const Envelope& envelope);
   /// Whether the sender may write to the partition under this term.
-  bool takes_writes(const Envelope& envelope, PartitionId id, Epoch term) const;
-  /// Whether the sender owns the partition, knows its present set of stores, and this store is in that set or to come
-  /// into it.
+  bool accepts_writes(const Envelope& envelope, PartitionId id, Epoch term) const;
+  /// Whether the sender owns the partition and knows its current store set, and this store is in the current or the
+  /// pending set.
   bool is_from_owner(const Envelope& envelope, PartitionId id) const;
   void run_timers(TimePoint now);
-  /// The step's actions, with a checkpoint where the journal has grown enough.
+  /// The step's actions, with a checkpoint if one is due.
   Actions finish_step();
 
   Outbox out_;
   MetadataLog metadata_log_;
   Follower follower_;
   UptimeClock clock_;
-  /// Learns each checkpoint's size, which `checkpoint() const` alone knows.
+  /// Mutable because `checkpoint() const` records the size of each checkpoint here.
   mutable StoreJournal journal_;
   HistoryTable table_;
   PartitionRepair repair_;
--- a/src/history/store_quorum.cpp
+++ b/src/history/store_quorum.cpp
@@ -5,8 +5,8 @@
 namespace mosskeel {
 namespace {
 
-size_t count_stores(const std::vector<DaemonId>& stores, const StorePredicate& has) {
-  return static_cast<size_t>(std::count_if(stores.begin(), stores.end(), has));
+size_t count_stores(const std::vector<DaemonId>& stores, const StorePredicate& predicate) {
+  return static_cast<size_t>(std::count_if(stores.begin(), stores.end(), predicate));
 }
 
 }  // namespace
@@ -23,14 +23,14 @@
   return targets;
 }
 
-bool is_read_quorum(const Metadata& metadata, const Partition& partition, const StorePredicate& has) {
+bool is_read_quorum(const Metadata& metadata, const Partition& partition, const StorePredicate& predicate) {
   auto size = partition.stores.size();
-  return size >= metadata.write_quorum(size) && count_stores(partition.stores, has) >= metadata.read_quorum(size);
+  return size >= metadata.write_quorum(size) && count_stores(partition.stores, predicate) >= metadata.read_quorum(size);
 }
 
-bool is_write_quorum(const Metadata& metadata, const Partition& partition, const StorePredicate& has) {
+bool is_write_quorum(const Metadata& metadata, const Partition& partition, const StorePredicate& predicate) {
   auto is_quorum_of = [&](const std::vector<DaemonId>& stores) {
-    return count_stores(stores, has) >= metadata.write_quorum(stores.size());
+    return count_stores(stores, predicate) >= metadata.write_quorum(stores.size());
   };
   bool is_pending_quorum = partition.pending_stores.empty() || is_quorum_of(partition.pending_stores);
   return is_pending_quorum && is_quorum_of(partition.stores);
--- a/src/history/stored_partition.hpp
+++ b/src/history/stored_partition.hpp
@@ -1,6 +1,5 @@
 #pragma once
-// What a store keeps of each partition, in memory and in its checkpoints. The order of the fields is the format on
-// disk.
+// A store's replica of a partition, in memory and in checkpoints. The order of the fields is the format on disk.
 #include "history/history_version.hpp"
 #include "history/tombstones.hpp"
 
@@ -15,8 +14,8 @@
 };
 using Histories = std::map<HistoryName, History>;
 
-/// One partition's replica. `fence` is the highest ownership term that any owner has shown here: nothing of a lower
-/// term is written any more. A history is in `histories` or its name in `tombstones`, never both.
+/// One partition's replica. `fence` is the highest ownership term that this store has seen from any owner: writes under
+/// lower terms are rejected. A history is in `histories` or its name in `tombstones`, never both.
 struct StoredPartition {
   MOSSKEEL_FIELDS(StoredPartition, (Epoch, fence), (Histories, histories), (Tombstones, tombstones));
 
--- a/src/history/tombstones.cpp
+++ b/src/history/tombstones.cpp
@@ -9,10 +9,10 @@
 }
 
 void Tombstones::add(uint64_t digest, size_t generation_size) {
-  auto place = std::lower_bound(young.begin(), young.end(), digest);
-  if (place != young.end() && *place == digest)
+  auto position = std::lower_bound(young.begin(), young.end(), digest);
+  if (position != young.end() && *position == digest)
     return;
-  young.insert(place, digest);
+  young.insert(position, digest);
   if (young.size() >= generation_size)
     old = std::exchange(young, {});
 }
--- a/src/history/tombstones.hpp
+++ b/src/history/tombstones.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What a store keeps of a deleted history: that there was one of this name.
+// Tombstones: the names of deleted histories, kept as digests.
 #include <cstdint>
 #include <vector>
 
@@ -8,21 +8,21 @@
 
 namespace mosskeel {
 
-/// Digests of the names of deleted histories, 8 bytes each, in two sorted generations. When the young one is full it
-/// becomes the old one, whose digests are forgotten, so that memory is bounded and the most recent ends are kept.
-/// The order of the fields is the format on disk.
+/// Digests of the names of deleted histories, 8 bytes each, in two sorted generations. When the young generation is
+/// full it replaces the old one, whose digests are discarded. This bounds the memory and keeps the most recent
+/// tombstones. The order of the fields is the format on disk.
 struct Tombstones {
   MOSSKEEL_FIELDS(Tombstones, (std::vector<uint64_t>, young), (std::vector<uint64_t>, old));
 
   bool has(uint64_t digest) const;
   /// `generation_size` is the number of digests at which the young generation is full.
   void add(uint64_t digest, size_t generation_size = kTombstonesPerPartition);
-  /// Those above `after` in ascending order, at most `limit`.
+  /// The digests greater than `after`, in ascending order, at most `limit`.
   std::vector<uint64_t> above(uint64_t after, size_t limit) const;
   size_t size() const { return young.size() + old.size(); }
 };
 
-/// The digest that stands for a history's name. Two names may share one, at 1 in 10^19 a pair.
+/// The digest of a history's name. Two names collide with a probability of about 1 in 10^19.
 uint64_t tombstone_of(const HistoryName& name);
 
 }  // namespace mosskeel
--- a/src/history/turn_chain.cpp
+++ b/src/history/turn_chain.cpp
@@ -8,7 +8,7 @@
 
 constexpr uint32_t kStatusSucceeded = 200;
 
-/// Searched from the end: it is mostly a recent turn that is asked for.
+/// Searches from the end, since mostly recent turns are requested.
 bool has_outcome(const Records& records, const std::string& turn) {
   return std::any_of(records.rbegin(), records.rend(),
                      [&](auto& record) { return record.kind == RecordKind::outcome && record.key == turn; });
@@ -31,15 +31,15 @@
     if (record.kind == RecordKind::outcome)
       outcomes.emplace(record.key, &record);
   }
-  // From the last turn back to the first; the bound ends a chain that damaged records close to a ring.
+  // Walks from the last turn back to the first. The bound ends the walk if damaged records form a cycle.
   std::vector<std::string> parts;
-  const size_t most_parts = 2 * records.size();
-  for (auto key = turn; !key.empty() && parts.size() <= most_parts;) {
+  const size_t max_parts = 2 * records.size();
+  for (auto key = turn; !key.empty() && parts.size() <= max_parts;) {
     auto outcome = outcomes.find(key);
     if (outcome == outcomes.end() || outcome->second->status != kStatusSucceeded)
       return std::nullopt;
     parts.push_back(outcome->second->output);
-    // An outcome without a reservation was taken over from another program's history, with its chain's whole text.
+    // An outcome without a reservation was imported from another program's history and contains its chain's full text.
     auto reservation = reservations.find(key);
     if (reservation == reservations.end())
       break;
