--- a/src/messages/message.hpp
+++ b/src/messages/message.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// All kinds of messages between daemons, and the envelope that each travels in.
+// All kinds of messages between daemons, and their envelope.
 // Append only: the index of a kind in Message is its number on the wire.
 #include "messages/consensus_messages.hpp"
 #include "messages/constants.hpp"
@@ -10,7 +10,7 @@
 
 namespace mosskeel {
 
-/// The first alternative, no message, keeps 0 from being a kind.
+/// The first alternative stands for no message, so that 0 is not a valid kind.
 using Message =
     std::variant<std::monostate, Discover, DiscoverReply, Prepare, Promise, Accept, Accepted, Decided, Catchup,
                  CatchupReply, QuorumRead, QuorumReadReply, Commit, CommitReply, Heartbeat, HeartbeatReply,
@@ -23,8 +23,8 @@
                  CommitTurn, CommitTurnReply, FindChain, FindChainReply, ReadRecords, ReadRecordsReply,
                  LargeHistoryReply, StreamLargeHistory, FetchLargeHistory, AdoptHistory>;
 
-/// A message as it travels: `protocol` is kProtocolRevision, `cluster` 0 before the sender knows one, `epoch` what the
-/// sender knows, `id` random; `to_incarnation` 0 means whoever has the address.
+/// A message as sent: `protocol` is kProtocolRevision; `cluster` is 0 before the sender knows one; `epoch` is the
+/// latest that the sender knows; `id` is random; `to_incarnation` 0 addresses any incarnation at the address.
 struct Envelope {
   MOSSKEEL_FIELDS(Envelope, (uint16_t, protocol), (uint64_t, cluster), (Epoch, epoch), (uint64_t, id), (Address, from),
                   (Incarnation, from_incarnation), (Address, to), (Incarnation, to_incarnation), (Message, body));
--- a/src/storage/disk.cpp
+++ b/src/storage/disk.cpp
@@ -19,7 +19,7 @@
 
 constexpr int kFileMode = 0644;
 
-/// The result of a system call that has just failed.
+/// Converts the errno of a failed system call.
 DiskResult result_of_errno() {
   bool no_space = errno == ENOSPC || errno == EDQUOT;
   return {no_space ? DiskResult::full : DiskResult::failed};
@@ -81,7 +81,7 @@
 
 DiskResult Disk::write_all(int fd, std::string_view bytes) {
   while (!bytes.empty()) {
-    // A write of 0 bytes sets no errno; it is taken for a full disk.
+    // A write that returns 0 sets no errno; it is treated as a full disk.
     errno = ENOSPC;
     auto written = calls_.write(fd, bytes.data(), bytes.size());
     if (written < 0 && errno == EINTR)
@@ -93,7 +93,7 @@
   return {};
 }
 
-/// Takes back what is beyond `size`; `full` where that worked, for the caller to pass on.
+/// Rolls the segment back to `size`. Returns `full` on success, for the caller to return.
 DiskResult Disk::truncate_segment(size_t size) {
   if (calls_.truncate(segment_.get(), static_cast<off_t>(size)) != 0)
     return {DiskResult::failed};
@@ -159,8 +159,8 @@
   return {};
 }
 
-/// Closes a large segment and starts the next one. The first mark is on disk before any record: where it cannot be
-/// read later, the segment has lost what it had.
+/// Starts the next segment if the current one is too large or has no sync marks. The first mark is synced before any
+/// record is written, so that an unreadable first mark means that the segment lost data.
 DiskResult Disk::prepare_segment() {
   bool segment_is_closed = segment_size_ > kSegmentBytes || !begins_with_mark_;
   if (segment_size_ && segment_is_closed) {
@@ -198,12 +198,12 @@
     return {};
   if (auto result = sync_segment(); !result)
     return result;
-  // The mark is a help to recovery; a disk that is full for it has still synced the records.
+  // The records are already synced. The mark only helps recovery, so a disk too full for it is not an error.
   auto result = append_sync_mark();
   return result.kind == DiskResult::failed ? result : DiskResult{};
 }
 
-/// Writes a small file as a whole: it has the old content or the new one after any crash.
+/// Replaces a small file atomically: after a crash it has either the old or the new content.
 bool Disk::replace_file(const std::string& path, const std::string& bytes) {
   auto temporary = folder_ + "/unfinished";
   {
@@ -226,8 +226,8 @@
     calls_.remove(reserve.c_str());
 }
 
-/// Writes the framed checkpoint into the file of the reserve and gives it its final name.
-DiskResult Disk::fill_checkpoint(int fd, const std::string& bytes) {
+/// Writes the framed checkpoint into the reserve file and renames the file to its final name.
+DiskResult Disk::write_checkpoint_file(int fd, const std::string& bytes) {
   auto header = frame_header(bytes);
   if (auto result = write_all(fd, header); !result)
     return result;
@@ -243,7 +243,7 @@
   return {};
 }
 
-/// Into the space of the reserve, which nobody else can take; the file gets its name once all of it is on disk.
+/// Writes into the reserve's space, which is already allocated; the file is renamed after all its data is synced.
 DiskResult Disk::write_checkpoint(const std::string& bytes) {
   auto reserve = folder_ + "/reserve";
   Fd file(calls_.open(reserve.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC));
@@ -252,10 +252,10 @@
   struct stat info {};
   if (::fstat(file.get(), &info) != 0)
     return {DiskResult::failed};
-  auto result = fill_checkpoint(file.get(), bytes);
+  auto result = write_checkpoint_file(file.get(), bytes);
   if (result)
     return sync_folder() == 0 ? result : DiskResult{DiskResult::failed};
-  // Gives the reserve back the size that it had.
+  // Restores the reserve's previous size.
   if (info.st_size == 0)
     calls_.remove(reserve.c_str());
   else if (calls_.truncate(file.get(), info.st_size) != 0)
--- a/src/storage/disk_recovery.cpp
+++ b/src/storage/disk_recovery.cpp
@@ -1,4 +1,4 @@
-// What a daemon finds in its data folder, and which part of it is intact.
+// Recovery of a data folder: finds the intact data, truncates an unsynced tail and reports corruption.
 #include <fcntl.h>
 #include <sys/file.h>
 #include <unistd.h>
@@ -17,7 +17,8 @@
 
 constexpr std::string_view kLogPrefix = "log-";
 constexpr std::string_view kCheckpointPrefix = "checkpoint-";
-constexpr const char* kHowToReplace = "restore the disk or empty the folder so that this machine joins as a new member";
+constexpr const char* kCorruptionAdvice =
+    "restore the disk or empty the folder so that this machine joins as a new member";
 
 Errors corrupted(const std::string& path, const std::string& message) {
   return {{path, message, ErrorCode::corruption}};
@@ -27,7 +28,7 @@
   return {{path, message, ErrorCode::io_error}};
 }
 
-/// The whole file, in memory once.
+/// The whole file, read into a buffer of its size so that it is in memory only once.
 std::string read_file(const std::string& path) {
   std::error_code error;
   auto size = fs::file_size(path, error);
@@ -45,10 +46,10 @@
   return unhex(name.substr(prefix.size()));
 }
 
-/// Whether something behind the first damaged byte shows that the damage is not an unsynced tail: a mark which says
-/// that this byte was synced or, in a segment without marks, any intact record.
+/// Whether data after the first damaged byte proves that the damage is not an unsynced tail: a mark according to which
+/// this byte was synced or, in a segment without marks, any intact record.
 ///
-/// `rest` begins at `damaged_at`, an offset in segment `sequence`.
+/// `rest` starts at `damaged_at`, an offset in segment `sequence`.
 bool proves_corruption(codec::Reader rest, size_t damaged_at, bool segment_has_marks, Incarnation incarnation,
                        uint64_t sequence) {
   for (auto position = damaged_at; rest.remaining.size() > kFrameHeaderBytes; ++position) {
@@ -58,7 +59,7 @@
     if (!segment_has_marks || record_size == SyncMark::kBytes) {
       auto probe = rest;
       if (auto record = unframe(probe)) {
-        auto mark = mark_of(*record, incarnation, sequence);
+        auto mark = decode_sync_mark(*record, incarnation, sequence);
         bool covers_damage = mark && mark->synced > damaged_at && mark->synced <= position;
         if (!segment_has_marks || covers_damage)
           return true;
@@ -136,7 +137,7 @@
   codec::Reader reader{bytes};
   auto checkpoint = unframe(reader);
   if (!checkpoint || !reader.remaining.empty())
-    return corrupted(path("checkpoint", sequence), std::string("is damaged; ") + kHowToReplace);
+    return corrupted(path("checkpoint", sequence), std::string("is damaged; ") + kCorruptionAdvice);
   recovered_.checkpoint = std::move(*checkpoint);
   checkpoint_size_ = bytes.size();
   reclaimable_bytes_ = bytes.size();
@@ -165,11 +166,11 @@
     if (!record) {
       if (!is_last || proves_corruption(reader, position, begins_with_mark_, recovered_.incarnation, sequence)) {
         return corrupted(path("log", sequence),
-                         "is damaged at byte " + std::to_string(position) + "; " + kHowToReplace);
+                         "is damaged at byte " + std::to_string(position) + "; " + kCorruptionAdvice);
       }
       return truncate_tail(sequence, position, reader.remaining.size());
     }
-    ends_with_mark_ = mark_of(*record, recovered_.incarnation, sequence).has_value();
+    ends_with_mark_ = decode_sync_mark(*record, recovered_.incarnation, sequence).has_value();
     if (position == 0)
       begins_with_mark_ = ends_with_mark_;
     if (!ends_with_mark_)
@@ -188,7 +189,7 @@
   return {};
 }
 
-/// What was read may still be on its way to the disk, and the daemon answers for it from now on.
+/// The data that was read may not be on disk yet, and the daemon acknowledges it from now on.
 Errors Disk::sync_recovered() {
   bytes_unsynced_ = true;
   auto result = sync_segment();
--- a/src/storage/journal_writer.cpp
+++ b/src/storage/journal_writer.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-/// Appends and syncs all pending records; those that are durable then are pending no more.
+/// Appends and syncs all pending records, and removes those that became durable.
 DiskResult JournalWriter::flush() {
   DiskResult result;
   auto durable_before = disk_.durable_appends();
@@ -31,7 +31,7 @@
 }
 
 DiskResult JournalWriter::write_checkpoint(const std::string& bytes, Written& written) {
-  // On a full disk a checkpoint helps only if it is smaller than what it stands for.
+  // On a full disk a checkpoint frees space only if it is smaller than the data that it replaces.
   bool frees_space = pending_bytes_ == 0 || bytes.size() < disk_.reclaimable_bytes() + pending_bytes_;
   auto result = frees_space ? disk_.checkpoint(bytes) : DiskResult{DiskResult::full};
   if (result) {
@@ -60,7 +60,7 @@
   return result;
 }
 
-void JournalWriter::note_full(bool was_full, Written& written) const {
+void JournalWriter::log_full_change(bool was_full, Written& written) const {
   if (full_ && !was_full)
     written.notes.push_back({Event::disk_full, std::to_string(pending_bytes_) + " bytes are held back"});
   if (!full_ && was_full && written.result)
@@ -80,15 +80,15 @@
   full_ = written.result.kind == DiskResult::full;
   if (!written.result)
     written.sends.clear();
-  note_full(was_full, written);
+  log_full_change(was_full, written);
   if (full_ && pending_bytes_ > max_pending_bytes_)
     written.result = {DiskResult::failed};
   return written;
 }
 
 bool JournalWriter::wants_checkpoint(TimePoint now) {
-  bool is_worth_a_try = full_ || checkpoint_is_due_;
-  if (!is_worth_a_try || now < next_checkpoint_)
+  bool is_needed = full_ || checkpoint_is_due_;
+  if (!is_needed || now < next_checkpoint_)
     return false;
   next_checkpoint_ = now + kFullDiskCheckpointInterval;
   return true;
--- a/src/storage/log_frame.hpp
+++ b/src/storage/log_frame.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// The layout of records in a log segment: a header with size and checksum before each, and marks between them that
-// record how far the segment was synced.
+// The format of a log segment: records, each preceded by a header with its size and checksum, and sync marks between
+// them that record how far the segment was synced.
 #include "base/codec.hpp"
 
 namespace mosskeel {
@@ -8,7 +8,7 @@
 /// Size (32 bits) and checksum (64 bits).
 constexpr size_t kFrameHeaderBytes = 12;
 
-/// What stands before a record: its size and digest.
+/// The header that precedes a record: its size and checksum.
 inline std::string frame_header(const std::string& record) {
   std::string header;
   codec::put(header, static_cast<uint32_t>(record.size()));
@@ -21,8 +21,8 @@
   return frame_header(record) + record;
 }
 
-/// The record at the reader's position; nothing where it is damaged, and the reader stays where it was. No record is
-/// empty: zeros where a write was lost have the digest of an empty one.
+/// Reads the record at the reader's position; if it is damaged, returns nothing and leaves the reader unchanged. An
+/// empty record counts as damaged: zeros left by a lost write would match the checksum of an empty record.
 inline std::optional<std::string> unframe(codec::Reader& reader) {
   auto rest = reader;
   uint32_t size = 0;
@@ -38,16 +38,17 @@
 }
 
 /// Records that the first `synced` bytes of segment `sequence` of this daemon were durable before the mark was written.
-/// A record by its form, which begins with an index that no kind of record has: daemons that do not know it skip it.
+/// It is framed like a record, but begins with an index that no kind of record has: versions without sync marks skip
+/// it.
 struct SyncMark {
   MOSSKEEL_FIELDS(SyncMark, (uint64_t, magic), (Incarnation, incarnation), (uint64_t, sequence), (uint64_t, synced));
   static constexpr uint64_t kMagic = 0x6b72616d2d79ffff;
-  /// Size of its encoding, without and with the frame.
+  /// Size of the encoding, without and with the frame header.
   static constexpr size_t kBytes = 32, kFramedBytes = kBytes + kFrameHeaderBytes;
 };
 
-/// The mark in a record, if it is one of this daemon's segment `sequence`.
-inline std::optional<SyncMark> mark_of(const std::string& record, Incarnation incarnation, uint64_t sequence) {
+/// Decodes a record as a sync mark; nothing if it is not one of this daemon for segment `sequence`.
+inline std::optional<SyncMark> decode_sync_mark(const std::string& record, Incarnation incarnation, uint64_t sequence) {
   if (record.size() != SyncMark::kBytes)
     return std::nullopt;
   auto mark = codec::decode<SyncMark>(record);
--- a/src/storage/recovered.hpp
+++ b/src/storage/recovered.hpp
@@ -1,14 +1,14 @@
 #pragma once
-// What a daemon finds in its data folder when it starts.
+// The data that a daemon recovers from its data folder when it starts.
 #include "mosskeel/common.hpp"
 
 namespace mosskeel {
 
 struct Recovered {
   Incarnation incarnation;
-  /// The newest checkpoint, as the state machine encoded it; nothing on a first start.
+  /// The newest checkpoint, as encoded by the state machine; nothing on a first start.
   std::optional<std::string> checkpoint;
-  /// The journal records written after that checkpoint, in order.
+  /// The journal records written after the checkpoint, in order.
   std::vector<std::string> journal;
 };
 
--- a/tests/unit/messages/golden_data_test.cpp
+++ b/tests/unit/messages/golden_data_test.cpp
@@ -267,7 +267,7 @@
 
   check_golden(kSyncMarkFile, mark);
   CHECK(SyncMark::kMagic == mark.magic);
-  CHECK(mark_of(golden::read_golden_bytes(kSyncMarkFile), mark.incarnation, mark.sequence).has_value());
+  CHECK(decode_sync_mark(golden::read_golden_bytes(kSyncMarkFile), mark.incarnation, mark.sequence).has_value());
 }
 
 TEST_CASE("A golden log frame is read and written as the same bytes") {
--- a/tests/unit/storage/log_frame_test.cpp
+++ b/tests/unit/storage/log_frame_test.cpp
@@ -17,6 +17,6 @@
   CHECK(encoded.size() == SyncMark::kBytes);
   CHECK_FALSE(codec::decode<StoreRecord>(encoded));
   CHECK_FALSE(codec::decode<ControllerRecord>(encoded));
-  CHECK(mark_of(encoded, incarnation, sequence)->synced == synced);
-  CHECK_FALSE(mark_of(encoded, incarnation, sequence + 1));
+  CHECK(decode_sync_mark(encoded, incarnation, sequence)->synced == synced);
+  CHECK_FALSE(decode_sync_mark(encoded, incarnation, sequence + 1));
 }
