--- a/tests/unit/history/history_writer_test.cpp
+++ b/tests/unit/history/history_writer_test.cpp
@@ -1,4 +1,4 @@
-// When the owner of a history takes a record, and a set of stores' answers, as committed.
+// Quorum rules of the history writer: which read replies count, and when a record is committed.
 #include "history/history_writer.hpp"
 #include "unit/catch.hpp"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Store 14 is to replace store 13 in each partition.
+/// Store 14 is pending to replace store 13 in each partition.
 Metadata with_pending_stores(Metadata metadata) {
   DaemonId new_store{14};
   metadata.directory[new_store] = {new_store, test::candidate(14, Role::store, "z14"), DaemonState::up, Epoch{2}};
--- a/tests/unit/history/large_history_test.cpp
+++ b/tests/unit/history/large_history_test.cpp
@@ -1,4 +1,4 @@
-// How an owner opens a history that is too large for a message, with stores that have it and stores that don't.
+// Opening of a history that is too large for one message, with stores that have it and stores that lack it.
 #include "history/constants.hpp"
 #include "history/history_writer.hpp"
 #include "net/wire.hpp"
@@ -13,11 +13,11 @@
 constexpr size_t kTurns = 170;
 constexpr size_t kOutputBytes = 31000;
 const Epoch kNewTerm{45};
-constexpr Duration kLongEnough = 20000ms;
+constexpr Duration kConvergenceTime = 20000ms;
 
-/// Gateway 9 owns all partitions under a new term; the histories are on the stores 2 to 4.
-Metadata owned_fleet() {
-  auto metadata = joining_fleet();
+/// Gateway 9 owns all partitions under a new term; the histories are on stores 2 to 4.
+Metadata owned_cluster() {
+  auto metadata = joining_cluster();
   for (auto& partition : metadata.partitions) {
     partition.pending_stores.clear();
     partition.term = kNewTerm;
@@ -25,22 +25,22 @@
   return metadata;
 }
 
-/// The owner and the stores; messages arrive at once.
+/// The owner and the stores; messages are delivered immediately.
 class OwnerAndStores {
  public:
   OwnerAndStores() {
     Identity identity;
     identity.self = daemon_of(9, kOwner, Role::gateway).self;
     outbox_.emplace(identity);
-    metadata_log_.install_snapshot(owned_fleet());
+    metadata_log_.install_snapshot(owned_cluster());
     outbox_->cluster = kCluster;
     outbox_->epoch = kCurrentEpoch;
     writer_.emplace(*outbox_, metadata_log_);
   }
 
-  /// A store with a history of so many turns, which was written under the first term.
+  /// Adds a store with a history of this many turns, written under the first term.
   void add_store(uint64_t number, size_t turns) {
-    auto disk = recovered_store(number, owned_fleet(), turns > 0 ? 1 : 0, turns, kOutputBytes);
+    auto disk = recovered_store(number, owned_cluster(), turns > 0 ? 1 : 0, turns, kOutputBytes);
     stores_["daemon" + std::to_string(number)] =
         std::make_unique<StoreMachine>(identity_of(number), std::move(disk), kStart);
   }
@@ -56,8 +56,8 @@
     writer_->append(name, std::move(record), now_);
     deliver(outbox_->take());
   }
-  /// Lets all timers run.
-  void pass(Duration duration) {
+  /// Advances time in ticks and runs all timers.
+  void run_for(Duration duration) {
     for (auto end = now_ + duration; now_ < end; now_ += kTickInterval) {
       writer_->tick(now_);
       deliver(outbox_->take());
@@ -65,7 +65,7 @@
         deliver(store->tick(now_));
     }
   }
-  /// The history as a store has it; empty where it has none.
+  /// A store's replica of the history; empty if it has none.
   History at_store(uint64_t number) const {
     auto& partitions = stores_.at("daemon" + std::to_string(number))->partitions();
     auto partition = partitions.find(test::partition_of(name));
@@ -74,7 +74,7 @@
     return partition->second.histories.at(name);
   }
   size_t largest_message() const { return largest_message_; }
-  /// Bytes of all messages.
+  /// Total bytes of all messages.
   size_t traffic() const { return traffic_; }
 
   const HistoryName name = history_name(0);
@@ -109,7 +109,7 @@
 
 }  // namespace
 
-// Guards against a history that no new owner can write back, so that its turns get 503 for good.
+// Guards against a history so large that no new owner can write it back, so that its turns would fail with 503 forever.
 TEST_CASE("A new owner opens a history that is too large for a message, and stores that have it get no records") {
   OwnerAndStores cluster;
   for (uint64_t store : {2, 3, 4})
@@ -138,7 +138,7 @@
   cluster.add_store(4, kTurns - 60);
 
   cluster.open();
-  cluster.pass(kLongEnough);
+  cluster.run_for(kConvergenceTime);
 
   REQUIRE(cluster.open() == HistoryWriter::State::open);
   CHECK(cluster.writer().committed_length(cluster.name) == kTurns);
@@ -157,7 +157,7 @@
   cluster.lose_store(2);
 
   cluster.open();
-  cluster.pass(kLongEnough);
+  cluster.run_for(kConvergenceTime);
 
   REQUIRE(cluster.open() == HistoryWriter::State::open);
   CHECK(cluster.writer().records(cluster.name).size() == kTurns);
@@ -168,7 +168,7 @@
   cluster.add_store(2, kTurns);
   cluster.add_store(3, kTurns);
   cluster.add_store(4, 5);
-  StoreMachine store(identity_of(4), recovered_store(4, owned_fleet(), 1, 5, kOutputBytes), kStart);
+  StoreMachine store(identity_of(4), recovered_store(4, owned_cluster(), 1, 5, kOutputBytes), kStart);
   auto name = cluster.name;
   auto partition = test::partition_of(name);
 
--- a/tests/unit/history/load_shedder_test.cpp
+++ b/tests/unit/history/load_shedder_test.cpp
@@ -1,4 +1,4 @@
-// What a store rejects while its memory or its disk is short.
+// What a store rejects while it is short of memory or its disk is behind.
 #include "history/load_shedder.hpp"
 #include "unit/catch.hpp"
 
@@ -12,7 +12,7 @@
 constexpr StoreLoad kMemoryShort{true, false};
 constexpr StoreLoad kDiskBehind{false, true};
 
-/// Whether the store rejects the write, at once and unsynced.
+/// Whether the store rejects the write immediately, without waiting for a sync.
 bool is_rejected(StoreMachine& store, const AppendHistory& request) {
   auto actions = store.step(from_owner(request), kStart + 1ms);
   return actions.synced.empty() && actions.now.size() == 1 &&
@@ -22,7 +22,7 @@
 }  // namespace
 
 TEST_CASE("A store that is short of memory rejects new turns and new histories, but takes what ends or deletes one") {
-  StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 2, 1, 100), kStart);
+  StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 2, 1, 100), kStart);
   auto name = history_name(0);
   HistoryName new_history{"cell", "new"};
   store.set_load(kMemoryShort);
@@ -43,7 +43,7 @@
 }
 
 TEST_CASE("A store takes new turns once it has memory again") {
-  StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 2, 1, 100), kStart);
+  StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 2, 1, 100), kStart);
   auto new_turn = append_of(history_name(0), kFirstTerm, 1, reservation("next", 1000));
   store.set_load(kMemoryShort);
   REQUIRE(is_rejected(store, new_turn));
@@ -54,7 +54,7 @@
 }
 
 TEST_CASE("A store that is short of memory takes the outcome of a turn that it admitted before") {
-  StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 1, 1, 100), kStart);
+  StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 1, 1, 100), kStart);
   store.set_load(kMemoryShort);
 
   auto actions = store.step(from_owner(append_of(history_name(0), kFirstTerm, 1, outcome("next", 1000))), kStart + 1ms);
@@ -64,7 +64,7 @@
 }
 
 TEST_CASE("A store whose disk is behind answers no reads, but takes writes") {
-  StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 1, 1, 100), kStart);
+  StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 1, 1, 100), kStart);
   auto read = from_owner(read_request(history_name(0), kFirstTerm));
   auto write = from_owner(append_of(history_name(0), kFirstTerm, 1, outcome("next", 1000)));
 
--- a/tests/unit/history/partition_repair_test.cpp
+++ b/tests/unit/history/partition_repair_test.cpp
@@ -1,4 +1,4 @@
-// How stores compare their replicas of histories and fetch what they lack.
+// Anti-entropy: stores compare their replicas of histories and fetch what they lack.
 #include "history/partition_repair.hpp"
 #include "unit/catch.hpp"
 
@@ -12,25 +12,25 @@
 namespace {
 
 /// All partitions are on stores 2 to 4, and none is moving.
-Metadata settled_fleet() {
-  auto metadata = joining_fleet();
+Metadata settled_cluster() {
+  auto metadata = joining_cluster();
   for (auto& partition : metadata.partitions)
     partition.pending_stores.clear();
   return metadata;
 }
 
-/// Stores 2 to 4, whose messages to each other arrive at once.
+/// Stores 2 to 4; messages between them are delivered immediately.
 class ComparingStores {
  public:
   void add(uint64_t number, Recovered disk) {
     stores_["daemon" + std::to_string(number)] =
         std::make_unique<StoreMachine>(identity_of(number), std::move(disk), kStart);
   }
-  /// Bytes of the largest message that a store has sent.
+  /// Bytes of the largest message that any store has sent.
   size_t largest_message() const { return largest_message_; }
   StoreMachine& store(uint64_t number) { return *stores_.at("daemon" + std::to_string(number)); }
 
-  /// Lets each store compare all of its partitions, once the histories are old enough to be compared.
+  /// Runs each store's comparisons of all its partitions; the histories are old enough to be compared.
   void repair() {
     for (uint32_t step = 0; step < kRepairSteps; ++step) {
       now_ += kRepairInterval;
@@ -40,7 +40,8 @@
   }
 
  private:
-  /// Each partition is compared with two stores, three times over: one that differs takes further steps.
+  /// Enough steps to compare each partition with two stores three times: a comparison that finds a difference takes
+  /// more than one step.
   static constexpr uint32_t kRepairSteps = 3 * kPartitionCount * 2;
 
   void deliver(const Actions& actions) {
@@ -64,9 +65,9 @@
 TEST_CASE("A store that lacks histories, or has outdated ones, fetches them from another store") {
   constexpr size_t kHistories = 40;
   ComparingStores stores;
-  stores.add(2, recovered_store(2, settled_fleet(), kHistories, 3, 100));
-  stores.add(3, recovered_store(3, settled_fleet(), kHistories / 2, 2, 100));
-  stores.add(4, recovered_store(4, settled_fleet(), kHistories, 3, 100));
+  stores.add(2, recovered_store(2, settled_cluster(), kHistories, 3, 100));
+  stores.add(3, recovered_store(3, settled_cluster(), kHistories / 2, 2, 100));
+  stores.add(4, recovered_store(4, settled_cluster(), kHistories, 3, 100));
 
   CHECK(stores.store(3).repair().incomplete_comparisons() == 2 * kPartitionCount);
 
@@ -85,7 +86,7 @@
 TEST_CASE("A history that a store has deleted is not fetched again") {
   ComparingStores stores;
   for (uint64_t number = 2; number <= 4; ++number)
-    stores.add(number, recovered_store(number, settled_fleet(), 1, 1, 100));
+    stores.add(number, recovered_store(number, settled_cluster(), 1, 1, 100));
   stores.store(3).step(from_owner(tombstone_request(history_name(0), kFirstTerm)), kStart + 1ms);
 
   stores.repair();
@@ -94,14 +95,14 @@
   CHECK(stores.store(3).repair().fetched() == 0);
 }
 
-// Guards against a history that no message can carry, so that it stays on a bare majority of its stores.
+// Guards against a history too large for any message, which would stay on a bare majority of its stores.
 TEST_CASE("A store that lacks a history which is too large for a message fetches it page by page") {
   constexpr size_t kTurns = 170;
   constexpr size_t kOutputBytes = 31000;
   ComparingStores stores;
-  stores.add(2, recovered_store(2, settled_fleet(), 2, kTurns, kOutputBytes));
-  stores.add(3, recovered_store(3, settled_fleet(), 0, 0, 0));
-  stores.add(4, recovered_store(4, settled_fleet(), 2, kTurns, kOutputBytes));
+  stores.add(2, recovered_store(2, settled_cluster(), 2, kTurns, kOutputBytes));
+  stores.add(3, recovered_store(3, settled_cluster(), 0, 0, 0));
+  stores.add(4, recovered_store(4, settled_cluster(), 2, kTurns, kOutputBytes));
 
   stores.repair();
 
--- a/tests/unit/history/partition_streams_test.cpp
+++ b/tests/unit/history/partition_streams_test.cpp
@@ -1,4 +1,4 @@
-// How a store streams the partitions that move to it.
+// Streaming of partitions to a joining store.
 #include "history/partition_streams.hpp"
 #include "unit/catch.hpp"
 
@@ -11,25 +11,25 @@
 
 namespace {
 
-/// Stores from which the joining one streams; one page of each is in flight at a time.
+/// Number of stores from which the joining one streams; one page of each is in flight at a time.
 constexpr size_t kSources = 3;
 
-/// Store 1, which joins, and its sources, stores 2 to 4, which all keep the same histories.
+/// Store 1, which joins, and its sources, stores 2 to 4, which all have the same histories.
 class StreamingStore {
  public:
   StreamingStore(size_t histories, size_t turns, size_t output_bytes) {
     for (uint64_t source = 2; source <= 4; ++source) {
-      auto disk = recovered_store(source, joining_fleet(), histories, turns, output_bytes);
+      auto disk = recovered_store(source, joining_cluster(), histories, turns, output_bytes);
       sources_["daemon" + std::to_string(source)] =
           std::make_unique<StoreMachine>(identity_of(source), std::move(disk), kStart);
     }
   }
 
-  /// Lets the joining store's timers run. Returns the pages that it requests.
+  /// Runs the joining store's timers. Returns the page requests that it sends.
   std::vector<Envelope> tick(TimePoint now) { return take_requests(store_.tick(now)); }
 
-  /// Lets the joining store's timers run, and delivers requests and pages until none is in flight.
-  /// @param lost_sources stores that answer nothing.
+  /// Runs the joining store's timers, and delivers requests and pages until none is in flight.
+  /// @param lost_sources stores that never answer.
   void tick_and_stream(TimePoint now, const std::set<Address>& lost_sources = {}) {
     auto requests = tick(now);
     while (!requests.empty()) {
@@ -41,10 +41,10 @@
 
   const StoreMachine& store() const { return store_; }
   size_t journaled() const { return journaled_bytes_; }
-  /// Bytes of the largest message that came from a source.
+  /// Bytes of the largest message that any source has sent.
   size_t largest_page() const { return largest_page_; }
   size_t most_pages_in_flight() const { return most_pages_in_flight_; }
-  /// The most pages that one step requested of each source.
+  /// The maximum number of pages that one step requested from each source.
   const std::map<Address, size_t>& most_requests_at_once() const { return most_requests_at_once_; }
 
  private:
@@ -81,7 +81,7 @@
   }
 
   std::map<Address, std::unique_ptr<StoreMachine>> sources_;
-  StoreMachine store_{identity_of(1), recovered_store(1, joining_fleet(), 0, 0, 0), kStart};
+  StoreMachine store_{identity_of(1), recovered_store(1, joining_cluster(), 0, 0, 0), kStart};
   size_t journaled_bytes_ = 0;
   size_t most_pages_in_flight_ = 0;
   size_t largest_page_ = 0;
@@ -134,14 +134,14 @@
   CHECK(streaming.store().history_count() == 100);
 }
 
-// Guards against a history that no message can carry, so that its partition never leaves two stores.
+// Guards against a history too large for any message, because of which its partition could never move between stores.
 TEST_CASE("Histories that are too large for a page are streamed in bounded pages, one after the other") {
   constexpr size_t kHistories = 3;
   constexpr size_t kTurns = 170;
   constexpr size_t kOutputBytes = 31000;
   StreamingStore streaming(kHistories, kTurns, kOutputBytes);
 
-  // What waited for another large history is asked for again after the time-out.
+  // A source that waited for another large history is asked again after the time-out.
   auto now = kStart + kTickInterval;
   for (size_t round = 0; round < 2 * kHistories; ++round) {
     streaming.tick_and_stream(now);
--- a/tests/unit/history/store_fixture.hpp
+++ b/tests/unit/history/store_fixture.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Stores with histories, recovered from a journal, in a cluster of four stores and one gateway, which owns all
+// Fixture: stores with histories recovered from a journal, in a cluster of four stores and one gateway, which owns all
 // histories.
 #include "history/store_machine.hpp"
 #include "messages/constants.hpp"
@@ -12,9 +12,9 @@
 constexpr uint64_t kCluster = 7;
 const Incarnation kOwner{100};
 const Epoch kCurrentEpoch{50};
-/// The epoch at which the pending stores of `joining_fleet` were set.
+/// The epoch at which the pending stores of `joining_cluster` were set.
 const Epoch kPendingEpoch{40};
-/// The term of the histories of `recovered_store`.
+/// The term of the histories in `recovered_store`.
 const Epoch kFirstTerm{2};
 
 inline Daemon daemon_of(uint64_t id, Incarnation incarnation, Role role) {
@@ -24,7 +24,7 @@
 }
 
 /// All partitions are on stores 2 to 4 and move from store 2 to store 1.
-inline Metadata joining_fleet() {
+inline Metadata joining_cluster() {
   Metadata metadata;
   metadata.epoch = kCurrentEpoch;
   metadata.cluster = kCluster;
@@ -84,7 +84,7 @@
   return {name, partition_of(name), term};
 }
 
-/// Replaces the whole history.
+/// A write that replaces the whole history.
 inline AppendHistory replacement(const HistoryName& name, Epoch term, Records records) {
   return {name, partition_of(name), term, true, 0, std::move(records)};
 }
@@ -101,7 +101,7 @@
   return {kProtocolRevision, kCluster, kCurrentEpoch, 1, "gateway", kOwner, "store", {}, std::move(body)};
 }
 
-/// The disk of a store whose histories have `turns` outcomes of `output_bytes` each, all of it in its journal.
+/// The recovered data of a store whose histories have `turns` outcomes of `output_bytes` each, all in the journal.
 inline Recovered recovered_store(uint64_t store, const Metadata& metadata, size_t histories, size_t turns,
                                  size_t output_bytes) {
   Recovered recovered{Incarnation{store}, {}, {codec::encode(StoreRecord{metadata})}};
--- a/tests/unit/history/store_machine_test.cpp
+++ b/tests/unit/history/store_machine_test.cpp
@@ -1,4 +1,4 @@
-// What a store journals, recovers and drops.
+// Journaling, recovery and garbage collection of a store.
 #include "history/store_machine.hpp"
 #include "unit/catch.hpp"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Bytes; a record that a partition was dropped holds no history.
+/// Upper bound of the size of a `DropPartitionRecord`, which contains no history.
 constexpr size_t kMaxDropRecordBytes = 100;
 
 AppendHistoryReply synced_reply(const Actions& actions) {
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-TEST_CASE("A replacement by the records that a store has journals the term alone, and once") {
+TEST_CASE("A replacement that leaves the records unchanged journals only the term, and only once") {
   auto records = outcomes(10, 10000);
-  StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 1, 10, 10000), kStart);
+  StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 1, 10, 10000), kStart);
   auto request = from_owner(replacement(history_name(0), Epoch{3}, records));
 
   auto first = store.step(request, kStart + 1ms);
@@ -34,8 +34,8 @@
   CHECK(repeated.journal.empty());
 }
 
-TEST_CASE("A store recovers a replacement of which it journaled the term alone") {
-  auto disk = recovered_store(2, joining_fleet(), 1, 10, 10000);
+TEST_CASE("A store recovers a replacement of which it journaled only the term") {
+  auto disk = recovered_store(2, joining_cluster(), 1, 10, 10000);
   StoreMachine store(identity_of(2), disk, kStart);
   auto name = history_name(0);
   auto records = outcomes(10, 10000);
@@ -50,7 +50,7 @@
 }
 
 TEST_CASE("An append that arrives twice is answered twice and journaled once") {
-  StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 1, 1, 100), kStart);
+  StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 1, 1, 100), kStart);
   auto request = from_owner(append_of(history_name(0), kFirstTerm, 1, outcome("next", 10000)));
 
   auto first = store.step(request, kStart + 1ms);
@@ -61,8 +61,8 @@
   CHECK(repeated.journal.empty());
 }
 
-TEST_CASE("An append behind a gap is not applied, and its reply requests the whole history") {
-  StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 1, 1, 100), kStart);
+TEST_CASE("An append after a gap is not applied, and its reply requests the whole history") {
+  StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 1, 1, 100), kStart);
 
   auto actions = store.step(from_owner(append_of(history_name(0), kFirstTerm, 2, outcome("late", 10))), kStart + 1ms);
 
@@ -72,7 +72,7 @@
 }
 
 TEST_CASE("A read raises the fence, and a write of a lower term is rejected from then on") {
-  StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 1, 1, 100), kStart);
+  StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 1, 1, 100), kStart);
   auto name = history_name(0);
 
   auto read = store.step(from_owner(read_request(name, Epoch{3})), kStart + 1ms);
@@ -92,7 +92,7 @@
 }
 
 TEST_CASE("A tombstone deletes its history for good, also after a restart") {
-  auto disk = recovered_store(2, joining_fleet(), 1, 1, 100);
+  auto disk = recovered_store(2, joining_cluster(), 1, 1, 100);
   StoreMachine store(identity_of(2), disk, kStart);
   auto name = history_name(0);
 
@@ -108,8 +108,8 @@
   CHECK(restarted.tombstone_count() == 1);
 }
 
-TEST_CASE("A store that starts with a large journal writes a checkpoint at once, and one only") {
-  auto disk = recovered_store(2, joining_fleet(), 20, 1, kMinCheckpointJournalBytes / 10);
+TEST_CASE("A store that starts with a large journal writes a checkpoint immediately, and only one") {
+  auto disk = recovered_store(2, joining_cluster(), 20, 1, kMinCheckpointJournalBytes / 10);
   StoreMachine store(identity_of(2), disk, kStart);
 
   auto first = store.tick(kStart + kTickInterval);
@@ -120,7 +120,7 @@
 }
 
 TEST_CASE("A store recovers from a checkpoint what the checkpoint holds") {
-  StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 300, 3, 500), kStart);
+  StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 300, 3, 500), kStart);
   auto checkpoint = store.checkpoint();
 
   StoreMachine restarted(identity_of(2), Recovered{Incarnation{2}, checkpoint, {}}, kStart);
@@ -133,7 +133,7 @@
 }
 
 TEST_CASE("A store recovers nothing from a truncated checkpoint") {
-  StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 300, 3, 500), kStart);
+  StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 300, 3, 500), kStart);
   auto checkpoint = store.checkpoint();
   auto truncated = checkpoint.substr(0, checkpoint.size() - 1);
 
@@ -143,9 +143,9 @@
 }
 
 TEST_CASE("A store drops the histories of partitions that moved to other stores after a delay, also after a restart") {
-  auto disk = recovered_store(2, joining_fleet(), 100, 1, 1000);
+  auto disk = recovered_store(2, joining_cluster(), 100, 1, 1000);
   StoreMachine store(identity_of(2), disk, kStart);
-  auto moved = joining_fleet();
+  auto moved = joining_cluster();
   moved.epoch = next(kCurrentEpoch);
   for (auto& partition : moved.partitions) {
     partition.stores = std::exchange(partition.pending_stores, {});
@@ -170,7 +170,7 @@
 }
 
 TEST_CASE("A store keeps the histories of partitions that are still moving to other stores") {
-  StoreMachine store(identity_of(2), recovered_store(2, joining_fleet(), 100, 1, 1000), kStart);
+  StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 100, 1, 1000), kStart);
 
   for (Duration elapsed{}; elapsed < 3 * kMovedPartitionKeepTime; elapsed += kMovedPartitionScanInterval)
     store.tick(kStart + elapsed);
--- a/tests/unit/history/store_memory_test.cpp
+++ b/tests/unit/history/store_memory_test.cpp
@@ -1,4 +1,4 @@
-// The memory that a store's start and its checkpoints take, and how long they block the store.
+// Memory use of a store's start and checkpoints, and how long they block the store.
 #include <malloc.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A number of kilobytes from this process's status, by its key there, as "VmHWM".
+/// A value in kilobytes from /proc/self/status, for example of the key "VmHWM".
 size_t status_kilobytes(const std::string& key) {
   std::ifstream status("/proc/self/status");
   for (std::string line; std::getline(status, line);)
@@ -31,8 +31,8 @@
   size_t checkpoint_ms;
 };
 
-/// Runs `measure` in a child process, so that its peak of memory is its own.
-Usage in_child(const std::function<Usage()>& measure) {
+/// Runs `measure` in a child process, so that its peak memory use is measured separately.
+Usage measure_in_child_process(const std::function<Usage()>& measure) {
   int pipe_ends[2];
   REQUIRE(::pipe(pipe_ends) == 0);
   auto child = ::fork();
@@ -59,9 +59,9 @@
   return static_cast<size_t>(duration_cast<milliseconds>(steady_clock::now() - started_at).count());
 }
 
-/// What it takes to start from a checkpoint of these histories, and to encode the next checkpoint.
+/// Measures a start from a checkpoint of these histories, and the encoding of the next checkpoint.
 Usage start_and_checkpoint(size_t histories, size_t turns, size_t output_bytes) {
-  auto disk = recovered_store(1, joining_fleet(), histories, turns, output_bytes);
+  auto disk = recovered_store(1, joining_cluster(), histories, turns, output_bytes);
   std::string checkpoint = StoreMachine(identity_of(1), std::move(disk), kStart).checkpoint();
   checkpoint.shrink_to_fit();
   malloc_trim(0);
@@ -83,7 +83,7 @@
 
 #ifndef __SANITIZE_ADDRESS__
 TEST_CASE("A start and a checkpoint take no more memory than three and a half times the histories") {
-  auto usage = in_child([] { return start_and_checkpoint(2000, 2, 2000); });
+  auto usage = measure_in_child_process([] { return start_and_checkpoint(2000, 2, 2000); });
 
   INFO("state " << usage.state_kb << " KB, peak " << usage.peak_kb << " KB");
   CHECK(usage.state_kb > 7000);
@@ -93,7 +93,7 @@
 
 TEST_CASE("Measured: memory and pauses of a store by the size of its histories", "[.measure]") {
   for (size_t factor : {1, 4, 16}) {
-    auto usage = in_child([&] { return start_and_checkpoint(1000 * factor, 2, 2000); });
+    auto usage = measure_in_child_process([&] { return start_and_checkpoint(1000 * factor, 2, 2000); });
     WARN("histories " << usage.state_kb << " KB: peak " << usage.peak_kb << " KB, start " << usage.recovery_ms
                       << " ms, checkpoint (the longest pause) " << usage.checkpoint_ms << " ms");
   }
--- a/tests/unit/history/store_quorum_test.cpp
+++ b/tests/unit/history/store_quorum_test.cpp
@@ -1,4 +1,4 @@
-// Which stores of a partition make a write or a read quorum, also while its set of stores changes.
+// Read and write quorums of a partition's stores, including while its store set changes.
 #include "history/store_quorum.hpp"
 #include "unit/catch.hpp"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Stores 11 to 15, each in a zone of its own; three replicas of each history.
+/// Stores 11 to 15, each in its own zone; the replication factor is three.
 Metadata five_stores() {
   Metadata metadata{};
   metadata.configured_replication_factor = 3;
@@ -54,7 +54,7 @@
   CHECK_FALSE(is_write_quorum(metadata, partition, one_of(stores({11, 14, 15}))));
 }
 
-TEST_CASE("While the set of stores changes, a write quorum is one of each set") {
+TEST_CASE("While the set of stores changes, a write needs a quorum of each set") {
   auto metadata = five_stores();
   Partition partition{};
   partition.stores = stores({11, 12, 13});
@@ -66,7 +66,7 @@
   CHECK(is_write_quorum(metadata, partition, one_of(stores({11, 13, 14}))));
 }
 
-TEST_CASE("A read quorum is one of the set in force, whichever stores of the pending set have answered") {
+TEST_CASE("A read quorum is a quorum of the current set, whichever stores of the pending set have answered") {
   auto metadata = five_stores();
   Partition partition{};
   partition.stores = stores({11, 12, 13});
--- a/tests/unit/history/tombstones_test.cpp
+++ b/tests/unit/history/tombstones_test.cpp
@@ -1,4 +1,4 @@
-// How long the name of a deleted history is kept.
+// Retention and listing of tombstones.
 #include "history/tombstones.hpp"
 #include "unit/catch.hpp"
 
@@ -11,12 +11,12 @@
 constexpr size_t kGenerationSize = 8;
 constexpr uint64_t kTombstones = 20;
 
-/// Digests that do not come in order.
+/// Digests that are not in the order of their numbers.
 uint64_t digest_of(uint64_t number) {
   return number * 7 % 101;
 }
 
-/// Tombstones that were added one after the other, enough to fill two generations and to begin a third.
+/// Tombstones added in sequence, enough to fill two generations and start a third.
 Tombstones numbered_tombstones() {
   Tombstones tombstones;
   for (uint64_t number = 1; number <= kTombstones; ++number)
--- a/tests/unit/history/turn_chain_test.cpp
+++ b/tests/unit/history/turn_chain_test.cpp
@@ -1,4 +1,4 @@
-// The text of a chain: what a turn continues.
+// The text of a chain of turns, which a new turn continues.
 #include "history/turn_chain.hpp"
 #include "unit/catch.hpp"
 
--- a/tests/unit/messages/field_values_test.cpp
+++ b/tests/unit/messages/field_values_test.cpp
@@ -1,4 +1,4 @@
-// Each field of a message, a record and a setting has a value before one is given.
+// Fields of messages, records and settings are initialized by default.
 #include <array>
 #include <cstring>
 #include <new>
@@ -14,14 +14,14 @@
 
 namespace {
 
-/// Default-initializes, as a declaration without an initializer does. Not inlined, since the optimizer may otherwise
-/// drop what was written to the memory before.
+/// Default-initializes, as a declaration without an initializer does. Not inlined, since the optimizer could otherwise
+/// remove the writes to the memory that precede it.
 template <class Value>
 __attribute__((noipa)) Value* construct(void* memory) {
   return new (memory) Value;
 }
 
-/// Whether a value that is declared in used memory equals one that is made with empty braces.
+/// Whether a value default-initialized in memory with non-zero content equals a value-initialized one.
 template <class Value>
 bool is_zero_when_declared() {
   alignas(Value) std::array<unsigned char, sizeof(Value)> memory;
--- a/tests/unit/messages/golden_data_test.cpp
+++ b/tests/unit/messages/golden_data_test.cpp
@@ -1,4 +1,4 @@
-// The formats on the wire and on disk, pinned by bytes that earlier sources wrote (tests/data/README.md).
+// Compatibility of the formats on the wire and on disk with bytes written by earlier versions (tests/data/README.md).
 #include <algorithm>
 #include <iomanip>
 
@@ -56,7 +56,7 @@
   return name.str();
 }
 
-/// The golden bytes mean the expected value, and the expected value is encoded as these bytes.
+/// Checks that the golden bytes decode to the expected value, and that it is encoded as these bytes.
 template <class Value>
 void check_golden(const std::string& file, const Value& expected) {
   INFO("golden file " << file);
@@ -68,7 +68,7 @@
   CHECK(golden::to_hex_lines(encoded(expected)) == golden::to_hex_lines(bytes));
 }
 
-/// Each kind of a variant has an example, each example a file, and each file an example.
+/// Checks that each kind of a variant has an example, each example a file, and each file an example.
 template <class Value>
 void check_complete(const std::string& directory, const std::vector<Example<Value>>& examples, size_t kinds) {
   std::set<std::string> expected_files;
@@ -104,8 +104,7 @@
     golden::write_golden_bytes_once(directory + "/" + file_name(example), encoded(example.value));
 }
 
-/// No two numbers and no two texts of one example are equal, so that a field that is read in place of another one
-/// shows.
+/// Checks that no two numbers and no two texts of one example are equal, so that swapped fields are detected.
 void check_distinct_values(const Fields& fields) {
   std::map<std::pair<FieldType, std::string>, std::string> path_of_value;
   for (const auto& field : fields) {
@@ -139,7 +138,7 @@
   return path.substr(0, path.rfind('.') + 1);
 }
 
-/// Flags of one struct, over all examples of its kind, are not always equal to each other.
+/// Checks that any two flags of a struct differ in at least one example of its kind.
 void check_distinct_flags(const std::vector<Fields>& examples) {
   std::map<std::string, std::string> values_of_flag;
   for (const auto& fields : examples)
@@ -187,7 +186,7 @@
 const EnumerationExample<SequenceStep> kSequenceSteps{"enumerations/sequence-step.hex",
                                                       {SequenceStep::start, SequenceStep::mid, SequenceStep::finish}};
 const EnumerationExample<Outcome> kOutcomes{"enumerations/outcome.hex", {Outcome::yes, Outcome::no, Outcome::unknown}};
-/// Was one enumeration with `Outcome` when the golden data was written, so its numbers are in the same file.
+/// The same enumeration as `Outcome` when the golden data was written, so its numbers are in the same file.
 const EnumerationExample<CommitOutcome> kCommitOutcomes{
     "enumerations/outcome.hex", {CommitOutcome::committed, CommitOutcome::rejected, CommitOutcome::unknown}};
 const EnumerationExample<RecordKind> kRecordKinds{"enumerations/record-kind.hex",
@@ -219,7 +218,7 @@
 
 const std::string kFramedRecord = "a record in a log segment";
 
-/// Numbers that are computed from names and kept on disk or compared between daemons of different builds.
+/// Numbers that are computed from names, and stored on disk or compared between daemons of different versions.
 std::vector<uint64_t> derived_values() {
   return {partition_of("cell-name", "program-name").value(),
           partition_of("other-cell", "other-program").value(),
@@ -288,7 +287,7 @@
   check_golden(kDerivedValuesFile, derived_values());
 }
 
-// Run by name after an example of a new kind was added. Files that exist are never written again.
+// Run by name after adding an example of a new kind. Existing files are never overwritten.
 TEST_CASE("Write the golden files that do not exist yet", "[.write-golden-data]") {
   write_examples_once(kMessageDirectory, golden::message_examples());
   write_examples_once(kEntryDirectory, golden::entry_examples());
--- a/tests/unit/messages/golden_examples.cpp
+++ b/tests/unit/messages/golden_examples.cpp
@@ -1,11 +1,11 @@
-// The examples are built with designated initializers, so that each field gets its value by name.
-// Numbers and texts are distinct within one example. Flags of one struct differ in at least one example.
+// The examples are built with designated initializers, so that each field gets its value by name. Numbers and texts are
+// distinct within an example; any two flags of a struct differ in at least one example.
 #include "unit/messages/golden_examples.hpp"
 
 namespace mosskeel::golden {
 namespace {
 
-/// The revision of the daemon protocol of the golden messages, as a literal: they stay readable only under this one.
+/// The daemon protocol revision of the golden messages. A literal, since they are readable only under this revision.
 constexpr uint16_t kGoldenProtocol = 2;
 
 std::string text(const char* prefix, uint64_t base) {
--- a/tests/unit/messages/golden_examples.hpp
+++ b/tests/unit/messages/golden_examples.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// One example value of every kind of message and of every kind of record, each field with a value of its own.
+// Example values of every kind of message and record; every field of an example has a distinct value.
 #include "consensus/acceptor.hpp"
 #include "history/store_machine.hpp"
 #include "messages/message.hpp"
--- a/tests/unit/messages/golden_fields.hpp
+++ b/tests/unit/messages/golden_fields.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Every field of a value by its name, so that tests compare and report fields rather than bytes.
+// Lists the fields of a value by name, so that tests compare and report fields rather than bytes.
 #include <algorithm>
 #include <string>
 #include <vector>
@@ -11,7 +11,7 @@
 
 enum class FieldType { flag, enumerator, number, text, size, alternative };
 
-/// One field that has no fields of its own, for example "body.self.zone". Elements of containers are "name[index]".
+/// A field without subfields. `path` is for example "body.self.zone"; elements of containers are "name[index]".
 struct Field {
   std::string path;
   FieldType type;
--- a/tests/unit/messages/golden_files.hpp
+++ b/tests/unit/messages/golden_files.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Files of golden data: where they are, how they are read, and how new ones are written once.
+// Access to the files of golden data; existing ones are never overwritten.
 #include <filesystem>
 #include <fstream>
 #include <sstream>
@@ -61,7 +61,7 @@
   return from_hex_lines(read_file(path));
 }
 
-/// Writes a golden file that does not exist yet. One that exists stays as it is.
+/// Writes a golden file if it does not exist yet.
 inline void write_golden_bytes_once(const std::string& name, const std::string& bytes) {
   auto path = data_directory() / name;
   if (std::filesystem::exists(path))
--- a/tests/unit/storage/crash_disk.cpp
+++ b/tests/unit/storage/crash_disk.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Bytes; a whole reserve would only make the test slow.
+/// Bytes; a reserve of the real size would only make the test slow.
 constexpr size_t kReserveBytes = 200;
 /// Bytes; more than any reserve file needs.
 constexpr uint64_t kAmpleFreeBytes = uint64_t{1} << 40;
--- a/tests/unit/storage/data_folder.hpp
+++ b/tests/unit/storage/data_folder.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A data folder for one test.
+// A temporary data folder for a test.
 #include <filesystem>
 
 #include "storage/disk.hpp"
@@ -10,7 +10,7 @@
 /// The incarnation that a new folder gets.
 inline constexpr uint64_t kNewIdentity = 42;
 
-/// A temporary folder, removed at the end of the test with all that is in it.
+/// A temporary folder, removed with its content at the end of the test.
 class DataFolder {
  public:
   DataFolder() : path(create()) {}
@@ -22,11 +22,11 @@
 
   /// Opens the folder as a disk, which must succeed.
   std::shared_ptr<Disk> open(DiskCalls calls = DiskCalls::real()) const;
-  /// The path of the file with the greatest name that begins like this; empty where there is none.
+  /// The path of the last file, in order of names, whose name starts with `prefix`; empty if there is none.
   std::string last_file(const std::string& prefix) const;
-  /// The paths of all files whose names begin like this, in order.
+  /// The sorted paths of all files whose names start with `prefix`.
   std::vector<std::string> files(const std::string& prefix) const;
-  /// Bytes of all files.
+  /// Total size of all files in bytes.
   size_t used_bytes() const;
 
  private:
@@ -36,9 +36,9 @@
 /// Overwrites one byte of a file.
 void damage_byte(const std::string& file, size_t offset);
 
-/// Record `number` of those that `append_records` writes.
+/// The content of record `number`, as written by `append_records`.
 std::string numbered_record(int number);
-/// Opens the folder and writes `count` synced records with the numbers from `first` on.
+/// Opens the folder, and appends and syncs `count` records numbered from `first`.
 void append_records(const DataFolder& folder, int count, int first = 0);
 
 }  // namespace mosskeel::test
--- a/tests/unit/storage/disk_crash_test.cpp
+++ b/tests/unit/storage/disk_crash_test.cpp
@@ -1,4 +1,5 @@
-// A kill or a loss of power between any two changes on disk: what was acknowledged is there, nothing else is.
+// Simulates a kill or a power loss between any two changes of the disk: every acknowledged record must be recovered,
+// and nothing that was not written.
 #include <fstream>
 #include <random>
 
@@ -10,28 +11,28 @@
 namespace {
 
 constexpr int kRecords = 12;
-/// Records between two checkpoints.
+/// Number of records between two checkpoints.
 constexpr int kCheckpointInterval = 4;
-/// Of each so many records one is not synced by itself.
+/// One of this many records is not followed by a sync of its own.
 constexpr int kSyncCycle = 3;
-/// Up to so many unsynced changes of names are played in all subsets, more of them in random ones.
+/// Up to this many unsynced name changes, all subsets are simulated; beyond that, random subsets.
 constexpr size_t kMaxEnumeratedNames = 8;
 constexpr uint64_t kRandomSubsets = 64;
 
-/// How many records the process under test has appended, and how many of them were acknowledged as durable.
+/// The number of records that the process under test has appended, and of those acknowledged as durable.
 struct Progress {
   int appended = 0;
   int acknowledged = 0;
 };
 
-/// Records are of different lengths, so that no two lie at like offsets.
+/// Records have different lengths, so that they are at irregular offsets.
 std::string make_record(int number) {
   auto filling = static_cast<size_t>(number % 5) * 7;
   return "record " + std::to_string(number) + std::string(filling, '.');
 }
 
-/// How many records a start finds, which must be the first ones in order. A checkpoint is the number of records that it
-/// stands for.
+/// The number of recovered records, which must be the first ones in order. The content of a checkpoint is the number of
+/// records that it replaces.
 int count_recovered(const Disk& disk) {
   const auto& recovered = disk.recovered();
   int count = recovered.checkpoint ? std::stoi(*recovered.checkpoint) : 0;
@@ -42,7 +43,7 @@
   return count;
 }
 
-/// Fails where an acknowledged record is missing or one is there that was not written.
+/// Fails if an acknowledged record is missing or more records were recovered than were written.
 void check_recovered(int recovered, const Progress& progress) {
   REQUIRE(recovered >= progress.acknowledged);
   REQUIRE(recovered <= progress.appended);
@@ -52,8 +53,8 @@
   REQUIRE(result);
 }
 
-/// Appends the records from `first` on, most of them synced, with a checkpoint now and then. A kill has to leave as the
-/// exception that it is, so the disk is never called inside an assertion.
+/// Appends the records from `first` on, with a sync after most of them and periodic checkpoints. The disk is never
+/// called inside an assertion, which would catch the exception that simulates a kill.
 void append_from(Disk& disk, int first, Progress& progress) {
   for (int number = first; number < kRecords; ++number) {
     progress.appended = std::max(progress.appended, number + 1);
@@ -71,7 +72,7 @@
   }
 }
 
-/// Runs a process on the folder: checks what is there and writes until all records are.
+/// Simulates a process on the folder: checks the recovered records and writes the remaining ones.
 void run_process(const DataFolder& folder, const DiskCalls& calls, Progress& progress) {
   auto opened = Disk::open(folder.path, kNewIdentity, calls);
   INFO((opened.ok() ? "" : to_string(opened.errors())));
@@ -81,7 +82,7 @@
   check_recovered(recovered, progress);
   progress.acknowledged = recovered;
   append_from(disk, recovered, progress);
-  // Twice without a record between, as when a full disk asks for one after the other.
+  // Two checkpoints without a record in between, as a full disk can trigger them.
   for (int i = 0; i < 2; ++i) {
     auto written = disk.checkpoint(std::to_string(kRecords));
     require_done(written);
@@ -89,7 +90,7 @@
   progress.acknowledged = kRecords;
 }
 
-/// Runs a process until the disk kills it.
+/// Simulates a process until the disk kills it.
 Progress run_until_killed(CrashDisk& disk) {
   Progress progress;
   try {
@@ -98,7 +99,7 @@
   return progress;
 }
 
-/// Runs a process on a folder with these files.
+/// Simulates a process on a folder with these files.
 void run_on(const CrashDisk::Files& files, Progress progress) {
   DataFolder folder;
   for (const auto& [name, content] : files)
@@ -114,10 +115,10 @@
   return count;
 }
 
-/// Plays a loss of power and a start after it, with every subset of the unsynced names or many of them, each with none,
-/// all and some of the unsynced writes.
-/// @return how many losses were played.
-size_t lose_power(const CrashDisk& disk, const Progress& progress, std::mt19937_64& random) {
+/// Simulates a power loss followed by a start, for every subset or many random subsets of the unsynced names, each with
+/// none, all and some of the unsynced writes.
+/// @return the number of power losses simulated.
+size_t simulate_power_losses(const CrashDisk& disk, const Progress& progress, std::mt19937_64& random) {
   auto keep_some = [&random](size_t count) -> size_t {
     if (random() % 3 == 0)
       return 0;
@@ -126,18 +127,18 @@
   auto names = disk.unsynced_names();
   bool enumerates = names <= kMaxEnumeratedNames;
   uint64_t subsets = enumerates ? uint64_t{1} << names : kRandomSubsets;
-  size_t played = 0;
+  size_t simulated = 0;
   for (uint64_t i = 0; i < subsets; ++i) {
     auto kept_names = enumerates ? i : random();
     run_on(disk.after_power_loss(kept_names, keep_none), progress);
     run_on(disk.after_power_loss(kept_names, keep_all), progress);
     run_on(disk.after_power_loss(kept_names, keep_some), progress);
-    played += 3;
+    simulated += 3;
   }
-  return played;
+  return simulated;
 }
 
-/// How many changes a process makes that is never killed.
+/// The number of changes that a process makes if it is never killed.
 long count_changes() {
   CrashDisk disk;
   Progress progress;
@@ -150,16 +151,16 @@
 TEST_CASE("Disk loses no synced record to a loss of power between any two changes, whichever names are kept") {
   std::mt19937_64 random(1);
   auto changes = count_changes();
-  size_t played = 0;
+  size_t simulated = 0;
 
   for (long change = 0; change <= changes; ++change) {
     INFO("after change " << change << " of " << changes);
     CrashDisk disk(change);
     auto progress = run_until_killed(disk);
-    played += lose_power(disk, progress, random);
+    simulated += simulate_power_losses(disk, progress, random);
   }
 
-  CHECK(played > 500);
+  CHECK(simulated > 500);
 }
 
 TEST_CASE("Disk opens after a kill between any two changes, and loses nothing to a loss of power after that") {
@@ -176,10 +177,10 @@
       int recovered = count_recovered(*reopened);
       REQUIRE(recovered >= progress.acknowledged);
       REQUIRE(recovered <= progress.appended);
-      // What a start found is answered for from then on.
+      // Recovered records count as acknowledged from then on.
       progress.acknowledged = recovered;
     }
-    lose_power(disk, progress, random);
+    simulate_power_losses(disk, progress, random);
   }
 }
 
--- a/tests/unit/storage/disk_test.cpp
+++ b/tests/unit/storage/disk_test.cpp
@@ -1,4 +1,4 @@
-// What a start recovers from a data folder: synced records, torn tails, damage, and what a short write leaves.
+// Recovery of a data folder: synced records, torn tails, corruption, and the effects of short writes.
 #include "storage/disk.hpp"
 
 #include <fstream>
@@ -16,7 +16,7 @@
 
 using Journal = std::vector<std::string>;
 
-/// Bytes; an offset in the first frame of a segment, behind its header.
+/// Offset of a byte in the first frame of a segment, after its header.
 constexpr size_t kInFirstFrame = kFrameHeaderBytes + 2;
 
 /// The records of `write_segment_without_sync_marks`.
@@ -48,8 +48,8 @@
   CHECK(disk->recovered().journal.back() == "record 4");
 }
 
-TEST_CASE("Disk truncates a torn tail and appends behind what is left") {
-  // Of the last record's 20 bytes: parts of its text, of its checksum and of its size.
+TEST_CASE("Disk truncates a torn tail and appends after the intact records") {
+  // Truncates the last record, a frame of 20 bytes, within its text, its checksum and its size.
   for (size_t torn_bytes : {1, 5, 11, 13, 18}) {
     INFO("torn bytes " << torn_bytes);
     DataFolder folder;
@@ -80,7 +80,7 @@
 
 namespace {
 
-/// Three records, a checkpoint in their place, and a record behind it.
+/// Writes three records, a checkpoint that replaces them, and a record after it.
 void write_checkpoint_and_record(const DataFolder& folder) {
   append_records(folder, 3);
   auto disk = folder.open();
@@ -137,7 +137,7 @@
 
 namespace {
 
-/// Two synced records and behind them three that were not synced, of which the first is damaged.
+/// Two synced records, followed by three unsynced ones, of which the first is damaged.
 struct HoleInUnsyncedRecords {
   DataFolder folder;
   std::string segment;
@@ -169,7 +169,7 @@
   CHECK(fs::file_size(hole.segment) == hole.synced_size);
 }
 
-TEST_CASE("Disk appends where it has truncated unsynced records") {
+TEST_CASE("Disk appends at the offset where it has truncated unsynced records") {
   HoleInUnsyncedRecords hole;
   hole.folder.open();
 
@@ -198,7 +198,7 @@
 
 namespace {
 
-/// A segment as builds without sync marks wrote it: three records and a torn tail. Returns its path.
+/// Writes a segment as by versions without sync marks: three records and a torn tail. Returns its path.
 std::string write_segment_without_sync_marks(const DataFolder& folder) {
   append_records(folder, 1);
   auto segment = folder.last_file("log-");
@@ -233,18 +233,19 @@
 
 namespace {
 
-/// Appends a record of 1,000 bytes with less room than that: none, in its header, at the header's end, in its text.
+/// Appends a record of 1,000 bytes with less free space than that: none, within the header, up to its end, within the
+/// text.
 void check_short_writes_are_rolled_back(Disk& disk, SmallDisk& small_disk) {
   auto used_before = small_disk.used();
-  for (size_t room : {0, 1, 11, 12, 500}) {
-    INFO("room " << room);
-    small_disk.size = used_before + room;
+  for (size_t free_bytes : {0, 1, 11, 12, 500}) {
+    INFO("free bytes " << free_bytes);
+    small_disk.size = used_before + free_bytes;
     CHECK(disk.append({std::string(1000, 'x')}) == DiskResult{DiskResult::full});
     CHECK(small_disk.used() == used_before);
   }
 }
 
-/// Appends a record, tries others without room, and appends another one once there is room for it.
+/// Appends a record, attempts others without free space, and appends one more once there is space for it.
 void append_around_short_writes(const DataFolder& folder, SmallDisk& small_disk) {
   auto disk = folder.open(small_disk.calls());
   REQUIRE(disk->append({"one"}));
@@ -258,7 +259,7 @@
 
 }  // namespace
 
-TEST_CASE("Disk rolls a short write back, and appends once there is room") {
+TEST_CASE("Disk rolls a short write back, and appends once there is free space") {
   DataFolder folder;
   SmallDisk small_disk{folder};
 
--- a/tests/unit/storage/journal_writer_test.cpp
+++ b/tests/unit/storage/journal_writer_test.cpp
@@ -1,4 +1,5 @@
-// What JournalWriter writes, and which messages it releases, while its disk is full; what a start recovers afterwards.
+// What JournalWriter writes and which messages it releases while its disk is full, and what a start recovers after
+// that.
 #include "storage/journal_writer.hpp"
 
 #include <cerrno>
@@ -42,7 +43,7 @@
   return batch;
 }
 
-/// The ids of the messages that may be sent.
+/// The ids of the messages that were released.
 Ids sent_ids(const JournalWriter::Written& written) {
   Ids ids;
   for (const auto& message : written.sends)
@@ -67,7 +68,7 @@
   explicit WriterFixture(size_t disk_size = kAmpleDisk, size_t max_pending_bytes = kMaxPendingJournalBytes)
       : small_disk(folder, disk_size), disk(folder.open(small_disk.calls())), writer(*disk, max_pending_bytes) {}
 
-  /// What the next start recovers; the writer may not be used after that.
+  /// The data that the next start recovers. The writer must not be used after this call.
   Recovered recover_after_restart(DiskCalls calls = DiskCalls::real()) {
     disk.reset();
     return folder.open(std::move(calls))->recovered();
@@ -106,7 +107,7 @@
 
 namespace {
 
-/// A writer that has written "one", and whose disk was full at its last write.
+/// A writer that has written "one", and whose disk was full at the last write.
 struct FullDiskFixture : WriterFixture {
   JournalWriter::Written first_on_full_disk;
 
@@ -139,7 +140,7 @@
                                       .size());
 }
 
-TEST_CASE("JournalWriter writes all pending records in order once the disk has room") {
+TEST_CASE("JournalWriter writes all pending records in order once the disk has free space") {
   FullDiskFixture fixture;
   auto& writer = fixture.writer;
   writer.write({records_and_message({}, 4)});
@@ -147,17 +148,17 @@
   REQUIRE(writer.full());
 
   fixture.small_disk.size += 1000;
-  auto with_room = writer.write({records_and_message({"five"}, 6)});
+  auto with_free_space = writer.write({records_and_message({"five"}, 6)});
 
-  CHECK(with_room.result == kDone);
-  CHECK(sent_ids(with_room) == Ids{6});
-  CHECK(logged_events(with_room) == Events{Event::disk_room});
+  CHECK(with_free_space.result == kDone);
+  CHECK(sent_ids(with_free_space) == Ids{6});
+  CHECK(logged_events(with_free_space) == Events{Event::disk_room});
   CHECK_FALSE(writer.full());
   CHECK(writer.pending_bytes() == 0);
   CHECK(fixture.recover_after_restart().journal == Journal{"one", "two", "three", "four", "five"});
 }
 
-TEST_CASE("JournalWriter writes the batches for which the disk has room") {
+TEST_CASE("JournalWriter writes the batches for which the disk has space") {
   WriterFixture fixture;
   auto& writer = fixture.writer;
   REQUIRE(writer.write({records({"one"})}).result == kDone);
@@ -169,7 +170,7 @@
   CHECK(fixture.recover_after_restart().journal == Journal{"one", "two"});
 }
 
-TEST_CASE("JournalWriter fails where more records are pending than its limit") {
+TEST_CASE("JournalWriter fails if more bytes of records are pending than its limit") {
   constexpr size_t kMaxPendingBytes = 3000;
   WriterFixture fixture(kAmpleDisk, kMaxPendingBytes);
   auto& writer = fixture.writer;
@@ -186,7 +187,7 @@
 
 namespace {
 
-/// A writer whose disk is full of records, with a reserve for a small checkpoint.
+/// A writer whose disk is full of records, with a reserve large enough for a small checkpoint.
 struct FullOfRecordsFixture : WriterFixture {
   FullOfRecordsFixture() {
     CHECK_FALSE(writer.wants_checkpoint(TimePoint{1ms}));
@@ -203,14 +204,14 @@
 
 }  // namespace
 
-TEST_CASE("JournalWriter wants a checkpoint while the disk is full, once an interval") {
+TEST_CASE("JournalWriter requests a checkpoint while the disk is full, once per interval") {
   FullOfRecordsFixture fixture;
 
   CHECK(fixture.writer.wants_checkpoint(TimePoint{1ms}));
   CHECK_FALSE(fixture.writer.wants_checkpoint(TimePoint{kFullDiskCheckpointInterval}));
 }
 
-TEST_CASE("JournalWriter does not write a checkpoint that has no room in the reserve") {
+TEST_CASE("JournalWriter does not write a checkpoint that does not fit into the reserve") {
   FullOfRecordsFixture fixture;
 
   auto written = fixture.writer.write({checkpoint(std::string(kLargeCheckpoint, 'y'))});
@@ -219,7 +220,7 @@
   CHECK(fixture.writer.unwritten_checkpoints() == 1);
 }
 
-TEST_CASE("JournalWriter frees a full disk by a checkpoint that has room in the reserve") {
+TEST_CASE("JournalWriter frees space on a full disk by a checkpoint that fits into the reserve") {
   FullOfRecordsFixture fixture;
   auto& writer = fixture.writer;
   REQUIRE(writer.write({checkpoint(std::string(kLargeCheckpoint, 'y'))}).result == kFull);
@@ -236,7 +237,7 @@
   CHECK(recovered.journal == Journal{"later"});
 }
 
-TEST_CASE("JournalWriter keeps the log where a checkpoint has no room") {
+TEST_CASE("JournalWriter keeps the log if there is no space for a checkpoint") {
   constexpr size_t kTooSmallForReserve = kDiskReserveBytes * 2;
   WriterFixture fixture(kTooSmallForReserve);
   auto& writer = fixture.writer;
--- a/tests/unit/storage/log_frame_test.cpp
+++ b/tests/unit/storage/log_frame_test.cpp
@@ -1,4 +1,4 @@
-// Sync marks among the records of a log.
+// Encoding of sync marks among the records of a log.
 #include "storage/log_frame.hpp"
 
 #include "consensus/acceptor.hpp"
@@ -7,7 +7,7 @@
 
 using namespace mosskeel;
 
-TEST_CASE("A sync mark is read back for its own segment alone, and no daemon takes it for a record of its own") {
+TEST_CASE("A sync mark is decoded only for its own segment, and no daemon decodes it as a journal record") {
   constexpr Incarnation incarnation{1};
   constexpr uint64_t sequence = 2;
   constexpr uint64_t synced = 3;
