--- a/tests/unit/history/store_machine_test.cpp
+++ b/tests/unit/history/store_machine_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("A replacement that leaves the records unchanged journals only the term, and only once") {
+TEST_CASE("A replacement by the records that a store has journals the term alone, and once") {
   auto records = outcomes(10, 10000);
   StoreMachine store(identity_of(2), recovered_store(2, joining_cluster(), 1, 10, 10000), kStart);
   auto request = from_owner(replacement(history_name(0), Epoch{3}, records));
@@ -108,7 +108,7 @@
   CHECK(restarted.tombstone_count() == 1);
 }
 
-TEST_CASE("A store that starts with a large journal writes a checkpoint immediately, and only one") {
+TEST_CASE("A store that starts with a large journal writes a checkpoint at once, and one only") {
   auto disk = recovered_store(2, joining_cluster(), 20, 1, kMinCheckpointJournalBytes / 10);
   StoreMachine store(identity_of(2), disk, kStart);
 
--- a/tests/unit/storage/disk_test.cpp
+++ b/tests/unit/storage/disk_test.cpp
@@ -48,7 +48,7 @@
   CHECK(disk->recovered().journal.back() == "record 4");
 }
 
-TEST_CASE("Disk truncates a torn tail and appends after the intact records") {
+TEST_CASE("Disk truncates a torn tail and appends after what is left") {
   // Truncates the last record, a frame of 20 bytes, within its text, its checksum and its size.
   for (size_t torn_bytes : {1, 5, 11, 13, 18}) {
     INFO("torn bytes " << torn_bytes);
--- a/tests/unit/storage/journal_writer_test.cpp
+++ b/tests/unit/storage/journal_writer_test.cpp
@@ -211,7 +211,7 @@
   CHECK_FALSE(fixture.writer.wants_checkpoint(TimePoint{kFullDiskCheckpointInterval}));
 }
 
-TEST_CASE("JournalWriter does not write a checkpoint that does not fit into the reserve") {
+TEST_CASE("JournalWriter writes no checkpoint that does not fit into the reserve") {
   FullOfRecordsFixture fixture;
 
   auto written = fixture.writer.write({checkpoint(std::string(kLargeCheckpoint, 'y'))});
--- a/tests/unit/storage/log_frame_test.cpp
+++ b/tests/unit/storage/log_frame_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace mosskeel;
 
-TEST_CASE("A sync mark is decoded only for its own segment, and no daemon decodes it as a journal record") {
+TEST_CASE("A sync mark is read back only for its own segment, and no daemon decodes it as a journal record") {
   constexpr Incarnation incarnation{1};
   constexpr uint64_t sequence = 2;
   constexpr uint64_t synced = 3;
