--- a/tests/unit/storage/log_frame_test.cpp
+++ b/tests/unit/storage/log_frame_test.cpp
@@ -1,4 +1,4 @@
-// Sync marks among the records of a log.
+// Encoding of sync marks among the records of a log.
 #include "storage/log_frame.hpp"
 
 #include "consensus/acceptor.hpp"
@@ -7,7 +7,7 @@
 
 using namespace mosskeel;
 
-TEST_CASE("A sync mark is read back for its own segment alone, and no daemon takes it for a record of its own") {
+TEST_CASE("A sync mark is read back only for its own segment, and no daemon decodes it as a journal record") {
   constexpr Incarnation incarnation{1};
   constexpr uint64_t sequence = 2;
   constexpr uint64_t synced = 3;
@@ -17,6 +17,6 @@
   CHECK(encoded.size() == SyncMark::kBytes);
   CHECK_FALSE(codec::decode<StoreRecord>(encoded));
   CHECK_FALSE(codec::decode<ControllerRecord>(encoded));
-  CHECK(mark_of(encoded, incarnation, sequence)->synced == synced);
-  CHECK_FALSE(mark_of(encoded, incarnation, sequence + 1));
+  CHECK(decode_sync_mark(encoded, incarnation, sequence)->synced == synced);
+  CHECK_FALSE(decode_sync_mark(encoded, incarnation, sequence + 1));
 }
