--- a/src/routing/http_frontend.hpp
+++ b/src/routing/http_frontend.hpp
@@ -24,7 +24,7 @@
   /// Lets time pass in the router; to be called at least each `kTickInterval`.
   void tick();
   /// Where callers are listened for, with the port that the system chose where none was named.
-  Address at() const { return callers_->local_address(); }
+  Address local_address() const { return callers_->local_address(); }
   /// Every response from now on is the last of its connection, and requests are taken within these limits.
   void begin_shutdown(const ShutdownLimits& limits) {
     router_.begin_shutdown(limits);
--- a/tests/unit/net/http_frontend_faults_test.cpp
+++ b/tests/unit/net/http_frontend_faults_test.cpp
@@ -97,7 +97,7 @@
     }
   }
   uint64_t send(const std::string& path, const std::string& attempt_id) {
-    UpstreamClient::Request request{frontend->at(),
+    UpstreamClient::Request request{frontend->local_address(),
                                     "POST",
                                     "/" + path + "/1",
                                     {{"Host", "h.example"}, {"Mosskeel-Attempt-Id", attempt_id}},
