--- a/tests/unit/net/http_frontend_faults_test.cpp
+++ b/tests/unit/net/http_frontend_faults_test.cpp
@@ -53,7 +53,7 @@
 
   FaultsFixture(uint64_t seed, int requests, unsigned replica_fault_percent, bool callers_fail_too)
       : random(seed), requests_left(requests), callers_fail(callers_fail_too) {
-    auto metadata = test::served();
+    auto metadata = test::routing_metadata();
     for (auto& [name, replica] : metadata.replicas) {
       replicas.push_back(std::make_unique<FaultyReplica>(loop, log, random(), replica_fault_percent));
       replica.url = "http://" + replicas.back()->address();
--- a/tests/unit/routing/load_balancer_test.cpp
+++ b/tests/unit/routing/load_balancer_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 struct BalancerFixture {
-  Metadata metadata = served();
+  Metadata metadata = routing_metadata();
   LoadBalancer balancer;
   TimePoint now{1000ms};
 
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -43,13 +43,13 @@
   return service;
 }
 
-/// Requests that each replica of `served` can run.
+/// Requests that each replica of `routing_metadata` can run.
 inline constexpr uint32_t kReplicaCapacity = 8;
 inline constexpr uint32_t kGateways = 2;
 
 /// Gateways 1 and 2 in zone z1; three replicas of `app`, three of `model`, two of `spare`. Paths are named by their
 /// kind; `turn` keeps its history, `brief` does not.
-inline Metadata served() {
+inline Metadata routing_metadata() {
   Metadata metadata{};
   metadata.epoch = Epoch{5};
   metadata.revision = Revision{1};
@@ -81,7 +81,7 @@
 
 /// The router of gateway 1.
 struct RouterFixture {
-  Metadata metadata = served();
+  Metadata metadata = routing_metadata();
   RequestRouter router{*find_protocol_codec("platform")};
   TimePoint now{1000ms};
   /// What the last event or tick led to.
