--- a/src/programs/admission_policy.cpp
+++ b/src/programs/admission_policy.cpp
@@ -17,7 +17,7 @@
   return {503, std::move(reason), retry_after};
 }
 
-/// The gateway must be fit to judge anything: its view confirmed and recent, and itself in service.
+/// The gateway's view of the cluster must be confirmed and recent, and the gateway must be in service.
 class ServingPolicy : public AdmissionPolicy {
   int order() const override { return 10; }
   const char* name() const override { return "serving"; }
@@ -39,7 +39,7 @@
   }
 };
 
-/// The cell and its route must exist.
+/// The cell and the route must exist.
 class RoutePolicy : public AdmissionPolicy {
   int order() const override { return 20; }
   const char* name() const override { return "route"; }
@@ -55,7 +55,7 @@
   }
 };
 
-/// Fills in what the caller left open, within the cell's limits.
+/// Fills in values that the caller omitted, within the cell's limits.
 class DefaultsPolicy : public AdmissionPolicy {
   int order() const override { return 30; }
   const char* name() const override { return "defaults"; }
@@ -76,8 +76,9 @@
   }
 };
 
-/// Sheds load on arrival, by the queue's length and its measured pace: what cannot begin within its share of time is
-/// rejected at once. Urgent requests have capacity of their own; bulk requests get the smallest part of the queue.
+/// Sheds load on arrival by queue length and measured service interval: a request that is not expected to start in time
+/// is rejected immediately. Urgent requests have reserved queue entries; bulk requests may use only a quarter of the
+/// queue.
 class LoadPolicy : public AdmissionPolicy {
   int order() const override { return 40; }
   const char* name() const override { return "load"; }
--- a/src/programs/gateway_machine.cpp
+++ b/src/programs/gateway_machine.cpp
@@ -38,7 +38,7 @@
   if (history_writer_.handle(envelope, now) || turn_client_.handle(envelope, now) ||
       turn_coordinator_.handle(envelope, now))
     return;
-  // Messages of all other kinds are not for gateways and are dropped.
+  // Messages that the pipeline does not handle either are not meant for gateways and are dropped.
   request_pipeline_.handle(envelope, now);
 }
 
@@ -118,13 +118,13 @@
   bool owns_nothing = !self || !is_in_service(*self) || is_drained;
   if (!request_pipeline_.is_idle() || turn_client_.unanswered_requests() || open_routing_sessions_)
     last_active_ = now;
-  bool is_over = owns_nothing && now - last_active_ > kShutdownGracePeriod;
-  if (context_.shutdown && (is_over || must_stop(now)))
+  bool may_stop = owns_nothing && now - last_active_ > kShutdownGracePeriod;
+  if (context_.shutdown && (may_stop || must_stop(now)))
     context_.outbox.act.stop = true;
 }
 
 bool GatewayMachine::must_stop(TimePoint now) const {
-  // Sessions of the routing thread are answered by it, and need the machine for the outcomes of their turns.
+  // The routing thread responds to its own sessions, and needs the machine to report the outcomes of their turns.
   return !open_routing_sessions_ && now >= context_.shutdown->ends_at + kShutdownMargin / 2;
 }
 
--- a/src/programs/gateway_machine.hpp
+++ b/src/programs/gateway_machine.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The state machine of a gateway: owner of its partitions' programs, forwarder of all other requests.
+// The state machine of a gateway: owns the programs of its partitions, and forwards requests to all other programs.
 #include "programs/majority_contact.hpp"
 #include "programs/request_pipeline.hpp"
 #include "replication/follower.hpp"
@@ -7,33 +7,34 @@
 
 namespace mosskeel {
 
-/// Keeps a gateway's view of the cluster by the heartbeats of its agent, and gives messages to the parts that they
-/// concern: RequestPipeline serves callers' requests of the product's own interface, TurnCoordinator and TurnClient the
-/// turns that gateways carry for callers of the platform's.
+/// Maintains a gateway's view of the cluster from its agent's heartbeats, and dispatches messages to its components:
+/// RequestPipeline processes requests of the native API, TurnCoordinator and TurnClient process turns of the platform's
+/// HTTP interface.
 ///
-/// Runs on one thread, its host's; other threads see it by RoutingSnapshot only. Nothing of it is on disk: what must
-/// survive it is kept by the stores of its programs' histories.
+/// Runs on its host's thread only; other threads see its state only through RoutingSnapshot. Stores nothing on disk:
+/// state that must survive the process is in the stores of the programs' histories.
 class GatewayMachine : public StateMachine {
  public:
-  /// `id.self.agent_address` is where the agent listens.
+  /// `id.self.agent_address` is the listening address of the agent.
   GatewayMachine(const Identity& id, TimePoint now);
   Actions step(const Envelope& envelope, TimePoint now) override;
   Actions tick(TimePoint now) override;
   MetadataSnapshot view() const override { return context_.metadata_log.view(); }
 
-  /// Begins a graceful shutdown: the partitions are handed over and running turns end, then the machine stops. What is
-  /// still open when the limits end is answered then.
+  /// Starts a graceful shutdown: the machine hands over its partitions, lets running turns end, and stops. Requests
+  /// that are still open when the limits expire get a response at that time.
   void begin_shutdown(const ShutdownLimits& limits);
-  /// Whether callers may be sent here.
+  /// Whether callers may be routed to this gateway.
   bool ready(TimePoint now) const;
-  /// Whether requests may be dispatched: see MajorityContact.
+  /// Whether requests may be dispatched; see MajorityContact.
   bool has_majority_contact(TimePoint now) const { return majority_contact_.is_valid(now); }
-  /// Counters since the process started, by their names on `/metrics`.
+  /// Counters since the process start, keyed by their names on `/metrics`.
   const std::map<std::string, uint64_t>& metrics() const { return context_.counters; }
   size_t active_requests() const { return request_pipeline_.open_requests(); }
-  /// What the routing thread of this process may rely on.
+  /// The state that the routing thread of this process works with.
   RoutingSnapshot routing_snapshot(TimePoint now) const;
-  /// How many callers' sessions the routing thread has open; the machine does not stop before they are over.
+  /// Sets the number of callers' sessions that are open on the routing thread; the machine does not stop before they
+  /// end.
   void set_open_routing_sessions(size_t sessions) { open_routing_sessions_ = sessions; }
 
  private:
@@ -45,7 +46,7 @@
   void sweep(TimePoint now);
   void log_majority_contact(TimePoint now);
   void stop_if_drained(TimePoint now);
-  /// Whether the process may be killed so soon that who still waits must be told now, by the end of the machine.
+  /// Whether the process may be killed so soon that the machine must stop now, which answers all waiting callers.
   bool must_stop(TimePoint now) const;
 
   GatewayContext context_;
--- a/src/programs/history_closer.hpp
+++ b/src/programs/history_closer.hpp
@@ -1,22 +1,22 @@
 #pragma once
-// The end of histories whose retention is over.
+// Ends histories whose retention has expired.
 #include "history/history_writer.hpp"
 #include "programs/turn_runners.hpp"
 
 namespace mosskeel {
 
-/// Ends a history once a quorum of its stores reports, each by its own clock, that its retention is over at its
-/// present length, and nothing is under way on it. Once its end is committed, the stores that still report it are told
-/// to replace it by a tombstone.
+/// Ends a history that is not in use once a quorum of its stores has reported, each by its own clock, that the
+/// history's retention has expired at its current length. Once the end is committed, stores that still report the
+/// history are told to replace it by a tombstone.
 class HistoryCloser {
  public:
   HistoryCloser(GatewayContext& context, HistoryWriter& history_writer, const OpenRequests& requests,
                 TurnRunners& turn_runners)
       : context_(context), history_writer_(history_writer), requests_(requests), turn_runners_(turn_runners) {}
 
-  /// A store's report on a history of a partition that this gateway owns.
+  /// Handles a store's report about a history in a partition that this gateway owns.
   void handle(const Envelope& envelope, const HistoryExpired& report, TimePoint now);
-  /// Bounds the reports that are kept; stores repeat theirs.
+  /// Bounds the number of stored reports. Dropping them is safe, because stores repeat their reports.
   void expire();
 
  private:
@@ -27,7 +27,7 @@
   HistoryWriter& history_writer_;
   const OpenRequests& requests_;
   TurnRunners& turn_runners_;
-  /// The length at which each store called the history expired.
+  /// The history's length at which each store has reported it as expired.
   std::map<HistoryName, std::map<DaemonId, uint64_t>> reported_lengths_;
 };
 
--- a/src/programs/majority_contact.cpp
+++ b/src/programs/majority_contact.cpp
@@ -5,8 +5,8 @@
 namespace mosskeel {
 namespace {
 
-/// A gateway goes on this long without an epoch that it has heard of: shorter than the contact on which the
-/// acknowledgement of a configuration rests.
+/// How long a gateway continues to dispatch without an epoch that it has seen. Must be shorter than the majority
+/// contact timeout, on which the acknowledgement of a configuration relies.
 constexpr Duration kMissingEpochTolerance = kIsolationTimeout / 2;
 
 }  // namespace
--- a/src/programs/model_request_body.cpp
+++ b/src/programs/model_request_body.cpp
@@ -4,7 +4,7 @@
 
 namespace mosskeel {
 
-std::string model_request_body(const ProgramRequest& request, const std::vector<ChainLink>& conversation,
+std::string model_request_body(const ProgramRequest& request, const std::vector<ConversationTurn>& conversation,
                                uint64_t max_tokens) {
   nlohmann::json json{{"attempt", request.attempt}, {"cell", request.cell},    {"program", request.program},
                       {"thread", request.thread},   {"key", request.key},      {"prefix", request.prefix},
--- a/src/programs/open_request.hpp
+++ b/src/programs/open_request.hpp
@@ -1,88 +1,88 @@
 #pragma once
-// One request that this gateway has taken and not yet answered.
+// State of a request that this gateway has accepted and not yet answered.
 #include "programs/gateway_context.hpp"
 
 namespace mosskeel {
 
-/// Where an open request stands. Between `reserving` and `transferring_outcome` its turn may be running at a replica.
+/// The processing stage of an open request. From `reserving` to `transferring_outcome` its turn may run at a replica.
 enum class RequestStage {
-  /// The owner reads the program's history from its stores.
+  /// The owner is reading the program's history from its stores.
   opening_history,
-  /// A turn of the same thread runs; threads run one turn at a time.
+  /// Waiting for a running turn of the same thread; each thread runs one turn at a time.
   awaiting_previous_turn,
-  /// Waits for a replica with free capacity.
+  /// Waiting for a replica with free capacity.
   queued,
   /// The reservation is being written to the history.
   reserving,
-  /// A replica works on it.
+  /// A replica is processing the request.
   running,
   /// The outcome is being written to the history.
   committing_outcome,
-  /// The history has a new owner, which is asked to write the outcome.
+  /// The history has a new owner, which was asked to write the outcome.
   transferring_outcome,
-  /// Another gateway owns the program and was sent the request.
+  /// The request was forwarded to another gateway, which owns the program.
   forwarded,
 };
 
-/// Why a request is turned down, or what is known of one that can't be completed.
+/// Why a request is rejected, or what is known about a request that cannot be completed.
 struct RequestRejection {
   uint32_t status = 503;
   std::string reason;
-  /// The time after which a retry makes sense; 0 where it makes none.
+  /// When a retry makes sense, as an interval; 0 if it does not.
   Duration retry_after{};
   /// Whether the request has run.
   Outcome executed = Outcome::no;
 };
 
-/// A request and all that is known of it here. Owned by OpenRequests; a reference is valid until the response is sent.
+/// A request and its state on this gateway. Owned by OpenRequests; a reference is valid until the response is sent.
 struct OpenRequest {
   ProgramRequest request{};
-  /// Who gets the response: an HTTP session of this process, or the gateway that forwarded the request.
+  /// Receiver of the response: an HTTP session of this process, or the gateway that forwarded the request.
   Address reply_to;
   Incarnation reply_to_incarnation{};
   RequestStage stage = RequestStage::opening_history;
-  /// The response as far as it is known.
+  /// The response, as far as it is known.
   ProgramResponse response{};
 
-  /// Counts the requests taken by this process: the queue's order.
+  /// Sequence number among the requests that this process has accepted; determines the order of the queue.
   uint64_t arrival_number = 0;
   TimePoint arrived_at{};
   TimePoint deadline{};
-  /// When the replica, the owner or a retransmission last moved it on.
+  /// Time of the last message from the replica or the owner, or of the last retransmission.
   TimePoint last_activity{};
-  /// Since when it waits in the queue, for the owner's acknowledgement or for the outcome's transfer.
+  /// Start of the wait in the queue, for the owner's acknowledgement, or for the transfer of the outcome.
   TimePoint waiting_since{};
 
-  /// An application request that leaves no record: it needs no owner and no history.
+  /// Whether this is an application request without a record, which needs neither an owner nor a history.
   bool is_stateless = false;
 
-  /// The turn on the program's history; unused by stateless requests.
+  /// The turn in the program's history; unused by stateless requests.
   HistoryName history{};
   PartitionId partition{};
-  /// The term under which this gateway admitted the turn; a later one means that the partition has moved.
+  /// The term in which this gateway admitted the turn; a later term means that the partition has moved.
   Epoch owner_term{};
   uint32_t turn_number = 0;
   uint64_t reserved_tokens = 0;
-  /// The turn's reservation, from its outcome on the outcome.
+  /// The turn's reservation, which is turned into its outcome when the turn ends.
   Record record{};
-  /// The history's length at which `record` is committed.
+  /// Committed length of the history from which on `record` is committed.
   uint64_t commit_length = 0;
 
-  /// The replica that was chosen, empty where none is; its capacity is held as long as it stands here.
+  /// The assigned replica, or empty; the request occupies capacity of the replica while this is set.
   std::string replica;
-  /// What the replica, or the owner that the request was forwarded to, has streamed so far.
+  /// The text streamed so far by the replica, or by the owner that the request was forwarded to.
   std::string streamed_text;
   uint32_t streamed_chunks = 0;
   uint64_t streamed_tokens = 0;
 
   /// The owner that the request was forwarded to.
   DaemonId forwarded_to{};
-  /// It was sent to that owner, whose verdict has not come.
+  /// Whether the request was sent to that owner, which has not responded.
   bool is_forwarded = false;
   bool forward_acknowledged = false;
-  /// It was sent to an owner whose verdict never came, so "has not run" may no longer be reported.
+  /// Whether the request was sent to an owner that never responded, so that "has not run" must no longer be reported.
   bool outcome_unknown = false;
-  /// The turn was never dispatched: once the new owner has recorded that, it is forwarded there.
+  /// Whether the turn was never dispatched and is to be forwarded to the new owner once that has recorded this.
   bool reroute_after_transfer = false;
 
   /// Whether the caller's HTTP session is in this process.
--- a/src/programs/open_requests.hpp
+++ b/src/programs/open_requests.hpp
@@ -1,47 +1,47 @@
 #pragma once
-// The requests that a gateway works on, and the responses that it may have to repeat.
+// The open requests of a gateway, and the recent responses that it may have to resend.
 #include <optional>
 
 #include "programs/open_request.hpp"
 
 namespace mosskeel {
 
-/// The open requests of a gateway by their attempt id. At most one request of an attempt is open.
+/// The open requests of a gateway, keyed by attempt id. At most one request per attempt is open.
 class OpenRequests {
  public:
-  /// The request, or null. Valid until it is closed.
+  /// The request, or null. The pointer is valid until the request is closed.
   OpenRequest* find(const std::string& attempt);
-  /// Takes a request whose attempt is not open yet.
+  /// Adds a request whose attempt must not be open yet.
   OpenRequest& add(OpenRequest request);
-  /// Forgets a request; references to it become invalid.
+  /// Removes a request and invalidates references to it.
   void close(const std::string& attempt) { requests_.erase(attempt); }
 
   size_t size() const { return requests_.size(); }
   bool empty() const { return requests_.empty(); }
-  /// How many requests are in one stage.
+  /// Number of requests in a stage.
   size_t count(RequestStage stage) const;
   size_t count_if(const std::function<bool(const OpenRequest&)>& matches) const;
   bool contains_if(const std::function<bool(const OpenRequest&)>& matches) const;
 
-  /// The attempts of all requests, as copies: handling one may close others.
+  /// The attempt ids of all requests, as copies, because handling one request may close others.
   std::vector<std::string> attempts() const;
-  /// The attempts that wait for this history, as copies; forwarded ones do not.
+  /// The attempt ids of all requests that use this history, as copies; forwarded requests are not included.
   std::vector<std::string> attempts_on(const HistoryName& history) const;
 
  private:
   std::map<std::string, OpenRequest> requests_;
 };
 
-/// Final responses to forwarded requests, for gateways that did not get theirs and ask again. An attempt is known much
-/// longer than its response is kept, so that it is not begun anew.
+/// Final responses to forwarded requests, for gateways that did not receive them and retry. Attempt ids are remembered
+/// much longer than their responses, so that an attempt is not started again.
 class RecentResponses {
  public:
   void remember(const ProgramResponse& response, TimePoint now);
-  /// Whether the attempt was answered lately.
+  /// Whether the attempt was answered recently.
   bool contains(const std::string& attempt) const { return responses_.count(attempt) != 0; }
-  /// The response where it is still kept, else null.
+  /// The response if it is still stored, else null.
   const ProgramResponse* find(const std::string& attempt) const;
-  /// Drops what is older than kResponseRetention and kAttemptIdRetention.
+  /// Drops responses older than kResponseRetention and attempt ids older than kAttemptIdRetention.
   void expire(TimePoint now);
 
  private:
--- a/src/programs/outcome_transfer.cpp
+++ b/src/programs/outcome_transfer.cpp
@@ -7,11 +7,11 @@
 namespace mosskeel {
 namespace {
 
-/// The records of a transferred outcome's key in the history.
+/// What the history contains under the key of a transferred outcome.
 struct RecordedTurn {
   /// The newest record under the key, or null.
   const Record* latest = nullptr;
-  /// Whether the thread went on after it.
+  /// Whether the thread has later records.
   bool has_successor = false;
 };
 
@@ -80,8 +80,8 @@
 bool OutcomeReceiver::try_complete(Transfer& transfer, TimePoint now) {
   const auto& history = transfer.message.history;
   auto state = history_writer_.open(history, now);
-  bool is_given_up = now - transfer.arrived_at > kOutcomeTransferTimeout;
-  if (state == HistoryWriter::State::fenced || is_given_up)
+  bool has_timed_out = now - transfer.arrived_at > kOutcomeTransferTimeout;
+  if (state == HistoryWriter::State::fenced || has_timed_out)
     return true;
   if (state != HistoryWriter::State::open)
     return false;
@@ -115,7 +115,7 @@
   }
   auto turn = find_turn(history_writer_.records(history), outcome);
   if (!turn.latest) {
-    // Without a reservation the turn has not run, which the old owner reports by the status 0.
+    // Without a reservation the turn has not run, which the old owner must have reported with status 0.
     return recorded_if(outcome.status == 0);
   }
   if (turn.latest->kind == RecordKind::outcome) {
--- a/src/programs/request_queue.cpp
+++ b/src/programs/request_queue.cpp
@@ -20,25 +20,25 @@
 }
 
 Duration RequestQueue::expected_wait(const std::string& kind, bool is_urgent) const {
-  auto pace = paces_.find(kind);
-  if (pace == paces_.end())
+  auto service_interval = service_intervals_.find(kind);
+  if (service_interval == service_intervals_.end())
     return {};
   auto requests_ahead = requests_.count_if([&](const OpenRequest& open) {
     bool waits = open.stage == RequestStage::queued || open.stage == RequestStage::opening_history;
     bool is_ahead = !is_urgent || open.request.urgent;
     return open.request.kind == kind && waits && is_ahead;
   });
-  return Duration(static_cast<int64_t>(static_cast<double>(requests_ahead) * pace->second.interval));
+  return Duration(static_cast<int64_t>(static_cast<double>(requests_ahead) * service_interval->second.average_ms));
 }
 
 void RequestQueue::record_departure(const std::string& kind, TimePoint now) {
-  auto& pace = paces_[kind];
-  bool others_wait = pace.last_departure != TimePoint{} && requests_.count(RequestStage::queued) > 1;
+  auto& service_interval = service_intervals_[kind];
+  bool others_wait = service_interval.last_departure != TimePoint{} && requests_.count(RequestStage::queued) > 1;
   if (others_wait) {
-    auto interval = static_cast<double>(std::min(now - pace.last_departure, kMaxQueueWait).count());
-    pace.interval += (interval - pace.interval) * kQueuePaceSmoothing;
+    auto interval = static_cast<double>(std::min(now - service_interval.last_departure, kMaxQueueWait).count());
+    service_interval.average_ms += (interval - service_interval.average_ms) * kServiceIntervalSmoothing;
   }
-  pace.last_departure = now;
+  service_interval.last_departure = now;
 }
 
 }  // namespace mosskeel
--- a/src/programs/turn_log.cpp
+++ b/src/programs/turn_log.cpp
@@ -15,8 +15,8 @@
   return turns;
 }
 
-std::vector<ChainLink> conversation(const Records& records, const std::string& thread) {
-  std::vector<ChainLink> chain;
+std::vector<ConversationTurn> conversation(const Records& records, const std::string& thread) {
+  std::vector<ConversationTurn> chain;
   std::map<std::string, std::string> inputs;
   for (const auto& record : records) {
     if (record.thread != thread)
--- a/src/programs/turn_log.hpp
+++ b/src/programs/turn_log.hpp
@@ -26,13 +26,13 @@
 TurnsByKey turns_by_key(const Records& records);
 
 /// One turn of a conversation.
-struct ChainLink {
+struct ConversationTurn {
   std::string input;
   std::string output;
 };
 
 /// The successful turns of a thread, oldest first.
-std::vector<ChainLink> conversation(const Records& records, const std::string& thread);
+std::vector<ConversationTurn> conversation(const Records& records, const std::string& thread);
 
 /// The body of the response to a history request: the turns that ended, and the tokens that are spent, reserved and
 /// allowed. `committed` are the records that a write quorum has; others must not be shown.
--- a/tests/unit/programs/request_forwarder_test.cpp
+++ b/tests/unit/programs/request_forwarder_test.cpp
@@ -23,7 +23,7 @@
   RequestForwarder forwarder{context, requests, responder};
   TimePoint now{1000ms};
 
-  ForwardingGateway() { context.metadata_log.install_snapshot(test::small_fleet()); }
+  ForwardingGateway() { context.metadata_log.install_snapshot(test::small_cluster()); }
 
   /// @param outcome_unknown whether an earlier owner was sent the request and never answered.
   OpenRequest& forward(bool outcome_unknown) {
--- a/tests/unit/programs/request_queue_test.cpp
+++ b/tests/unit/programs/request_queue_test.cpp
@@ -60,7 +60,7 @@
   queue.record_departure("model", TimePoint{2000ms});
   queue.record_departure("model", TimePoint{3000ms});
 
-  auto interval = 1000 * kQueuePaceSmoothing;
+  auto interval = 1000 * kServiceIntervalSmoothing;
   CHECK(queue.expected_wait("model", false) == Duration(static_cast<int64_t>(4 * interval)));
   CHECK(queue.expected_wait("model", true) == Duration(static_cast<int64_t>(1 * interval)));
   CHECK(queue.expected_wait("app", false) == 0ms);
--- a/tests/unit/programs/turn_owner_test.cpp
+++ b/tests/unit/programs/turn_owner_test.cpp
@@ -28,7 +28,7 @@
   TimePoint now{1000ms};
 
   OwningGateway() {
-    auto metadata = test::small_fleet();
+    auto metadata = test::small_cluster();
     Cell cell{};
     cell.name = "lab";
     cell.budget = 1000;
--- a/tests/unit/routing/event_reader_test.cpp
+++ b/tests/unit/routing/event_reader_test.cpp
@@ -1,4 +1,4 @@
-// How a stream's events are counted and, where that is wanted, their data kept.
+// Tests that events of a stream are counted, and that their data is collected on request.
 #include "routing/event_reader.hpp"
 #include "unit/catch.hpp"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Three complete events, of which one has no data, and the beginning of a fourth.
+/// Three complete events with data, one without data, and the beginning of another one.
 constexpr std::string_view kStream =
     ": a comment\r\nid: 1\r\ndata: one\r\n\r\n"
     "mosskeel-weight-versions: 3\nid: 2\ndata: two\ndata:lines\n\n"
@@ -29,7 +29,7 @@
   }
 }
 
-TEST_CASE("EventReader reads a stream that comes byte by byte") {
+TEST_CASE("EventReader reads a stream that arrives byte by byte") {
   EventReader reader(true);
 
   for (char byte : kStream)
@@ -38,7 +38,7 @@
   CHECK(reader.data() == kData);
 }
 
-TEST_CASE("EventReader that counts events keeps no data") {
+TEST_CASE("EventReader stores no data when it only counts events") {
   EventReader reader;
 
   reader.read(kStream);
--- a/tests/unit/routing/load_balancer_test.cpp
+++ b/tests/unit/routing/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-// Which replica the load balancer of a gateway chooses for an attempt.
+// Tests which replica the load balancer of a gateway chooses for an attempt.
 #include "routing/load_balancer.hpp"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
   LoadBalancer balancer;
   TimePoint now{1000ms};
 
-  /// Gives `metadata` to the balancer, as that of this gateway.
+  /// Installs `metadata` in the balancer, as seen by the given gateway.
   void update(uint64_t gateway = 1) {
     balancer.update({.view = std::make_shared<Metadata>(metadata),
                      .self_id = DaemonId{gateway},
@@ -25,8 +25,8 @@
                     now);
   }
 
-  /// Starts an attempt. Returns the replica's name, "later" where no replica is free now, or "none" where there is
-  /// none.
+  /// Starts an attempt. Returns the replica's name, "later" if no replica has free capacity, or "none" if there is no
+  /// replica.
   std::string start_attempt(uint64_t affinity_hash = 0) {
     auto choice = balancer.choose({"app", affinity_hash, nullptr}, now);
     if (!choice.replica)
@@ -36,15 +36,15 @@
   }
 };
 
-/// The rate of requests for a replica that warms up.
-constexpr size_t kPermittedPerSecond = 19;
+/// Requests per second that a replica which is warming up permits.
+constexpr size_t kPermittedRate = 19;
 
-/// When a gateway can start an attempt in five seconds, in which the only replica of the service warms up.
-std::vector<TimePoint> attempts_on_warming_replica(uint64_t gateway) {
+/// The times of a gateway's attempts in five seconds during which the only replica of the service is warming up.
+std::vector<TimePoint> attempt_times_on_warming_replica(uint64_t gateway) {
   BalancerFixture fixture;
-  fixture.metadata.replicas = {{"app1", listed("app1", "app", "z1", 1000)}};
+  fixture.metadata.replicas = {{"app1", make_replica("app1", "app", "z1", 1000)}};
   fixture.metadata.replicas["app1"].health = ReplicaHealth::warming_up;
-  fixture.metadata.configuration.services[0].cold_per_s = kPermittedPerSecond;
+  fixture.metadata.configuration.services[0].cold_per_s = kPermittedRate;
   fixture.update(gateway);
   std::vector<TimePoint> sent_at;
   for (; fixture.now < TimePoint{6000ms}; fixture.now += 1ms)
@@ -53,8 +53,8 @@
   return sent_at;
 }
 
-/// The most of these times that precede another one by less than a second.
-size_t most_within_a_second(const std::vector<TimePoint>& times) {
+/// The largest number of these times that precede another one by less than a second.
+size_t max_per_second(const std::vector<TimePoint>& times) {
   size_t most = 0;
   for (auto first = times.begin(), last = first; last != times.end(); ++last) {
     while (*last - *first >= 1000ms)
@@ -98,14 +98,14 @@
   CHECK(fixture.start_attempt() == "app2");
 }
 
-TEST_CASE("LoadBalancer keeps a key on its replica when others are added") {
+TEST_CASE("LoadBalancer keeps sending an affinity key to its replica when others are added") {
   BalancerFixture fixture;
   fixture.update();
   auto first = fixture.start_attempt(99);
 
   CHECK(fixture.start_attempt(99) == first);
 
-  fixture.metadata.replicas["spare3"] = listed("spare3", "spare", "z1", 8);
+  fixture.metadata.replicas["spare3"] = make_replica("spare3", "spare", "z1", 8);
   fixture.update();
 
   CHECK(fixture.start_attempt(99) == first);
@@ -140,15 +140,15 @@
   CHECK(fixture.start_attempt() == "none");
 }
 
-TEST_CASE("LoadBalancer lets one gateway send to a replica that warms up, and stays within the rate for it") {
+TEST_CASE("LoadBalancer lets only one gateway send to a replica that warms up, and stays within the permitted rate") {
   size_t gateways_that_sent = 0;
   for (uint64_t gateway : {1, 2}) {
-    auto sent_at = attempts_on_warming_replica(gateway);
+    auto sent_at = attempt_times_on_warming_replica(gateway);
 
-    CHECK(most_within_a_second(sent_at) < kPermittedPerSecond);
+    CHECK(max_per_second(sent_at) < kPermittedRate);
 
-    // At least half as many as permitted over five seconds.
-    CHECK((sent_at.empty() || sent_at.size() > 5 * kPermittedPerSecond / 2));
+    // More than half of the requests that are permitted in five seconds.
+    CHECK((sent_at.empty() || sent_at.size() > 5 * kPermittedRate / 2));
 
     gateways_that_sent += sent_at.empty() ? 0 : 1;
   }
--- a/tests/unit/routing/recent_attempts_test.cpp
+++ b/tests/unit/routing/recent_attempts_test.cpp
@@ -1,10 +1,10 @@
-// How many attempt ids a gateway remembers.
+// Tests how many attempt ids a gateway remembers.
 #include "routing/recent_attempts.hpp"
 #include "unit/catch.hpp"
 
 using namespace mosskeel;
 
-TEST_CASE("RecentAttempts forgets the oldest id when it is full, and no other") {
+TEST_CASE("RecentAttempts evicts only the oldest id when it is full") {
   RecentAttempts attempts;
   for (size_t number = 0; number <= kRecentAttempts; ++number)
     attempts.add("a" + std::to_string(number));
@@ -14,7 +14,7 @@
   CHECK(attempts.contains("a" + std::to_string(kRecentAttempts)));
 }
 
-TEST_CASE("RecentAttempts keeps an id that is added twice once") {
+TEST_CASE("RecentAttempts stores an id that is added repeatedly only once") {
   RecentAttempts attempts;
   attempts.add("first");
   for (size_t repetition = 0; repetition <= kRecentAttempts; ++repetition)
--- a/tests/unit/routing/request_router_fixture.hpp
+++ b/tests/unit/routing/request_router_fixture.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// A request router whose callers, replicas and owners of turns are played by the test.
+// A request router under test; the test takes the roles of callers, replicas and owners of turns.
 #include "routing/constants.hpp"
 #include "routing/request_router.hpp"
 #include "unit/catch.hpp"
@@ -7,11 +7,11 @@
 namespace mosskeel::test {
 
 using namespace routing;
-// A daemon's own Actions and log events have the same names.
+// The namespace mosskeel also declares Actions and Event, for daemons and log events.
 using routing::Actions;
 using routing::Event;
 
-/// Of the paths of `path()`. A request waits for a replica for a quarter of the path's latency target.
+/// Settings of the paths that `path()` creates. A request waits for a replica for a quarter of the latency target.
 inline constexpr Duration kPathTimeout = 4000ms;
 inline constexpr Duration kPathLatencyTarget = 800ms;
 inline constexpr Duration kMaxPathWait = kPathLatencyTarget / 4;
@@ -32,7 +32,8 @@
   return path;
 }
 
-inline Replica listed(const std::string& name, const std::string& service, const std::string& zone, uint32_t capacity) {
+inline Replica make_replica(const std::string& name, const std::string& service, const std::string& zone,
+                            uint32_t capacity) {
   return {name, "listed", zone, "http://" + name + ":1", ReplicaHealth::ready, Epoch{3}, capacity, service, 0};
 }
 
@@ -43,12 +44,12 @@
   return service;
 }
 
-/// Requests that each replica of `routing_metadata` can run.
+/// Capacity of each replica in `routing_metadata`.
 inline constexpr uint32_t kReplicaCapacity = 8;
 inline constexpr uint32_t kGateways = 2;
 
-/// Gateways 1 and 2 in zone z1; three replicas of `app`, three of `model`, two of `spare`. Paths are named by their
-/// kind; `turn` keeps its history, `brief` does not.
+/// Gateways 1 and 2 in zone z1; three replicas of `app`, three of `model`, two of `spare`. Paths are named after their
+/// kind; `turn` keeps history, `brief` does not.
 inline Metadata routing_metadata() {
   Metadata metadata{};
   metadata.epoch = Epoch{5};
@@ -62,7 +63,7 @@
     int replicas = service_name == "spare" ? 2 : 3;
     for (int number = 1; number <= replicas; ++number) {
       auto name = service_name + std::to_string(number);
-      metadata.replicas[name] = listed(name, service_name, "z1", kReplicaCapacity);
+      metadata.replicas[name] = make_replica(name, service_name, "z1", kReplicaCapacity);
     }
   }
   metadata.configuration.services = {service("app", 0), service("model", 4), service("spare", 0)};
@@ -74,7 +75,7 @@
   return metadata;
 }
 
-/// Whether the requests of the path of that name are turns.
+/// Whether requests on the path of this name are turns.
 inline bool is_turn(const std::string& path_name) {
   return path_name == "turn" || path_name == "brief";
 }
@@ -84,13 +85,13 @@
   Metadata metadata = routing_metadata();
   RequestRouter router{*find_protocol_codec("platform")};
   TimePoint now{1000ms};
-  /// What the last event or tick led to.
+  /// The actions of the last event or tick.
   Actions actions;
   RequestId last_request_id = 0;
 
   RouterFixture() { publish(); }
 
-  /// Lets the router see `metadata`, with majority contact until `dispatch_until`.
+  /// Publishes `metadata` to the router, with majority contact until `dispatch_until`.
   void publish(TimePoint dispatch_until = TimePoint{1000000ms}) {
     RoutingSnapshot snapshot{std::make_shared<Metadata>(metadata), DaemonId{1}, dispatch_until, true};
     router.update(std::make_shared<RoutingSnapshot>(std::move(snapshot)), now);
@@ -103,7 +104,7 @@
     actions = router.tick(now);
   }
 
-  /// The actions of one kind that the last event led to.
+  /// The actions of one kind among those of the last event or tick.
   template <class Kind>
   std::vector<Kind> all() const {
     std::vector<Kind> selected;
@@ -125,8 +126,7 @@
     return all<Kind>().empty();
   }
 
-  /// A caller's request on the path of that name; a turn of program p where the path is one of turns. Returns the
-  /// attempt's id.
+  /// Receives a caller's request on the path of this name: a turn of program p if `is_turn`. Returns the attempt id.
   std::string receive(const std::string& path_name, HeaderFields more_fields = {}, const std::string& id = "") {
     auto request_id = ++last_request_id;
     auto attempt_id = id.empty() ? "a" + std::to_string(request_id) : id;
@@ -141,13 +141,13 @@
     return attempt_id;
   }
 
-  /// The owner's reply to a reservation.
+  /// Receives the owner's reply to a reservation.
   void reply_to_reservation(const std::string& attempt_id, uint32_t status = 200, const std::string& chain = "",
                             uint32_t retry_after_ms = 0) {
     handle(ReserveTurnReply{attempt_id, status, retry_after_ms, "for a reason", chain});
   }
 
-  /// Receives a request, grants it where it is a turn, and returns what was sent to a replica.
+  /// Receives a request, grants it if it is a turn, and returns what was sent to a replica.
   SendToReplica receive_and_send(const std::string& path_name, HeaderFields more_fields = {}) {
     auto attempt_id = receive(path_name, std::move(more_fields));
     if (is_turn(path_name))
@@ -155,7 +155,7 @@
     return one<SendToReplica>();
   }
 
-  /// The head of the replica's response, with the attempt's id.
+  /// Receives the status and headers of the replica's response, with the attempt's id.
   void respond(const SendToReplica& sent, uint32_t status, HeaderFields more_fields = {}, bool sealed = true) {
     HeaderFields fields{{"Mosskeel-Attempt-Id", std::string(header_value(sent.fields, "Mosskeel-Attempt-Id"))}};
     if (sealed)
@@ -166,7 +166,7 @@
 
   void respond_with_stream(const SendToReplica& sent) { respond(sent, 200, {{"Content-Type", "text/event-stream"}}); }
 
-  /// The events first to last - 1 of the replica's stream.
+  /// Receives the events `first` to `last` - 1 of the replica's stream.
   void stream_events(const SendToReplica& sent, int first, int last) {
     for (int event = first; event < last; ++event) {
       auto number = std::to_string(event);
@@ -174,10 +174,10 @@
     }
   }
 
-  /// The outcome of a turn that was sent to its owner.
+  /// The turn's outcome that was sent to the owner.
   CommitTurn outcome() const { return std::get<CommitTurn>(one<SendToOwner>().message); }
 
-  /// When the rejected caller may retry; empty where the response does not say so.
+  /// The Retry-After header of the response to the caller; empty if it has none.
   std::string retry_after() const { return std::string(header_value(one<SendResponse>().fields, "Retry-After")); }
 };
 
--- a/tests/unit/routing/request_router_test.cpp
+++ b/tests/unit/routing/request_router_test.cpp
@@ -1,4 +1,4 @@
-// How the request router answers a caller for each way in which an attempt can fail.
+// Tests how the request router responds to a caller for each way in which an attempt can fail.
 #include "routing/constants.hpp"
 #include "unit/routing/request_router_fixture.hpp"
 
@@ -13,15 +13,15 @@
   return path_name == "safe" || path_name == "resume";
 }
 
-/// A way for an attempt to fail before any byte of its response was passed on.
-struct Failure {
+/// A way in which an attempt fails before any byte of its response was forwarded.
+struct AttemptFailure {
   const char* name;
-  /// Whether the attempt is known not to have been executed.
+  /// Whether the failure proves that the attempt was not executed.
   bool not_executed;
-  std::function<void(RouterFixture&, const SendToReplica&)> occur;
+  std::function<void(RouterFixture&, const SendToReplica&)> inject;
 };
 
-const Failure kFailures[] = {
+const AttemptFailure kAttemptFailures[] = {
     {"replica full", true,
      [](RouterFixture& fixture, const SendToReplica& sent) {
        fixture.respond(sent, 503, {{"Mosskeel-Not-Run", "full"}}, false);
@@ -68,30 +68,30 @@
      }},
 };
 
-bool may_retry(const std::string& path_name, const Failure& failure) {
+bool may_retry(const std::string& path_name, const AttemptFailure& failure) {
   return failure.not_executed || is_idempotent_path(path_name);
 }
 
-/// Lets the same failure occur to all further attempts of a request.
-void fail_retries(RouterFixture& fixture, const Failure& failure) {
-  failure.occur(fixture, fixture.one<SendToReplica>());
-  // An attempt that was not sent does not count, so a third one follows.
+/// Injects the same failure into all further attempts of a request.
+void fail_retries(RouterFixture& fixture, const AttemptFailure& failure) {
+  failure.inject(fixture, fixture.one<SendToReplica>());
+  // An attempt that was not sent does not count towards the limit, so a third one follows.
   if (std::string(failure.name) == "not sent")
-    failure.occur(fixture, fixture.one<SendToReplica>());
+    failure.inject(fixture, fixture.one<SendToReplica>());
 }
 
 }  // namespace
 
-TEST_CASE("RequestRouter sends a failed attempt to another replica where it was not executed or is idempotent") {
+TEST_CASE("RequestRouter retries a failed attempt at another replica if it was not executed or is idempotent") {
   for (std::string path_name : kPathNames) {
-    for (auto& failure : kFailures) {
+    for (auto& failure : kAttemptFailures) {
       if (!may_retry(path_name, failure))
         continue;
       INFO(path_name << ": " << failure.name);
       RouterFixture fixture;
       auto first = fixture.receive_and_send(path_name);
 
-      failure.occur(fixture, first);
+      failure.inject(fixture, first);
 
       CHECK(fixture.none<SendResponse>());
       CHECK(fixture.none<SendToOwner>());
@@ -104,14 +104,14 @@
   }
 }
 
-TEST_CASE("RequestRouter rejects a request after its last attempt by whether the attempts may have been executed") {
+TEST_CASE("RequestRouter rejects a request after its last attempt with a status that tells whether it may have run") {
   for (std::string path_name : kPathNames) {
-    for (auto& failure : kFailures) {
+    for (auto& failure : kAttemptFailures) {
       INFO(path_name << ": " << failure.name);
       RouterFixture fixture;
       auto first = fixture.receive_and_send(path_name);
 
-      failure.occur(fixture, first);
+      failure.inject(fixture, first);
       if (may_retry(path_name, failure))
         fail_retries(fixture, failure);
 
@@ -161,14 +161,14 @@
   CHECK(fixture.one<SkipStaleResponse>().attempt == sent.attempt);
   CHECK(fixture.actions.size() == 1);
 
-  SECTION("its own response comes") {
+  SECTION("its own response follows") {
     fixture.respond(sent, 200);
     fixture.handle(ResponseDataReceived{sent.attempt, "own"});
     fixture.handle(ResponseCompleted{sent.attempt});
 
     CHECK(fixture.one<SendResponse>().body == "own");
   }
-  SECTION("a second stale response comes") {
+  SECTION("a second stale response follows") {
     fixture.handle(ResponseHeadersReceived{sent.attempt, 200, stale, "before"});
     CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
     CHECK(fixture.one<SendResponse>().status == 502);
@@ -219,7 +219,7 @@
   CHECK(fixture.all<EndResponse>().size() == 1);
 }
 
-TEST_CASE("RequestRouter takes a stream that lasts until the close for whole only where it ends with an event") {
+TEST_CASE("RequestRouter treats a stream that lasts until the close as complete only if it ends after an event") {
   RouterFixture fixture;
   auto sent = fixture.receive_and_send("stream");
   HeaderFields fields{
@@ -227,13 +227,13 @@
   fixture.handle(ResponseHeadersReceived{sent.attempt, 200, fields, "", true});
   fixture.handle(ResponseDataReceived{sent.attempt, "id: 1\ndata: a\n\nid: 2\nda"});
 
-  SECTION("it ends inside an event") {
+  SECTION("it ends within an event") {
     fixture.handle(ResponseCompleted{sent.attempt});
 
     CHECK(fixture.all<ResetResponse>().size() == 1);
     CHECK(fixture.none<EndResponse>());
   }
-  SECTION("the last event comes in pieces") {
+  SECTION("the last event arrives in parts") {
     fixture.handle(ResponseDataReceived{sent.attempt, "ta: b\r\n"});
     fixture.handle(ResponseDataReceived{sent.attempt, "\r\n"});
     fixture.handle(ResponseCompleted{sent.attempt});
@@ -242,8 +242,9 @@
   }
 }
 
-// Guards against review case 4: requests that came late in a graceful stop were passed on and cut at its end.
-TEST_CASE("RequestRouter that stops rejects requests that may outlast it, and takes all others") {
+// Guards against review case 4: requests that arrived late in a graceful shutdown were forwarded and interrupted at its
+// end.
+TEST_CASE("RequestRouter that shuts down rejects requests that may outlast the shutdown, and accepts all others") {
   RouterFixture fixture;
   fixture.router.begin_shutdown({.refuse_from = fixture.now + 2700ms, .ends_at = fixture.now + 6500ms});
 
@@ -266,56 +267,56 @@
   CHECK(fixture.all<SendToReplica>().size() == 1);
 }
 
-// Guards against review case 4 on its related paths: what was taken early in a graceful stop and is still open near its
-// end was cut by the kill, without an answer.
-TEST_CASE("RequestRouter that stops answers what is still open before the process may be killed") {
-  constexpr Duration kUntilEnd = 1000ms;
+// Guards against review case 4 on its related paths: requests that were accepted early in a graceful shutdown and were
+// still open near its end got no response, because the process was killed.
+TEST_CASE("RequestRouter that shuts down responds to all open requests before the process may be killed") {
+  constexpr Duration kTimeToEnd = 1000ms;
   RouterFixture fixture;
-  auto stop = [&] {
-    auto ends_at = fixture.now + kUntilEnd;
+  auto begin_shutdown = [&] {
+    auto ends_at = fixture.now + kTimeToEnd;
     fixture.router.begin_shutdown({.refuse_from = ends_at, .ends_at = ends_at});
   };
-  auto let_stop_end = [&] {
-    fixture.advance(kUntilEnd - 1ms);
+  auto reach_shutdown_end = [&] {
+    fixture.advance(kTimeToEnd - 1ms);
     CHECK(fixture.none<SendResponse>());
     CHECK(fixture.none<ResetResponse>());
     fixture.advance(1ms);
   };
 
-  SECTION("a turn whose owner has not answered was not run, and its owner is told") {
+  SECTION("a turn whose reservation is unanswered is rejected as not run, which is reported to its owner") {
     fixture.receive("turn");
-    stop();
-    let_stop_end();
+    begin_shutdown();
+    reach_shutdown_end();
     CHECK(fixture.one<SendResponse>().status == 503);
     CHECK_FALSE(fixture.retry_after().empty());
     CHECK(fixture.outcome().status == 0);
   }
-  SECTION("a request that a replica works on may have run") {
+  SECTION("a request that a replica is processing may have run") {
     auto sent = fixture.receive_and_send("unsafe");
-    stop();
-    let_stop_end();
+    begin_shutdown();
+    reach_shutdown_end();
     CHECK(fixture.one<SendResponse>().status == 504);
     CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
   }
-  SECTION("a stream that has begun is broken off") {
+  SECTION("a stream that was started is reset") {
     auto sent = fixture.receive_and_send("stream");
     fixture.respond_with_stream(sent);
     fixture.stream_events(sent, 1, 3);
-    stop();
-    let_stop_end();
+    begin_shutdown();
+    reach_shutdown_end();
     CHECK(fixture.one<ResetResponse>().request_id == fixture.last_request_id);
   }
-  SECTION("a request that comes during the stop and ends before it by its deadline is answered like any other") {
-    stop();
+  SECTION("a request that arrives during the shutdown with an earlier deadline is processed as usual") {
+    begin_shutdown();
     auto sent = fixture.receive_and_send("unsafe", {{"Mosskeel-Time-Left", "500"}});
     fixture.respond(sent, 200);
     fixture.handle(ResponseCompleted{sent.attempt});
     CHECK(fixture.one<SendResponse>().status == 200);
   }
-  SECTION("a request that comes during the stop with a later deadline ends with the stop") {
-    stop();
+  SECTION("a request that arrives during the shutdown with a later deadline ends at the end of the shutdown") {
+    begin_shutdown();
     fixture.receive_and_send("unsafe");
-    let_stop_end();
+    reach_shutdown_end();
     CHECK(fixture.one<SendResponse>().status == 504);
   }
 }
@@ -331,7 +332,7 @@
   CHECK(fixture.one<SendResponse>().status == 502);
 }
 
-TEST_CASE("RequestRouter reports an unknown outcome for a rejection that does not exclude an execution") {
+TEST_CASE("RequestRouter reports an unknown outcome for a rejection that does not rule out execution") {
   for (std::string path_name : {"unsafe", "stream", "turn", "brief"})
     for (uint32_t status : {408u, 429u, 503u}) {
       INFO(path_name << " " << status);
@@ -346,7 +347,7 @@
     }
 }
 
-TEST_CASE("RequestRouter passes a complete response on unchanged") {
+TEST_CASE("RequestRouter forwards a complete response unchanged") {
   for (std::string path_name : {"safe", "unsafe"}) {
     RouterFixture fixture;
     auto sent = fixture.receive_and_send(path_name);
@@ -371,7 +372,7 @@
   }
 }
 
-TEST_CASE("RequestRouter does not pass a truncated body on as complete, and resets a response that it has begun") {
+TEST_CASE("RequestRouter does not forward a truncated body as complete, and resets a response that it has started") {
   RouterFixture fixture;
   auto sent = fixture.receive_and_send("unsafe");
   fixture.respond(sent, 200);
@@ -380,7 +381,7 @@
     fixture.handle(AttemptFailed{sent.attempt, true, "cut"});
     CHECK(fixture.one<SendResponse>().status == 502);
   }
-  SECTION("after the response has begun") {
+  SECTION("after the response was started") {
     fixture.handle(ResponseDataReceived{sent.attempt, std::string(kMaxBufferedResponseBytes, 'x')});
     CHECK(fixture.one<SendResponseHeaders>().status == 200);
     CHECK(fixture.one<SendResponseData>().bytes.size() == kMaxBufferedResponseBytes + 4);
@@ -392,7 +393,7 @@
   }
 }
 
-TEST_CASE("RequestRouter resets an interrupted stream, and neither ends nor retries it") {
+TEST_CASE("RequestRouter resets an interrupted stream, and neither completes nor retries it") {
   for (std::string path_name : {"stream", "resume", "turn", "brief"})
     for (int streamed_events : {0, 2}) {
       INFO(path_name << " after " << streamed_events);
@@ -432,7 +433,7 @@
   CHECK(fixture.one<SendResponse>().status == 400);
 }
 
-TEST_CASE("RequestRouter responds 503 to each request without majority contact, also to one without a route") {
+TEST_CASE("RequestRouter responds 503 to every request without majority contact, even to one without a route") {
   RouterFixture fixture;
   fixture.publish(fixture.now);
 
@@ -459,7 +460,7 @@
   CHECK(fixture.outcome().status == 0);
 }
 
-TEST_CASE("RequestRouter forwards the smaller of the caller's and the path's time left") {
+TEST_CASE("RequestRouter forwards the smaller of the caller's remaining time and the path's timeout") {
   RouterFixture fixture;
   CHECK(header_value(fixture.receive_and_send("safe").fields, "Mosskeel-Time-Left") == "4000");
   CHECK(header_value(fixture.receive_and_send("safe", {{"Mosskeel-Time-Left", "700"}}).fields, "Mosskeel-Time-Left") ==
--- a/tests/unit/routing/response_check_test.cpp
+++ b/tests/unit/routing/response_check_test.cpp
@@ -1,4 +1,4 @@
-// Which responses of a replica are passed on to the caller.
+// Tests which responses of a replica are forwarded to the caller.
 #include "routing/response_check.hpp"
 
 #include "unit/routing/request_router_fixture.hpp"
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A request whose attempt "own" is at a replica, on a connection that the attempt "before" has used.
+/// A request whose attempt "own" was sent to a replica, on a connection that the attempt "before" had used.
 struct CheckFixture {
   ActiveRequest request;
 
@@ -48,7 +48,7 @@
     CHECK(fixture.check(status, headers_of("own", false, true)) == ResponseVerdict::untrusted);
 }
 
-TEST_CASE("check_response takes the header of a request that was not executed without an id, but not with another id") {
+TEST_CASE("check_response accepts a 'not run' response without an attempt id, but not with another attempt's id") {
   CheckFixture fixture;
   CHECK(fixture.check(503, headers_of("own", true, false)) == ResponseVerdict::not_run);
   CHECK(fixture.check(503, headers_of("", true, false)) == ResponseVerdict::not_run);
--- a/tests/unit/routing/retry_state_test.cpp
+++ b/tests/unit/routing/retry_state_test.cpp
@@ -1,4 +1,4 @@
-// Whether a request may be sent to another replica, and how its caller is answered otherwise.
+// Tests whether a request may be retried at another replica, and which status its caller gets otherwise.
 #include "routing/retry_state.hpp"
 
 #include "unit/routing/request_router_fixture.hpp"
@@ -15,7 +15,7 @@
   CHECK(retry.allows_retry(path("unsafe", "unsafe", "app"), Outcome::no));
 }
 
-TEST_CASE("RetryState allows as many attempts as the path has, not counting those that were not sent") {
+TEST_CASE("RetryState allows as many attempts as the path does, not counting those that were not sent") {
   auto two_attempts = path("safe", "safe", "app");
   RetryState retry;
   retry.on_sent("app1");
--- a/tests/unit/routing/route_table_test.cpp
+++ b/tests/unit/routing/route_table_test.cpp
@@ -1,4 +1,4 @@
-// Which route a request takes, and which service of the route.
+// Tests which path matches a request, and which service of the path is selected.
 #include "routing/route_table.hpp"
 
 #include "unit/routing/request_router_fixture.hpp"
--- a/tests/unit/routing/token_bucket_test.cpp
+++ b/tests/unit/routing/token_bucket_test.cpp
@@ -1,4 +1,4 @@
-// The rate limit of a replica that warms up.
+// Tests the rate limit for a replica that is warming up.
 #include "routing/token_bucket.hpp"
 #include "unit/catch.hpp"
 
@@ -21,7 +21,7 @@
   CHECK(bucket.has_token());
 }
 
-TEST_CASE("TokenBucket saves no more than a tenth of a second's tokens") {
+TEST_CASE("TokenBucket accumulates no more than a tenth of a second's tokens") {
   TokenBucket bucket;
   bucket.set_rate(50);
   bucket.reset(TimePoint{1000ms});
@@ -35,7 +35,7 @@
   CHECK(taken == 5);
 }
 
-TEST_CASE("TokenBucket without a rate limits nothing") {
+TEST_CASE("TokenBucket without a rate does not limit requests") {
   TokenBucket bucket;
   CHECK_FALSE(bucket.is_limited());
 
--- a/tests/unit/routing/turn_client_test.cpp
+++ b/tests/unit/routing/turn_client_test.cpp
@@ -1,4 +1,4 @@
-// How a gateway with callers reserves and commits turns at their owner, another gateway.
+// Tests how a gateway reserves and commits its callers' turns at their owner, another gateway.
 #include "routing/turn_client.hpp"
 
 #include "history/constants.hpp"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Gateway 2, which has callers; gateway 1 owns all programs.
+/// Gateway 2, which serves callers; gateway 1 owns all programs.
 struct ClientFixture {
   Identity identity{candidate(2, Role::gateway, "z2"), {}, 0, 99};
   Outbox outbox{identity};
@@ -18,7 +18,7 @@
   TurnClient client{outbox, metadata_log};
   TimePoint now{1000ms};
 
-  ClientFixture() { metadata_log.install_snapshot(small_fleet()); }
+  ClientFixture() { metadata_log.install_snapshot(small_cluster()); }
 
   void receive_from_router(Message body) {
     Envelope envelope{};
--- a/tests/unit/routing/turn_coordinator_test.cpp
+++ b/tests/unit/routing/turn_coordinator_test.cpp
@@ -1,4 +1,4 @@
-// When the owner of a program grants a turn, and when it acknowledges the turn's outcome.
+// Tests when the owner of a program grants a turn, and when it acknowledges the turn's outcome.
 #include "routing/turn_coordinator.hpp"
 
 #include "history/constants.hpp"
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Tokens; enough for the reservation of one turn, but not for that of two.
+/// Token budget that suffices for the reservation of one turn, but not of two.
 constexpr uint64_t kBudgetOfOneTurn = 150;
 
 }  // namespace
@@ -29,7 +29,7 @@
 }
 
 TEST_CASE(
-    "TurnCoordinator sends the chain with the grant of a turn that continues another, also to several such turns") {
+    "TurnCoordinator sends the chain with the grant of a turn that continues another, even to several such turns") {
   Owner owner;
   for (auto [attempt, parent] : {std::pair{"a", ""}, {"b", "a"}, {"c", "a"}}) {
     owner.receive(2, turn(attempt, parent));
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE("TurnCoordinator rejects a turn beyond the budget with 402 and writes nothing") {
+TEST_CASE("TurnCoordinator rejects a turn that exceeds the budget with 402 and writes nothing") {
   Owner owner;
   owner.receive(2, turn("a", "", kBudgetOfOneTurn));
   owner.complete_writes();
@@ -61,7 +61,7 @@
   CHECK(replies[1].status == 402);
 }
 
-TEST_CASE("TurnCoordinator returns the tokens that a turn has reserved and not spent to the budget") {
+TEST_CASE("TurnCoordinator returns reserved tokens that a turn did not spend to the budget") {
   Owner owner;
   owner.receive(2, turn("a", "", kBudgetOfOneTurn));
   owner.complete_writes();
@@ -94,7 +94,7 @@
   CHECK(owner.take_one<ReserveTurnReply>().chain == "what was said");
 }
 
-TEST_CASE("TurnCoordinator reports a turn to continue as missing only when every store lacks it") {
+TEST_CASE("TurnCoordinator reports a parent turn as missing only when every store lacks it") {
   Owner owner;
   owner.receive(2, turn("n", "never"));
   owner.complete_writes();
@@ -161,7 +161,7 @@
   CHECK_FALSE(owner.take_one<CommitTurnReply>().committed);
 }
 
-TEST_CASE("TurnCoordinator goes on with a turn of the first gateway after a second one has requested it") {
+TEST_CASE("TurnCoordinator continues a turn of the first gateway after a second gateway has requested it") {
   Owner owner;
   owner.receive(2, turn("a"));
   owner.complete_writes();
@@ -183,13 +183,13 @@
   CHECK(owner.take<CommitTurnReply>().at(0).committed);
 }
 
-// Guards against a former owner that rejects for good by a history that a newer owner has changed.
-TEST_CASE("TurnCoordinator rejects nothing by the history that it remembers once the stores follow a newer owner") {
+// Guards against a former owner that permanently rejects a turn based on a history that a newer owner has changed.
+TEST_CASE("TurnCoordinator does not reject a turn from its in-memory history once the stores follow a newer owner") {
   Owner owner;
   owner.receive(2, turn("a", "", kBudgetOfOneTurn));
   owner.complete_writes();
   REQUIRE(owner.take_one<ReserveTurnReply>().status == 200);
-  auto rejected_with = [&](const ReserveTurn& request, uint64_t gateway) {
+  auto status_of_rejection = [&](const ReserveTurn& request, uint64_t gateway) {
     owner.receive(gateway, request);
     CHECK(owner.take<ReserveTurnReply>().empty());
     owner.refuse_reads();
@@ -198,22 +198,22 @@
     return reply.status;
   };
 
-  SECTION("for the budget") {
-    CHECK(rejected_with(turn("b", "", kBudgetOfOneTurn), 2) == 503);
+  SECTION("because of the budget") {
+    CHECK(status_of_rejection(turn("b", "", kBudgetOfOneTurn), 2) == 503);
   }
-  SECTION("for another gateway's turn") {
-    CHECK(rejected_with(turn("a", "", kBudgetOfOneTurn), 3) == 503);
+  SECTION("because the turn is another gateway's") {
+    CHECK(status_of_rejection(turn("a", "", kBudgetOfOneTurn), 3) == 503);
   }
-  SECTION("for a turn that has ended, or whose parent did not end whole") {
+  SECTION("because the turn has ended, or its parent failed") {
     owner.receive(2, CommitTurn{"a", "p", 502, 40, false, ""});
     owner.complete_writes();
 
-    CHECK(rejected_with(turn("a", "", kBudgetOfOneTurn), 2) == 503);
-    CHECK(rejected_with(turn("b", "a"), 2) == 503);
+    CHECK(status_of_rejection(turn("a", "", kBudgetOfOneTurn), 2) == 503);
+    CHECK(status_of_rejection(turn("b", "a"), 2) == 503);
   }
 }
 
-TEST_CASE("TurnCoordinator denies no outcome by the history that it remembers once the stores follow a newer owner") {
+TEST_CASE("TurnCoordinator does not deny an outcome from its in-memory history once the stores follow a newer owner") {
   Owner owner;
   owner.receive(2, turn("a"));
   owner.complete_writes();
--- a/tests/unit/routing/turn_index_test.cpp
+++ b/tests/unit/routing/turn_index_test.cpp
@@ -1,4 +1,4 @@
-// What the owner of a program knows of its turns, from the records of the history.
+// Tests the index of a program's turns that its owner builds from the records of the history.
 #include "routing/turn_index.hpp"
 #include "unit/catch.hpp"
 
@@ -59,7 +59,7 @@
   CHECK(index.find("a")->outcome == 2u);
 }
 
-TEST_CASE("TurnIndex gives the chain of a turn without the turns of other chains between") {
+TEST_CASE("TurnIndex returns the chain of a turn without interleaved turns of other chains") {
   Records records{reservation("a", "", 1),  outcome("a", 1), reservation("x", "", 1),
                   reservation("b", "a", 1), outcome("x", 1), outcome("b", 1)};
   TurnIndex index(Epoch{4});
@@ -69,7 +69,7 @@
   CHECK(index.chain_text(records, "never").empty());
 }
 
-TEST_CASE("TurnIndex takes an outcome without a reservation as an imported chain") {
+TEST_CASE("TurnIndex treats an outcome without a reservation as an imported chain") {
   Records records{outcome("imported", 0), reservation("b", "imported", 1), outcome("b", 1)};
   TurnIndex index(Epoch{4});
   index.update(records);
@@ -77,7 +77,7 @@
   CHECK(index.chain_text(records, "b") == "out:imported;in:b;out:b;");
 }
 
-TEST_CASE("TurnIndex gives the chain of turns that name each other as parent without an endless loop") {
+TEST_CASE("TurnIndex returns a chain for turns that form a cycle of parents, without an endless loop") {
   Records records{reservation("a", "b", 1), outcome("a", 1), reservation("b", "a", 1), outcome("b", 1)};
   TurnIndex index(Epoch{4});
   index.update(records);
--- a/tests/unit/routing/turn_owner_fixture.hpp
+++ b/tests/unit/routing/turn_owner_fixture.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The gateway that owns all programs; the test plays three stores and two other gateways.
+// A gateway that owns all programs; the test takes the roles of three stores and two other gateways.
 #include "metadata/constants.hpp"
 #include "routing/turn_coordinator.hpp"
 #include "unit/catch.hpp"
@@ -15,8 +15,8 @@
   return {Incarnation{incarnation}, role, zone, address_of(incarnation), "", "", machine};
 }
 
-/// Gateway 1 owns all partitions, 2 and 3 have callers; the histories are on the stores 11, 12 and 13.
-inline Metadata small_fleet() {
+/// Gateway 1 owns all partitions, gateways 2 and 3 serve callers; the histories are on the stores 11, 12 and 13.
+inline Metadata small_cluster() {
   Metadata metadata{};
   metadata.epoch = Epoch{5};
   metadata.cluster = 7;
@@ -31,7 +31,7 @@
   return metadata;
 }
 
-/// Takes the messages of one kind out of an outbox, with their receivers.
+/// Removes and returns the messages of one kind from an outbox, with their receivers.
 template <class Body>
 std::vector<std::pair<Address, Body>> take_sent(Outbox& outbox) {
   std::vector<std::pair<Address, Body>> taken;
@@ -42,7 +42,7 @@
   return taken;
 }
 
-/// Takes the messages of one kind out of an outbox, whoever their receivers are.
+/// Removes and returns the messages of one kind from an outbox, without their receivers.
 template <class Body>
 std::vector<Body> take_bodies(Outbox& outbox) {
   std::vector<Body> bodies;
@@ -51,7 +51,7 @@
   return bodies;
 }
 
-/// Gateway 1.
+/// Gateway 1, the owner of all programs.
 struct Owner {
   Identity identity{candidate(1, Role::gateway, "z1"), {}, 0, 99};
   Outbox outbox{identity};
@@ -61,7 +61,7 @@
   TimePoint now{1000ms};
 
   Owner() {
-    metadata_log.install_snapshot(small_fleet());
+    metadata_log.install_snapshot(small_cluster());
     outbox.cluster = 7;
     outbox.epoch = metadata_log.epoch();
   }
@@ -95,7 +95,7 @@
     return bodies[0];
   }
 
-  /// Lets two stores, a majority, reply until no request is in flight. Returns the records that they were sent.
+  /// Lets two stores (a majority) reply until no request is in flight. Returns the records that were sent to them.
   Records complete_writes() {
     constexpr int kMaxRounds = 20;
     Records written;
@@ -113,7 +113,7 @@
     return written;
   }
 
-  /// Two stores refuse all reads that are in flight, as they do once they have granted one of a newer owner.
+  /// Lets two stores refuse all reads in flight, as they do once they have granted a read to a newer owner.
   void refuse_reads() {
     for (auto& [receiver, read] : take_sent<ReadHistory>(outbox))
       for (uint64_t store : {11, 12})
--- a/tests/unit/routing/turn_request_test.cpp
+++ b/tests/unit/routing/turn_request_test.cpp
@@ -1,4 +1,4 @@
-// What is sent to the caller, the replica and the owner of a turn, by the stage at which the turn ends.
+// Tests what is sent to the caller, the replica and the owner of a turn, by the stage at which the turn ends.
 #include "routing/constants.hpp"
 #include "unit/routing/request_router_fixture.hpp"
 
@@ -9,11 +9,11 @@
 
 enum class Stage { reserving, waiting, sent, streaming, committing };
 
-/// Of the events that `bring_to` streams: four of four tokens each.
+/// Tokens of the events that `bring_to` streams: four events of four tokens each.
 constexpr uint64_t kStreamedTokens = 16;
 
-/// Brings a turn with kept history to a stage; from `streaming` on, four events were passed on.
-/// Returns what was sent to the replica, if anything.
+/// Brings a turn with kept history to a stage; from `streaming` on, four events were forwarded. Returns what was sent
+/// to the replica, if anything.
 SendToReplica bring_to(RouterFixture& fixture, Stage stage) {
   if (stage == Stage::waiting)
     fixture.metadata.replicas.clear();
@@ -34,7 +34,7 @@
   return sent;
 }
 
-/// Lets time pass until the turn's deadline, before which nothing may happen.
+/// Advances the time to the turn's deadline, and checks that nothing happens before.
 void reach_deadline(RouterFixture& fixture) {
   fixture.advance(kPathTimeout - 1ms);
   CHECK(fixture.actions.empty());
@@ -48,7 +48,7 @@
   CHECK(fixture.router.active_requests() == 0);
 }
 
-/// The turn is over, its caller was sent nothing, and it counts no more that the caller disconnected.
+/// Checks that the turn has ended without a response, and that a disconnect of its caller has no further effect.
 void check_ended_without_response(RouterFixture& fixture) {
   CHECK(fixture.none<SendResponse>());
   CHECK(fixture.router.active_requests() == 0);
@@ -148,7 +148,7 @@
   }
 }
 
-TEST_CASE("A turn whose caller disconnects while its outcome is committed keeps that outcome") {
+TEST_CASE("A turn whose caller disconnects while its outcome is being committed keeps that outcome") {
   RouterFixture fixture;
   bring_to(fixture, Stage::committing);
 
@@ -177,7 +177,7 @@
   check_rejected_before_dispatch(fixture);
 }
 
-TEST_CASE("A turn that reaches its deadline after its dispatch is answered 504, cancelled and committed as failed") {
+TEST_CASE("A turn that reaches its deadline after its dispatch gets 504, and is cancelled and committed as failed") {
   RouterFixture fixture;
   auto sent = bring_to(fixture, Stage::sent);
 
@@ -217,7 +217,7 @@
   CHECK(fixture.router.active_requests() == 0);
 }
 
-TEST_CASE("An owner's rejection of a turn is passed on, and nothing is sent to a replica") {
+TEST_CASE("An owner's rejection of a turn is forwarded, and nothing is sent to a replica") {
   for (auto [status, retry_after_ms, expected_status] :
        {std::tuple{402u, 0u, 402u}, {404u, 0u, 404u}, {503u, 500u, 503u}, {409u, 0u, 502u}}) {
     RouterFixture fixture;
@@ -255,7 +255,7 @@
   CHECK(fixture.one<SendResponse>().status == 502);
   CHECK(fixture.none<SendToReplica>());
 
-  SECTION("while the first one is at the replica") {
+  SECTION("while a replica processes the first one") {
     fixture.respond(sent, 200);
   }
   SECTION("after the first one's response") {
@@ -299,7 +299,7 @@
 
     CHECK(fixture.one<SendToReplica>().to.starts_with("spare"));
   }
-  SECTION("nowhere") {
+  SECTION("to no path at all") {
     fixture.metadata.configuration.paths.erase(fixture.metadata.configuration.paths.begin() + 4);
     fixture.publish();
     fixture.reply_to_reservation(attempt_id);
@@ -320,8 +320,8 @@
 
 namespace {
 
-/// The only replica of `app`, which runs one request; others are queued: an unsafe one, a safe one of lower priority,
-/// another unsafe one, 10 ms apart.
+/// The only replica of `app` runs one request. Three others are queued, 10 ms apart: an unsafe one, a safe one of lower
+/// priority, and another unsafe one.
 struct QueuedRequests : RouterFixture {
   SendToReplica running;
   RequestId oldest = 0;
@@ -343,7 +343,7 @@
     receive("unsafe");
   }
 
-  /// Completes a request. Returns the attempt id of the one that is dispatched then.
+  /// Completes a request. Returns the attempt id of the request that is dispatched next.
   std::string complete(const SendToReplica& sent) {
     respond(sent, 200);
     handle(ResponseCompleted{sent.attempt});
