--- a/src/programs/program_request.hpp
+++ b/src/programs/program_request.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Kinds of callers' requests, and the route of a cell that serves one.
+// Kinds of callers' requests, and lookup of the cell's route for a request.
 #include <string_view>
 
 #include "messages/message.hpp"
@@ -13,14 +13,13 @@
 /// Reads a program's history.
 inline constexpr std::string_view kHistoryRequest = "history";
 
-/// The route that a request names, or null where the cell has none of this name and kind.
+/// The route that a request names, or null if the cell has none of this name and kind.
 const Route* find_route(const Cell& cell, const ProgramRequest& request);
 
-/// How long the caller waits: as its deadline says, within `kDefaultRequestTimeout`, which also stands for one not
-/// named.
+/// How long the caller waits: its deadline, or `kDefaultRequestTimeout` if it sent none or a longer one.
 Duration request_timeout(const ProgramRequest& request);
 
-/// What a key stands for: a second request under the same key must have the same digest.
+/// Digest of what a key identifies: a second request under the same key must have the same digest.
 uint64_t body_digest(const ProgramRequest& request);
 
 }  // namespace mosskeel
--- a/src/programs/replica_dispatcher.hpp
+++ b/src/programs/replica_dispatcher.hpp
@@ -1,14 +1,14 @@
 #pragma once
-// Attempts at replicas: the call, its stream, its response, and retries.
+// Calls to replicas: dispatch, streaming, response checks and retries.
 #include "programs/majority_contact.hpp"
 #include "programs/request_queue.hpp"
 #include "programs/turn_owner.hpp"
 
 namespace mosskeel {
 
-/// Sends a request to the replica that was assigned to it and judges what comes back. A request is retried only if
-/// nothing reached the replica or it is idempotent, if nothing was streamed, and within a budget that grows with
-/// successes (kRetryBudgetPerSuccess), so that retries do not add to an overload.
+/// Sends a request to its assigned replica and checks the response. A request is retried only if nothing reached the
+/// replica or the request is idempotent, only if nothing was streamed, and only within a budget that grows with
+/// successes (kRetryBudgetPerSuccess), so that retries do not amplify an overload.
 class ReplicaDispatcher {
  public:
   ReplicaDispatcher(GatewayContext& context, const MajorityContact& majority_contact, HistoryWriter& history_writer,
@@ -22,11 +22,11 @@
         replica_selector_(replica_selector),
         turn_owner_(turn_owner) {}
 
-  /// Calls `open.replica` unless the request may not be dispatched any more, which ends it as not run.
+  /// Calls `open.replica`. Ends the request as not run if it must not be dispatched any more.
   void dispatch(OpenRequest& open, TimePoint now);
   void handle(const ReplicaCallChunk& chunk, TimePoint now);
   void handle(const ReplicaCallResponse& response, TimePoint now);
-  /// Ends a running request whose deadline has passed or whose replica is silent for kReplicaStallTimeout.
+  /// Ends a running request if its deadline has passed or its replica has sent nothing for kReplicaStallTimeout.
   void check_timeouts(OpenRequest& open, TimePoint now);
 
  private:
@@ -35,7 +35,7 @@
   void abort_stream(OpenRequest& open, const std::string& reason, TimePoint now);
   bool is_complete(const OpenRequest& open, const ReplicaCallResponse& response) const;
   void handle_failure(OpenRequest& open, const ReplicaCallResponse& response, TimePoint now);
-  /// Whether the request was queued or dispatched again.
+  /// Returns whether the request was queued or dispatched again.
   bool retry(OpenRequest& open, TimePoint now);
   void cancel_call(const OpenRequest& open);
 
@@ -46,7 +46,7 @@
   RequestQueue& queue_;
   ReplicaSelector& replica_selector_;
   TurnOwner& turn_owner_;
-  /// Retries that may be made now.
+  /// Number of retries that are currently allowed.
   double retry_budget_ = kMaxRetryBudget;
 
   static constexpr double kMaxRetryBudget = 10;
--- a/src/programs/replica_selector.cpp
+++ b/src/programs/replica_selector.cpp
@@ -9,13 +9,13 @@
 namespace mosskeel {
 namespace {
 
-/// This gateway's place among all that may use a replica, in an order of the replica's own.
+/// This gateway's rank among all gateways that may use a replica, in an order specific to the replica.
 struct GatewayRank {
   uint32_t rank = 0;
   uint32_t gateways = 0;
 };
 
-/// A gateway's position in a replica's order: a hash of both, then its number.
+/// A gateway's sort key in a replica's order: a hash of both, then the gateway's id.
 struct GatewayPosition {
   uint64_t hash = 0;
   DaemonId id{};
@@ -27,7 +27,7 @@
   return daemon.self.role == Role::gateway && in_service && !metadata.evacuated.count(daemon.self.zone);
 }
 
-/// Nothing where this gateway may not use replicas.
+/// Returns nullopt if this gateway may not use replicas.
 std::optional<GatewayRank> rank_among_gateways(const Replica& replica, const Metadata& metadata, const Daemon& self) {
   std::vector<GatewayPosition> gateways;
   for (const auto& [id, daemon] : metadata.directory) {
@@ -49,7 +49,7 @@
   return std::find(route.replicas.begin(), route.replicas.end(), replica.name) != route.replicas.end();
 }
 
-/// Orders replicas by preference; the smallest is the best.
+/// Sort key of replicas by preference; the smallest is the best.
 struct Preference {
   bool is_backed_off = false;
   bool is_half_loaded = false;
--- a/src/programs/replica_selector.hpp
+++ b/src/programs/replica_selector.hpp
@@ -1,41 +1,43 @@
 #pragma once
-// Which replica a request of a cell's route is sent to.
+// Selection of the replica that a request on a cell's route is sent to.
 #include "programs/open_request.hpp"
 
 namespace mosskeel {
 
-/// The outcome of a selection.
+/// The result of a selection.
 struct ReplicaSelection {
-  /// The best replica with free capacity, or null. Points into the metadata that was given.
+  /// The best replica with free capacity, or null. Points into the metadata passed to `select`.
   const Replica* replica = nullptr;
-  /// Whether any replica serves the route here; without a free one the request may wait for it.
+  /// Whether this gateway may use any replica of the route; if none has free capacity, the request may wait.
   bool any_eligible = false;
 };
 
-/// Chooses replicas and counts what this gateway runs on each. Owned by GatewayMachine, used in its thread only.
+/// Selects replicas and counts the requests that this gateway runs on each. Owned by GatewayMachine; used only on its
+/// thread.
 class ReplicaSelector {
  public:
-  /// Prefers replicas that are not backed off, then less than half loaded, then (for application requests) in the own
-  /// zone, then by rendezvous hashing of the prefix, so that turns with a common prefix meet the same prefix cache.
+  /// Prefers replicas that are not in backoff, then those less than half loaded, then (for application requests) those
+  /// in this gateway's zone, then by rendezvous hashing of the prefix, so that turns with a common prefix use the same
+  /// prefix cache.
   ReplicaSelection select(const ProgramRequest& request, const Metadata& metadata, const Daemon& self, TimePoint now);
-  /// Holds capacity of the replica for the request.
+  /// Assigns the replica to the request, which occupies capacity of it.
   void assign(OpenRequest& open, const Replica& replica);
-  /// Frees the capacity that the request holds, if any.
+  /// Releases the capacity that the request occupies, if any.
   void release(OpenRequest& open);
-  /// Avoids a replica that failed for kReplicaBackoff.
+  /// Avoids a failed replica for kReplicaBackoff.
   void back_off(const std::string& replica, TimePoint now);
-  /// How many requests this gateway may run on a replica now. The capacity is shared out over the gateways in the log,
-  /// at least one each; while a replica is cold, one gateway alone ramps it up for the whole fleet (slow start).
+  /// Number of requests that this gateway may currently run on a replica. The capacity is divided among the gateways in
+  /// the log, at least one request each; while a replica is cold, a single gateway ramps it up (slow start).
   uint32_t usable_capacity(const Replica& replica, const Metadata& metadata, const Daemon& self, TimePoint now);
 
  private:
   struct Load {
     uint32_t requests = 0;
-    /// Those of the class `bulk` among them.
+    /// The bulk requests among them.
     uint32_t bulk_requests = 0;
   };
   struct SlowStart {
-    /// The epoch at which the replica became cold: a later one begins another slow start.
+    /// The epoch at which the replica became cold; a later epoch starts another slow start.
     Epoch cold_since_epoch{};
     TimePoint started_at{};
   };
--- a/src/programs/request_forwarder.cpp
+++ b/src/programs/request_forwarder.cpp
@@ -6,7 +6,7 @@
 namespace mosskeel {
 namespace {
 
-/// An owner that has acknowledged a request is reminded this often, in case its response was lost.
+/// Interval at which a request is resent after its acknowledgement, in case the response was lost.
 constexpr Duration kAcknowledgedResendInterval = 4 * kStoreRetryInterval;
 
 }  // namespace
--- a/src/programs/request_intake.cpp
+++ b/src/programs/request_intake.cpp
@@ -20,7 +20,7 @@
   context_.count(is_forwarded ? "requests_forwarded_in" : "requests_received");
   if (is_forwarded && is_stamped_before_term(envelope, request)) {
     auto epoch = std::to_string(envelope.epoch.value());
-    context_.outbox.log_event(Event::stale_epoch_rejected, request.attempt + " placed at " + epoch);
+    context_.outbox.log_event(Event::stale_epoch_rejected, request.attempt + " is stamped with epoch " + epoch);
     open.response.wrong_owner = true;
     responder_.reject(open, {503, "placed at an epoch too old for its partition"}, now);
     return nullptr;
@@ -46,7 +46,8 @@
   return requests_.add(std::move(open));
 }
 
-/// The sender may not know yet that the program has moved; it may have moved here and on meanwhile.
+/// Whether the sender's epoch precedes the partition's current term: the sender may not know yet that the program has
+/// moved, even several times.
 bool RequestIntake::is_stamped_before_term(const Envelope& envelope, const ProgramRequest& request) const {
   const auto& metadata = context_.metadata();
   if (envelope.epoch >= metadata.epoch || request.kind == kHistoryRequest)
--- a/src/programs/request_intake.hpp
+++ b/src/programs/request_intake.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The arrival of a request at a gateway.
+// Acceptance of requests that arrive at a gateway.
 #include "programs/admission_policy.hpp"
 #include "programs/majority_contact.hpp"
 #include "programs/request_queue.hpp"
@@ -7,8 +7,8 @@
 
 namespace mosskeel {
 
-/// Takes requests from callers of this process and from gateways that forward them. An attempt is taken once: as long
-/// as it is open, a duplicate is acknowledged, and later it gets the first one's response.
+/// Accepts requests from callers of this process and from gateways that forward them. Each attempt is accepted once: a
+/// duplicate is acknowledged while the attempt is open, and gets the response to the first request after that.
 class RequestIntake {
  public:
   RequestIntake(GatewayContext& context, const MajorityContact& majority_contact, OpenRequests& requests,
@@ -20,7 +20,7 @@
         queue_(queue),
         responder_(responder) {}
 
-  /// Returns the request if it is new and satisfies the admission policies; else it was answered, and null is returned.
+  /// Returns the request if it is new and satisfies the admission policies; else answers it and returns null.
   OpenRequest* admit(const Envelope& envelope, const ProgramRequest& request, TimePoint now);
 
  private:
@@ -34,7 +34,7 @@
   RecentResponses& recent_responses_;
   const RequestQueue& queue_;
   RequestResponder& responder_;
-  /// Requests taken since the process started.
+  /// Number of requests accepted since the process start.
   uint64_t arrivals_ = 0;
 };
 
--- a/src/programs/request_pipeline.cpp
+++ b/src/programs/request_pipeline.cpp
@@ -33,7 +33,7 @@
   if (open.is_stateless)
     return queue_.push(open);
   if (is_application_request) {
-    // A request under a key is the one turn of a program of its own, so that it runs once.
+    // A request with a key is executed as the only turn of a program of its own, so that it runs only once.
     request.program = "app:" + request.key;
     request.thread = request.key;
   }
@@ -215,7 +215,7 @@
   bool reservation_is_committed = is_committed(open);
   if (!reservation_is_committed)
     return;
-  // The stores have taken the reservation from the owner, so the history tells what became of the turn before.
+  // The stores have accepted the reservation from this owner, so its history includes the results of earlier attempts.
   open.outcome_unknown = false;
   replica_dispatcher_.dispatch(open, now);
 }
--- a/src/programs/request_pipeline.hpp
+++ b/src/programs/request_pipeline.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The way of a request through a gateway, from its arrival to its response.
+// Processing of a request on a gateway, from its arrival to its response.
 #include "programs/history_closer.hpp"
 #include "programs/replica_dispatcher.hpp"
 #include "programs/request_forwarder.hpp"
@@ -7,40 +7,42 @@
 
 namespace mosskeel {
 
-/// Takes requests and moves each through its stages (RequestStage): a turn goes over its program's history, the queue,
-/// its reservation, a replica and its outcome; a request to a program of another gateway is forwarded; a stateless one
-/// is queued at once. What a stage does is left to the parts; this class decides what comes next.
+/// Accepts requests and advances each through its stages (RequestStage): for a turn these are opening the history,
+/// queueing, reserving, running at a replica, and committing the outcome. A request to a program of another gateway is
+/// forwarded, and a stateless request is queued immediately. The components implement the stages; this class decides
+/// which stage is next.
 class RequestPipeline {
  public:
   RequestPipeline(GatewayContext& context, const MajorityContact& majority_contact, HistoryWriter& history_writer,
                   const TurnClient& turn_client);
 
-  /// Requests, and messages that concern open requests and turns; false leaves the message to others.
+  /// Handles requests, and messages about open requests and turns; returns false for all other messages.
   bool handle(const Envelope& envelope, TimePoint now);
-  /// Goes on with everything that waits for this history.
+  /// Advances everything that waits for this history.
   void on_history_changed(const HistoryName& history, TimePoint now);
-  /// Goes on with all requests, and forgets what is too old to matter.
+  /// Advances all requests and drops expired state.
   void sweep(TimePoint now);
-  /// The gateway has begun to shut down: no open request lasts longer than that leaves time for.
+  /// Limits the deadlines of all open requests to the end of the gateway's shutdown, which has started.
   void limit_deadlines();
-  /// Hands queued requests to replicas with free capacity.
+  /// Dispatches queued requests to replicas with free capacity.
   void dispatch_queued(TimePoint now);
 
   size_t open_requests() const { return requests_.size(); }
-  /// Whether nothing is under way for a caller or another gateway.
+  /// Whether there is no open request and no pending outcome of another gateway.
   bool is_idle() const { return requests_.empty() && outcome_receiver_.pending() == 0; }
 
  private:
   /// Starts a request that was admitted.
   void begin(OpenRequest& open, TimePoint now);
-  /// Sets the request's deadline; false where it was rejected, for it may outlast the gateway's shutdown.
+  /// Sets the request's deadline. Returns false if the request was rejected because it may outlast the shutdown.
   bool set_deadline(OpenRequest& open, TimePoint now);
-  /// Rejects a request whose deadline came before it could begin.
+  /// Rejects a request whose deadline passed before it could start.
   void reject_expired(OpenRequest& open, TimePoint now);
 
-  /// Serves the request here if this gateway owns its program, else forwards it to the owner or back.
+  /// Processes the request here if this gateway owns its program; else forwards a local caller's request to the owner,
+  /// and returns another gateway's request to its sender.
   void route(OpenRequest& open, TimePoint now);
-  /// Goes on with a request if what it waits for has come, or its time is over. May close it.
+  /// Advances a request if what it waits for has happened or it has timed out. May close it.
   void advance(OpenRequest& open, TimePoint now);
   void advance(const std::vector<std::string>& attempts, TimePoint now);
   void advance_opening(OpenRequest& open, TimePoint now);
@@ -50,15 +52,15 @@
   void advance_committing_outcome(OpenRequest& open, TimePoint now);
   void advance_transferring_outcome(OpenRequest& open, TimePoint now);
   void advance_forwarded(OpenRequest& open, TimePoint now);
-  /// The history is open and not ended, or the request was answered.
+  /// Starts a request whose history is open. Answers it if the history has ended, or if it reads the history.
   void start_on_open_history(OpenRequest& open, TimePoint now);
-  /// Whether the request could be served, rejected or moved on; false if it must wait in the queue.
+  /// Returns whether the request has left the queue: dispatched, rejected or rerouted. False if it must stay queued.
   bool try_dispatch(OpenRequest& open, const Daemon& self, TimePoint now);
-  /// Checks again what may have changed while a turn waited in the queue.
+  /// Repeats the checks whose result may have changed while the turn was queued. Returns whether it may be reserved.
   bool may_still_reserve(OpenRequest& open, TimePoint now);
 
   bool is_owned(const OpenRequest& open) const { return !open.is_stateless && context_.owns(open.partition); }
-  /// Whether this gateway still owns the program under the term at which the turn was admitted.
+  /// Whether this gateway still owns the program in the term in which it admitted the turn.
   bool holds_admitted_term(const OpenRequest& open) const;
   bool is_committed(const OpenRequest& open) const;
 
--- a/src/programs/request_responder.cpp
+++ b/src/programs/request_responder.cpp
@@ -10,7 +10,8 @@
   if (open.response.status == 200)
     context_.count("requests_succeeded");
   context_.outbox.send(open.reply_to, open.response, open.reply_to_incarnation);
-  // A caller's session gets its response for certain, and a request that belongs elsewhere may come here again.
+  // A local session cannot lose its response. A request for another owner is not remembered, because it may later be
+  // routed here again.
   bool may_be_repeated = !open.is_from_local_caller() && !open.response.wrong_owner;
   if (may_be_repeated)
     recent_responses_.remember(open.response, now);
@@ -45,7 +46,7 @@
   if (executed == Outcome::no && (open.outcome_unknown || open.is_forwarded))
     executed = Outcome::unknown;
   auto retry_after = rejection.retry_after;
-  // Callers who were rejected at the same time shall not come back at the same time.
+  // Jitter prevents callers that were rejected at the same time from retrying at the same time.
   if (retry_after > 0ms)
     retry_after += context_.outbox.jitter(retry_after) / 2;
   auto& response = open.response;
--- a/src/programs/request_responder.hpp
+++ b/src/programs/request_responder.hpp
@@ -1,11 +1,11 @@
 #pragma once
-// How a request ends: its response goes out and it is forgotten.
+// Completion of requests: sends the response and removes the request.
 #include "programs/open_requests.hpp"
 #include "programs/replica_selector.hpp"
 
 namespace mosskeel {
 
-/// Ends requests. Every function that takes an OpenRequest closes it: the reference is invalid afterwards.
+/// Completes requests. Every function that takes an OpenRequest closes it, which invalidates the reference.
 class RequestResponder {
  public:
   RequestResponder(GatewayContext& context, OpenRequests& requests, RecentResponses& recent_responses,
@@ -19,9 +19,9 @@
   void respond(OpenRequest& open, TimePoint now);
   /// Sends a response that may follow a stream with gaps: the rest of the text is sent as a chunk before it.
   void respond_after_stream(OpenRequest& open, TimePoint now);
-  /// Turns the request down. Where an owner may have run it, "has not run" becomes "outcome unknown".
+  /// Rejects the request. If an owner may have run it, "has not run" is replaced by "outcome unknown".
   void reject(OpenRequest& open, RequestRejection rejection, TimePoint now);
-  /// Turns down a request to a program whose retention is over: nothing runs on it again, under any key.
+  /// Rejects a request to a program whose retention has expired: no turn of it runs again, under any key.
   void reject_ended_program(OpenRequest& open, TimePoint now);
 
  private:
--- a/src/programs/turn_owner.cpp
+++ b/src/programs/turn_owner.cpp
@@ -16,7 +16,7 @@
   return {409, "key: this turn is running now", kDefaultRetryAfter * 2, Outcome::yes};
 }
 
-/// The response that a request under a used key gets: what the caller of the first one got.
+/// The response to a request under a used key: the same as to the first request under that key.
 ProgramResponse response_from(const Record& outcome) {
   bool succeeded = outcome.status == 200;
   ProgramResponse response{};
@@ -54,7 +54,8 @@
   return true;
 }
 
-/// A 503 promises nothing that a newer owner could contradict.
+/// Whether the decision relies on the history in memory. A 503 does not: it states nothing that a newer owner could
+/// contradict.
 bool TurnOwner::is_answer_from_memory(const Decision& decision) {
   const auto* rejection = std::get_if<RequestRejection>(&decision);
   return rejection ? rejection->status != 503 : std::holds_alternative<RecordedOutcome>(decision);
@@ -63,7 +64,7 @@
 bool TurnOwner::may_answer_from_memory(OpenRequest& open, TimePoint now) {
   switch (history_writer_.check_ownership(open.history, open.request.attempt, now)) {
     case OwnershipChecks::State::confirmed:
-      // The history tells what became of the turn at earlier owners.
+      // The confirmed history includes the results of the turn at earlier owners.
       open.outcome_unknown = false;
       return true;
     case OwnershipChecks::State::checking:
--- a/src/programs/turn_owner.hpp
+++ b/src/programs/turn_owner.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Turns on the histories of programs that this gateway owns: key, budget, reservation, outcome.
+// Turns of programs that this gateway owns: checks key and budget, and writes reservation and outcome to the history.
 #include <variant>
 
 #include "programs/outcome_transfer.hpp"
@@ -10,16 +10,16 @@
 
 /// How an attempt at a replica ended.
 struct AttemptResult {
-  /// The status for the caller; 0 where the turn has not run and may be tried again under its key.
+  /// The status for the caller; 0 if the turn has not run and may be retried under its key.
   uint32_t status = 0;
   Outcome executed = Outcome::no;
   std::string reason;
-  /// Tokens that the turn is charged.
+  /// Number of tokens that the turn is charged.
   uint64_t tokens = 0;
 };
 
-/// Admits turns by their history and writes what becomes of them. A turn's reservation is committed before its
-/// dispatch and its outcome before the caller hears of success, so whoever owns the program later knows of both.
+/// Admits turns according to the history and records their outcomes. A turn's reservation is committed before its
+/// dispatch, and its outcome before success is reported to the caller, so that every later owner knows both.
 class TurnOwner {
  public:
   TurnOwner(GatewayContext& context, HistoryWriter& history_writer, OpenRequests& requests,
@@ -33,15 +33,16 @@
         turn_runners_(turn_runners),
         outcome_sender_(outcome_sender) {}
 
-  /// Whether the turn may be queued or dispatched by the present state of its open history. Otherwise it was answered,
-  /// which closes the request, or it waits: for the turn before it, or for the check before its answer.
+  /// Returns whether the turn may be queued or dispatched according to its open history. Otherwise it was answered,
+  /// which closes the request, or it waits for the previous turn or for the ownership check that precedes its response.
   bool admit(OpenRequest& open, TimePoint now);
   /// Appends the reservation of an admitted turn.
   void reserve(OpenRequest& open, TimePoint now);
-  /// Records the end of a turn and reports it once it is committed; stateless requests are answered at once.
+  /// Records the outcome of a turn, which is reported once it is committed; answers stateless requests immediately.
   void finish(OpenRequest& open, AttemptResult result, TimePoint now);
-  /// Whether a request may be answered by the open history as it is in memory: the stores have confirmed since it came
-  /// that this gateway owns the history. Otherwise it was rejected, which closes it, or it waits for their word.
+  /// Returns whether a request may be answered from the open history in memory, because the stores have confirmed since
+  /// its arrival that this gateway owns the history. Otherwise it was rejected, which closes it, or it waits for the
+  /// stores' confirmation.
   bool may_answer_from_memory(OpenRequest& open, TimePoint now);
   /// Answers a request that reads an open history.
   void report_history(OpenRequest& open, TimePoint now);
@@ -51,14 +52,14 @@
     uint32_t turn_number = 0;
   };
   struct AwaitsPreviousTurn {};
-  /// The outcome that the key had already.
+  /// The key already has this outcome.
   struct RecordedOutcome {
     const Record* record = nullptr;
   };
   using Decision = std::variant<Admitted, AwaitsPreviousTurn, RecordedOutcome, RequestRejection>;
-  /// What the program's turns add up to, as one of its threads sees them.
+  /// Totals over the program's turns, as relevant for one of its threads.
   struct Usage {
-    /// Tokens spent and reserved by all threads.
+    /// Tokens spent or reserved by all threads.
     uint64_t tokens = 0;
     /// Successful turns of the thread.
     uint32_t thread_turns = 0;
--- a/src/programs/turn_runners.hpp
+++ b/src/programs/turn_runners.hpp
@@ -1,12 +1,12 @@
 #pragma once
-// Whether a turn without an outcome is still running, and where.
+// Tracks whether a turn without an outcome is still running, and on which gateway.
 #include "programs/open_requests.hpp"
 #include "routing/turn_client.hpp"
 
 namespace mosskeel {
 
-/// Answers for this gateway whether it runs a turn, and asks the gateways that reserved others. Only their own
-/// answer counts, or a directory without them; never the age of a record.
+/// Answers whether this gateway runs a turn, and queries the gateways that reserved other turns. A turn counts as no
+/// longer running only if its gateway says so or is no longer in service, never because of a record's age.
 class TurnRunners {
  public:
   TurnRunners(GatewayContext& context, const OpenRequests& requests, const TurnClient& turn_client)
@@ -14,17 +14,17 @@
 
   /// Whether a turn under this key is between its reservation and its outcome here.
   bool runs_here(const HistoryName& history, const std::string& key) const;
-  /// Whether the gateway that wrote the reservation may still run its turn. Asks it, at most once per
-  /// kStoreRetryInterval; the answer is true until it has denied.
+  /// Whether the gateway that wrote the reservation may still run its turn. Queries it at most once per
+  /// kStoreRetryInterval, and returns true until it has denied.
   bool may_run_elsewhere(const HistoryName& history, const Record& reservation, TimePoint now);
 
   void handle(const Envelope& envelope, const QueryTurnRunner& query);
   void handle(const Envelope& envelope, const QueryTurnRunnerReply& reply);
-  /// Forgets queries that nobody has asked about for kIdleHistoryTimeout.
+  /// Drops queries that were not sent again for kIdleHistoryTimeout.
   void expire(TimePoint now);
 
  private:
-  /// What tells a turn's reservation from all others.
+  /// Identifies a turn's reservation.
   struct ReservationId {
     HistoryName history{};
     std::string key;
@@ -34,7 +34,7 @@
   };
   struct Query {
     TimePoint sent_at{};
-    /// The gateway has denied: it does not run the turn and never will.
+    /// Whether the gateway has denied: it does not run the turn and never will.
     bool is_denied = false;
   };
 
--- a/src/routing/load_balancer.cpp
+++ b/src/routing/load_balancer.cpp
@@ -114,7 +114,8 @@
     choice.has_candidates = true;
     if (!has_capacity(*state, now))
       continue;
-    // Replicas at half their load or more rank after all others; within each group, this gateway's zone ranks first.
+    // Replicas at half their capacity or more rank after all others; within each group, this gateway's zone ranks
+    // first.
     bool half_loaded = state->running * 2 >= state->capacity;
     ReplicaRank rank{half_loaded, !state->same_zone};
     if (context.affinity_hash) {
--- a/tests/unit/programs/admission_policy_test.cpp
+++ b/tests/unit/programs/admission_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which requests a gateway admits on their arrival, and with which values of its own.
+// Tests which requests a gateway admits on arrival, and which values it fills in.
 #include "programs/admission_policy.hpp"
 #include "programs/constants.hpp"
 #include "unit/catch.hpp"
@@ -7,8 +7,7 @@
 
 namespace {
 
-/// A request that arrives at a gateway in service, whose cluster has one cell, "news", with one route to models,
-/// "chat".
+/// A request that arrives at a gateway in service. The cluster has one cell, "news", with one model route, "chat".
 struct Arrival {
   Arrival() {
     metadata.configuration.cells.push_back({"news", 400, 10, 60000, {{"chat", "model", {}}}});
@@ -41,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("Admission fills in the key, the token limit and the timeout that a caller left open") {
+TEST_CASE("Admission fills in the key, the token limit and the timeout if the caller omitted them") {
   Arrival arrival;
 
   CHECK_FALSE(arrival.evaluate(arrival.context()));
@@ -51,7 +50,7 @@
   CHECK(arrival.request.deadline_ms == kDefaultRequestTimeout.count());
 }
 
-TEST_CASE("Admission rejects callers of a gateway that shuts down, and accepts what other gateways forward") {
+TEST_CASE("Admission on a gateway that shuts down rejects callers, but accepts requests that other gateways forward") {
   Arrival arrival;
   auto context = arrival.context();
   context.is_shutting_down = true;
--- a/tests/unit/programs/gateway_shutdown_test.cpp
+++ b/tests/unit/programs/gateway_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// When a gateway that shuts down stops.
+// Tests when the state machine of a gateway stops after a shutdown has started.
 #include "programs/constants.hpp"
 #include "programs/gateway_machine.hpp"
 #include "runtime/constants.hpp"
@@ -16,7 +16,7 @@
   return identity;
 }
 
-/// Lets time pass; whether the machine stops by itself meanwhile.
+/// Advances the time by `duration`. Returns whether the machine stops by itself meanwhile.
 bool stops_within(GatewayMachine& gateway, TimePoint& now, Duration duration) {
   for (auto end = now + duration; now < end; now += kTickInterval) {
     if (gateway.tick(now).stop)
--- a/tests/unit/programs/majority_contact_test.cpp
+++ b/tests/unit/programs/majority_contact_test.cpp
@@ -1,4 +1,4 @@
-// How long a gateway dispatches after it has learned that its metadata is outdated.
+// Tests how long a gateway dispatches requests after it has learned that its metadata is outdated.
 #include "messages/constants.hpp"
 #include "programs/gateway_machine.hpp"
 #include "replication/constants.hpp"
@@ -15,7 +15,7 @@
   return {Incarnation{incarnation}, role, "zone", address, agent, "http-" + address, address};
 }
 
-/// A gateway that has just got the newest metadata from its agent.
+/// A gateway that has just received the newest metadata from its agent.
 class ConnectedGateway {
  public:
   ConnectedGateway() {
@@ -27,13 +27,13 @@
   Epoch epoch() const { return metadata_.epoch; }
   Entry next_entry() const { return {next(metadata_.epoch), "", Register{candidate(31, Role::store, "store")}}; }
 
-  /// The agent's reply to a heartbeat that was sent at this time.
+  /// Receives the agent's reply to a heartbeat that was sent at this time.
   void answer_heartbeat(TimePoint sent, Epoch epoch, std::optional<Metadata> checkpoint = std::nullopt) {
     HeartbeatReply reply{epoch, std::move(checkpoint), {}, 0, true, to_milliseconds(sent)};
     machine.step(envelope(epoch, std::move(reply)), sent);
   }
 
-  /// A message from a daemon that knows this epoch, which the gateway may lack.
+  /// Receives a message from a daemon that knows this epoch, which the gateway may lack.
   Actions receive_at_epoch(Epoch epoch, TimePoint now) {
     return machine.step(envelope(epoch, ProgramRequestAcknowledgement{"unknown attempt"}), now);
   }
@@ -82,7 +82,7 @@
   CHECK(machine.routing_snapshot(kStart + 11ms).dispatch_until <= limit);
 }
 
-TEST_CASE("GatewayMachine does not extend that time when it learns of ever later epochs") {
+TEST_CASE("GatewayMachine does not extend the limit on dispatching when it learns of further epochs") {
   ConnectedGateway gateway;
 
   for (uint64_t i = 0; i < 20; ++i) {
@@ -93,7 +93,7 @@
   CHECK_FALSE(gateway.machine.has_majority_contact(kStart + 10ms + kIsolationTimeout / 2));
 }
 
-TEST_CASE("GatewayMachine counts contact at an epoch that it lacks once it has the entry, and not before") {
+TEST_CASE("GatewayMachine counts a contact at an epoch that it lacks only once it has the entry") {
   ConnectedGateway gateway;
   const auto& machine = gateway.machine;
   auto entry = gateway.next_entry();
@@ -107,7 +107,7 @@
   CHECK_FALSE(machine.has_majority_contact(kStart + 1500ms + kIsolationTimeout));
 }
 
-TEST_CASE("GatewayMachine requests a missing epoch once, and again when no reply comes") {
+TEST_CASE("GatewayMachine requests a missing epoch once, and again if no reply arrives") {
   ConnectedGateway gateway;
   auto missing = next(gateway.epoch());
 
--- a/tests/unit/programs/program_requests_test.cpp
+++ b/tests/unit/programs/program_requests_test.cpp
@@ -1,4 +1,4 @@
-// Requests of programs end to end in a simulated cluster: keys, order of turns, retention, lost stores.
+// Tests program requests end to end in a simulated cluster: keys, order of turns, retention, unavailable stores.
 #include "history/constants.hpp"
 #include "simulation/callers.hpp"
 #include "unit/catch.hpp"
@@ -11,10 +11,10 @@
 constexpr const char* kTestSession = "local:test";
 constexpr Duration kResponseTimeout = 20000ms;
 constexpr Duration kRetention = 5000ms;
-/// A history is deleted within this time after its retention and margin are over.
+/// A history is deleted within this time after its retention and the margin have expired.
 constexpr Duration kMaxExpiryDelay = 40000ms;
 
-/// A cluster that serves the cell "news", and a caller that sends one request after the other.
+/// A cluster that serves the cell "news", and a caller that sends one request at a time.
 class ProgramCluster {
  public:
   ProgramCluster() { REQUIRE(callers.introduce()); }
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-TEST_CASE("A key is executed once: its second request gets the recorded response, or 409 with another body") {
+TEST_CASE("A key is executed once: a second request gets the recorded response, or 409 if its body differs") {
   ProgramCluster cluster;
 
   auto first = cluster.send_turn("p", "k", "question");
@@ -99,7 +99,7 @@
   CHECK(cluster.world.failures.empty());
 }
 
-TEST_CASE("A turn is executed only if it expects the number of turns that its history has") {
+TEST_CASE("A turn is executed only if its expected number of turns matches the history") {
   ProgramCluster cluster;
 
   CHECK(cluster.send_turn("p", "k1", "a", 1).status == 404);
@@ -109,7 +109,7 @@
   CHECK(cluster.send_turn("p", "k5", "c", 3).status == 409);
 }
 
-TEST_CASE("A history is kept for its retention after the last turn, and is then deleted") {
+TEST_CASE("A history is kept for its retention after the last turn, and then deleted") {
   ProgramCluster cluster;
   auto& world = cluster.world;
   cluster.set_retention(kRetention);
@@ -130,7 +130,7 @@
   CHECK(cluster.send_turn("p", "k1", "a").executed == Outcome::unknown);
 }
 
-TEST_CASE("No history is reported missing while too few stores answer") {
+TEST_CASE("A history is not reported as missing while too few stores answer") {
   ProgramCluster cluster;
   auto& world = cluster.world;
 
--- a/tests/unit/programs/replica_selector_test.cpp
+++ b/tests/unit/programs/replica_selector_test.cpp
@@ -1,4 +1,4 @@
-// How the capacity of a replica is shared out over the gateways.
+// Tests how the capacity of a replica is divided among the gateways.
 #include "programs/replica_selector.hpp"
 #include "metadata/constants.hpp"
 #include "unit/catch.hpp"
@@ -19,7 +19,7 @@
   return metadata;
 }
 
-/// The capacity of the replica for one gateway, which has known the replica for this long.
+/// The capacity of the replica for one gateway that has known the replica for `elapsed`.
 uint32_t capacity_for(const Daemon& gateway, const Metadata& metadata, const Replica& replica, Duration elapsed) {
   ReplicaSelector selector;
   selector.usable_capacity(replica, metadata, gateway, kStart);
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("A replica's capacity is shared out over the gateways, and grows from one while it warms up") {
+TEST_CASE("A replica's capacity is divided among the gateways, and grows from one while the replica warms up") {
   Metadata metadata = six_gateways();
   struct Row {
     ReplicaHealth health;
--- a/tests/unit/programs/request_forwarder_test.cpp
+++ b/tests/unit/programs/request_forwarder_test.cpp
@@ -1,4 +1,4 @@
-// What a gateway tells its caller of a request that it sent to the program's owner.
+// Tests how a gateway responds to its caller after it has forwarded the request to the program's owner.
 #include "programs/request_forwarder.hpp"
 
 #include "history/constants.hpp"
@@ -25,7 +25,7 @@
 
   ForwardingGateway() { context.metadata_log.install_snapshot(test::small_cluster()); }
 
-  /// @param outcome_unknown whether an earlier owner was sent the request and never answered.
+  /// @param outcome_unknown whether the request was sent to an earlier owner that never answered.
   OpenRequest& forward(bool outcome_unknown) {
     OpenRequest request;
     request.request.attempt = kAttempt;
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-TEST_CASE("RequestForwarder passes on that a request has not run where no other owner may have run it") {
+TEST_CASE("RequestForwarder forwards the report that a request has not run if no other owner may have run it") {
   ForwardingGateway gateway;
   gateway.forward(false);
 
@@ -60,7 +60,7 @@
   CHECK(gateway.response_to_caller().executed == Outcome::no);
 }
 
-TEST_CASE("RequestForwarder does not call a request not run that an earlier owner may have run") {
+TEST_CASE("RequestForwarder does not report a request as not run if an earlier owner may have run it") {
   ForwardingGateway gateway;
   gateway.forward(true);
 
@@ -69,7 +69,7 @@
   CHECK(gateway.response_to_caller().executed == Outcome::unknown);
 }
 
-TEST_CASE("RequestForwarder gives up an owner that does not acknowledge, and calls the outcome unknown") {
+TEST_CASE("RequestForwarder gives up on an owner that does not acknowledge, and reports an unknown outcome") {
   ForwardingGateway gateway;
   auto& open = gateway.forward(false);
   gateway.now += kForwardAcknowledgementTimeout + kHistoryQuorumTimeout + 1ms;
@@ -82,15 +82,15 @@
   CHECK(response.retry_ms > 0);
 }
 
-TEST_CASE("RequestForwarder ignores a response of another gateway than the one it has asked") {
-  constexpr uint64_t stranger = 3;
+TEST_CASE("RequestForwarder ignores a response from another gateway than the one that it forwarded to") {
+  constexpr uint64_t kOtherGateway = 3;
   ForwardingGateway gateway;
   gateway.forward(false);
   ProgramResponse response{};
   response.attempt = kAttempt;
   response.status = 200;
 
-  gateway.forwarder.handle(test::Owner::from(stranger, response), response, gateway.now);
+  gateway.forwarder.handle(test::Owner::from(kOtherGateway, response), response, gateway.now);
 
   CHECK(test::take_sent<ProgramResponse>(gateway.context.outbox).empty());
   CHECK(gateway.requests.find(kAttempt) != nullptr);
--- a/tests/unit/programs/request_queue_test.cpp
+++ b/tests/unit/programs/request_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order in which requests leave a gateway's queue, and how long one would wait.
+// Tests the order in which requests leave a gateway's queue, and the expected wait.
 #include "programs/request_queue.hpp"
 #include "programs/constants.hpp"
 #include "unit/catch.hpp"
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("RequestQueue serves urgent requests first, else in the order of their arrival") {
+TEST_CASE("RequestQueue returns urgent requests first, and otherwise in the order of their arrival") {
   OpenRequests requests;
   RequestQueue queue(requests);
   queue_request(requests, queue, "first", false);
@@ -36,7 +36,7 @@
   CHECK(queue.empty());
 }
 
-TEST_CASE("RequestQueue counts the wait from the arrival, and from the retry where there is one") {
+TEST_CASE("RequestQueue counts the wait from the arrival, or from the retry if there is one") {
   OpenRequests requests;
   RequestQueue queue(requests);
 
@@ -49,7 +49,7 @@
   CHECK(request.waiting_since == TimePoint{1500ms});
 }
 
-TEST_CASE("RequestQueue expects a wait by the requests ahead and the rate at which others departed") {
+TEST_CASE("RequestQueue estimates the wait from the requests ahead and the rate of earlier departures") {
   OpenRequests requests;
   RequestQueue queue(requests);
   for (int i = 0; i < 4; ++i)
--- a/tests/unit/programs/stopping_gateway_test.cpp
+++ b/tests/unit/programs/stopping_gateway_test.cpp
@@ -1,4 +1,4 @@
-// What a gateway that stops tells the callers of the product's own interface.
+// Tests how a gateway that shuts down responds to open requests of the native API.
 #include "programs/constants.hpp"
 #include "runtime/settings.hpp"
 #include "simulation/callers.hpp"
@@ -10,15 +10,15 @@
 namespace {
 
 constexpr Duration kGrace = kDefaultShutdownGrace;
-/// A request reaches its replica, or the stores, within this time.
-constexpr Duration kTimeToBegin = 1000ms;
+/// Time within which a request reaches its replica or the stores.
+constexpr Duration kStartTime = 1000ms;
 
-/// A fleet, the owner of one program, and a caller that waits for a turn of this program at the owner.
+/// A cluster, and a caller that waits for a program's turn at the gateway that owns the program.
 class WaitingCaller {
  public:
   WaitingCaller() { REQUIRE(callers.introduce()); }
 
-  void let_models_fall_silent() {
+  void stall_models() {
     for (auto& [name, replica] : callers.replicas) {
       replica.fault = ReplicaFault::stall;
       replica.fault_every = 1;
@@ -41,10 +41,10 @@
       if (const auto* received = std::get_if<ProgramResponse>(&message))
         response = *received;
     });
-    world.run(kTimeToBegin);
+    world.run(kStartTime);
   }
 
-  /// Stops the owner and lets time pass until its process ends or is killed. Returns whether it ended by itself.
+  /// Shuts down the owner and runs until its process ends or would be killed. Returns whether it ended by itself.
   bool stop_owner() {
     auto& node = world.node(owner_);
     static_cast<GatewayMachine&>(*node.machine).begin_shutdown(ShutdownLimits::begin(world.clock(node), kGrace));
@@ -61,10 +61,11 @@
 
 }  // namespace
 
-// Guards against review case 4 on the product's own interface: a turn that ran on past the grace was cut by the kill.
-TEST_CASE("A gateway that stops answers a turn that a replica still works on before the process may be killed") {
+// Guards against review case 4 on the native API: a turn that was still running at the end of the shutdown grace period
+// was interrupted when the process was killed.
+TEST_CASE("A gateway that shuts down responds to a turn that is still running before the process may be killed") {
   WaitingCaller caller;
-  caller.let_models_fall_silent();
+  caller.stall_models();
   caller.send_turn();
   REQUIRE_FALSE(caller.response);
 
@@ -75,7 +76,7 @@
   CHECK(caller.response->executed == Outcome::unknown);
 }
 
-TEST_CASE("A gateway that stops tells a turn that never reached a replica that it was not run") {
+TEST_CASE("A gateway that shuts down reports a turn that never reached a replica as not run") {
   WaitingCaller caller;
   caller.world.freeze("store1");
   caller.world.freeze("store2");
@@ -90,9 +91,9 @@
   CHECK(caller.response->retry_ms > 0);
 }
 
-TEST_CASE("A gateway that stops ends before it may be killed, though the stores do not take an outcome") {
+TEST_CASE("A gateway that shuts down ends before it may be killed, even if the stores do not accept an outcome") {
   WaitingCaller caller;
-  caller.let_models_fall_silent();
+  caller.stall_models();
   caller.send_turn();
   caller.world.freeze("store1");
   caller.world.freeze("store2");
--- a/tests/unit/programs/turn_log_test.cpp
+++ b/tests/unit/programs/turn_log_test.cpp
@@ -1,4 +1,4 @@
-// How turns are reconstructed from the records of a history.
+// Tests how turns are reconstructed from the records of a history.
 #include <nlohmann/json.hpp>
 
 #include "programs/turn_log.hpp"
@@ -49,7 +49,7 @@
   CHECK(turns["not-run"].has_not_run());
 }
 
-TEST_CASE("turns_by_key takes a key that is reserved again after a turn that was not executed as open") {
+TEST_CASE("turns_by_key treats a key that is reserved again after a turn that was not executed as open") {
   Records records{reservation("k", "main", "a", 10), outcome("k", "main", 0, "", 0), reservation("k", "main", "a", 10)};
 
   auto turns = turns_by_key(records);
@@ -58,7 +58,7 @@
   CHECK(turns["k"].reservation == &records[2]);
 }
 
-TEST_CASE("conversation holds the successful turns of one thread in their order") {
+TEST_CASE("conversation returns the successful turns of one thread in their order") {
   Records records{reservation("k1", "main", "a", 10),      outcome("k1", "main", 200, "A", 4),
                   reservation("h1", "sub-agent", "x", 10), outcome("h1", "sub-agent", 200, "X", 4),
                   reservation("k2", "main", "b", 10),      outcome("k2", "main", 502, "broken", 10),
@@ -74,7 +74,7 @@
   CHECK(turns[1].output == "C");
 }
 
-TEST_CASE("history_json lists completed turns and sums the tokens that are spent and reserved") {
+TEST_CASE("history_json lists completed turns and sums up spent and reserved tokens") {
   Records records{reservation("k1", "main", "a", 10), outcome("k1", "main", 200, "A", 4),
                   reservation("k2", "main", "b", 10)};
 
--- a/tests/unit/programs/turn_owner_test.cpp
+++ b/tests/unit/programs/turn_owner_test.cpp
@@ -1,4 +1,4 @@
-// What the owner of a program answers to a key that was used before.
+// Tests how the owner of a program responds to a request under a key that was used before.
 #include "programs/turn_owner.hpp"
 
 #include "history/constants.hpp"
@@ -12,7 +12,7 @@
 constexpr const char* kKey = "key";
 constexpr const char* kOutput = "output";
 
-/// Gateway 1 with the history of one program, which holds the reservation of one turn.
+/// Gateway 1 with the open history of one program.
 struct OwningGateway {
   GatewayContext context{Identity{test::candidate(1, Role::gateway, "z1"), {}}};
   OpenRequests requests;
@@ -44,12 +44,12 @@
   void receive(uint64_t store, Message reply) {
     history_writer.handle(test::Owner::from(store, std::move(reply)), now);
   }
-  /// A majority of the stores has synced so many records.
+  /// Lets a majority of the stores acknowledge the history up to this length.
   void acknowledge(uint64_t length) {
     for (uint64_t store : {11, 12})
       receive(store, AppendHistoryReply{history, history_writer.term(history), true, false, length});
   }
-  /// Appends a record of the turn, which is not committed yet. Returns the history's length then.
+  /// Appends a record of the turn, which is not committed yet. Returns the history's new length.
   uint64_t append(RecordKind kind, uint32_t status) {
     Record record{};
     record.kind = kind;
@@ -71,14 +71,15 @@
     request.body = "input";
     return request;
   }
-  /// Two stores answer the reads that are in flight: whether they still take this gateway for the owner.
+  /// Lets two stores answer the reads in flight; they grant them if they still consider this gateway the owner.
   void answer_reads(bool granted) {
     for (auto& [receiver, read] : test::take_sent<ReadHistory>(context.outbox))
       for (uint64_t store : {11, 12})
         if (receiver == test::address_of(store))
           receive(store, ReadHistoryReply{read.history, read.term, granted, {}, false, {}});
   }
-  /// The second request under the key. It is answered only once the stores have told who owns the program.
+  /// Sends a second request under the key. Checks that it is answered only after the stores have confirmed or denied
+  /// the ownership.
   ProgramResponse repeat(bool stores_confirm_ownership = true) {
     OpenRequest repeated;
     repeated.request = request();
@@ -99,7 +100,7 @@
 
 }  // namespace
 
-TEST_CASE("TurnOwner tells a recorded answer once a majority of the stores has it, and not before") {
+TEST_CASE("TurnOwner returns a recorded response only once a majority of the stores has it") {
   OwningGateway gateway;
   gateway.acknowledge(gateway.append(RecordKind::reservation, 0));
   auto length = gateway.append(RecordKind::outcome, 200);
@@ -115,7 +116,7 @@
   CHECK(after.body == kOutput);
 }
 
-TEST_CASE("TurnOwner does not run a turn again whose outcome was lost with its gateway's memory") {
+TEST_CASE("TurnOwner does not run a turn again after its outcome was lost with the memory of its gateway") {
   OwningGateway gateway;
   gateway.acknowledge(gateway.append(RecordKind::reservation, 0));
 
@@ -125,18 +126,18 @@
   CHECK(response.executed == Outcome::unknown);
 }
 
-// Guards against a former owner that answers for good by a history that a newer owner has changed.
-TEST_CASE("TurnOwner answers nothing by the history that it remembers once the stores follow a newer owner") {
+// Guards against a former owner that responds definitively from a history that a newer owner has changed.
+TEST_CASE("TurnOwner does not respond from its in-memory history once the stores follow a newer owner") {
   OwningGateway gateway;
   gateway.acknowledge(gateway.append(RecordKind::reservation, 0));
 
-  SECTION("of a turn without an outcome") {
+  SECTION("for a turn without an outcome") {
     auto response = gateway.repeat(false);
 
     CHECK(response.status == 503);
     CHECK(response.retry_ms > 0);
   }
-  SECTION("of a turn with an outcome") {
+  SECTION("for a turn with an outcome") {
     gateway.acknowledge(gateway.append(RecordKind::outcome, 200));
 
     auto response = gateway.repeat(false);
