--- a/tests/unit/routing/request_router_test.cpp
+++ b/tests/unit/routing/request_router_test.cpp
@@ -272,7 +272,7 @@
 TEST_CASE("RequestRouter that shuts down responds to all open requests before the process may be killed") {
   constexpr Duration kTimeToEnd = 1000ms;
   RouterFixture fixture;
-  auto begin_shutdown = [&] {
+  auto start_shutdown = [&] {
     auto ends_at = fixture.now + kTimeToEnd;
     fixture.router.begin_shutdown({.refuse_from = ends_at, .ends_at = ends_at});
   };
@@ -285,7 +285,7 @@
 
   SECTION("a turn whose reservation is unanswered is rejected as not run, which is reported to its owner") {
     fixture.receive("turn");
-    begin_shutdown();
+    start_shutdown();
     reach_shutdown_end();
     CHECK(fixture.one<SendResponse>().status == 503);
     CHECK_FALSE(fixture.retry_after().empty());
@@ -293,7 +293,7 @@
   }
   SECTION("a request that a replica is processing may have run") {
     auto sent = fixture.receive_and_send("unsafe");
-    begin_shutdown();
+    start_shutdown();
     reach_shutdown_end();
     CHECK(fixture.one<SendResponse>().status == 504);
     CHECK(fixture.one<CancelAttempt>().attempt == sent.attempt);
@@ -302,19 +302,19 @@
     auto sent = fixture.receive_and_send("stream");
     fixture.respond_with_stream(sent);
     fixture.stream_events(sent, 1, 3);
-    begin_shutdown();
+    start_shutdown();
     reach_shutdown_end();
     CHECK(fixture.one<ResetResponse>().request_id == fixture.last_request_id);
   }
   SECTION("a request that arrives during the shutdown with an earlier deadline is processed as usual") {
-    begin_shutdown();
+    start_shutdown();
     auto sent = fixture.receive_and_send("unsafe", {{"Mosskeel-Time-Left", "500"}});
     fixture.respond(sent, 200);
     fixture.handle(ResponseCompleted{sent.attempt});
     CHECK(fixture.one<SendResponse>().status == 200);
   }
   SECTION("a request that arrives during the shutdown with a later deadline ends at the end of the shutdown") {
-    begin_shutdown();
+    start_shutdown();
     fixture.receive_and_send("unsafe");
     reach_shutdown_end();
     CHECK(fixture.one<SendResponse>().status == 504);
