--- a/src/programs/gateway_machine.cpp
+++ b/src/programs/gateway_machine.cpp
@@ -120,7 +120,7 @@
     last_active_ = now;
   bool may_stop = owns_nothing && now - last_active_ > kShutdownGracePeriod;
   if (context_.shutdown && (may_stop || must_stop(now)))
-    context_.outbox.act.stop = true;
+    context_.outbox.actions.stop = true;
 }
 
 bool GatewayMachine::must_stop(TimePoint now) const {
