--- a/src/replication/agent_machine.cpp
+++ b/src/replication/agent_machine.cpp
@@ -39,7 +39,7 @@
 
 Actions AgentMachine::tick(TimePoint now) {
   if (leaving_ && (gateway_replaced_ || now - last_gateway_contact_at_ > kAgentShutdownDelay))
-    outbox_.act.stop = true;
+    outbox_.actions.stop = true;
   tick_follower(now);
   return outbox_.take();
 }
