--- a/tests/unit/net/http_frontend_faults_test.cpp
+++ b/tests/unit/net/http_frontend_faults_test.cpp
@@ -54,7 +54,7 @@
 
   FaultsFixture(uint64_t seed, int requests, unsigned replica_fault_percent, bool inject_caller_faults)
       : random(seed), requests_left(requests), callers_fail(inject_caller_faults) {
-    auto metadata = test::served();
+    auto metadata = test::routing_metadata();
     for (auto& [name, replica] : metadata.replicas) {
       replicas.push_back(std::make_unique<FaultyReplica>(loop, log, random(), replica_fault_percent));
       replica.url = "http://" + replicas.back()->address();
