--- a/tests/simulation/cores.cpp
+++ b/tests/simulation/cores.cpp
@@ -6,17 +6,17 @@
 namespace mosskeel::sim {
 namespace {
 
-constexpr Duration kChangePatience = 10000ms;
-/// An acknowledged revision is in force in this time, on a fleet where nothing else is wrong.
+constexpr Duration kChangeTimeout = 10000ms;
+/// An acknowledged revision takes effect within this time on a fleet without other faults.
 constexpr Duration kInForceLimit = 2000ms;
 
 /// All but one of the names.
-std::vector<std::string> all_but(std::vector<std::string> names, const std::string& excluded) {
+std::vector<std::string> all_except(std::vector<std::string> names, const std::string& excluded) {
   std::erase(names, excluded);
   return names;
 }
 
-/// The command of an operator who founds the core anew, answered by the controller's own process at once.
+/// Sends an operator's command to re-found the core, which the controller's process answers at once.
 CommitReply request_refounding(World& world, const std::string& controller, std::vector<DaemonId> lost) {
   const Address operator_address = "local:op";
   CommitReply reply{};
@@ -34,25 +34,25 @@
   return reply;
 }
 
-/// A re-founding must be refused while a majority lives or a silent member is not named, and be done otherwise.
+/// A re-founding must be refused while a majority runs or while an unreachable member is not named, and else succeed.
 void refound(World& world, const std::string& survivor, const std::vector<std::string>& others) {
   std::vector<DaemonId> lost;
   lost.reserve(others.size());
   for (const auto& name : others)
     lost.push_back(latest(world)->find_at(name)->id);
   if (request_refounding(world, survivor, lost).outcome != CommitOutcome::rejected)
-    world.fail("a rebuild was taken while a majority lives");
+    world.fail("a rebuild was accepted while a majority runs");
   power_off_all(world, others);
   world.run(6000ms);
   if (request_refounding(world, survivor, {lost[0]}).outcome != CommitOutcome::rejected)
-    world.fail("a rebuild was taken though a silent member was not named");
+    world.fail("a rebuild was accepted though an unreachable member was not named");
   auto reply = request_refounding(world, survivor, lost);
   if (reply.outcome != CommitOutcome::committed)
     world.fail("the rebuild was refused: " + reply.reason);
 }
 
-/// Sometimes a store is slow or cut off while the change is acknowledged.
-void hinder_a_store(Day& day, const std::string& survivor) {
+/// Makes a store slow or cuts it off, with some probability, while the change is acknowledged.
+void inject_store_fault(Day& day, const std::string& survivor) {
   auto& world = day.world;
   auto other = day.any(Kind::store);
   if (world.chance(0.4)) {
@@ -63,8 +63,8 @@
   }
 }
 
-/// All daemons go, and all disks but the survivor's.
-void lose_all_disks_but(World& world, const std::vector<std::string>& disks, const std::string& survivor) {
+/// Stops all daemons and erases all disks except the survivor's.
+void lose_all_disks_except(World& world, const std::vector<std::string>& disks, const std::string& survivor) {
   for (const auto& name : disks) {
     if (name == survivor)
       world.power_off(name);
@@ -94,7 +94,7 @@
   day.callers.traffic(150ms, world.now() + 40000ms);
   for (int round = 0; round < 5; ++round) {
     world.run(500ms + world.below(1000ms));
-    auto revision = change_configuration(day, kChangePatience);
+    auto revision = change_configuration(day, kChangeTimeout);
     auto controllers = world.names(Kind::controller);
     power_off_all(world, controllers);
     if (world.chance(0.5))
@@ -113,18 +113,18 @@
   world.run(5000ms);
 }
 
-/// Two of three controllers lose their disks right after an acknowledgement; the third may come back late. The core
-/// founds itself anew and keeps the acknowledged change.
+/// Two of three controllers lose their disks right after an acknowledgement; the third may return late. The core must
+/// re-found itself and keep the acknowledged change.
 void core_majority_lost(Day& day) {
   auto& world = day.world;
   day.callers.traffic(150ms, world.now() + 25000ms);
   world.run(2000ms);
-  auto acknowledged = change_configuration(day, kChangePatience);
+  auto acknowledged = change_configuration(day, kChangeTimeout);
   if (!acknowledged)
     world.fail("the change was not acknowledged");
   auto controllers = world.names(Kind::controller);
   auto survivor = controllers[world.next_random() % controllers.size()];
-  auto others = all_but(controllers, survivor);
+  auto others = all_except(controllers, survivor);
   for (const auto& name : others)
     world.wipe(name);
   world.run(500ms + world.below(1500ms));
@@ -136,39 +136,39 @@
   world.start(survivor);
   world.run(12000ms);
   if (latest(world)->generation != 2)
-    world.fail("the core was not founded anew");
-  auto changed = change_configuration(day, kChangePatience);
+    world.fail("the core was not re-founded");
+  auto changed = change_configuration(day, kChangeTimeout);
   if (changed <= acknowledged)
     world.fail("no change is accepted after the core's re-founding");
   must_be_in_force(day, changed, kInForceLimit);
 }
 
-/// Two of three controllers never come back; the operator founds the core anew, then one returns.
+/// Two of three controllers are down; the operator re-founds the core, and then one of the two returns.
 void rebuild(Day& day) {
   auto& world = day.world;
   day.callers.traffic(150ms, world.now() + 25000ms);
   world.run(2000ms);
-  auto acknowledged = change_configuration(day, kChangePatience);
+  auto acknowledged = change_configuration(day, kChangeTimeout);
   auto controllers = world.names(Kind::controller);
   auto survivor = controllers[world.next_random() % controllers.size()];
-  auto others = all_but(controllers, survivor);
+  auto others = all_except(controllers, survivor);
   refound(world, survivor, others);
   world.run(5000ms);
-  auto changed = change_configuration(day, kChangePatience);
+  auto changed = change_configuration(day, kChangeTimeout);
   if (changed <= acknowledged)
     world.fail("no change is accepted after the rebuild");
   world.start(others.front());
   world.run(5000ms);
-  auto later = change_configuration(day, kChangePatience);
+  auto later = change_configuration(day, kChangeTimeout);
   if (later <= changed)
-    world.fail("an old member that came back stands in the way");
+    world.fail("no change is accepted after an old member returned");
   must_be_in_force(day, later, kInForceLimit);
   for (const auto& name : others)
     world.wipe(name);
 }
 
-/// Right after an acknowledgement all disks but one are lost, those of controllers and stores alike; the one that stays
-/// was in touch, and is enough. (Histories are not promised to survive this.)
+/// Right after an acknowledgement all disks of controllers and stores but one are lost. The remaining one was connected
+/// and must be enough to recover the change. Histories are not guaranteed to survive this.
 void survivor(Day& day) {
   auto& world = day.world;
   day.closed = true;
@@ -178,11 +178,11 @@
   for (const auto& name : world.names(Kind::store))
     disks.push_back(name);
   auto survivor = disks[world.next_random() % disks.size()];
-  hinder_a_store(day, survivor);
-  auto acknowledged = change_configuration(day, kChangePatience);
+  inject_store_fault(day, survivor);
+  auto acknowledged = change_configuration(day, kChangeTimeout);
   if (!acknowledged)
     world.fail("the change was not acknowledged");
-  lose_all_disks_but(world, disks, survivor);
+  lose_all_disks_except(world, disks, survivor);
   world.run(200ms + world.below(1000ms));
   start_everything(world);
   auto is_back = [&] {
@@ -191,7 +191,7 @@
   };
   if (!world.until(25000ms, is_back))
     world.fail("the acknowledged revision " + std::to_string(acknowledged) + " did not survive on " + survivor);
-  auto changed = change_configuration(day, 2 * kChangePatience);
+  auto changed = change_configuration(day, 2 * kChangeTimeout);
   if (changed <= acknowledged)
     world.fail("no change is accepted after the loss, " + survivor + " stayed");
   else
@@ -213,7 +213,7 @@
     }
   }
   world.run(5000ms);
-  if (!change_configuration(day, kChangePatience))
+  if (!change_configuration(day, kChangeTimeout))
     world.fail("no change is accepted with swapped seeds");
 }
 
--- a/tests/simulation/counts.cpp
+++ b/tests/simulation/counts.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 constexpr double kCountsWithKey = 0.7;
-/// How often a count with a key is sent twice at once.
+/// Probability that a count with a key is sent twice at once.
 constexpr double kCountsSentTwice = 0.2;
-/// When a caller asks again if the answer does not say, and over which time retries are spread.
+/// Retry delay where the response does not state one, and the upper bound of the random delay added to it.
 constexpr Duration kDefaultCountRetry = 300ms;
 constexpr Duration kCountRetryVariation = 200ms;
 
@@ -21,7 +21,7 @@
   return request;
 }
 
-/// Whether the fleet keeps the outcome under the key, so that asking again cannot change it.
+/// Whether the response is the outcome recorded under the key, which a retry cannot change.
 bool is_kept_outcome(const ProgramResponse& response) {
   return response.reason.starts_with("kept outcome") ||
          response.reason.find("will not be run again") != std::string::npos;
@@ -63,29 +63,29 @@
   if (gateway.empty())
     return;
   ++count->tries;
-  ++count->under_way;
+  ++count->in_flight;
   auto attempt = std::make_shared<CountAttempt>();
   attempt->count = count;
   auto request = plain_request("POST", count->path);
   request.attempt = "n" + std::to_string(world_.next_random());
   request.key = count->key;
-  auto hear = [=, this](const Message& message) {
+  auto on_message = [=, this](const Message& message) {
     if (const auto* response = std::get_if<ProgramResponse>(&message))
       settle_count(attempt, response, false);
   };
-  auto session = open_session(gateway, hear, [=, this] { settle_count(attempt, nullptr, false); });
+  auto session = open_session(gateway, on_message, [=, this] { settle_count(attempt, nullptr, false); });
   post(gateway, session, std::move(request));
-  world_.at(world_.now() + patience(gateway), [=, this] { settle_count(attempt, nullptr, true); });
+  world_.at(world_.now() + session_timeout(gateway), [=, this] { settle_count(attempt, nullptr, true); });
 }
 
-/// The end of one attempt: an answer, a session that was lost (no response), or a caller that left by itself.
+/// Ends one attempt: on a response, on a lost session (no response) or because the caller disconnected.
 void Callers::settle_count(const std::shared_ptr<CountAttempt>& attempt, const ProgramResponse* response,
                            bool caller_left) {
   if (attempt->settled)
     return;
   attempt->settled = true;
   auto count = attempt->count;
-  --count->under_way;
+  --count->in_flight;
   if (!response || response->executed != Outcome::no)
     count->sure_not_run = false;
   if (response && response->status == kStatusOk)
@@ -94,8 +94,8 @@
   if (unknown)
     ++totals.unknown_counts;
   bool kept = response && is_kept_outcome(*response);
-  if (count->key.empty() || kept || count->tries >= settings.most_tries) {
-    if (!count->under_way)
+  if (count->key.empty() || kept || count->tries >= settings.max_tries) {
+    if (!count->in_flight)
       count->done = true;
     return;
   }
@@ -113,7 +113,7 @@
     world_.fail("a success that is not the replica's whole answer: " + count.path + " gave " + response.body);
 }
 
-/// A count ran once at most; once if it succeeded, and not at all if every attempt was answered with "not run".
+/// A count runs at most once: exactly once if it succeeded, never if every attempt was answered with "not executed".
 void Callers::check_counts() {
   for (const auto& [path, count] : counts_) {
     auto runs = runs_["count" + path];
@@ -123,7 +123,7 @@
     if (count->success && runs != 1)
       world_.fail("a success that no replica ran: " + path);
     if (count->done && !count->success && count->sure_not_run && runs)
-      world_.fail("refused as not run, yet counted: " + path);
+      world_.fail("rejected as not executed, but counted: " + path);
   }
 }
 
--- a/tests/simulation/cuts.cpp
+++ b/tests/simulation/cuts.cpp
@@ -1,13 +1,14 @@
-// Scenarios in which parts of the fleet cannot hear each other while operators reach the core.
+// Scenarios in which parts of the fleet are partitioned from each other while operators reach the core.
 #include "simulation/scenario_functions.hpp"
 
 namespace mosskeel::sim {
 namespace {
 
-/// Who is cut off from all others. The numbers are drawn.
-enum class CutGroup : uint64_t { core, core_and_some, core_not_heard, core_hears_nobody, some };
+/// The group that is cut off from all others, selected by a random number. `core_outbound` cuts only messages from the
+/// core, `core_inbound` only messages to it.
+enum class CutGroup : uint64_t { core, core_and_some, core_outbound, core_inbound, some };
 constexpr uint64_t kCutGroups = 5;
-/// How likely a daemon joins the group where some do.
+/// Probability that a daemon joins the group where the group includes random daemons.
 constexpr double kJoinsGroup = 0.4;
 
 struct Directions {
@@ -29,7 +30,7 @@
   }
 }
 
-/// A gateway and its agent go together.
+/// Adds a daemon to the group; a gateway and its agent are added together.
 void join(World& world, std::set<std::string>& group, const std::string& name) {
   group.insert(name);
   const auto& beside = world.node(name).beside;
@@ -53,20 +54,20 @@
 
 /// Drains a replica, evacuates a zone and changes the configuration through whatever controllers operators reach.
 void operate(Day& day, const std::string& replica, const std::string& zone) {
-  constexpr Duration patience = 5000ms;
+  constexpr Duration timeout = 5000ms;
   auto ignore = [](const CommitReply&) {
   };
-  day.callers.set_replica(replica, ReplicaHealth::draining, ignore, patience);
-  day.callers.commit(EvacuateZone{zone}, ignore, "", patience);
-  change_configuration(day, patience);
+  day.callers.set_replica(replica, ReplicaHealth::draining, ignore, timeout);
+  day.callers.commit(EvacuateZone{zone}, ignore, "", timeout);
+  change_configuration(day, timeout);
 }
 
-/// One cut and its end.
+/// Cuts off one group, operates meanwhile and heals the network.
 void cut_core(Day& day, int round) {
-  constexpr uint64_t fewest_successes = 20;
+  constexpr uint64_t min_successes = 20;
   auto& world = day.world;
   auto kind = static_cast<CutGroup>(world.next_random() % kCutGroups);
-  Directions directions{.outward = kind != CutGroup::core_hears_nobody, .inward = kind != CutGroup::core_not_heard};
+  Directions directions{.outward = kind != CutGroup::core_inbound, .inward = kind != CutGroup::core_outbound};
   cut_off(world, choose_group(world, kind), directions);
   auto replica = "model" + std::to_string(round + 1);
   std::string zone(1, static_cast<char>('a' + round % 3));
@@ -75,8 +76,8 @@
   operate(day, replica, zone);
   world.run(2500ms + world.below(4000ms));
   auto served = day.callers.totals.successes - before;
-  if (kind == CutGroup::core && served < fewest_successes)
-    world.fail("the fleet hardly served without its core: " + std::to_string(served));
+  if (kind == CutGroup::core && served < min_successes)
+    world.fail("too few successes without the core: " + std::to_string(served));
   world.heal();
   world.run(2500ms);
   day.callers.set_replica(replica, ReplicaHealth::ready);
@@ -99,7 +100,7 @@
 }
 
 /// All gateways, a majority of the fleet, are cut off from the core and the stores while operators reach the core:
-/// changes are acknowledged without the gateways, so none of these may go on with what it knows.
+/// changes are acknowledged without the gateways, so no gateway may continue with its old metadata.
 void gateways_cut(Day& day) {
   constexpr Duration acknowledgement_limit = 4000ms;
   auto& world = day.world;
--- a/tests/simulation/day.cpp
+++ b/tests/simulation/day.cpp
@@ -3,18 +3,18 @@
 namespace mosskeel::sim {
 namespace {
 
-/// The promise of the docs: the fleet serves this long after the last fault.
+/// Documented limit: the fleet serves again this long after the last fault.
 constexpr Duration kClosingLimit = 12000ms;
-/// What is under way when the closing turn was served may come to its end in this time.
+/// Time for requests in flight to finish after the final turn was served.
 constexpr Duration kClosingPause = 1000ms;
-/// Fewer successes than this during a trouble count as an outage.
-constexpr uint64_t kFewestSuccesses = 5;
-/// The operator's own answer comes this long after its patience at the latest.
-constexpr Duration kPatienceMargin = 100ms;
+/// Fewer successes than this during a fault count as an outage.
+constexpr uint64_t kMinSuccesses = 5;
+/// The outcome of a commit is reported at most this long after its timeout.
+constexpr Duration kTimeoutMargin = 100ms;
 /// How long a gateway is down in a restart.
 constexpr Duration kGatewayRestart = 100ms;
-/// Longer than any request may take.
-constexpr Duration kAskLimit = 30000ms;
+/// Longer than the limit of any request.
+constexpr Duration kRequestLimit = 30000ms;
 /// Tokens that one turn may use.
 constexpr uint64_t kTurnLimit = 10;
 
@@ -28,7 +28,7 @@
   return names[world.next_random() % names.size()];
 }
 
-std::string Day::any_store_but(const std::string& excluded) {
+std::string Day::any_store_except(const std::string& excluded) {
   auto store = any(Kind::store);
   while (store == excluded)
     store = any(Kind::store);
@@ -38,9 +38,9 @@
 void Day::close() {
   recover_everything();
   auto turns = std::make_shared<ClosingTurns>();
-  ask_until_served(turns);
+  start_turns_until_served(turns);
   if (!world.until(kClosingLimit, [&] { return turns->served; }))
-    world.fail("not serving 12 s after the closing fault");
+    world.fail("not serving 12 s after the last fault");
   world.run(kClosingPause);
   turns->over = true;
   callers.check_at_end();
@@ -63,15 +63,15 @@
   }
 }
 
-/// New programs one after the other, until a turn succeeds.
-void Day::ask_until_served(const std::shared_ptr<ClosingTurns>& turns) {
+/// Starts new programs one after the other until a turn succeeds.
+void Day::start_turns_until_served(const std::shared_ptr<ClosingTurns>& turns) {
   if (turns->over)
     return;
   callers.turn("closing" + std::to_string(world.next_random()), "main", [this, turns](const Turn& turn) {
     if (turn.success)
       turns->served = true;
     else
-      ask_until_served(turns);
+      start_turns_until_served(turns);
   });
 }
 
@@ -79,11 +79,11 @@
   auto before = day.callers.totals.successes;
   day.world.run(time);
   auto served = day.callers.totals.successes - before;
-  if (served < kFewestSuccesses)
-    day.world.fail(std::string("hardly served during ") + during + ": " + std::to_string(served));
+  if (served < kMinSuccesses)
+    day.world.fail(std::string("too few successes during ") + during + ": " + std::to_string(served));
 }
 
-uint64_t change_configuration(Day& day, Duration patience) {
+uint64_t change_configuration(Day& day, Duration timeout) {
   auto metadata = latest(day.world);
   if (!metadata || metadata->configuration.cells.empty())
     return 0;
@@ -94,13 +94,13 @@
     bool over = false;
   };
   auto outcome = std::make_shared<Outcome>();
-  auto hear = [outcome, base = metadata->revision](const CommitReply& reply) {
+  auto on_reply = [outcome, base = metadata->revision](const CommitReply& reply) {
     if (reply.outcome == CommitOutcome::committed)
       outcome->revision = base.value() + 1;
     outcome->over = true;
   };
-  day.callers.commit(ApplyConfiguration{metadata->revision, changed}, hear, "", patience);
-  day.world.until(patience + kPatienceMargin, [=] { return outcome->over; });
+  day.callers.commit(ApplyConfiguration{metadata->revision, changed}, on_reply, "", timeout);
+  day.world.until(timeout + kTimeoutMargin, [=] { return outcome->over; });
   return outcome->revision;
 }
 
@@ -148,14 +148,14 @@
   return found;
 }
 
-ProgramResponse ask(Day& day, ProgramRequest request, const std::string& gateway) {
+ProgramResponse send_request(Day& day, ProgramRequest request, const std::string& gateway) {
   auto answer = std::make_shared<std::optional<ProgramResponse>>();
   request.attempt = "t" + std::to_string(day.world.next_random());
   day.callers.send(gateway, std::move(request), [answer](const Message& message) {
     if (const auto* response = std::get_if<ProgramResponse>(&message))
       *answer = *response;
   });
-  day.world.until(kAskLimit, [answer] { return answer->has_value(); });
+  day.world.until(kRequestLimit, [answer] { return answer->has_value(); });
   return answer->value_or(ProgramResponse{});
 }
 
--- a/tests/simulation/losses.cpp
+++ b/tests/simulation/losses.cpp
@@ -1,4 +1,4 @@
-// Losses of stores at the worst moments: right after an acknowledgement, in the middle of a drain, twice in a row.
+// Losses of stores at critical moments: right after an acknowledgement, during a drain, twice in a row.
 #include <algorithm>
 
 #include "history/constants.hpp"
@@ -7,28 +7,28 @@
 namespace mosskeel::sim {
 namespace {
 
-/// Within this time of a successor's start the next loss may come, on a deployment that bears two.
+/// The next loss may follow this long after a successor's start, on a deployment that tolerates two losses.
 constexpr Duration kCatchUpLimit = 6000ms;
-/// Within this time a lost store's copies are restored on one that bears one loss.
+/// A lost store's copies are restored within this time on a deployment that tolerates one loss.
 constexpr Duration kRestoreLimit = 12000ms;
-/// How many stores are lost at once where two losses are borne.
+/// Number of stores lost at once on a deployment that tolerates two losses.
 constexpr size_t kStoresLostAtOnce = 2;
 
-/// All gateways end and start again, so that no owner's memory fills the gaps of the stores.
-void forget_owners(Day& day) {
+/// Restarts all gateways, so that stores cannot recover missing records from an owner's memory.
+void restart_all_gateways(Day& day) {
   auto& world = day.world;
   for (const auto& name : world.names(Kind::gateway))
     world.kill(name);
   world.at(world.now() + 100ms, [&world] { start_all(world, world.names(Kind::gateway)); });
 }
 
-/// Whether this very daemon runs, and not another incarnation at its address.
+/// Whether this incarnation of the daemon runs, and not another one at its address.
 bool runs(World& world, const Daemon& daemon) {
   const auto& address = daemon.self.address;
   return world.alive(address) && world.node(address).id.self.incarnation == daemon.self.incarnation;
 }
 
-/// The stores of a program's partition that run now.
+/// The running stores of a program's partition.
 std::vector<std::string> running_stores(Day& day, const std::string& program) {
   auto metadata = latest(day.world);
   const auto& partition = metadata->partitions[partition_of("news", program).value()];
@@ -41,7 +41,7 @@
   return names;
 }
 
-/// Every partition lies on its full number of stores, all of them up, and no sequence is under way.
+/// Whether every partition has its full number of stores, all of them up, and no sequence is in progress.
 bool has_all_copies(World& world) {
   auto metadata = latest(world);
   if (!metadata || !metadata->sequences.empty())
@@ -56,16 +56,16 @@
   });
 }
 
-/// One turn, and at the very moment of its answer `lose` is called with the program's name. If the turn fails, another
-/// is tried. A turn may be answered after the time that is allowed here; then its loss comes late.
+/// Runs a turn of a new program and calls `lose` with the program's name at the moment of a successful answer. Retries
+/// with another program if the turn fails or takes too long; a turn answered after that limit still calls `lose`, late.
 void lose_after_acknowledgement(Day& day, const std::function<void(const std::string&)>& lose) {
-  constexpr int most_turns = 10;
+  constexpr int max_turns = 10;
   constexpr Duration turn_limit = 8000ms;
   auto& world = day.world;
   struct Outcome {
     bool over = false, served = false;
   };
-  for (int i = 0; i < most_turns; ++i) {
+  for (int i = 0; i < max_turns; ++i) {
     auto program = "acked" + std::to_string(world.next_random());
     auto outcome = std::make_shared<Outcome>();
     day.callers.turn(program, "main", [=](const Turn& turn) {
@@ -81,7 +81,7 @@
   world.fail("no turn was served");
 }
 
-/// Two of the stores that hold the program lose their disks, and no owner remembers it.
+/// Erases the disks of two stores that hold the program, and the copy in its owner's memory.
 std::vector<std::string> lose_two_holders(Day& day, const std::string& program) {
   auto& world = day.world;
   auto lost = running_stores(day, program);
@@ -89,11 +89,11 @@
     lost.erase(lost.begin() + static_cast<ptrdiff_t>(world.next_random() % lost.size()));
   for (const auto& name : lost)
     world.wipe(name);
-  forget_owners(day);
+  restart_all_gateways(day);
   return lost;
 }
 
-/// The controller that holds the supervisor's lease loses power for a while.
+/// Powers off the controller that holds the supervisor lease for a while.
 void lose_supervisor(World& world) {
   for (const auto& name : world.names(Kind::controller)) {
     const auto& node = world.node(name);
@@ -104,12 +104,12 @@
   }
 }
 
-/// In the middle of a drain: another store loses its disk, the drained one freezes, or the supervisor is lost.
-void disturb_drain(Day& day, const std::string& drained) {
+/// Injects a fault during a drain: another store loses its disk, the drained one freezes, or the supervisor is lost.
+void inject_drain_fault(Day& day, const std::string& drained) {
   auto& world = day.world;
   switch (world.next_random() % 3) {
     case 0: {
-      auto other = day.any_store_but(drained);
+      auto other = day.any_store_except(drained);
       world.wipe(other);
       return world.at(world.now() + 500ms, [&world, other] { world.start(other); });
     }
@@ -121,23 +121,23 @@
   }
 }
 
-/// A store loses its disk, and its copies must be restored.
+/// Erases a store's disk and checks that its copies are restored.
 void lose_one_store(Day& day, const std::string& name) {
   auto& world = day.world;
   world.wipe(name);
-  forget_owners(day);
+  restart_all_gateways(day);
   world.run(500ms);
   world.start(name);
   auto started = world.now();
   if (!world.until(kRestoreLimit, [&] { return has_all_copies(world); }))
     world.fail("the copies of a lost store were not restored");
-  day.exposed.push_back(world.now() - started);
+  day.repair_times.push_back(world.now() - started);
 }
 
 }  // namespace
 
-/// Two machines may be lost at once: two stores of a partition lose their disks right after they acknowledged a turn,
-/// again and again, each time as soon as the successors of the last loss have had their time to catch up.
+/// The fleet tolerates two losses at once: two stores of a partition lose their disks right after they acknowledged a
+/// turn, repeatedly, each time as soon as the catch-up time of the previous successors is over.
 void pair_wiped(Day& day) {
   auto& world = day.world;
   day.callers.traffic(80ms, world.now() + 30000ms);
@@ -150,14 +150,14 @@
     start_all(world, *lost);
     auto started = world.now();
     if (!world.until(kCatchUpLimit, [&] { return has_all_copies(world); }))
-      world.fail("a partition lacks copies after the successors' time to catch up");
-    day.exposed.push_back(world.now() - started);
+      world.fail("a partition lacks copies after the catch-up time of the successors");
+    day.repair_times.push_back(world.now() - started);
     world.run(started + kCatchUpLimit - world.now());
   }
 }
 
-/// Two stores of seven lose their disks right after they acknowledged a turn and nobody replaces them. The others take
-/// their places; once that is done two more are lost, and what is left still serves and holds everything.
+/// Two stores of seven lose their disks right after they acknowledged a turn and are not replaced. The others take over
+/// their partitions; then two more are lost, and the remaining stores must still serve and hold all histories.
 void unreplaced(Day& day) {
   auto& world = day.world;
   day.callers.traffic(80ms, world.now() + 30000ms);
@@ -168,16 +168,16 @@
   lose_after_acknowledgement(day, lose);
   auto lost_at = world.now();
   if (!world.until(kCatchUpLimit, [&] { return has_all_copies(world); }))
-    world.fail("the others did not take the places of two lost stores");
-  day.exposed.push_back(world.now() - lost_at);
+    world.fail("the other stores did not take over from two lost stores");
+  day.repair_times.push_back(world.now() - lost_at);
   lose_after_acknowledgement(day, lose);
   world.run(2000ms);
   must_serve(day, 5000ms, "the loss of four stores of seven, two and two");
 }
 
-/// A store is drained by order, and something else goes wrong at any step of it. As soon as the log says that the store
-/// has left, its disk goes; and once the other loss is made good, another store loses its disk. One loss at a time is
-/// borne.
+/// An operator drains a store, and another fault occurs at a random step of the drain. As soon as the log records that
+/// the store has left, its disk is erased; after the repair another store loses its disk. The fleet tolerates one loss
+/// at a time.
 void leaving(Day& day) {
   constexpr Duration drain_limit = 20000ms;
   auto& world = day.world;
@@ -189,24 +189,24 @@
   if (!world.until(5000ms, [&] { return latest(world)->sequences.count(id) > 0; }))
     return world.fail("the drain did not begin");
   world.run(world.below(400ms));
-  disturb_drain(day, drained);
+  inject_drain_fault(day, drained);
   auto has_left = [&] {
     auto metadata = latest(world);
     return metadata && metadata->find(id)->state == DaemonState::left && !metadata->holds_partitions(id);
   };
   if (!world.until(drain_limit, has_left))
-    world.fail("the ordered drain did not come to its end");
+    world.fail("the drain did not end");
   world.wipe(drained);
-  forget_owners(day);
+  restart_all_gateways(day);
   if (!world.until(kRestoreLimit, [&] { return has_all_copies(world); }))
     world.fail("a partition lacks copies long after the drain");
-  lose_one_store(day, day.any_store_but(drained));
+  lose_one_store(day, day.any_store_except(drained));
 }
 
-/// A store freezes and wakes again and again, each time just long enough to be marked down. It must not set off a
-/// repair each time.
+/// A store freezes and resumes repeatedly, each time just long enough to be marked down. It must not trigger a repair
+/// each time.
 void flapping(Day& day) {
-  constexpr size_t most_sequences = 8;
+  constexpr size_t max_sequences = 8;
   constexpr int rounds = 12;
   constexpr Duration marked_down_after = 3200ms;
   auto& world = day.world;
@@ -214,23 +214,23 @@
   world.run(2000ms);
   auto store = day.any(Kind::store);
   std::set<Epoch> sequences;
-  auto note_sequences = [&] {
+  auto record_sequences = [&] {
     for (const auto& [id, sequence] : latest(world)->sequences)
       sequences.insert(sequence.started_epoch);
     return false;
   };
   for (int round = 0; round < rounds; ++round) {
     world.freeze(store);
-    world.until(marked_down_after + world.below(1500ms), note_sequences);
+    world.until(marked_down_after + world.below(1500ms), record_sequences);
     world.wake(store);
-    world.until(1000ms + world.below(1000ms), note_sequences);
+    world.until(1000ms + world.below(1000ms), record_sequences);
   }
-  if (sequences.size() > most_sequences)
-    world.fail(std::to_string(sequences.size()) + " sequences for a store that comes and goes");
+  if (sequences.size() > max_sequences)
+    world.fail(std::to_string(sequences.size()) + " sequences for a flapping store");
 }
 
-/// Most histories are too large for a message. Two stores lose their disks, one after the other, and in between all
-/// gateways are lost, so that new owners read the histories while a store takes them over.
+/// Most histories are too large for one message. Two stores lose their disks, one after the other, and all gateways
+/// restart in between, so that new owners read the histories while a store copies them.
 void large_histories(Day& day) {
   auto& world = day.world;
   day.callers.settings.input_bytes = 2 * kMaxWholeHistoryBytes / 10;
@@ -240,9 +240,9 @@
   auto first = day.any(Kind::store);
   lose_one_store(day, first);
   must_serve(day, 5000ms, "the loss of a store with large histories");
-  forget_owners(day);
+  restart_all_gateways(day);
   world.run(2000ms);
-  lose_one_store(day, day.any_store_but(first));
+  lose_one_store(day, day.any_store_except(first));
   must_serve(day, 5000ms, "the loss of a second store with large histories");
 }
 
--- a/tests/simulation/message_detail.cpp
+++ b/tests/simulation/message_detail.cpp
@@ -24,10 +24,10 @@
 }
 
 std::string describe_append_reply(const AppendHistoryReply& reply) {
-  std::string verdict = " denied";
+  std::string result = " denied";
   if (reply.granted)
-    verdict = reply.gap ? " gap" : " length";
-  return describe_term(reply.history, reply.term) + verdict + spaced(reply.length);
+    result = reply.gap ? " gap" : " length";
+  return describe_term(reply.history, reply.term) + result + spaced(reply.length);
 }
 
 }  // namespace
--- a/tests/simulation/message_detail.hpp
+++ b/tests/simulation/message_detail.hpp
@@ -1,10 +1,10 @@
 #pragma once
-// Texts for the notes of a replayed day.
+// Message descriptions for the trace of a replayed run.
 #include "messages/message.hpp"
 
 namespace mosskeel::sim {
 
-/// What the notes of a replay add to a message's kind: the contents of messages about histories, nothing for others.
+/// Text that follows a message's kind in the trace: contents of messages about histories, empty for others.
 std::string describe_contents(const Message& message);
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/metadata_agreement.cpp
+++ b/tests/simulation/metadata_agreement.cpp
@@ -12,7 +12,7 @@
   check_cluster(name, metadata);
 }
 
-/// Reports a value of a cluster that was replaced at this epoch number, and a replacement that came too early.
+/// Reports a value of a cluster that was replaced at this epoch number, and a replacement while the old value is held.
 void MetadataAgreement::check_cluster(const std::string& name, const Metadata& metadata) {
   auto [current, first] = clusters_.emplace(metadata.epoch, metadata.cluster);
   if (first || current->second == metadata.cluster)
@@ -31,7 +31,7 @@
 void MetadataAgreement::check_nobody_holds(const std::string& founder, const EpochOfCluster& lost) {
   for (const auto& [name, held] : holders_())
     if (held->cluster == lost.cluster && held->epoch >= lost.epoch)
-      fail_(founder + " founds epoch " + std::to_string(lost.epoch.value()) + " anew, which " + name +
+      fail_(founder + " re-founds epoch " + std::to_string(lost.epoch.value()) + ", which " + name +
             " holds with another value");
 }
 
--- a/tests/simulation/metadata_agreement.hpp
+++ b/tests/simulation/metadata_agreement.hpp
@@ -8,14 +8,14 @@
 
 namespace mosskeel::sim {
 
-/// Compares each metadata value that any daemon shows with those shown before, by daemons that are gone as well.
+/// Compares each metadata value that a daemon exposes with those seen before, including values of stopped daemons.
 ///
-/// Invariant: an epoch of a cluster has one value for ever. An epoch number may get a second value only where a
+/// Invariant: an epoch of a cluster never changes its value. An epoch number may get a second value only where a
 /// re-founded core uses the number of an epoch that was lost with the last disk that held it; from then on no daemon
 /// may hold the value of the former cluster.
 class MetadataAgreement {
  public:
-  /// A daemon that runs at this moment, and what it shows.
+  /// A running daemon and its current metadata.
   struct Holder {
     std::string name;
     MetadataSnapshot metadata;
@@ -23,9 +23,9 @@
   using Holders = std::function<std::vector<Holder>()>;
   using Fail = std::function<void(const std::string&)>;
 
-  /// `holders` lists all running daemons; `fail` hears of each broken promise.
+  /// `holders` lists all running daemons; `fail` is called for each violation.
   MetadataAgreement(Holders holders, Fail fail) : holders_(std::move(holders)), fail_(std::move(fail)) {}
-  /// The daemon of this name shows a value that it did not show before.
+  /// Records a new metadata value of a daemon and checks it.
   void observe(const std::string& name, const Metadata& metadata);
 
  private:
@@ -40,9 +40,9 @@
   Holders holders_;
   Fail fail_;
   std::map<EpochOfCluster, uint64_t> digests_;
-  /// The cluster that was seen last at each epoch number.
+  /// The cluster seen last at each epoch number.
   std::map<Epoch, uint64_t> clusters_;
-  /// Epochs whose number another cluster has used again.
+  /// Epochs whose number was reused by another cluster.
   std::set<EpochOfCluster> retired_;
 };
 
--- a/tests/simulation/operator_request.cpp
+++ b/tests/simulation/operator_request.cpp
@@ -7,12 +7,12 @@
 
 namespace mosskeel::sim {
 
-OperatorRequest::OperatorRequest(World& world, std::string controller, ApiRequest request, Then then)
+OperatorRequest::OperatorRequest(World& world, std::string controller, ApiRequest request, Callback on_done)
     : world_(world),
       controller_(std::move(controller)),
       request_(std::move(request)),
-      then_(std::move(then)),
-      life_(world.node(controller_).life),
+      on_done_(std::move(on_done)),
+      process_id_(world.node(controller_).process_id),
       began_(world.now()),
       session_("local:operator" + std::to_string(world.next_random())) {}
 
@@ -29,7 +29,7 @@
   resume();
 }
 
-/// On the world's thread: hands the turn to the request and waits until it blocks or ends.
+/// Called on the world's thread: lets the request's thread run and waits until it blocks or ends.
 void OperatorRequest::resume() {
   if (over_)
     return;
@@ -44,10 +44,10 @@
   if (abandoned_)
     return;
   auto took = was_frozen_ ? 0ms : world_.now() - began_;
-  then_(runs() ? answer_ : std::nullopt, took);
+  on_done_(runs() ? answer_ : std::nullopt, took);
 }
 
-/// Schedules the end of the wait under way, unless something else ends it before.
+/// Schedules the end of the current wait, unless something else ends it first.
 void OperatorRequest::resume_at(TimePoint time) {
   world_.at(time, [this, number = wait_number_] {
     if (number == wait_number_)
@@ -71,11 +71,11 @@
 void OperatorRequest::wait_until(TimePoint world_time) {
   ++wait_number_;
   resume_at(std::max(world_time, world_.now() + 1ms));
-  hand_over();
+  yield_turn();
   ++wait_number_;
 }
 
-void OperatorRequest::hand_over() {
+void OperatorRequest::yield_turn() {
   std::unique_lock lock(mutex_);
   is_my_turn_ = false;
   turn_changed_.notify_all();
@@ -89,14 +89,14 @@
 
 bool OperatorRequest::runs() {
   const auto& node = world_.node(controller_);
-  return node.machine && node.life == life_;
+  return node.machine && node.process_id == process_id_;
 }
 
 bool OperatorRequest::stopped() {
   return abandoned_ || !runs();
 }
 
-/// A frozen process does nothing, though its clock goes on.
+/// A frozen process does nothing, but its clock advances.
 void OperatorRequest::wait_while_frozen() {
   while (!stopped() && world_.node(controller_).frozen) {
     was_frozen_ = true;
@@ -120,8 +120,8 @@
     look(static_cast<ControllerMachine&>(*world_.node(controller_).machine), now());
 }
 
-/// The request goes on at this moment, but not from inside the state machine's own step.
-void OperatorRequest::hear(const CommitReply& reply) {
+/// Resumes the request at the current time, but not from within the state machine's step.
+void OperatorRequest::on_message(const CommitReply& reply) {
   if (over_ || stopped())
     return;
   reply_ = reply;
@@ -134,8 +134,8 @@
   return purpose + "-" + hex(digest(session_, commit_id_number_));
 }
 
-CommitReply OperatorRequest::commit(const Transformation& change, const std::string& id, Duration patience) {
-  auto deadline = now() + patience;
+CommitReply OperatorRequest::commit(const Transformation& change, const std::string& id, Duration timeout) {
+  auto deadline = now() + timeout;
   CommitReply last{};
   last.id = id;
   last.outcome = CommitOutcome::unknown;
@@ -155,7 +155,7 @@
   return last;
 }
 
-/// The message is posted by the world's thread.
+/// Posts the message on the world's thread.
 void OperatorRequest::send_commit(const Commit& commit, const MetadataSnapshot& metadata) {
   Envelope envelope{};
   envelope.from = session_;
--- a/tests/simulation/operator_request.hpp
+++ b/tests/simulation/operator_request.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// One request of a platform's operator, run by the real control protocol on a simulated controller.
+// An operator's API request, run by the real control protocol on a simulated controller.
 #include <condition_variable>
 #include <mutex>
 #include <thread>
@@ -10,29 +10,28 @@
 
 namespace mosskeel::sim {
 
-/// The code under test blocks as it does in the daemon, so each request has a thread of its own.
+/// The code under test blocks as it does in the daemon, so each request runs on its own thread.
 ///
-/// Invariant: only one of this thread and the world's runs at a time, and each hands over only when it blocks; so a
-/// seed plays the same day whatever the machine does.
+/// Invariant: either this thread or the world's thread runs, never both, and control passes only where one blocks. A
+/// seed therefore gives the same run regardless of thread scheduling.
 class OperatorRequest : public ControllerAccess {
  public:
-  /// Hears the answer, or nothing where the controller's process died before; `took` is 0 where it was frozen
-  /// meanwhile.
-  using Then = std::function<void(std::optional<ApiResponse> answer, Duration took)>;
+  /// Receives the response, or nothing if the controller's process ended first; `took` is 0 if it was frozen meanwhile.
+  using Callback = std::function<void(std::optional<ApiResponse> answer, Duration took)>;
 
-  OperatorRequest(World& world, std::string controller, ApiRequest request, Then then);
+  OperatorRequest(World& world, std::string controller, ApiRequest request, Callback on_done);
   OperatorRequest(const OperatorRequest&) = delete;
   OperatorRequest& operator=(const OperatorRequest&) = delete;
-  /// Lets the thread come to its end; nobody hears the answer any more.
+  /// Runs the thread to its end without reporting the response.
   ~OperatorRequest() override;
   void start();
-  /// A reply for this request's session.
-  void hear(const CommitReply& reply);
+  /// Handles a reply to this request's session.
+  void on_message(const CommitReply& reply);
   const Address& session() const { return session_; }
 
-  // What the control protocol asks of the controller; called on the request's thread.
+  // ControllerAccess, called on the request's thread.
   std::string new_commit_id(const std::string& purpose) override;
-  CommitReply commit(const Transformation& change, const std::string& id, Duration patience) override;
+  CommitReply commit(const Transformation& change, const std::string& id, Duration timeout) override;
   void inspect(const std::function<void(ControllerMachine&, TimePoint)>& look) override;
   TimePoint now() override;
   void pause(Duration time) override;
@@ -43,7 +42,7 @@
   void resume();
   void resume_at(TimePoint time);
   void wait_until(TimePoint world_time);
-  void hand_over();
+  void yield_turn();
   void await_turn();
   void wait_while_frozen();
   void send_commit(const Commit& commit, const MetadataSnapshot& metadata);
@@ -52,14 +51,14 @@
   World& world_;
   std::string controller_;
   ApiRequest request_;
-  Then then_;
-  /// The process that works on the request.
-  uint64_t life_;
+  Callback on_done_;
+  /// The controller process that handles the request.
+  uint64_t process_id_;
   /// Counts the waits, so that a timer of an earlier wait does not end a later one.
   uint64_t wait_number_ = 0;
   TimePoint began_;
   Address session_;
-  /// Counts the ids of commits.
+  /// Number of commit ids generated so far.
   uint64_t commit_id_number_ = 0;
   std::optional<CommitReply> reply_;
   std::optional<ApiResponse> answer_;
--- a/tests/simulation/operators.cpp
+++ b/tests/simulation/operators.cpp
@@ -1,4 +1,4 @@
-// Simulated operators and the platform: changes of the metadata, and the limits within which they must be in force.
+// Simulated operators and the platform: metadata changes and the time limits within which they must take effect.
 #include <algorithm>
 
 #include "metadata/constants.hpp"
@@ -7,15 +7,17 @@
 namespace mosskeel::sim {
 namespace {
 
-/// When an operator asks again after an unknown outcome.
+/// Retry delay after an unknown outcome.
 constexpr Duration kCommitRetry = 50ms;
-/// When an operator asks another controller after silence; a little longer than a controller works on one commit.
-constexpr Duration kCommitSilence = 2300ms;
-/// A configuration is in force at each gateway in touch 2 s after its acknowledgement; the rest is the message's way.
+/// An operator tries another controller after this time without a reply; a little longer than a controller works on one
+/// commit.
+constexpr Duration kCommitResponseTimeout = 2300ms;
+/// A configuration is in force at each connected gateway 2 s after its acknowledgement; the rest allows for message
+/// delays.
 constexpr Duration kConfigurationLimit = 2100ms;
-/// How long the fleet may take to come up.
+/// Time limit for the fleet to become ready.
 constexpr Duration kStartTime = 60000ms;
-/// The retention of the first cell, longer than any day.
+/// The retention of the first cell; longer than any scenario.
 constexpr int64_t kLongRetentionMs = 3600000;
 
 bool is_committed(const CommitReply& reply) {
@@ -24,25 +26,25 @@
 
 }  // namespace
 
-void Callers::commit(Transformation change, CommitHandler then, std::string id, Duration patience) {
+void Callers::commit(Transformation change, CommitHandler on_done, std::string id, Duration timeout) {
   if (id.empty())
     id = "sim-" + std::to_string(world_.next_random());
   auto pending = std::make_shared<PendingCommit>();
   pending->change = std::move(change);
   pending->id = std::move(id);
-  pending->deadline = world_.now() + patience;
-  pending->then = std::move(then);
-  note_asked(pending->change);
+  pending->deadline = world_.now() + timeout;
+  pending->on_done = std::move(on_done);
+  on_commit_requested(pending->change);
   try_commit(pending);
 }
 
-void Callers::set_replica(const std::string& name, ReplicaHealth health, CommitHandler then, Duration patience) {
+void Callers::set_replica(const std::string& name, ReplicaHealth health, CommitHandler on_done, Duration timeout) {
   const auto& replica = replicas[name];
-  commit(SetReplica{{name, replica.kind, replica.zone, "http://" + name, health, {}, 0}}, std::move(then), "",
-         patience);
+  commit(SetReplica{{name, replica.kind, replica.zone, "http://" + name, health, {}, 0}}, std::move(on_done), "",
+         timeout);
 }
 
-/// Asks one controller; the next try follows an unknown outcome or silence.
+/// Sends the change to one controller; retried after an unknown outcome or if there is no reply.
 void Callers::try_commit(const std::shared_ptr<PendingCommit>& pending) {
   if (pending->over)
     return;
@@ -51,11 +53,11 @@
     CommitReply reply{};
     reply.id = pending->id;
     reply.outcome = CommitOutcome::unknown;
-    return pending->then(reply);
+    return pending->on_done(reply);
   }
   auto answered = std::make_shared<bool>(false);
   send_commit(pending, answered);
-  world_.at(world_.now() + kCommitSilence, [=, this] {
+  world_.at(world_.now() + kCommitResponseTimeout, [=, this] {
     if (*answered)
       return;
     *answered = true;
@@ -71,31 +73,31 @@
   if (choices.empty())
     return;
   auto controller = choices[world_.next_random() % choices.size()];
-  auto hear = [=, this](const Message& message) {
+  auto on_message = [=, this](const Message& message) {
     const auto* reply = std::get_if<CommitReply>(&message);
     if (!reply || pending->over || *answered)
       return;
     *answered = true;
-    hear_commit(pending, *reply);
+    handle_commit_reply(pending, *reply);
   };
   auto view = world_.node(controller).machine->view();
   Envelope envelope{};
-  envelope.from = open_session(controller, hear, [] {});
+  envelope.from = open_session(controller, on_message, [] {});
   envelope.epoch = view->epoch;
   envelope.cluster = view->cluster;
   envelope.body = Commit{pending->id, pending->change, view->epoch, 0};
   world_.post(controller, std::move(envelope));
 }
 
-void Callers::hear_commit(const std::shared_ptr<PendingCommit>& pending, const CommitReply& reply) {
+void Callers::handle_commit_reply(const std::shared_ptr<PendingCommit>& pending, const CommitReply& reply) {
   if (reply.outcome == CommitOutcome::unknown)
     return world_.at(world_.now() + kCommitRetry, [=, this] { try_commit(pending); });
   pending->over = true;
   if (is_committed(reply)) {
-    note_acknowledged(pending->change);
+    on_commit_acknowledged(pending->change);
     check_one_change_per_base(pending->change, pending->id);
   }
-  pending->then(reply);
+  pending->on_done(reply);
 }
 
 void Callers::check_one_change_per_base(const Transformation& change, const std::string& id) {
@@ -108,9 +110,9 @@
     world_.fail("two changes on revision " + std::to_string(base) + " were both acknowledged");
 }
 
-/// From an acknowledgement on its limits count: for drains at a replica's door, for configurations at every gateway in
-/// touch.
-void Callers::note_acknowledged(const Transformation& change) {
+/// Starts the time limits of an acknowledged change: drains are checked at the replica, configurations at every
+/// connected gateway.
+void Callers::on_commit_acknowledged(const Transformation& change) {
   if (const auto* listed = std::get_if<SetReplica>(&change);
       listed && listed->replica.health == ReplicaHealth::draining)
     replicas[listed->replica.name].draining_since = world_.now();
@@ -130,8 +132,8 @@
   });
 }
 
-/// From the asking on, a drain that is taken back is not in force any more.
-void Callers::note_asked(const Transformation& change) {
+/// Once an operator asks for a drain or evacuation to be reverted, its limit no longer applies.
+void Callers::on_commit_requested(const Transformation& change) {
   if (const auto* listed = std::get_if<SetReplica>(&change);
       listed && listed->replica.health != ReplicaHealth::draining)
     replicas[listed->replica.name].draining_since = {};
@@ -142,7 +144,7 @@
 }
 
 bool Callers::introduce() {
-  // The handlers may outlive this call where the fleet does not come up.
+  // The handlers may outlive this call if the fleet does not become ready.
   auto missing = std::make_shared<int>(static_cast<int>(replicas.size()) + 1);
   auto count_down = [missing](const CommitReply& reply) {
     *missing -= is_committed(reply);
--- a/tests/simulation/orders.cpp
+++ b/tests/simulation/orders.cpp
@@ -9,25 +9,25 @@
 namespace mosskeel::sim {
 namespace {
 
-/// When an operator sends an order again that got no answer.
-constexpr Duration kCallerSilence = 1000ms;
-/// After so many tries an operator gives up.
-constexpr int kMostOrderTries = 12;
-/// How likely an answer is lost, a request is late, and a request arrives twice.
+/// An operator sends an order again after this time without an answer.
+constexpr Duration kResponseTimeout = 1000ms;
+/// Number of attempts after which an operator gives up.
+constexpr int kMaxOrderTries = 12;
+/// Probability that an answer is lost, a request is late, and a request arrives twice.
 constexpr double kAnswerLost = 0.2;
 constexpr double kRequestLate = 0.2;
 constexpr double kRequestRepeated = 0.2;
-/// How likely an order is invalid, and how likely one builds on a revision that does not yet exist.
+/// Probability that an order is invalid, and that one is based on a revision that does not yet exist.
 constexpr double kInvalidOrder = 0.05;
 constexpr double kEarlyOrder = 0.2;
-/// Up to so many orders race on one revision.
-constexpr uint64_t kMostRivals = 8;
-/// An order's own revision, or an early order's base, is up to so many too high.
+/// Maximum number of concurrent orders on one revision.
+constexpr uint64_t kMaxRivals = 8;
+/// An order's own revision, or an early order's base, is too high by less than this, or by up to this, respectively.
 constexpr uint64_t kRevisionGuesses = 3;
-/// An answer may take this much longer than the operator's time-out: the state machine looks at timers in steps.
+/// An answer may take this much longer than the operator's timeout, since the state machine checks timers on ticks.
 constexpr Duration kAnswerMargin = 100ms;
-/// With fewer acknowledged orders the day shows nothing.
-constexpr size_t kFewestAcknowledged = 5;
+/// With fewer acknowledged orders the run tests too little.
+constexpr size_t kMinAcknowledged = 5;
 
 constexpr int kHttpOk = 200;
 constexpr int kHttpRedirect = 307;
@@ -36,13 +36,13 @@
 constexpr int kHttpServerError = 500;
 constexpr int kHttpUnavailable = 503;
 
-/// One change, sent again word for word until its end is known or its operator gives up.
+/// A configuration change by an operator, retried unchanged until its outcome is known or the operator gives up.
 struct Order {
   ApiRequest request;
   Revision base;
   uint64_t number = 0;
   bool valid = true;
-  /// Built on a revision that may come to be: what was too early once may be taken later.
+  /// Based on a revision that does not exist yet; rejected as too early at first, it may be accepted later.
   bool early = false;
   int tries = 0;
   bool acknowledged = false, refused = false, over = false;
@@ -54,15 +54,15 @@
   }
 };
 
-/// Sends orders as the platform's operator does, and checks every answer, also those that get lost on their way.
+/// Sends orders as the platform's operators do and checks every answer, including those that are lost on the way.
 ///
-/// Checked: of the orders on one revision one at most is acknowledged, an acknowledged order is in the log for ever, a
-/// refused one never gets in, reading back never shows an older revision, and every answer comes in time.
+/// Invariants: at most one order per base revision is acknowledged, an acknowledged order stays in the log, a refused
+/// one never enters it, reads never return an older revision, and every answer comes within its time limit.
 class Operators {
  public:
   explicit Operators(Day& day) : day_(day), world_(day.world), usual_handler_(day.world.local) {
     world_.local = [this](Node& node, const Envelope& envelope) {
-      hear(node, envelope);
+      on_message(node, envelope);
     };
   }
   Operators(const Operators&) = delete;
@@ -74,7 +74,7 @@
 
   /// A new order that adds a service.
   std::shared_ptr<Order> make_order(Revision base, bool patch, bool valid = true);
-  /// One try; the next follows a failure, or a second of silence, at any controller.
+  /// Makes one attempt; retried at any controller after a failure or after a second without an answer.
   void send(std::shared_ptr<Order> order);
   /// Reads the configuration back from any controller.
   void read();
@@ -83,19 +83,19 @@
 
   uint64_t acknowledged() const { return acknowledged_; }
   uint64_t refused() const { return refused_; }
-  uint64_t unclear() const { return unclear_; }
+  uint64_t unknown() const { return unknown_; }
 
  private:
-  void hear(Node& node, const Envelope& envelope);
-  void arrive(const std::shared_ptr<Order>& order, const std::string& controller, bool is_heard);
-  void hear_answer(const std::shared_ptr<Order>& order, int tried, const ApiResponse& answer);
+  void on_message(Node& node, const Envelope& envelope);
+  void deliver_order(const std::shared_ptr<Order>& order, const std::string& controller, bool answer_arrives);
+  void handle_answer(const std::shared_ptr<Order>& order, int tried, const ApiResponse& answer);
   void retry_after(const std::shared_ptr<Order>& order, int tried, Duration wait);
   void check_answer(const std::shared_ptr<Order>& order, const ApiResponse& answer, Duration took);
   void check_acknowledged(const std::shared_ptr<Order>& order, const std::string& what);
   void check_refused(Order& order, const std::string& what, const ApiResponse& answer);
   void check_read(Revision least, const ApiResponse& answer);
   void check_log(const Metadata& metadata);
-  void request(const std::string& controller, ApiRequest request, OperatorRequest::Then then);
+  void request(const std::string& controller, ApiRequest request, OperatorRequest::Callback on_done);
 
   Day& day_;
   World& world_;
@@ -108,16 +108,16 @@
   /// The newest revision that was read back.
   Revision newest_read_{};
   uint64_t last_number_ = 0;
-  uint64_t acknowledged_ = 0, refused_ = 0, unclear_ = 0;
+  uint64_t acknowledged_ = 0, refused_ = 0, unknown_ = 0;
   Duration slowest_{};
 };
 
-void Operators::hear(Node& node, const Envelope& envelope) {
+void Operators::on_message(Node& node, const Envelope& envelope) {
   auto session = sessions_.find(envelope.to);
   if (session == sessions_.end())
     return usual_handler_(node, envelope);
   if (const auto* reply = std::get_if<CommitReply>(&envelope.body))
-    session->second->hear(*reply);
+    session->second->on_message(*reply);
 }
 
 std::shared_ptr<Order> Operators::make_order(Revision base, bool patch, bool valid) {
@@ -143,8 +143,8 @@
   return order;
 }
 
-void Operators::request(const std::string& controller, ApiRequest request, OperatorRequest::Then then) {
-  requests_.push_back(std::make_unique<OperatorRequest>(world_, controller, std::move(request), std::move(then)));
+void Operators::request(const std::string& controller, ApiRequest request, OperatorRequest::Callback on_done) {
+  requests_.push_back(std::make_unique<OperatorRequest>(world_, controller, std::move(request), std::move(on_done)));
   auto& added = *requests_.back();
   sessions_[added.session()] = &added;
   added.start();
@@ -153,20 +153,21 @@
 void Operators::send(std::shared_ptr<Order> order) {
   if (order->over)
     return;
-  if (++order->tries > kMostOrderTries) {
+  if (++order->tries > kMaxOrderTries) {
     order->over = true;
     return;
   }
   auto controller = day_.any(Kind::controller);
   auto delay = world_.chance(kRequestLate) ? world_.below(1500ms) : world_.below(5ms);
-  bool is_heard = !world_.chance(kAnswerLost);
-  world_.at(world_.now() + delay, [=, this] { arrive(order, controller, is_heard); });
+  bool answer_arrives = !world_.chance(kAnswerLost);
+  world_.at(world_.now() + delay, [=, this] { deliver_order(order, controller, answer_arrives); });
   if (world_.chance(kRequestRepeated))
-    world_.at(world_.now() + world_.below(4000ms), [=, this] { arrive(order, day_.any(Kind::controller), false); });
-  retry_after(order, order->tries, kCallerSilence);
+    world_.at(world_.now() + world_.below(4000ms),
+              [=, this] { deliver_order(order, day_.any(Kind::controller), false); });
+  retry_after(order, order->tries, kResponseTimeout);
 }
 
-/// Sends the order again after this time, unless something else has come of that try.
+/// Sends the order again after this time, unless it is over or another attempt was made since.
 void Operators::retry_after(const std::shared_ptr<Order>& order, int tried, Duration wait) {
   world_.at(world_.now() + wait, [=, this] {
     if (!order->over && order->tries == tried)
@@ -174,7 +175,7 @@
   });
 }
 
-void Operators::arrive(const std::shared_ptr<Order>& order, const std::string& controller, bool is_heard) {
+void Operators::deliver_order(const std::shared_ptr<Order>& order, const std::string& controller, bool answer_arrives) {
   if (!world_.node(controller).machine)
     return;
   auto tried = order->tries;
@@ -182,12 +183,12 @@
     if (!answer)
       return;
     check_answer(order, *answer, took);
-    if (is_heard)
-      hear_answer(order, tried, *answer);
+    if (answer_arrives)
+      handle_answer(order, tried, *answer);
   });
 }
 
-void Operators::hear_answer(const std::shared_ptr<Order>& order, int tried, const ApiResponse& answer) {
+void Operators::handle_answer(const std::shared_ptr<Order>& order, int tried, const ApiResponse& answer) {
   if (order->over)
     return;
   if (answer.status < kHttpServerError && answer.status != kHttpRedirect) {
@@ -197,7 +198,7 @@
   retry_after(order, tried, 50ms + world_.below(200ms));
 }
 
-/// Whatever a controller says is its word, whether it reaches the operator or not.
+/// Checks every answer that a controller gives, whether or not it reaches the operator.
 void Operators::check_answer(const std::shared_ptr<Order>& order, const ApiResponse& answer, Duration took) {
   auto what = order->name() + " on " + std::to_string(order->base.value());
   slowest_ = std::max(slowest_, took);
@@ -206,7 +207,7 @@
   else if (answer.status == kHttpBadRequest || answer.status == kHttpPreconditionFailed)
     check_refused(*order, what, answer);
   else if (answer.status == kHttpUnavailable || answer.status == kHttpRedirect)
-    ++unclear_;
+    ++unknown_;
   else
     world_.fail(what + " got " + std::to_string(answer.status));
 }
@@ -220,7 +221,7 @@
   order->acknowledged = true;
   auto [winner, first] = winners_.emplace(order->base, order);
   if (!first && winner->second != order)
-    world_.fail(what + " was acknowledged beside " + winner->second->name());
+    world_.fail(what + " was acknowledged as well as " + winner->second->name());
 }
 
 void Operators::check_refused(Order& order, const std::string& what, const ApiResponse& answer) {
@@ -232,7 +233,7 @@
   order.refused = true;
 }
 
-/// What is read back is not older than what had been read or acknowledged before the reading.
+/// A read must not return a revision older than those read or acknowledged before it started.
 void Operators::read() {
   auto least = newest_read_;
   for (const auto& [base, order] : winners_)
@@ -260,8 +261,8 @@
   if (!metadata)
     return world_.fail("no controller came back");
   check_log(*metadata);
-  if (winners_.size() < kFewestAcknowledged)
-    world_.fail("hardly an order was acknowledged: " + std::to_string(winners_.size()));
+  if (winners_.size() < kMinAcknowledged)
+    world_.fail("too few orders were acknowledged: " + std::to_string(winners_.size()));
   if (slowest_ > kOperatorRequestTimeout + kAnswerMargin)
     world_.fail("an answer took " + std::to_string(slowest_.count()) + " ms");
 }
@@ -271,7 +272,7 @@
   std::set<Revision> bases;
   for (const auto& taken : metadata.applied_configurations)
     if (!bases.insert(taken.base).second)
-      world_.fail("two orders were taken on " + std::to_string(taken.base.value()));
+      world_.fail("two orders were applied on " + std::to_string(taken.base.value()));
   for (const auto& order : orders_) {
     bool taken = metadata.epoch_of_commit(order->commit_id()).has_value();
     if (order->acknowledged && !taken)
@@ -290,8 +291,8 @@
   }
 }
 
-/// Cuts, freezes, kills or slows one controller for a while, at any point of what is under way.
-void disturb_controller(Day& day) {
+/// Cuts off, freezes, kills or slows one controller for a while, whatever it is doing.
+void inject_controller_fault(Day& day) {
   auto& world = day.world;
   auto name = day.any(Kind::controller);
   auto start = [&world, name] {
@@ -325,7 +326,7 @@
   }
 }
 
-/// Brings back whatever is cut, frozen or down.
+/// Ends all faults: cut links, frozen, slow or stopped controllers.
 void recover_controllers(World& world) {
   world.heal();
   world.net.loss = 0;
@@ -338,9 +339,9 @@
   }
 }
 
-/// Several orders on one base, PUT and PATCH mixed.
+/// Sends several orders on one base, PUT and PATCH mixed.
 void send_rivals(World& world, Operators& operators, Revision base) {
-  auto rivals = 1 + world.next_random() % kMostRivals;
+  auto rivals = 1 + world.next_random() % kMaxRivals;
   for (uint64_t i = 0; i < rivals; ++i) {
     auto patch = world.chance(0.5);
     auto valid = !world.chance(kInvalidOrder);
@@ -359,7 +360,7 @@
 
 }  // namespace
 
-/// Up to eight orders at once on one base, their answers lost, late and doubled, while controllers are in trouble.
+/// Up to eight concurrent orders on one base, with lost answers and late or repeated requests, while controllers fail.
 void orders(Day& day) {
   auto& world = day.world;
   day.closed = true;
@@ -368,7 +369,7 @@
   world.net.loss = world.chance(0.5) ? 0.02 : 0;
   world.net.twice = world.chance(0.5) ? 0.05 : 0;
   auto end = world.now() + 60000ms;
-  auto next_trouble = world.now() + world.below(2000ms);
+  auto next_fault = world.now() + world.below(2000ms);
   while (world.now() < end) {
     auto newest = latest(world);
     if (!newest) {
@@ -378,9 +379,9 @@
     send_rivals(world, operators, newest->revision);
     if (world.chance(kEarlyOrder))
       send_early_order(world, operators, newest->revision);
-    if (world.now() >= next_trouble) {
-      disturb_controller(day);
-      next_trouble = world.now() + 500ms + world.below(5000ms);
+    if (world.now() >= next_fault) {
+      inject_controller_fault(day);
+      next_fault = world.now() + 500ms + world.below(5000ms);
     }
     world.run(300ms + world.below(1500ms));
     operators.read();
@@ -388,10 +389,10 @@
   recover_controllers(world);
   world.run(20000ms);
   operators.check_at_end();
-  // No caller is served: the operators' configurations take the introduced cell away.
+  // No caller is served, since the operators' configurations remove the initial cell.
   day.callers.totals.successes += operators.acknowledged();
   day.callers.totals.refusals += operators.refused();
-  day.callers.totals.unknowns += operators.unclear();
+  day.callers.totals.unknowns += operators.unknown();
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/ordinary_scenarios.cpp
+++ b/tests/simulation/ordinary_scenarios.cpp
@@ -1,12 +1,13 @@
-// Scenarios of one kind of trouble each.
+// Scenarios with one kind of fault each.
 #include "runtime/settings.hpp"
 #include "simulation/scenario_functions.hpp"
 
 namespace mosskeel::sim {
 namespace {
 
-/// One random trouble for one daemon, and its end some seconds later. A slow disk stays slow until the day's close.
-void disturb(Day& day, const std::string& name, const std::vector<Kind>& kinds, bool slow_disks) {
+/// Injects a random fault into one daemon and ends it some seconds later. A slow disk stays slow until the final
+/// recovery.
+void inject_random_fault(Day& day, const std::string& name, const std::vector<Kind>& kinds, bool slow_disks) {
   auto& world = day.world;
   auto start = [&world, name] {
     world.start(name);
@@ -55,13 +56,13 @@
 
 }  // namespace
 
-/// Nothing happens but load.
+/// Load without faults.
 void quiet(Day& day) {
   day.callers.traffic(100ms, day.world.now() + 10000ms);
   day.world.run(12000ms);
 }
 
-/// Messages are lost, doubled and late.
+/// Messages are lost, duplicated and late.
 void lossy(Day& day) {
   day.world.net.loss = 0.02;
   day.world.net.twice = 0.05;
@@ -78,16 +79,16 @@
     world.run(500ms + world.below(2500ms));
     auto kind = kinds[world.next_random() % kinds.size()];
     auto name = day.any(kind);
-    disturb(day, name, kinds, slow_disks);
+    inject_random_fault(day, name, kinds, slow_disks);
   }
   world.run(3000ms);
 }
 
-/// Replicas break in every way.
+/// Replicas fail in every way.
 void faults(Day& day) {
   constexpr ReplicaFault all[] = {ReplicaFault::cut,   ReplicaFault::lost, ReplicaFault::unsealed,
                                   ReplicaFault::stall, ReplicaFault::skip, ReplicaFault::false_seal};
-  constexpr int faulty_calls = 3;  // one call in so many
+  constexpr int faulty_calls = 3;  // one in this many calls
   constexpr uint64_t models = 4;
   auto& world = day.world;
   size_t next = 0;
@@ -104,8 +105,8 @@
   world.run(12000ms);
 }
 
-/// Operators race while controllers lose power; every acknowledged configuration is in force in 2 s everywhere in
-/// touch.
+/// Operators send concurrent changes while controllers lose power; every acknowledged configuration must be in force
+/// within 2 s at every connected gateway.
 void storm(Day& day) {
   auto& world = day.world;
   auto end = world.now() + 15000ms;
@@ -182,12 +183,12 @@
   for (auto id : metadata->members)
     admitted = admitted || metadata->find(id)->self.address == "controller9";
   if (!admitted)
-    world.fail("the empty machine was not brought into the core");
+    world.fail("the empty controller did not join the core");
   world.start(lost);
   world.run(5000ms);
 }
 
-/// Gateways leave in order, one after the other, and come back: no answer may be lost.
+/// Gateways shut down gracefully, one after the other, and return: no answer may be lost.
 void rolling(Day& day) {
   auto& world = day.world;
   day.callers.traffic(60ms, world.now() + 25000ms);
@@ -196,7 +197,7 @@
     auto& gateway = static_cast<GatewayMachine&>(*world.node(name).machine);
     gateway.begin_shutdown(ShutdownLimits::begin(world.clock(world.node(name)), kDefaultShutdownGrace));
     if (!world.until(15000ms, [&] { return !world.node(name).machine; }))
-      world.fail(name + " did not leave in order");
+      world.fail(name + " did not shut down gracefully");
     world.run(300ms);
     world.start(name);
     world.until(10000ms, [&] { return world.ready(name); });
--- a/tests/simulation/readback.cpp
+++ b/tests/simulation/readback.cpp
@@ -1,4 +1,4 @@
-// The end of a day: every program is read back, and what was promised of its turns is checked.
+// Final checks of a run: every program is read back and its acknowledged turns are verified.
 #include <algorithm>
 
 #include <nlohmann/json.hpp>
@@ -11,8 +11,8 @@
 using Json = nlohmann::json;
 
 constexpr int64_t kReadDeadlineMs = 5000;
-/// A program may be out of reach for a while; after so many tries it counts as lost.
-constexpr int kMostReads = 40;
+/// A program may be unavailable for a while; after this many attempts it counts as lost.
+constexpr int kMaxReads = 40;
 constexpr Duration kReadRetry = 250ms;
 /// All programs together must be read back within this time.
 constexpr Duration kReadBackTime = 30000ms;
@@ -43,34 +43,34 @@
   for (const auto& [program, turns] : turns_)
     for (const auto& turn : turns)
       if (turn->done && turn->sure_not_run && !turn->success && runs_[turn_name(program, turn->key)])
-        world_.fail("refused as not run, yet ran: " + turn->key);
+        world_.fail("rejected as not executed, but ran: " + turn->key);
 }
 
 void Callers::try_read_back(const std::shared_ptr<ReadBack>& reading) {
-  std::vector<std::shared_ptr<Turn>> due;
+  std::vector<std::shared_ptr<Turn>> expected;
   for (const auto& turn : turns_.at(reading->program))
     if (turn->success)
-      due.push_back(turn);
+      expected.push_back(turn);
   auto heard = std::make_shared<bool>(false);
   read_back(reading->program, [=, this](uint32_t status, const std::string& body) {
     if (*heard)
       return;
     *heard = true;
-    hear_read_back(reading, due, status, body);
+    handle_read_back(reading, expected, status, body);
   });
 }
 
-/// Reads a program's history through any gateway; status 0 says that there was no answer.
-void Callers::read_back(const std::string& program, ReadHandler then) {
+/// Reads a program's history through any gateway; status 0 means that there was no response.
+void Callers::read_back(const std::string& program, ReadHandler on_done) {
   auto gateway = pick_gateway();
   if (gateway.empty())
-    return then(0, "");
-  auto hear = [=](const Message& message) {
+    return on_done(0, "");
+  auto on_message = [=](const Message& message) {
     const auto* response = std::get_if<ProgramResponse>(&message);
     if (response)
-      then(response->status, response->status == kStatusOk ? response->body : response->reason);
+      on_done(response->status, response->status == kStatusOk ? response->body : response->reason);
   };
-  auto session = open_session(gateway, hear, [=] { then(0, ""); });
+  auto session = open_session(gateway, on_message, [=] { on_done(0, ""); });
   ProgramRequest request{};
   request.attempt = "h" + std::to_string(world_.next_random());
   request.cell = "news";
@@ -80,20 +80,21 @@
   post(gateway, session, std::move(request));
 }
 
-void Callers::hear_read_back(const std::shared_ptr<ReadBack>& reading, const std::vector<std::shared_ptr<Turn>>& due,
-                             uint32_t status, const std::string& body) {
+void Callers::handle_read_back(const std::shared_ptr<ReadBack>& reading,
+                               const std::vector<std::shared_ptr<Turn>>& expected, uint32_t status,
+                               const std::string& body) {
   const auto& program = reading->program;
   if (status == kStatusMissing) {
-    world_.fail("a kept program was reported missing: " + program);
+    world_.fail("an acknowledged program was reported missing: " + program);
     --unread_;
     return;
   }
   if (status == kStatusOk) {
     --unread_;
     ++totals.resumed;
-    return check_kept(program, due, body);
+    return check_recorded_turns(program, expected, body);
   }
-  if (++reading->tries > kMostReads) {
+  if (++reading->tries > kMaxReads) {
     world_.fail("program " + program + " cannot be read back: " + body);
     --unread_;
     return;
@@ -101,16 +102,16 @@
   world_.at(world_.now() + kReadRetry, [=, this] { try_read_back(reading); });
 }
 
-void Callers::check_kept(const std::string& program, const std::vector<std::shared_ptr<Turn>>& due,
-                         const std::string& body) {
+void Callers::check_recorded_turns(const std::string& program, const std::vector<std::shared_ptr<Turn>>& expected,
+                                   const std::string& body) {
   auto history = Json::parse(body);
   std::map<std::string, std::string> kept;
   for (const auto& turn : history["turns"])
     if (turn["status"] == kStatusOk)
       kept[turn["key"].get<std::string>()] = turn["output"].get<std::string>();
-  for (const auto& turn : due)
+  for (const auto& turn : expected)
     if (kept[turn->key] != turn->output)
-      world_.fail("kept turn " + turn->key + " of " + program + " is gone or changed");
+      world_.fail("acknowledged turn " + turn->key + " of " + program + " is lost or changed");
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/retention.cpp
+++ b/tests/simulation/retention.cpp
@@ -1,4 +1,4 @@
-// Retention runs out, is shortened and lengthened, and cells go and come back, while turns are kept.
+// Retention expires, is shortened and extended, and cells are removed and added again, while turns are retained.
 #include <algorithm>
 
 #include "metadata/constants.hpp"
@@ -10,25 +10,25 @@
 constexpr Duration kShortRetention = 20000ms;
 constexpr Duration kMiddleRetention = 3 * kShortRetention;
 constexpr Duration kLongRetention = 4 * kShortRetention;
-/// To what the long retention is cut.
+/// The value to which the long retention is shortened.
 constexpr Duration kCutRetention = 1000ms;
-/// The status of a program whose retention is over, and of a fleet that cannot answer now.
+/// Status for a program whose retention has expired, and for a temporarily unavailable fleet.
 constexpr uint32_t kStatusGone = 410;
 constexpr uint32_t kStatusNotNow = 503;
 /// Histories may outlive their retention by this much: clocks differ, and one store's runs 30 times as fast.
 constexpr Duration kShortRetentionEnd = kShortRetention + 100000ms;
 constexpr Duration kLongRetentionEnd = kLongRetention + 110000ms;
-/// The rate of a store's clock that must not end histories before their time.
+/// Rate of a store's fast clock, which must not make histories expire early.
 constexpr double kFastClock = 30;
 
-/// One program with a turn, and for how long it was promised.
+/// A program with one acknowledged turn and the retention guaranteed for it.
 struct KeptProgram {
   std::string cell, program, key;
   TimePoint acknowledged{};
   Duration promised{};
 };
 
-/// Asks for turns of programs in several cells and knows which were promised to be kept, and until when.
+/// Starts turns of programs in several cells and tracks until when each must be retained.
 class RetentionChecker {
  public:
   explicit RetentionChecker(Day& day) : day_(day) {}
@@ -44,10 +44,10 @@
     request.program = program;
     request.key = key;
     request.body = "say " + key;
-    return ask_until_answered(request);
+    return retry_until_answered(request);
   }
 
-  /// One turn of a new program, which is promised to be kept for this long.
+  /// Runs one turn of a new program, which must be retained for this long.
   void add(const std::string& cell, Duration promised) {
     auto number = std::to_string(++last_number_);
     auto program = "r" + number;
@@ -58,7 +58,7 @@
       day_.world.fail("a turn of cell " + cell + " failed");
   }
 
-  /// Applies this list of cells beside the first one.
+  /// Applies a configuration of the first cell and these cells.
   void apply_cells(const std::vector<Cell>& cells) {
     auto metadata = latest(day_.world);
     auto configuration = metadata->configuration;
@@ -73,13 +73,13 @@
     day_.world.run(300ms);
   }
 
-  /// Reading the program back must give this status.
+  /// Checks that reading the program back gives this status.
   void expect(const KeptProgram& kept, uint32_t status, const char* when) {
     ProgramRequest request{};
     request.kind = "history";
     request.cell = kept.cell;
     request.program = kept.program;
-    auto response = ask_until_answered(request);
+    auto response = retry_until_answered(request);
     if (response.status == status)
       return;
     auto age = day_.world.now() - kept.acknowledged;
@@ -87,7 +87,7 @@
                     response.reason + ") " + when + ", " + std::to_string(age.count()) + " ms after its turn");
   }
 
-  /// Lets time pass until so long after the first turn.
+  /// Lets time pass until this long after the first turn.
   void run_until_age(Duration age) {
     auto moment = programs_.front().acknowledged + age;
     day_.world.run(std::max(Duration::zero(), moment - day_.world.now()));
@@ -96,10 +96,10 @@
   bool is_promised(const KeptProgram& kept) const { return day_.world.now() < kept.acknowledged + kept.promised; }
 
  private:
-  ProgramResponse ask_until_answered(const ProgramRequest& request) {
-    constexpr int most_tries = 20;
-    for (int i = 0; i < most_tries; ++i) {
-      auto response = ask(day_, request, day_.any(Kind::gateway));
+  ProgramResponse retry_until_answered(const ProgramRequest& request) {
+    constexpr int max_tries = 20;
+    for (int i = 0; i < max_tries; ++i) {
+      auto response = send_request(day_, request, day_.any(Kind::gateway));
       if (response.status && response.status != kStatusNotNow)
         return response;
       day_.world.run(300ms);
@@ -123,7 +123,8 @@
   day.world.start(store);
 }
 
-/// Programs in three cells: retention is lengthened in one, cut in another, and the third cell goes and comes back.
+/// Programs in three cells: retention is extended in one and shortened in another, and the third cell is removed and
+/// added again.
 void keep_turns(Day& day, RetentionChecker& checker) {
   checker.apply_cells(
       {cell_with("plain", kShortRetention), cell_with("cut", kLongRetention), cell_with("gone", kShortRetention)});
@@ -140,22 +141,22 @@
       day.world.fail("a second turn failed");
 }
 
-/// A program that is over is told so, and neither its old turn nor a new one runs.
-void must_be_over(Day& day, RetentionChecker& checker, const KeptProgram& kept) {
-  checker.expect(kept, kStatusGone, "after its end");
+/// Checks that an expired program is reported as such, and that neither its old turn nor a new one runs.
+void must_be_expired(Day& day, RetentionChecker& checker, const KeptProgram& kept) {
+  checker.expect(kept, kStatusGone, "after its retention");
   auto new_key = kept.key + "-new";
   auto runs_before = day.callers.runs(kept.program, kept.key);
   for (const auto& key : {kept.key, new_key}) {
     auto response = checker.turn(kept.cell, kept.program, key);
     if (response.status != kStatusGone)
-      day.world.fail("an ended program took a turn: " + std::to_string(response.status) + " " + response.reason);
+      day.world.fail("an expired program accepted a turn: " + std::to_string(response.status) + " " + response.reason);
   }
   bool old_ran = day.callers.runs(kept.program, kept.key) != runs_before;
   if (old_ran || day.callers.runs(kept.program, new_key))
-    day.world.fail("a turn of an ended program ran");
+    day.world.fail("a turn of an expired program ran");
 }
 
-/// In the end stores hold histories of the callers' cell only.
+/// Checks that stores hold histories of the callers' cell only.
 void must_keep_nothing_else(World& world) {
   for (const auto& name : world.names(Kind::store)) {
     const auto& store = static_cast<StoreMachine&>(*world.node(name).machine);
@@ -170,7 +171,7 @@
   return static_cast<StoreMachine&>(*world.node(name).machine);
 }
 
-/// All stores are up, and repair says that nothing is lacking.
+/// Whether all stores are up and repair reports no incomplete comparison.
 bool is_repaired(World& world) {
   auto metadata = latest(world);
   if (!metadata || !metadata->sequences.empty())
@@ -198,9 +199,9 @@
   return found;
 }
 
-/// Each partition's histories are the same on all stores.
+/// Checks that each partition's histories are the same on all stores.
 void must_hold_the_same(World& world) {
-  constexpr size_t fewest_histories = 50;
+  constexpr size_t min_histories = 50;
   auto stores = world.names(Kind::store);
   size_t histories = 0;
   for (uint32_t i = 0; i < kPartitionCount; ++i) {
@@ -211,8 +212,8 @@
         return world.fail(store + " holds other histories of partition " + std::to_string(i) + " than " +
                           stores.front());
   }
-  if (histories < fewest_histories)
-    world.fail("hardly any histories to compare: " + std::to_string(histories));
+  if (histories < min_histories)
+    world.fail("too few histories to compare: " + std::to_string(histories));
 }
 
 void must_be_repaired(World& world, const char* otherwise) {
@@ -222,10 +223,10 @@
     world.fail(otherwise);
 }
 
-/// A random store's disk is lost, but not that of the store that was away.
+/// Erases the disk of a random store other than the spared one.
 void lose_a_disk(Day& day, const std::string& spared) {
   auto& world = day.world;
-  auto lost = day.any_store_but(spared);
+  auto lost = day.any_store_except(spared);
   world.wipe(lost);
   world.run(500ms);
   world.start(lost);
@@ -234,8 +235,8 @@
 
 }  // namespace
 
-/// A program is kept for as long as was promised when its turn was acknowledged, also by a store whose clock runs fast,
-/// and is over some time later on all stores.
+/// A program is retained for as long as was guaranteed when its turn was acknowledged, also by a store whose clock runs
+/// fast, and expires some time later on all stores.
 void retention(Day& day) {
   auto& world = day.world;
   RetentionChecker checker(day);
@@ -255,17 +256,17 @@
   checker.run_until_age(kShortRetentionEnd);
   for (const auto& kept : checker.programs())
     if (kept.promised <= kShortRetention)
-      must_be_over(day, checker, kept);
+      must_be_expired(day, checker, kept);
   checker.run_until_age(kLongRetentionEnd);
   for (const auto& kept : checker.programs())
     checker.expect(kept, kStatusGone, "at the end");
   must_keep_nothing_else(world);
 }
 
-/// A store is away while histories are written; once repair says that nothing is lacking, all stores hold the same,
-/// and again after a disk was lost.
+/// A store is down or frozen while histories are written. Once repair reports completion, all stores must hold the same
+/// histories, and again after a disk was lost.
 void idle_histories(Day& day) {
-  constexpr size_t fewest_fetched = 10;
+  constexpr size_t min_fetched = 10;
   auto& world = day.world;
   auto away = day.any(Kind::store);
   day.callers.traffic(80ms, world.now() + 8000ms);
@@ -283,8 +284,8 @@
   world.run(1000ms);
   must_be_repaired(world, "repair did not come to its end");
   auto fetched = store_machine(world, away).repair().fetched();
-  if (!frozen && fetched < fewest_fetched)
-    world.fail("the store that was away fetched hardly anything: " + std::to_string(fetched));
+  if (!frozen && fetched < min_fetched)
+    world.fail("the store that was down fetched too few records: " + std::to_string(fetched));
   restart_gateways(world);
   lose_a_disk(day, away);
   must_be_repaired(world, "the copies of the lost disk were not restored");
--- a/tests/simulation/scenario_functions.hpp
+++ b/tests/simulation/scenario_functions.hpp
@@ -1,10 +1,10 @@
 #pragma once
-// The scenarios as functions of a day; the table in scenarios.cpp gives each its names and sizes of fleets.
+// The scenarios as functions; the table in scenarios.cpp assigns names and fleet sizes to them.
 #include "simulation/day.hpp"
 
 namespace mosskeel::sim {
 
-// ordinary_scenarios.cpp: one kind of trouble each.
+// ordinary_scenarios.cpp: one kind of fault each.
 void quiet(Day& day);
 void lossy(Day& day);
 void havoc(Day& day, const std::vector<Kind>& kinds, bool slow_disks);
@@ -15,7 +15,7 @@
 void core(Day& day);
 void rolling(Day& day);
 
-// troubles.cpp: whole zones, stores and crowds.
+// troubles.cpp: faults of whole zones and roles, cold replicas and overload.
 void split(Day& day);
 void zone_lost(Day& day);
 void coreless(Day& day);
@@ -37,21 +37,21 @@
 void core_cut(Day& day);
 void gateways_cut(Day& day);
 
-// losses.cpp: stores are lost at the worst moments.
+// losses.cpp: stores are lost at critical moments.
 void pair_wiped(Day& day);
 void unreplaced(Day& day);
 void leaving(Day& day);
 void flapping(Day& day);
 void large_histories(Day& day);
 
-// retention.cpp: histories end, or must not.
+// retention.cpp: histories expire, or must not expire.
 void retention(Day& day);
 void idle_histories(Day& day);
 
-// orders.cpp: operators race through the platform's interface.
+// orders.cpp: operators send concurrent changes through the platform's interface.
 void orders(Day& day);
 
-// sizes.cpp: the sizes of the deployments, and planned work.
+// sizes.cpp: fleets as large as the deployments, and planned maintenance.
 void successor(Day& day);
 void planned(Day& day);
 void deployment(Day& day, bool election);
--- a/tests/simulation/scenarios.cpp
+++ b/tests/simulation/scenarios.cpp
@@ -1,4 +1,4 @@
-// The table of scenarios, and how one is played.
+// The table of scenarios and the code that runs one.
 #include "simulation/scenarios.hpp"
 
 #include "simulation/scenario_functions.hpp"
@@ -6,7 +6,7 @@
 namespace mosskeel::sim {
 namespace {
 
-/// Tokens of a program's budget: enough for any program, for some of them, for hardly one with sub-agents.
+/// Token budgets of a program, from enough for any program to hardly enough for one with sub-agents.
 constexpr uint64_t kAmpleBudget = 400;
 constexpr uint64_t kFaultsBudget = 40;
 constexpr uint64_t kTightBudget = 30;
@@ -16,7 +16,7 @@
   const char* name;
   FleetSize size;
   uint64_t budget;
-  std::function<void(Day&)> play;
+  std::function<void(Day&)> run;
 };
 
 /// The usual fleet, with this many machines of some roles.
@@ -28,7 +28,7 @@
   return {.stores = 5};
 }
 
-/// Two machines may be lost at once.
+/// A fleet that tolerates the loss of two machines at once.
 FleetSize two_losses() {
   return {.controllers = 5, .stores = 7, .gateways = 4, .tolerated = 2};
 }
@@ -103,18 +103,18 @@
   return all;
 }
 
-Verdict play_day(const Scenario& scenario, uint64_t seed, bool notes) {
+ScenarioResult run_day(const Scenario& scenario, uint64_t seed, bool notes) {
   Day day(seed, scenario.size, scenario.budget);
   auto& world = day.world;
   world.keep_notes = notes;
   if (day.callers.introduce()) {
-    scenario.play(day);
+    scenario.run(day);
     if (!day.closed)
       day.close();
   } else {
-    world.fail("the fleet did not come up");
+    world.fail("the fleet did not become ready");
   }
-  // The callers go before the world does.
+  // The callers are destroyed before the world, so their callbacks are removed first.
   world.local = nullptr;
   world.died = nullptr;
   const auto& totals = day.callers.totals;
@@ -127,12 +127,12 @@
           .messages = world.messages,
           .syncs = world.syncs,
           .reasons = totals.reasons,
-          .exposed = day.exposed};
+          .repair_times = day.repair_times};
 }
 
 }  // namespace
 
-std::vector<std::string> scenarios() {
+std::vector<std::string> scenario_names() {
   std::vector<std::string> names;
   names.reserve(table().size());
   for (const auto& scenario : table())
@@ -140,13 +140,13 @@
   return names;
 }
 
-Verdict play(const std::string& scenario, uint64_t seed, bool notes) {
+ScenarioResult run_scenario(const std::string& scenario, uint64_t seed, bool notes) {
   for (const auto& candidate : table())
     if (candidate.name == scenario)
-      return play_day(candidate, seed, notes);
-  Verdict verdict;
-  verdict.failures.push_back("no scenario " + scenario);
-  return verdict;
+      return run_day(candidate, seed, notes);
+  ScenarioResult result;
+  result.failures.push_back("no scenario " + scenario);
+  return result;
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/scenarios.hpp
+++ b/tests/simulation/scenarios.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Seeded days in the life of a fleet, each with its own troubles.
+// Deterministic fleet simulations: a scenario and a seed give a run with injected faults.
 #include <cstdint>
 #include <map>
 #include <string>
@@ -9,20 +9,20 @@
 
 namespace mosskeel::sim {
 
-/// What came of one day.
-struct Verdict {
-  /// Broken promises, and what happened if notes were asked for.
+/// The result of one run.
+struct ScenarioResult {
+  /// Violations, and the trace of the run if notes were requested.
   std::vector<std::string> failures, notes;
   uint64_t successes = 0, refusals = 0, unknowns = 0, resumed = 0, messages = 0, syncs = 0;
-  /// Why answers were not known, by reason.
+  /// Number of unknown outcomes by reason.
   std::map<std::string, uint64_t> reasons;
   /// As in `Day`.
-  std::vector<Duration> exposed;
+  std::vector<Duration> repair_times;
 };
 
 /// The names of all scenarios.
-std::vector<std::string> scenarios();
-/// Plays a day; the same scenario and seed always play the same day.
-Verdict play(const std::string& scenario, uint64_t seed, bool notes = false);
+std::vector<std::string> scenario_names();
+/// Runs a scenario; the same scenario and seed always give the same run.
+ScenarioResult run_scenario(const std::string& scenario, uint64_t seed, bool notes = false);
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/scheduler.hpp
+++ b/tests/simulation/scheduler.hpp
@@ -11,7 +11,7 @@
 
 /// A queue of events on a simulated clock, which moves only from event to event.
 ///
-/// Events at the same moment run in the order in which they were scheduled, so that a seed always plays the same day.
+/// Events at the same moment run in the order in which they were scheduled, so that a seed always gives the same run.
 class Scheduler {
  public:
   TimePoint now() const { return now_; }
@@ -31,7 +31,7 @@
     TimePoint when;
     uint64_t sequence;
     std::function<void()> action;
-    /// The queue puts the greatest first, so the earliest event counts as the greatest.
+    /// std::priority_queue puts the greatest element first, so the earliest event compares as the greatest.
     bool operator<(const Event& other) const { return std::tie(when, sequence) > std::tie(other.when, other.sequence); }
   };
 
--- a/tests/simulation/sizes.cpp
+++ b/tests/simulation/sizes.cpp
@@ -1,4 +1,4 @@
-// Days at the sizes of the deployments: two troubles under load, then a closing fault that stays; and planned work.
+// Scenarios at the sizes of the deployments: two faults under load, then a persistent fault; and planned maintenance.
 #include <algorithm>
 
 #include "metadata/constants.hpp"
@@ -7,11 +7,11 @@
 namespace mosskeel::sim {
 namespace {
 
-/// Troubles and closing faults are chosen by numbers, which docs/proof.md lists.
-constexpr uint64_t kTroubles = 9;
+/// Faults and closing faults are selected by number; docs/proof.md lists them.
+constexpr uint64_t kFaultKinds = 9;
 constexpr uint64_t kClosingFaults = 7;
 
-void crowd(Day& day) {
+void overload_replicas(Day& day) {
   day.callers.settings.urgent_share = 15;
   day.callers.traffic(6ms, day.world.now() + 4000ms);
   day.world.run(6000ms);
@@ -91,11 +91,11 @@
   }
 }
 
-/// One of the troubles, begun and left to take its course.
-void play_trouble(Day& day, uint64_t number) {
-  switch (number % kTroubles) {
+/// Injects one kind of fault; its effects may continue after the call.
+void inject_fault(Day& day, uint64_t number) {
+  switch (number % kFaultKinds) {
     case 0:
-      return crowd(day);
+      return overload_replicas(day);
     case 1:
       return replace_replicas_one_by_one(day);
     case 2:
@@ -139,8 +139,8 @@
   }
 }
 
-/// A fault that stays until the day's close; what it is, for the report.
-const char* play_closing_fault(Day& day, uint64_t number) {
+/// Injects a fault that persists until the final recovery; returns its description for the report.
+const char* inject_closing_fault(Day& day, uint64_t number) {
   auto& world = day.world;
   switch (number % kClosingFaults) {
     case 0:
@@ -171,7 +171,7 @@
 
 /// A new program for each partition, and some of those that were served before.
 std::vector<std::string> programs_to_resume(Day& day) {
-  constexpr size_t most_old_programs = 120;
+  constexpr size_t max_old_programs = 120;
   std::vector<std::string> names;
   std::set<PartitionId> covered;
   for (int i = 0; covered.size() < kPartitionCount; ++i) {
@@ -180,16 +180,16 @@
       names.push_back(name);
   }
   auto old = day.callers.programs();
-  for (size_t i = 0; i < old.size() && i < most_old_programs; ++i)
+  for (size_t i = 0; i < old.size() && i < max_old_programs; ++i)
     names.push_back(old[day.world.next_random() % old.size()]);
   return names;
 }
 
-/// How many turns of each program are not yet served.
+/// Number of turns of each program that are not yet served.
 using OpenTurns = std::map<std::string, int>;
 
-/// A program whose budget is spent counts as served, too.
-std::shared_ptr<OpenTurns> ask_all(Day& day, const std::vector<std::string>& programs) {
+/// Starts a turn of each program. A program whose budget is spent counts as served, too.
+std::shared_ptr<OpenTurns> start_turns(Day& day, const std::vector<std::string>& programs) {
   constexpr uint32_t budget_spent = 429;
   auto open = std::make_shared<OpenTurns>();
   for (const auto& program : programs) {
@@ -206,19 +206,19 @@
 }
 
 std::string list_open(const OpenTurns& open) {
-  constexpr size_t most_characters = 60;
+  constexpr size_t max_characters = 60;
   std::string list;
   for (const auto& [program, turns] : open)
-    if (turns > 0 && list.size() < most_characters)
+    if (turns > 0 && list.size() < max_characters)
       list += " " + program;
   return list;
 }
 
-/// By 12 s after the fault, which stays: a new program on every partition, and old conversations are followed on.
+/// 12 s after a persistent fault, a new program on every partition and continued old programs must be served.
 void must_resume(Day& day, const char* fault) {
   auto& world = day.world;
   auto programs = programs_to_resume(day);
-  auto open = ask_all(day, programs);
+  auto open = start_turns(day, programs);
   auto count_open = [open] {
     return std::count_if(open->begin(), open->end(), [](const auto& entry) { return entry.second > 0; });
   };
@@ -238,8 +238,8 @@
   day.world.run(500ms);
 }
 
-/// All daemons are up, and no sequence is under way.
-bool is_calm(World& world) {
+/// Whether no daemon is down or only registered, and no sequence is in progress.
+bool is_stable(World& world) {
   auto metadata = latest(world);
   if (!metadata || !metadata->sequences.empty())
     return false;
@@ -249,9 +249,9 @@
   });
 }
 
-void must_be_calm(World& world, const char* after) {
-  if (!world.until(15000ms, [&] { return is_calm(world); }))
-    world.fail(std::string("the fleet is not calm after ") + after);
+void must_be_stable(World& world, const char* after) {
+  if (!world.until(15000ms, [&] { return is_stable(world); }))
+    world.fail(std::string("the fleet is not stable after ") + after);
 }
 
 void restart_in_order(World& world) {
@@ -261,7 +261,7 @@
       world.run(300ms + world.below(400ms));
       world.start(name);
       world.run(1500ms);
-      must_be_calm(world, "a restart");
+      must_be_stable(world, "a restart");
     }
   }
 }
@@ -271,7 +271,7 @@
   auto& world = day.world;
   world.add("store9", Kind::store, "a");
   world.run(3000ms);
-  must_be_calm(world, "a store was added");
+  must_be_stable(world, "a store was added");
   must_commit(day, PrepareDrain{latest(world)->find_at("store1")->id}, "the retirement");
   if (!world.until(15000ms, [&] { return has_no_sequences(world); }))
     world.fail("the retirement did not end");
@@ -282,11 +282,11 @@
 void evacuate_and_restore(Day& day) {
   must_commit(day, EvacuateZone{"b"}, "the evacuation");
   day.world.run(3000ms);
-  must_commit(day, RestoreZone{"b"}, "the restoring");
+  must_commit(day, RestoreZone{"b"}, "the restoration");
   day.world.run(2000ms);
 }
 
-bool counts_on(const Metadata& metadata, DaemonId store) {
+bool uses_store(const Metadata& metadata, DaemonId store) {
   return std::any_of(metadata.partitions.begin(), metadata.partitions.end(), [&](const auto& partition) {
     return std::count(partition.stores.begin(), partition.stores.end(), store) > 0;
   });
@@ -296,7 +296,7 @@
 
 /// A store is replaced by an empty one at another address, which joins before the lost one is marked down; later
 /// another one loses its disk. No partition may be left with the lost store in its set, so that the second loss is
-/// borne.
+/// tolerated.
 void successor(Day& day) {
   auto& world = day.world;
   day.callers.traffic(50ms, world.now() + 40000ms);
@@ -307,10 +307,10 @@
   world.add("store9", Kind::store, "a");
   auto is_replaced = [&] {
     auto metadata = latest(world);
-    return metadata->sequences.empty() && !counts_on(*metadata, lost);
+    return metadata->sequences.empty() && !uses_store(*metadata, lost);
   };
   if (!world.until(12000ms, is_replaced))
-    world.fail("partitions still count on a store that is gone");
+    world.fail("partitions still list a lost store");
   world.run(1000ms);
   world.wipe("store2");
   world.run(1000ms);
@@ -320,7 +320,7 @@
     world.fail("the wiped store's join does not end");
 }
 
-/// Every kind of planned work under load, one after the other: no answer may be unknown.
+/// Every kind of planned maintenance under load, one after the other: no outcome may be unknown.
 void planned(Day& day) {
   auto& world = day.world;
   day.callers.traffic(50ms, world.now() + 75000ms);
@@ -330,7 +330,7 @@
   auto metadata = latest(world);
   auto from = metadata->find_at("gateway1")->id;
   auto to = metadata->find_at("gateway3")->id;
-  must_commit(day, MoveAllPartitions{from, to}, "the move of routes");
+  must_commit(day, MoveAllPartitions{from, to}, "moving partitions");
   if (!change_configuration(day, 10000ms))
     world.fail("a configuration was not acknowledged");
   world.run(3000ms);
@@ -343,8 +343,8 @@
     world.fail(std::to_string(count) + " times: " + reason);
 }
 
-/// Two troubles under a deployment's load, then a fault that stays; 12 s later everybody must be served. On election
-/// day the load is higher and more programs are long.
+/// Two faults under a deployment's load, then a persistent fault; 12 s later all programs must be served. With
+/// `election` the load is higher and more programs are long.
 void deployment(Day& day, bool election) {
   auto& world = day.world;
   day.callers.settings.long_program_share = election ? 6 : 12;
@@ -352,14 +352,14 @@
   world.run(2000ms);
   auto first = world.next_random();
   auto second = world.next_random();
-  play_trouble(day, first);
+  inject_fault(day, first);
   world.run(1000ms);
-  bool same = second % kTroubles == first % kTroubles;
-  play_trouble(day, same ? second + 1 : second);
+  bool same = second % kFaultKinds == first % kFaultKinds;
+  inject_fault(day, same ? second + 1 : second);
   if (!world.until(20000ms, [&] { return has_no_sequences(world); }))
-    world.fail("sequences are stuck before the closing fault");
+    world.fail("sequences did not end before the persistent fault");
   world.run(3000ms);
-  const auto* fault = play_closing_fault(day, world.next_random());
+  const auto* fault = inject_closing_fault(day, world.next_random());
   world.run(12000ms);
   day.callers.settings.only_ready = true;
   must_resume(day, fault);
--- a/tests/simulation/troubles.cpp
+++ b/tests/simulation/troubles.cpp
@@ -1,4 +1,4 @@
-// Scenarios of whole zones, stores and crowds.
+// Scenarios with faults of whole zones and roles, with cold replicas and with overload.
 #include "metadata/constants.hpp"
 #include "programs/constants.hpp"
 #include "simulation/scenario_functions.hpp"
@@ -6,7 +6,7 @@
 namespace mosskeel::sim {
 namespace {
 
-/// Cuts the first controllers off from the others; one-way, the others can still be heard.
+/// Cuts the first controllers off from the others; with `one_way` they still receive messages from the others.
 void split_core(World& world, size_t first_part, bool one_way) {
   auto names = world.names(Kind::controller);
   for (size_t i = 0; i < first_part; ++i) {
@@ -24,7 +24,7 @@
       replica.up = up;
 }
 
-/// Everything in the store's partitions is whole: it is up again, and no partition counts on a store that is not.
+/// Whether the store is up again, no sequence is in progress, and all stores of every partition are up.
 bool is_restored(World& world, const std::string& store) {
   auto metadata = latest(world);
   const auto* restored = metadata->find(world.node(store).id.self.incarnation);
@@ -37,7 +37,7 @@
   return true;
 }
 
-/// A replica is marked cold; its ramp must last as long as the configuration says.
+/// Marks a replica as warming up and checks that its ramp lasts as long as configured.
 void mark_cold(Day& day, const std::string& name) {
   constexpr Duration clocks_differ = 500ms;
   auto& world = day.world;
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-/// The core falls into parts, whole and one-way.
+/// The core is partitioned, both ways or one way.
 void split(Day& day) {
   auto& world = day.world;
   day.callers.traffic(100ms, world.now() + 40000ms);
@@ -103,7 +103,7 @@
   world.run(10000ms);
 }
 
-/// All controllers are gone for a while; the fleet serves on the metadata that it has.
+/// All controllers are down for a while; the fleet must serve with the metadata that it has.
 void coreless(Day& day) {
   auto& world = day.world;
   day.callers.traffic(100ms, world.now() + 25000ms);
@@ -117,8 +117,8 @@
     world.fail("the core did not come back");
 }
 
-/// All gateways but one go for good at once. The core and the stores are untouched, so operators' changes are
-/// acknowledged as before, the first of them already right after the loss.
+/// All gateways but one are lost permanently at once. The core and the stores are not affected, so operators' changes
+/// must be acknowledged as before, starting right after the loss.
 void gateways_lost(Day& day) {
   constexpr Duration acknowledgement_limit = 4000ms;
   auto& world = day.world;
@@ -140,7 +140,7 @@
   must_serve(day, 5000ms, "the loss of most gateways");
 }
 
-/// Replicas come back cold, one after the other, under load.
+/// Replicas return cold, one after the other, under load.
 void cold(Day& day) {
   auto& world = day.world;
   day.callers.traffic(25ms, world.now() + 25000ms);
@@ -154,18 +154,18 @@
     world.fail("a cold replica never became ready");
 }
 
-/// A crowd far beyond what the replicas can do, with urgent turns among it: the fleet must go on serving, refuse early
-/// what it cannot serve, and let urgent turns through.
+/// Load far above the replicas' capacity, including urgent turns: the fleet must keep serving, reject early what it
+/// cannot serve, and let urgent turns through.
 void rush(Day& day) {
-  constexpr uint64_t least_goodput = 200;
-  constexpr uint64_t fewest_refusals = 50;
+  constexpr uint64_t min_goodput = 200;
+  constexpr uint64_t min_refusals = 50;
   constexpr Duration refusal_margin = 1000ms;
   auto& world = day.world;
   auto& callers = day.callers;
   auto usual = callers.settings;
   callers.settings.chunk_time = 900ms;
   callers.settings.urgent_share = 20;
-  callers.settings.most_tries = 3;
+  callers.settings.max_tries = 3;
   callers.settings.sub_agents = false;
   callers.traffic(100ms, world.now() + 5000ms);
   world.run(5000ms);
@@ -173,21 +173,21 @@
   auto before = callers.totals.successes;
   world.run(10000ms);
   auto served = callers.totals.successes - before;
-  if (served < least_goodput)
-    world.fail("goodput fell under the crowd: " + std::to_string(served));
-  if (callers.totals.refusals < fewest_refusals)
-    world.fail("nothing was refused, so this was no crowd");
+  if (served < min_goodput)
+    world.fail("goodput is too low under overload: " + std::to_string(served));
+  if (callers.totals.refusals < min_refusals)
+    world.fail("too few refusals, so the fleet was not overloaded");
   world.run(45000ms);
   if (callers.totals.slowest_refusal > kMaxQueueWait + refusal_margin)
-    world.fail("a refusal was held back " + std::to_string(callers.totals.slowest_refusal.count()) + " ms");
-  callers.settings.most_tries = usual.most_tries;
+    world.fail("a refusal took " + std::to_string(callers.totals.slowest_refusal.count()) + " ms");
+  callers.settings.max_tries = usual.max_tries;
   callers.settings.chunk_time = usual.chunk_time;
-  if (callers.totals.urgent_done * 2 < callers.totals.urgent_asked)
+  if (callers.totals.urgent_done * 2 < callers.totals.urgent_requested)
     world.fail("urgent turns starve: " + std::to_string(callers.totals.urgent_done) + " of " +
-               std::to_string(callers.totals.urgent_asked));
+               std::to_string(callers.totals.urgent_requested));
 }
 
-/// All stores are slow, gateways die often, and now and then all stores lose power at once.
+/// All stores are slow, gateways are killed often, and sometimes all stores lose power at once.
 void slow_disks(Day& day) {
   auto& world = day.world;
   day.callers.traffic(80ms, world.now() + 25000ms);
@@ -208,7 +208,7 @@
 }
 
 /// Every store loses its disk, one after the other, each only once the one before is repaired; the gateways restart
-/// each time, so that no owner's memory fills the gaps.
+/// each time, so that stores cannot recover missing records from an owner's memory.
 void carousel(Day& day) {
   auto& world = day.world;
   day.callers.traffic(100ms, world.now() + 20000ms);
@@ -223,7 +223,7 @@
   }
 }
 
-/// Programs whose sub-agents all ask at once, against one small budget.
+/// Programs whose sub-agents all start turns at once, against one small budget.
 void many_helpers(Day& day) {
   constexpr int programs = 30;
   constexpr int sub_agents = 8;
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -7,21 +7,21 @@
 namespace mosskeel::sim {
 namespace {
 
-/// Only the first ones are kept: what follows them is mostly their consequence.
-constexpr size_t kMostFailures = 20;
-/// Controllers that every daemon knows by its settings.
+/// Only the first failures are kept, since later ones are mostly their consequence.
+constexpr size_t kMaxFailures = 20;
+/// Number of controllers that are in every daemon's settings as seeds.
 constexpr int kSeedCount = 3;
-/// Letters a, b and c: the zones from which troubles choose.
-constexpr uint64_t kZonesInTrouble = 3;
+/// Faults choose among zones a, b and c.
+constexpr uint64_t kFaultZones = 3;
 /// The clocks of two processes may be this far apart.
-constexpr Duration kMostClockOffset = 12h;
+constexpr Duration kMaxClockOffset = 12h;
 /// The rate of a clock is off by up to this many millionths.
-constexpr uint64_t kMostClockDrift = 500;
-/// A sync takes one millisecond and less than this.
+constexpr uint64_t kMaxClockDrift = 500;
+/// A sync takes one millisecond plus less than this.
 constexpr Duration kSyncVariation = 3ms;
-/// A message that is late like a retransmission takes less than this in addition.
-constexpr Duration kMostLateness = 300ms;
-/// `chance` is this fine.
+/// Upper bound of the extra delay of a message that is late like a retransmission.
+constexpr Duration kMaxExtraDelay = 300ms;
+/// Resolution of `chance`.
 constexpr uint64_t kChanceSteps = 1000000;
 
 Role role_of(Kind kind) {
@@ -97,7 +97,7 @@
 }
 
 std::string World::any_zone() {
-  return {static_cast<char>('a' + below(kZonesInTrouble))};
+  return {static_cast<char>('a' + below(kFaultZones))};
 }
 
 Node& World::node(const std::string& name) {
@@ -146,23 +146,23 @@
   auto& node = this->node(name);
   if (node.machine)
     return;
-  bool ran_before = node.life != 0;
+  bool ran_before = node.process_id != 0;
   if (!node.has_disk() && ran_before)
     node.id.self.incarnation = Incarnation{random_()};
   node.id.random_seed = random_();
   node.id.seeds = seeds;
   if (configure)
     configure(node.id);
-  node.life = ++lives_;
+  node.process_id = ++last_process_id_;
   node.seen = {};
   node.revision = {};
   node.frozen = false;
   node.backlog.clear();
-  node.clock_offset = below(kMostClockOffset);
-  auto drift = static_cast<double>(below(2 * kMostClockDrift + 1)) - static_cast<double>(kMostClockDrift);
+  node.clock_offset = below(kMaxClockOffset);
+  auto drift = static_cast<double>(below(2 * kMaxClockDrift + 1)) - static_cast<double>(kMaxClockDrift);
   node.rate = 1 + drift * 1e-6;
   node.machine = make_machine(node);
-  at(now() + below(kTickInterval), [this, name, life = node.life] { tick(name, life); });
+  at(now() + below(kTickInterval), [this, name, process_id = node.process_id] { tick(name, process_id); });
 }
 
 std::unique_ptr<StateMachine> World::make_machine(const Node& node) {
@@ -181,16 +181,16 @@
   return nullptr;
 }
 
-void World::die(Node& node) {
+void World::end_process(Node& node) {
   node.machine.reset();
   node.disk.waiting.clear();
   node.disk.in_flight = 0;
   node.backlog.clear();
-  node.life = 0;
+  node.process_id = 0;
   node.frozen = false;
   if (died)
     died(node);
-  node.life = ++lives_;
+  node.process_id = ++last_process_id_;
 }
 
 void World::kill(const std::string& name) {
@@ -201,7 +201,7 @@
   auto survivors = waiting.empty() ? 0 : random_() % (waiting.size() + 1);
   for (size_t i = 0; i < survivors; ++i)
     node.disk.persist(waiting[i]);
-  die(node);
+  end_process(node);
 }
 
 void World::stop(const std::string& name) {
@@ -210,18 +210,18 @@
     return;
   node.disk.in_flight = node.disk.waiting.size();
   finish_sync(node);
-  die(node);
+  end_process(node);
 }
 
 void World::power_off(const std::string& name) {
   if (node(name).machine)
-    die(node(name));
+    end_process(node(name));
 }
 
 void World::wipe(const std::string& name) {
   auto& node = this->node(name);
   if (node.machine)
-    die(node);
+    end_process(node);
   node.disk = {};
   node.id.self.incarnation = Incarnation{random_()};
 }
@@ -232,9 +232,9 @@
     return;
   node.frozen = false;
   auto backlog = std::exchange(node.backlog, {});
-  auto life = node.life;
+  auto process_id = node.process_id;
   for (const auto& envelope : backlog)
-    if (node.life == life && node.machine)
+    if (node.process_id == process_id && node.machine)
       step(node, envelope);
   if (node.machine)
     finish_sync(node);
@@ -261,7 +261,7 @@
 }
 
 void World::fail(const std::string& what) {
-  if (failures.size() < kMostFailures)
+  if (failures.size() < kMaxFailures)
     failures.push_back(std::to_string((now() - kProcessClockStart).count()) + " ms: " + what);
 }
 
@@ -272,21 +272,21 @@
 void World::step(Node& node, const Envelope& envelope) {
   if (keep_notes)
     note(node.name + " <- " + envelope.from + " " + kind_name(envelope.body) + describe_contents(envelope.body));
-  carry_out(node, node.machine->step(envelope, clock(node)));
+  apply_actions(node, node.machine->step(envelope, clock(node)));
 }
 
-void World::tick(const std::string& name, uint64_t life) {
+void World::tick(const std::string& name, uint64_t process_id) {
   auto& node = this->node(name);
-  if (node.life != life || !node.machine)
+  if (node.process_id != process_id || !node.machine)
     return;
   if (!node.frozen)
-    carry_out(node, node.machine->tick(clock(node)));
+    apply_actions(node, node.machine->tick(clock(node)));
   check_one_supervisor(node);
-  at(now() + kTickInterval, [this, name, life] { tick(name, life); });
+  at(now() + kTickInterval, [this, name, process_id] { tick(name, process_id); });
 }
 
-/// Does what a step of the state machine asks for: writes, messages, the end of the process.
-void World::carry_out(Node& node, Actions actions) {
+/// Executes the actions of a state machine step: messages, writes, the end of the process.
+void World::apply_actions(Node& node, Actions actions) {
   if (keep_notes)
     for (const auto& entry : actions.notes)
       note(node.name + " " + std::to_string(static_cast<int>(entry.event)) + " " + entry.text);
@@ -294,10 +294,10 @@
   send_all(node, actions.now);
   write(node, actions);
   if (actions.stop && node.machine)
-    die(node);
+    end_process(node);
 }
 
-/// Messages that wait for the disk leave at once where nothing is to be synced.
+/// Messages that wait for a sync are sent at once if nothing is to be synced.
 void World::write(Node& node, Actions& actions) {
   bool writes = !actions.journal.empty() || actions.checkpoint;
   if (!node.has_disk() || (node.disk.waiting.empty() && !writes))
@@ -309,13 +309,13 @@
     begin_sync(node);
 }
 
-/// One sync at a time; it covers all that waits when it begins.
+/// Starts a sync of all waiting batches; only one sync is in progress at a time.
 void World::begin_sync(Node& node) {
   node.disk.in_flight = node.disk.waiting.size();
   auto end = now() + 1ms + below(kSyncVariation) + node.disk.slow;
-  at(end, [this, name = node.name, life = node.life] {
+  at(end, [this, name = node.name, process_id = node.process_id] {
     auto& node = this->node(name);
-    if (node.life == life && node.machine)
+    if (node.process_id == process_id && node.machine)
       finish_sync(node);
   });
 }
@@ -357,11 +357,11 @@
     at(now() + network_delay(), [this, envelope] { deliver(envelope); });
 }
 
-/// Each number is drawn in a statement of its own: the operands of `+` may be evaluated in any order.
+/// Draws each random number in a separate statement, since the operands of `+` may be evaluated in any order.
 Duration World::network_delay() {
   auto delay = 1ms + below(net.delay);
   if (chance(net.twice))
-    delay += below(kMostLateness);
+    delay += below(kMaxExtraDelay);
   return delay;
 }
 
@@ -386,7 +386,7 @@
       fail("two supervisors at once: " + node.name + " and " + name);
 }
 
-/// Compares what a process shows now with what it showed before, and with what others have shown.
+/// Compares a process's metadata with what it and other processes exposed before.
 void World::check_metadata(Node& node) {
   auto metadata = node.machine->view();
   if (metadata->epoch == node.seen)
@@ -395,7 +395,7 @@
     fail(node.name + " went back from epoch " + std::to_string(node.seen.value()) + " to " +
          std::to_string(metadata->epoch.value()));
   if (metadata->revision < node.revision)
-    fail(node.name + " slid back from revision " + std::to_string(node.revision.value()));
+    fail(node.name + " went back from revision " + std::to_string(node.revision.value()));
   node.seen = metadata->epoch;
   node.revision = metadata->revision;
   agreement_.observe(node.name, *metadata);
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -15,12 +15,12 @@
 
 enum class Kind { controller, store, agent, gateway };
 
-/// All kinds, in the order in which scenarios go through a fleet.
+/// All kinds, in the order in which scenarios iterate over a fleet.
 constexpr Kind kAllKinds[] = {Kind::controller, Kind::store, Kind::agent, Kind::gateway};
 
-/// The disk of one daemon: what is synced survives the process, what waits may be lost.
+/// The disk of one daemon: synced data survives the process, data waiting for a sync may be lost.
 struct SimDisk {
-  /// What one step of the state machine writes, and the messages that may leave only after the sync.
+  /// Data written by one step of the state machine, and the messages that may be sent only after its sync.
   struct Batch {
     std::vector<std::string> journal;
     std::optional<std::string> checkpoint;
@@ -30,16 +30,16 @@
   /// The journal since the checkpoint.
   std::vector<std::string> synced;
   std::deque<Batch> waiting;
-  /// How many of the waiting batches the sync under way covers.
+  /// Number of waiting batches covered by the sync in progress.
   size_t in_flight = 0;
-  /// What a sync takes beyond the usual.
+  /// Additional delay of each sync.
   Duration slow{};
 
-  /// Makes a batch durable; its messages are the caller's to send.
+  /// Makes a batch durable; the caller sends its messages.
   void persist(Batch& batch);
 };
 
-/// One daemon at its address: its process, if one runs, and its disk.
+/// A daemon at its address: its process, if running, and its disk.
 struct Node {
   std::string name;
   Kind kind = Kind::controller;
@@ -49,13 +49,13 @@
   /// Null while no process runs.
   std::unique_ptr<StateMachine> machine;
   SimDisk disk;
-  /// A frozen process neither handles messages nor looks at timers, though its clock goes on.
+  /// A frozen process handles neither messages nor timers, but its clock advances.
   bool frozen = false;
   /// The number of this process; events that were scheduled for an earlier process of the node do nothing.
-  uint64_t life = 0;
-  /// Messages that came while the process was frozen.
+  uint64_t process_id = 0;
+  /// Messages received while the process was frozen.
   std::deque<Envelope> backlog;
-  /// The newest epoch and revision that this process has shown.
+  /// The newest epoch and revision observed at this process.
   Epoch seen{};
   Revision revision{};
   /// The clock of this process starts elsewhere than any other's and runs at a rate of its own.
@@ -73,9 +73,9 @@
 };
 
 struct Network {
-  /// The greatest delay of a message, but for those that are delayed like a retransmission.
+  /// Maximum delay of a message, except for those delayed like a retransmission.
   Duration delay = 2ms;
-  /// The shares of messages that are lost, and that arrive twice or late.
+  /// The fraction of messages that are lost, and the fraction that arrive twice or late.
   double loss = 0;
   double twice = 0;
   std::set<Link> cuts;
@@ -93,29 +93,29 @@
   int tolerated = 1;
 };
 
-/// The daemons of a fleet, the network between them, and what may happen to them. Everything random is drawn from one
-/// generator in a fixed order, so that a seed always plays the same day.
+/// The daemons of a fleet, the network between them and the faults that can be injected. All random values are drawn
+/// from one generator in a fixed order, so that a seed always gives the same run.
 ///
-/// Checked all the time: no daemon goes back to an earlier epoch or revision, all daemons agree on the metadata of an
-/// epoch (`MetadataAgreement`), and never do two controllers hold the supervisor's lease at once.
+/// Invariants, checked throughout: no daemon returns to an earlier epoch or revision, all daemons agree on the metadata
+/// of an epoch (`MetadataAgreement`), and two controllers never hold the supervisor lease at once.
 class World {
  public:
   World(uint64_t seed, FleetSize size);
 
   /// Lets this much time pass.
   void run(Duration time);
-  /// Lets time pass until the condition holds; false if it does not within the time.
+  /// Lets time pass until the condition holds; false if it does not hold within this time.
   bool until(Duration time, const std::function<bool()>& condition);
   void at(TimePoint when, std::function<void()> action) { scheduler_.at(when, std::move(action)); }
   TimePoint now() const { return scheduler_.now(); }
-  /// What the clock of one process shows now; no two agree.
+  /// Current reading of the process's own clock, which differs from all others.
   TimePoint clock(const Node& node) const;
 
   uint64_t next_random() { return random_(); }
   Duration below(Duration limit) { return Duration(random_() % static_cast<uint64_t>(limit.count())); }
   uint64_t below(uint64_t limit) { return random_() % limit; }
   bool chance(double probability);
-  /// A zone of the first three, by its letter.
+  /// A random one of the first three zones.
   std::string any_zone();
 
   Node& node(const std::string& name);
@@ -124,35 +124,35 @@
   std::vector<std::string> all_names() const;
   /// Whether its process runs and is not frozen.
   bool alive(const std::string& name);
-  /// Whether this gateway would take requests.
+  /// Whether this gateway accepts requests.
   bool ready(const std::string& gateway);
 
   /// Adds a daemon under a new address.
   void add(const std::string& name, Kind kind, const std::string& zone, const Address& beside = "");
   void start(const std::string& name);
-  /// The process dies; what was written but not synced survives in part.
+  /// Kills the process; a random part of the unsynced data survives.
   void kill(const std::string& name);
-  /// The process ends in order: what it wrote is synced before it goes.
+  /// Stops the process gracefully, after all written data is synced.
   void stop(const std::string& name);
-  /// Power is lost; nothing unsynced survives.
+  /// Ends the process by a power loss; no unsynced data survives.
   void power_off(const std::string& name);
-  /// The process dies and its disk is lost.
+  /// Ends the process and erases its disk.
   void wipe(const std::string& name);
   void freeze(const std::string& name) { node(name).frozen = true; }
   void wake(const std::string& name);
   /// Cuts one direction of a link.
   void cut(const std::string& from, const std::string& to) { net.cuts.insert({from, to}); }
-  /// Cuts a daemon off from all but the one beside it.
+  /// Cuts a daemon off from all others except the one on the same machine.
   void isolate(const std::string& name);
   void heal() { net.cuts.clear(); }
-  /// Puts a message from inside a gateway's or controller's own process before its state machine.
+  /// Delivers a message to the state machine as if from within the process; queued while the process is frozen.
   void post(const std::string& name, Envelope envelope);
-  /// Notes a broken promise; the first ones are kept.
+  /// Records an invariant violation; only the first ones are kept.
   void fail(const std::string& what);
 
   Addresses seeds;
   uint32_t core_size = 3;
-  /// Has the last word on the settings of whoever starts.
+  /// Adjusts the settings of each daemon just before it starts.
   std::function<void(Identity&)> configure;
   /// How many stores keep a history, as the settings of a deployment give it.
   uint32_t copies = kDefaultHistoryReplicas;
@@ -161,22 +161,22 @@
   std::vector<std::string> notes, failures;
   bool keep_notes = false;
   uint64_t messages = 0, syncs = 0;
-  /// Hear what leaves a process for a caller or operator ("local:") and for a replica ("replica:").
+  /// Called for messages from a process to a caller or operator ("local:") or to a replica ("replica:").
   std::function<void(Node&, const Envelope&)> local, replica;
-  /// Hears of each process that ends.
+  /// Called for each process that ends.
   std::function<void(Node&)> died;
-  /// Sees each message that reaches a running process, before it does.
+  /// Called for each message to a running process just before its delivery.
   std::function<void(const Envelope&)> arriving;
 
  private:
   std::unique_ptr<StateMachine> make_machine(const Node& node);
   void step(Node& node, const Envelope& envelope);
-  void tick(const std::string& name, uint64_t life);
-  void carry_out(Node& node, Actions actions);
+  void tick(const std::string& name, uint64_t process_id);
+  void apply_actions(Node& node, Actions actions);
   void write(Node& node, Actions& actions);
   void begin_sync(Node& node);
   void finish_sync(Node& node);
-  void die(Node& node);
+  void end_process(Node& node);
   void send(Node& node, const Envelope& envelope);
   void send_all(Node& node, const std::vector<Envelope>& envelopes);
   Duration network_delay();
@@ -189,7 +189,7 @@
 
   std::mt19937_64 random_;
   Scheduler scheduler_;
-  uint64_t lives_ = 0;
+  uint64_t last_process_id_ = 0;
   std::map<std::string, std::unique_ptr<Node>> nodes_;
   MetadataAgreement agreement_;
 };
--- a/tests/unit/simulation/sim_test.cpp
+++ b/tests/unit/simulation/sim_test.cpp
@@ -1,4 +1,4 @@
-// Simulated days with fixed seeds: none violates an invariant, and a seed gives the same day again.
+// Simulation runs with fixed seeds: none violates an invariant, and a seed always gives the same run.
 #include "simulation/scenarios.hpp"
 
 #include <set>
@@ -16,7 +16,7 @@
   std::vector<uint64_t> seeds;
 };
 
-/// Fixed seeds; days of the seeds above 3 have failed once, and stay as regression tests.
+/// Fixed seeds. Those above 3 failed once and are kept as regression tests.
 const std::vector<ScenarioSeeds> kFixedSeeds = {
     {"quiet", {1}},
     {"lossy", {1, 2}},
@@ -64,10 +64,10 @@
     {"gateways-cut", {1, 2, 3}},
 };
 
-/// Successes and resumed programs that a day with histories must exceed, since with fewer it would prove nothing.
+/// Successes and resumed programs that a run with histories must exceed, since with fewer it would test too little.
 constexpr size_t kMinSuccesses = 100;
 constexpr size_t kMinResumed = 20;
-/// The same for days of the core alone, whose callers are operators.
+/// The same for runs of the core alone, whose callers are operators.
 constexpr size_t kMinCoreSuccesses = 10;
 
 bool plays_core_alone(const std::string& scenario) {
@@ -76,10 +76,10 @@
 
 }  // namespace
 
-TEST_CASE("No simulated day with a fixed seed violates an invariant, and each serves requests") {
+TEST_CASE("No simulation run with a fixed seed violates an invariant, and each serves requests") {
   for (auto& [scenario, seeds] : kFixedSeeds) {
     for (auto seed : seeds) {
-      auto result = sim::play(scenario, seed);
+      auto result = sim::run_scenario(scenario, seed);
 
       INFO(scenario << " seed " << seed);
       for (auto& failure : result.failures)
@@ -100,7 +100,7 @@
   constexpr uint64_t kDeniesWhatAnEarlierOwnerRan = 56;
 
   for (auto seed : {kRejectsWhatTheNewOwnerTakes, kDeniesWhatAnEarlierOwnerRan}) {
-    auto result = sim::play("corecut", seed);
+    auto result = sim::run_scenario("corecut", seed);
 
     INFO("seed " << seed);
     for (auto& failure : result.failures)
@@ -109,9 +109,9 @@
   }
 }
 
-TEST_CASE("A seed plays the same day every time") {
-  auto first = sim::play("havoc", 7);
-  auto second = sim::play("havoc", 7);
+TEST_CASE("A seed gives the same run every time") {
+  auto first = sim::run_scenario("havoc", 7);
+  auto second = sim::run_scenario("havoc", 7);
 
   CHECK(first.messages == second.messages);
   CHECK(first.syncs == second.syncs);
@@ -123,6 +123,6 @@
   for (auto& [scenario, seeds] : kFixedSeeds)
     covered.insert(scenario);
 
-  for (auto& scenario : sim::scenarios())
+  for (auto& scenario : sim::scenario_names())
     CHECK(covered.count(scenario) == 1);
 }
--- a/tools/simulate/main.cpp
+++ b/tools/simulate/main.cpp
@@ -1,4 +1,4 @@
-// Plays many seeds of the simulated days; prints those that fail and how to replay them.
+// Runs simulation scenarios with many seeds; prints those that fail and how to replay them.
 #include <popt.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 constexpr int kExitUsage = 2;
 
 struct Options {
-  std::vector<std::string> scenarios = sim::scenarios();
+  std::vector<std::string> scenarios = sim::scenario_names();
   /// 0: until stopped.
   int seeds = 0;
   long first_seed = 1;
@@ -28,7 +28,7 @@
   bool print_reasons = false;
 };
 
-/// Prints what is wrong with the command line and gives nothing.
+/// Parses the command line; prints an error and returns nothing if it is invalid.
 std::optional<Options> read_options(int argc, const char** argv) {
   Options options;
   char* scenario = nullptr;
@@ -37,7 +37,7 @@
   poptOption table[] = {
       {"seeds", 'n', POPT_ARG_INT, &options.seeds, 0, "how many seeds each; 0 runs until stopped", "N"},
       {"from", 'f', POPT_ARG_LONG, &options.first_seed, 0, "the first seed", "SEED"},
-      {"scenario", 's', POPT_ARG_STRING, &scenario, 0, "only this scenario", "NAME"},
+      {"scenario", 's', POPT_ARG_STRING, &scenario, 0, "run only this scenario", "NAME"},
       {"jobs", 'j', POPT_ARG_INT, &options.threads, 0, "threads", "N"},
       {"notes", 0, POPT_ARG_NONE, &notes, 0, "print every message and event (one seed)", nullptr},
       {"reasons", 0, POPT_ARG_NONE, &reasons, 0, "print why outcomes were unknown", nullptr},
@@ -54,27 +54,27 @@
   return options;
 }
 
-void add(sim::Verdict& sum, const sim::Verdict& verdict) {
-  sum.successes += verdict.successes;
-  sum.refusals += verdict.refusals;
-  sum.unknowns += verdict.unknowns;
-  sum.resumed += verdict.resumed;
-  sum.messages += verdict.messages;
-  sum.syncs += verdict.syncs;
-  for (const auto& [reason, count] : verdict.reasons)
+void add(sim::ScenarioResult& sum, const sim::ScenarioResult& result) {
+  sum.successes += result.successes;
+  sum.refusals += result.refusals;
+  sum.unknowns += result.unknowns;
+  sum.resumed += result.resumed;
+  sum.messages += result.messages;
+  sum.syncs += result.syncs;
+  for (const auto& [reason, count] : result.reasons)
     sum.reasons[reason] += count;
-  sum.exposed.insert(sum.exposed.end(), verdict.exposed.begin(), verdict.exposed.end());
+  sum.repair_times.insert(sum.repair_times.end(), result.repair_times.begin(), result.repair_times.end());
 }
 
-void print_failure(const std::string& scenario, long seed, const sim::Verdict& verdict) {
+void print_failure(const std::string& scenario, long seed, const sim::ScenarioResult& result) {
   auto* name = scenario.c_str();
   printf("FAILED %s seed %ld; replay: simulate -s %s -f %ld -n 1 --notes\n", name, seed, name, seed);
-  for (const auto& failure : verdict.failures)
+  for (const auto& failure : result.failures)
     printf("  %s\n", failure.c_str());
   fflush(stdout);
 }
 
-void print_sum(const std::string& scenario, const sim::Verdict& sum) {
+void print_sum(const std::string& scenario, const sim::ScenarioResult& sum) {
   auto number = [](uint64_t count) {
     return static_cast<unsigned long long>(count);
   };
@@ -83,7 +83,7 @@
          number(sum.syncs));
 }
 
-void print_exposure(const std::string& scenario, std::vector<Duration> durations) {
+void print_repair_times(const std::string& scenario, std::vector<Duration> durations) {
   if (durations.empty())
     return;
   std::sort(durations.begin(), durations.end());
@@ -94,17 +94,17 @@
          scenario.c_str(), durations.size(), percentile(50), percentile(90), percentile(99), percentile(100));
 }
 
-void print_reasons(const std::string& scenario, const sim::Verdict& sum) {
+void print_reasons(const std::string& scenario, const sim::ScenarioResult& sum) {
   for (const auto& [reason, count] : sum.reasons)
     printf("%-10s %6llu %s\n", scenario.c_str(), static_cast<unsigned long long>(count), reason.c_str());
 }
 
-/// Plays scenarios and seeds on several threads; scenarios take turns, so that all are played with the first seeds.
-class Player {
+/// Runs scenarios and seeds on several threads, alternating scenarios so that all are run with the first seeds.
+class ScenarioRunner {
  public:
-  explicit Player(const Options& options) : options_(options) {}
+  explicit ScenarioRunner(const Options& options) : options_(options) {}
 
-  void play_all() {
+  void run_all() {
     std::vector<std::thread> threads;
     threads.reserve(static_cast<size_t>(std::max(0, options_.threads)));
     for (int number = 0; number < options_.threads; ++number)
@@ -117,7 +117,7 @@
     for (const auto& [scenario, sum] : sums_)
       print_sum(scenario, sum);
     for (const auto& [scenario, sum] : sums_)
-      print_exposure(scenario, sum.exposed);
+      print_repair_times(scenario, sum.repair_times);
     if (options_.print_reasons) {
       for (const auto& [scenario, sum] : sums_)
         print_reasons(scenario, sum);
@@ -136,23 +136,23 @@
       if (options_.seeds && seed >= options_.first_seed + options_.seeds)
         return;
       const auto& scenario = options_.scenarios[static_cast<size_t>(number % scenario_count)];
-      auto verdict = sim::play(scenario, static_cast<uint64_t>(seed), options_.print_notes);
-      note(scenario, seed, verdict);
+      auto result = sim::run_scenario(scenario, static_cast<uint64_t>(seed), options_.print_notes);
+      note(scenario, seed, result);
     }
   }
 
-  void note(const std::string& scenario, long seed, const sim::Verdict& verdict) {
+  void note(const std::string& scenario, long seed, const sim::ScenarioResult& result) {
     std::lock_guard lock(mutex_);
     ++played_;
     if (options_.print_notes) {
-      for (const auto& line : verdict.notes)
+      for (const auto& line : result.notes)
         printf("%s\n", line.c_str());
     }
-    add(sums_[scenario], verdict);
-    if (verdict.failures.empty())
+    add(sums_[scenario], result);
+    if (result.failures.empty())
       return;
     ++failed_;
-    print_failure(scenario, seed, verdict);
+    print_failure(scenario, seed, result);
   }
 
   const Options& options_;
@@ -160,7 +160,7 @@
   std::mutex mutex_;
   long played_ = 0;
   long failed_ = 0;
-  std::map<std::string, sim::Verdict> sums_;
+  std::map<std::string, sim::ScenarioResult> sums_;
 };
 
 }  // namespace
@@ -169,8 +169,8 @@
   auto options = read_options(argc, argv);
   if (!options)
     return kExitUsage;
-  Player player(*options);
-  player.play_all();
-  player.print();
-  return player.failed() ? 1 : 0;
+  ScenarioRunner runner(*options);
+  runner.run_all();
+  runner.print();
+  return runner.failed() ? 1 : 0;
 }
