--- a/tests/simulation/callers.hpp
+++ b/tests/simulation/callers.hpp
@@ -100,7 +100,7 @@
 
   Callers(World& world, int models, int apps, uint64_t budget, uint64_t turn_limit);
   /// Applies the first configuration and registers the replicas; false if the fleet does not become ready.
-  bool introduce();
+  bool initialize_fleet();
   /// Starts programs until `end`, on average one every `gap` plus 1 ms.
   void traffic(Duration gap, TimePoint end);
   /// Sends the change to random running controllers until its outcome is known or `timeout` has passed.
--- a/tests/simulation/operators.cpp
+++ b/tests/simulation/operators.cpp
@@ -143,7 +143,7 @@
         replica.evacuated_since = {};
 }
 
-bool Callers::introduce() {
+bool Callers::initialize_fleet() {
   // The handlers may outlive this call if the fleet does not become ready.
   auto missing = std::make_shared<int>(static_cast<int>(replicas.size()) + 1);
   auto count_down = [missing](const CommitReply& reply) {
--- a/tests/simulation/scenarios.cpp
+++ b/tests/simulation/scenarios.cpp
@@ -107,7 +107,7 @@
   Day day(seed, scenario.size, scenario.budget);
   auto& world = day.world;
   world.keep_notes = notes;
-  if (day.callers.introduce()) {
+  if (day.callers.initialize_fleet()) {
     scenario.run(day);
     if (!day.closed)
       day.close();
--- a/tests/unit/programs/program_requests_test.cpp
+++ b/tests/unit/programs/program_requests_test.cpp
@@ -17,7 +17,7 @@
 /// A cluster that serves the cell "news", and a caller that sends one request after the other.
 class ProgramCluster {
  public:
-  ProgramCluster() { REQUIRE(callers.introduce()); }
+  ProgramCluster() { REQUIRE(callers.initialize_fleet()); }
   ~ProgramCluster() { world.died = nullptr; }
 
   ProgramResponse send_turn(const std::string& program, const std::string& key, const std::string& input,
--- a/tests/unit/programs/stopping_gateway_test.cpp
+++ b/tests/unit/programs/stopping_gateway_test.cpp
@@ -16,7 +16,7 @@
 /// A fleet, the owner of one program, and a caller that waits for a turn of this program at the owner.
 class WaitingCaller {
  public:
-  WaitingCaller() { REQUIRE(callers.introduce()); }
+  WaitingCaller() { REQUIRE(callers.initialize_fleet()); }
 
   void let_models_fall_silent() {
     for (auto& [name, replica] : callers.replicas) {
