--- a/tests/simulation/cores.cpp
+++ b/tests/simulation/cores.cpp
@@ -52,12 +52,12 @@
 }
 
 /// Makes a store slow or cuts it off, with some probability, while the change is acknowledged.
-void inject_store_fault(Day& day, const std::string& survivor) {
-  auto& world = day.world;
-  auto other = day.any(Kind::store);
+void inject_store_fault(ScenarioRun& run, const std::string& survivor) {
+  auto& world = run.world;
+  auto other = run.any(Kind::store);
   if (world.chance(0.4)) {
     auto slow = 100ms + world.below(400ms);
-    world.node(day.any(Kind::store)).disk.slow = slow;
+    world.node(run.any(Kind::store)).disk.slow = slow;
   } else if (other != survivor && world.chance(0.5)) {
     world.isolate(other);
   }
@@ -88,17 +88,17 @@
 }  // namespace
 
 /// The core loses power right after each acknowledgement, once with one disk.
-void power_after_ack(Day& day) {
+void power_after_ack(ScenarioRun& run) {
   constexpr int round_with_lost_disk = 2;
-  auto& world = day.world;
-  day.callers.traffic(150ms, world.now() + 40000ms);
+  auto& world = run.world;
+  run.callers.traffic(150ms, world.now() + 40000ms);
   for (int round = 0; round < 5; ++round) {
     world.run(500ms + world.below(1000ms));
-    auto revision = change_configuration(day, kChangeTimeout);
+    auto revision = change_configuration(run, kChangeTimeout);
     auto controllers = world.names(Kind::controller);
     power_off_all(world, controllers);
     if (world.chance(0.5))
-      world.power_off(day.any(Kind::store));
+      world.power_off(run.any(Kind::store));
     if (round == round_with_lost_disk)
       world.wipe(controllers[world.next_random() % controllers.size()]);
     world.run(500ms + world.below(1500ms));
@@ -108,18 +108,18 @@
     }
     start_all(world, world.names(Kind::store));
     if (revision)
-      must_be_in_force(day, revision, 8000ms);
+      must_be_in_force(run, revision, 8000ms);
   }
   world.run(5000ms);
 }
 
 /// Two of three controllers lose their disks right after an acknowledgement; the third may return late. The core must
 /// re-found itself and keep the acknowledged change.
-void core_majority_lost(Day& day) {
-  auto& world = day.world;
-  day.callers.traffic(150ms, world.now() + 25000ms);
+void core_majority_lost(ScenarioRun& run) {
+  auto& world = run.world;
+  run.callers.traffic(150ms, world.now() + 25000ms);
   world.run(2000ms);
-  auto acknowledged = change_configuration(day, kChangeTimeout);
+  auto acknowledged = change_configuration(run, kChangeTimeout);
   if (!acknowledged)
     world.fail("the change was not acknowledged");
   auto controllers = world.names(Kind::controller);
@@ -137,49 +137,49 @@
   world.run(12000ms);
   if (latest(world)->generation != 2)
     world.fail("the core was not re-founded");
-  auto changed = change_configuration(day, kChangeTimeout);
+  auto changed = change_configuration(run, kChangeTimeout);
   if (changed <= acknowledged)
     world.fail("no change is accepted after the core's re-founding");
-  must_be_in_force(day, changed, kInForceLimit);
+  must_be_in_force(run, changed, kInForceLimit);
 }
 
 /// Two of three controllers are down; the operator re-founds the core, and then one of the two returns.
-void rebuild(Day& day) {
-  auto& world = day.world;
-  day.callers.traffic(150ms, world.now() + 25000ms);
+void rebuild(ScenarioRun& run) {
+  auto& world = run.world;
+  run.callers.traffic(150ms, world.now() + 25000ms);
   world.run(2000ms);
-  auto acknowledged = change_configuration(day, kChangeTimeout);
+  auto acknowledged = change_configuration(run, kChangeTimeout);
   auto controllers = world.names(Kind::controller);
   auto survivor = controllers[world.next_random() % controllers.size()];
   auto others = all_except(controllers, survivor);
   refound(world, survivor, others);
   world.run(5000ms);
-  auto changed = change_configuration(day, kChangeTimeout);
+  auto changed = change_configuration(run, kChangeTimeout);
   if (changed <= acknowledged)
     world.fail("no change is accepted after the rebuild");
   world.start(others.front());
   world.run(5000ms);
-  auto later = change_configuration(day, kChangeTimeout);
+  auto later = change_configuration(run, kChangeTimeout);
   if (later <= changed)
     world.fail("no change is accepted after an old member returned");
-  must_be_in_force(day, later, kInForceLimit);
+  must_be_in_force(run, later, kInForceLimit);
   for (const auto& name : others)
     world.wipe(name);
 }
 
 /// Right after an acknowledgement all disks of controllers and stores but one are lost. The remaining one was connected
 /// and must be enough to recover the change. Histories are not guaranteed to survive this.
-void survivor(Day& day) {
-  auto& world = day.world;
-  day.closed = true;
-  day.callers.traffic(150ms, world.now() + 4000ms);
+void survivor(ScenarioRun& run) {
+  auto& world = run.world;
+  run.closed = true;
+  run.callers.traffic(150ms, world.now() + 4000ms);
   world.run(2000ms);
   auto disks = world.names(Kind::controller);
   for (const auto& name : world.names(Kind::store))
     disks.push_back(name);
   auto survivor = disks[world.next_random() % disks.size()];
-  inject_store_fault(day, survivor);
-  auto acknowledged = change_configuration(day, kChangeTimeout);
+  inject_store_fault(run, survivor);
+  auto acknowledged = change_configuration(run, kChangeTimeout);
   if (!acknowledged)
     world.fail("the change was not acknowledged");
   lose_all_disks_except(world, disks, survivor);
@@ -191,17 +191,17 @@
   };
   if (!world.until(25000ms, is_back))
     world.fail("the acknowledged revision " + std::to_string(acknowledged) + " did not survive on " + survivor);
-  auto changed = change_configuration(day, 2 * kChangeTimeout);
+  auto changed = change_configuration(run, 2 * kChangeTimeout);
   if (changed <= acknowledged)
     world.fail("no change is accepted after the loss, " + survivor + " stayed");
   else
-    must_be_in_force(day, changed, kInForceLimit + 100ms);
+    must_be_in_force(run, changed, kInForceLimit + 100ms);
 }
 
 /// The seeds are swapped for other controllers, one of which does not exist, and every daemon restarts.
-void seeds_swapped(Day& day) {
-  auto& world = day.world;
-  day.callers.traffic(100ms, world.now() + 25000ms);
+void seeds_swapped(ScenarioRun& run) {
+  auto& world = run.world;
+  run.callers.traffic(100ms, world.now() + 25000ms);
   world.run(2000ms);
   world.seeds = {"controller4", "controller5", "controller99"};
   for (auto kind : {Kind::controller, Kind::store, Kind::agent}) {
@@ -213,7 +213,7 @@
     }
   }
   world.run(5000ms);
-  if (!change_configuration(day, kChangeTimeout))
+  if (!change_configuration(run, kChangeTimeout))
     world.fail("no change is accepted with swapped seeds");
 }
 
--- a/tests/simulation/cuts.cpp
+++ b/tests/simulation/cuts.cpp
@@ -53,35 +53,35 @@
 }
 
 /// Drains a replica, evacuates a zone and changes the configuration through whatever controllers operators reach.
-void operate(Day& day, const std::string& replica, const std::string& zone) {
+void operate(ScenarioRun& run, const std::string& replica, const std::string& zone) {
   constexpr Duration timeout = 5000ms;
   auto ignore = [](const CommitReply&) {
   };
-  day.callers.set_replica(replica, ReplicaHealth::draining, ignore, timeout);
-  day.callers.commit(EvacuateZone{zone}, ignore, "", timeout);
-  change_configuration(day, timeout);
+  run.callers.set_replica(replica, ReplicaHealth::draining, ignore, timeout);
+  run.callers.commit(EvacuateZone{zone}, ignore, "", timeout);
+  change_configuration(run, timeout);
 }
 
 /// Cuts off one group, operates meanwhile and heals the network.
-void cut_core(Day& day, int round) {
+void cut_core(ScenarioRun& run, int round) {
   constexpr uint64_t min_successes = 20;
-  auto& world = day.world;
+  auto& world = run.world;
   auto kind = static_cast<CutGroup>(world.next_random() % kCutGroups);
   Directions directions{.outward = kind != CutGroup::core_inbound, .inward = kind != CutGroup::core_outbound};
   cut_off(world, choose_group(world, kind), directions);
   auto replica = "model" + std::to_string(round + 1);
   std::string zone(1, static_cast<char>('a' + round % 3));
-  auto before = day.callers.totals.successes;
+  auto before = run.callers.totals.successes;
   world.run(world.below(300ms));
-  operate(day, replica, zone);
+  operate(run, replica, zone);
   world.run(2500ms + world.below(4000ms));
-  auto served = day.callers.totals.successes - before;
+  auto served = run.callers.totals.successes - before;
   if (kind == CutGroup::core && served < min_successes)
     world.fail("too few successes without the core: " + std::to_string(served));
   world.heal();
   world.run(2500ms);
-  day.callers.set_replica(replica, ReplicaHealth::ready);
-  day.callers.commit(RestoreZone{zone}, [](const CommitReply&) {});
+  run.callers.set_replica(replica, ReplicaHealth::ready);
+  run.callers.commit(RestoreZone{zone}, [](const CommitReply&) {});
   world.run(1500ms);
 }
 
@@ -89,36 +89,36 @@
 
 /// The core is cut off from the fleet, whole or with some daemons, both ways or one, and daemons in every grouping;
 /// operators reach the core meanwhile and drain, evacuate and configure.
-void core_cut(Day& day) {
-  auto& world = day.world;
-  day.callers.traffic(60ms, world.now() + 60000ms);
+void core_cut(ScenarioRun& run) {
+  auto& world = run.world;
+  run.callers.traffic(60ms, world.now() + 60000ms);
   for (int round = 0; round < 4; ++round) {
     world.run(1000ms + world.below(1000ms));
-    cut_core(day, round);
+    cut_core(run, round);
   }
   world.run(3000ms);
 }
 
 /// All gateways, a majority of the fleet, are cut off from the core and the stores while operators reach the core:
 /// changes are acknowledged without the gateways, so no gateway may continue with its old metadata.
-void gateways_cut(Day& day) {
+void gateways_cut(ScenarioRun& run) {
   constexpr Duration acknowledgement_limit = 4000ms;
-  auto& world = day.world;
+  auto& world = run.world;
   std::set<std::string> cut_group;
   for (auto kind : {Kind::controller, Kind::store})
     for (const auto& name : world.names(kind))
       cut_group.insert(name);
-  day.callers.traffic(60ms, world.now() + 40000ms);
+  run.callers.traffic(60ms, world.now() + 40000ms);
   for (int round = 0; round < 3; ++round) {
     world.run(2000ms + world.below(1000ms));
     cut_off(world, cut_group, {});
     world.run(world.below(300ms));
-    auto revision = change_configuration(day, acknowledgement_limit);
+    auto revision = change_configuration(run, acknowledgement_limit);
     if (!revision)
       world.fail("no change was acknowledged while the gateways were cut off");
     world.run(2500ms + world.below(1000ms));
     world.heal();
-    must_be_in_force(day, revision, 4000ms);
+    must_be_in_force(run, revision, 4000ms);
   }
   world.run(3000ms);
 }
--- a/tests/simulation/losses.cpp
+++ b/tests/simulation/losses.cpp
@@ -15,8 +15,8 @@
 constexpr size_t kStoresLostAtOnce = 2;
 
 /// Restarts all gateways, so that stores cannot recover missing records from an owner's memory.
-void restart_all_gateways(Day& day) {
-  auto& world = day.world;
+void restart_all_gateways(ScenarioRun& run) {
+  auto& world = run.world;
   for (const auto& name : world.names(Kind::gateway))
     world.kill(name);
   world.at(world.now() + 100ms, [&world] { start_all(world, world.names(Kind::gateway)); });
@@ -29,13 +29,13 @@
 }
 
 /// The running stores of a program's partition.
-std::vector<std::string> running_stores(Day& day, const std::string& program) {
-  auto metadata = latest(day.world);
+std::vector<std::string> running_stores(ScenarioRun& run, const std::string& program) {
+  auto metadata = latest(run.world);
   const auto& partition = metadata->partitions[partition_of("news", program).value()];
   std::vector<std::string> names;
   for (auto id : partition.stores) {
     const auto* store = metadata->find(id);
-    if (store && runs(day.world, *store))
+    if (store && runs(run.world, *store))
       names.push_back(store->self.address);
   }
   return names;
@@ -58,17 +58,17 @@
 
 /// Runs a turn of a new program and calls `lose` with the program's name at the moment of a successful answer. Retries
 /// with another program if the turn fails or takes too long; a turn answered after that limit still calls `lose`, late.
-void lose_after_acknowledgement(Day& day, const std::function<void(const std::string&)>& lose) {
+void lose_after_acknowledgement(ScenarioRun& run, const std::function<void(const std::string&)>& lose) {
   constexpr int max_turns = 10;
   constexpr Duration turn_limit = 8000ms;
-  auto& world = day.world;
+  auto& world = run.world;
   struct Outcome {
     bool over = false, served = false;
   };
   for (int i = 0; i < max_turns; ++i) {
     auto program = "acked" + std::to_string(world.next_random());
     auto outcome = std::make_shared<Outcome>();
-    day.callers.turn(program, "main", [=](const Turn& turn) {
+    run.callers.turn(program, "main", [=](const Turn& turn) {
       outcome->over = true;
       outcome->served = turn.success;
       if (turn.success)
@@ -82,14 +82,14 @@
 }
 
 /// Erases the disks of two stores that hold the program, and the copy in its owner's memory.
-std::vector<std::string> lose_two_holders(Day& day, const std::string& program) {
-  auto& world = day.world;
-  auto lost = running_stores(day, program);
+std::vector<std::string> lose_two_holders(ScenarioRun& run, const std::string& program) {
+  auto& world = run.world;
+  auto lost = running_stores(run, program);
   while (lost.size() > kStoresLostAtOnce)
     lost.erase(lost.begin() + static_cast<ptrdiff_t>(world.next_random() % lost.size()));
   for (const auto& name : lost)
     world.wipe(name);
-  restart_all_gateways(day);
+  restart_all_gateways(run);
   return lost;
 }
 
@@ -105,11 +105,11 @@
 }
 
 /// Injects a fault during a drain: another store loses its disk, the drained one freezes, or the supervisor is lost.
-void inject_drain_fault(Day& day, const std::string& drained) {
-  auto& world = day.world;
+void inject_drain_fault(ScenarioRun& run, const std::string& drained) {
+  auto& world = run.world;
   switch (world.next_random() % 3) {
     case 0: {
-      auto other = day.any_store_except(drained);
+      auto other = run.any_store_except(drained);
       world.wipe(other);
       return world.at(world.now() + 500ms, [&world, other] { world.start(other); });
     }
@@ -122,74 +122,74 @@
 }
 
 /// Erases a store's disk and checks that its copies are restored.
-void lose_one_store(Day& day, const std::string& name) {
-  auto& world = day.world;
+void lose_one_store(ScenarioRun& run, const std::string& name) {
+  auto& world = run.world;
   world.wipe(name);
-  restart_all_gateways(day);
+  restart_all_gateways(run);
   world.run(500ms);
   world.start(name);
   auto started = world.now();
   if (!world.until(kRestoreLimit, [&] { return has_all_copies(world); }))
     world.fail("the copies of a lost store were not restored");
-  day.repair_times.push_back(world.now() - started);
+  run.repair_times.push_back(world.now() - started);
 }
 
 }  // namespace
 
 /// The fleet tolerates two losses at once: two stores of a partition lose their disks right after they acknowledged a
 /// turn, repeatedly, each time as soon as the catch-up time of the previous successors is over.
-void pair_wiped(Day& day) {
-  auto& world = day.world;
-  day.callers.traffic(80ms, world.now() + 30000ms);
+void pair_wiped(ScenarioRun& run) {
+  auto& world = run.world;
+  run.callers.traffic(80ms, world.now() + 30000ms);
   world.run(2000ms);
   for (int round = 0; round < 3; ++round) {
     auto lost = std::make_shared<std::vector<std::string>>();
-    lose_after_acknowledgement(day,
-                               [&day, lost](const std::string& program) { *lost = lose_two_holders(day, program); });
+    lose_after_acknowledgement(run,
+                               [&run, lost](const std::string& program) { *lost = lose_two_holders(run, program); });
     world.run(300ms + world.below(700ms));
     start_all(world, *lost);
     auto started = world.now();
     if (!world.until(kCatchUpLimit, [&] { return has_all_copies(world); }))
       world.fail("a partition lacks copies after the catch-up time of the successors");
-    day.repair_times.push_back(world.now() - started);
+    run.repair_times.push_back(world.now() - started);
     world.run(started + kCatchUpLimit - world.now());
   }
 }
 
 /// Two stores of seven lose their disks right after they acknowledged a turn and are not replaced. The others take over
 /// their partitions; then two more are lost, and the remaining stores must still serve and hold all histories.
-void unreplaced(Day& day) {
-  auto& world = day.world;
-  day.callers.traffic(80ms, world.now() + 30000ms);
+void unreplaced(ScenarioRun& run) {
+  auto& world = run.world;
+  run.callers.traffic(80ms, world.now() + 30000ms);
   world.run(2000ms);
-  auto lose = [&day](const std::string& program) {
-    lose_two_holders(day, program);
+  auto lose = [&run](const std::string& program) {
+    lose_two_holders(run, program);
   };
-  lose_after_acknowledgement(day, lose);
+  lose_after_acknowledgement(run, lose);
   auto lost_at = world.now();
   if (!world.until(kCatchUpLimit, [&] { return has_all_copies(world); }))
     world.fail("the other stores did not take over from two lost stores");
-  day.repair_times.push_back(world.now() - lost_at);
-  lose_after_acknowledgement(day, lose);
+  run.repair_times.push_back(world.now() - lost_at);
+  lose_after_acknowledgement(run, lose);
   world.run(2000ms);
-  must_serve(day, 5000ms, "the loss of four stores of seven, two and two");
+  must_serve(run, 5000ms, "the loss of four stores of seven, two and two");
 }
 
 /// An operator drains a store, and another fault occurs at a random step of the drain. As soon as the log records that
 /// the store has left, its disk is erased; after the repair another store loses its disk. The fleet tolerates one loss
 /// at a time.
-void leaving(Day& day) {
+void leaving(ScenarioRun& run) {
   constexpr Duration drain_limit = 20000ms;
-  auto& world = day.world;
-  day.callers.traffic(80ms, world.now() + 40000ms);
+  auto& world = run.world;
+  run.callers.traffic(80ms, world.now() + 40000ms);
   world.run(3000ms);
-  auto drained = day.any(Kind::store);
+  auto drained = run.any(Kind::store);
   auto id = latest(world)->find_at(drained)->id;
-  day.callers.commit(PrepareDrain{id}, [](const CommitReply&) {});
+  run.callers.commit(PrepareDrain{id}, [](const CommitReply&) {});
   if (!world.until(5000ms, [&] { return latest(world)->sequences.count(id) > 0; }))
     return world.fail("the drain did not begin");
   world.run(world.below(400ms));
-  inject_drain_fault(day, drained);
+  inject_drain_fault(run, drained);
   auto has_left = [&] {
     auto metadata = latest(world);
     return metadata && metadata->find(id)->state == DaemonState::left && !metadata->holds_partitions(id);
@@ -197,22 +197,22 @@
   if (!world.until(drain_limit, has_left))
     world.fail("the drain did not end");
   world.wipe(drained);
-  restart_all_gateways(day);
+  restart_all_gateways(run);
   if (!world.until(kRestoreLimit, [&] { return has_all_copies(world); }))
     world.fail("a partition lacks copies long after the drain");
-  lose_one_store(day, day.any_store_except(drained));
+  lose_one_store(run, run.any_store_except(drained));
 }
 
 /// A store freezes and resumes repeatedly, each time just long enough to be marked down. It must not trigger a repair
 /// each time.
-void flapping(Day& day) {
+void flapping(ScenarioRun& run) {
   constexpr size_t max_sequences = 8;
   constexpr int rounds = 12;
   constexpr Duration marked_down_after = 3200ms;
-  auto& world = day.world;
-  day.callers.traffic(80ms, world.now() + 60000ms);
+  auto& world = run.world;
+  run.callers.traffic(80ms, world.now() + 60000ms);
   world.run(2000ms);
-  auto store = day.any(Kind::store);
+  auto store = run.any(Kind::store);
   std::set<Epoch> sequences;
   auto record_sequences = [&] {
     for (const auto& [id, sequence] : latest(world)->sequences)
@@ -231,19 +231,19 @@
 
 /// Most histories are too large for one message. Two stores lose their disks, one after the other, and all gateways
 /// restart in between, so that new owners read the histories while a store copies them.
-void large_histories(Day& day) {
-  auto& world = day.world;
-  day.callers.settings.input_bytes = 2 * kMaxWholeHistoryBytes / 10;
-  day.callers.settings.long_program_share = 1;
-  day.callers.traffic(700ms, world.now() + 26000ms);
+void large_histories(ScenarioRun& run) {
+  auto& world = run.world;
+  run.callers.settings.input_bytes = 2 * kMaxWholeHistoryBytes / 10;
+  run.callers.settings.long_program_share = 1;
+  run.callers.traffic(700ms, world.now() + 26000ms);
   world.run(8000ms);
-  auto first = day.any(Kind::store);
-  lose_one_store(day, first);
-  must_serve(day, 5000ms, "the loss of a store with large histories");
-  restart_all_gateways(day);
+  auto first = run.any(Kind::store);
+  lose_one_store(run, first);
+  must_serve(run, 5000ms, "the loss of a store with large histories");
+  restart_all_gateways(run);
   world.run(2000ms);
-  lose_one_store(day, day.any_store_except(first));
-  must_serve(day, 5000ms, "the loss of a second store with large histories");
+  lose_one_store(run, run.any_store_except(first));
+  must_serve(run, 5000ms, "the loss of a second store with large histories");
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/operator_request.hpp
+++ b/tests/simulation/operator_request.hpp
@@ -6,7 +6,7 @@
 
 #include "control/control_protocol.hpp"
 #include "control/control_session.hpp"
-#include "simulation/day.hpp"
+#include "simulation/scenario_run.hpp"
 
 namespace mosskeel::sim {
 
--- a/tests/simulation/orders.cpp
+++ b/tests/simulation/orders.cpp
@@ -1,4 +1,5 @@
-// Operators race through the platform's interface while controllers are cut off, frozen, killed and slowed.
+// Operators send concurrent changes through the platform's interface while controllers are cut off, frozen, killed and
+// slowed.
 #include <algorithm>
 #include <memory>
 
@@ -60,7 +61,7 @@
 /// one never enters it, reads never return an older revision, and every answer comes within its time limit.
 class Operators {
  public:
-  explicit Operators(Day& day) : day_(day), world_(day.world), usual_handler_(day.world.local) {
+  explicit Operators(ScenarioRun& run) : run_(run), world_(run.world), usual_handler_(run.world.local) {
     world_.local = [this](Node& node, const Envelope& envelope) {
       on_message(node, envelope);
     };
@@ -97,7 +98,7 @@
   void check_log(const Metadata& metadata);
   void request(const std::string& controller, ApiRequest request, OperatorRequest::Callback on_done);
 
-  Day& day_;
+  ScenarioRun& run_;
   World& world_;
   std::function<void(Node&, const Envelope&)> usual_handler_;
   std::vector<std::unique_ptr<OperatorRequest>> requests_;
@@ -157,13 +158,13 @@
     order->over = true;
     return;
   }
-  auto controller = day_.any(Kind::controller);
+  auto controller = run_.any(Kind::controller);
   auto delay = world_.chance(kRequestLate) ? world_.below(1500ms) : world_.below(5ms);
   bool answer_arrives = !world_.chance(kAnswerLost);
   world_.at(world_.now() + delay, [=, this] { deliver_order(order, controller, answer_arrives); });
   if (world_.chance(kRequestRepeated))
     world_.at(world_.now() + world_.below(4000ms),
-              [=, this] { deliver_order(order, day_.any(Kind::controller), false); });
+              [=, this] { deliver_order(order, run_.any(Kind::controller), false); });
   retry_after(order, order->tries, kResponseTimeout);
 }
 
@@ -238,7 +239,7 @@
   auto least = newest_read_;
   for (const auto& [base, order] : winners_)
     least = std::max(least, Revision{base.value() + 1});
-  auto controller = day_.any(Kind::controller);
+  auto controller = run_.any(Kind::controller);
   if (!world_.node(controller).machine)
     return;
   request(controller, {"GET", "/v1/config", "", {}, {}}, [=, this](const std::optional<ApiResponse>& answer, Duration) {
@@ -292,9 +293,9 @@
 }
 
 /// Cuts off, freezes, kills or slows one controller for a while, whatever it is doing.
-void inject_controller_fault(Day& day) {
-  auto& world = day.world;
-  auto name = day.any(Kind::controller);
+void inject_controller_fault(ScenarioRun& run) {
+  auto& world = run.world;
+  auto name = run.any(Kind::controller);
   auto start = [&world, name] {
     world.start(name);
   };
@@ -361,11 +362,11 @@
 }  // namespace
 
 /// Up to eight concurrent orders on one base, with lost answers and late or repeated requests, while controllers fail.
-void orders(Day& day) {
-  auto& world = day.world;
-  day.closed = true;
+void orders(ScenarioRun& run) {
+  auto& world = run.world;
+  run.closed = true;
   world.run(2000ms);
-  Operators operators(day);
+  Operators operators(run);
   world.net.loss = world.chance(0.5) ? 0.02 : 0;
   world.net.twice = world.chance(0.5) ? 0.05 : 0;
   auto end = world.now() + 60000ms;
@@ -380,7 +381,7 @@
     if (world.chance(kEarlyOrder))
       send_early_order(world, operators, newest->revision);
     if (world.now() >= next_fault) {
-      inject_controller_fault(day);
+      inject_controller_fault(run);
       next_fault = world.now() + 500ms + world.below(5000ms);
     }
     world.run(300ms + world.below(1500ms));
@@ -390,9 +391,9 @@
   world.run(20000ms);
   operators.check_at_end();
   // No caller is served, since the operators' configurations remove the initial cell.
-  day.callers.totals.successes += operators.acknowledged();
-  day.callers.totals.refusals += operators.refused();
-  day.callers.totals.unknowns += operators.unknown();
+  run.callers.totals.successes += operators.acknowledged();
+  run.callers.totals.refusals += operators.refused();
+  run.callers.totals.unknowns += operators.unknown();
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/retention.cpp
+++ b/tests/simulation/retention.cpp
@@ -15,7 +15,7 @@
 /// Status for a program whose retention has expired, and for a temporarily unavailable fleet.
 constexpr uint32_t kStatusGone = 410;
 constexpr uint32_t kStatusNotNow = 503;
-/// Histories may outlive their retention by this much: clocks differ, and one store's runs 30 times as fast.
+/// Expiry may lag this much behind the retention, since clocks differ and one store's clock runs 30 times as fast.
 constexpr Duration kShortRetentionEnd = kShortRetention + 100000ms;
 constexpr Duration kLongRetentionEnd = kLongRetention + 110000ms;
 /// Rate of a store's fast clock, which must not make histories expire early.
@@ -31,7 +31,7 @@
 /// Starts turns of programs in several cells and tracks until when each must be retained.
 class RetentionChecker {
  public:
-  explicit RetentionChecker(Day& day) : day_(day) {}
+  explicit RetentionChecker(ScenarioRun& run) : run_(run) {}
 
   const std::vector<KeptProgram>& programs() const { return programs_; }
 
@@ -53,24 +53,24 @@
     auto program = "r" + number;
     auto key = "key" + number;
     if (turn(cell, program, key).status == kStatusOk)
-      programs_.push_back({cell, program, key, day_.world.now(), promised});
+      programs_.push_back({cell, program, key, run_.world.now(), promised});
     else
-      day_.world.fail("a turn of cell " + cell + " failed");
+      run_.world.fail("a turn of cell " + cell + " failed");
   }
 
   /// Applies a configuration of the first cell and these cells.
   void apply_cells(const std::vector<Cell>& cells) {
-    auto metadata = latest(day_.world);
+    auto metadata = latest(run_.world);
     auto configuration = metadata->configuration;
     configuration.cells.resize(1);
     configuration.cells.insert(configuration.cells.end(), cells.begin(), cells.end());
     auto committed = std::make_shared<bool>(false);
-    day_.callers.commit(ApplyConfiguration{metadata->revision, configuration}, [committed](const CommitReply& reply) {
+    run_.callers.commit(ApplyConfiguration{metadata->revision, configuration}, [committed](const CommitReply& reply) {
       *committed = reply.outcome == CommitOutcome::committed;
     });
-    if (!day_.world.until(10000ms, [committed] { return *committed; }))
-      day_.world.fail("the configuration was not acknowledged");
-    day_.world.run(300ms);
+    if (!run_.world.until(10000ms, [committed] { return *committed; }))
+      run_.world.fail("the configuration was not acknowledged");
+    run_.world.run(300ms);
   }
 
   /// Checks that reading the program back gives this status.
@@ -82,32 +82,32 @@
     auto response = retry_until_answered(request);
     if (response.status == status)
       return;
-    auto age = day_.world.now() - kept.acknowledged;
-    day_.world.fail(kept.program + " of cell " + kept.cell + " gave " + std::to_string(response.status) + " (" +
+    auto age = run_.world.now() - kept.acknowledged;
+    run_.world.fail(kept.program + " of cell " + kept.cell + " gave " + std::to_string(response.status) + " (" +
                     response.reason + ") " + when + ", " + std::to_string(age.count()) + " ms after its turn");
   }
 
   /// Lets time pass until this long after the first turn.
   void run_until_age(Duration age) {
     auto moment = programs_.front().acknowledged + age;
-    day_.world.run(std::max(Duration::zero(), moment - day_.world.now()));
+    run_.world.run(std::max(Duration::zero(), moment - run_.world.now()));
   }
 
-  bool is_promised(const KeptProgram& kept) const { return day_.world.now() < kept.acknowledged + kept.promised; }
+  bool is_promised(const KeptProgram& kept) const { return run_.world.now() < kept.acknowledged + kept.promised; }
 
  private:
   ProgramResponse retry_until_answered(const ProgramRequest& request) {
     constexpr int max_tries = 20;
     for (int i = 0; i < max_tries; ++i) {
-      auto response = send_request(day_, request, day_.any(Kind::gateway));
+      auto response = send_request(run_, request, run_.any(Kind::gateway));
       if (response.status && response.status != kStatusNotNow)
         return response;
-      day_.world.run(300ms);
+      run_.world.run(300ms);
     }
     return {};
   }
 
-  Day& day_;
+  ScenarioRun& run_;
   std::vector<KeptProgram> programs_;
   int last_number_ = 0;
 };
@@ -116,16 +116,16 @@
   return {name, 400, 10, retention.count(), {{"chat", "model", {}}, {"app", "app", {}}}};
 }
 
-void restart_a_store(Day& day, Duration pause) {
-  auto store = day.any(Kind::store);
-  day.world.kill(store);
-  day.world.run(pause);
-  day.world.start(store);
+void restart_a_store(ScenarioRun& run, Duration pause) {
+  auto store = run.any(Kind::store);
+  run.world.kill(store);
+  run.world.run(pause);
+  run.world.start(store);
 }
 
 /// Programs in three cells: retention is extended in one and shortened in another, and the third cell is removed and
 /// added again.
-void keep_turns(Day& day, RetentionChecker& checker) {
+void keep_turns(ScenarioRun& run, RetentionChecker& checker) {
   checker.apply_cells(
       {cell_with("plain", kShortRetention), cell_with("cut", kLongRetention), cell_with("gone", kShortRetention)});
   for (int i = 0; i < 4; ++i)
@@ -133,27 +133,27 @@
       checker.add(cell, cell == "cut" ? kLongRetention : kShortRetention);
   checker.apply_cells({cell_with("plain", kMiddleRetention), cell_with("cut", kCutRetention)});
   checker.add("plain", kMiddleRetention);
-  restart_a_store(day, 1000ms);
+  restart_a_store(run, 1000ms);
   checker.apply_cells(
       {cell_with("plain", kShortRetention), cell_with("cut", kCutRetention), cell_with("gone", kShortRetention)});
   for (const auto& kept : checker.programs())
     if (kept.cell == "cut" && checker.turn(kept.cell, kept.program, kept.key + "-short").status != kStatusOk)
-      day.world.fail("a second turn failed");
+      run.world.fail("a second turn failed");
 }
 
 /// Checks that an expired program is reported as such, and that neither its old turn nor a new one runs.
-void must_be_expired(Day& day, RetentionChecker& checker, const KeptProgram& kept) {
+void must_be_expired(ScenarioRun& run, RetentionChecker& checker, const KeptProgram& kept) {
   checker.expect(kept, kStatusGone, "after its retention");
   auto new_key = kept.key + "-new";
-  auto runs_before = day.callers.runs(kept.program, kept.key);
+  auto runs_before = run.callers.runs(kept.program, kept.key);
   for (const auto& key : {kept.key, new_key}) {
     auto response = checker.turn(kept.cell, kept.program, key);
     if (response.status != kStatusGone)
-      day.world.fail("an expired program accepted a turn: " + std::to_string(response.status) + " " + response.reason);
+      run.world.fail("an expired program accepted a turn: " + std::to_string(response.status) + " " + response.reason);
   }
-  bool old_ran = day.callers.runs(kept.program, kept.key) != runs_before;
-  if (old_ran || day.callers.runs(kept.program, new_key))
-    day.world.fail("a turn of an expired program ran");
+  bool old_ran = run.callers.runs(kept.program, kept.key) != runs_before;
+  if (old_ran || run.callers.runs(kept.program, new_key))
+    run.world.fail("a turn of an expired program ran");
 }
 
 /// Checks that stores hold histories of the callers' cell only.
@@ -224,9 +224,9 @@
 }
 
 /// Erases the disk of a random store other than the spared one.
-void lose_a_disk(Day& day, const std::string& spared) {
-  auto& world = day.world;
-  auto lost = day.any_store_except(spared);
+void lose_a_disk(ScenarioRun& run, const std::string& spared) {
+  auto& world = run.world;
+  auto lost = run.any_store_except(spared);
   world.wipe(lost);
   world.run(500ms);
   world.start(lost);
@@ -237,17 +237,17 @@
 
 /// A program is retained for as long as was guaranteed when its turn was acknowledged, also by a store whose clock runs
 /// fast, and expires some time later on all stores.
-void retention(Day& day) {
-  auto& world = day.world;
-  RetentionChecker checker(day);
-  day.callers.traffic(150ms, world.now() + 20000ms);
-  keep_turns(day, checker);
-  world.node(day.any(Kind::store)).rate = kFastClock;
+void retention(ScenarioRun& run) {
+  auto& world = run.world;
+  RetentionChecker checker(run);
+  run.callers.traffic(150ms, world.now() + 20000ms);
+  keep_turns(run, checker);
+  world.node(run.any(Kind::store)).rate = kFastClock;
   checker.run_until_age(kShortRetention - 500ms);
   for (const auto& kept : checker.programs())
     if (checker.is_promised(kept))
       checker.expect(kept, kStatusOk, "inside its retention");
-  restart_a_store(day, 200ms);
+  restart_a_store(run, 200ms);
   restart_gateways(world);
   checker.run_until_age(kLongRetention - 1500ms);
   for (const auto& kept : checker.programs())
@@ -256,7 +256,7 @@
   checker.run_until_age(kShortRetentionEnd);
   for (const auto& kept : checker.programs())
     if (kept.promised <= kShortRetention)
-      must_be_expired(day, checker, kept);
+      must_be_expired(run, checker, kept);
   checker.run_until_age(kLongRetentionEnd);
   for (const auto& kept : checker.programs())
     checker.expect(kept, kStatusGone, "at the end");
@@ -265,11 +265,11 @@
 
 /// A store is down or frozen while histories are written. Once repair reports completion, all stores must hold the same
 /// histories, and again after a disk was lost.
-void idle_histories(Day& day) {
+void idle_histories(ScenarioRun& run) {
   constexpr size_t min_fetched = 10;
-  auto& world = day.world;
-  auto away = day.any(Kind::store);
-  day.callers.traffic(80ms, world.now() + 8000ms);
+  auto& world = run.world;
+  auto away = run.any(Kind::store);
+  run.callers.traffic(80ms, world.now() + 8000ms);
   world.run(500ms + world.below(1500ms));
   bool frozen = world.chance(0.4);
   if (frozen)
@@ -287,7 +287,7 @@
   if (!frozen && fetched < min_fetched)
     world.fail("the store that was down fetched too few records: " + std::to_string(fetched));
   restart_gateways(world);
-  lose_a_disk(day, away);
+  lose_a_disk(run, away);
   must_be_repaired(world, "the copies of the lost disk were not restored");
   for (const auto& gateway : world.names(Kind::gateway))
     world.until(8000ms, [&] { return world.ready(gateway); });
--- a/tests/simulation/scenario_functions.hpp
+++ b/tests/simulation/scenario_functions.hpp
@@ -1,59 +1,59 @@
 #pragma once
 // The scenarios as functions; the table in scenarios.cpp assigns names and fleet sizes to them.
-#include "simulation/day.hpp"
+#include "simulation/scenario_run.hpp"
 
 namespace mosskeel::sim {
 
 // ordinary_scenarios.cpp: one kind of fault each.
-void quiet(Day& day);
-void lossy(Day& day);
-void havoc(Day& day, const std::vector<Kind>& kinds, bool slow_disks);
-void faults(Day& day);
-void storm(Day& day);
-void drains(Day& day);
-void stores(Day& day);
-void core(Day& day);
-void rolling(Day& day);
+void quiet(ScenarioRun& run);
+void lossy(ScenarioRun& run);
+void havoc(ScenarioRun& run, const std::vector<Kind>& kinds, bool slow_disks);
+void faults(ScenarioRun& run);
+void storm(ScenarioRun& run);
+void drains(ScenarioRun& run);
+void stores(ScenarioRun& run);
+void core(ScenarioRun& run);
+void rolling(ScenarioRun& run);
 
 // troubles.cpp: faults of whole zones and roles, cold replicas and overload.
-void split(Day& day);
-void zone_lost(Day& day);
-void coreless(Day& day);
-void gateways_lost(Day& day);
-void cold(Day& day);
-void rush(Day& day);
-void slow_disks(Day& day);
-void carousel(Day& day);
-void many_helpers(Day& day);
+void split(ScenarioRun& run);
+void zone_lost(ScenarioRun& run);
+void coreless(ScenarioRun& run);
+void gateways_lost(ScenarioRun& run);
+void cold(ScenarioRun& run);
+void rush(ScenarioRun& run);
+void slow_disks(ScenarioRun& run);
+void carousel(ScenarioRun& run);
+void many_helpers(ScenarioRun& run);
 
 // cores.cpp: the core is lost in part or whole.
-void power_after_ack(Day& day);
-void core_majority_lost(Day& day);
-void rebuild(Day& day);
-void survivor(Day& day);
-void seeds_swapped(Day& day);
+void power_after_ack(ScenarioRun& run);
+void core_majority_lost(ScenarioRun& run);
+void rebuild(ScenarioRun& run);
+void survivor(ScenarioRun& run);
+void seeds_swapped(ScenarioRun& run);
 
 // cuts.cpp: the core is cut off from the fleet, or the gateways from all others.
-void core_cut(Day& day);
-void gateways_cut(Day& day);
+void core_cut(ScenarioRun& run);
+void gateways_cut(ScenarioRun& run);
 
 // losses.cpp: stores are lost at critical moments.
-void pair_wiped(Day& day);
-void unreplaced(Day& day);
-void leaving(Day& day);
-void flapping(Day& day);
-void large_histories(Day& day);
+void pair_wiped(ScenarioRun& run);
+void unreplaced(ScenarioRun& run);
+void leaving(ScenarioRun& run);
+void flapping(ScenarioRun& run);
+void large_histories(ScenarioRun& run);
 
 // retention.cpp: histories expire, or must not expire.
-void retention(Day& day);
-void idle_histories(Day& day);
+void retention(ScenarioRun& run);
+void idle_histories(ScenarioRun& run);
 
 // orders.cpp: operators send concurrent changes through the platform's interface.
-void orders(Day& day);
+void orders(ScenarioRun& run);
 
 // sizes.cpp: fleets as large as the deployments, and planned maintenance.
-void successor(Day& day);
-void planned(Day& day);
-void deployment(Day& day, bool election);
+void successor(ScenarioRun& run);
+void planned(ScenarioRun& run);
+void deployment(ScenarioRun& run, bool election);
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/day.cpp
+++ b/tests/simulation/scenario_run.cpp
@@ -1,4 +1,4 @@
-#include "simulation/day.hpp"
+#include "simulation/scenario_run.hpp"
 
 namespace mosskeel::sim {
 namespace {
@@ -20,22 +20,22 @@
 
 }  // namespace
 
-Day::Day(uint64_t seed, FleetSize size, uint64_t budget)
+ScenarioRun::ScenarioRun(uint64_t seed, FleetSize size, uint64_t budget)
     : world(seed, size), callers(world, size.models, size.apps, budget, kTurnLimit) {}
 
-std::string Day::any(Kind kind) {
+std::string ScenarioRun::any(Kind kind) {
   auto names = world.names(kind);
   return names[world.next_random() % names.size()];
 }
 
-std::string Day::any_store_except(const std::string& excluded) {
+std::string ScenarioRun::any_store_except(const std::string& excluded) {
   auto store = any(Kind::store);
   while (store == excluded)
     store = any(Kind::store);
   return store;
 }
 
-void Day::close() {
+void ScenarioRun::close() {
   recover_everything();
   auto turns = std::make_shared<ClosingTurns>();
   start_turns_until_served(turns);
@@ -46,7 +46,7 @@
   callers.check_at_end();
 }
 
-void Day::recover_everything() {
+void ScenarioRun::recover_everything() {
   world.heal();
   world.net.loss = 0;
   world.net.twice = 0;
@@ -64,7 +64,7 @@
 }
 
 /// Starts new programs one after the other until a turn succeeds.
-void Day::start_turns_until_served(const std::shared_ptr<ClosingTurns>& turns) {
+void ScenarioRun::start_turns_until_served(const std::shared_ptr<ClosingTurns>& turns) {
   if (turns->over)
     return;
   callers.turn("closing" + std::to_string(world.next_random()), "main", [this, turns](const Turn& turn) {
@@ -75,16 +75,16 @@
   });
 }
 
-void must_serve(Day& day, Duration time, const char* during) {
-  auto before = day.callers.totals.successes;
-  day.world.run(time);
-  auto served = day.callers.totals.successes - before;
+void must_serve(ScenarioRun& run, Duration time, const char* during) {
+  auto before = run.callers.totals.successes;
+  run.world.run(time);
+  auto served = run.callers.totals.successes - before;
   if (served < kMinSuccesses)
-    day.world.fail(std::string("too few successes during ") + during + ": " + std::to_string(served));
+    run.world.fail(std::string("too few successes during ") + during + ": " + std::to_string(served));
 }
 
-uint64_t change_configuration(Day& day, Duration timeout) {
-  auto metadata = latest(day.world);
+uint64_t change_configuration(ScenarioRun& run, Duration timeout) {
+  auto metadata = latest(run.world);
   if (!metadata || metadata->configuration.cells.empty())
     return 0;
   auto changed = metadata->configuration;
@@ -99,13 +99,13 @@
       outcome->revision = base.value() + 1;
     outcome->over = true;
   };
-  day.callers.commit(ApplyConfiguration{metadata->revision, changed}, on_reply, "", timeout);
-  day.world.until(timeout + kTimeoutMargin, [=] { return outcome->over; });
+  run.callers.commit(ApplyConfiguration{metadata->revision, changed}, on_reply, "", timeout);
+  run.world.until(timeout + kTimeoutMargin, [=] { return outcome->over; });
   return outcome->revision;
 }
 
-void must_be_in_force(Day& day, uint64_t revision, Duration within) {
-  auto& world = day.world;
+void must_be_in_force(ScenarioRun& run, uint64_t revision, Duration within) {
+  auto& world = run.world;
   auto is_in_force = [&] {
     for (const auto& name : world.names(Kind::gateway)) {
       const auto& machine = world.node(name).machine;
@@ -148,14 +148,14 @@
   return found;
 }
 
-ProgramResponse send_request(Day& day, ProgramRequest request, const std::string& gateway) {
+ProgramResponse send_request(ScenarioRun& run, ProgramRequest request, const std::string& gateway) {
   auto answer = std::make_shared<std::optional<ProgramResponse>>();
-  request.attempt = "t" + std::to_string(day.world.next_random());
-  day.callers.send(gateway, std::move(request), [answer](const Message& message) {
+  request.attempt = "t" + std::to_string(run.world.next_random());
+  run.callers.send(gateway, std::move(request), [answer](const Message& message) {
     if (const auto* response = std::get_if<ProgramResponse>(&message))
       *answer = *response;
   });
-  day.world.until(kRequestLimit, [answer] { return answer->has_value(); });
+  run.world.until(kRequestLimit, [answer] { return answer->has_value(); });
   return answer->value_or(ProgramResponse{});
 }
 
--- a/tests/simulation/scenarios.cpp
+++ b/tests/simulation/scenarios.cpp
@@ -16,7 +16,7 @@
   const char* name;
   FleetSize size;
   uint64_t budget;
-  std::function<void(Day&)> run;
+  std::function<void(ScenarioRun&)> run;
 };
 
 /// The usual fleet, with this many machines of some roles.
@@ -41,15 +41,15 @@
   return {.gateways = 6, .models = 9};
 }
 
-std::function<void(Day&)> havoc_among(std::vector<Kind> kinds, bool slow_disks) {
-  return [kinds = std::move(kinds), slow_disks](Day& day) {
-    havoc(day, kinds, slow_disks);
+std::function<void(ScenarioRun&)> havoc_among(std::vector<Kind> kinds, bool slow_disks) {
+  return [kinds = std::move(kinds), slow_disks](ScenarioRun& run) {
+    havoc(run, kinds, slow_disks);
   };
 }
 
-std::function<void(Day&)> deployment_of(bool election) {
-  return [election](Day& day) {
-    deployment(day, election);
+std::function<void(ScenarioRun&)> deployment_of(bool election) {
+  return [election](ScenarioRun& run) {
+    deployment(run, election);
   };
 }
 
@@ -103,21 +103,21 @@
   return all;
 }
 
-ScenarioResult run_day(const Scenario& scenario, uint64_t seed, bool notes) {
-  Day day(seed, scenario.size, scenario.budget);
-  auto& world = day.world;
+ScenarioResult run_seed(const Scenario& scenario, uint64_t seed, bool notes) {
+  ScenarioRun run(seed, scenario.size, scenario.budget);
+  auto& world = run.world;
   world.keep_notes = notes;
-  if (day.callers.initialize_fleet()) {
-    scenario.run(day);
-    if (!day.closed)
-      day.close();
+  if (run.callers.initialize_fleet()) {
+    scenario.run(run);
+    if (!run.closed)
+      run.close();
   } else {
     world.fail("the fleet did not become ready");
   }
   // The callers are destroyed before the world, so their callbacks are removed first.
   world.local = nullptr;
   world.died = nullptr;
-  const auto& totals = day.callers.totals;
+  const auto& totals = run.callers.totals;
   return {.failures = world.failures,
           .notes = world.notes,
           .successes = totals.successes,
@@ -127,7 +127,7 @@
           .messages = world.messages,
           .syncs = world.syncs,
           .reasons = totals.reasons,
-          .repair_times = day.repair_times};
+          .repair_times = run.repair_times};
 }
 
 }  // namespace
@@ -143,7 +143,7 @@
 ScenarioResult run_scenario(const std::string& scenario, uint64_t seed, bool notes) {
   for (const auto& candidate : table())
     if (candidate.name == scenario)
-      return run_day(candidate, seed, notes);
+      return run_seed(candidate, seed, notes);
   ScenarioResult result;
   result.failures.push_back("no scenario " + scenario);
   return result;
--- a/tests/simulation/scenarios.hpp
+++ b/tests/simulation/scenarios.hpp
@@ -16,7 +16,7 @@
   uint64_t successes = 0, refusals = 0, unknowns = 0, resumed = 0, messages = 0, syncs = 0;
   /// Number of unknown outcomes by reason.
   std::map<std::string, uint64_t> reasons;
-  /// As in `Day`.
+  /// As in `ScenarioRun`.
   std::vector<Duration> repair_times;
 };
 
--- a/tests/simulation/sizes.cpp
+++ b/tests/simulation/sizes.cpp
@@ -11,36 +11,36 @@
 constexpr uint64_t kFaultKinds = 9;
 constexpr uint64_t kClosingFaults = 7;
 
-void overload_replicas(Day& day) {
-  day.callers.settings.urgent_share = 15;
-  day.callers.traffic(6ms, day.world.now() + 4000ms);
-  day.world.run(6000ms);
+void overload_replicas(ScenarioRun& run) {
+  run.callers.settings.urgent_share = 15;
+  run.callers.traffic(6ms, run.world.now() + 4000ms);
+  run.world.run(6000ms);
 }
 
-void replace_replicas_one_by_one(Day& day) {
+void replace_replicas_one_by_one(ScenarioRun& run) {
   for (int number = 1; number <= 4; ++number) {
     auto name = "model" + std::to_string(number);
-    day.callers.set_replica(name, ReplicaHealth::draining);
-    day.world.run(1800ms);
-    day.callers.set_replica(name, ReplicaHealth::warming_up);
-    day.world.run(700ms);
+    run.callers.set_replica(name, ReplicaHealth::draining);
+    run.world.run(1800ms);
+    run.callers.set_replica(name, ReplicaHealth::warming_up);
+    run.world.run(700ms);
   }
 }
 
-void lose_gateway_for_a_while(Day& day) {
-  auto gateway = day.any(Kind::gateway);
-  day.world.kill(gateway);
-  day.world.run(4000ms);
-  day.world.start(gateway);
-  day.world.run(4000ms);
+void lose_gateway_for_a_while(ScenarioRun& run) {
+  auto gateway = run.any(Kind::gateway);
+  run.world.kill(gateway);
+  run.world.run(4000ms);
+  run.world.start(gateway);
+  run.world.run(4000ms);
 }
 
-void lose_store_disk(Day& day) {
-  auto store = day.any(Kind::store);
-  day.world.wipe(store);
-  day.world.run(2000ms);
-  day.world.start(store);
-  day.world.run(12000ms);
+void lose_store_disk(ScenarioRun& run) {
+  auto store = run.any(Kind::store);
+  run.world.wipe(store);
+  run.world.run(2000ms);
+  run.world.start(store);
+  run.world.run(12000ms);
 }
 
 void lose_zone_for_a_while(World& world) {
@@ -51,10 +51,10 @@
   world.run(8000ms);
 }
 
-/// An empty controller at a new address takes a lost one's place.
-void replace_controller(Day& day) {
-  auto& world = day.world;
-  auto lost = day.any(Kind::controller);
+/// Replaces a lost controller by an empty one at a new address.
+void replace_controller(ScenarioRun& run) {
+  auto& world = run.world;
+  auto lost = run.any(Kind::controller);
   world.wipe(lost);
   world.add("controller9", Kind::controller, world.node(lost).id.self.zone);
   world.run(14000ms);
@@ -79,46 +79,46 @@
 }
 
 /// Two operators commit different changes on each revision.
-void race_operators(Day& day) {
+void race_operators(ScenarioRun& run) {
   constexpr int rounds = 20;
   for (int round = 0; round < rounds; ++round) {
-    auto metadata = latest(day.world);
+    auto metadata = latest(run.world);
     auto changed = metadata->configuration;
     changed.cells[0].retention_ms += 1 + round;
     for (int i = 0; i < 2; ++i)
-      day.callers.commit(ApplyConfiguration{metadata->revision, changed}, [](const CommitReply&) {});
-    day.world.run(150ms);
+      run.callers.commit(ApplyConfiguration{metadata->revision, changed}, [](const CommitReply&) {});
+    run.world.run(150ms);
   }
 }
 
 /// Injects one kind of fault; its effects may continue after the call.
-void inject_fault(Day& day, uint64_t number) {
+void inject_fault(ScenarioRun& run, uint64_t number) {
   switch (number % kFaultKinds) {
     case 0:
-      return overload_replicas(day);
+      return overload_replicas(run);
     case 1:
-      return replace_replicas_one_by_one(day);
+      return replace_replicas_one_by_one(run);
     case 2:
-      return lose_gateway_for_a_while(day);
+      return lose_gateway_for_a_while(run);
     case 3:
-      return lose_store_disk(day);
+      return lose_store_disk(run);
     case 4:
-      return lose_zone_for_a_while(day.world);
+      return lose_zone_for_a_while(run.world);
     case 5:
-      return replace_controller(day);
+      return replace_controller(run);
     case 6:
-      return add_machines(day.world);
+      return add_machines(run.world);
     case 7:
-      return swap_seeds(day.world);
+      return swap_seeds(run.world);
     default:
-      return race_operators(day);
+      return race_operators(run);
   }
 }
 
 /// A gateway and its agent.
-std::vector<std::string> any_gateway_machine(Day& day) {
-  auto gateway = day.any(Kind::gateway);
-  return {gateway, day.world.node(gateway).beside};
+std::vector<std::string> any_gateway_machine(ScenarioRun& run) {
+  auto gateway = run.any(Kind::gateway);
+  return {gateway, run.world.node(gateway).beside};
 }
 
 void freeze_core_majority(World& world) {
@@ -140,22 +140,22 @@
 }
 
 /// Injects a fault that persists until the final recovery; returns its description for the report.
-const char* inject_closing_fault(Day& day, uint64_t number) {
-  auto& world = day.world;
+const char* inject_closing_fault(ScenarioRun& run, uint64_t number) {
+  auto& world = run.world;
   switch (number % kClosingFaults) {
     case 0:
-      for (const auto& name : any_gateway_machine(day))
+      for (const auto& name : any_gateway_machine(run))
         world.kill(name);
       return "a gateway killed";
     case 1:
-      for (const auto& name : any_gateway_machine(day))
+      for (const auto& name : any_gateway_machine(run))
         world.freeze(name);
       return "a gateway frozen";
     case 2:
-      world.power_off(day.any(Kind::store));
+      world.power_off(run.any(Kind::store));
       return "a store lost";
     case 3:
-      world.wipe(day.any(Kind::controller));
+      world.wipe(run.any(Kind::controller));
       return "a core machine lost";
     case 4:
       freeze_core_majority(world);
@@ -169,8 +169,8 @@
   }
 }
 
-/// A new program for each partition, and some of those that were served before.
-std::vector<std::string> programs_to_resume(Day& day) {
+/// A new program for each partition, and a sample of the programs that were served before.
+std::vector<std::string> programs_to_resume(ScenarioRun& run) {
   constexpr size_t max_old_programs = 120;
   std::vector<std::string> names;
   std::set<PartitionId> covered;
@@ -179,9 +179,9 @@
     if (covered.insert(partition_of("news", name)).second)
       names.push_back(name);
   }
-  auto old = day.callers.programs();
+  auto old = run.callers.programs();
   for (size_t i = 0; i < old.size() && i < max_old_programs; ++i)
-    names.push_back(old[day.world.next_random() % old.size()]);
+    names.push_back(old[run.world.next_random() % old.size()]);
   return names;
 }
 
@@ -189,14 +189,14 @@
 using OpenTurns = std::map<std::string, int>;
 
 /// Starts a turn of each program. A program whose budget is spent counts as served, too.
-std::shared_ptr<OpenTurns> start_turns(Day& day, const std::vector<std::string>& programs) {
+std::shared_ptr<OpenTurns> start_turns(ScenarioRun& run, const std::vector<std::string>& programs) {
   constexpr uint32_t budget_spent = 429;
   auto open = std::make_shared<OpenTurns>();
   for (const auto& program : programs) {
     ++(*open)[program];
-    auto begin = day.world.now() + day.world.below(1500ms);
-    day.world.at(begin, [&day, program, open] {
-      day.callers.turn(program, "closing", [program, open](const Turn& turn) {
+    auto begin = run.world.now() + run.world.below(1500ms);
+    run.world.at(begin, [&run, program, open] {
+      run.callers.turn(program, "closing", [program, open](const Turn& turn) {
         if (turn.success || turn.status == budget_spent)
           --(*open)[program];
       });
@@ -215,10 +215,10 @@
 }
 
 /// 12 s after a persistent fault, a new program on every partition and continued old programs must be served.
-void must_resume(Day& day, const char* fault) {
-  auto& world = day.world;
-  auto programs = programs_to_resume(day);
-  auto open = start_turns(day, programs);
+void must_resume(ScenarioRun& run, const char* fault) {
+  auto& world = run.world;
+  auto programs = programs_to_resume(run);
+  auto open = start_turns(run, programs);
   auto count_open = [open] {
     return std::count_if(open->begin(), open->end(), [](const auto& entry) { return entry.second > 0; });
   };
@@ -228,14 +228,14 @@
              " programs not served 12 s after " + fault + ":" + list_open(*open));
 }
 
-/// The change must be acknowledged.
-void must_commit(Day& day, Transformation change, const char* what) {
+/// Commits a change and checks that it is acknowledged.
+void must_commit(ScenarioRun& run, Transformation change, const char* what) {
   auto committed = std::make_shared<bool>(false);
-  day.callers.commit(std::move(change),
+  run.callers.commit(std::move(change),
                      [committed](const CommitReply& reply) { *committed = reply.outcome == CommitOutcome::committed; });
-  if (!day.world.until(10000ms, [committed] { return *committed; }))
-    day.world.fail(std::string(what) + " was not acknowledged");
-  day.world.run(500ms);
+  if (!run.world.until(10000ms, [committed] { return *committed; }))
+    run.world.fail(std::string(what) + " was not acknowledged");
+  run.world.run(500ms);
 }
 
 /// Whether no daemon is down or only registered, and no sequence is in progress.
@@ -267,23 +267,23 @@
 }
 
 /// A store is added, and another one drained and stopped.
-void replace_store_in_order(Day& day) {
-  auto& world = day.world;
+void replace_store_in_order(ScenarioRun& run) {
+  auto& world = run.world;
   world.add("store9", Kind::store, "a");
   world.run(3000ms);
   must_be_stable(world, "a store was added");
-  must_commit(day, PrepareDrain{latest(world)->find_at("store1")->id}, "the retirement");
+  must_commit(run, PrepareDrain{latest(world)->find_at("store1")->id}, "the retirement");
   if (!world.until(15000ms, [&] { return has_no_sequences(world); }))
     world.fail("the retirement did not end");
   world.run(1000ms);
   world.stop("store1");
 }
 
-void evacuate_and_restore(Day& day) {
-  must_commit(day, EvacuateZone{"b"}, "the evacuation");
-  day.world.run(3000ms);
-  must_commit(day, RestoreZone{"b"}, "the restoration");
-  day.world.run(2000ms);
+void evacuate_and_restore(ScenarioRun& run) {
+  must_commit(run, EvacuateZone{"b"}, "the evacuation");
+  run.world.run(3000ms);
+  must_commit(run, RestoreZone{"b"}, "the restoration");
+  run.world.run(2000ms);
 }
 
 bool uses_store(const Metadata& metadata, DaemonId store) {
@@ -297,9 +297,9 @@
 /// A store is replaced by an empty one at another address, which joins before the lost one is marked down; later
 /// another one loses its disk. No partition may be left with the lost store in its set, so that the second loss is
 /// tolerated.
-void successor(Day& day) {
-  auto& world = day.world;
-  day.callers.traffic(50ms, world.now() + 40000ms);
+void successor(ScenarioRun& run) {
+  auto& world = run.world;
+  run.callers.traffic(50ms, world.now() + 40000ms);
   world.run(3000ms + world.below(1000ms));
   auto lost = latest(world)->find_at("store1")->id;
   world.power_off("store1");
@@ -321,20 +321,20 @@
 }
 
 /// Every kind of planned maintenance under load, one after the other: no outcome may be unknown.
-void planned(Day& day) {
-  auto& world = day.world;
-  day.callers.traffic(50ms, world.now() + 75000ms);
+void planned(ScenarioRun& run) {
+  auto& world = run.world;
+  run.callers.traffic(50ms, world.now() + 75000ms);
   restart_in_order(world);
-  replace_store_in_order(day);
-  evacuate_and_restore(day);
+  replace_store_in_order(run);
+  evacuate_and_restore(run);
   auto metadata = latest(world);
   auto from = metadata->find_at("gateway1")->id;
   auto to = metadata->find_at("gateway3")->id;
-  must_commit(day, MoveAllPartitions{from, to}, "moving partitions");
-  if (!change_configuration(day, 10000ms))
+  must_commit(run, MoveAllPartitions{from, to}, "moving partitions");
+  if (!change_configuration(run, 10000ms))
     world.fail("a configuration was not acknowledged");
   world.run(3000ms);
-  const auto& totals = day.callers.totals;
+  const auto& totals = run.callers.totals;
   auto lost = totals.unknowns + totals.unknown_counts;
   if (!lost)
     return;
@@ -345,24 +345,24 @@
 
 /// Two faults under a deployment's load, then a persistent fault; 12 s later all programs must be served. With
 /// `election` the load is higher and more programs are long.
-void deployment(Day& day, bool election) {
-  auto& world = day.world;
-  day.callers.settings.long_program_share = election ? 6 : 12;
-  day.callers.traffic(election ? 38ms : 83ms, world.now() + 80000ms);
+void deployment(ScenarioRun& run, bool election) {
+  auto& world = run.world;
+  run.callers.settings.long_program_share = election ? 6 : 12;
+  run.callers.traffic(election ? 38ms : 83ms, world.now() + 80000ms);
   world.run(2000ms);
   auto first = world.next_random();
   auto second = world.next_random();
-  inject_fault(day, first);
+  inject_fault(run, first);
   world.run(1000ms);
   bool same = second % kFaultKinds == first % kFaultKinds;
-  inject_fault(day, same ? second + 1 : second);
+  inject_fault(run, same ? second + 1 : second);
   if (!world.until(20000ms, [&] { return has_no_sequences(world); }))
     world.fail("sequences did not end before the persistent fault");
   world.run(3000ms);
-  const auto* fault = inject_closing_fault(day, world.next_random());
+  const auto* fault = inject_closing_fault(run, world.next_random());
   world.run(12000ms);
-  day.callers.settings.only_ready = true;
-  must_resume(day, fault);
+  run.callers.settings.only_ready = true;
+  must_resume(run, fault);
 }
 
 }  // namespace mosskeel::sim
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -51,14 +51,14 @@
   SimDisk disk;
   /// A frozen process handles neither messages nor timers, but its clock advances.
   bool frozen = false;
-  /// The number of this process; events that were scheduled for an earlier process of the node do nothing.
+  /// Identifies this process; events that were scheduled for an earlier process of the node are ignored.
   uint64_t process_id = 0;
   /// Messages received while the process was frozen.
   std::deque<Envelope> backlog;
   /// The newest epoch and revision observed at this process.
   Epoch seen{};
   Revision revision{};
-  /// The clock of this process starts elsewhere than any other's and runs at a rate of its own.
+  /// Each process has a clock with its own offset and rate.
   Duration clock_offset{};
   double rate = 1;
 
--- a/tests/unit/consensus/core_membership_test.cpp
+++ b/tests/unit/consensus/core_membership_test.cpp
@@ -4,7 +4,7 @@
 #include "consensus/constants.hpp"
 #include "messages/constants.hpp"
 #include "runtime/constants.hpp"
-#include "simulation/day.hpp"
+#include "simulation/scenario_run.hpp"
 #include "unit/catch.hpp"
 
 using namespace mosskeel;
