--- a/tests/simulation/day.cpp
+++ b/tests/simulation/scenario_run.cpp
@@ -1,52 +1,52 @@
-#include "simulation/day.hpp"
+#include "simulation/scenario_run.hpp"
 
 namespace mosskeel::sim {
 namespace {
 
-/// The promise of the docs: the fleet serves this long after the last fault.
+/// Documented limit: the fleet serves again this long after the last fault.
 constexpr Duration kClosingLimit = 12000ms;
-/// What is under way when the closing turn was served may come to its end in this time.
+/// Time for requests in flight to finish after the final turn was served.
 constexpr Duration kClosingPause = 1000ms;
-/// Fewer successes than this during a trouble count as an outage.
-constexpr uint64_t kFewestSuccesses = 5;
-/// The operator's own answer comes this long after its patience at the latest.
-constexpr Duration kPatienceMargin = 100ms;
+/// Fewer successes than this during a fault count as an outage.
+constexpr uint64_t kMinSuccesses = 5;
+/// The outcome of a commit is reported at most this long after its timeout.
+constexpr Duration kTimeoutMargin = 100ms;
 /// How long a gateway is down in a restart.
 constexpr Duration kGatewayRestart = 100ms;
-/// Longer than any request may take.
-constexpr Duration kAskLimit = 30000ms;
+/// Longer than the limit of any request.
+constexpr Duration kRequestLimit = 30000ms;
 /// Tokens that one turn may use.
 constexpr uint64_t kTurnLimit = 10;
 
 }  // namespace
 
-Day::Day(uint64_t seed, FleetSize size, uint64_t budget)
+ScenarioRun::ScenarioRun(uint64_t seed, FleetSize size, uint64_t budget)
     : world(seed, size), callers(world, size.models, size.apps, budget, kTurnLimit) {}
 
-std::string Day::any(Kind kind) {
+std::string ScenarioRun::any(Kind kind) {
   auto names = world.names(kind);
   return names[world.next_random() % names.size()];
 }
 
-std::string Day::any_store_but(const std::string& excluded) {
+std::string ScenarioRun::any_store_except(const std::string& excluded) {
   auto store = any(Kind::store);
   while (store == excluded)
     store = any(Kind::store);
   return store;
 }
 
-void Day::close() {
+void ScenarioRun::close() {
   recover_everything();
   auto turns = std::make_shared<ClosingTurns>();
-  ask_until_served(turns);
+  start_turns_until_served(turns);
   if (!world.until(kClosingLimit, [&] { return turns->served; }))
-    world.fail("not serving 12 s after the closing fault");
+    world.fail("not serving 12 s after the last fault");
   world.run(kClosingPause);
   turns->over = true;
   callers.check_at_end();
 }
 
-void Day::recover_everything() {
+void ScenarioRun::recover_everything() {
   world.heal();
   world.net.loss = 0;
   world.net.twice = 0;
@@ -63,28 +63,28 @@
   }
 }
 
-/// New programs one after the other, until a turn succeeds.
-void Day::ask_until_served(const std::shared_ptr<ClosingTurns>& turns) {
+/// Starts new programs one after the other until a turn succeeds.
+void ScenarioRun::start_turns_until_served(const std::shared_ptr<ClosingTurns>& turns) {
   if (turns->over)
     return;
   callers.turn("closing" + std::to_string(world.next_random()), "main", [this, turns](const Turn& turn) {
     if (turn.success)
       turns->served = true;
     else
-      ask_until_served(turns);
+      start_turns_until_served(turns);
   });
 }
 
-void must_serve(Day& day, Duration time, const char* during) {
-  auto before = day.callers.totals.successes;
-  day.world.run(time);
-  auto served = day.callers.totals.successes - before;
-  if (served < kFewestSuccesses)
-    day.world.fail(std::string("hardly served during ") + during + ": " + std::to_string(served));
+void must_serve(ScenarioRun& run, Duration time, const char* during) {
+  auto before = run.callers.totals.successes;
+  run.world.run(time);
+  auto served = run.callers.totals.successes - before;
+  if (served < kMinSuccesses)
+    run.world.fail(std::string("too few successes during ") + during + ": " + std::to_string(served));
 }
 
-uint64_t change_configuration(Day& day, Duration patience) {
-  auto metadata = latest(day.world);
+uint64_t change_configuration(ScenarioRun& run, Duration timeout) {
+  auto metadata = latest(run.world);
   if (!metadata || metadata->configuration.cells.empty())
     return 0;
   auto changed = metadata->configuration;
@@ -94,18 +94,18 @@
     bool over = false;
   };
   auto outcome = std::make_shared<Outcome>();
-  auto hear = [outcome, base = metadata->revision](const CommitReply& reply) {
+  auto on_reply = [outcome, base = metadata->revision](const CommitReply& reply) {
     if (reply.outcome == CommitOutcome::committed)
       outcome->revision = base.value() + 1;
     outcome->over = true;
   };
-  day.callers.commit(ApplyConfiguration{metadata->revision, changed}, hear, "", patience);
-  day.world.until(patience + kPatienceMargin, [=] { return outcome->over; });
+  run.callers.commit(ApplyConfiguration{metadata->revision, changed}, on_reply, "", timeout);
+  run.world.until(timeout + kTimeoutMargin, [=] { return outcome->over; });
   return outcome->revision;
 }
 
-void must_be_in_force(Day& day, uint64_t revision, Duration within) {
-  auto& world = day.world;
+void must_be_in_force(ScenarioRun& run, uint64_t revision, Duration within) {
+  auto& world = run.world;
   auto is_in_force = [&] {
     for (const auto& name : world.names(Kind::gateway)) {
       const auto& machine = world.node(name).machine;
@@ -148,14 +148,14 @@
   return found;
 }
 
-ProgramResponse ask(Day& day, ProgramRequest request, const std::string& gateway) {
+ProgramResponse send_request(ScenarioRun& run, ProgramRequest request, const std::string& gateway) {
   auto answer = std::make_shared<std::optional<ProgramResponse>>();
-  request.attempt = "t" + std::to_string(day.world.next_random());
-  day.callers.send(gateway, std::move(request), [answer](const Message& message) {
+  request.attempt = "t" + std::to_string(run.world.next_random());
+  run.callers.send(gateway, std::move(request), [answer](const Message& message) {
     if (const auto* response = std::get_if<ProgramResponse>(&message))
       *answer = *response;
   });
-  day.world.until(kAskLimit, [answer] { return answer->has_value(); });
+  run.world.until(kRequestLimit, [answer] { return answer->has_value(); });
   return answer->value_or(ProgramResponse{});
 }
 
--- a/tests/unit/programs/stopping_gateway_test.cpp
+++ b/tests/unit/programs/stopping_gateway_test.cpp
@@ -16,7 +16,7 @@
 /// A cluster, and a caller that waits for a program's turn at the gateway that owns the program.
 class WaitingCaller {
  public:
-  WaitingCaller() { REQUIRE(callers.introduce()); }
+  WaitingCaller() { REQUIRE(callers.initialize_fleet()); }
 
   void stall_models() {
     for (auto& [name, replica] : callers.replicas) {
