--- a/src/daemons/gateway/main.cpp
+++ b/src/daemons/gateway/main.cpp
@@ -67,8 +67,7 @@
   if (!settings.platform_protocol.empty()) {
     const auto* codec = find_protocol_codec(settings.platform_protocol);
     if (!codec)
-      return report_start_failure("gateway",
-                                  {{"dialect", "'" + settings.platform_protocol + "' is not a known protocol"}});
+      return report_start_failure("gateway", {{"dialect", "'" + settings.platform_protocol + "' is unknown"}});
     auto started = RoutingThread::start(host, *codec, settings.http_address, settings.readiness_address);
     if (!started.ok())
       return report_start_failure("gateway", started.errors());
