--- a/src/net/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -17,7 +17,7 @@
 /// Small, because a response still delivers this much after its reading is paused.
 constexpr size_t kUpstreamReadBufferBytes = 16 << 10;
 /// TCP_USER_TIMEOUT in milliseconds: a replica that acknowledges no data for this long counts as unreachable.
-constexpr int kTcpUserTimeoutMs = 3000;
+constexpr int kTcpUserTimeoutMilliseconds = 3000;
 
 bool is_printable(std::string_view text) {
   return !text.empty() &&
@@ -105,7 +105,7 @@
     return {nullptr, std::string("socket: ") + std::strerror(errno)};
   }
   set_socket_option(socket.get(), IPPROTO_TCP, TCP_NODELAY, 1);
-  set_socket_option(socket.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, kTcpUserTimeoutMs);
+  set_socket_option(socket.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, kTcpUserTimeoutMilliseconds);
   ++connections_opened_;
   const auto* socket_address = reinterpret_cast<const sockaddr*>(&endpoint->storage);
   if (::connect(socket.get(), socket_address, endpoint->length) != 0 && errno != EINPROGRESS) {
